--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	wait, ok := l.drain.wait(l.now, l.ahead(w))
-	wait = time.Duration(float64(wait) / doubt)
+	wait = time.Duration(float64(wait) / forecastMargin)
 	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
 		return nil
 	}
@@ -50,7 +50,7 @@
 // doubt is the factor by which the forecast must miss the target: some of those
 // before are larger than they say, or leave, and one that is refused for them could
 // have been in time.
-const doubt = 1.6
+const forecastMargin = 1.6
 
 // lacksTime is why a request is refused at its arrival.
 const lacksTime = "those before it take the engines past its target"
