--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	after := max(l.flow.comeBack(l.now, l.backlog()), crowdedRetryAfter)
-	return l.refuse(w.want, verdict.CodeOverloaded, spread(after, w.want.Request), lacksTime)
+	return l.refuse(w.want, verdict.CodeOverloaded, spread(after, w.want.Request), causePastTarget)
 }
 
 // ahead is what a request that has just come has before it, with itself, in
@@ -53,7 +53,7 @@
 const forecastMargin = 1.6
 
 // lacksTime is why a request is refused at its arrival.
-const lacksTime = "those before it take the engines past its target"
+const causePastTarget = "those before it take the engines past its target"
 
 const (
 	// crowdedRetryAfter is the least advice to one that finds no room in time: a
