--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -12,10 +12,10 @@
 
 // What a request may lack.
 const (
-	lacksPrefill = "no prefill engine is free"
-	lacksMemory  = "no decode engine has memory"
-	lacksEngines = "no engine can be used"
-	lacksLate    = "late requests wait until the pool has room to spare"
+	causeNoPrefillEngine = "no prefill engine is free"
+	lacksMemory          = "no decode engine has memory"
+	lacksEngines         = "no engine can be used"
+	lacksLate            = "late requests wait until the pool has room to spare"
 )
 
 // pump grants what can be granted.
@@ -116,7 +116,7 @@
 	}
 	prefill := l.choosePrefill(w, decode)
 	if prefill == nil {
-		w.blocked = lacksPrefill
+		w.blocked = causeNoPrefillEngine
 		return l.grantWhole(w)
 	}
 	// Known where the prompt is read, the decode engine nearest to it is better.
