--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -37,10 +37,10 @@
 func (l *Ledger) firstDecode(w *waiting) (*endpoint, string) {
 	c := w.claim()
 	if len(w.want.Avoid) == 0 && l.look.fitsNowhere(c) {
-		return nil, lacksMemory
+		return nil, causeNoMemory
 	}
 	best, cause := l.chooseDecode(w, nil)
-	if cause == lacksMemory && best == nil && len(w.want.Avoid) == 0 {
+	if cause == causeNoMemory && best == nil && len(w.want.Avoid) == 0 {
 		l.look.noRoom(c)
 	}
 	return best, cause
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -13,7 +13,7 @@
 // What a request may lack.
 const (
 	causeNoPrefillEngine = "no prefill engine is free"
-	lacksMemory          = "no decode engine has memory"
+	causeNoMemory        = "no decode engine has memory"
 	lacksEngines         = "no engine can be used"
 	lacksLate            = "late requests wait until the pool has room to spare"
 )
@@ -102,7 +102,7 @@
 	decode, cause := l.firstDecode(w)
 	if decode == nil {
 		w.blocked = cause
-		return nil, cause == lacksMemory && l.passable(w)
+		return nil, cause == causeNoMemory && l.passable(w)
 	}
 	if w.want.Prefilled {
 		return l.grant(w, nil, decode), true
@@ -249,7 +249,7 @@
 		}
 		score, ok := l.fits(e, w)
 		if !ok {
-			cause = lacksMemory
+			cause = causeNoMemory
 			continue
 		}
 		if prefill != nil && prefill.domain == e.domain {
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -118,7 +118,7 @@
 		return []sched.Action{*l.grant(w, nil, decode)}
 	}
 	w.blocked = cause
-	if cause != lacksMemory || !l.on(PrefilledWait) || l.now >= w.patience {
+	if cause != causeNoMemory || !l.on(PrefilledWait) || l.now >= w.patience {
 		return l.refuse(w.want, verdict.CodeOverloaded, l.flow.comeBack(l.now, l.backlog()), cause)
 	}
 	l.enqueue(w)
