--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -14,7 +14,7 @@
 const (
 	causeNoPrefillEngine = "no prefill engine is free"
 	causeNoMemory        = "no decode engine has memory"
-	lacksEngines         = "no engine can be used"
+	causeNoEngine        = "no engine can be used"
 	lacksLate            = "late requests wait until the pool has room to spare"
 )
 
@@ -240,7 +240,7 @@
 // chooseDecode picks the decode engine with the most room that the request
 // fits on; one near the prefill engine, if that is known, is preferred.
 func (l *Ledger) chooseDecode(w *waiting, prefill *endpoint) (*endpoint, string) {
-	cause := lacksEngines
+	cause := causeNoEngine
 	var best *endpoint
 	bestScore := 0.0
 	for _, e := range l.order {
