--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -15,7 +15,7 @@
 	causeNoPrefillEngine = "no prefill engine is free"
 	causeNoMemory        = "no decode engine has memory"
 	causeNoEngine        = "no engine can be used"
-	lacksLate            = "late requests wait until the pool has room to spare"
+	causeLate            = "late requests wait until the pool has room to spare"
 )
 
 // pump grants what can be granted.
@@ -108,7 +108,7 @@
 		return l.grant(w, nil, decode), true
 	}
 	if w.tooLate && !l.roomForLate() {
-		w.blocked = lacksLate
+		w.blocked = causeLate
 		return nil, false
 	}
 	if decode.role == live.RoleWhole {
