--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -23,7 +23,7 @@
 	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
 		return nil
 	}
-	after := max(l.flow.comeBack(l.now, l.backlog()), crowdedRetryAfter)
+	after := max(l.flow.comeBack(l.now, l.backlog()), minOverloadRetryAfter)
 	return l.refuse(w.want, verdict.CodeOverloaded, spread(after, w.want.Request), causePastTarget)
 }
 
@@ -58,7 +58,7 @@
 const (
 	// crowdedRetryAfter is the least advice to one that finds no room in time: a
 	// burst lasts some seconds.
-	crowdedRetryAfter = 4 * time.Second
+	minOverloadRetryAfter = 4 * time.Second
 	// spreadRetryAfter is the share by which the advice is spread, so that those
 	// who come back don't come together.
 	spreadRetryAfter = 0.2
