--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -61,7 +61,7 @@
 	minOverloadRetryAfter = 4 * time.Second
 	// spreadRetryAfter is the share by which the advice is spread, so that those
 	// who come back don't come together.
-	spreadRetryAfter = 0.2
+	retryJitter = 0.2
 	// spreadSteps is how many different advices there are.
 	spreadSteps = 1000
 )
@@ -69,5 +69,5 @@
 // spread puts a time up or down by a share that depends on the request alone.
 func spread[T ~string](d time.Duration, request T) time.Duration {
 	part := 2*float64(xxhash.Sum64String(string(request))%spreadSteps)/spreadSteps - 1
-	return d + time.Duration(spreadRetryAfter*part*float64(d))
+	return d + time.Duration(retryJitter*part*float64(d))
 }
