--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -63,11 +63,11 @@
 	// who come back don't come together.
 	retryJitter = 0.2
 	// spreadSteps is how many different advices there are.
-	spreadSteps = 1000
+	retryJitterSteps = 1000
 )
 
 // spread puts a time up or down by a share that depends on the request alone.
 func spread[T ~string](d time.Duration, request T) time.Duration {
-	part := 2*float64(xxhash.Sum64String(string(request))%spreadSteps)/spreadSteps - 1
+	part := 2*float64(xxhash.Sum64String(string(request))%retryJitterSteps)/retryJitterSteps - 1
 	return d + time.Duration(retryJitter*part*float64(d))
 }
