--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	after := max(l.flow.comeBack(l.now, l.backlog()), minOverloadRetryAfter)
-	return l.refuse(w.want, verdict.CodeOverloaded, spread(after, w.want.Request), causePastTarget)
+	return l.refuse(w.want, verdict.CodeOverloaded, jitter(after, w.want.Request), causePastTarget)
 }
 
 // ahead is what a request that has just come has before it, with itself, in
@@ -67,7 +67,7 @@
 )
 
 // spread puts a time up or down by a share that depends on the request alone.
-func spread[T ~string](d time.Duration, request T) time.Duration {
+func jitter[T ~string](d time.Duration, request T) time.Duration {
 	part := 2*float64(xxhash.Sum64String(string(request))%retryJitterSteps)/retryJitterSteps - 1
 	return d + time.Duration(retryJitter*part*float64(d))
 }
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		delete(l.waiting, w.want.Request)
-		after := spread(l.flow.comeBack(l.now, l.backlog()), w.want.Request)
+		after := jitter(l.flow.comeBack(l.now, l.backlog()), w.want.Request)
 		actions = append(actions, l.refuse(w.want, verdict.CodeOverloaded, after, "no room in time: "+w.blocked)...)
 	}
 	clear(l.queue[len(kept):])
