--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -18,7 +18,7 @@
 	if !l.on(ArrivalRefusal) || l.roomForLate() {
 		return nil
 	}
-	wait, ok := l.drain.wait(l.now, l.ahead(w))
+	wait, ok := l.drain.wait(l.now, l.tokensAhead(w))
 	wait = time.Duration(float64(wait) / forecastMargin)
 	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
 		return nil
@@ -29,7 +29,7 @@
 
 // ahead is what a request that has just come has before it, with itself, in
 // tokens.
-func (l *Ledger) ahead(w *waiting) int {
+func (l *Ledger) tokensAhead(w *waiting) int {
 	shared := l.sharesByTeam()
 	if shared {
 		queue := append(slices.Clone(l.queue), w)
