--- a/core/kvsched/drain.go
+++ b/core/kvsched/drain.go
@@ -4,7 +4,7 @@
 
 const (
 	// drainMemory is the time over which the queue's rate of service is averaged.
-	drainMemory = time.Second
+	serviceRateWindow = time.Second
 	// drainLeast is how long the queue must have been served without a break
 	// before the rate is believed.
 	drainLeast = 300 * time.Millisecond
@@ -25,7 +25,7 @@
 func (d *drain) look(now time.Duration, waiting bool) {
 	if d.waiting {
 		passed := now - d.at
-		keep := max(0, 1-float64(passed)/float64(drainMemory))
+		keep := max(0, 1-float64(passed)/float64(serviceRateWindow))
 		d.tokens *= keep
 		d.busy = time.Duration(keep*float64(d.busy)) + passed
 	}
