--- a/core/kvsched/drain.go
+++ b/core/kvsched/drain.go
@@ -7,7 +7,7 @@
 	serviceRateWindow = time.Second
 	// drainLeast is how long the queue must have been served without a break
 	// before the rate is believed.
-	drainLeast = 300 * time.Millisecond
+	minServiceRatePeriod = 300 * time.Millisecond
 )
 
 // drain measures how fast the queue is served while somebody waits: all that
@@ -43,7 +43,7 @@
 // wait predicts how long a queue of so many tokens takes; ok is false where too
 // little was seen.
 func (d *drain) wait(now time.Duration, tokens int) (wait time.Duration, ok bool) {
-	if !d.waiting || now-d.since < drainLeast || d.tokens <= 0 {
+	if !d.waiting || now-d.since < minServiceRatePeriod || d.tokens <= 0 {
 		return 0, false
 	}
 	return time.Duration(float64(tokens) / d.tokens * float64(d.busy)), true
