--- a/core/kvsched/drain.go
+++ b/core/kvsched/drain.go
@@ -22,7 +22,7 @@
 }
 
 // look counts the time up to now; waiting says whether somebody waits from now on.
-func (d *drain) look(now time.Duration, waiting bool) {
+func (d *drain) observe(now time.Duration, waiting bool) {
 	if d.waiting {
 		passed := now - d.at
 		keep := max(0, 1-float64(passed)/float64(serviceRateWindow))
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -138,7 +138,7 @@
 		l.stirred = false
 	}
 	actions = l.refuseHopeless(actions)
-	l.drain.look(l.now, len(l.queue) > 0)
+	l.drain.observe(l.now, len(l.queue) > 0)
 	l.check()
 	return actions
 }
