--- a/core/kvsched/drain.go
+++ b/core/kvsched/drain.go
@@ -42,7 +42,7 @@
 
 // wait predicts how long a queue of so many tokens takes; ok is false where too
 // little was seen.
-func (d *drain) wait(now time.Duration, tokens int) (wait time.Duration, ok bool) {
+func (d *drain) predictWait(now time.Duration, tokens int) (predictWait time.Duration, ok bool) {
 	if !d.waiting || now-d.since < minServiceRatePeriod || d.tokens <= 0 {
 		return 0, false
 	}
