--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -18,7 +18,7 @@
 	if !l.on(ArrivalRefusal) || l.roomForLate() {
 		return nil
 	}
-	wait, ok := l.drain.predictWait(l.now, l.tokensAhead(w))
+	wait, ok := l.serviceRate.predictWait(l.now, l.tokensAhead(w))
 	wait = time.Duration(float64(wait) / forecastMargin)
 	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
 		return nil
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -39,11 +39,11 @@
 	ended   *simplelru.LRU[id.Request, *sched.Refusal]
 	serial  uint64
 
-	shares shares
-	flow   flow
-	drain  drain
-	pace   pace
-	lead   lead
+	shares      shares
+	flow        flow
+	serviceRate drain
+	pace        pace
+	lead        lead
 	// guesses of all requests that came.
 	guesses guesses
 	// nextExpiry is no later than the end of the reservation that expires first.
@@ -138,7 +138,7 @@
 		l.stirred = false
 	}
 	actions = l.refuseHopeless(actions)
-	l.drain.observe(l.now, len(l.queue) > 0)
+	l.serviceRate.observe(l.now, len(l.queue) > 0)
 	l.check()
 	return actions
 }
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -337,7 +337,7 @@
 	l.shares.granted(w)
 	if l.waiting[w.want.Request] != nil {
 		l.unqueue(w)
-		l.drain.granted(w.tokens)
+		l.serviceRate.granted(w.tokens)
 	}
 	grant := r.grant
 	return &sched.Action{To: w.want.From, Grant: &grant}
