--- a/core/kvsched/drain.go
+++ b/core/kvsched/drain.go
@@ -12,7 +12,7 @@
 
 // drain measures how fast the queue is served while somebody waits: all that
 // binds, memory, places or prefill, shows in it.
-type drain struct {
+type serviceRate struct {
 	// tokens were granted within busy time, both fading.
 	tokens float64
 	busy   time.Duration
@@ -22,7 +22,7 @@
 }
 
 // look counts the time up to now; waiting says whether somebody waits from now on.
-func (d *drain) observe(now time.Duration, waiting bool) {
+func (d *serviceRate) observe(now time.Duration, waiting bool) {
 	if d.waiting {
 		passed := now - d.at
 		keep := max(0, 1-float64(passed)/float64(serviceRateWindow))
@@ -38,11 +38,11 @@
 }
 
 // granted counts the memory of a request that waited.
-func (d *drain) granted(tokens int) { d.tokens += float64(tokens) }
+func (d *serviceRate) granted(tokens int) { d.tokens += float64(tokens) }
 
 // wait predicts how long a queue of so many tokens takes; ok is false where too
 // little was seen.
-func (d *drain) predictWait(now time.Duration, tokens int) (predictWait time.Duration, ok bool) {
+func (d *serviceRate) predictWait(now time.Duration, tokens int) (predictWait time.Duration, ok bool) {
 	if !d.waiting || now-d.since < minServiceRatePeriod || d.tokens <= 0 {
 		return 0, false
 	}
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -41,7 +41,7 @@
 
 	shares      shares
 	flow        flow
-	serviceRate drain
+	serviceRate serviceRate
 	pace        pace
 	lead        lead
 	// guesses of all requests that came.
