--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -25,7 +25,7 @@
 	down      bool
 	fullUntil time.Duration
 	// kept is set while a request that doesn't fit yet has the engine kept for it.
-	kept bool
+	setAside bool
 
 	// prefills are the granted prefills in their order; busyUntil is the
 	// predicted end of the last one.
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -143,7 +143,7 @@
 		if e.writes() && e.open(l.now) {
 			writers++
 		}
-		if e.kept {
+		if e.setAside {
 			kept++
 		}
 	}
@@ -154,7 +154,7 @@
 	if roomiest == nil {
 		return false
 	}
-	roomiest.kept = true
+	roomiest.setAside = true
 	return true
 }
 
@@ -188,7 +188,7 @@
 // keepNone ends the keeping of engines: it holds for one look at the queue.
 func (l *Ledger) keepNone() {
 	for _, e := range l.order {
-		e.kept = false
+		e.setAside = false
 	}
 }
 
@@ -292,7 +292,7 @@
 
 // usable says whether an endpoint may serve this request at all.
 func (l *Ledger) usable(e *endpoint, w *waiting) bool {
-	if e.kept || !e.open(l.now) || slices.Contains(w.want.Avoid, e.name) {
+	if e.setAside || !e.open(l.now) || slices.Contains(w.want.Avoid, e.name) {
 		return false
 	}
 	return l.options.Health == nil || l.options.Health.Allowed(e.name)
