--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -34,7 +34,7 @@
 	// lastEnd is when the last prefill ended.
 	lastEnd time.Duration
 	// rate of prefills.
-	rate prefillRate
+	prefillRate prefillRate
 
 	// readingUntil is when a decode engine has probably read the prompt that it
 	// was last given to read itself.
@@ -53,7 +53,7 @@
 }
 
 func newEndpoint(e *live.Endpoint, memoryShare float64) *endpoint {
-	made := &endpoint{name: e.Name, rate: newPrefillRate()}
+	made := &endpoint{name: e.Name, prefillRate: newPrefillRate()}
 	made.configure(e, memoryShare)
 	return made
 }
@@ -82,7 +82,7 @@
 
 // prefillTime predicts how long a prompt takes to read.
 func (e *endpoint) prefillTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / e.rate.perSecond() * float64(time.Second))
+	return time.Duration(float64(tokens) / e.prefillRate.perSecond() * float64(time.Second))
 }
 
 // startAt predicts when the next prefill would begin.
@@ -114,10 +114,10 @@
 // its time: it counts only if it shows a better rate, or a far worse one.
 func (e *endpoint) learn(now time.Duration, r *reservation) {
 	begun := max(r.grantedAt, e.lastEnd)
-	if begun == r.grantedAt && !e.rate.telling(r.want.PromptTokens, now-begun) {
+	if begun == r.grantedAt && !e.prefillRate.telling(r.want.PromptTokens, now-begun) {
 		return
 	}
-	e.rate.read(r.want.PromptTokens, now-begun)
+	e.prefillRate.read(r.want.PromptTokens, now-begun)
 }
 
 // predict says anew when the queued prefills end.
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -201,7 +201,7 @@
 	}
 	for _, e := range l.order {
 		if e.role == live.RolePrefill && e.open(l.now) {
-			rate += e.rate.perSecond()
+			rate += e.prefillRate.perSecond()
 		}
 	}
 	if rate <= 0 {
--- a/core/kvsched/rate_test.go
+++ b/core/kvsched/rate_test.go
@@ -44,6 +44,6 @@
 		most = max(most, len(reading))
 	}
 	is.True(most <= 3) // the one that is read, and what fits in the horizon behind it
-	rate := l.order[len(l.order)-1].rate.perSecond()
+	rate := l.order[len(l.order)-1].prefillRate.perSecond()
 	is.True(rate > 20000 && rate < 45000)
 }
