--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -38,7 +38,7 @@
 
 	// readingUntil is when a decode engine has probably read the prompt that it
 	// was last given to read itself.
-	readingUntil time.Duration
+	localPrefillUntil time.Duration
 
 	// decodes are the requests that have, or will have, their memory here.
 	decodes []*reservation
--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -46,7 +46,7 @@
 	if best == nil {
 		return nil, false
 	}
-	best.readingUntil = l.now + wholeTime(w)
+	best.localPrefillUntil = l.now + wholeTime(w)
 	return l.grant(w, nil, best), true
 }
 
@@ -56,7 +56,7 @@
 // must fit there. In bursts, half of the late answers of a day were late by
 // such a pause alone.
 func (l *Ledger) mayRead(e *endpoint, w *waiting) bool {
-	if l.now < e.readingUntil {
+	if l.now < e.localPrefillUntil {
 		return false
 	}
 	pause := e.shortestPause()
@@ -64,7 +64,7 @@
 		return true
 	}
 	fits := wholeTime(w) <= time.Duration(wholePause*float64(pause))
-	return fits && l.now >= e.readingUntil+pause
+	return fits && l.now >= e.localPrefillUntil+pause
 }
 
 // shortestPause is the shortest pause that the callers of an engine's requests
--- a/core/kvsched/whole_test.go
+++ b/core/kvsched/whole_test.go
@@ -54,7 +54,7 @@
 	e := &endpoint{decodes: []*reservation{{want: sched.Want{Pause: 300 * time.Millisecond}}}}
 	w := &waiting{want: sched.Want{PromptTokens: 2000}}
 	is.True(l.mayRead(e, w))
-	e.readingUntil = l.now + wholeTime(w)
+	e.localPrefillUntil = l.now + wholeTime(w)
 	l.now += wholeTime(w) + 200*time.Millisecond
 	is.True(!l.mayRead(e, w))
 	l.now += 100 * time.Millisecond
