--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -69,15 +69,15 @@
 // waiting request at each event.
 func (l *Ledger) claimsOf(e *endpoint) []claim {
 	if !e.claimsOld && l.now-e.claimsAt < claimsLife {
-		return e.claims
+		return e.footprints
 	}
-	e.claims = e.claims[:0]
+	e.footprints = e.footprints[:0]
 	for _, r := range e.decodes {
-		e.claims = append(e.claims, l.claimOf(r))
+		e.footprints = append(e.footprints, l.claimOf(r))
 	}
-	slices.SortFunc(e.claims, func(a, b claim) int { return cmp.Compare(b.left, a.left) })
+	slices.SortFunc(e.footprints, func(a, b claim) int { return cmp.Compare(b.left, a.left) })
 	e.claimsAt, e.claimsOld = l.now, false
-	return e.claims
+	return e.footprints
 }
 
 // climb adds claims up, those with the most left first: when one ends, all
