--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -44,9 +44,9 @@
 	decodes []*reservation
 	// claims are theirs as of claimsAt, the one with the most left first;
 	// claimsOld is set once the requests have changed.
-	footprints []claim
-	claimsAt   time.Duration
-	claimsOld  bool
+	footprints   []claim
+	footprintsAt time.Duration
+	claimsOld    bool
 	// room is the share of its memory that is left at the peak, as of the last
 	// look at the queue that asked for it.
 	room float64
