--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -44,9 +44,9 @@
 	decodes []*reservation
 	// claims are theirs as of claimsAt, the one with the most left first;
 	// claimsOld is set once the requests have changed.
-	footprints   []claim
-	footprintsAt time.Duration
-	claimsOld    bool
+	footprints      []claim
+	footprintsAt    time.Duration
+	footprintsStale bool
 	// room is the share of its memory that is left at the peak, as of the last
 	// look at the queue that asked for it.
 	room float64
@@ -131,14 +131,14 @@
 // take gives a request its place here.
 func (e *endpoint) take(r *reservation) {
 	e.decodes = append(e.decodes, r)
-	e.claimsOld = true
+	e.footprintsStale = true
 }
 
 // give takes its place back.
 func (e *endpoint) give(r *reservation) {
 	if i := slices.Index(e.decodes, r); i >= 0 {
 		e.decodes = slices.Delete(e.decodes, i, i+1)
-		e.claimsOld = true
+		e.footprintsStale = true
 	}
 }
 
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -68,7 +68,7 @@
 // large pool would else spend most of its time on working them out for each
 // waiting request at each event.
 func (l *Ledger) claimsOf(e *endpoint) []claim {
-	if !e.claimsOld && l.now-e.footprintsAt < claimsLife {
+	if !e.footprintsStale && l.now-e.footprintsAt < claimsLife {
 		return e.footprints
 	}
 	e.footprints = e.footprints[:0]
@@ -76,7 +76,7 @@
 		e.footprints = append(e.footprints, l.claimOf(r))
 	}
 	slices.SortFunc(e.footprints, func(a, b claim) int { return cmp.Compare(b.left, a.left) })
-	e.footprintsAt, e.claimsOld = l.now, false
+	e.footprintsAt, e.footprintsStale = l.now, false
 	return e.footprints
 }
 
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -24,7 +24,7 @@
 		l.moveTo(r, p)
 		if r.decodingAt == 0 {
 			r.decodingAt = l.now
-			r.decode.claimsOld = true
+			r.decode.footprintsStale = true
 			if !r.adopted && l.on(LearnedLead) {
 				l.lead.saw(r.want.PromptTokens, l.now-r.grantedAt)
 			}
