--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -49,7 +49,7 @@
 	footprintsStale bool
 	// room is the share of its memory that is left at the peak, as of the last
 	// look at the queue that asked for it.
-	room float64
+	freeShare float64
 }
 
 func newEndpoint(e *live.Endpoint, memoryShare float64) *endpoint {
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -177,11 +177,11 @@
 	}
 	for _, e := range l.order {
 		if e.writes() {
-			e.room = l.room(e)
+			e.freeShare = l.room(e)
 			l.look.byRoom = append(l.look.byRoom, e)
 		}
 	}
-	slices.SortStableFunc(l.look.byRoom, func(a, b *endpoint) int { return cmp.Compare(b.room, a.room) })
+	slices.SortStableFunc(l.look.byRoom, func(a, b *endpoint) int { return cmp.Compare(b.freeShare, a.freeShare) })
 	return l.look.byRoom
 }
 
