--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -73,7 +73,7 @@
 }
 
 // open says whether the endpoint may get new work.
-func (e *endpoint) open(now time.Duration) bool {
+func (e *endpoint) available(now time.Duration) bool {
 	return !e.leaving && !e.drained && !e.down && now >= e.fullUntil
 }
 
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -140,7 +140,7 @@
 	}
 	writers, kept := 0, 0
 	for _, e := range l.order {
-		if e.writes() && e.open(l.now) {
+		if e.writes() && e.available(l.now) {
 			writers++
 		}
 		if e.setAside {
@@ -200,7 +200,7 @@
 		tokens += w.want.PromptTokens
 	}
 	for _, e := range l.order {
-		if e.role == live.RolePrefill && e.open(l.now) {
+		if e.role == live.RolePrefill && e.available(l.now) {
 			rate += e.prefillRate.perSecond()
 		}
 	}
@@ -214,7 +214,7 @@
 func (l *Ledger) prefillWait() time.Duration {
 	wait := never
 	for _, e := range l.order {
-		if e.role == live.RolePrefill && e.open(l.now) {
+		if e.role == live.RolePrefill && e.available(l.now) {
 			wait = min(wait, e.startAt(l.now)-l.now)
 		}
 	}
@@ -225,7 +225,7 @@
 func (l *Ledger) roomForLate() bool {
 	memory, free := 0, 0
 	for _, e := range l.order {
-		if e.writes() && e.open(l.now) {
+		if e.writes() && e.available(l.now) {
 			memory += e.memory
 			free += max(0, e.memory-int(l.peak(e, nil)))
 		}
@@ -292,7 +292,7 @@
 
 // usable says whether an endpoint may serve this request at all.
 func (l *Ledger) usable(e *endpoint, w *waiting) bool {
-	if e.setAside || !e.open(l.now) || slices.Contains(w.want.Avoid, e.name) {
+	if e.setAside || !e.available(l.now) || slices.Contains(w.want.Avoid, e.name) {
 		return false
 	}
 	return l.options.Health == nil || l.options.Health.Allowed(e.name)
--- a/core/kvsched/restart_test.go
+++ b/core/kvsched/restart_test.go
@@ -51,15 +51,15 @@
 	former := l.endpoints[registry.Incarnation("engine", 100)]
 	is.True(former.prefillRate.perSecond() < firstPrefillRate)
 	l.Load(now, sched.Load{Endpoint: former.name})
-	is.True(!former.open(now))
+	is.True(!former.available(now))
 	l.Configure(now, restarted(before, 0, 200))
 	present := l.endpoints[registry.Incarnation("engine", 200)]
-	is.True(present.open(now))
+	is.True(present.available(now))
 	is.Equal(present.prefillRate.perSecond(), firstPrefillRate)
 	is.Equal(len(present.prefills), 0)
 	// What is still told of the former start concerns nobody.
 	l.Load(now, sched.Load{Endpoint: former.name})
-	is.True(present.open(now))
+	is.True(present.available(now))
 }
 
 // TestWorkAtAFormerStartIsNotTakenOver by a new owner: it ended with its
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -132,7 +132,7 @@
 		wanted += w.tokens
 	}
 	for _, e := range l.order {
-		if e.writes() && e.open(l.now) {
+		if e.writes() && e.available(l.now) {
 			wanted -= max(0, e.memory-l.held(e))
 		}
 	}
