--- a/core/kvsched/demand.go
+++ b/core/kvsched/demand.go
@@ -52,7 +52,7 @@
 		Settling: l.now < l.settled,
 	}
 	for _, e := range l.order {
-		if e.writes() {
+		if e.decodesHere() {
 			s.Slots += e.slots
 			s.Held += len(e.decodes)
 		}
--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -78,7 +78,7 @@
 }
 
 // writes says whether answers are written here.
-func (e *endpoint) writes() bool { return e.role == live.RoleDecode || e.role == live.RoleWhole }
+func (e *endpoint) decodesHere() bool { return e.role == live.RoleDecode || e.role == live.RoleWhole }
 
 // prefillTime predicts how long a prompt takes to read.
 func (e *endpoint) prefillTime(tokens int) time.Duration {
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -140,7 +140,7 @@
 	}
 	writers, kept := 0, 0
 	for _, e := range l.order {
-		if e.writes() && e.available(l.now) {
+		if e.decodesHere() && e.available(l.now) {
 			writers++
 		}
 		if e.setAside {
@@ -176,7 +176,7 @@
 		return l.look.byRoom
 	}
 	for _, e := range l.order {
-		if e.writes() {
+		if e.decodesHere() {
 			e.freeShare = l.room(e)
 			l.look.byRoom = append(l.look.byRoom, e)
 		}
@@ -225,7 +225,7 @@
 func (l *Ledger) roomForLate() bool {
 	memory, free := 0, 0
 	for _, e := range l.order {
-		if e.writes() && e.available(l.now) {
+		if e.decodesHere() && e.available(l.now) {
 			memory += e.memory
 			free += max(0, e.memory-int(l.peak(e, nil)))
 		}
@@ -244,7 +244,7 @@
 	var best *endpoint
 	bestScore := 0.0
 	for _, e := range l.order {
-		if !e.writes() || !l.usable(e, w) {
+		if !e.decodesHere() || !l.usable(e, w) {
 			continue
 		}
 		score, ok := l.fits(e, w)
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -94,7 +94,7 @@
 func (l *Ledger) admit(w *waiting) []sched.Action {
 	largest := 0
 	for _, e := range l.order {
-		if e.writes() {
+		if e.decodesHere() {
 			largest = max(largest, e.memory)
 		}
 	}
@@ -132,7 +132,7 @@
 		wanted += w.tokens
 	}
 	for _, e := range l.order {
-		if e.writes() && e.available(l.now) {
+		if e.decodesHere() && e.available(l.now) {
 			wanted -= max(0, e.memory-l.held(e))
 		}
 	}
