--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -103,7 +103,7 @@
 	}
 	e.prefills = slices.Delete(e.prefills, i, i+1)
 	if read {
-		e.learn(now, r)
+		e.updatePrefillRate(now, r)
 		e.lastEnd = now
 	}
 	e.predict(now)
@@ -112,7 +112,7 @@
 // learn takes the time since the end of the prefill before it as the time that
 // a prefill took. One that found the engine idle has the way there and back in
 // its time: it counts only if it shows a better rate, or a far worse one.
-func (e *endpoint) learn(now time.Duration, r *reservation) {
+func (e *endpoint) updatePrefillRate(now time.Duration, r *reservation) {
 	begun := max(r.grantedAt, e.lastEnd)
 	if begun == r.grantedAt && !e.prefillRate.telling(r.want.PromptTokens, now-begun) {
 		return
