--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -106,7 +106,7 @@
 		e.updatePrefillRate(now, r)
 		e.lastEnd = now
 	}
-	e.predict(now)
+	e.predictPrefills(now)
 }
 
 // learn takes the time since the end of the prefill before it as the time that
@@ -121,7 +121,7 @@
 }
 
 // predict says anew when the queued prefills end.
-func (e *endpoint) predict(now time.Duration) {
+func (e *endpoint) predictPrefills(now time.Duration) {
 	e.busyUntil = now
 	for _, r := range e.prefills {
 		e.busyUntil += e.prefillTime(r.want.PromptTokens)
