--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -129,7 +129,7 @@
 }
 
 // take gives a request its place here.
-func (e *endpoint) take(r *reservation) {
+func (e *endpoint) addDecode(r *reservation) {
 	e.decodes = append(e.decodes, r)
 	e.footprintsStale = true
 }
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -56,7 +56,7 @@
 	r.decode.give(r)
 	r.decode = e
 	r.grant.Decode = e.name
-	e.take(r)
+	e.addDecode(r)
 	l.stirred = true
 }
 
@@ -119,7 +119,7 @@
 	if a.Phase >= sched.PhaseDecoding {
 		r.decodingAt = max(1, l.now-a.For)
 	}
-	decode.take(r)
+	decode.addDecode(r)
 	l.hold(r)
 	if prefill := l.endpoints[a.Grant.Prefill]; prefill != nil && a.Phase < sched.PhaseTransferring {
 		r.prefill = prefill
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -332,7 +332,7 @@
 	r.grant.Reason = fmt.Sprintf("waited %v, starts in %v, %d tokens beside %d requests with %d of %d",
 		(l.now - w.arrived).Round(time.Millisecond), (start - l.now).Round(time.Millisecond),
 		w.tokens, len(decode.decodes), l.held(decode), decode.memory)
-	decode.take(r)
+	decode.addDecode(r)
 	l.hold(r)
 	l.shares.granted(w)
 	if l.waiting[w.want.Request] != nil {
