--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -135,7 +135,7 @@
 }
 
 // give takes its place back.
-func (e *endpoint) give(r *reservation) {
+func (e *endpoint) removeDecode(r *reservation) {
 	if i := slices.Index(e.decodes, r); i >= 0 {
 		e.decodes = slices.Delete(e.decodes, i, i+1)
 		e.footprintsStale = true
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -270,7 +270,7 @@
 	if r.prefill != nil {
 		r.prefill.endPrefill(l.now, r, false)
 	}
-	r.decode.give(r)
+	r.decode.removeDecode(r)
 	delete(l.granted, r.want.Request)
 	l.stirred = true
 }
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -53,7 +53,7 @@
 	if e == nil || e == r.decode {
 		return
 	}
-	r.decode.give(r)
+	r.decode.removeDecode(r)
 	r.decode = e
 	r.grant.Decode = e.name
 	e.addDecode(r)
