--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -143,4 +143,4 @@
 }
 
 // blocks rounds a size up to whole blocks, in tokens.
-func blocks(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
+func roundUpToBlocks(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -55,7 +55,7 @@
 	if least := overrun * output; left < least {
 		left = least
 	}
-	return claim{held: float64(blocks(max(1, r.want.PromptTokens))) + written, left: left}
+	return claim{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, left: left}
 }
 
 // claimsLife is how long an engine's claims are reckoned with unchanged: up to
@@ -110,7 +110,7 @@
 
 // claim is what the request would hold when granted, and add.
 func (w *waiting) claim() claim {
-	return claim{held: float64(blocks(max(1, w.want.PromptTokens))), left: w.output}
+	return claim{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), left: w.output}
 }
 
 // fits says whether a request fits on an engine, and which share of its memory
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -87,7 +87,7 @@
 
 // size is the memory that a request holds at its end, in tokens.
 func (l *Ledger) size(w *sched.Want) int {
-	return blocks(max(1, w.PromptTokens)) + blocks(int(l.output(w)))
+	return roundUpToBlocks(max(1, w.PromptTokens)) + roundUpToBlocks(int(l.output(w)))
 }
 
 // admit refuses what can't be served; nil lets the request wait.
@@ -101,7 +101,7 @@
 	switch {
 	case len(l.queue) >= l.options.MaxQueue:
 		return l.refuse(w.want, verdict.CodeOverloaded, l.flow.comeBack(l.now, l.backlog()), "the queue is full")
-	case largest > 0 && blocks(w.want.PromptTokens) > largest:
+	case largest > 0 && roundUpToBlocks(w.want.PromptTokens) > largest:
 		return l.refuse(w.want, verdict.CodeTooLarge, 0, "the request is larger than an engine's memory")
 	default:
 		return nil
