--- a/core/kvsched/flow.go
+++ b/core/kvsched/flow.go
@@ -4,7 +4,7 @@
 
 const (
 	// flowMemory is the time over which released memory is averaged.
-	flowMemory = 3 * time.Second
+	releaseRateWindow = 3 * time.Second
 	// leastRetryAfter and mostRetryAfter bound the advice to come back.
 	leastRetryAfter = 300 * time.Millisecond
 	mostRetryAfter  = 4 * time.Second
@@ -23,7 +23,7 @@
 }
 
 func (f *flow) fade(now time.Duration) {
-	gone := float64(now-f.at) / float64(flowMemory)
+	gone := float64(now-f.at) / float64(releaseRateWindow)
 	f.tokens *= max(0, 1-gone)
 	f.at = now
 }
@@ -35,7 +35,7 @@
 	if f.tokens <= 0 {
 		return leastRetryAfter
 	}
-	perSecond := f.tokens / flowMemory.Seconds()
+	perSecond := f.tokens / releaseRateWindow.Seconds()
 	wait := time.Duration(float64(backlog) / perSecond * float64(time.Second))
 	return min(max(wait, leastRetryAfter), mostRetryAfter)
 }
