--- a/core/kvsched/flow.go
+++ b/core/kvsched/flow.go
@@ -6,8 +6,8 @@
 	// flowMemory is the time over which released memory is averaged.
 	releaseRateWindow = 3 * time.Second
 	// leastRetryAfter and mostRetryAfter bound the advice to come back.
-	minRetryAfter  = 300 * time.Millisecond
-	mostRetryAfter = 4 * time.Second
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
 // flow averages how much memory the pool's requests give back.
@@ -37,5 +37,5 @@
 	}
 	perSecond := f.tokens / releaseRateWindow.Seconds()
 	wait := time.Duration(float64(backlog) / perSecond * float64(time.Second))
-	return min(max(wait, minRetryAfter), mostRetryAfter)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
