--- a/core/kvsched/flow.go
+++ b/core/kvsched/flow.go
@@ -17,7 +17,7 @@
 }
 
 // released takes memory that was given back, in tokens.
-func (f *flow) released(now time.Duration, tokens int) {
+func (f *flow) add(now time.Duration, tokens int) {
 	f.fade(now)
 	f.tokens += float64(tokens)
 }
