--- a/core/kvsched/flow.go
+++ b/core/kvsched/flow.go
@@ -18,11 +18,11 @@
 
 // released takes memory that was given back, in tokens.
 func (f *flow) add(now time.Duration, tokens int) {
-	f.fade(now)
+	f.decay(now)
 	f.tokens += float64(tokens)
 }
 
-func (f *flow) fade(now time.Duration) {
+func (f *flow) decay(now time.Duration) {
 	gone := float64(now-f.at) / float64(releaseRateWindow)
 	f.tokens *= max(0, 1-gone)
 	f.at = now
@@ -31,7 +31,7 @@
 // comeBack advises when to come back, by the time that the backlog (in tokens)
 // takes to be served.
 func (f *flow) comeBack(now time.Duration, backlog int) time.Duration {
-	f.fade(now)
+	f.decay(now)
 	if f.tokens <= 0 {
 		return minRetryAfter
 	}
