--- a/core/kvsched/flow.go
+++ b/core/kvsched/flow.go
@@ -30,7 +30,7 @@
 
 // comeBack advises when to come back, by the time that the backlog (in tokens)
 // takes to be served.
-func (f *flow) comeBack(now time.Duration, backlog int) time.Duration {
+func (f *flow) retryAfter(now time.Duration, backlog int) time.Duration {
 	f.decay(now)
 	if f.tokens <= 0 {
 		return minRetryAfter
