--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -23,7 +23,7 @@
 	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
 		return nil
 	}
-	after := max(l.flow.retryAfter(l.now, l.backlog()), minOverloadRetryAfter)
+	after := max(l.releaseRate.retryAfter(l.now, l.backlog()), minOverloadRetryAfter)
 	return l.refuse(w.want, verdict.CodeOverloaded, jitter(after, w.want.Request), causePastTarget)
 }
 
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -40,7 +40,7 @@
 	serial  uint64
 
 	shares      shares
-	flow        flow
+	releaseRate flow
 	serviceRate serviceRate
 	pace        pace
 	lead        lead
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -67,7 +67,7 @@
 		l.blame(p)
 	}
 	if p.Phase == sched.PhaseDone {
-		l.flow.add(l.now, r.tokens)
+		l.releaseRate.add(l.now, r.tokens)
 		if r.decodingAt > 0 && !r.adopted {
 			l.pace.ended(max(1, r.want.OutputTokens), l.now-r.decodingAt)
 		}
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case len(l.queue) >= l.options.MaxQueue:
-		return l.refuse(w.want, verdict.CodeOverloaded, l.flow.retryAfter(l.now, l.backlog()), "the queue is full")
+		return l.refuse(w.want, verdict.CodeOverloaded, l.releaseRate.retryAfter(l.now, l.backlog()), "the queue is full")
 	case largest > 0 && roundUpToBlocks(w.want.PromptTokens) > largest:
 		return l.refuse(w.want, verdict.CodeTooLarge, 0, "the request is larger than an engine's memory")
 	default:
@@ -119,7 +119,7 @@
 	}
 	w.blocked = cause
 	if cause != causeNoMemory || !l.on(PrefilledWait) || l.now >= w.patience {
-		return l.refuse(w.want, verdict.CodeOverloaded, l.flow.retryAfter(l.now, l.backlog()), cause)
+		return l.refuse(w.want, verdict.CodeOverloaded, l.releaseRate.retryAfter(l.now, l.backlog()), cause)
 	}
 	l.enqueue(w)
 	return nil
@@ -155,7 +155,7 @@
 			continue
 		}
 		delete(l.waiting, w.want.Request)
-		after := jitter(l.flow.retryAfter(l.now, l.backlog()), w.want.Request)
+		after := jitter(l.releaseRate.retryAfter(l.now, l.backlog()), w.want.Request)
 		actions = append(actions, l.refuse(w.want, verdict.CodeOverloaded, after, "no room in time: "+w.blocked)...)
 	}
 	clear(l.queue[len(kept):])
