--- a/core/kvsched/flow.go
+++ b/core/kvsched/flow.go
@@ -11,18 +11,18 @@
 )
 
 // flow averages how much memory the pool's requests give back.
-type flow struct {
+type releaseRate struct {
 	tokens float64
 	at     time.Duration
 }
 
 // released takes memory that was given back, in tokens.
-func (f *flow) add(now time.Duration, tokens int) {
+func (f *releaseRate) add(now time.Duration, tokens int) {
 	f.decay(now)
 	f.tokens += float64(tokens)
 }
 
-func (f *flow) decay(now time.Duration) {
+func (f *releaseRate) decay(now time.Duration) {
 	gone := float64(now-f.at) / float64(releaseRateWindow)
 	f.tokens *= max(0, 1-gone)
 	f.at = now
@@ -30,7 +30,7 @@
 
 // comeBack advises when to come back, by the time that the backlog (in tokens)
 // takes to be served.
-func (f *flow) retryAfter(now time.Duration, backlog int) time.Duration {
+func (f *releaseRate) retryAfter(now time.Duration, backlog int) time.Duration {
 	f.decay(now)
 	if f.tokens <= 0 {
 		return minRetryAfter
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -40,7 +40,7 @@
 	serial  uint64
 
 	shares      shares
-	releaseRate flow
+	releaseRate releaseRate
 	serviceRate serviceRate
 	pace        pace
 	lead        lead
