--- a/core/kvsched/guess.go
+++ b/core/kvsched/guess.go
@@ -4,7 +4,7 @@
 
 const (
 	// guessTrust is the weight of a caller's guess against the average guess.
-	guessTrust = 0.7
+	guessWeight = 0.7
 	// guessMemory is the weight that the average guess gives to what came before.
 	guessMemory = 0.99
 )
@@ -25,5 +25,5 @@
 	if g.weight == 0 {
 		return guess
 	}
-	return math.Pow(guess, guessTrust) * math.Pow(g.sum/g.weight, 1-guessTrust)
+	return math.Pow(guess, guessWeight) * math.Pow(g.sum/g.weight, 1-guessWeight)
 }
