--- a/core/kvsched/guess.go
+++ b/core/kvsched/guess.go
@@ -6,15 +6,15 @@
 	// guessTrust is the weight of a caller's guess against the average guess.
 	guessWeight = 0.7
 	// guessMemory is the weight that the average guess gives to what came before.
-	guessMemory = 0.99
+	outputMeanDecay = 0.99
 )
 
 // guesses averages the guessed lengths of answers, in tokens.
 type guesses struct{ sum, weight float64 }
 
 func (g *guesses) note(output float64) {
-	g.sum = guessMemory*g.sum + output
-	g.weight = guessMemory*g.weight + 1
+	g.sum = outputMeanDecay*g.sum + output
+	g.weight = outputMeanDecay*g.weight + 1
 }
 
 // drawn draws a guess towards the average one. Guesses are often far off, and
