--- a/core/kvsched/guess.go
+++ b/core/kvsched/guess.go
@@ -12,7 +12,7 @@
 // guesses averages the guessed lengths of answers, in tokens.
 type guesses struct{ sum, weight float64 }
 
-func (g *guesses) note(output float64) {
+func (g *guesses) add(output float64) {
 	g.sum = outputMeanDecay*g.sum + output
 	g.weight = outputMeanDecay*g.weight + 1
 }
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -57,7 +57,7 @@
 
 func (l *Ledger) newWaiting(w sched.Want, s *live.Service) *waiting {
 	arrived := l.now - max(0, w.Age)
-	l.guesses.note(float64(max(1, w.OutputTokens)))
+	l.guesses.add(float64(max(1, w.OutputTokens)))
 	return &waiting{
 		want:     w,
 		tokens:   l.size(&w),
