--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -80,7 +80,7 @@
 func (l *Ledger) output(w *sched.Want) float64 {
 	guess := float64(max(1, w.OutputTokens))
 	if l.on(GuessShrink) {
-		guess = l.guesses.drawn(guess)
+		guess = l.guesses.shrink(guess)
 	}
 	return l.options.OutputShare * guess
 }
