--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -57,7 +57,7 @@
 
 func (l *Ledger) newWaiting(w sched.Want, s *live.Service) *waiting {
 	arrived := l.now - max(0, w.Age)
-	l.guesses.add(float64(max(1, w.OutputTokens)))
+	l.outputMean.add(float64(max(1, w.OutputTokens)))
 	return &waiting{
 		want:     w,
 		tokens:   l.size(&w),
@@ -80,7 +80,7 @@
 func (l *Ledger) output(w *sched.Want) float64 {
 	guess := float64(max(1, w.OutputTokens))
 	if l.on(GuessShrink) {
-		guess = l.guesses.shrink(guess)
+		guess = l.outputMean.shrink(guess)
 	}
 	return l.options.OutputShare * guess
 }
