--- a/core/kvsched/guess.go
+++ b/core/kvsched/guess.go
@@ -10,9 +10,9 @@
 )
 
 // guesses averages the guessed lengths of answers, in tokens.
-type guesses struct{ sum, weight float64 }
+type outputMean struct{ sum, weight float64 }
 
-func (g *guesses) add(output float64) {
+func (g *outputMean) add(output float64) {
 	g.sum = outputMeanDecay*g.sum + output
 	g.weight = outputMeanDecay*g.weight + 1
 }
@@ -21,7 +21,7 @@
 // engines get their memory over by those that were too low: at eight seeds of
 // the ledger's world 0.35 to 1.3 in 100 looks, 0.9 to 2.4 with guesses as they
 // come.
-func (g *guesses) shrink(guess float64) float64 {
+func (g *outputMean) shrink(guess float64) float64 {
 	if g.weight == 0 {
 		return guess
 	}
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -45,7 +45,7 @@
 	pace        pace
 	lead        lead
 	// guesses of all requests that came.
-	outputMean guesses
+	outputMean outputMean
 	// nextExpiry is no later than the end of the reservation that expires first.
 	nextExpiry time.Duration
 	// stirred is set when something has happened that may let a waiting request
