--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -8,7 +8,7 @@
 const (
 	// firstLead is the first estimate of the time beyond the reading of the
 	// prompt: the way of the KV cache to the decode engine and the first token.
-	firstLead = 30 * time.Millisecond
+	initialFirstTokenOverhead = 30 * time.Millisecond
 	// leadMemory is the weight that the estimate gives to what was seen before.
 	leadMemory = 0.95
 	// leadDeviations are added to the mean: of the requests that are granted at
@@ -32,7 +32,7 @@
 	beyond := max(0, (took - readTimeOf(prompt)).Seconds())
 	if !d.known {
 		d.known = true
-		d.mean = firstLead.Seconds()
+		d.mean = initialFirstTokenOverhead.Seconds()
 	}
 	d.deviation = leadMemory*d.deviation + (1-leadMemory)*math.Abs(beyond-d.mean)
 	d.mean = leadMemory*d.mean + (1-leadMemory)*beyond
@@ -41,7 +41,7 @@
 // expected is the time from a grant to the first token at its caller.
 func (d *lead) expected(prompt int) time.Duration {
 	if !d.known {
-		return readTimeOf(prompt) + firstLead + callerWay
+		return readTimeOf(prompt) + initialFirstTokenOverhead + callerWay
 	}
 	return readTimeOf(prompt) + seconds(d.mean+leadDeviations*d.deviation) + callerWay
 }
