--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -10,7 +10,7 @@
 	// prompt: the way of the KV cache to the decode engine and the first token.
 	initialFirstTokenOverhead = 30 * time.Millisecond
 	// leadMemory is the weight that the estimate gives to what was seen before.
-	leadMemory = 0.95
+	firstTokenDecay = 0.95
 	// leadDeviations are added to the mean: of the requests that are granted at
 	// the last moment, most shall be in time.
 	leadDeviations = 1.0
@@ -34,8 +34,8 @@
 		d.known = true
 		d.mean = initialFirstTokenOverhead.Seconds()
 	}
-	d.deviation = leadMemory*d.deviation + (1-leadMemory)*math.Abs(beyond-d.mean)
-	d.mean = leadMemory*d.mean + (1-leadMemory)*beyond
+	d.deviation = firstTokenDecay*d.deviation + (1-firstTokenDecay)*math.Abs(beyond-d.mean)
+	d.mean = firstTokenDecay*d.mean + (1-firstTokenDecay)*beyond
 }
 
 // expected is the time from a grant to the first token at its caller.
