--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -13,7 +13,7 @@
 	firstTokenDecay = 0.95
 	// leadDeviations are added to the mean: of the requests that are granted at
 	// the last moment, most shall be in time.
-	leadDeviations = 1.0
+	firstTokenDeviations = 1.0
 	// callerWay is the way to the caller and back, which no daemon sees.
 	callerWay = 10 * time.Millisecond
 )
@@ -43,7 +43,7 @@
 	if !d.known {
 		return readTimeOf(prompt) + initialFirstTokenOverhead + callerWay
 	}
-	return readTimeOf(prompt) + seconds(d.mean+leadDeviations*d.deviation) + callerWay
+	return readTimeOf(prompt) + seconds(d.mean+firstTokenDeviations*d.deviation) + callerWay
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
