--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -15,7 +15,7 @@
 	// the last moment, most shall be in time.
 	firstTokenDeviations = 1.0
 	// callerWay is the way to the caller and back, which no daemon sees.
-	callerWay = 10 * time.Millisecond
+	callerRoundTrip = 10 * time.Millisecond
 )
 
 // lead learns how long after its grant a request has its first token, beyond
@@ -41,9 +41,9 @@
 // expected is the time from a grant to the first token at its caller.
 func (d *lead) expected(prompt int) time.Duration {
 	if !d.known {
-		return readTimeOf(prompt) + initialFirstTokenOverhead + callerWay
+		return readTimeOf(prompt) + initialFirstTokenOverhead + callerRoundTrip
 	}
-	return readTimeOf(prompt) + seconds(d.mean+firstTokenDeviations*d.deviation) + callerWay
+	return readTimeOf(prompt) + seconds(d.mean+firstTokenDeviations*d.deviation) + callerRoundTrip
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
