--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -28,7 +28,7 @@
 }
 
 // saw takes a request that has its first token.
-func (d *lead) saw(prompt int, took time.Duration) {
+func (d *lead) add(prompt int, took time.Duration) {
 	beyond := max(0, (took - readTimeOf(prompt)).Seconds())
 	if !d.known {
 		d.known = true
