--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -20,7 +20,7 @@
 	}
 	wait, ok := l.serviceRate.predictWait(l.now, l.tokensAhead(w))
 	wait = time.Duration(float64(wait) / forecastMargin)
-	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
+	if !ok || l.now+wait+l.firstToken.expected(w.want.PromptTokens) <= w.target {
 		return nil
 	}
 	after := max(l.releaseRate.retryAfter(l.now, l.backlog()), minOverloadRetryAfter)
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -26,7 +26,7 @@
 			r.decodingAt = l.now
 			r.decode.footprintsStale = true
 			if !r.adopted && l.on(LearnedLead) {
-				l.lead.add(r.want.PromptTokens, l.now-r.grantedAt)
+				l.firstToken.add(r.want.PromptTokens, l.now-r.grantedAt)
 			}
 		}
 		r.phase = p.Phase
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -88,7 +88,7 @@
 
 // late says whether a request granted now would miss its target.
 func (l *Ledger) late(w *waiting) bool {
-	return l.now+l.lead.expected(w.want.PromptTokens) > w.target
+	return l.now+l.firstToken.expected(w.want.PromptTokens) > w.target
 }
 
 // readTimeOf is how long an engine that nothing is known of takes to read a prompt.
