--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -22,13 +22,13 @@
 // the reading of its prompt by an engine that nothing is known of: in a burst it
 // takes several times as long as on a calm day, and requests that are granted at
 // the last moment by a fixed time are late.
-type lead struct {
+type firstToken struct {
 	mean, deviation float64
 	known           bool
 }
 
 // saw takes a request that has its first token.
-func (d *lead) add(prompt int, took time.Duration) {
+func (d *firstToken) add(prompt int, took time.Duration) {
 	beyond := max(0, (took - readTimeOf(prompt)).Seconds())
 	if !d.known {
 		d.known = true
@@ -39,7 +39,7 @@
 }
 
 // expected is the time from a grant to the first token at its caller.
-func (d *lead) expected(prompt int) time.Duration {
+func (d *firstToken) expected(prompt int) time.Duration {
 	if !d.known {
 		return readTimeOf(prompt) + initialFirstTokenOverhead + callerRoundTrip
 	}
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -43,7 +43,7 @@
 	releaseRate releaseRate
 	serviceRate serviceRate
 	pace        pace
-	firstToken  lead
+	firstToken  firstToken
 	// guesses of all requests that came.
 	outputMean outputMean
 	// nextExpiry is no later than the end of the reservation that expires first.
