--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -19,7 +19,7 @@
 
 // poll is how soon a queue that is held up is looked at again: a prefill's
 // predicted end passes without an event.
-const poll = 5 * time.Millisecond
+const queuePollInterval = 5 * time.Millisecond
 
 // Ledger is the scheduler. It is not safe for concurrent use.
 type Ledger struct {
@@ -191,7 +191,7 @@
 // Next implements sched.Scheduler.
 func (l *Ledger) Next() time.Duration {
 	if len(l.queue) > 0 {
-		return min(max(l.now+poll, l.settled), l.nextExpiry)
+		return min(max(l.now+queuePollInterval, l.settled), l.nextExpiry)
 	}
 	return l.nextExpiry
 }
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -61,7 +61,7 @@
 // claimsLife is how long an engine's claims are reckoned with unchanged: up to
 // the next look at a queue that is held up. At 400 tokens a second a request
 // writes 2 in that time, of the thousands that it holds.
-const claimsLife = poll
+const claimsLife = queuePollInterval
 
 // claimsOf gives the claims of an engine's requests, the one with the most left
 // first. They are worked out anew only where something has changed: the owner of a
