--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -50,7 +50,7 @@
 	nextExpiry time.Duration
 	// stirred is set when something has happened that may let a waiting request
 	// be granted.
-	stirred bool
+	scanDue bool
 	// look is what one look at the queue has found.
 	look look
 	// prefillWork is the predicted engine time of all granted prefills.
@@ -133,9 +133,9 @@
 // want or the begin of a prefill, lets nobody be granted.
 func (l *Ledger) finish(actions []sched.Action) []sched.Action {
 	l.expire()
-	if l.stirred {
+	if l.scanDue {
 		actions = l.pump(actions)
-		l.stirred = false
+		l.scanDue = false
 	}
 	actions = l.refuseHopeless(actions)
 	l.serviceRate.observe(l.now, len(l.queue) > 0)
@@ -154,7 +154,7 @@
 	}
 	l.shares.configure(doc)
 	l.configureEndpoints(doc)
-	l.stirred = true
+	l.scanDue = true
 	return l.finish(nil)
 }
 
@@ -184,7 +184,7 @@
 // are free as predicted, and requests may not be passed by any longer.
 func (l *Ledger) Tick(now time.Duration) []sched.Action {
 	l.begin(now)
-	l.stirred = true
+	l.scanDue = true
 	return l.finish(nil)
 }
 
@@ -234,7 +234,7 @@
 		if report.Reachable {
 			e.drained = report.Leaving
 		}
-		l.stirred = true
+		l.scanDue = true
 	}
 	return l.finish(nil)
 }
@@ -272,14 +272,14 @@
 	}
 	r.decode.removeDecode(r)
 	delete(l.granted, r.want.Request)
-	l.stirred = true
+	l.scanDue = true
 }
 
 func (l *Ledger) unqueue(w *waiting) {
 	i := slices.Index(l.queue, w)
 	l.queue = slices.Delete(l.queue, i, i+1)
 	delete(l.waiting, w.want.Request)
-	l.stirred = true
+	l.scanDue = true
 }
 
 func (l *Ledger) grantedInOrder() []*reservation {
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -41,7 +41,7 @@
 	if r.prefill != nil {
 		r.prefill.endPrefill(l.now, r, true)
 		r.prefill = nil
-		l.stirred = true
+		l.scanDue = true
 	}
 	r.phase = sched.PhaseTransferring
 	r.expires = max(r.expires, r.lifetime)
@@ -57,7 +57,7 @@
 	r.decode = e
 	r.grant.Decode = e.name
 	e.addDecode(r)
-	l.stirred = true
+	l.scanDue = true
 }
 
 // end releases a request that has ended and takes what its end tells of an
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -52,7 +52,7 @@
 func (l *Ledger) enqueue(w *waiting) {
 	l.queue = append(l.queue, w)
 	l.waiting[w.want.Request] = w
-	l.stirred = true
+	l.scanDue = true
 }
 
 func (l *Ledger) newWaiting(w sched.Want, s *live.Service) *waiting {
