--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -36,12 +36,12 @@
 // hundreds of requests waiting that fit nowhere.
 func (l *Ledger) firstDecode(w *waiting) (*endpoint, string) {
 	c := w.claim()
-	if len(w.want.Avoid) == 0 && l.look.fitsNowhere(c) {
+	if len(w.want.Avoid) == 0 && l.scan.fitsNowhere(c) {
 		return nil, causeNoMemory
 	}
 	best, cause := l.chooseDecode(w, nil)
 	if cause == causeNoMemory && best == nil && len(w.want.Avoid) == 0 {
-		l.look.noRoom(c)
+		l.scan.noRoom(c)
 	}
 	return best, cause
 }
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -25,8 +25,8 @@
 	}
 	l.sortQueue()
 	defer l.keepNone()
-	l.look.begin(l.queue)
-	for _, w := range l.look.queue {
+	l.scan.begin(l.queue)
+	for _, w := range l.scan.queue {
 		action, passable := l.try(w)
 		if action != nil {
 			actions = append(actions, *action)
@@ -172,17 +172,17 @@
 // byRoom lists the engines that write, the one with the most left first; worked
 // out once a look.
 func (l *Ledger) byRoom() []*endpoint {
-	if len(l.look.byRoom) > 0 {
-		return l.look.byRoom
+	if len(l.scan.byRoom) > 0 {
+		return l.scan.byRoom
 	}
 	for _, e := range l.order {
 		if e.decodesHere() {
 			e.freeShare = l.room(e)
-			l.look.byRoom = append(l.look.byRoom, e)
+			l.scan.byRoom = append(l.scan.byRoom, e)
 		}
 	}
-	slices.SortStableFunc(l.look.byRoom, func(a, b *endpoint) int { return cmp.Compare(b.freeShare, a.freeShare) })
-	return l.look.byRoom
+	slices.SortStableFunc(l.scan.byRoom, func(a, b *endpoint) int { return cmp.Compare(b.freeShare, a.freeShare) })
+	return l.scan.byRoom
 }
 
 // keepNone ends the keeping of engines: it holds for one look at the queue.
