--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -52,7 +52,7 @@
 	// be granted.
 	scanDue bool
 	// look is what one look at the queue has found.
-	scan look
+	scan queueScan
 	// prefillWork is the predicted engine time of all granted prefills.
 	prefillWork time.Duration
 	// tried counts the engines tried for requests, repeated the wants that came
--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -4,7 +4,7 @@
 
 // look is what one look at the queue has found so far. Within it room only
 // shrinks: a request at least as large as one that fits nowhere fits nowhere.
-type look struct {
+type queueScan struct {
 	// queue is the queue at the begin of the look.
 	queue []*waiting
 	// tooLarge are the smallest claims that fit on no engine.
@@ -14,19 +14,19 @@
 }
 
 // begin starts a look.
-func (k *look) begin(queue []*waiting) {
+func (k *queueScan) begin(queue []*waiting) {
 	k.queue = append(k.queue[:0], queue...)
 	k.tooLarge = k.tooLarge[:0]
 	k.byRoom = k.byRoom[:0]
 }
 
 // fitsNowhere says whether a claim is known to fit on no engine.
-func (k *look) fitsNowhere(c claim) bool {
+func (k *queueScan) fitsNowhere(c claim) bool {
 	return slices.ContainsFunc(k.tooLarge, func(x claim) bool { return x.held <= c.held && x.left <= c.left })
 }
 
 // noRoom notes a claim that fits on no engine.
-func (k *look) noRoom(c claim) {
+func (k *queueScan) noRoom(c claim) {
 	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x claim) bool { return c.held <= x.held && c.left <= x.left })
 	k.tooLarge = append(k.tooLarge, c)
 }
