--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -39,7 +39,7 @@
 	ended   *simplelru.LRU[id.Request, *sched.Refusal]
 	serial  uint64
 
-	shares      shares
+	fairQueue   shares
 	releaseRate releaseRate
 	serviceRate serviceRate
 	pace        pace
@@ -113,7 +113,7 @@
 		granted:   map[id.Request]*reservation{},
 		ended:     ended,
 		serial:    o.FirstReservation,
-		shares:    newShares(),
+		fairQueue: newShares(),
 
 		nextExpiry: never,
 	}
@@ -152,7 +152,7 @@
 			l.services[doc.Services[i].Name] = &doc.Services[i]
 		}
 	}
-	l.shares.configure(doc)
+	l.fairQueue.configure(doc)
 	l.configureEndpoints(doc)
 	l.scanDue = true
 	return l.finish(nil)
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -53,7 +53,7 @@
 	if !l.sharesByTeam() {
 		return
 	}
-	l.shares.place(queue)
+	l.fairQueue.place(queue)
 	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.place, b.place)) })
 }
 
@@ -73,7 +73,7 @@
 
 // sharesByTeam says whether the requests' teams matter for their order: there
 // are any.
-func (l *Ledger) sharesByTeam() bool { return l.on(TeamShares) && l.shares.any() }
+func (l *Ledger) sharesByTeam() bool { return l.on(TeamShares) && l.fairQueue.any() }
 
 func falseFirst(a, b bool) int {
 	switch {
@@ -334,7 +334,7 @@
 		w.tokens, len(decode.decodes), l.held(decode), decode.memory)
 	decode.addDecode(r)
 	l.hold(r)
-	l.shares.granted(w)
+	l.fairQueue.granted(w)
 	if l.waiting[w.want.Request] != nil {
 		l.unqueue(w)
 		l.serviceRate.granted(w.tokens)
