--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -39,7 +39,7 @@
 	ended   *simplelru.LRU[id.Request, *sched.Refusal]
 	serial  uint64
 
-	fairQueue   shares
+	fairQueue   fairQueue
 	releaseRate releaseRate
 	serviceRate serviceRate
 	pace        pace
--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -10,7 +10,7 @@
 // were granted. It answers the load in which one team sends many times as much as
 // the others and would fill the queue before them. Teams that leave their part
 // unused give it to the rest.
-type shares struct {
+type fairQueue struct {
 	weights map[id.Team]float64
 	// used is what each team was granted, by weight; those that have less than
 	// floor, the place of the last one granted, count as much as that: what was
@@ -19,12 +19,12 @@
 	floor float64
 }
 
-func newShares() shares {
-	return shares{weights: map[id.Team]float64{}, used: map[id.Team]float64{}}
+func newShares() fairQueue {
+	return fairQueue{weights: map[id.Team]float64{}, used: map[id.Team]float64{}}
 }
 
 // configure takes the teams' weights.
-func (s *shares) configure(doc *live.Document) {
+func (s *fairQueue) configure(doc *live.Document) {
 	clear(s.weights)
 	for _, t := range doc.Teams {
 		s.weights[t.Name] = t.Weight
@@ -32,11 +32,11 @@
 }
 
 // any says whether there are teams.
-func (s *shares) any() bool { return len(s.weights) > 0 }
+func (s *fairQueue) any() bool { return len(s.weights) > 0 }
 
 // place gives each of the requests its place among those of its rank. They must
 // come by rank, then by age.
-func (s *shares) place(queue []*waiting) {
+func (s *fairQueue) place(queue []*waiting) {
 	next := make(map[id.Team]float64, len(s.used))
 	for _, w := range queue {
 		team := w.want.Team
@@ -50,7 +50,7 @@
 }
 
 // granted notes that a request was granted.
-func (s *shares) granted(w *waiting) {
+func (s *fairQueue) granted(w *waiting) {
 	team := w.want.Team
 	at := max(s.used[team], s.floor)
 	s.used[team] = at + s.cost(w)
@@ -70,7 +70,7 @@
 const mostShares = 1024
 
 // cost is what a request takes of its team's share.
-func (s *shares) cost(w *waiting) float64 {
+func (s *fairQueue) cost(w *waiting) float64 {
 	weight := s.weights[w.want.Team]
 	if weight <= 0 {
 		weight = 1
