--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -113,7 +113,7 @@
 		granted:   map[id.Request]*reservation{},
 		ended:     ended,
 		serial:    o.FirstReservation,
-		fairQueue: newShares(),
+		fairQueue: newFairQueue(),
 
 		nextExpiry: never,
 	}
--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -19,7 +19,7 @@
 	floor float64
 }
 
-func newShares() fairQueue {
+func newFairQueue() fairQueue {
 	return fairQueue{weights: map[id.Team]float64{}, used: map[id.Team]float64{}}
 }
 
