--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -15,12 +15,12 @@
 	// used is what each team was granted, by weight; those that have less than
 	// floor, the place of the last one granted, count as much as that: what was
 	// left unused earlier is not made up for.
-	used  map[id.Team]float64
-	floor float64
+	finishTags map[id.Team]float64
+	floor      float64
 }
 
 func newFairQueue() fairQueue {
-	return fairQueue{weights: map[id.Team]float64{}, used: map[id.Team]float64{}}
+	return fairQueue{weights: map[id.Team]float64{}, finishTags: map[id.Team]float64{}}
 }
 
 // configure takes the teams' weights.
@@ -37,12 +37,12 @@
 // place gives each of the requests its place among those of its rank. They must
 // come by rank, then by age.
 func (s *fairQueue) place(queue []*waiting) {
-	next := make(map[id.Team]float64, len(s.used))
+	next := make(map[id.Team]float64, len(s.finishTags))
 	for _, w := range queue {
 		team := w.want.Team
 		at, seen := next[team]
 		if !seen {
-			at = max(s.used[team], s.floor)
+			at = max(s.finishTags[team], s.floor)
 		}
 		w.place = at
 		next[team] = at + s.cost(w)
@@ -52,14 +52,14 @@
 // granted notes that a request was granted.
 func (s *fairQueue) granted(w *waiting) {
 	team := w.want.Team
-	at := max(s.used[team], s.floor)
-	s.used[team] = at + s.cost(w)
+	at := max(s.finishTags[team], s.floor)
+	s.finishTags[team] = at + s.cost(w)
 	s.floor = max(s.floor, min(w.place, at))
-	if len(s.used) > mostShares {
+	if len(s.finishTags) > mostShares {
 		// Those at or below the floor count the same when they come again.
-		for name, used := range s.used {
+		for name, used := range s.finishTags {
 			if used <= s.floor {
-				delete(s.used, name)
+				delete(s.finishTags, name)
 			}
 		}
 	}
