--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -15,8 +15,8 @@
 	// used is what each team was granted, by weight; those that have less than
 	// floor, the place of the last one granted, count as much as that: what was
 	// left unused earlier is not made up for.
-	finishTags map[id.Team]float64
-	floor      float64
+	finishTags  map[id.Team]float64
+	virtualTime float64
 }
 
 func newFairQueue() fairQueue {
@@ -42,7 +42,7 @@
 		team := w.want.Team
 		at, seen := next[team]
 		if !seen {
-			at = max(s.finishTags[team], s.floor)
+			at = max(s.finishTags[team], s.virtualTime)
 		}
 		w.place = at
 		next[team] = at + s.cost(w)
@@ -52,13 +52,13 @@
 // granted notes that a request was granted.
 func (s *fairQueue) granted(w *waiting) {
 	team := w.want.Team
-	at := max(s.finishTags[team], s.floor)
+	at := max(s.finishTags[team], s.virtualTime)
 	s.finishTags[team] = at + s.cost(w)
-	s.floor = max(s.floor, min(w.place, at))
+	s.virtualTime = max(s.virtualTime, min(w.place, at))
 	if len(s.finishTags) > mostShares {
 		// Those at or below the floor count the same when they come again.
 		for name, used := range s.finishTags {
-			if used <= s.floor {
+			if used <= s.virtualTime {
 				delete(s.finishTags, name)
 			}
 		}
