--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -34,7 +34,7 @@
 	if shared {
 		queue := append(slices.Clone(l.queue), w)
 		byAge(queue)
-		l.fairQueue.place(queue)
+		l.fairQueue.assignStartTags(queue)
 	}
 	ahead := w.tokens
 	for _, other := range l.queue {
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -53,7 +53,7 @@
 	if !l.sharesByTeam() {
 		return
 	}
-	l.fairQueue.place(queue)
+	l.fairQueue.assignStartTags(queue)
 	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.place, b.place)) })
 }
 
--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -36,7 +36,7 @@
 
 // place gives each of the requests its place among those of its rank. They must
 // come by rank, then by age.
-func (s *fairQueue) place(queue []*waiting) {
+func (s *fairQueue) assignStartTags(queue []*waiting) {
 	next := make(map[id.Team]float64, len(s.finishTags))
 	for _, w := range queue {
 		team := w.want.Team
