--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -73,7 +73,7 @@
 
 // sharesByTeam says whether the requests' teams matter for their order: there
 // are any.
-func (l *Ledger) sharesByTeam() bool { return l.on(TeamShares) && l.fairQueue.any() }
+func (l *Ledger) sharesByTeam() bool { return l.on(TeamShares) && l.fairQueue.hasTeams() }
 
 func falseFirst(a, b bool) int {
 	switch {
--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -32,7 +32,7 @@
 }
 
 // any says whether there are teams.
-func (s *fairQueue) any() bool { return len(s.weights) > 0 }
+func (s *fairQueue) hasTeams() bool { return len(s.weights) > 0 }
 
 // place gives each of the requests its place among those of its rank. They must
 // come by rank, then by age.
