--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -55,7 +55,7 @@
 	at := max(s.finishTags[team], s.virtualTime)
 	s.finishTags[team] = at + s.cost(w)
 	s.virtualTime = max(s.virtualTime, min(w.place, at))
-	if len(s.finishTags) > mostShares {
+	if len(s.finishTags) > maxFinishTags {
 		// Those at or below the floor count the same when they come again.
 		for name, used := range s.finishTags {
 			if used <= s.virtualTime {
@@ -67,7 +67,7 @@
 
 // mostShares is how many teams are remembered until those that have used nothing
 // lately are forgotten.
-const mostShares = 1024
+const maxFinishTags = 1024
 
 // cost is what a request takes of its team's share.
 func (s *fairQueue) cost(w *waiting) float64 {
