--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -39,7 +39,7 @@
 	ahead := w.tokens
 	for _, other := range l.queue {
 		before := other.want.Priority > w.want.Priority ||
-			other.want.Priority == w.want.Priority && (!shared || other.place <= w.place)
+			other.want.Priority == w.want.Priority && (!shared || other.startTag <= w.startTag)
 		if !other.tooLate && before {
 			ahead += other.tokens
 		}
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -71,7 +71,7 @@
 	tooLate bool
 	arrived time.Duration
 	// place is the request's among those of its priority, by its team's share.
-	place float64
+	startTag float64
 	// target, patience and lifetime are the times up to which it is in time,
 	// may wait, and has a caller.
 	target, patience, lifetime time.Duration
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -54,7 +54,7 @@
 		return
 	}
 	l.fairQueue.assignStartTags(queue)
-	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.place, b.place)) })
+	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.startTag, b.startTag)) })
 }
 
 // byAge sorts requests by rank, then by age.
--- a/core/kvsched/shares.go
+++ b/core/kvsched/shares.go
@@ -44,7 +44,7 @@
 		if !seen {
 			at = max(s.finishTags[team], s.virtualTime)
 		}
-		w.place = at
+		w.startTag = at
 		next[team] = at + s.cost(w)
 	}
 }
@@ -54,7 +54,7 @@
 	team := w.want.Team
 	at := max(s.finishTags[team], s.virtualTime)
 	s.finishTags[team] = at + s.cost(w)
-	s.virtualTime = max(s.virtualTime, min(w.place, at))
+	s.virtualTime = max(s.virtualTime, min(w.startTag, at))
 	if len(s.finishTags) > maxFinishTags {
 		// Those at or below the floor count the same when they come again.
 		for name, used := range s.finishTags {
