--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -132,7 +132,7 @@
 // where something has stirred: much of what an owner is told, such as a repeated
 // want or the begin of a prefill, lets nobody be granted.
 func (l *Ledger) finish(actions []sched.Action) []sched.Action {
-	l.expire()
+	l.dropExpired()
 	if l.scanDue {
 		actions = l.pump(actions)
 		l.scanDue = false
@@ -244,7 +244,7 @@
 
 // expire drops the reservations that nobody speaks for any more. Their ends are
 // only ever put off, so that it looks through them when the first one may be due.
-func (l *Ledger) expire() {
+func (l *Ledger) dropExpired() {
 	if l.now < l.nextExpiry {
 		return
 	}
