--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -260,7 +260,7 @@
 }
 
 // hold notes a reservation.
-func (l *Ledger) hold(r *reservation) {
+func (l *Ledger) addReservation(r *reservation) {
 	l.granted[r.want.Request] = r
 	l.nextExpiry = min(l.nextExpiry, r.expires)
 }
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -120,7 +120,7 @@
 		r.decodingAt = max(1, l.now-a.For)
 	}
 	decode.addDecode(r)
-	l.hold(r)
+	l.addReservation(r)
 	if prefill := l.endpoints[a.Grant.Prefill]; prefill != nil && a.Phase < sched.PhaseTransferring {
 		r.prefill = prefill
 		prefill.addPrefill(l.now, r)
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -333,7 +333,7 @@
 		(l.now - w.arrived).Round(time.Millisecond), (start - l.now).Round(time.Millisecond),
 		w.tokens, len(decode.decodes), l.held(decode), decode.memory)
 	decode.addDecode(r)
-	l.hold(r)
+	l.addReservation(r)
 	l.fairQueue.granted(w)
 	if l.waiting[w.want.Request] != nil {
 		l.unqueue(w)
