--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -217,7 +217,7 @@
 			l.unqueue(w)
 		}
 	}
-	for _, r := range l.grantedInOrder() {
+	for _, r := range l.sortedReservations() {
 		if r.want.From == p {
 			l.release(r)
 		}
@@ -249,7 +249,7 @@
 		return
 	}
 	l.nextExpiry = never
-	for _, r := range l.grantedInOrder() {
+	for _, r := range l.sortedReservations() {
 		if l.now < r.expires {
 			l.nextExpiry = min(l.nextExpiry, r.expires)
 			continue
@@ -282,7 +282,7 @@
 	l.scanDue = true
 }
 
-func (l *Ledger) grantedInOrder() []*reservation {
+func (l *Ledger) sortedReservations() []*reservation {
 	out := make([]*reservation, 0, len(l.granted))
 	for _, r := range l.granted {
 		out = append(out, r)
