--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -139,7 +139,7 @@
 	}
 	actions = l.refuseHopeless(actions)
 	l.serviceRate.observe(l.now, len(l.queue) > 0)
-	l.check()
+	l.checkInvariants()
 	return actions
 }
 
@@ -294,7 +294,7 @@
 }
 
 // check holds the engines' lists against the reservations.
-func (l *Ledger) check() {
+func (l *Ledger) checkInvariants() {
 	if l.options.Violation == nil {
 		return
 	}
