--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -26,7 +26,7 @@
 }
 
 // noRoom notes a claim that fits on no engine.
-func (k *queueScan) noRoom(c claim) {
+func (k *queueScan) addTooLarge(c claim) {
 	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x claim) bool { return c.held <= x.held && c.left <= x.left })
 	k.tooLarge = append(k.tooLarge, c)
 }
@@ -41,7 +41,7 @@
 	}
 	best, cause := l.chooseDecode(w, nil)
 	if cause == causeNoMemory && best == nil && len(w.want.Avoid) == 0 {
-		l.scan.noRoom(c)
+		l.scan.addTooLarge(c)
 	}
 	return best, cause
 }
