--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -34,7 +34,7 @@
 // firstDecode is chooseDecode for a request whose prefill engine is not chosen
 // yet. What a look has found out for others saves the trying: a burst leaves
 // hundreds of requests waiting that fit nowhere.
-func (l *Ledger) firstDecode(w *waiting) (*endpoint, string) {
+func (l *Ledger) chooseInitialDecode(w *waiting) (*endpoint, string) {
 	c := w.claim()
 	if len(w.want.Avoid) == 0 && l.scan.fitsNowhere(c) {
 		return nil, causeNoMemory
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -99,7 +99,7 @@
 // try grants one request if it can be. It is passable if those behind it may
 // be tried.
 func (l *Ledger) try(w *waiting) (granted *sched.Action, passable bool) {
-	decode, cause := l.firstDecode(w)
+	decode, cause := l.chooseInitialDecode(w)
 	if decode == nil {
 		w.blocked = cause
 		return nil, cause == causeNoMemory && l.passable(w)
