--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -10,14 +10,14 @@
 	// tooLarge are the smallest claims that fit on no engine.
 	tooLarge []claim
 	// byRoom are the engines that write, once they were put in order.
-	byRoom []*endpoint
+	byFreeShare []*endpoint
 }
 
 // begin starts a look.
 func (k *queueScan) begin(queue []*waiting) {
 	k.queue = append(k.queue[:0], queue...)
 	k.tooLarge = k.tooLarge[:0]
-	k.byRoom = k.byRoom[:0]
+	k.byFreeShare = k.byFreeShare[:0]
 }
 
 // fitsNowhere says whether a claim is known to fit on no engine.
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -172,17 +172,17 @@
 // byRoom lists the engines that write, the one with the most left first; worked
 // out once a look.
 func (l *Ledger) byRoom() []*endpoint {
-	if len(l.scan.byRoom) > 0 {
-		return l.scan.byRoom
+	if len(l.scan.byFreeShare) > 0 {
+		return l.scan.byFreeShare
 	}
 	for _, e := range l.order {
 		if e.decodesHere() {
 			e.freeShare = l.room(e)
-			l.scan.byRoom = append(l.scan.byRoom, e)
+			l.scan.byFreeShare = append(l.scan.byFreeShare, e)
 		}
 	}
-	slices.SortStableFunc(l.scan.byRoom, func(a, b *endpoint) int { return cmp.Compare(b.freeShare, a.freeShare) })
-	return l.scan.byRoom
+	slices.SortStableFunc(l.scan.byFreeShare, func(a, b *endpoint) int { return cmp.Compare(b.freeShare, a.freeShare) })
+	return l.scan.byFreeShare
 }
 
 // keepNone ends the keeping of engines: it holds for one look at the queue.
