--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -161,7 +161,7 @@
 // roomiest is the decode engine that will have room for a request first: the
 // one that has the most left.
 func (l *Ledger) roomiest(w *waiting) *endpoint {
-	for _, e := range l.byRoom() {
+	for _, e := range l.byFreeShare() {
 		if l.usable(e, w) {
 			return e
 		}
@@ -171,7 +171,7 @@
 
 // byRoom lists the engines that write, the one with the most left first; worked
 // out once a look.
-func (l *Ledger) byRoom() []*endpoint {
+func (l *Ledger) byFreeShare() []*endpoint {
 	if len(l.scan.byFreeShare) > 0 {
 		return l.scan.byFreeShare
 	}
