--- a/core/kvsched/mechanisms.go
+++ b/core/kvsched/mechanisms.go
@@ -34,4 +34,4 @@
 }
 
 // on says whether a mechanism is in use.
-func (l *Ledger) on(m Mechanism) bool { return !slices.Contains(l.options.Disabled, m) }
+func (l *Ledger) enabled(m Mechanism) bool { return !slices.Contains(l.options.Disabled, m) }
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -25,7 +25,7 @@
 		if r.decodingAt == 0 {
 			r.decodingAt = l.now
 			r.decode.footprintsStale = true
-			if !r.adopted && l.on(LearnedLead) {
+			if !r.adopted && l.enabled(LearnedLead) {
 				l.firstToken.add(r.want.PromptTokens, l.now-r.grantedAt)
 			}
 		}
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -73,7 +73,7 @@
 
 // sharesByTeam says whether the requests' teams matter for their order: there
 // are any.
-func (l *Ledger) sharesByTeam() bool { return l.on(TeamShares) && l.fairQueue.hasTeams() }
+func (l *Ledger) sharesByTeam() bool { return l.enabled(TeamShares) && l.fairQueue.hasTeams() }
 
 func falseFirst(a, b bool) int {
 	switch {
@@ -135,7 +135,7 @@
 // what is free on the rest without its waiting for ever. Where too many engines
 // are kept already, nobody passes.
 func (l *Ledger) passable(w *waiting) bool {
-	if l.now-w.arrived < l.options.BypassAfter && !w.want.Prefilled || !l.on(KeptEngine) {
+	if l.now-w.arrived < l.options.BypassAfter && !w.want.Prefilled || !l.enabled(KeptEngine) {
 		return true
 	}
 	writers, kept := 0, 0
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -79,7 +79,7 @@
 // output is the expected length of the answer, in tokens.
 func (l *Ledger) output(w *sched.Want) float64 {
 	guess := float64(max(1, w.OutputTokens))
-	if l.on(GuessShrink) {
+	if l.enabled(GuessShrink) {
 		guess = l.outputMean.shrink(guess)
 	}
 	return l.options.OutputShare * guess
@@ -118,7 +118,7 @@
 		return []sched.Action{*l.grant(w, nil, decode)}
 	}
 	w.blocked = cause
-	if cause != causeNoMemory || !l.on(PrefilledWait) || l.now >= w.patience {
+	if cause != causeNoMemory || !l.enabled(PrefilledWait) || l.now >= w.patience {
 		return l.refuse(w.want, verdict.CodeOverloaded, l.releaseRate.retryAfter(l.now, l.backlog()), cause)
 	}
 	l.enqueue(w)
--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -30,7 +30,7 @@
 // slows the engine's other requests: only one prompt is read so at a time on an
 // engine, and only by engines with room to spare.
 func (l *Ledger) grantWhole(w *waiting) (granted *sched.Action, passable bool) {
-	if !l.on(WholeReading) || l.now+l.prefillWait()+l.queueTime() < w.target-wholeTime(w) || w.tooLate {
+	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queueTime() < w.target-wholeTime(w) || w.tooLate {
 		return nil, false
 	}
 	var best *endpoint
@@ -60,7 +60,7 @@
 		return false
 	}
 	pause := e.shortestPause()
-	if pause == 0 || !l.on(PauseBound) {
+	if pause == 0 || !l.enabled(PauseBound) {
 		return true
 	}
 	fits := wholeTime(w) <= time.Duration(wholePause*float64(pause))
