--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -9,7 +9,7 @@
 const (
 	// firstPace is the first estimate of how fast an answer is written, in
 	// tokens a second.
-	firstPace = 300.0
+	initialDecodeRate = 300.0
 	// paceMemory is the weight that the estimate gives to what was seen before.
 	paceMemory = 0.97
 	// overrun is the share of the expected output that a request which has
@@ -36,7 +36,7 @@
 // perSecond is the pace of one request, in tokens.
 func (p *pace) perSecond() float64 {
 	if p.seconds <= 0 || p.tokens <= 0 {
-		return firstPace
+		return initialDecodeRate
 	}
 	return p.tokens / p.seconds
 }
