--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -11,7 +11,7 @@
 	// tokens a second.
 	initialDecodeRate = 300.0
 	// paceMemory is the weight that the estimate gives to what was seen before.
-	paceMemory = 0.97
+	decodeRateDecay = 0.97
 	// overrun is the share of the expected output that a request which has
 	// exceeded it is believed to write yet: guesses are often far off.
 	overrun = 0.25
@@ -29,8 +29,8 @@
 
 // ended takes a request whose answer is complete.
 func (p *pace) ended(expected int, took time.Duration) {
-	p.tokens = paceMemory*p.tokens + float64(expected)
-	p.seconds = paceMemory*p.seconds + took.Seconds()
+	p.tokens = decodeRateDecay*p.tokens + float64(expected)
+	p.seconds = decodeRateDecay*p.seconds + took.Seconds()
 }
 
 // perSecond is the pace of one request, in tokens.
