--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -14,7 +14,7 @@
 	decodeRateDecay = 0.97
 	// overrun is the share of the expected output that a request which has
 	// exceeded it is believed to write yet: guesses are often far off.
-	overrun = 0.25
+	minRemainingShare = 0.25
 	// mostWritten times the expected output is the most that a request is
 	// believed to have written.
 	mostWritten = 2.5
@@ -52,7 +52,7 @@
 		written = min((l.now-r.decodingAt).Seconds()*l.pace.perSecond(), mostWritten*output)
 	}
 	left := output - written
-	if least := overrun * output; left < least {
+	if least := minRemainingShare * output; left < least {
 		left = least
 	}
 	return claim{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, left: left}
