--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -17,7 +17,7 @@
 	minRemainingShare = 0.25
 	// mostWritten times the expected output is the most that a request is
 	// believed to have written.
-	mostWritten = 2.5
+	maxGeneratedShare = 2.5
 )
 
 // pace averages how fast answers are written. Guesses of single outputs are
@@ -49,7 +49,7 @@
 	output := r.output
 	written := 0.0
 	if r.decodingAt > 0 {
-		written = min((l.now-r.decodingAt).Seconds()*l.pace.perSecond(), mostWritten*output)
+		written = min((l.now-r.decodingAt).Seconds()*l.pace.perSecond(), maxGeneratedShare*output)
 	}
 	left := output - written
 	if least := minRemainingShare * output; left < least {
