--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -28,7 +28,7 @@
 }
 
 // ended takes a request whose answer is complete.
-func (p *pace) ended(expected int, took time.Duration) {
+func (p *pace) add(expected int, took time.Duration) {
 	p.tokens = decodeRateDecay*p.tokens + float64(expected)
 	p.seconds = decodeRateDecay*p.seconds + took.Seconds()
 }
