--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -42,7 +42,7 @@
 	fairQueue   fairQueue
 	releaseRate releaseRate
 	serviceRate serviceRate
-	pace        pace
+	decodeRate  pace
 	firstToken  firstToken
 	// guesses of all requests that came.
 	outputMean outputMean
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -49,7 +49,7 @@
 	output := r.output
 	written := 0.0
 	if r.decodingAt > 0 {
-		written = min((l.now-r.decodingAt).Seconds()*l.pace.perSecond(), maxGeneratedShare*output)
+		written = min((l.now-r.decodingAt).Seconds()*l.decodeRate.perSecond(), maxGeneratedShare*output)
 	}
 	left := output - written
 	if least := minRemainingShare * output; left < least {
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -69,7 +69,7 @@
 	if p.Phase == sched.PhaseDone {
 		l.releaseRate.add(l.now, r.tokens)
 		if r.decodingAt > 0 && !r.adopted {
-			l.pace.add(max(1, r.want.OutputTokens), l.now-r.decodingAt)
+			l.decodeRate.add(max(1, r.want.OutputTokens), l.now-r.decodingAt)
 		}
 	}
 	l.release(r)
