--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -42,7 +42,7 @@
 	fairQueue   fairQueue
 	releaseRate releaseRate
 	serviceRate serviceRate
-	decodeRate  pace
+	decodeRate  decodeRate
 	firstToken  firstToken
 	// guesses of all requests that came.
 	outputMean outputMean
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -22,19 +22,19 @@
 
 // pace averages how fast answers are written. Guesses of single outputs are
 // often far off, their sum is not.
-type pace struct {
+type decodeRate struct {
 	tokens  float64
 	seconds float64
 }
 
 // ended takes a request whose answer is complete.
-func (p *pace) add(expected int, took time.Duration) {
+func (p *decodeRate) add(expected int, took time.Duration) {
 	p.tokens = decodeRateDecay*p.tokens + float64(expected)
 	p.seconds = decodeRateDecay*p.seconds + took.Seconds()
 }
 
 // perSecond is the pace of one request, in tokens.
-func (p *pace) perSecond() float64 {
+func (p *decodeRate) perSecond() float64 {
 	if p.seconds <= 0 || p.tokens <= 0 {
 		return initialDecodeRate
 	}
