--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -22,12 +22,12 @@
 
 // fitsNowhere says whether a claim is known to fit on no engine.
 func (k *queueScan) fitsNowhere(c claim) bool {
-	return slices.ContainsFunc(k.tooLarge, func(x claim) bool { return x.held <= c.held && x.left <= c.left })
+	return slices.ContainsFunc(k.tooLarge, func(x claim) bool { return x.held <= c.held && x.remaining <= c.remaining })
 }
 
 // noRoom notes a claim that fits on no engine.
 func (k *queueScan) addTooLarge(c claim) {
-	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x claim) bool { return c.held <= x.held && c.left <= x.left })
+	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x claim) bool { return c.held <= x.held && c.remaining <= x.remaining })
 	k.tooLarge = append(k.tooLarge, c)
 }
 
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -42,7 +42,7 @@
 }
 
 // claim is what one request holds now and will yet add, in tokens.
-type claim struct{ held, left float64 }
+type claim struct{ held, remaining float64 }
 
 // claimOf estimates a request's claim. Before its decode it holds its prompt.
 func (l *Ledger) claimOf(r *reservation) claim {
@@ -55,7 +55,7 @@
 	if least := minRemainingShare * output; left < least {
 		left = least
 	}
-	return claim{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, left: left}
+	return claim{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, remaining: left}
 }
 
 // claimsLife is how long an engine's claims are reckoned with unchanged: up to
@@ -75,7 +75,7 @@
 	for _, r := range e.decodes {
 		e.footprints = append(e.footprints, l.claimOf(r))
 	}
-	slices.SortFunc(e.footprints, func(a, b claim) int { return cmp.Compare(b.left, a.left) })
+	slices.SortFunc(e.footprints, func(a, b claim) int { return cmp.Compare(b.remaining, a.remaining) })
 	e.footprintsAt, e.footprintsStale = l.now, false
 	return e.footprints
 }
@@ -87,7 +87,7 @@
 func (p *climb) add(c claim) {
 	p.held += c.held
 	p.writers++
-	p.most = max(p.most, p.held+p.writers*c.left)
+	p.most = max(p.most, p.held+p.writers*c.remaining)
 }
 
 // peak predicts the most memory that an engine's requests will hold together,
@@ -96,7 +96,7 @@
 func (l *Ledger) peak(e *endpoint, extra *claim) float64 {
 	var p climb
 	for _, c := range l.claimsOf(e) {
-		if extra != nil && extra.left > c.left {
+		if extra != nil && extra.remaining > c.remaining {
 			p.add(*extra)
 			extra = nil
 		}
@@ -110,7 +110,7 @@
 
 // claim is what the request would hold when granted, and add.
 func (w *waiting) claim() claim {
-	return claim{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), left: w.output}
+	return claim{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), remaining: w.output}
 }
 
 // fits says whether a request fits on an engine, and which share of its memory
