--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -44,7 +44,7 @@
 	decodes []*reservation
 	// claims are theirs as of claimsAt, the one with the most left first;
 	// claimsOld is set once the requests have changed.
-	footprints      []claim
+	footprints      []footprint
 	footprintsAt    time.Duration
 	footprintsStale bool
 	// room is the share of its memory that is left at the peak, as of the last
--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -8,7 +8,7 @@
 	// queue is the queue at the begin of the look.
 	queue []*waiting
 	// tooLarge are the smallest claims that fit on no engine.
-	tooLarge []claim
+	tooLarge []footprint
 	// byRoom are the engines that write, once they were put in order.
 	byFreeShare []*endpoint
 }
@@ -21,13 +21,13 @@
 }
 
 // fitsNowhere says whether a claim is known to fit on no engine.
-func (k *queueScan) fitsNowhere(c claim) bool {
-	return slices.ContainsFunc(k.tooLarge, func(x claim) bool { return x.held <= c.held && x.remaining <= c.remaining })
+func (k *queueScan) fitsNowhere(c footprint) bool {
+	return slices.ContainsFunc(k.tooLarge, func(x footprint) bool { return x.held <= c.held && x.remaining <= c.remaining })
 }
 
 // noRoom notes a claim that fits on no engine.
-func (k *queueScan) addTooLarge(c claim) {
-	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x claim) bool { return c.held <= x.held && c.remaining <= x.remaining })
+func (k *queueScan) addTooLarge(c footprint) {
+	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x footprint) bool { return c.held <= x.held && c.remaining <= x.remaining })
 	k.tooLarge = append(k.tooLarge, c)
 }
 
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -42,10 +42,10 @@
 }
 
 // claim is what one request holds now and will yet add, in tokens.
-type claim struct{ held, remaining float64 }
+type footprint struct{ held, remaining float64 }
 
 // claimOf estimates a request's claim. Before its decode it holds its prompt.
-func (l *Ledger) claimOf(r *reservation) claim {
+func (l *Ledger) claimOf(r *reservation) footprint {
 	output := r.output
 	written := 0.0
 	if r.decodingAt > 0 {
@@ -55,7 +55,7 @@
 	if least := minRemainingShare * output; left < least {
 		left = least
 	}
-	return claim{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, remaining: left}
+	return footprint{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, remaining: left}
 }
 
 // claimsLife is how long an engine's claims are reckoned with unchanged: up to
@@ -67,7 +67,7 @@
 // first. They are worked out anew only where something has changed: the owner of a
 // large pool would else spend most of its time on working them out for each
 // waiting request at each event.
-func (l *Ledger) claimsOf(e *endpoint) []claim {
+func (l *Ledger) claimsOf(e *endpoint) []footprint {
 	if !e.footprintsStale && l.now-e.footprintsAt < claimsLife {
 		return e.footprints
 	}
@@ -75,7 +75,7 @@
 	for _, r := range e.decodes {
 		e.footprints = append(e.footprints, l.claimOf(r))
 	}
-	slices.SortFunc(e.footprints, func(a, b claim) int { return cmp.Compare(b.remaining, a.remaining) })
+	slices.SortFunc(e.footprints, func(a, b footprint) int { return cmp.Compare(b.remaining, a.remaining) })
 	e.footprintsAt, e.footprintsStale = l.now, false
 	return e.footprints
 }
@@ -84,7 +84,7 @@
 // before it still hold theirs.
 type climb struct{ held, writers, most float64 }
 
-func (p *climb) add(c claim) {
+func (p *climb) add(c footprint) {
 	p.held += c.held
 	p.writers++
 	p.most = max(p.most, p.held+p.writers*c.remaining)
@@ -93,7 +93,7 @@
 // peak predicts the most memory that an engine's requests will hold together,
 // with one more if extra is set: memory comes back request by request, while
 // the others go on writing.
-func (l *Ledger) peak(e *endpoint, extra *claim) float64 {
+func (l *Ledger) peak(e *endpoint, extra *footprint) float64 {
 	var p climb
 	for _, c := range l.claimsOf(e) {
 		if extra != nil && extra.remaining > c.remaining {
@@ -109,8 +109,8 @@
 }
 
 // claim is what the request would hold when granted, and add.
-func (w *waiting) claim() claim {
-	return claim{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), remaining: w.output}
+func (w *waiting) claim() footprint {
+	return footprint{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), remaining: w.output}
 }
 
 // fits says whether a request fits on an engine, and which share of its memory
@@ -136,7 +136,7 @@
 
 // roomWith is that share with one more request if extra is set; that of its
 // places for an engine that does not tell its memory.
-func (l *Ledger) roomWith(e *endpoint, extra *claim) float64 {
+func (l *Ledger) roomWith(e *endpoint, extra *footprint) float64 {
 	if e.memory <= 0 {
 		return 1 - float64(len(e.decodes))/float64(max(1, e.slots))
 	}
