--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -45,7 +45,7 @@
 type footprint struct{ held, remaining float64 }
 
 // claimOf estimates a request's claim. Before its decode it holds its prompt.
-func (l *Ledger) claimOf(r *reservation) footprint {
+func (l *Ledger) footprintOf(r *reservation) footprint {
 	output := r.output
 	written := 0.0
 	if r.decodingAt > 0 {
@@ -73,7 +73,7 @@
 	}
 	e.footprints = e.footprints[:0]
 	for _, r := range e.decodes {
-		e.footprints = append(e.footprints, l.claimOf(r))
+		e.footprints = append(e.footprints, l.footprintOf(r))
 	}
 	slices.SortFunc(e.footprints, func(a, b footprint) int { return cmp.Compare(b.remaining, a.remaining) })
 	e.footprintsAt, e.footprintsStale = l.now, false
