--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -67,7 +67,7 @@
 // first. They are worked out anew only where something has changed: the owner of a
 // large pool would else spend most of its time on working them out for each
 // waiting request at each event.
-func (l *Ledger) claimsOf(e *endpoint) []footprint {
+func (l *Ledger) footprintsOf(e *endpoint) []footprint {
 	if !e.footprintsStale && l.now-e.footprintsAt < claimsLife {
 		return e.footprints
 	}
@@ -95,7 +95,7 @@
 // the others go on writing.
 func (l *Ledger) peak(e *endpoint, extra *footprint) float64 {
 	var p climb
-	for _, c := range l.claimsOf(e) {
+	for _, c := range l.footprintsOf(e) {
 		if extra != nil && extra.remaining > c.remaining {
 			p.add(*extra)
 			extra = nil
@@ -146,7 +146,7 @@
 // held is the memory that an engine's requests hold now, in tokens.
 func (l *Ledger) held(e *endpoint) int {
 	sum := 0.0
-	for _, c := range l.claimsOf(e) {
+	for _, c := range l.footprintsOf(e) {
 		sum += c.held
 	}
 	return int(sum)
