--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -61,14 +61,14 @@
 // claimsLife is how long an engine's claims are reckoned with unchanged: up to
 // the next look at a queue that is held up. At 400 tokens a second a request
 // writes 2 in that time, of the thousands that it holds.
-const claimsLife = queuePollInterval
+const footprintTTL = queuePollInterval
 
 // claimsOf gives the claims of an engine's requests, the one with the most left
 // first. They are worked out anew only where something has changed: the owner of a
 // large pool would else spend most of its time on working them out for each
 // waiting request at each event.
 func (l *Ledger) footprintsOf(e *endpoint) []footprint {
-	if !e.footprintsStale && l.now-e.footprintsAt < claimsLife {
+	if !e.footprintsStale && l.now-e.footprintsAt < footprintTTL {
 		return e.footprints
 	}
 	e.footprints = e.footprints[:0]
