--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -82,9 +82,9 @@
 
 // climb adds claims up, those with the most left first: when one ends, all
 // before it still hold theirs.
-type climb struct{ held, writers, most float64 }
+type peakSum struct{ held, writers, most float64 }
 
-func (p *climb) add(c footprint) {
+func (p *peakSum) add(c footprint) {
 	p.held += c.held
 	p.writers++
 	p.most = max(p.most, p.held+p.writers*c.remaining)
@@ -94,7 +94,7 @@
 // with one more if extra is set: memory comes back request by request, while
 // the others go on writing.
 func (l *Ledger) peak(e *endpoint, extra *footprint) float64 {
-	var p climb
+	var p peakSum
 	for _, c := range l.footprintsOf(e) {
 		if extra != nil && extra.remaining > c.remaining {
 			p.add(*extra)
