--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -82,12 +82,12 @@
 
 // climb adds claims up, those with the most left first: when one ends, all
 // before it still hold theirs.
-type peakSum struct{ held, writers, most float64 }
+type peakSum struct{ held, decoding, most float64 }
 
 func (p *peakSum) add(c footprint) {
 	p.held += c.held
-	p.writers++
-	p.most = max(p.most, p.held+p.writers*c.remaining)
+	p.decoding++
+	p.most = max(p.most, p.held+p.decoding*c.remaining)
 }
 
 // peak predicts the most memory that an engine's requests will hold together,
