--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -82,12 +82,12 @@
 
 // climb adds claims up, those with the most left first: when one ends, all
 // before it still hold theirs.
-type peakSum struct{ held, decoding, most float64 }
+type peakSum struct{ held, decoding, peak float64 }
 
 func (p *peakSum) add(c footprint) {
 	p.held += c.held
 	p.decoding++
-	p.most = max(p.most, p.held+p.decoding*c.remaining)
+	p.peak = max(p.peak, p.held+p.decoding*c.remaining)
 }
 
 // peak predicts the most memory that an engine's requests will hold together,
@@ -105,7 +105,7 @@
 	if extra != nil {
 		p.add(*extra)
 	}
-	return p.most
+	return p.peak
 }
 
 // claim is what the request would hold when granted, and add.
