--- a/core/kvsched/look.go
+++ b/core/kvsched/look.go
@@ -35,7 +35,7 @@
 // yet. What a look has found out for others saves the trying: a burst leaves
 // hundreds of requests waiting that fit nowhere.
 func (l *Ledger) chooseInitialDecode(w *waiting) (*endpoint, string) {
-	c := w.claim()
+	c := w.footprint()
 	if len(w.want.Avoid) == 0 && l.scan.fitsNowhere(c) {
 		return nil, causeNoMemory
 	}
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -109,7 +109,7 @@
 }
 
 // claim is what the request would hold when granted, and add.
-func (w *waiting) claim() footprint {
+func (w *waiting) footprint() footprint {
 	return footprint{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), remaining: w.output}
 }
 
@@ -120,7 +120,7 @@
 	if len(e.decodes) >= e.slots {
 		return 0, false
 	}
-	more := w.claim()
+	more := w.footprint()
 	left = l.roomWith(e, &more)
 	return left, left >= 0
 }
