--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -126,7 +126,7 @@
 }
 
 // room is the share of an engine's memory that is left at the peak.
-func (l *Ledger) room(e *endpoint) float64 {
+func (l *Ledger) freeShare(e *endpoint) float64 {
 	l.tried++
 	if len(e.decodes) >= e.slots {
 		return 0
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -177,7 +177,7 @@
 	}
 	for _, e := range l.order {
 		if e.decodesHere() {
-			e.freeShare = l.room(e)
+			e.freeShare = l.freeShare(e)
 			l.scan.byFreeShare = append(l.scan.byFreeShare, e)
 		}
 	}
