--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -121,7 +121,7 @@
 		return 0, false
 	}
 	more := w.footprint()
-	left = l.roomWith(e, &more)
+	left = l.freeShareWith(e, &more)
 	return left, left >= 0
 }
 
@@ -131,12 +131,12 @@
 	if len(e.decodes) >= e.slots {
 		return 0
 	}
-	return l.roomWith(e, nil)
+	return l.freeShareWith(e, nil)
 }
 
 // roomWith is that share with one more request if extra is set; that of its
 // places for an engine that does not tell its memory.
-func (l *Ledger) roomWith(e *endpoint, extra *footprint) float64 {
+func (l *Ledger) freeShareWith(e *endpoint, extra *footprint) float64 {
 	if e.memory <= 0 {
 		return 1 - float64(len(e.decodes))/float64(max(1, e.slots))
 	}
