--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -18,9 +18,9 @@
 		r.phase = p.Phase
 		r.expires = max(r.expires, r.lifetime)
 	case sched.PhaseTransferring:
-		l.read(r)
+		l.prefillDone(r)
 	case sched.PhaseDecoding:
-		l.read(r)
+		l.prefillDone(r)
 		l.moveTo(r, p)
 		if r.decodingAt == 0 {
 			r.decodingAt = l.now
@@ -37,7 +37,7 @@
 }
 
 // read notes that the prompt was read.
-func (l *Ledger) read(r *reservation) {
+func (l *Ledger) prefillDone(r *reservation) {
 	if r.prefill != nil {
 		r.prefill.endPrefill(l.now, r, true)
 		r.prefill = nil
