--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -21,7 +21,7 @@
 		l.prefillDone(r)
 	case sched.PhaseDecoding:
 		l.prefillDone(r)
-		l.moveTo(r, p)
+		l.moveDecode(r, p)
 		if r.decodingAt == 0 {
 			r.decodingAt = l.now
 			r.decode.footprintsStale = true
@@ -48,7 +48,7 @@
 }
 
 // moveTo follows a request that decodes at another engine than was granted.
-func (l *Ledger) moveTo(r *reservation, p sched.Progress) {
+func (l *Ledger) moveDecode(r *reservation, p sched.Progress) {
 	e := l.endpoints[p.Endpoint]
 	if e == nil || e == r.decode {
 		return
