--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -31,7 +31,7 @@
 		}
 		r.phase = p.Phase
 	default:
-		l.end(r, p)
+		l.endReservation(r, p)
 	}
 	return l.finish(nil)
 }
@@ -62,7 +62,7 @@
 
 // end releases a request that has ended and takes what its end tells of an
 // endpoint.
-func (l *Ledger) end(r *reservation, p sched.Progress) {
+func (l *Ledger) endReservation(r *reservation, p sched.Progress) {
 	if p.Phase == sched.PhaseFailed {
 		l.blame(p)
 	}
