--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -64,7 +64,7 @@
 // endpoint.
 func (l *Ledger) endReservation(r *reservation, p sched.Progress) {
 	if p.Phase == sched.PhaseFailed {
-		l.blame(p)
+		l.markRefusal(p)
 	}
 	if p.Phase == sched.PhaseDone {
 		l.releaseRate.add(l.now, r.tokens)
@@ -77,7 +77,7 @@
 }
 
 // blame keeps work off an endpoint that refused.
-func (l *Ledger) blame(p sched.Progress) {
+func (l *Ledger) markRefusal(p sched.Progress) {
 	e := l.endpoints[p.Endpoint]
 	if e == nil {
 		return
