--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -134,7 +134,7 @@
 func (l *Ledger) finish(actions []sched.Action) []sched.Action {
 	l.dropExpired()
 	if l.scanDue {
-		actions = l.pump(actions)
+		actions = l.grantWaiting(actions)
 		l.scanDue = false
 	}
 	actions = l.refuseHopeless(actions)
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -19,7 +19,7 @@
 )
 
 // pump grants what can be granted.
-func (l *Ledger) pump(actions []sched.Action) []sched.Action {
+func (l *Ledger) grantWaiting(actions []sched.Action) []sched.Action {
 	if l.now < l.settled || len(l.queue) == 0 {
 		return actions
 	}
