--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -44,11 +44,11 @@
 	for _, w := range l.queue {
 		w.tooLate = !w.want.Prefilled && l.late(w)
 	}
-	l.inOrder(l.queue)
+	l.sortByShares(l.queue)
 }
 
 // inOrder sorts requests into the order in which they are granted.
-func (l *Ledger) inOrder(queue []*waiting) {
+func (l *Ledger) sortByShares(queue []*waiting) {
 	byAge(queue)
 	if !l.sharesByTeam() {
 		return
