--- a/core/kvsched/lead.go
+++ b/core/kvsched/lead.go
@@ -29,7 +29,7 @@
 
 // saw takes a request that has its first token.
 func (d *firstToken) add(prompt int, took time.Duration) {
-	beyond := max(0, (took - readTimeOf(prompt)).Seconds())
+	beyond := max(0, (took - initialPrefillTime(prompt)).Seconds())
 	if !d.known {
 		d.known = true
 		d.mean = initialFirstTokenOverhead.Seconds()
@@ -41,9 +41,9 @@
 // expected is the time from a grant to the first token at its caller.
 func (d *firstToken) expected(prompt int) time.Duration {
 	if !d.known {
-		return readTimeOf(prompt) + initialFirstTokenOverhead + callerRoundTrip
+		return initialPrefillTime(prompt) + initialFirstTokenOverhead + callerRoundTrip
 	}
-	return readTimeOf(prompt) + seconds(d.mean+firstTokenDeviations*d.deviation) + callerRoundTrip
+	return initialPrefillTime(prompt) + seconds(d.mean+firstTokenDeviations*d.deviation) + callerRoundTrip
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -92,7 +92,7 @@
 }
 
 // readTimeOf is how long an engine that nothing is known of takes to read a prompt.
-func readTimeOf(tokens int) time.Duration {
+func initialPrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / firstPrefillRate * float64(time.Second))
 }
 
@@ -327,7 +327,7 @@
 		l.prefillWork += prefill.prefillTime(r.want.PromptTokens)
 	} else if decode.role == live.RoleDecode {
 		// A prefill engine would have read it, had one been free.
-		l.prefillWork += readTimeOf(r.want.PromptTokens)
+		l.prefillWork += initialPrefillTime(r.want.PromptTokens)
 	}
 	r.grant.Reason = fmt.Sprintf("waited %v, starts in %v, %d tokens beside %d requests with %d of %d",
 		(l.now - w.arrived).Round(time.Millisecond), (start - l.now).Round(time.Millisecond),
