--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -128,7 +128,7 @@
 
 // keptShare is the share of the decode engines that are kept for requests which
 // don't fit on any yet; one at least.
-const keptShare = 0.2
+const maxSetAsideShare = 0.2
 
 // passable says whether others may pass a request that fits on no engine. For a
 // while they may; then an engine is kept for it, so that the others can have
@@ -147,7 +147,7 @@
 			kept++
 		}
 	}
-	if kept >= max(1, int(keptShare*float64(writers))) {
+	if kept >= max(1, int(maxSetAsideShare*float64(writers))) {
 		return false
 	}
 	roomiest := l.roomiest(w)
