--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -150,7 +150,7 @@
 	if kept >= max(1, int(maxSetAsideShare*float64(writers))) {
 		return false
 	}
-	roomiest := l.roomiest(w)
+	roomiest := l.mostFree(w)
 	if roomiest == nil {
 		return false
 	}
@@ -160,7 +160,7 @@
 
 // roomiest is the decode engine that will have room for a request first: the
 // one that has the most left.
-func (l *Ledger) roomiest(w *waiting) *endpoint {
+func (l *Ledger) mostFree(w *waiting) *endpoint {
 	for _, e := range l.byFreeShare() {
 		if l.usable(e, w) {
 			return e
