--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -24,7 +24,7 @@
 		return actions
 	}
 	l.sortQueue()
-	defer l.keepNone()
+	defer l.clearSetAside()
 	l.scan.begin(l.queue)
 	for _, w := range l.scan.queue {
 		action, passable := l.try(w)
@@ -186,7 +186,7 @@
 }
 
 // keepNone ends the keeping of engines: it holds for one look at the queue.
-func (l *Ledger) keepNone() {
+func (l *Ledger) clearSetAside() {
 	for _, e := range l.order {
 		e.setAside = false
 	}
