--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -194,7 +194,7 @@
 
 // queueTime is how long the prefill engines take to read all prompts in the
 // queue: what the last of them waits.
-func (l *Ledger) queueTime() time.Duration {
+func (l *Ledger) queuePrefillTime() time.Duration {
 	tokens, rate := 0, 0.0
 	for _, w := range l.queue {
 		tokens += w.want.PromptTokens
--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -30,7 +30,7 @@
 // slows the engine's other requests: only one prompt is read so at a time on an
 // engine, and only by engines with room to spare.
 func (l *Ledger) grantWhole(w *waiting) (granted *sched.Action, passable bool) {
-	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queueTime() < w.target-wholeTime(w) || w.tooLate {
+	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queuePrefillTime() < w.target-wholeTime(w) || w.tooLate {
 		return nil, false
 	}
 	var best *endpoint
