--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -15,7 +15,7 @@
 // knows so within milliseconds and can come back when the burst is over, and no
 // engine stands idle for it, since others wait.
 func (l *Ledger) refuseAtArrival(w *waiting) []sched.Action {
-	if !l.enabled(ArrivalRefusal) || l.roomForLate() {
+	if !l.enabled(ArrivalRefusal) || l.memoryForLate() {
 		return nil
 	}
 	wait, ok := l.serviceRate.predictWait(l.now, l.tokensAhead(w))
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -107,7 +107,7 @@
 	if w.want.Prefilled {
 		return l.grant(w, nil, decode), true
 	}
-	if w.tooLate && !l.roomForLate() {
+	if w.tooLate && !l.memoryForLate() {
 		w.blocked = causeLate
 		return nil, false
 	}
@@ -222,7 +222,7 @@
 }
 
 // roomForLate says whether the pool has memory to spare.
-func (l *Ledger) roomForLate() bool {
+func (l *Ledger) memoryForLate() bool {
 	memory, free := 0, 0
 	for _, e := range l.order {
 		if e.decodesHere() && e.available(l.now) {
