--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -235,7 +235,7 @@
 
 // nearBonus is what an engine in the same failure domain is worth, as a share
 // of an engine's memory: the KV cache's way is half as long there.
-const nearBonus = 0.15
+const sameDomainBonus = 0.15
 
 // chooseDecode picks the decode engine with the most room that the request
 // fits on; one near the prefill engine, if that is known, is preferred.
@@ -253,7 +253,7 @@
 			continue
 		}
 		if prefill != nil && prefill.domain == e.domain {
-			score += nearBonus
+			score += sameDomainBonus
 		}
 		if best == nil || score > bestScore {
 			best, bestScore = e, score
