--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -277,7 +277,7 @@
 		}
 		at := start + e.prefillTime(w.want.PromptTokens)
 		if e.domain == decode.domain {
-			at -= nearHead
+			at -= sameDomainLead
 		}
 		if best == nil || at < bestAt {
 			best, bestAt = e, at
@@ -288,7 +288,7 @@
 
 // nearHead is how much later a prefill engine in the decode engine's failure
 // domain may end and still be preferred.
-const nearHead = 5 * time.Millisecond
+const sameDomainLead = 5 * time.Millisecond
 
 // usable says whether an endpoint may serve this request at all.
 func (l *Ledger) usable(e *endpoint, w *waiting) bool {
