--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -93,7 +93,7 @@
 
 // readTimeOf is how long an engine that nothing is known of takes to read a prompt.
 func initialPrefillTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / firstPrefillRate * float64(time.Second))
+	return time.Duration(float64(tokens) / initialPrefillRate * float64(time.Second))
 }
 
 // try grants one request if it can be. It is passable if those behind it may
--- a/core/kvsched/rate.go
+++ b/core/kvsched/rate.go
@@ -4,7 +4,7 @@
 
 const (
 	// firstPrefillRate is the first estimate of a prefill, in tokens a second.
-	firstPrefillRate = 25000.0
+	initialPrefillRate = 25000.0
 	// firstPrefillWeight is how much work the first estimate counts for: about
 	// two prompts.
 	firstPrefillWeight = 200 * time.Millisecond
@@ -26,7 +26,7 @@
 
 func newPrefillRate() prefillRate {
 	seconds := firstPrefillWeight.Seconds()
-	return prefillRate{tokens: firstPrefillRate * seconds, seconds: seconds}
+	return prefillRate{tokens: initialPrefillRate * seconds, seconds: seconds}
 }
 
 // perSecond is the rate in tokens a second.
--- a/core/kvsched/restart_test.go
+++ b/core/kvsched/restart_test.go
@@ -49,13 +49,13 @@
 	now := start + 2*time.Second
 	l.Progress(now, sched.Progress{Request: g[0].Request, Reservation: g[0].Reservation, Phase: sched.PhaseTransferring})
 	former := l.endpoints[registry.Incarnation("engine", 100)]
-	is.True(former.prefillRate.perSecond() < firstPrefillRate)
+	is.True(former.prefillRate.perSecond() < initialPrefillRate)
 	l.Load(now, sched.Load{Endpoint: former.name})
 	is.True(!former.available(now))
 	l.Configure(now, restarted(before, 0, 200))
 	present := l.endpoints[registry.Incarnation("engine", 200)]
 	is.True(present.available(now))
-	is.Equal(present.prefillRate.perSecond(), firstPrefillRate)
+	is.Equal(present.prefillRate.perSecond(), initialPrefillRate)
 	is.Equal(len(present.prefills), 0)
 	// What is still told of the former start concerns nobody.
 	l.Load(now, sched.Load{Endpoint: former.name})
