--- a/core/kvsched/rate.go
+++ b/core/kvsched/rate.go
@@ -7,7 +7,7 @@
 	initialPrefillRate = 25000.0
 	// firstPrefillWeight is how much work the first estimate counts for: about
 	// two prompts.
-	firstPrefillWeight = 200 * time.Millisecond
+	initialPrefillWeight = 200 * time.Millisecond
 	// rateMemory is the weight that the estimate gives to what was seen before.
 	rateMemory = 0.9
 	// farWorse is the factor by which an idle engine's rate must fall short of
@@ -25,7 +25,7 @@
 }
 
 func newPrefillRate() prefillRate {
-	seconds := firstPrefillWeight.Seconds()
+	seconds := initialPrefillWeight.Seconds()
 	return prefillRate{tokens: initialPrefillRate * seconds, seconds: seconds}
 }
 
