--- a/core/kvsched/rate.go
+++ b/core/kvsched/rate.go
@@ -9,7 +9,7 @@
 	// two prompts.
 	initialPrefillWeight = 200 * time.Millisecond
 	// rateMemory is the weight that the estimate gives to what was seen before.
-	rateMemory = 0.9
+	prefillRateDecay = 0.9
 	// farWorse is the factor by which an idle engine's rate must fall short of
 	// what is known of it to count: the way there and back explains less.
 	farWorse = 3
@@ -40,6 +40,6 @@
 
 // read takes a prompt that was read.
 func (r *prefillRate) read(tokens int, took time.Duration) {
-	r.tokens = rateMemory*r.tokens + float64(tokens)
-	r.seconds = rateMemory*r.seconds + max(0, took.Seconds())
+	r.tokens = prefillRateDecay*r.tokens + float64(tokens)
+	r.seconds = prefillRateDecay*r.seconds + max(0, took.Seconds())
 }
