--- a/core/kvsched/rate.go
+++ b/core/kvsched/rate.go
@@ -12,7 +12,7 @@
 	prefillRateDecay = 0.9
 	// farWorse is the factor by which an idle engine's rate must fall short of
 	// what is known of it to count: the way there and back explains less.
-	farWorse = 3
+	idleSlowdownFactor = 3
 )
 
 // prefillRate averages how fast an engine reads prompts, as all tokens over all
@@ -35,7 +35,7 @@
 // telling says whether the read of an idle engine tells of its rate.
 func (r *prefillRate) telling(tokens int, took time.Duration) bool {
 	expected := float64(tokens) / r.perSecond()
-	return took.Seconds() < expected || took.Seconds() > farWorse*expected
+	return took.Seconds() < expected || took.Seconds() > idleSlowdownFactor*expected
 }
 
 // read takes a prompt that was read.
