--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -114,7 +114,7 @@
 // its time: it counts only if it shows a better rate, or a far worse one.
 func (e *endpoint) updatePrefillRate(now time.Duration, r *reservation) {
 	begun := max(r.grantedAt, e.lastEnd)
-	if begun == r.grantedAt && !e.prefillRate.telling(r.want.PromptTokens, now-begun) {
+	if begun == r.grantedAt && !e.prefillRate.informative(r.want.PromptTokens, now-begun) {
 		return
 	}
 	e.prefillRate.read(r.want.PromptTokens, now-begun)
--- a/core/kvsched/rate.go
+++ b/core/kvsched/rate.go
@@ -33,7 +33,7 @@
 func (r *prefillRate) perSecond() float64 { return r.tokens / r.seconds }
 
 // telling says whether the read of an idle engine tells of its rate.
-func (r *prefillRate) telling(tokens int, took time.Duration) bool {
+func (r *prefillRate) informative(tokens int, took time.Duration) bool {
 	expected := float64(tokens) / r.perSecond()
 	return took.Seconds() < expected || took.Seconds() > idleSlowdownFactor*expected
 }
