--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -117,7 +117,7 @@
 	if begun == r.grantedAt && !e.prefillRate.informative(r.want.PromptTokens, now-begun) {
 		return
 	}
-	e.prefillRate.read(r.want.PromptTokens, now-begun)
+	e.prefillRate.add(r.want.PromptTokens, now-begun)
 }
 
 // predict says anew when the queued prefills end.
--- a/core/kvsched/rate.go
+++ b/core/kvsched/rate.go
@@ -39,7 +39,7 @@
 }
 
 // read takes a prompt that was read.
-func (r *prefillRate) read(tokens int, took time.Duration) {
+func (r *prefillRate) add(tokens int, took time.Duration) {
 	r.tokens = prefillRateDecay*r.tokens + float64(tokens)
 	r.seconds = prefillRateDecay*r.seconds + max(0, took.Seconds())
 }
