--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -11,11 +11,11 @@
 // Want implements sched.Scheduler.
 func (l *Ledger) Want(now time.Duration, w sched.Want) []sched.Action {
 	l.begin(now)
-	return l.finish(l.take(w))
+	return l.finish(l.answerOrQueue(w))
 }
 
 // take queues a Want or answers it at once.
-func (l *Ledger) take(w sched.Want) []sched.Action {
+func (l *Ledger) answerOrQueue(w sched.Want) []sched.Action {
 	if r := l.granted[w.Request]; r != nil {
 		grant := r.grant
 		return []sched.Action{{To: w.From, Grant: &grant}}
