--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -36,7 +36,7 @@
 	}
 	fresh := l.newWaiting(w, service)
 	if w.Prefilled {
-		return l.takePrefilled(fresh)
+		return l.grantOrQueuePrefilled(fresh)
 	}
 	if refusal := l.admit(fresh); refusal != nil {
 		return refusal
@@ -112,7 +112,7 @@
 // none has room it waits before all others, as long as its KV cache lives: where
 // engines are lost in a burst, no other one may have room at that moment, and the
 // prompt would have been read in vain.
-func (l *Ledger) takePrefilled(w *waiting) []sched.Action {
+func (l *Ledger) grantOrQueuePrefilled(w *waiting) []sched.Action {
 	decode, cause := l.chooseDecode(w, nil)
 	if decode != nil && l.now >= l.settled {
 		return []sched.Action{*l.grant(w, nil, decode)}
