--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -108,7 +108,7 @@
 		want:      a.Want,
 		grant:     a.Grant,
 		tokens:    l.size(&a.Want),
-		output:    l.output(&a.Want),
+		output:    l.expectedOutput(&a.Want),
 		phase:     a.Phase,
 		decode:    decode,
 		adopted:   true,
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -61,7 +61,7 @@
 	return &waiting{
 		want:     w,
 		tokens:   l.size(&w),
-		output:   l.output(&w),
+		output:   l.expectedOutput(&w),
 		arrived:  arrived,
 		target:   arrived + orDefault(w.Target, s.FirstTokenTarget()),
 		patience: arrived + orDefault(w.Patience, s.Patience()),
@@ -77,7 +77,7 @@
 }
 
 // output is the expected length of the answer, in tokens.
-func (l *Ledger) output(w *sched.Want) float64 {
+func (l *Ledger) expectedOutput(w *sched.Want) float64 {
 	guess := float64(max(1, w.OutputTokens))
 	if l.enabled(GuessShrink) {
 		guess = l.outputMean.shrink(guess)
@@ -87,7 +87,7 @@
 
 // size is the memory that a request holds at its end, in tokens.
 func (l *Ledger) size(w *sched.Want) int {
-	return roundUpToBlocks(max(1, w.PromptTokens)) + roundUpToBlocks(int(l.output(w)))
+	return roundUpToBlocks(max(1, w.PromptTokens)) + roundUpToBlocks(int(l.expectedOutput(w)))
 }
 
 // admit refuses what can't be served; nil lets the request wait.
