--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -107,7 +107,7 @@
 	r := &reservation{
 		want:      a.Want,
 		grant:     a.Grant,
-		tokens:    l.size(&a.Want),
+		tokens:    l.finalTokens(&a.Want),
 		output:    l.expectedOutput(&a.Want),
 		phase:     a.Phase,
 		decode:    decode,
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -60,7 +60,7 @@
 	l.outputMean.add(float64(max(1, w.OutputTokens)))
 	return &waiting{
 		want:     w,
-		tokens:   l.size(&w),
+		tokens:   l.finalTokens(&w),
 		output:   l.expectedOutput(&w),
 		arrived:  arrived,
 		target:   arrived + orDefault(w.Target, s.FirstTokenTarget()),
@@ -86,7 +86,7 @@
 }
 
 // size is the memory that a request holds at its end, in tokens.
-func (l *Ledger) size(w *sched.Want) int {
+func (l *Ledger) finalTokens(w *sched.Want) int {
 	return roundUpToBlocks(max(1, w.PromptTokens)) + roundUpToBlocks(int(l.expectedOutput(w)))
 }
 
