--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -137,7 +137,7 @@
 		actions = l.grantWaiting(actions)
 		l.scanDue = false
 	}
-	actions = l.refuseHopeless(actions)
+	actions = l.refuseExpired(actions)
 	l.serviceRate.observe(l.now, len(l.queue) > 0)
 	l.checkInvariants()
 	return actions
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -147,7 +147,7 @@
 }
 
 // refuseHopeless refuses those whose patience has run out.
-func (l *Ledger) refuseHopeless(actions []sched.Action) []sched.Action {
+func (l *Ledger) refuseExpired(actions []sched.Action) []sched.Action {
 	kept := l.queue[:0]
 	for _, w := range l.queue {
 		if l.now < w.patience {
