--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -10,7 +10,7 @@
 const (
 	// wholeRoom is the share of a decode engine's memory that must be left for
 	// it to read a prompt itself.
-	wholeRoom = 0.25
+	localPrefillMinFree = 0.25
 	// wholeRate is how fast a decode engine reads a prompt between the tokens
 	// of its requests, in tokens a second: half as fast as a prefill engine at
 	// best.
@@ -34,7 +34,7 @@
 		return nil, false
 	}
 	var best *endpoint
-	bestScore := wholeRoom
+	bestScore := localPrefillMinFree
 	for _, e := range l.order {
 		if e.role != live.RoleDecode || !l.usable(e, w) || !l.mayRead(e, w) {
 			continue
