--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -14,7 +14,7 @@
 	// wholeRate is how fast a decode engine reads a prompt between the tokens
 	// of its requests, in tokens a second: half as fast as a prefill engine at
 	// best.
-	wholeRate = 10000.0
+	localPrefillRate = 10000.0
 	// wholePause is the share of the pause that callers accept which a reading
 	// may take from the engine's other requests.
 	wholePause = 0.9
@@ -22,7 +22,7 @@
 
 // wholeTime predicts how long a decode engine takes to read a prompt.
 func wholeTime(w *waiting) time.Duration {
-	return time.Duration(float64(w.want.PromptTokens) / wholeRate * float64(time.Second))
+	return time.Duration(float64(w.want.PromptTokens) / localPrefillRate * float64(time.Second))
 }
 
 // grantWhole has a decode engine read the prompt itself, where waiting for a
