--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -17,7 +17,7 @@
 	localPrefillRate = 10000.0
 	// wholePause is the share of the pause that callers accept which a reading
 	// may take from the engine's other requests.
-	wholePause = 0.9
+	localPrefillPauseShare = 0.9
 )
 
 // wholeTime predicts how long a decode engine takes to read a prompt.
@@ -63,7 +63,7 @@
 	if pause == 0 || !l.enabled(PauseBound) {
 		return true
 	}
-	fits := wholeTime(w) <= time.Duration(wholePause*float64(pause))
+	fits := wholeTime(w) <= time.Duration(localPrefillPauseShare*float64(pause))
 	return fits && l.now >= e.localPrefillUntil+pause
 }
 
