--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -21,7 +21,7 @@
 )
 
 // wholeTime predicts how long a decode engine takes to read a prompt.
-func wholeTime(w *waiting) time.Duration {
+func localPrefillTime(w *waiting) time.Duration {
 	return time.Duration(float64(w.want.PromptTokens) / localPrefillRate * float64(time.Second))
 }
 
@@ -30,7 +30,7 @@
 // slows the engine's other requests: only one prompt is read so at a time on an
 // engine, and only by engines with room to spare.
 func (l *Ledger) grantWhole(w *waiting) (granted *sched.Action, passable bool) {
-	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queuePrefillTime() < w.target-wholeTime(w) || w.tooLate {
+	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queuePrefillTime() < w.target-localPrefillTime(w) || w.tooLate {
 		return nil, false
 	}
 	var best *endpoint
@@ -46,7 +46,7 @@
 	if best == nil {
 		return nil, false
 	}
-	best.localPrefillUntil = l.now + wholeTime(w)
+	best.localPrefillUntil = l.now + localPrefillTime(w)
 	return l.grant(w, nil, best), true
 }
 
@@ -63,7 +63,7 @@
 	if pause == 0 || !l.enabled(PauseBound) {
 		return true
 	}
-	fits := wholeTime(w) <= time.Duration(localPrefillPauseShare*float64(pause))
+	fits := localPrefillTime(w) <= time.Duration(localPrefillPauseShare*float64(pause))
 	return fits && l.now >= e.localPrefillUntil+pause
 }
 
--- a/core/kvsched/whole_test.go
+++ b/core/kvsched/whole_test.go
@@ -54,8 +54,8 @@
 	e := &endpoint{decodes: []*reservation{{want: sched.Want{Pause: 300 * time.Millisecond}}}}
 	w := &waiting{want: sched.Want{PromptTokens: 2000}}
 	is.True(l.mayRead(e, w))
-	e.localPrefillUntil = l.now + wholeTime(w)
-	l.now += wholeTime(w) + 200*time.Millisecond
+	e.localPrefillUntil = l.now + localPrefillTime(w)
+	l.now += localPrefillTime(w) + 200*time.Millisecond
 	is.True(!l.mayRead(e, w))
 	l.now += 100 * time.Millisecond
 	is.True(l.mayRead(e, w))
