--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -117,7 +117,7 @@
 	prefill := l.choosePrefill(w, decode)
 	if prefill == nil {
 		w.blocked = causeNoPrefillEngine
-		return l.grantWhole(w)
+		return l.grantLocalPrefill(w)
 	}
 	// Known where the prompt is read, the decode engine nearest to it is better.
 	if near, _ := l.chooseDecode(w, prefill); near != nil {
--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -29,7 +29,7 @@
 // prefill engine would take the request past its target. That is slow, and
 // slows the engine's other requests: only one prompt is read so at a time on an
 // engine, and only by engines with room to spare.
-func (l *Ledger) grantWhole(w *waiting) (granted *sched.Action, passable bool) {
+func (l *Ledger) grantLocalPrefill(w *waiting) (granted *sched.Action, passable bool) {
 	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queuePrefillTime() < w.target-localPrefillTime(w) || w.tooLate {
 		return nil, false
 	}
