--- a/core/kvsched/whole.go
+++ b/core/kvsched/whole.go
@@ -36,7 +36,7 @@
 	var best *endpoint
 	bestScore := localPrefillMinFree
 	for _, e := range l.order {
-		if e.role != live.RoleDecode || !l.usable(e, w) || !l.mayRead(e, w) {
+		if e.role != live.RoleDecode || !l.usable(e, w) || !l.mayPrefillLocally(e, w) {
 			continue
 		}
 		if score, ok := l.fits(e, w); ok && score > bestScore {
@@ -55,7 +55,7 @@
 // several tokens: the whole reading falls into one or two pauses of theirs, and
 // must fit there. In bursts, half of the late answers of a day were late by
 // such a pause alone.
-func (l *Ledger) mayRead(e *endpoint, w *waiting) bool {
+func (l *Ledger) mayPrefillLocally(e *endpoint, w *waiting) bool {
 	if l.now < e.localPrefillUntil {
 		return false
 	}
--- a/core/kvsched/whole_test.go
+++ b/core/kvsched/whole_test.go
@@ -53,10 +53,10 @@
 	l := newLedger(t, document(1, 1, 10000))
 	e := &endpoint{decodes: []*reservation{{want: sched.Want{Pause: 300 * time.Millisecond}}}}
 	w := &waiting{want: sched.Want{PromptTokens: 2000}}
-	is.True(l.mayRead(e, w))
+	is.True(l.mayPrefillLocally(e, w))
 	e.localPrefillUntil = l.now + localPrefillTime(w)
 	l.now += localPrefillTime(w) + 200*time.Millisecond
-	is.True(!l.mayRead(e, w))
+	is.True(!l.mayPrefillLocally(e, w))
 	l.now += 100 * time.Millisecond
-	is.True(l.mayRead(e, w))
+	is.True(l.mayPrefillLocally(e, w))
 }
