--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -33,7 +33,7 @@
 	MemoryShare float64
 	// LateRoom is the share of the pool's memory that must be free for a
 	// request that has missed its target: it must not displace one in time.
-	LateRoom float64
+	LateFreeShare float64
 	// BypassAfter is how long the first in the queue may be passed by for lack
 	// of room for its size.
 	BypassAfter time.Duration
@@ -76,7 +76,7 @@
 	defaults.Set(&o.Horizon, DefaultHorizon)
 	defaults.Set(&o.OutputShare, DefaultOutputShare)
 	defaults.Set(&o.MemoryShare, DefaultMemoryShare)
-	defaults.Set(&o.LateRoom, DefaultLateRoom)
+	defaults.Set(&o.LateFreeShare, DefaultLateRoom)
 	defaults.Set(&o.BypassAfter, DefaultBypassAfter)
 	defaults.Set(&o.FullHold, DefaultFullHold)
 	defaults.Set(&o.ExpiresIn, DefaultExpiresIn)
--- a/core/kvsched/pump.go
+++ b/core/kvsched/pump.go
@@ -230,7 +230,7 @@
 			free += max(0, e.memory-int(l.peak(e, nil)))
 		}
 	}
-	return float64(free) >= l.options.LateRoom*float64(memory)
+	return float64(free) >= l.options.LateFreeShare*float64(memory)
 }
 
 // nearBonus is what an engine in the same failure domain is worth, as a share
