--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -60,15 +60,15 @@
 	// DefaultSettle covers a heartbeat and the hand-over of grants.
 	DefaultSettle = 150 * time.Millisecond
 	// DefaultHorizon is about the time that one prompt takes.
-	DefaultHorizon     = 60 * time.Millisecond
-	DefaultOutputShare = 1.0
-	DefaultMemoryShare = 0.96
-	DefaultLateRoom    = 0.15
-	DefaultBypassAfter = 150 * time.Millisecond
-	DefaultFullHold    = 150 * time.Millisecond
-	DefaultExpiresIn   = time.Second
-	DefaultMaxQueue    = 8192
-	DefaultRemembered  = 4096
+	DefaultHorizon       = 60 * time.Millisecond
+	DefaultOutputShare   = 1.0
+	DefaultMemoryShare   = 0.96
+	DefaultLateFreeShare = 0.15
+	DefaultBypassAfter   = 150 * time.Millisecond
+	DefaultFullHold      = 150 * time.Millisecond
+	DefaultExpiresIn     = time.Second
+	DefaultMaxQueue      = 8192
+	DefaultRemembered    = 4096
 )
 
 func (o Options) withDefaults() Options {
@@ -76,7 +76,7 @@
 	defaults.Set(&o.Horizon, DefaultHorizon)
 	defaults.Set(&o.OutputShare, DefaultOutputShare)
 	defaults.Set(&o.MemoryShare, DefaultMemoryShare)
-	defaults.Set(&o.LateFreeShare, DefaultLateRoom)
+	defaults.Set(&o.LateFreeShare, DefaultLateFreeShare)
 	defaults.Set(&o.BypassAfter, DefaultBypassAfter)
 	defaults.Set(&o.FullHold, DefaultFullHold)
 	defaults.Set(&o.ExpiresIn, DefaultExpiresIn)
