--- a/core/kvsched/ledger_test.go
+++ b/core/kvsched/ledger_test.go
@@ -13,7 +13,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-var asker = id.Process{Daemon: "d1", Incarnation: 1}
+var requester = id.Process{Daemon: "d1", Incarnation: 1}
 
 const start = time.Minute
 
@@ -42,7 +42,7 @@
 // newLedger is a ledger that has settled.
 func newLedger(t *testing.T, doc *live.Document) *Ledger {
 	t.Helper()
-	l := New(Options{Pool: "p", Self: asker, MemoryShare: 1, Violation: func(name, detail string) {
+	l := New(Options{Pool: "p", Self: requester, MemoryShare: 1, Violation: func(name, detail string) {
 		t.Errorf("%s: %s", name, detail)
 	}})
 	l.Configure(start-time.Second, doc)
@@ -52,7 +52,7 @@
 
 func want(name string, prompt, output int) sched.Want {
 	return sched.Want{
-		Request: id.Request(name), Service: "s", Pool: "p", From: asker, PromptTokens: prompt, OutputTokens: output,
+		Request: id.Request(name), Service: "s", Pool: "p", From: requester, PromptTokens: prompt, OutputTokens: output,
 		Priority: 5, Target: 900 * time.Millisecond, Patience: 3 * time.Second, Lifetime: 14 * time.Second,
 	}
 }
@@ -230,7 +230,7 @@
 	l.Want(start, want("a", 8000, 10))
 	is.Equal(len(l.Want(start, want("b", 8000, 10))), 0)
 	is.Equal(len(grants(l.Tick(start+DefaultExpiresIn))), 1)
-	l.ProcessGone(start+DefaultExpiresIn, asker)
+	l.ProcessGone(start+DefaultExpiresIn, requester)
 	is.Equal(l.Snapshot().Held, 0)
 }
 
--- a/core/kvsched/shares_test.go
+++ b/core/kvsched/shares_test.go
@@ -20,7 +20,7 @@
 	for team, weight := range weights {
 		doc.Teams = append(doc.Teams, live.Team{Name: team, Weight: weight})
 	}
-	l := New(Options{Pool: "p", Self: asker, Disabled: off})
+	l := New(Options{Pool: "p", Self: requester, Disabled: off})
 	l.Configure(0, doc)
 	granted := map[id.Team]int{}
 	ends := map[time.Duration][]*sched.Grant{}
--- a/core/kvsched/world_test.go
+++ b/core/kvsched/world_test.go
@@ -46,7 +46,7 @@
 func playWorld(t *testing.T, seed uint64) {
 	const memory = 30000
 	rng := rand.New(rand.NewPCG(seed, seed))
-	l := New(Options{Pool: "p", Self: asker, Violation: func(name, detail string) { t.Errorf("%s: %s", name, detail) }})
+	l := New(Options{Pool: "p", Self: requester, Violation: func(name, detail string) { t.Errorf("%s: %s", name, detail) }})
 	l.Configure(start-time.Second, document(3, 6, memory))
 	books := map[id.Endpoint]*book{}
 	for i := range 6 {
