--- a/core/kvsched/whole_test.go
+++ b/core/kvsched/whole_test.go
@@ -12,7 +12,7 @@
 
 // wholeIn tells whether the last of the wants is read by a decode engine: the
 // only prefill engine has 2 s of prompts before it.
-func wholeIn(t *testing.T, running int, pause time.Duration, prompt int) bool {
+func usesLocalPrefill(t *testing.T, running int, pause time.Duration, prompt int) bool {
 	t.Helper()
 	l := newLedger(t, document(1, 1, 100000))
 	for i := range running {
@@ -39,11 +39,11 @@
 // which then had a pause of more than 300 ms and were late.
 func TestALongReadingDoesNotStallAnEnginesStreams(t *testing.T) {
 	is := is.New(t)
-	is.True(!wholeIn(t, 5, 300*time.Millisecond, 6600))
-	is.True(wholeIn(t, 5, 300*time.Millisecond, 2500))
-	is.True(!wholeIn(t, 5, 100*time.Millisecond, 2500))
-	is.True(wholeIn(t, 5, 0, 6600)) // nobody minds a pause
-	is.True(wholeIn(t, 0, 0, 6600)) // nobody is there
+	is.True(!usesLocalPrefill(t, 5, 300*time.Millisecond, 6600))
+	is.True(usesLocalPrefill(t, 5, 300*time.Millisecond, 2500))
+	is.True(!usesLocalPrefill(t, 5, 100*time.Millisecond, 2500))
+	is.True(usesLocalPrefill(t, 5, 0, 6600)) // nobody minds a pause
+	is.True(usesLocalPrefill(t, 0, 0, 6600)) // nobody is there
 }
 
 // TestTwoReadingsDoNotFallIntoOnePause: the second waits until the streams have
