--- a/core/kvsched/shares_test.go
+++ b/core/kvsched/shares_test.go
@@ -14,7 +14,7 @@
 
 // floodOf plays teams that each send so many requests a second to a pool that is
 // too small for them, for ten seconds, and returns what was granted to each.
-func floodOf(t *testing.T, perS map[id.Team]float64, weights map[id.Team]float64, off ...Mechanism) map[id.Team]int {
+func simulateFlood(t *testing.T, perS map[id.Team]float64, weights map[id.Team]float64, off ...Mechanism) map[id.Team]int {
 	t.Helper()
 	doc := document(2, 2, 4000)
 	for team, weight := range weights {
@@ -56,19 +56,19 @@
 	is := is.New(t)
 	perS := map[id.Team]float64{"a": 2, "b": 2, "c": 2, "d": 2, "hot": 30}
 	same := map[id.Team]float64{"a": 1, "b": 1, "c": 1, "d": 1, "hot": 1}
-	shared := floodOf(t, perS, same)
+	shared := simulateFlood(t, perS, same)
 	for _, team := range []id.Team{"a", "b", "c", "d"} {
 		is.True(shared[team] >= 19) // all but the last of the 20 that it sent
 	}
 	is.True(shared["hot"] >= 20) // what the others leave is not wasted
-	byAge := floodOf(t, perS, same, TeamShares)
+	byAge := simulateFlood(t, perS, same, TeamShares)
 	is.True(byAge["a"] < 10) // by age alone, the hot team's requests are before it
 }
 
 func TestTeamsThatAllWantMoreGetByTheirWeight(t *testing.T) {
 	is := is.New(t)
 	perS := map[id.Team]float64{"small": 20, "large": 20}
-	got := floodOf(t, perS, map[id.Team]float64{"small": 1, "large": 3})
+	got := simulateFlood(t, perS, map[id.Team]float64{"small": 1, "large": 3})
 	ratio := float64(got["large"]) / float64(got["small"])
 	is.True(ratio > 3/1.3 && ratio < 3*1.3)
 }
@@ -76,5 +76,5 @@
 func TestWithoutTeamsTheOldestGoesFirst(t *testing.T) {
 	is := is.New(t)
 	perS := map[id.Team]float64{"a": 2, "hot": 30}
-	is.Equal(floodOf(t, perS, nil), floodOf(t, perS, nil, TeamShares))
+	is.Equal(simulateFlood(t, perS, nil), simulateFlood(t, perS, nil, TeamShares))
 }
