--- a/core/kvsched/look_test.go
+++ b/core/kvsched/look_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	looked  = 68 // decode engines
-	crowded = 400
+	decodeEngines = 68 // decode engines
+	crowded       = 400
 )
 
 // crowd is a full pool before which a crowd waits, of all sizes.
 func crowd(t *testing.T) (l *Ledger, running *sched.Grant) {
 	t.Helper()
-	l = newLedger(t, document(22, looked, 10000))
-	for i := range looked {
+	l = newLedger(t, document(22, decodeEngines, 10000))
+	for i := range decodeEngines {
 		g := grants(l.Want(start, want(fmt.Sprint("running-", i), 9000, 10)))
 		if len(g) == 0 {
 			t.Fatal("an idle pool has no engine for a request")
@@ -43,7 +43,7 @@
 	before := l.Tried()
 	l.Tick(start + time.Millisecond)
 	t.Logf("%d engines tried for %d requests", l.Tried()-before, crowded)
-	is.True(l.Tried()-before <= 20*looked)
+	is.True(l.Tried()-before <= 20*decodeEngines)
 	is.Equal(len(l.queue), crowded)
 }
 
