--- a/core/kvsched/look_test.go
+++ b/core/kvsched/look_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	decodeEngines = 68 // decode engines
-	crowded       = 400
+	decodeEngines  = 68 // decode engines
+	queuedRequests = 400
 )
 
 // crowd is a full pool before which a crowd waits, of all sizes.
@@ -28,7 +28,7 @@
 		l.Progress(start, done(running, sched.PhaseTransferring))
 		l.Progress(start, done(running, sched.PhaseDecoding))
 	}
-	for i := range crowded {
+	for i := range queuedRequests {
 		l.Want(start, want(fmt.Sprint("waits-", i), 2000+i%97*60, 10+i%89*5))
 	}
 	return l, running
@@ -42,9 +42,9 @@
 	l, _ := crowd(t)
 	before := l.Tried()
 	l.Tick(start + time.Millisecond)
-	t.Logf("%d engines tried for %d requests", l.Tried()-before, crowded)
+	t.Logf("%d engines tried for %d requests", l.Tried()-before, queuedRequests)
 	is.True(l.Tried()-before <= 20*decodeEngines)
-	is.Equal(len(l.queue), crowded)
+	is.Equal(len(l.queue), queuedRequests)
 }
 
 // TestWhatFreesNothingIsNoReasonToLook: a repeated want and the begin of a
