--- a/core/kvsched/look_test.go
+++ b/core/kvsched/look_test.go
@@ -16,7 +16,7 @@
 )
 
 // crowd is a full pool before which a crowd waits, of all sizes.
-func crowd(t *testing.T) (l *Ledger, running *sched.Grant) {
+func fullPool(t *testing.T) (l *Ledger, running *sched.Grant) {
 	t.Helper()
 	l = newLedger(t, document(22, decodeEngines, 10000))
 	for i := range decodeEngines {
@@ -39,7 +39,7 @@
 // second, on a host of .192.
 func TestALookAtALongQueueTriesFewEngines(t *testing.T) {
 	is := is.New(t)
-	l, _ := crowd(t)
+	l, _ := fullPool(t)
 	before := l.Tried()
 	l.Tick(start + time.Millisecond)
 	t.Logf("%d engines tried for %d requests", l.Tried()-before, queuedRequests)
@@ -51,7 +51,7 @@
 // prefill let nobody be granted; the end of an answer does.
 func TestWhatFreesNothingIsNoReasonToLook(t *testing.T) {
 	is := is.New(t)
-	l, running := crowd(t)
+	l, running := fullPool(t)
 	before := l.Tried()
 	l.Want(start+time.Millisecond, want("waits-7", 2420, 45))
 	l.Progress(start+time.Millisecond, done(running, sched.PhasePrefilling))
