--- a/core/kvsched/world_test.go
+++ b/core/kvsched/world_test.go
@@ -14,7 +14,7 @@
 )
 
 // book is what one engine of the world really holds.
-type book struct {
+type engineState struct {
 	requests map[id.Request]*job
 	memory   int
 }
@@ -48,9 +48,9 @@
 	rng := rand.New(rand.NewPCG(seed, seed))
 	l := New(Options{Pool: "p", Self: requester, Violation: func(name, detail string) { t.Errorf("%s: %s", name, detail) }})
 	l.Configure(start-time.Second, document(3, 6, memory))
-	books := map[id.Endpoint]*book{}
+	books := map[id.Endpoint]*engineState{}
 	for i := range 6 {
-		books[id.Endpoint(fmt.Sprintf("decode-%d", i))] = &book{requests: map[id.Request]*job{}, memory: memory}
+		books[id.Endpoint(fmt.Sprintf("decode-%d", i))] = &engineState{requests: map[id.Request]*job{}, memory: memory}
 	}
 	jobs := map[id.Request]*job{}
 	answered := map[id.Request]int{}
@@ -124,7 +124,7 @@
 }
 
 // held is the memory in use, in tokens.
-func (b *book) held(now time.Duration) int {
+func (b *engineState) held(now time.Duration) int {
 	sum := 0
 	for _, j := range b.requests {
 		sum += j.prompt + int((now-j.begun).Seconds()*worldPace)
