--- a/core/kvsched/world_test.go
+++ b/core/kvsched/world_test.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	worldPace = 400.0 // tokens a second, of one answer
-	worldStep = 10 * time.Millisecond
+	simulatedDecodeRate = 400.0 // tokens a second, of one answer
+	worldStep           = 10 * time.Millisecond
 )
 
 // TestTheLedgerAgainstTheEnginesOwnBooks plays random loads: every Want gets
@@ -86,7 +86,7 @@
 			case j.grant == nil:
 			case j.begun == 0 && now >= j.read:
 				j.begun = now
-				j.ends = now + time.Duration(float64(j.output)/worldPace*float64(time.Second))
+				j.ends = now + time.Duration(float64(j.output)/simulatedDecodeRate*float64(time.Second))
 				books[j.grant.Decode].requests[name] = j
 				take(now, l.Progress(now, done(j.grant, sched.PhaseTransferring)))
 				take(now, l.Progress(now, done(j.grant, sched.PhaseDecoding)))
@@ -127,7 +127,7 @@
 func (b *engineState) held(now time.Duration) int {
 	sum := 0
 	for _, j := range b.requests {
-		sum += j.prompt + int((now-j.begun).Seconds()*worldPace)
+		sum += j.prompt + int((now-j.begun).Seconds()*simulatedDecodeRate)
 	}
 	return sum
 }
