--- a/core/kvsched/world_test.go
+++ b/core/kvsched/world_test.go
@@ -31,7 +31,7 @@
 
 const (
 	simulatedDecodeRate = 400.0 // tokens a second, of one answer
-	worldStep           = 10 * time.Millisecond
+	simulationStep      = 10 * time.Millisecond
 )
 
 // TestTheLedgerAgainstTheEnginesOwnBooks plays random loads: every Want gets
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	for now := start; now < start+40*time.Second; now += worldStep {
+	for now := start; now < start+40*time.Second; now += simulationStep {
 		if now < start+30*time.Second && rng.Float64() < 0.25 {
 			asked++
 			name := fmt.Sprint(asked)
