--- a/core/kvsched/world_test.go
+++ b/core/kvsched/world_test.go
@@ -39,11 +39,11 @@
 // though callers guess their outputs badly.
 func TestTheLedgerAgainstTheEnginesOwnBooks(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playWorld(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, seed) })
 	}
 }
 
-func playWorld(t *testing.T, seed uint64) {
+func simulate(t *testing.T, seed uint64) {
 	const memory = 30000
 	rng := rand.New(rand.NewPCG(seed, seed))
 	l := New(Options{Pool: "p", Self: requester, Violation: func(name, detail string) { t.Errorf("%s: %s", name, detail) }})
