--- a/core/kvsched/ledger_test.go
+++ b/core/kvsched/ledger_test.go
@@ -82,7 +82,7 @@
 	return sched.Progress{Request: g.Request, Reservation: g.Reservation, Phase: phase, Endpoint: g.Decode}
 }
 
-func TestAPrefillIsGrantedOnlyWithMemoryForItsDecode(t *testing.T) {
+func TestPrefillRequiresMemoryForDecode(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	first := grants(l.Want(start, want("a", 6000, 1000)))
@@ -94,7 +94,7 @@
 	is.Equal(next[0].Request, id.Request("b"))
 }
 
-func TestMemoryIsReckonedAsItIsUsed(t *testing.T) {
+func TestMemoryIsCountedAsItIsUsed(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	// Five requests of 1000 and 1500 would not fit if each held 2500 from its start.
@@ -110,7 +110,7 @@
 	is.Equal(granted, 5)
 }
 
-func TestSmallRequestsPassALargeOneOnlyForAWhile(t *testing.T) {
+func TestSmallRequestsBypassLargeOneForLimitedTime(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	l.Want(start, want("running", 5000, 10))
@@ -120,10 +120,10 @@
 	is.Equal(len(grants(l.Want(later, want("small-2", 1000, 10)))), 0) // the large one is next
 }
 
-// TestALargeRequestKeepsOneEngineForItself: once it is not to be passed any
+// TestEngineIsSetAsideForLargeRequest: once it is not to be passed any
 // longer, smaller ones get the room of the other engines, and not of the one
 // that will have room for it first.
-func TestALargeRequestKeepsOneEngineForItself(t *testing.T) {
+func TestEngineIsSetAsideForLargeRequest(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(8, 3, 10000))
 	var running []*sched.Grant
@@ -148,7 +148,7 @@
 	is.Equal(got[0].Decode, kept)
 }
 
-func TestLateRequestsWaitForRoomToSpare(t *testing.T) {
+func TestLateRequestsWaitForSpareMemory(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	l.Want(start, want("running", 8700, 10))
@@ -158,7 +158,7 @@
 	is.Equal(len(grants(l.Want(start, want("in time", 1000, 10)))), 1)
 }
 
-func TestOnesPatienceEndsWithARefusalThatTellsWhenToComeBack(t *testing.T) {
+func TestPatienceExpiryRefusesWithRetryAfter(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 1, 10000))
 	running := grants(l.Want(start, want("running", 9000, 10)))[0]
@@ -173,7 +173,7 @@
 	is.Equal(len(refusals(l.Want(start+3100*time.Millisecond, want("waits", 9000, 10)))), 1)
 }
 
-func TestARequestLargerThanAnyEngineIsRefused(t *testing.T) {
+func TestRequestLargerThanAnyEngineIsRefused(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 10000))
 	refused := refusals(l.Want(start, want("huge", 10100, 10)))
@@ -181,7 +181,7 @@
 	is.Equal(refused[0].Code, verdict.CodeTooLarge)
 }
 
-func TestAPromptThatWasReadGetsADecodeEngineAtOnceOrNone(t *testing.T) {
+func TestPrefilledRequestIsGrantedOrRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 10000))
 	w := want("a", 3000, 10)
@@ -196,7 +196,7 @@
 	is.Equal(len(refusals(l.Want(start, w))), 1)
 }
 
-func TestEnginesThatLeaveRefuseOrAreGoneGetNothing(t *testing.T) {
+func TestUnavailableEnginesGetNoWork(t *testing.T) {
 	is := is.New(t)
 	doc := document(1, 3, 10000)
 	doc.Endpoints[1].Labels[live.LabelLeaving] = "true"
@@ -211,7 +211,7 @@
 	is.Equal(len(grants(l.Tick(start+DefaultFullHold))), 1) // it may have room again
 }
 
-func TestANewOwnerSettlesAndTakesOverWhatIsInUse(t *testing.T) {
+func TestNewOwnerSettlesAndAdoptsGrants(t *testing.T) {
 	is := is.New(t)
 	old := newLedger(t, document(2, 1, 10000))
 	g := grants(old.Want(start, want("a", 6000, 1000)))[0]
@@ -224,7 +224,7 @@
 	is.Equal(len(grants(l.Progress(start+time.Second, done(g, sched.PhaseDone)))), 1)
 }
 
-func TestWhatNobodySpeaksForIsFree(t *testing.T) {
+func TestExpiredReservationsAreReleased(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(2, 1, 10000))
 	l.Want(start, want("a", 8000, 10))
@@ -234,7 +234,7 @@
 	is.Equal(l.Snapshot().Held, 0)
 }
 
-func TestEnginesThatDoBothGetWholeRequests(t *testing.T) {
+func TestWholeRoleEnginesGetWholeRequests(t *testing.T) {
 	is := is.New(t)
 	doc := document(0, 2, 10000)
 	for i := range doc.Endpoints {
@@ -248,7 +248,7 @@
 	is.Equal(len(d.Prefills)+len(d.Decodes), 0) // they have no role to change
 }
 
-func TestWhenPrefillWouldBeLateADecodeEngineReadsThePrompt(t *testing.T) {
+func TestLocalPrefillWhenPrefillEnginesWouldBeLate(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
 	whole := 0
@@ -265,12 +265,12 @@
 	is.True(whole > 0 && whole <= 6)
 }
 
-// TestAdoptedWorkTeachesNoPace: a new owner does not know when it began. One
+// TestAdoptedWorkDoesNotChangeDecodeRate: a new owner does not know when it began. One
 // that ended right after the takeover made every answer look finished, and the
 // pool full.
-// TestAPromptThatADecodeEngineReadsIsPrefillWork: else a pool that is short of
+// TestLocalPrefillCountsAsPrefillWork: else a pool that is short of
 // prefill engines would look as if it had too many.
-func TestAPromptThatADecodeEngineReadsIsPrefillWork(t *testing.T) {
+func TestLocalPrefillCountsAsPrefillWork(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
 	for i := range 12 {
@@ -289,7 +289,7 @@
 	t.Fatal("no decode engine read a prompt")
 }
 
-func TestAdoptedWorkTeachesNoPace(t *testing.T) {
+func TestAdoptedWorkDoesNotChangeDecodeRate(t *testing.T) {
 	is := is.New(t)
 	old := newLedger(t, document(4, 2, 10000))
 	l := newLedger(t, document(4, 2, 10000))
--- a/core/kvsched/look_test.go
+++ b/core/kvsched/look_test.go
@@ -34,10 +34,10 @@
 	return l, running
 }
 
-// TestALookAtALongQueueTriesFewEngines: a pool's owner that tried every engine
+// TestScanOfLongQueueTriesFewEngines: a pool's owner that tried every engine
 // for every waiting request at every event spent .18 of a core on 96 requests a
 // second, on a host of .192.
-func TestALookAtALongQueueTriesFewEngines(t *testing.T) {
+func TestScanOfLongQueueTriesFewEngines(t *testing.T) {
 	is := is.New(t)
 	l, _ := fullPool(t)
 	before := l.Tried()
@@ -47,9 +47,9 @@
 	is.Equal(len(l.queue), queuedRequests)
 }
 
-// TestWhatFreesNothingIsNoReasonToLook: a repeated want and the begin of a
+// TestEventsThatFreeNothingCauseNoScan: a repeated want and the begin of a
 // prefill let nobody be granted; the end of an answer does.
-func TestWhatFreesNothingIsNoReasonToLook(t *testing.T) {
+func TestEventsThatFreeNothingCauseNoScan(t *testing.T) {
 	is := is.New(t)
 	l, running := fullPool(t)
 	before := l.Tried()
--- a/core/kvsched/prefilled_test.go
+++ b/core/kvsched/prefilled_test.go
@@ -10,10 +10,10 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// TestAPromptThatWasReadWaitsForAPlace replays what a lost engine leaves behind
+// TestPrefilledRequestWaitsForMemory replays what a lost engine leaves behind
 // in a burst: all others are full at that moment, and one has room a moment
 // later, before the KV cache is gone.
-func TestAPromptThatWasReadWaitsForAPlace(t *testing.T) {
+func TestPrefilledRequestWaitsForMemory(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(2, 1, 10000))
 	running := grants(l.Want(start, want("running", 7000, 10)))[0]
@@ -29,7 +29,7 @@
 	is.Equal(got[0].Prefill, id.Endpoint(""))
 }
 
-func TestAPromptWhoseKVCacheIsGoneWaitsNoLonger(t *testing.T) {
+func TestPrefilledRequestIsRefusedAfterKVCacheExpires(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(2, 1, 10000))
 	l.Want(start, want("running", 7000, 10))
--- a/core/kvsched/rate_test.go
+++ b/core/kvsched/rate_test.go
@@ -10,11 +10,11 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// TestPromptsThatEndTogetherDoNotLookFast replays a burst at one prefill engine
+// TestPromptsEndingTogetherDoNotInflateRate replays a burst at one prefill engine
 // that reads 30,000 tokens a second and whose ends are told in pairs, a
 // millisecond apart: no more than the horizon may be given out ahead, or the
 // reads take several times as long as they should.
-func TestPromptsThatEndTogetherDoNotLookFast(t *testing.T) {
+func TestPromptsEndingTogetherDoNotInflateRate(t *testing.T) {
 	is := is.New(t)
 	const prompt = 1200
 	const takes = 40 * time.Millisecond
--- a/core/kvsched/restart_test.go
+++ b/core/kvsched/restart_test.go
@@ -20,10 +20,10 @@
 	return &out
 }
 
-// TestARestartedEngineHoldsNothing of what was granted at its former start:
+// TestRestartedEngineHoldsNothing of what was granted at its former start:
 // neither memory nor places in its batch, and the end of that work frees
 // nothing of its own.
-func TestARestartedEngineHoldsNothing(t *testing.T) {
+func TestRestartedEngineHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	before := restarted(document(4, 1, 10000), 4, 100)
 	l := newLedger(t, before)
@@ -38,9 +38,9 @@
 	is.Equal(len(grants(l.Want(now, want("c", 6000, 1000)))), 0) // b holds its memory
 }
 
-// TestARestartedEngineIsNotWhatItsFormerStartWas: its queue of prefills, its
+// TestRestartedEngineStartsWithFreshState: its queue of prefills, its
 // rate, its refusals and its silence.
-func TestARestartedEngineIsNotWhatItsFormerStartWas(t *testing.T) {
+func TestRestartedEngineStartsWithFreshState(t *testing.T) {
 	is := is.New(t)
 	before := restarted(document(1, 2, 100000), 0, 100)
 	l := newLedger(t, before)
@@ -62,9 +62,9 @@
 	is.True(present.available(now))
 }
 
-// TestWorkAtAFormerStartIsNotTakenOver by a new owner: it ended with its
+// TestWorkOfFormerIncarnationIsNotAdopted by a new owner: it ended with its
 // process.
-func TestWorkAtAFormerStartIsNotTakenOver(t *testing.T) {
+func TestWorkOfFormerIncarnationIsNotAdopted(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, restarted(document(1, 1, 10000), 1, 200))
 	l.Adopt(start, sched.Adopt{
--- a/core/kvsched/shares_test.go
+++ b/core/kvsched/shares_test.go
@@ -50,9 +50,9 @@
 	return granted
 }
 
-// TestATeamThatSendsManyTimesItsUsualTakesNothingFromTheOthers: the pool grants
+// TestFloodingTeamTakesNothingFromOthers: the pool grants
 // some twelve requests a second, four teams want two each and one 30.
-func TestATeamThatSendsManyTimesItsUsualTakesNothingFromTheOthers(t *testing.T) {
+func TestFloodingTeamTakesNothingFromOthers(t *testing.T) {
 	is := is.New(t)
 	perS := map[id.Team]float64{"a": 2, "b": 2, "c": 2, "d": 2, "hot": 30}
 	same := map[id.Team]float64{"a": 1, "b": 1, "c": 1, "d": 1, "hot": 1}
@@ -65,7 +65,7 @@
 	is.True(byAge["a"] < 10) // by age alone, the hot team's requests are before it
 }
 
-func TestTeamsThatAllWantMoreGetByTheirWeight(t *testing.T) {
+func TestBackloggedTeamsAreServedByWeight(t *testing.T) {
 	is := is.New(t)
 	perS := map[id.Team]float64{"small": 20, "large": 20}
 	got := simulateFlood(t, perS, map[id.Team]float64{"small": 1, "large": 3})
@@ -73,7 +73,7 @@
 	is.True(ratio > 3/1.3 && ratio < 3*1.3)
 }
 
-func TestWithoutTeamsTheOldestGoesFirst(t *testing.T) {
+func TestWithoutTeamsOldestGoesFirst(t *testing.T) {
 	is := is.New(t)
 	perS := map[id.Team]float64{"a": 2, "hot": 30}
 	is.Equal(simulateFlood(t, perS, nil), simulateFlood(t, perS, nil, TeamShares))
--- a/core/kvsched/whole_test.go
+++ b/core/kvsched/whole_test.go
@@ -34,10 +34,10 @@
 	return false
 }
 
-// TestALongReadingDoesNotStallAnEnginesStreams replays what a day showed: a
+// TestLongLocalPrefillDoesNotStallStreams replays what a day showed: a
 // prompt of 6,600 tokens was read by an engine beside five streams, four of
 // which then had a pause of more than 300 ms and were late.
-func TestALongReadingDoesNotStallAnEnginesStreams(t *testing.T) {
+func TestLongLocalPrefillDoesNotStallStreams(t *testing.T) {
 	is := is.New(t)
 	is.True(!usesLocalPrefill(t, 5, 300*time.Millisecond, 6600))
 	is.True(usesLocalPrefill(t, 5, 300*time.Millisecond, 2500))
@@ -46,9 +46,9 @@
 	is.True(usesLocalPrefill(t, 0, 0, 6600)) // nobody is there
 }
 
-// TestTwoReadingsDoNotFallIntoOnePause: the second waits until the streams have
+// TestLocalPrefillsDoNotShareOnePause: the second waits until the streams have
 // had an event.
-func TestTwoReadingsDoNotFallIntoOnePause(t *testing.T) {
+func TestLocalPrefillsDoNotShareOnePause(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 1, 10000))
 	e := &endpoint{decodes: []*reservation{{want: sched.Want{Pause: 300 * time.Millisecond}}}}
--- a/core/kvsched/world_test.go
+++ b/core/kvsched/world_test.go
@@ -34,10 +34,10 @@
 	simulationStep      = 10 * time.Millisecond
 )
 
-// TestTheLedgerAgainstTheEnginesOwnBooks plays random loads: every Want gets
+// TestLedgerAgainstSimulatedEngines plays random loads: every Want gets
 // exactly one answer, and what the engines hold seldom exceeds their memory,
 // though callers guess their outputs badly.
-func TestTheLedgerAgainstTheEnginesOwnBooks(t *testing.T) {
+func TestLedgerAgainstSimulatedEngines(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulate(t, seed) })
 	}
