--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -10,10 +10,10 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// refuseAtArrival refuses a request at once that would miss its target behind
-// those before it, at the rate at which the queue has been served. Its caller
-// knows so within milliseconds and can come back when the burst is over, and no
-// engine stands idle for it, since others wait.
+// refuseAtArrival refuses a request on arrival if, at the rate at which the
+// queue has been served, the requests before it would take it past its target.
+// The caller learns of the refusal within milliseconds and can retry after the
+// burst. No engine is left idle by it, since other requests wait.
 func (l *Ledger) refuseAtArrival(w *waiting) []sched.Action {
 	if !l.enabled(ArrivalRefusal) || l.memoryForLate() {
 		return nil
@@ -27,8 +27,8 @@
 	return l.refuse(w.want, verdict.CodeOverloaded, jitter(after, w.want.Request), causePastTarget)
 }
 
-// ahead is what a request that has just come has before it, with itself, in
-// tokens.
+// tokensAhead returns the tokens of the requests that are served before a new
+// one, plus its own.
 func (l *Ledger) tokensAhead(w *waiting) int {
 	shared := l.sharesByTeam()
 	if shared {
@@ -47,26 +47,28 @@
 	return ahead
 }
 
-// doubt is the factor by which the forecast must miss the target: some of those
-// before are larger than they say, or leave, and one that is refused for them could
-// have been in time.
+// forecastMargin is the factor by which the predicted wait must exceed the time
+// left. The prediction is uncertain: requests ahead may be larger than their
+// guess, or leave, and a request refused because of them could have been in
+// time.
 const forecastMargin = 1.6
 
-// lacksTime is why a request is refused at its arrival.
-const causePastTarget = "those before it take the engines past its target"
+// causePastTarget is the reason for a refusal on arrival.
+const causePastTarget = "the requests before it occupy the engines past its target"
 
 const (
-	// crowdedRetryAfter is the least advice to one that finds no room in time: a
-	// burst lasts some seconds.
+	// minOverloadRetryAfter is the shortest retry delay for a request that
+	// cannot be served in time: a burst lasts several seconds.
 	minOverloadRetryAfter = 4 * time.Second
-	// spreadRetryAfter is the share by which the advice is spread, so that those
-	// who come back don't come together.
+	// retryJitter is the largest relative change of a retry delay. It keeps
+	// refused callers from retrying at the same moment.
 	retryJitter = 0.2
-	// spreadSteps is how many different advices there are.
+	// retryJitterSteps is the number of distinct jitter values.
 	retryJitterSteps = 1000
 )
 
-// spread puts a time up or down by a share that depends on the request alone.
+// jitter lengthens or shortens a delay by a share that depends only on the
+// request.
 func jitter[T ~string](d time.Duration, request T) time.Duration {
 	part := 2*float64(xxhash.Sum64String(string(request))%retryJitterSteps)/retryJitterSteps - 1
 	return d + time.Duration(retryJitter*part*float64(d))
--- a/core/kvsched/demand.go
+++ b/core/kvsched/demand.go
@@ -39,8 +39,8 @@
 	return d
 }
 
-// Tried is how often an engine was tried for a request since the start: most of
-// the scheduler's work.
+// Tried returns how many times an engine was evaluated for a request since the
+// start. These evaluations are most of the scheduler's work.
 func (l *Ledger) Tried() uint64 { return l.tried }
 
 // Snapshot implements sched.Snapshotter.
--- a/core/kvsched/endpoint.go
+++ b/core/kvsched/endpoint.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// blockTokens is the unit in which engines hand out memory, in tokens.
+// blockTokens is the unit in which engines allocate memory, in tokens.
 const blockTokens = 16
 
 // endpoint is the ledger's view of one engine.
@@ -19,36 +19,38 @@
 	slots   int
 	memory  int
 	leaving bool
-	// drained is set while placement wants no new work here.
+	// drained is set while placement keeps new work off this engine.
 	drained bool
-	// down is set from a failed connection until a report.
+	// down is set when a connection fails and cleared by the next report of a
+	// reachable engine.
 	down      bool
 	fullUntil time.Duration
-	// kept is set while a request that doesn't fit yet has the engine kept for it.
+	// setAside is set while the engine is set aside for a request that does not
+	// fit yet.
 	setAside bool
 
-	// prefills are the granted prefills in their order; busyUntil is the
-	// predicted end of the last one.
+	// prefills are the granted prefills in order; busyUntil is the predicted
+	// end of the last one.
 	prefills  []*reservation
 	busyUntil time.Duration
 	// lastEnd is when the last prefill ended.
 	lastEnd time.Duration
-	// rate of prefills.
+	// prefillRate is the measured prefill rate of this engine.
 	prefillRate prefillRate
 
-	// readingUntil is when a decode engine has probably read the prompt that it
-	// was last given to read itself.
+	// localPrefillUntil is the predicted end of the last local prefill on a
+	// decode engine.
 	localPrefillUntil time.Duration
 
-	// decodes are the requests that have, or will have, their memory here.
+	// decodes are the requests whose memory is, or will be, on this engine.
 	decodes []*reservation
-	// claims are theirs as of claimsAt, the one with the most left first;
-	// claimsOld is set once the requests have changed.
+	// footprints are the memory footprints of decodes at footprintsAt, largest
+	// remaining first; footprintsStale is set when decodes has changed since.
 	footprints      []footprint
 	footprintsAt    time.Duration
 	footprintsStale bool
-	// room is the share of its memory that is left at the peak, as of the last
-	// look at the queue that asked for it.
+	// freeShare is the share of memory that is free at the predicted peak, as
+	// of the last scan of the queue that computed it.
 	freeShare float64
 }
 
@@ -58,11 +60,11 @@
 	return made
 }
 
-// configure takes what a new configuration says; what was learned stays.
+// configure applies a new configuration; learned state is kept.
 func (e *endpoint) configure(c *live.Endpoint, memoryShare float64) {
 	e.domain = c.Domain
 	if role := live.Role(c.Labels[live.LabelRole]); role != e.role {
-		// It has changed its role, for which it was drained.
+		// The engine was drained for this change of role.
 		e.role = role
 		e.drained = false
 		e.down = false
@@ -72,20 +74,20 @@
 	e.leaving = c.Labels[live.LabelLeaving] == "true"
 }
 
-// open says whether the endpoint may get new work.
+// available reports whether the endpoint may get new work.
 func (e *endpoint) available(now time.Duration) bool {
 	return !e.leaving && !e.drained && !e.down && now >= e.fullUntil
 }
 
-// writes says whether answers are written here.
+// decodesHere reports whether the engine decodes answers.
 func (e *endpoint) decodesHere() bool { return e.role == live.RoleDecode || e.role == live.RoleWhole }
 
-// prefillTime predicts how long a prompt takes to read.
+// prefillTime predicts how long the prefill of a prompt takes.
 func (e *endpoint) prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / e.prefillRate.perSecond() * float64(time.Second))
 }
 
-// startAt predicts when the next prefill would begin.
+// startAt predicts when the next prefill would start.
 func (e *endpoint) startAt(now time.Duration) time.Duration { return max(now, e.busyUntil) }
 
 // addPrefill queues a granted prefill.
@@ -95,32 +97,34 @@
 	e.busyUntil = r.prefillStart + e.prefillTime(r.want.PromptTokens)
 }
 
-// endPrefill takes a prefill off the queue; one that was read teaches the rate.
-func (e *endpoint) endPrefill(now time.Duration, r *reservation, read bool) {
+// endPrefill removes a prefill from the queue; a completed one updates the
+// prefill rate.
+func (e *endpoint) endPrefill(now time.Duration, r *reservation, completed bool) {
 	i := slices.Index(e.prefills, r)
 	if i < 0 {
 		return
 	}
 	e.prefills = slices.Delete(e.prefills, i, i+1)
-	if read {
+	if completed {
 		e.updatePrefillRate(now, r)
 		e.lastEnd = now
 	}
 	e.predictPrefills(now)
 }
 
-// learn takes the time since the end of the prefill before it as the time that
-// a prefill took. One that found the engine idle has the way there and back in
-// its time: it counts only if it shows a better rate, or a far worse one.
+// updatePrefillRate adds a sample to the prefill rate: the time since the
+// previous prefill ended. The time of a prefill that found the engine idle
+// includes a network round trip, so it counts only if it shows a higher rate,
+// or a far lower one.
 func (e *endpoint) updatePrefillRate(now time.Duration, r *reservation) {
-	begun := max(r.grantedAt, e.lastEnd)
-	if begun == r.grantedAt && !e.prefillRate.informative(r.want.PromptTokens, now-begun) {
+	started := max(r.grantedAt, e.lastEnd)
+	if started == r.grantedAt && !e.prefillRate.informative(r.want.PromptTokens, now-started) {
 		return
 	}
-	e.prefillRate.add(r.want.PromptTokens, now-begun)
+	e.prefillRate.add(r.want.PromptTokens, now-started)
 }
 
-// predict says anew when the queued prefills end.
+// predictPrefills recomputes when the queued prefills end.
 func (e *endpoint) predictPrefills(now time.Duration) {
 	e.busyUntil = now
 	for _, r := range e.prefills {
@@ -128,13 +132,13 @@
 	}
 }
 
-// take gives a request its place here.
+// addDecode adds a request to those on this engine.
 func (e *endpoint) addDecode(r *reservation) {
 	e.decodes = append(e.decodes, r)
 	e.footprintsStale = true
 }
 
-// give takes its place back.
+// removeDecode removes a request from those on this engine.
 func (e *endpoint) removeDecode(r *reservation) {
 	if i := slices.Index(e.decodes, r); i >= 0 {
 		e.decodes = slices.Delete(e.decodes, i, i+1)
@@ -142,5 +146,5 @@
 	}
 }
 
-// blocks rounds a size up to whole blocks, in tokens.
+// roundUpToBlocks rounds a size in tokens up to whole blocks.
 func roundUpToBlocks(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
--- a/core/kvsched/fairqueue.go
+++ b/core/kvsched/fairqueue.go
@@ -5,16 +5,17 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// shares orders the requests of one priority so that each team gets memory by its
-// weight, whatever the others send: start-time fair queueing over the tokens that
-// were granted. It answers the load in which one team sends many times as much as
-// the others and would fill the queue before them. Teams that leave their part
-// unused give it to the rest.
+// fairQueue orders the requests of one priority so that each team gets memory
+// in proportion to its weight, whatever load the other teams send: start-time
+// fair queueing over the granted tokens. Without it, one team that sends many
+// times as much as the others would fill the queue before them. Teams that do
+// not use their share leave it to the rest.
 type fairQueue struct {
 	weights map[id.Team]float64
-	// used is what each team was granted, by weight; those that have less than
-	// floor, the place of the last one granted, count as much as that: what was
-	// left unused earlier is not made up for.
+	// finishTags is the memory granted to each team, divided by its weight;
+	// virtualTime is the start tag of the last granted request. A team whose
+	// tag is below virtualTime counts as at virtualTime: an unused share is not
+	// carried over.
 	finishTags  map[id.Team]float64
 	virtualTime float64
 }
@@ -23,7 +24,7 @@
 	return fairQueue{weights: map[id.Team]float64{}, finishTags: map[id.Team]float64{}}
 }
 
-// configure takes the teams' weights.
+// configure applies the teams' weights.
 func (s *fairQueue) configure(doc *live.Document) {
 	clear(s.weights)
 	for _, t := range doc.Teams {
@@ -31,11 +32,11 @@
 	}
 }
 
-// any says whether there are teams.
+// hasTeams reports whether any teams are configured.
 func (s *fairQueue) hasTeams() bool { return len(s.weights) > 0 }
 
-// place gives each of the requests its place among those of its rank. They must
-// come by rank, then by age.
+// assignStartTags sets the start tag of each request. The queue must be sorted
+// by rank, then by age.
 func (s *fairQueue) assignStartTags(queue []*waiting) {
 	next := make(map[id.Team]float64, len(s.finishTags))
 	for _, w := range queue {
@@ -49,14 +50,14 @@
 	}
 }
 
-// granted notes that a request was granted.
+// granted advances the tags after the grant of a request.
 func (s *fairQueue) granted(w *waiting) {
 	team := w.want.Team
 	at := max(s.finishTags[team], s.virtualTime)
 	s.finishTags[team] = at + s.cost(w)
 	s.virtualTime = max(s.virtualTime, min(w.startTag, at))
 	if len(s.finishTags) > maxFinishTags {
-		// Those at or below the floor count the same when they come again.
+		// Teams at or below virtualTime count the same when they return.
 		for name, used := range s.finishTags {
 			if used <= s.virtualTime {
 				delete(s.finishTags, name)
@@ -65,11 +66,11 @@
 	}
 }
 
-// mostShares is how many teams are remembered until those that have used nothing
-// lately are forgotten.
+// maxFinishTags is the number of stored finish tags above which those of teams
+// without recent use are deleted.
 const maxFinishTags = 1024
 
-// cost is what a request takes of its team's share.
+// cost returns the request's tokens divided by its team's weight.
 func (s *fairQueue) cost(w *waiting) float64 {
 	weight := s.weights[w.want.Team]
 	if weight <= 0 {
--- a/core/kvsched/fairqueue_test.go
+++ b/core/kvsched/fairqueue_test.go
@@ -12,9 +12,10 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// floodOf plays teams that each send so many requests a second to a pool that is
-// too small for them, for ten seconds, and returns what was granted to each.
-func simulateFlood(t *testing.T, perS map[id.Team]float64, weights map[id.Team]float64, off ...Mechanism) map[id.Team]int {
+// simulateFlood runs teams that each send the given number of requests a second
+// to an undersized pool for ten seconds, and returns the number of grants of
+// each.
+func simulateFlood(t *testing.T, perSecond map[id.Team]float64, weights map[id.Team]float64, off ...Mechanism) map[id.Team]int {
 	t.Helper()
 	doc := document(2, 2, 4000)
 	for team, weight := range weights {
@@ -32,7 +33,7 @@
 		for _, g := range ends[now] {
 			actions = append(actions, l.Progress(now, done(g, sched.PhaseDone))...)
 		}
-		for team, n := range perS {
+		for team, n := range perSecond {
 			for due[team] += n * step.Seconds(); due[team] >= 1; due[team]-- {
 				w := want(fmt.Sprintf("%s-%d-%v", team, len(teams), now), 1000, 100)
 				w.Team = team
@@ -50,31 +51,31 @@
 	return granted
 }
 
-// TestFloodingTeamTakesNothingFromOthers: the pool grants
-// some twelve requests a second, four teams want two each and one 30.
+// TestFloodingTeamTakesNothingFromOthers: the pool grants about twelve requests
+// a second; four teams send two each and one team sends 30.
 func TestFloodingTeamTakesNothingFromOthers(t *testing.T) {
 	is := is.New(t)
-	perS := map[id.Team]float64{"a": 2, "b": 2, "c": 2, "d": 2, "hot": 30}
+	perSecond := map[id.Team]float64{"a": 2, "b": 2, "c": 2, "d": 2, "hot": 30}
 	same := map[id.Team]float64{"a": 1, "b": 1, "c": 1, "d": 1, "hot": 1}
-	shared := simulateFlood(t, perS, same)
+	shared := simulateFlood(t, perSecond, same)
 	for _, team := range []id.Team{"a", "b", "c", "d"} {
 		is.True(shared[team] >= 19) // all but the last of the 20 that it sent
 	}
-	is.True(shared["hot"] >= 20) // what the others leave is not wasted
-	byAge := simulateFlood(t, perS, same, TeamShares)
-	is.True(byAge["a"] < 10) // by age alone, the hot team's requests are before it
+	is.True(shared["hot"] >= 20) // the shares that the others leave unused are not wasted
+	byAge := simulateFlood(t, perSecond, same, TeamShares)
+	is.True(byAge["a"] < 10) // by age alone, the hot team's requests go first
 }
 
 func TestBackloggedTeamsAreServedByWeight(t *testing.T) {
 	is := is.New(t)
-	perS := map[id.Team]float64{"small": 20, "large": 20}
-	got := simulateFlood(t, perS, map[id.Team]float64{"small": 1, "large": 3})
+	perSecond := map[id.Team]float64{"small": 20, "large": 20}
+	got := simulateFlood(t, perSecond, map[id.Team]float64{"small": 1, "large": 3})
 	ratio := float64(got["large"]) / float64(got["small"])
 	is.True(ratio > 3/1.3 && ratio < 3*1.3)
 }
 
 func TestWithoutTeamsOldestGoesFirst(t *testing.T) {
 	is := is.New(t)
-	perS := map[id.Team]float64{"a": 2, "hot": 30}
-	is.Equal(simulateFlood(t, perS, nil), simulateFlood(t, perS, nil, TeamShares))
+	perSecond := map[id.Team]float64{"a": 2, "hot": 30}
+	is.Equal(simulateFlood(t, perSecond, nil), simulateFlood(t, perSecond, nil, TeamShares))
 }
--- a/core/kvsched/firsttoken.go
+++ b/core/kvsched/firsttoken.go
@@ -6,39 +6,42 @@
 )
 
 const (
-	// firstLead is the first estimate of the time beyond the reading of the
-	// prompt: the way of the KV cache to the decode engine and the first token.
+	// initialFirstTokenOverhead is the initial estimate of the time to first
+	// token beyond prefill: the transfer of the KV cache to the decode engine
+	// and the first decode step.
 	initialFirstTokenOverhead = 30 * time.Millisecond
-	// leadMemory is the weight that the estimate gives to what was seen before.
+	// firstTokenDecay is the weight of earlier samples in the estimate.
 	firstTokenDecay = 0.95
-	// leadDeviations are added to the mean: of the requests that are granted at
-	// the last moment, most shall be in time.
+	// firstTokenDeviations is how many mean deviations are added to the mean,
+	// so that most requests granted at the last moment are in time.
 	firstTokenDeviations = 1.0
-	// callerWay is the way to the caller and back, which no daemon sees.
+	// callerRoundTrip is the network round trip to the caller, which no daemon
+	// can measure.
 	callerRoundTrip = 10 * time.Millisecond
 )
 
-// lead learns how long after its grant a request has its first token, beyond
-// the reading of its prompt by an engine that nothing is known of: in a burst it
-// takes several times as long as on a calm day, and requests that are granted at
-// the last moment by a fixed time are late.
+// firstToken estimates the time from a grant to the first token, beyond the
+// prefill at the initial rate. In a burst this time is several times as long as
+// under normal load, and with a fixed estimate the requests granted at the last
+// moment are late.
 type firstToken struct {
 	mean, deviation float64
 	known           bool
 }
 
-// saw takes a request that has its first token.
+// add adds the sample of a request that has its first token.
 func (d *firstToken) add(prompt int, took time.Duration) {
-	beyond := max(0, (took - initialPrefillTime(prompt)).Seconds())
+	overhead := max(0, (took - initialPrefillTime(prompt)).Seconds())
 	if !d.known {
 		d.known = true
 		d.mean = initialFirstTokenOverhead.Seconds()
 	}
-	d.deviation = firstTokenDecay*d.deviation + (1-firstTokenDecay)*math.Abs(beyond-d.mean)
-	d.mean = firstTokenDecay*d.mean + (1-firstTokenDecay)*beyond
+	d.deviation = firstTokenDecay*d.deviation + (1-firstTokenDecay)*math.Abs(overhead-d.mean)
+	d.mean = firstTokenDecay*d.mean + (1-firstTokenDecay)*overhead
 }
 
-// expected is the time from a grant to the first token at its caller.
+// expected returns the expected time from the grant until the caller has the
+// first token.
 func (d *firstToken) expected(prompt int) time.Duration {
 	if !d.known {
 		return initialPrefillTime(prompt) + initialFirstTokenOverhead + callerRoundTrip
--- a/core/kvsched/grant.go
+++ b/core/kvsched/grant.go
@@ -10,15 +10,15 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// What a request may lack.
+// Causes for which a waiting request is not granted.
 const (
 	causeNoPrefillEngine = "no prefill engine is free"
 	causeNoMemory        = "no decode engine has memory"
-	causeNoEngine        = "no engine can be used"
-	causeLate            = "late requests wait until the pool has room to spare"
+	causeNoEngine        = "no engine is available"
+	causeLate            = "late requests wait until the pool has spare memory"
 )
 
-// pump grants what can be granted.
+// grantWaiting scans the queue and grants the requests that can be granted.
 func (l *Ledger) grantWaiting(actions []sched.Action) []sched.Action {
 	if l.now < l.settled || len(l.queue) == 0 {
 		return actions
@@ -38,8 +38,8 @@
 	return actions
 }
 
-// sortQueue puts those whose prompt was read first, then those in time, then by
-// priority, then by their teams' shares, then by age.
+// sortQueue sorts the queue: prefilled requests first, then those that can be
+// in time, then by priority, team share and age.
 func (l *Ledger) sortQueue() {
 	for _, w := range l.queue {
 		w.tooLate = !w.want.Prefilled && l.late(w)
@@ -47,7 +47,7 @@
 	l.sortByShares(l.queue)
 }
 
-// inOrder sorts requests into the order in which they are granted.
+// sortByShares sorts requests into the order in which they are granted.
 func (l *Ledger) sortByShares(queue []*waiting) {
 	byAge(queue)
 	if !l.sharesByTeam() {
@@ -62,7 +62,7 @@
 	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.arrived, b.arrived)) })
 }
 
-// byRank puts what goes before all others first, whatever its team and age.
+// byRank compares requests by the criteria that precede team share and age.
 func byRank(a, b *waiting) int {
 	return cmp.Or(
 		falseFirst(!a.want.Prefilled, !b.want.Prefilled),
@@ -71,8 +71,8 @@
 	)
 }
 
-// sharesByTeam says whether the requests' teams matter for their order: there
-// are any.
+// sharesByTeam reports whether team shares affect the order: the mechanism is
+// enabled and there are teams.
 func (l *Ledger) sharesByTeam() bool { return l.enabled(TeamShares) && l.fairQueue.hasTeams() }
 
 func falseFirst(a, b bool) int {
@@ -86,18 +86,19 @@
 	}
 }
 
-// late says whether a request granted now would miss its target.
+// late reports whether a request granted now would miss its target.
 func (l *Ledger) late(w *waiting) bool {
 	return l.now+l.firstToken.expected(w.want.PromptTokens) > w.target
 }
 
-// readTimeOf is how long an engine that nothing is known of takes to read a prompt.
+// initialPrefillTime returns the prefill time of a prompt at the initial rate,
+// for an engine without samples.
 func initialPrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / initialPrefillRate * float64(time.Second))
 }
 
-// try grants one request if it can be. It is passable if those behind it may
-// be tried.
+// try grants one request if possible. passable reports whether the requests
+// after it may be tried.
 func (l *Ledger) try(w *waiting) (granted *sched.Action, passable bool) {
 	decode, cause := l.chooseInitialDecode(w)
 	if decode == nil {
@@ -119,47 +120,48 @@
 		w.blocked = causeNoPrefillEngine
 		return l.grantLocalPrefill(w)
 	}
-	// Known where the prompt is read, the decode engine nearest to it is better.
-	if near, _ := l.chooseDecode(w, prefill); near != nil {
-		decode = near
+	// With the prefill engine known, a decode engine in its failure domain is
+	// preferred.
+	if preferred, _ := l.chooseDecode(w, prefill); preferred != nil {
+		decode = preferred
 	}
 	return l.grant(w, prefill, decode), true
 }
 
-// keptShare is the share of the decode engines that are kept for requests which
-// don't fit on any yet; one at least.
+// maxSetAsideShare is the largest share of the decode engines that are set
+// aside for requests that fit on none yet; at least one engine may be.
 const maxSetAsideShare = 0.2
 
-// passable says whether others may pass a request that fits on no engine. For a
-// while they may; then an engine is kept for it, so that the others can have
-// what is free on the rest without its waiting for ever. Where too many engines
-// are kept already, nobody passes.
+// passable reports whether other requests may bypass one that fits on no
+// engine. During the bypass time they may; after it an engine is set aside for
+// the request, so that the others can use the free memory of the rest without
+// starving it. If too many engines are set aside already, nothing bypasses it.
 func (l *Ledger) passable(w *waiting) bool {
 	if l.now-w.arrived < l.options.BypassAfter && !w.want.Prefilled || !l.enabled(KeptEngine) {
 		return true
 	}
-	writers, kept := 0, 0
+	decoding, setAside := 0, 0
 	for _, e := range l.order {
 		if e.decodesHere() && e.available(l.now) {
-			writers++
+			decoding++
 		}
 		if e.setAside {
-			kept++
+			setAside++
 		}
 	}
-	if kept >= max(1, int(maxSetAsideShare*float64(writers))) {
+	if setAside >= max(1, int(maxSetAsideShare*float64(decoding))) {
 		return false
 	}
-	roomiest := l.mostFree(w)
-	if roomiest == nil {
+	candidate := l.mostFree(w)
+	if candidate == nil {
 		return false
 	}
-	roomiest.setAside = true
+	candidate.setAside = true
 	return true
 }
 
-// roomiest is the decode engine that will have room for a request first: the
-// one that has the most left.
+// mostFree returns the usable decode engine with the most free memory, which
+// will fit the request first.
 func (l *Ledger) mostFree(w *waiting) *endpoint {
 	for _, e := range l.byFreeShare() {
 		if l.usable(e, w) {
@@ -169,8 +171,8 @@
 	return nil
 }
 
-// byRoom lists the engines that write, the one with the most left first; worked
-// out once a look.
+// byFreeShare returns the decoding engines, most free memory first; computed
+// once per scan.
 func (l *Ledger) byFreeShare() []*endpoint {
 	if len(l.scan.byFreeShare) > 0 {
 		return l.scan.byFreeShare
@@ -185,15 +187,16 @@
 	return l.scan.byFreeShare
 }
 
-// keepNone ends the keeping of engines: it holds for one look at the queue.
+// clearSetAside ends the setting aside of engines, which lasts for one scan of
+// the queue.
 func (l *Ledger) clearSetAside() {
 	for _, e := range l.order {
 		e.setAside = false
 	}
 }
 
-// queueTime is how long the prefill engines take to read all prompts in the
-// queue: what the last of them waits.
+// queuePrefillTime returns how long the prefill engines take for all prompts in
+// the queue, which is the wait of the last one.
 func (l *Ledger) queuePrefillTime() time.Duration {
 	tokens, rate := 0, 0.0
 	for _, w := range l.queue {
@@ -210,7 +213,7 @@
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
-// prefillWait is how long until a prefill engine is free.
+// prefillWait returns the time until a prefill engine is free.
 func (l *Ledger) prefillWait() time.Duration {
 	wait := never
 	for _, e := range l.order {
@@ -221,7 +224,8 @@
 	return min(wait, time.Hour)
 }
 
-// roomForLate says whether the pool has memory to spare.
+// memoryForLate reports whether the pool has enough free memory for late
+// requests.
 func (l *Ledger) memoryForLate() bool {
 	memory, free := 0, 0
 	for _, e := range l.order {
@@ -233,12 +237,14 @@
 	return float64(free) >= l.options.LateFreeShare*float64(memory)
 }
 
-// nearBonus is what an engine in the same failure domain is worth, as a share
-// of an engine's memory: the KV cache's way is half as long there.
+// sameDomainBonus is added to the score of a decode engine in the prefill
+// engine's failure domain, as a share of an engine's memory: the transfer of
+// the KV cache takes half as long within a domain.
 const sameDomainBonus = 0.15
 
-// chooseDecode picks the decode engine with the most room that the request
-// fits on; one near the prefill engine, if that is known, is preferred.
+// chooseDecode returns the engine with the most free memory that the request
+// fits on, preferring one in the failure domain of the prefill engine if that
+// is known; otherwise nil and the cause.
 func (l *Ledger) chooseDecode(w *waiting, prefill *endpoint) (*endpoint, string) {
 	cause := causeNoEngine
 	var best *endpoint
@@ -262,8 +268,8 @@
 	return best, cause
 }
 
-// choosePrefill picks the prefill engine that is free first, within the
-// horizon; among equals one near the decode engine.
+// choosePrefill returns the prefill engine that would finish first, among those
+// free within the horizon, preferring the decode engine's failure domain.
 func (l *Ledger) choosePrefill(w *waiting, decode *endpoint) *endpoint {
 	var best *endpoint
 	var bestAt time.Duration
@@ -286,11 +292,11 @@
 	return best
 }
 
-// nearHead is how much later a prefill engine in the decode engine's failure
-// domain may end and still be preferred.
+// sameDomainLead is how much later a prefill engine in the decode engine's
+// failure domain may finish and still be preferred.
 const sameDomainLead = 5 * time.Millisecond
 
-// usable says whether an endpoint may serve this request at all.
+// usable reports whether an endpoint may serve this request at all.
 func (l *Ledger) usable(e *endpoint, w *waiting) bool {
 	if e.setAside || !e.available(l.now) || slices.Contains(w.want.Avoid, e.name) {
 		return false
@@ -298,8 +304,8 @@
 	return l.options.Health == nil || l.options.Health.Allowed(e.name)
 }
 
-// grant reserves and answers. A request whose prompt was read needs no prefill
-// engine.
+// grant reserves the engines for a request and returns the answer. An already
+// prefilled request needs no prefill engine.
 func (l *Ledger) grant(w *waiting, prefill, decode *endpoint) *sched.Action {
 	l.serial++
 	r := &reservation{
@@ -326,7 +332,7 @@
 		prefill.addPrefill(l.now, r)
 		l.prefillWork += prefill.prefillTime(r.want.PromptTokens)
 	} else if decode.role == live.RoleDecode {
-		// A prefill engine would have read it, had one been free.
+		// A free prefill engine would have done this prefill.
 		l.prefillWork += initialPrefillTime(r.want.PromptTokens)
 	}
 	r.grant.Reason = fmt.Sprintf("waited %v, starts in %v, %d tokens beside %d requests with %d of %d",
--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -14,14 +14,14 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// never is the time of what isn't due.
+// never is the due time of an event that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// poll is how soon a queue that is held up is looked at again: a prefill's
-// predicted end passes without an event.
+// queuePollInterval is the interval at which a blocked queue is scanned again:
+// the predicted end of a prefill passes without an event.
 const queuePollInterval = 5 * time.Millisecond
 
-// Ledger is the scheduler. It is not safe for concurrent use.
+// Ledger is the scheduler of one pool. It is not safe for concurrent use.
 type Ledger struct {
 	options Options
 	now     time.Duration
@@ -30,7 +30,8 @@
 
 	services  map[id.Service]*live.Service
 	endpoints map[id.Endpoint]*endpoint
-	// order lists the endpoints by name, so that nothing depends on a map.
+	// order lists the endpoints by name, so that no decision depends on map
+	// order.
 	order []*endpoint
 
 	queue   []*waiting
@@ -44,19 +45,18 @@
 	serviceRate serviceRate
 	decodeRate  decodeRate
 	firstToken  firstToken
-	// guesses of all requests that came.
+	// outputMean covers the guesses of all requests received.
 	outputMean outputMean
-	// nextExpiry is no later than the end of the reservation that expires first.
+	// nextExpiry is no later than the earliest expiry of a reservation.
 	nextExpiry time.Duration
-	// stirred is set when something has happened that may let a waiting request
-	// be granted.
+	// scanDue is set after an event that may let a waiting request be granted.
 	scanDue bool
-	// look is what one look at the queue has found.
+	// scan holds the results of the current scan of the queue.
 	scan queueScan
 	// prefillWork is the predicted engine time of all granted prefills.
 	prefillWork time.Duration
-	// tried counts the engines tried for requests, repeated the wants that came
-	// again while they waited.
+	// tried counts the engines evaluated for requests; repeated counts the
+	// wants received again while their request waited.
 	tried    uint64
 	repeated uint64
 }
@@ -64,18 +64,20 @@
 // waiting is a request in the queue.
 type waiting struct {
 	want sched.Want
-	// tokens is the size of the request, output that of its answer as expected.
+	// tokens is the memory that the request holds at its end; output is the
+	// expected length of its answer. Both are in tokens.
 	tokens int
 	output float64
-	// tooLate is as of the last look at the queue.
+	// tooLate reports whether the request missed its target, as of the last
+	// scan.
 	tooLate bool
 	arrived time.Duration
-	// place is the request's among those of its priority, by its team's share.
+	// startTag orders the requests of one priority by their teams' shares.
 	startTag float64
-	// target, patience and lifetime are the times up to which it is in time,
-	// may wait, and has a caller.
+	// target is when the first token is due, patience when the wait ends, and
+	// lifetime when the caller no longer accepts an answer.
 	target, patience, lifetime time.Duration
-	// blocked is what the last try lacked.
+	// blocked is the cause for which the last scan did not grant the request.
 	blocked string
 }
 
@@ -86,9 +88,9 @@
 	tokens int
 	output float64
 	phase  sched.Phase
-	// decodingAt is when the decode began; 0 before.
+	// decodingAt is when decoding began; 0 before.
 	decodingAt time.Duration
-	// adopted work began before this owner knew of it.
+	// adopted is set for work granted by a former owner of the pool.
 	adopted      bool
 	prefill      *endpoint
 	decode       *endpoint
@@ -119,7 +121,7 @@
 	}
 }
 
-// begin takes the time of an event.
+// begin advances the ledger's time to that of an event.
 func (l *Ledger) begin(now time.Duration) {
 	if !l.started {
 		l.started = true
@@ -128,9 +130,9 @@
 	l.now = max(l.now, now)
 }
 
-// finish does what the event made possible or due. The queue is looked at only
-// where something has stirred: much of what an owner is told, such as a repeated
-// want or the begin of a prefill, lets nobody be granted.
+// finish carries out the consequences of an event. The queue is scanned only if
+// scanDue is set: many events, such as a repeated want or the start of a
+// prefill, do not let any request be granted.
 func (l *Ledger) finish(actions []sched.Action) []sched.Action {
 	l.dropExpired()
 	if l.scanDue {
@@ -161,8 +163,8 @@
 func (l *Ledger) configureEndpoints(doc *live.Document) {
 	var listed []*live.Endpoint
 	if pool := sched.FindPool(doc, l.options.Pool); pool != nil {
-		// A selector that can't be read leaves the pool without endpoints; the
-		// check of the configuration has told of it.
+		// An invalid selector leaves the pool without endpoints; the check of
+		// the configuration has reported it.
 		listed, _ = sched.PoolEndpoints(doc, pool)
 	}
 	old := l.endpoints
@@ -180,8 +182,9 @@
 	slices.SortFunc(l.order, func(a, b *endpoint) int { return strings.Compare(string(a.name), string(b.name)) })
 }
 
-// Tick implements sched.Scheduler. Time alone lets requests be granted: engines
-// are free as predicted, and requests may not be passed by any longer.
+// Tick implements sched.Scheduler. The passage of time alone lets requests be
+// granted: engines become free as predicted, and the time in which a request
+// may be bypassed ends.
 func (l *Ledger) Tick(now time.Duration) []sched.Action {
 	l.begin(now)
 	l.scanDue = true
@@ -225,8 +228,8 @@
 	return l.finish(nil)
 }
 
-// Load implements sched.Scheduler: only whether the endpoint can be reached,
-// and wants work, is taken from a report. Its figures are older than the ledger.
+// Load implements sched.Scheduler. Only reachability and the drained state are
+// taken from a report; its figures are older than the ledger's.
 func (l *Ledger) Load(now time.Duration, report sched.Load) []sched.Action {
 	l.begin(now)
 	if e := l.endpoints[report.Endpoint]; e != nil {
@@ -239,11 +242,13 @@
 	return l.finish(nil)
 }
 
-// Cache implements sched.Scheduler; prefixes are not followed.
+// Cache implements sched.Scheduler; it ignores its arguments, as this scheduler
+// does not track prefixes.
 func (l *Ledger) Cache(time.Duration, id.Endpoint, []sched.CacheEvent, bool) {}
 
-// expire drops the reservations that nobody speaks for any more. Their ends are
-// only ever put off, so that it looks through them when the first one may be due.
+// dropExpired releases the reservations whose lease has expired. Expiry times
+// only ever move later, so the reservations are scanned only once the earliest
+// may be due.
 func (l *Ledger) dropExpired() {
 	if l.now < l.nextExpiry {
 		return
@@ -259,13 +264,13 @@
 	}
 }
 
-// hold notes a reservation.
+// addReservation adds a reservation.
 func (l *Ledger) addReservation(r *reservation) {
 	l.granted[r.want.Request] = r
 	l.nextExpiry = min(l.nextExpiry, r.expires)
 }
 
-// release gives back all that a reservation holds.
+// release releases everything that a reservation holds.
 func (l *Ledger) release(r *reservation) {
 	if r.prefill != nil {
 		r.prefill.endPrefill(l.now, r, false)
@@ -293,7 +298,7 @@
 	return out
 }
 
-// check holds the engines' lists against the reservations.
+// checkInvariants compares the engines' lists with the reservations.
 func (l *Ledger) checkInvariants() {
 	if l.options.Violation == nil {
 		return
@@ -303,6 +308,6 @@
 		held += len(e.decodes)
 	}
 	if held > len(l.granted) {
-		l.options.Violation("kvsched_places", fmt.Sprintf("%d places for %d reservations", held, len(l.granted)))
+		l.options.Violation("kvsched_places", fmt.Sprintf("engines hold %d slots for %d reservations", held, len(l.granted)))
 	}
 }
--- a/core/kvsched/ledger_test.go
+++ b/core/kvsched/ledger_test.go
@@ -17,7 +17,8 @@
 
 const start = time.Minute
 
-// document is a pool of prefill and decode engines, two to a failure domain.
+// document returns the configuration of a pool of prefill and decode engines,
+// spread over two failure domains.
 func document(prefills, decodes, memory int) *live.Document {
 	doc := &live.Document{
 		Services: []live.Service{{Name: "s", Pool: "p", TimeoutMS: 14000, FirstTokenTargetMS: 900, PatienceMS: 3000}},
@@ -39,7 +40,7 @@
 	return doc
 }
 
-// newLedger is a ledger that has settled.
+// newLedger returns a ledger whose settle time has passed.
 func newLedger(t *testing.T, doc *live.Document) *Ledger {
 	t.Helper()
 	l := New(Options{Pool: "p", Self: requester, MemoryShare: 1, Violation: func(name, detail string) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// grants picks the grants out of actions.
+// grants returns the grants among actions.
 func grants(actions []sched.Action) []*sched.Grant {
 	var out []*sched.Grant
 	for _, a := range actions {
@@ -88,7 +89,7 @@
 	first := grants(l.Want(start, want("a", 6000, 1000)))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Decode, id.Endpoint("decode-0"))
-	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // three prefill engines are idle
+	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // no memory, though three prefill engines are idle
 	next := grants(l.Progress(start+time.Second, done(first[0], sched.PhaseDone)))
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Request, id.Request("b"))
@@ -97,7 +98,8 @@
 func TestMemoryIsCountedAsItIsUsed(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
-	// Five requests of 1000 and 1500 would not fit if each held 2500 from its start.
+	// Five requests of 1000 prompt and 1500 output tokens would not fit if each
+	// held 2500 tokens from its start.
 	now := start
 	granted := 0
 	for i := range 5 {
@@ -117,12 +119,12 @@
 	is.Equal(len(l.Want(start, want("large", 8000, 10))), 0)
 	is.Equal(len(grants(l.Want(start+50*time.Millisecond, want("small", 1000, 10)))), 1)
 	later := start + DefaultBypassAfter + time.Millisecond
-	is.Equal(len(grants(l.Want(later, want("small-2", 1000, 10)))), 0) // the large one is next
+	is.Equal(len(grants(l.Want(later, want("small-2", 1000, 10)))), 0) // the large request goes first now
 }
 
-// TestEngineIsSetAsideForLargeRequest: once it is not to be passed any
-// longer, smaller ones get the room of the other engines, and not of the one
-// that will have room for it first.
+// TestEngineIsSetAsideForLargeRequest: after the bypass time of a large
+// request, smaller ones are granted on the other engines but not on the engine
+// that will have enough memory for the large one first.
 func TestEngineIsSetAsideForLargeRequest(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(8, 3, 10000))
@@ -138,14 +140,14 @@
 	second := grants(l.Want(later, want("small-2", 2500, 10)))
 	is.Equal(len(first), 1)
 	is.Equal(len(second), 1)
-	is.Equal(len(grants(l.Want(later, want("small-3", 2500, 10)))), 0) // only the kept engine has room
-	kept := running[0].Decode
-	is.True(first[0].Decode != kept)
-	is.True(second[0].Decode != kept)
+	is.Equal(len(grants(l.Want(later, want("small-3", 2500, 10)))), 0) // only the engine set aside has enough memory
+	setAside := running[0].Decode
+	is.True(first[0].Decode != setAside)
+	is.True(second[0].Decode != setAside)
 	got := grants(l.Progress(later, done(running[0], sched.PhaseDone)))
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Request, id.Request("large"))
-	is.Equal(got[0].Decode, kept)
+	is.Equal(got[0].Decode, setAside)
 }
 
 func TestLateRequestsWaitForSpareMemory(t *testing.T) {
@@ -169,7 +171,7 @@
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Code, verdict.CodeOverloaded)
 	is.True(refused[0].RetryAfter > 0)
-	// The same Want again, as when the refusal was lost, is refused again.
+	// A Want repeated because its refusal was lost is refused again.
 	is.Equal(len(refusals(l.Want(start+3100*time.Millisecond, want("waits", 9000, 10)))), 1)
 }
 
@@ -208,7 +210,7 @@
 	p.Full = true
 	l.Progress(start, p)
 	is.Equal(len(l.Want(start, want("b", 1000, 10))), 0)
-	is.Equal(len(grants(l.Tick(start+DefaultFullHold))), 1) // it may have room again
+	is.Equal(len(grants(l.Tick(start+DefaultFullHold))), 1) // the engine may have free memory again
 }
 
 func TestNewOwnerSettlesAndAdoptsGrants(t *testing.T) {
@@ -218,7 +220,7 @@
 
 	l := New(Options{Pool: "p", Self: id.Process{Daemon: "d2", Incarnation: 1}, MemoryShare: 1})
 	l.Configure(start, document(2, 1, 10000))
-	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // it may not know all yet
+	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // adoptions may still be missing
 	l.Adopt(start, sched.Adopt{Want: want("a", 6000, 1000), Grant: *g, Phase: sched.PhaseDecoding})
 	is.Equal(len(l.Tick(start+DefaultSettle)), 0) // the memory is in use
 	is.Equal(len(grants(l.Progress(start+time.Second, done(g, sched.PhaseDone)))), 1)
@@ -245,31 +247,28 @@
 	is.Equal(len(g), 1)
 	is.Equal(g[0].Prefill, id.Endpoint(""))
 	d := l.Demand(start)
-	is.Equal(len(d.Prefills)+len(d.Decodes), 0) // they have no role to change
+	is.Equal(len(d.Prefills)+len(d.Decodes), 0) // engines of role whole have no role to change
 }
 
 func TestLocalPrefillWhenPrefillEnginesWouldBeLate(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
-	whole := 0
+	localPrefills := 0
 	for i := range 12 {
 		l.Want(start, want(fmt.Sprint(i), 3000, 100))
 	}
 	for now := start; now < start+900*time.Millisecond; now += 5 * time.Millisecond {
 		for _, g := range grants(l.Tick(now)) {
 			if g.Prefill == "" {
-				whole++
+				localPrefills++
 			}
 		}
 	}
-	is.True(whole > 0 && whole <= 6)
+	is.True(localPrefills > 0 && localPrefills <= 6)
 }
 
-// TestAdoptedWorkDoesNotChangeDecodeRate: a new owner does not know when it began. One
-// that ended right after the takeover made every answer look finished, and the
-// pool full.
-// TestLocalPrefillCountsAsPrefillWork: else a pool that is short of
-// prefill engines would look as if it had too many.
+// TestLocalPrefillCountsAsPrefillWork: without it, a pool that is short of
+// prefill engines would appear to have too many.
 func TestLocalPrefillCountsAsPrefillWork(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
@@ -282,13 +281,16 @@
 				continue
 			}
 			before := l.Demand(now - 1).PrefillWork
-			is.True(before >= time.Duration(len(l.granted))*100*time.Millisecond) // 3000 tokens at 25 a millisecond, each
+			is.True(before >= time.Duration(len(l.granted))*100*time.Millisecond) // each prompt has 3000 tokens, at 25 tokens a millisecond
 			return
 		}
 	}
-	t.Fatal("no decode engine read a prompt")
+	t.Fatal("no decode engine prefilled a prompt")
 }
 
+// TestAdoptedWorkDoesNotChangeDecodeRate: a new owner has no start time of adopted
+// work. A decode that ended right after the takeover once raised the estimated
+// decode rate so far that every answer appeared finished and the pool full.
 func TestAdoptedWorkDoesNotChangeDecodeRate(t *testing.T) {
 	is := is.New(t)
 	old := newLedger(t, document(4, 2, 10000))
--- a/core/kvsched/localprefill.go
+++ b/core/kvsched/localprefill.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// wholeRoom is the share of a decode engine's memory that must be left for
-	// it to read a prompt itself.
+	// localPrefillMinFree is the share of a decode engine's memory that must
+	// stay free for a local prefill.
 	localPrefillMinFree = 0.25
-	// wholeRate is how fast a decode engine reads a prompt between the tokens
-	// of its requests, in tokens a second: half as fast as a prefill engine at
-	// best.
+	// localPrefillRate is the rate of a prefill on a decode engine, interleaved
+	// with the tokens of its requests, in tokens a second: at best half the
+	// rate of a prefill engine.
 	localPrefillRate = 10000.0
-	// wholePause is the share of the pause that callers accept which a reading
-	// may take from the engine's other requests.
+	// localPrefillPauseShare is the share of the accepted pause that a local
+	// prefill may take from the engine's other requests.
 	localPrefillPauseShare = 0.9
 )
 
-// wholeTime predicts how long a decode engine takes to read a prompt.
+// localPrefillTime predicts how long a prefill on a decode engine takes.
 func localPrefillTime(w *waiting) time.Duration {
 	return time.Duration(float64(w.want.PromptTokens) / localPrefillRate * float64(time.Second))
 }
 
-// grantWhole has a decode engine read the prompt itself, where waiting for a
-// prefill engine would take the request past its target. That is slow, and
-// slows the engine's other requests: only one prompt is read so at a time on an
-// engine, and only by engines with room to spare.
+// grantLocalPrefill lets a decode engine prefill the prompt if waiting for a
+// prefill engine would take the request past its target. A local prefill is
+// slow and slows the engine's other requests, so an engine runs only one at a
+// time, and only if it has enough free memory.
 func (l *Ledger) grantLocalPrefill(w *waiting) (granted *sched.Action, passable bool) {
 	if !l.enabled(WholeReading) || l.now+l.prefillWait()+l.queuePrefillTime() < w.target-localPrefillTime(w) || w.tooLate {
 		return nil, false
@@ -50,11 +50,12 @@
 	return l.grant(w, nil, best), true
 }
 
-// mayRead says whether a decode engine may read a prompt itself now. Its other
-// requests get a piece of it between any two of their tokens, and an event has
-// several tokens: the whole reading falls into one or two pauses of theirs, and
-// must fit there. In bursts, half of the late answers of a day were late by
-// such a pause alone.
+// mayPrefillLocally reports whether a decode engine may start a local prefill
+// now. The prefill is interleaved with the tokens of the engine's other
+// requests, and an event carries several tokens, so the whole prefill falls
+// into one or two pauses of the other streams and must fit into them. In
+// bursts, half of the late answers of a day were late because of such a pause
+// alone.
 func (l *Ledger) mayPrefillLocally(e *endpoint, w *waiting) bool {
 	if l.now < e.localPrefillUntil {
 		return false
@@ -67,8 +68,8 @@
 	return fits && l.now >= e.localPrefillUntil+pause
 }
 
-// shortestPause is the shortest pause that the callers of an engine's requests
-// accept; 0 where none of them has a bound.
+// shortestPause returns the shortest pause between events that the callers of
+// an engine's requests accept; 0 if none of them has a bound.
 func (e *endpoint) shortestPause() time.Duration {
 	shortest := time.Duration(0)
 	for _, r := range e.decodes {
--- a/core/kvsched/localprefill_test.go
+++ b/core/kvsched/localprefill_test.go
@@ -10,8 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// wholeIn tells whether the last of the wants is read by a decode engine: the
-// only prefill engine has 2 s of prompts before it.
+// usesLocalPrefill reports whether the last request is prefilled on the decode
+// engine while the only prefill engine has 2 s of prompts queued.
 func usesLocalPrefill(t *testing.T, running int, pause time.Duration, prompt int) bool {
 	t.Helper()
 	l := newLedger(t, document(1, 1, 100000))
@@ -34,20 +34,20 @@
 	return false
 }
 
-// TestLongLocalPrefillDoesNotStallStreams replays what a day showed: a
-// prompt of 6,600 tokens was read by an engine beside five streams, four of
-// which then had a pause of more than 300 ms and were late.
+// TestLongLocalPrefillDoesNotStallStreams: a decode engine prefilled a prompt
+// of 6,600 tokens beside five streams, four of which then paused for more than
+// 300 ms and were late.
 func TestLongLocalPrefillDoesNotStallStreams(t *testing.T) {
 	is := is.New(t)
 	is.True(!usesLocalPrefill(t, 5, 300*time.Millisecond, 6600))
 	is.True(usesLocalPrefill(t, 5, 300*time.Millisecond, 2500))
 	is.True(!usesLocalPrefill(t, 5, 100*time.Millisecond, 2500))
-	is.True(usesLocalPrefill(t, 5, 0, 6600)) // nobody minds a pause
-	is.True(usesLocalPrefill(t, 0, 0, 6600)) // nobody is there
+	is.True(usesLocalPrefill(t, 5, 0, 6600)) // no stream bounds its pause
+	is.True(usesLocalPrefill(t, 0, 0, 6600)) // no other streams
 }
 
-// TestLocalPrefillsDoNotShareOnePause: the second waits until the streams have
-// had an event.
+// TestLocalPrefillsDoNotShareOnePause: a second local prefill waits until the
+// streams have sent an event.
 func TestLocalPrefillsDoNotShareOnePause(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 1, 10000))
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// firstPace is the first estimate of how fast an answer is written, in
-	// tokens a second.
+	// initialDecodeRate is the initial estimate of the decode rate of one
+	// request, in tokens a second.
 	initialDecodeRate = 300.0
-	// paceMemory is the weight that the estimate gives to what was seen before.
+	// decodeRateDecay is the weight of earlier samples in the estimate.
 	decodeRateDecay = 0.97
-	// overrun is the share of the expected output that a request which has
-	// exceeded it is believed to write yet: guesses are often far off.
+	// minRemainingShare is the least share of the expected output that a
+	// request is assumed to generate yet, even beyond its expected length:
+	// guesses are often far off.
 	minRemainingShare = 0.25
-	// mostWritten times the expected output is the most that a request is
-	// believed to have written.
+	// maxGeneratedShare bounds the output that a request is assumed to have
+	// generated, as a multiple of the expected output.
 	maxGeneratedShare = 2.5
 )
 
-// pace averages how fast answers are written. Guesses of single outputs are
-// often far off, their sum is not.
+// decodeRate averages the decode rate of one request, as the sum of guessed
+// outputs over the sum of decode times: single guesses are often far off, their
+// sum is not.
 type decodeRate struct {
 	tokens  float64
 	seconds float64
 }
 
-// ended takes a request whose answer is complete.
+// add adds the sample of a completed answer.
 func (p *decodeRate) add(expected int, took time.Duration) {
 	p.tokens = decodeRateDecay*p.tokens + float64(expected)
 	p.seconds = decodeRateDecay*p.seconds + took.Seconds()
 }
 
-// perSecond is the pace of one request, in tokens.
+// perSecond returns the decode rate of one request, in tokens a second.
 func (p *decodeRate) perSecond() float64 {
 	if p.seconds <= 0 || p.tokens <= 0 {
 		return initialDecodeRate
@@ -41,32 +43,34 @@
 	return p.tokens / p.seconds
 }
 
-// claim is what one request holds now and will yet add, in tokens.
+// footprint is the memory that one request holds now and the memory that it
+// will add, in tokens.
 type footprint struct{ held, remaining float64 }
 
-// claimOf estimates a request's claim. Before its decode it holds its prompt.
+// footprintOf estimates the footprint of a granted request. Before its decode
+// the request holds its prompt.
 func (l *Ledger) footprintOf(r *reservation) footprint {
 	output := r.output
-	written := 0.0
+	generated := 0.0
 	if r.decodingAt > 0 {
-		written = min((l.now-r.decodingAt).Seconds()*l.decodeRate.perSecond(), maxGeneratedShare*output)
+		generated = min((l.now-r.decodingAt).Seconds()*l.decodeRate.perSecond(), maxGeneratedShare*output)
 	}
-	left := output - written
+	left := output - generated
 	if least := minRemainingShare * output; left < least {
 		left = least
 	}
-	return footprint{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + written, remaining: left}
+	return footprint{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + generated, remaining: left}
 }
 
-// claimsLife is how long an engine's claims are reckoned with unchanged: up to
-// the next look at a queue that is held up. At 400 tokens a second a request
-// writes 2 in that time, of the thousands that it holds.
+// footprintTTL is how long cached footprints are used unchanged: up to the next
+// scan of a blocked queue. At 400 tokens a second a request generates 2 tokens
+// in that time, of the thousands that it holds.
 const footprintTTL = queuePollInterval
 
-// claimsOf gives the claims of an engine's requests, the one with the most left
-// first. They are worked out anew only where something has changed: the owner of a
-// large pool would else spend most of its time on working them out for each
-// waiting request at each event.
+// footprintsOf returns the footprints of an engine's requests, largest
+// remaining first. They are recomputed only after a change or the TTL;
+// otherwise the owner of a large pool would spend most of its time on computing
+// them for each waiting request at each event.
 func (l *Ledger) footprintsOf(e *endpoint) []footprint {
 	if !e.footprintsStale && l.now-e.footprintsAt < footprintTTL {
 		return e.footprints
@@ -80,8 +84,8 @@
 	return e.footprints
 }
 
-// climb adds claims up, those with the most left first: when one ends, all
-// before it still hold theirs.
+// peakSum accumulates footprints, largest remaining first: when one request
+// ends, all before it still hold their memory.
 type peakSum struct{ held, decoding, peak float64 }
 
 func (p *peakSum) add(c footprint) {
@@ -90,9 +94,9 @@
 	p.peak = max(p.peak, p.held+p.decoding*c.remaining)
 }
 
-// peak predicts the most memory that an engine's requests will hold together,
-// with one more if extra is set: memory comes back request by request, while
-// the others go on writing.
+// peak predicts the peak memory of an engine's requests, plus one more if extra
+// is set: memory is released request by request while the others keep
+// generating.
 func (l *Ledger) peak(e *endpoint, extra *footprint) float64 {
 	var p peakSum
 	for _, c := range l.footprintsOf(e) {
@@ -108,24 +112,26 @@
 	return p.peak
 }
 
-// claim is what the request would hold when granted, and add.
+// footprint is the memory that the request would hold once granted, and add
+// later.
 func (w *waiting) footprint() footprint {
 	return footprint{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), remaining: w.output}
 }
 
-// fits says whether a request fits on an engine, and which share of its memory
-// would be left at the peak.
-func (l *Ledger) fits(e *endpoint, w *waiting) (left float64, ok bool) {
+// fits reports whether a request fits on an engine, and the share of memory
+// that would be free at the peak.
+func (l *Ledger) fits(e *endpoint, w *waiting) (free float64, ok bool) {
 	l.tried++
 	if len(e.decodes) >= e.slots {
 		return 0, false
 	}
 	more := w.footprint()
-	left = l.freeShareWith(e, &more)
-	return left, left >= 0
+	free = l.freeShareWith(e, &more)
+	return free, free >= 0
 }
 
-// room is the share of an engine's memory that is left at the peak.
+// freeShare returns the share of an engine's memory that is free at the
+// predicted peak; 0 without a free slot.
 func (l *Ledger) freeShare(e *endpoint) float64 {
 	l.tried++
 	if len(e.decodes) >= e.slots {
@@ -134,8 +140,8 @@
 	return l.freeShareWith(e, nil)
 }
 
-// roomWith is that share with one more request if extra is set; that of its
-// places for an engine that does not tell its memory.
+// freeShareWith returns the free share with one more request if extra is set;
+// for an engine that reports no memory size, the share of free slots.
 func (l *Ledger) freeShareWith(e *endpoint, extra *footprint) float64 {
 	if e.memory <= 0 {
 		return 1 - float64(len(e.decodes))/float64(max(1, e.slots))
@@ -143,7 +149,7 @@
 	return 1 - l.peak(e, extra)/float64(e.memory)
 }
 
-// held is the memory that an engine's requests hold now, in tokens.
+// held returns the memory that an engine's requests hold now, in tokens.
 func (l *Ledger) held(e *endpoint) int {
 	sum := 0.0
 	for _, c := range l.footprintsOf(e) {
--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -1,8 +1,8 @@
-// Package kvsched is the scheduler of a pool whose decode engines are bound by
-// memory rather than by slots. A prefill is granted only together with the
-// decode engine's memory for prompt and expected output, so that no prompt is
-// read in vain; requests wait for memory as long as their callers do. It is
-// deterministic and implements sched.Scheduler. See docs/design/memory.md.
+// Package kvsched implements sched.Scheduler for a pool whose decode engines
+// are limited by memory rather than by slots. A prefill is granted only
+// together with memory for prompt and expected output on a decode engine, so
+// that no prefill is wasted; requests wait for memory as long as their callers
+// do. The scheduler is deterministic. See docs/design/memory.md.
 package kvsched
 
 import (
@@ -13,53 +13,54 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// Options are the tunables. A zero field takes its default.
+// Options configure a Ledger. A zero field takes its default.
 type Options struct {
-	// Pool that the scheduler decides for.
+	// Pool is the pool that is scheduled.
 	Pool id.Pool
-	// Self is the daemon that runs it.
+	// Self is the process that runs the scheduler.
 	Self id.Process
-	// FirstReservation is the number behind which grants are numbered.
+	// FirstReservation is the number after which reservations are numbered.
 	FirstReservation uint64
-	// Settle is the time after the start in which nothing is granted: the
-	// daemons tell a new owner what is in use.
+	// Settle is the time after the start in which nothing is granted: daemons
+	// report the grants in use to a new owner.
 	Settle time.Duration
 	// Horizon is how far ahead a prefill is granted, so that the next prompt is
-	// at the engine when it gets idle.
+	// at the engine when the engine becomes idle.
 	Horizon time.Duration
-	// OutputShare of the expected output is reckoned with.
+	// OutputShare is the share of the expected output that is reserved.
 	OutputShare float64
-	// MemoryShare of an engine's memory is given out.
+	// MemoryShare is the share of an engine's memory that is allocated.
 	MemoryShare float64
-	// LateRoom is the share of the pool's memory that must be free for a
-	// request that has missed its target: it must not displace one in time.
+	// LateFreeShare is the share of the pool's memory that must be free for a
+	// request that has missed its target: a late request must not displace one
+	// that can be in time.
 	LateFreeShare float64
-	// BypassAfter is how long the first in the queue may be passed by for lack
-	// of room for its size.
+	// BypassAfter is how long the first request in the queue may be bypassed
+	// while it fits on no engine.
 	BypassAfter time.Duration
-	// FullHold is how long an engine that refused for lack of room gets
-	// nothing new.
+	// FullHold is how long an engine that refused for lack of memory gets no
+	// new work.
 	FullHold time.Duration
-	// ExpiresIn is how long a grant holds until its first Progress.
+	// ExpiresIn is how long a grant is valid until its first Progress.
 	ExpiresIn time.Duration
-	// MaxQueue bounds the waiting requests.
+	// MaxQueue bounds the number of waiting requests.
 	MaxQueue int
-	// Remembered bounds the ended requests that are remembered, so that a late
-	// repeat of a Want isn't granted again.
+	// Remembered bounds the number of ended requests that are remembered, so
+	// that a late repeat of a Want is not granted again.
 	Remembered int
-	// Disabled mechanisms are switched off: for measurements.
+	// Disabled lists mechanisms to switch off for measurements.
 	Disabled []Mechanism
-	// Health may be nil: every endpoint is allowed.
+	// Health reports the allowed endpoints; nil allows every endpoint.
 	Health sched.HealthView
-	// Violation hears of broken invariants; may be nil.
+	// Violation is called for broken invariants; may be nil.
 	Violation func(name, detail string)
 }
 
 // Defaults of Options.
 const (
-	// DefaultSettle covers a heartbeat and the hand-over of grants.
+	// DefaultSettle covers a heartbeat and the adoption of grants.
 	DefaultSettle = 150 * time.Millisecond
-	// DefaultHorizon is about the time that one prompt takes.
+	// DefaultHorizon is about the prefill time of one prompt.
 	DefaultHorizon       = 60 * time.Millisecond
 	DefaultOutputShare   = 1.0
 	DefaultMemoryShare   = 0.96
--- a/core/kvsched/outputmean.go
+++ b/core/kvsched/outputmean.go
@@ -3,13 +3,14 @@
 import "math"
 
 const (
-	// guessTrust is the weight of a caller's guess against the average guess.
+	// guessWeight is the weight of a caller's guess of its output length
+	// against the mean guess.
 	guessWeight = 0.7
-	// guessMemory is the weight that the average guess gives to what came before.
+	// outputMeanDecay is the weight of earlier guesses in the mean.
 	outputMeanDecay = 0.99
 )
 
-// guesses averages the guessed lengths of answers, in tokens.
+// outputMean averages the guessed lengths of answers, in tokens.
 type outputMean struct{ sum, weight float64 }
 
 func (g *outputMean) add(output float64) {
@@ -17,10 +18,11 @@
 	g.weight = outputMeanDecay*g.weight + 1
 }
 
-// drawn draws a guess towards the average one. Guesses are often far off, and
-// engines get their memory over by those that were too low: at eight seeds of
-// the ledger's world 0.35 to 1.3 in 100 looks, 0.9 to 2.4 with guesses as they
-// come.
+// shrink moves a guess towards the mean (a weighted geometric mean of the two).
+// Single guesses are often far off, and low ones make engines exceed their
+// memory: in the simulation of TestLedgerAgainstSimulatedEngines, at eight
+// seeds, engines exceed it in 0.35% to 1.3% of the observations, and in 0.9% to
+// 2.4% with unshrunk guesses.
 func (g *outputMean) shrink(guess float64) float64 {
 	if g.weight == 0 {
 		return guess
--- a/core/kvsched/prefilled_test.go
+++ b/core/kvsched/prefilled_test.go
@@ -10,9 +10,9 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// TestPrefilledRequestWaitsForMemory replays what a lost engine leaves behind
-// in a burst: all others are full at that moment, and one has room a moment
-// later, before the KV cache is gone.
+// TestPrefilledRequestWaitsForMemory: an engine is lost in a burst while all
+// others are full, and one of them has enough memory shortly after, before the
+// KV cache of the prompt expires.
 func TestPrefilledRequestWaitsForMemory(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(2, 1, 10000))
@@ -24,7 +24,7 @@
 	is.Equal(len(l.Want(start, w)), 0)
 	is.Equal(len(grants(l.Want(start+50*time.Millisecond, want("new", 6000, 10)))), 0)
 	got := grants(l.Progress(start+200*time.Millisecond, done(running, sched.PhaseDone)))
-	is.Equal(len(got), 1) // before the new one, which waits as well
+	is.Equal(len(got), 1) // granted before the new request, which waits too
 	is.Equal(got[0].Request, id.Request("read"))
 	is.Equal(got[0].Prefill, id.Endpoint(""))
 }
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -36,7 +36,7 @@
 	return l.finish(nil)
 }
 
-// read notes that the prompt was read.
+// prefillDone records that the prefill is complete.
 func (l *Ledger) prefillDone(r *reservation) {
 	if r.prefill != nil {
 		r.prefill.endPrefill(l.now, r, true)
@@ -47,7 +47,8 @@
 	r.expires = max(r.expires, r.lifetime)
 }
 
-// moveTo follows a request that decodes at another engine than was granted.
+// moveDecode moves a reservation to the engine that decodes it, if that is not
+// the granted one.
 func (l *Ledger) moveDecode(r *reservation, p sched.Progress) {
 	e := l.endpoints[p.Endpoint]
 	if e == nil || e == r.decode {
@@ -60,8 +61,8 @@
 	l.scanDue = true
 }
 
-// end releases a request that has ended and takes what its end tells of an
-// endpoint.
+// endReservation releases the reservation of an ended request and updates the
+// estimates and the endpoint's state from the outcome.
 func (l *Ledger) endReservation(r *reservation, p sched.Progress) {
 	if p.Phase == sched.PhaseFailed {
 		l.markRefusal(p)
@@ -76,7 +77,7 @@
 	l.ended.Add(p.Request, nil)
 }
 
-// blame keeps work off an endpoint that refused.
+// markRefusal keeps new work off an endpoint that refused a request.
 func (l *Ledger) markRefusal(p sched.Progress) {
 	e := l.endpoints[p.Endpoint]
 	if e == nil {
--- a/core/kvsched/releaserate.go
+++ b/core/kvsched/releaserate.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// flowMemory is the time over which released memory is averaged.
+	// releaseRateWindow is the time over which released memory is averaged.
 	releaseRateWindow = 3 * time.Second
-	// leastRetryAfter and mostRetryAfter bound the advice to come back.
+	// minRetryAfter and maxRetryAfter bound the advised retry delay.
 	minRetryAfter = 300 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
 )
 
-// flow averages how much memory the pool's requests give back.
+// releaseRate averages how much memory the pool's completed requests release.
 type releaseRate struct {
 	tokens float64
 	at     time.Duration
 }
 
-// released takes memory that was given back, in tokens.
+// add counts released memory, in tokens.
 func (f *releaseRate) add(now time.Duration, tokens int) {
 	f.decay(now)
 	f.tokens += float64(tokens)
@@ -28,8 +28,8 @@
 	f.at = now
 }
 
-// comeBack advises when to come back, by the time that the backlog (in tokens)
-// takes to be served.
+// retryAfter advises a retry delay: the time it takes to serve the backlog,
+// which is in tokens.
 func (f *releaseRate) retryAfter(now time.Duration, backlog int) time.Duration {
 	f.decay(now)
 	if f.tokens <= 0 {
--- a/core/kvsched/restart_test.go
+++ b/core/kvsched/restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// restarted is the document with one engine's later start in place of the
-// former one.
+// restarted returns the document with one engine replaced by its incarnation
+// that started at the given time.
 func restarted(doc *live.Document, which int, born int64) *live.Document {
 	out := *doc
 	out.Endpoints = append([]live.Endpoint(nil), doc.Endpoints...)
@@ -20,9 +20,9 @@
 	return &out
 }
 
-// TestRestartedEngineHoldsNothing of what was granted at its former start:
-// neither memory nor places in its batch, and the end of that work frees
-// nothing of its own.
+// TestRestartedEngineHoldsNothing: a new incarnation of an engine holds neither
+// memory nor batch slots of the former one's grants, and the end of the former
+// work frees nothing on the new one.
 func TestRestartedEngineHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	before := restarted(document(4, 1, 10000), 4, 100)
@@ -35,11 +35,11 @@
 	is.Equal(len(second), 1)
 	is.Equal(second[0].Decode, registry.Incarnation("engine", 200))
 	is.Equal(len(grants(l.Progress(now, done(first[0], sched.PhaseDone)))), 0)
-	is.Equal(len(grants(l.Want(now, want("c", 6000, 1000)))), 0) // b holds its memory
+	is.Equal(len(grants(l.Want(now, want("c", 6000, 1000)))), 0) // b holds the memory
 }
 
-// TestRestartedEngineStartsWithFreshState: its queue of prefills, its
-// rate, its refusals and its silence.
+// TestRestartedEngineStartsWithFreshState: the prefill queue, rate, refusals
+// and unreachability of the former incarnation do not carry over.
 func TestRestartedEngineStartsWithFreshState(t *testing.T) {
 	is := is.New(t)
 	before := restarted(document(1, 2, 100000), 0, 100)
@@ -57,13 +57,13 @@
 	is.True(present.available(now))
 	is.Equal(present.prefillRate.perSecond(), initialPrefillRate)
 	is.Equal(len(present.prefills), 0)
-	// What is still told of the former start concerns nobody.
+	// Late reports about the former incarnation have no effect.
 	l.Load(now, sched.Load{Endpoint: former.name})
 	is.True(present.available(now))
 }
 
-// TestWorkOfFormerIncarnationIsNotAdopted by a new owner: it ended with its
-// process.
+// TestWorkOfFormerIncarnationIsNotAdopted: work at a former incarnation of an
+// engine ended with its process, so a new owner does not adopt it.
 func TestWorkOfFormerIncarnationIsNotAdopted(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, restarted(document(1, 1, 10000), 1, 200))
--- a/core/kvsched/scan.go
+++ b/core/kvsched/scan.go
@@ -2,38 +2,40 @@
 
 import "slices"
 
-// look is what one look at the queue has found so far. Within it room only
-// shrinks: a request at least as large as one that fits nowhere fits nowhere.
+// queueScan holds the results of one scan of the queue. Free memory only
+// shrinks during a scan, so a request at least as large as one that fits on no
+// engine does not fit either.
 type queueScan struct {
-	// queue is the queue at the begin of the look.
+	// queue is the queue at the start of the scan.
 	queue []*waiting
-	// tooLarge are the smallest claims that fit on no engine.
+	// tooLarge are the smallest footprints that fit on no engine.
 	tooLarge []footprint
-	// byRoom are the engines that write, once they were put in order.
+	// byFreeShare caches the decoding engines sorted by free memory; empty
+	// until computed.
 	byFreeShare []*endpoint
 }
 
-// begin starts a look.
+// begin starts a scan.
 func (k *queueScan) begin(queue []*waiting) {
 	k.queue = append(k.queue[:0], queue...)
 	k.tooLarge = k.tooLarge[:0]
 	k.byFreeShare = k.byFreeShare[:0]
 }
 
-// fitsNowhere says whether a claim is known to fit on no engine.
+// fitsNowhere reports whether a footprint is known to fit on no engine.
 func (k *queueScan) fitsNowhere(c footprint) bool {
 	return slices.ContainsFunc(k.tooLarge, func(x footprint) bool { return x.held <= c.held && x.remaining <= c.remaining })
 }
 
-// noRoom notes a claim that fits on no engine.
+// addTooLarge records a footprint that fits on no engine.
 func (k *queueScan) addTooLarge(c footprint) {
 	k.tooLarge = slices.DeleteFunc(k.tooLarge, func(x footprint) bool { return c.held <= x.held && c.remaining <= x.remaining })
 	k.tooLarge = append(k.tooLarge, c)
 }
 
-// firstDecode is chooseDecode for a request whose prefill engine is not chosen
-// yet. What a look has found out for others saves the trying: a burst leaves
-// hundreds of requests waiting that fit nowhere.
+// chooseInitialDecode is chooseDecode for a request whose prefill engine is not
+// chosen yet. Reusing the results for earlier requests of the scan saves
+// evaluations: after a burst, hundreds of waiting requests fit on no engine.
 func (l *Ledger) chooseInitialDecode(w *waiting) (*endpoint, string) {
 	c := w.footprint()
 	if len(w.want.Avoid) == 0 && l.scan.fitsNowhere(c) {
--- a/core/kvsched/scan_test.go
+++ b/core/kvsched/scan_test.go
@@ -15,14 +15,15 @@
 	queuedRequests = 400
 )
 
-// crowd is a full pool before which a crowd waits, of all sizes.
+// fullPool returns the ledger of a full pool with a queue of requests of many
+// sizes, and one of the running grants.
 func fullPool(t *testing.T) (l *Ledger, running *sched.Grant) {
 	t.Helper()
 	l = newLedger(t, document(22, decodeEngines, 10000))
 	for i := range decodeEngines {
 		g := grants(l.Want(start, want(fmt.Sprint("running-", i), 9000, 10)))
 		if len(g) == 0 {
-			t.Fatal("an idle pool has no engine for a request")
+			t.Fatal("no grant on an idle pool")
 		}
 		running = g[0]
 		l.Progress(start, done(running, sched.PhaseTransferring))
@@ -34,9 +35,9 @@
 	return l, running
 }
 
-// TestScanOfLongQueueTriesFewEngines: a pool's owner that tried every engine
-// for every waiting request at every event spent .18 of a core on 96 requests a
-// second, on a host of .192.
+// TestScanOfLongQueueTriesFewEngines: an owner that evaluated every engine for
+// every waiting request at every event used 0.18 of a core at 96 requests a
+// second, on a host with a quota of 0.192 of a core.
 func TestScanOfLongQueueTriesFewEngines(t *testing.T) {
 	is := is.New(t)
 	l, _ := fullPool(t)
@@ -47,8 +48,8 @@
 	is.Equal(len(l.queue), queuedRequests)
 }
 
-// TestEventsThatFreeNothingCauseNoScan: a repeated want and the begin of a
-// prefill let nobody be granted; the end of an answer does.
+// TestEventsThatFreeNothingCauseNoScan: a repeated want and the start of a
+// prefill let no request be granted; the end of an answer does.
 func TestEventsThatFreeNothingCauseNoScan(t *testing.T) {
 	is := is.New(t)
 	l, running := fullPool(t)
--- a/core/kvsched/servicerate.go
+++ b/core/kvsched/servicerate.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// drainMemory is the time over which the queue's rate of service is averaged.
+	// serviceRateWindow is the time over which the service rate of the queue is
+	// averaged.
 	serviceRateWindow = time.Second
-	// drainLeast is how long the queue must have been served without a break
-	// before the rate is believed.
+	// minServiceRatePeriod is how long the queue must have been non-empty
+	// without interruption before the measured rate is used.
 	minServiceRatePeriod = 300 * time.Millisecond
 )
 
-// drain measures how fast the queue is served while somebody waits: all that
-// binds, memory, places or prefill, shows in it.
+// serviceRate measures how fast the queue is served while requests wait. The
+// rate reflects whichever resource is the bottleneck: memory, slots or prefill.
 type serviceRate struct {
-	// tokens were granted within busy time, both fading.
+	// tokens were granted within the busy time; both decay.
 	tokens float64
 	busy   time.Duration
-	// since is when the present time of waiting began, at when it was counted.
+	// since is when the queue last became non-empty; at is when the time was
+	// last counted.
 	since, at time.Duration
 	waiting   bool
 }
 
-// look counts the time up to now; waiting says whether somebody waits from now on.
+// observe counts the time up to now; waiting reports whether any request waits
+// from now on.
 func (d *serviceRate) observe(now time.Duration, waiting bool) {
 	if d.waiting {
 		passed := now - d.at
@@ -37,11 +40,11 @@
 	d.at = now
 }
 
-// granted counts the memory of a request that waited.
+// granted counts the memory of a granted request that had waited, in tokens.
 func (d *serviceRate) granted(tokens int) { d.tokens += float64(tokens) }
 
-// wait predicts how long a queue of so many tokens takes; ok is false where too
-// little was seen.
+// predictWait predicts how long it takes to serve a queue of the given size in
+// tokens; ok is false if the queue was not observed long enough.
 func (d *serviceRate) predictWait(now time.Duration, tokens int) (predictWait time.Duration, ok bool) {
 	if !d.waiting || now-d.since < minServiceRatePeriod || d.tokens <= 0 {
 		return 0, false
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -14,7 +14,7 @@
 	return l.finish(l.answerOrQueue(w))
 }
 
-// take queues a Want or answers it at once.
+// answerOrQueue answers a Want at once or queues it.
 func (l *Ledger) answerOrQueue(w sched.Want) []sched.Action {
 	if r := l.granted[w.Request]; r != nil {
 		grant := r.grant
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// enqueue lets a request wait.
+// enqueue adds a request to the queue.
 func (l *Ledger) enqueue(w *waiting) {
 	l.queue = append(l.queue, w)
 	l.waiting[w.want.Request] = w
@@ -76,7 +76,7 @@
 	return otherwise
 }
 
-// output is the expected length of the answer, in tokens.
+// expectedOutput returns the expected length of the answer, in tokens.
 func (l *Ledger) expectedOutput(w *sched.Want) float64 {
 	guess := float64(max(1, w.OutputTokens))
 	if l.enabled(GuessShrink) {
@@ -85,12 +85,13 @@
 	return l.options.OutputShare * guess
 }
 
-// size is the memory that a request holds at its end, in tokens.
+// finalTokens returns the memory that a request holds at its end, in tokens.
 func (l *Ledger) finalTokens(w *sched.Want) int {
 	return roundUpToBlocks(max(1, w.PromptTokens)) + roundUpToBlocks(int(l.expectedOutput(w)))
 }
 
-// admit refuses what can't be served; nil lets the request wait.
+// admit refuses a request that cannot be served; nil means that the request may
+// wait.
 func (l *Ledger) admit(w *waiting) []sched.Action {
 	largest := 0
 	for _, e := range l.order {
@@ -108,10 +109,10 @@
 	}
 }
 
-// takePrefilled grants a decode engine to a request whose prompt was read. Where
-// none has room it waits before all others, as long as its KV cache lives: where
-// engines are lost in a burst, no other one may have room at that moment, and the
-// prompt would have been read in vain.
+// grantOrQueuePrefilled grants a decode engine to an already prefilled request.
+// If none has enough memory, the request waits at the head of the queue until
+// its KV cache expires: when engines are lost in a burst, no other engine may
+// have free memory at that moment, and the prefill would be wasted.
 func (l *Ledger) grantOrQueuePrefilled(w *waiting) []sched.Action {
 	decode, cause := l.chooseDecode(w, nil)
 	if decode != nil && l.now >= l.settled {
@@ -125,7 +126,8 @@
 	return nil
 }
 
-// backlog is the memory that the queue wants beyond what is free, in tokens.
+// backlog returns the memory that the queue needs beyond the free memory, in
+// tokens.
 func (l *Ledger) backlog() int {
 	wanted := 0
 	for _, w := range l.queue {
@@ -139,14 +141,14 @@
 	return max(0, wanted)
 }
 
-// refuse answers a Want with a refusal and remembers it.
-func (l *Ledger) refuse(w sched.Want, code verdict.Code, after time.Duration, why string) []sched.Action {
-	refusal := &sched.Refusal{Request: w.Request, Code: code, RetryAfter: after, Reason: why}
+// refuse answers a Want with a refusal and stores it for repeated Wants.
+func (l *Ledger) refuse(w sched.Want, code verdict.Code, after time.Duration, reason string) []sched.Action {
+	refusal := &sched.Refusal{Request: w.Request, Code: code, RetryAfter: after, Reason: reason}
 	l.ended.Add(w.Request, refusal)
 	return []sched.Action{{To: w.From, Refusal: refusal}}
 }
 
-// refuseHopeless refuses those whose patience has run out.
+// refuseExpired refuses the requests whose patience has expired.
 func (l *Ledger) refuseExpired(actions []sched.Action) []sched.Action {
 	kept := l.queue[:0]
 	for _, w := range l.queue {
