--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -77,19 +77,19 @@
 // prefillEngine reads prompts.
 type prefillEngine struct {
 	w     *world
-	reads reader
+	queue reader
 }
 
 func newPrefillEngine(w *world) *prefillEngine {
 	p := &prefillEngine{w: w}
-	p.reads = reader{w: w, speed: 1, ends: p.end}
+	p.queue = reader{w: w, speed: 1, ends: p.end}
 	return p
 }
 
 func (p *prefillEngine) read(r *run) {
 	p.w.progress(r, sched.PhasePrefilling)
-	p.reads.add(r)
-	p.w.at(p.w.now+hop, p.reads.next)
+	p.queue.add(r)
+	p.w.at(p.w.now+hop, p.queue.next)
 }
 
 // end hands on a prompt that was read.
@@ -102,8 +102,8 @@
 
 // drop ends the reading of a prompt, or its wait.
 func (p *prefillEngine) drop(r *run) {
-	p.reads.drop(r)
-	p.reads.next()
+	p.queue.drop(r)
+	p.queue.next()
 }
 
 // decodeEngine writes answers, all at one pace that falls with their number.
