--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -114,15 +114,15 @@
 	settled time.Duration
 	// reads are the prompts that the engine reads itself; readUntil is when the
 	// first of them is read.
-	reads     reader
-	readUntil time.Duration
+	localPrefills reader
+	readUntil     time.Duration
 	// round numbers the changes: an event of an earlier one is stale.
 	round int
 }
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.reads = reader{w: w, speed: wholeSpeed, begins: e.readBegins, ends: func(job *read) { e.begin(job.run) }}
+	e.localPrefills = reader{w: w, speed: wholeSpeed, begins: e.readBegins, ends: func(job *read) { e.begin(job.run) }}
 	return e
 }
 
@@ -137,8 +137,8 @@
 
 // read has the engine read a prompt itself: its other runs stand still.
 func (e *decodeEngine) read(r *run) {
-	e.reads.add(r)
-	e.reads.next()
+	e.localPrefills.add(r)
+	e.localPrefills.next()
 }
 
 // readBegins has the other runs stand still.
@@ -263,9 +263,9 @@
 	e.settle()
 	e.runs = slices.DeleteFunc(e.runs, func(x *run) bool { return x == r })
 	r.caller.run = nil
-	if e.reads.drop(r) {
+	if e.localPrefills.drop(r) {
 		e.readUntil = e.w.now
 	}
 	e.plan()
-	e.reads.next()
+	e.localPrefills.next()
 }
