--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -114,8 +114,8 @@
 	settled time.Duration
 	// reads are the prompts that the engine reads itself; readUntil is when the
 	// first of them is read.
-	localPrefills reader
-	readUntil     time.Duration
+	localPrefills     reader
+	localPrefillUntil time.Duration
 	// round numbers the changes: an event of an earlier one is stale.
 	round int
 }
@@ -144,7 +144,7 @@
 // readBegins has the other runs stand still.
 func (e *decodeEngine) readBegins(takes time.Duration) {
 	e.settle()
-	e.readUntil = e.w.now + takes
+	e.localPrefillUntil = e.w.now + takes
 	for _, other := range e.runs {
 		e.stall(other, takes)
 	}
@@ -191,7 +191,7 @@
 
 // settle counts the tokens up to now.
 func (e *decodeEngine) settle() {
-	from := max(e.settled, min(e.readUntil, e.w.now))
+	from := max(e.settled, min(e.localPrefillUntil, e.w.now))
 	e.settled = e.w.now
 	if e.w.now <= from {
 		return
@@ -214,7 +214,7 @@
 	}
 	// Below the end by a little: the memory is looked at four times a second.
 	tokens := max(1, min(least, e.pace()/4))
-	from := max(e.w.now, e.readUntil)
+	from := max(e.w.now, e.localPrefillUntil)
 	round := e.round
 	e.w.at(from+time.Duration(tokens/e.pace()*float64(time.Second)), func() {
 		if e.round == round {
@@ -264,7 +264,7 @@
 	e.runs = slices.DeleteFunc(e.runs, func(x *run) bool { return x == r })
 	r.caller.run = nil
 	if e.localPrefills.drop(r) {
-		e.readUntil = e.w.now
+		e.localPrefillUntil = e.w.now
 	}
 	e.plan()
 	e.localPrefills.next()
