--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -122,7 +122,7 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = reader{w: w, speed: wholeSpeed, begins: e.readBegins, ends: func(job *read) { e.begin(job.run) }}
+	e.localPrefills = reader{w: w, speed: wholeSpeed, begins: e.localPrefillStarted, ends: func(job *read) { e.begin(job.run) }}
 	return e
 }
 
@@ -142,7 +142,7 @@
 }
 
 // readBegins has the other runs stand still.
-func (e *decodeEngine) readBegins(takes time.Duration) {
+func (e *decodeEngine) localPrefillStarted(takes time.Duration) {
 	e.settle()
 	e.localPrefillUntil = e.w.now + takes
 	for _, other := range e.runs {
