--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -136,7 +136,7 @@
 }
 
 // read has the engine read a prompt itself: its other runs stand still.
-func (e *decodeEngine) read(r *run) {
+func (e *decodeEngine) prefillLocally(r *run) {
 	e.localPrefills.add(r)
 	e.localPrefills.next()
 }
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -223,7 +223,7 @@
 	r := &run{caller: c, grant: g, engine: w.decodes[g.Decode]}
 	c.run = r
 	if g.Prefill == "" {
-		r.engine.read(r)
+		r.engine.prefillLocally(r)
 		return
 	}
 	if g.StartIn > 0 {
