--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -86,7 +86,7 @@
 	return p
 }
 
-func (p *prefillEngine) read(r *run) {
+func (p *prefillEngine) prefill(r *run) {
 	p.w.progress(r, sched.PhasePrefilling)
 	p.queue.add(r)
 	p.w.at(p.w.now+hop, p.queue.next)
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -227,10 +227,10 @@
 		return
 	}
 	if g.StartIn > 0 {
-		w.at(w.now+g.StartIn, func() { w.prefills[g.Prefill].read(r) })
+		w.at(w.now+g.StartIn, func() { w.prefills[g.Prefill].prefill(r) })
 		return
 	}
-	w.prefills[g.Prefill].read(r)
+	w.prefills[g.Prefill].prefill(r)
 }
 
 // slowDown changes the speed of all engines.
