--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -111,7 +111,7 @@
 	w    *world
 	runs []*run
 	// settled is up to when the runs' tokens are counted.
-	settled time.Duration
+	countedUntil time.Duration
 	// reads are the prompts that the engine reads itself; readUntil is when the
 	// first of them is read.
 	localPrefills     reader
@@ -191,8 +191,8 @@
 
 // settle counts the tokens up to now.
 func (e *decodeEngine) settle() {
-	from := max(e.settled, min(e.localPrefillUntil, e.w.now))
-	e.settled = e.w.now
+	from := max(e.countedUntil, min(e.localPrefillUntil, e.w.now))
+	e.countedUntil = e.w.now
 	if e.w.now <= from {
 		return
 	}
