--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -143,7 +143,7 @@
 
 // readBegins has the other runs stand still.
 func (e *decodeEngine) localPrefillStarted(takes time.Duration) {
-	e.settle()
+	e.countTokens()
 	e.localPrefillUntil = e.w.now + takes
 	for _, other := range e.runs {
 		e.stall(other, takes)
@@ -166,7 +166,7 @@
 	if r.caller.run != r || r.caller.outcome != unserved {
 		return
 	}
-	e.settle()
+	e.countTokens()
 	if len(e.runs) >= w.Engines.Batch || e.held()+float64(r.caller.prompt) > float64(w.Engines.Memory) {
 		w.vain += r.caller.prompt
 		r.caller.run = nil
@@ -190,7 +190,7 @@
 }
 
 // settle counts the tokens up to now.
-func (e *decodeEngine) settle() {
+func (e *decodeEngine) countTokens() {
 	from := max(e.countedUntil, min(e.localPrefillUntil, e.w.now))
 	e.countedUntil = e.w.now
 	if e.w.now <= from {
@@ -225,7 +225,7 @@
 
 // look ends the runs that are complete, and preempts while memory is short.
 func (e *decodeEngine) look() {
-	e.settle()
+	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
 		if r.written < float64(r.caller.output)-0.5 {
 			return false
@@ -251,7 +251,7 @@
 	takes := w.readingTime(tokens, wholeSpeed)
 	w.at(w.now+takes, func() {
 		if last.caller.run == last {
-			e.settle()
+			e.countTokens()
 			e.runs = append(e.runs, last)
 			e.look()
 		}
@@ -260,7 +260,7 @@
 
 // drop ends a run whose caller has gone.
 func (e *decodeEngine) drop(r *run) {
-	e.settle()
+	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(x *run) bool { return x == r })
 	r.caller.run = nil
 	if e.localPrefills.drop(r) {
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -236,7 +236,7 @@
 // slowDown changes the speed of all engines.
 func (w *world) slowDown(factor float64) {
 	for _, e := range w.decodes {
-		e.settle()
+		e.countTokens()
 	}
 	w.slow = factor
 	for _, e := range w.decodes {
