--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -130,7 +130,7 @@
 const wholeSpeed = 0.5
 
 // pace is the tokens a second of each run.
-func (e *decodeEngine) pace() float64 {
+func (e *decodeEngine) decodeRate() float64 {
 	step := e.w.Engines.Step + time.Duration(len(e.runs))*e.w.Engines.StepEach
 	return float64(time.Second) / (e.w.slow * float64(step))
 }
@@ -196,7 +196,7 @@
 	if e.w.now <= from {
 		return
 	}
-	tokens := (e.w.now - from).Seconds() * e.pace()
+	tokens := (e.w.now - from).Seconds() * e.decodeRate()
 	for _, r := range e.runs {
 		r.written += tokens
 	}
@@ -213,10 +213,10 @@
 		least = min(least, float64(r.caller.output)-r.written)
 	}
 	// Below the end by a little: the memory is looked at four times a second.
-	tokens := max(1, min(least, e.pace()/4))
+	tokens := max(1, min(least, e.decodeRate()/4))
 	from := max(e.w.now, e.localPrefillUntil)
 	round := e.round
-	e.w.at(from+time.Duration(tokens/e.pace()*float64(time.Second)), func() {
+	e.w.at(from+time.Duration(tokens/e.decodeRate()*float64(time.Second)), func() {
 		if e.round == round {
 			e.look()
 		}
