--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -97,7 +97,7 @@
 	w, r := p.w, job.run
 	w.report(r, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: w.now - job.sent})
 	r.transfer = time.Duration(w.slow * float64(w.Engines.Transfer))
-	w.at(w.now+r.transfer, func() { r.engine.begin(r) })
+	w.at(w.now+r.transfer, func() { r.engine.start(r) })
 }
 
 // drop ends the reading of a prompt, or its wait.
@@ -122,7 +122,7 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = reader{w: w, speed: wholeSpeed, begins: e.localPrefillStarted, ends: func(job *read) { e.begin(job.run) }}
+	e.localPrefills = reader{w: w, speed: wholeSpeed, begins: e.localPrefillStarted, ends: func(job *read) { e.start(job.run) }}
 	return e
 }
 
@@ -161,7 +161,7 @@
 }
 
 // begin starts a run whose prompt was read, if the engine has room.
-func (e *decodeEngine) begin(r *run) {
+func (e *decodeEngine) start(r *run) {
 	w := e.w
 	if r.caller.run != r || r.caller.outcome != unserved {
 		return
