--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -218,13 +218,13 @@
 	round := e.round
 	e.w.at(from+time.Duration(tokens/e.decodeRate()*float64(time.Second)), func() {
 		if e.round == round {
-			e.look()
+			e.completeAndPreempt()
 		}
 	})
 }
 
 // look ends the runs that are complete, and preempts while memory is short.
-func (e *decodeEngine) look() {
+func (e *decodeEngine) completeAndPreempt() {
 	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
 		if r.written < float64(r.caller.output)-0.5 {
@@ -253,7 +253,7 @@
 		if last.caller.run == last {
 			e.countTokens()
 			e.runs = append(e.runs, last)
-			e.look()
+			e.completeAndPreempt()
 		}
 	})
 }
