--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -148,7 +148,7 @@
 	for _, other := range e.runs {
 		e.stall(other, takes)
 	}
-	e.plan()
+	e.scheduleNext()
 }
 
 // stall has a run stand still; it is late if that is longer than its caller
@@ -178,7 +178,7 @@
 	e.runs = append(e.runs, r)
 	w.first(r.caller)
 	w.report(r, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: r.transfer})
-	e.plan()
+	e.scheduleNext()
 }
 
 func (e *decodeEngine) held() float64 {
@@ -203,7 +203,7 @@
 }
 
 // plan predicts the next end, or the moment at which the memory is full.
-func (e *decodeEngine) plan() {
+func (e *decodeEngine) scheduleNext() {
 	e.round++
 	if len(e.runs) == 0 {
 		return
@@ -236,7 +236,7 @@
 	for len(e.runs) > 1 && e.held() > float64(e.w.Engines.Memory) {
 		e.preempt()
 	}
-	e.plan()
+	e.scheduleNext()
 }
 
 // preempt reads the newest run in again, which stalls all others.
@@ -266,6 +266,6 @@
 	if e.localPrefills.drop(r) {
 		e.localPrefillUntil = e.w.now
 	}
-	e.plan()
+	e.scheduleNext()
 	e.localPrefills.next()
 }
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -240,7 +240,7 @@
 	}
 	w.slow = factor
 	for _, e := range w.decodes {
-		e.plan()
+		e.scheduleNext()
 	}
 }
 
