--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -117,7 +117,7 @@
 	localPrefills     reader
 	localPrefillUntil time.Duration
 	// round numbers the changes: an event of an earlier one is stale.
-	round int
+	planVersion int
 }
 
 func newDecodeEngine(w *world) *decodeEngine {
@@ -204,7 +204,7 @@
 
 // plan predicts the next end, or the moment at which the memory is full.
 func (e *decodeEngine) scheduleNext() {
-	e.round++
+	e.planVersion++
 	if len(e.runs) == 0 {
 		return
 	}
@@ -215,9 +215,9 @@
 	// Below the end by a little: the memory is looked at four times a second.
 	tokens := max(1, min(least, e.decodeRate()/4))
 	from := max(e.w.now, e.localPrefillUntil)
-	round := e.round
+	round := e.planVersion
 	e.w.at(from+time.Duration(tokens/e.decodeRate()*float64(time.Second)), func() {
-		if e.round == round {
+		if e.planVersion == round {
 			e.completeAndPreempt()
 		}
 	})
