--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -122,12 +122,12 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = reader{w: w, speed: wholeSpeed, begins: e.localPrefillStarted, ends: func(job *read) { e.start(job.run) }}
+	e.localPrefills = reader{w: w, speed: localPrefillSpeed, begins: e.localPrefillStarted, ends: func(job *read) { e.start(job.run) }}
 	return e
 }
 
 // wholeSpeed is the share of the prefill rate at which a decode engine reads.
-const wholeSpeed = 0.5
+const localPrefillSpeed = 0.5
 
 // pace is the tokens a second of each run.
 func (e *decodeEngine) decodeRate() float64 {
@@ -248,7 +248,7 @@
 	tokens := last.caller.prompt + int(last.written)
 	w.vain += tokens
 	e.stall(last, w.Callers.Pause+1)
-	takes := w.readingTime(tokens, wholeSpeed)
+	takes := w.readingTime(tokens, localPrefillSpeed)
 	w.at(w.now+takes, func() {
 		if last.caller.run == last {
 			e.countTokens()
