--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -28,8 +28,8 @@
 	queue []*read
 	// begins, if set, is told how long a prompt takes when its reading begins; ends
 	// takes one that was read.
-	begins func(takes time.Duration)
-	ends   func(job *read)
+	onStart func(takes time.Duration)
+	ends    func(job *read)
 }
 
 // read is a prompt that waits or is being read.
@@ -51,8 +51,8 @@
 	job := q.queue[0]
 	job.begun = true
 	takes := q.w.readingTime(job.run.caller.prompt, q.speed)
-	if q.begins != nil {
-		q.begins(takes)
+	if q.onStart != nil {
+		q.onStart(takes)
 	}
 	q.w.at(q.w.now+takes, func() { q.end(job) })
 }
@@ -122,7 +122,7 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = reader{w: w, speed: localPrefillSpeed, begins: e.localPrefillStarted, ends: func(job *read) { e.start(job.run) }}
+	e.localPrefills = reader{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, ends: func(job *read) { e.start(job.run) }}
 	return e
 }
 
