--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -29,7 +29,7 @@
 	// begins, if set, is told how long a prompt takes when its reading begins; ends
 	// takes one that was read.
 	onStart func(takes time.Duration)
-	ends    func(job *read)
+	onEnd   func(job *read)
 }
 
 // read is a prompt that waits or is being read.
@@ -63,7 +63,7 @@
 		return
 	}
 	q.queue = q.queue[1:]
-	q.ends(job)
+	q.onEnd(job)
 	q.next()
 }
 
@@ -82,7 +82,7 @@
 
 func newPrefillEngine(w *world) *prefillEngine {
 	p := &prefillEngine{w: w}
-	p.queue = reader{w: w, speed: 1, ends: p.end}
+	p.queue = reader{w: w, speed: 1, onEnd: p.end}
 	return p
 }
 
@@ -122,7 +122,7 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = reader{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, ends: func(job *read) { e.start(job.run) }}
+	e.localPrefills = reader{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *read) { e.start(job.run) }}
 	return e
 }
 
