--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -44,7 +44,7 @@
 func (q *reader) add(r *run) { q.queue = append(q.queue, &read{run: r, sent: q.w.now}) }
 
 // next begins with the first prompt of the queue, unless it is being read.
-func (q *reader) next() {
+func (q *reader) startNext() {
 	if len(q.queue) == 0 || q.queue[0].begun {
 		return
 	}
@@ -64,7 +64,7 @@
 	}
 	q.queue = q.queue[1:]
 	q.onEnd(job)
-	q.next()
+	q.startNext()
 }
 
 // drop takes a prompt out; reading says that the engine was at it.
@@ -89,7 +89,7 @@
 func (p *prefillEngine) prefill(r *run) {
 	p.w.progress(r, sched.PhasePrefilling)
 	p.queue.add(r)
-	p.w.at(p.w.now+hop, p.queue.next)
+	p.w.at(p.w.now+hop, p.queue.startNext)
 }
 
 // end hands on a prompt that was read.
@@ -103,7 +103,7 @@
 // drop ends the reading of a prompt, or its wait.
 func (p *prefillEngine) drop(r *run) {
 	p.queue.drop(r)
-	p.queue.next()
+	p.queue.startNext()
 }
 
 // decodeEngine writes answers, all at one pace that falls with their number.
@@ -138,7 +138,7 @@
 // read has the engine read a prompt itself: its other runs stand still.
 func (e *decodeEngine) prefillLocally(r *run) {
 	e.localPrefills.add(r)
-	e.localPrefills.next()
+	e.localPrefills.startNext()
 }
 
 // readBegins has the other runs stand still.
@@ -267,5 +267,5 @@
 		e.localPrefillUntil = e.w.now
 	}
 	e.scheduleNext()
-	e.localPrefills.next()
+	e.localPrefills.startNext()
 }
