--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -21,7 +21,7 @@
 
 // reader reads prompts one after another, for an engine of either kind. One whose
 // caller has gone is dropped, while it is read too.
-type reader struct {
+type prefillQueue struct {
 	w *world
 	// speed is the share of the prefill rate at which it reads.
 	speed float64
@@ -41,10 +41,10 @@
 }
 
 // add has a prompt wait; next begins with it.
-func (q *reader) add(r *run) { q.queue = append(q.queue, &read{run: r, sent: q.w.now}) }
+func (q *prefillQueue) add(r *run) { q.queue = append(q.queue, &read{run: r, sent: q.w.now}) }
 
 // next begins with the first prompt of the queue, unless it is being read.
-func (q *reader) startNext() {
+func (q *prefillQueue) startNext() {
 	if len(q.queue) == 0 || q.queue[0].begun {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // end hands on a prompt that was read, if it was not dropped.
-func (q *reader) end(job *read) {
+func (q *prefillQueue) end(job *read) {
 	if len(q.queue) == 0 || q.queue[0] != job {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // drop takes a prompt out; reading says that the engine was at it.
-func (q *reader) drop(r *run) (reading bool) {
+func (q *prefillQueue) drop(r *run) (reading bool) {
 	reading = len(q.queue) > 0 && q.queue[0].run == r
 	q.queue = slices.DeleteFunc(q.queue, func(job *read) bool { return job.run == r })
 	return reading
@@ -77,12 +77,12 @@
 // prefillEngine reads prompts.
 type prefillEngine struct {
 	w     *world
-	queue reader
+	queue prefillQueue
 }
 
 func newPrefillEngine(w *world) *prefillEngine {
 	p := &prefillEngine{w: w}
-	p.queue = reader{w: w, speed: 1, onEnd: p.end}
+	p.queue = prefillQueue{w: w, speed: 1, onEnd: p.end}
 	return p
 }
 
@@ -114,7 +114,7 @@
 	countedUntil time.Duration
 	// reads are the prompts that the engine reads itself; readUntil is when the
 	// first of them is read.
-	localPrefills     reader
+	localPrefills     prefillQueue
 	localPrefillUntil time.Duration
 	// round numbers the changes: an event of an earlier one is stale.
 	planVersion int
@@ -122,7 +122,7 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = reader{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *read) { e.start(job.run) }}
+	e.localPrefills = prefillQueue{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *read) { e.start(job.run) }}
 	return e
 }
 
