--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -37,7 +37,7 @@
 	run  *run
 	sent time.Duration
 	// begun is set once the engine has begun.
-	begun bool
+	started bool
 }
 
 // add has a prompt wait; next begins with it.
@@ -45,11 +45,11 @@
 
 // next begins with the first prompt of the queue, unless it is being read.
 func (q *prefillQueue) startNext() {
-	if len(q.queue) == 0 || q.queue[0].begun {
+	if len(q.queue) == 0 || q.queue[0].started {
 		return
 	}
 	job := q.queue[0]
-	job.begun = true
+	job.started = true
 	takes := q.w.readingTime(job.run.caller.prompt, q.speed)
 	if q.onStart != nil {
 		q.onStart(takes)
