--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -15,7 +15,7 @@
 	// transfer is the time of its KV cache's way.
 	transfer time.Duration
 	// begun is set with the first event; written are the tokens so far.
-	begun   bool
+	started bool
 	written float64
 }
 
@@ -174,7 +174,7 @@
 		w.refused(&sched.Refusal{Request: r.grant.Request, RetryAfter: time.Second})
 		return
 	}
-	r.begun = true
+	r.started = true
 	e.runs = append(e.runs, r)
 	w.first(r.caller)
 	w.report(r, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: r.transfer})
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -189,7 +189,7 @@
 
 // leave ends a caller that has no first event yet.
 func (w *world) leave(c *caller, attempt id.Request) {
-	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.begun) {
+	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.started) {
 		return
 	}
 	c.outcome = left
