--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -15,8 +15,8 @@
 	// transfer is the time of its KV cache's way.
 	transfer time.Duration
 	// begun is set with the first event; written are the tokens so far.
-	started bool
-	written float64
+	started   bool
+	generated float64
 }
 
 // reader reads prompts one after another, for an engine of either kind. One whose
@@ -184,7 +184,7 @@
 func (e *decodeEngine) held() float64 {
 	sum := 0.0
 	for _, r := range e.runs {
-		sum += float64(r.caller.prompt) + r.written
+		sum += float64(r.caller.prompt) + r.generated
 	}
 	return sum
 }
@@ -198,7 +198,7 @@
 	}
 	tokens := (e.w.now - from).Seconds() * e.decodeRate()
 	for _, r := range e.runs {
-		r.written += tokens
+		r.generated += tokens
 	}
 }
 
@@ -208,9 +208,9 @@
 	if len(e.runs) == 0 {
 		return
 	}
-	least := float64(e.runs[0].caller.output) - e.runs[0].written
+	least := float64(e.runs[0].caller.output) - e.runs[0].generated
 	for _, r := range e.runs {
-		least = min(least, float64(r.caller.output)-r.written)
+		least = min(least, float64(r.caller.output)-r.generated)
 	}
 	// Below the end by a little: the memory is looked at four times a second.
 	tokens := max(1, min(least, e.decodeRate()/4))
@@ -227,7 +227,7 @@
 func (e *decodeEngine) completeAndPreempt() {
 	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
-		if r.written < float64(r.caller.output)-0.5 {
+		if r.generated < float64(r.caller.output)-0.5 {
 			return false
 		}
 		e.w.progress(r, sched.PhaseDone)
@@ -245,7 +245,7 @@
 	w.preempted++
 	last := e.runs[len(e.runs)-1]
 	e.runs = e.runs[:len(e.runs)-1]
-	tokens := last.caller.prompt + int(last.written)
+	tokens := last.caller.prompt + int(last.generated)
 	w.vain += tokens
 	e.stall(last, w.Callers.Pause+1)
 	takes := w.readingTime(tokens, localPrefillSpeed)
