--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -25,15 +25,15 @@
 	w *world
 	// speed is the share of the prefill rate at which it reads.
 	speed float64
-	queue []*read
+	queue []*prefillJob
 	// begins, if set, is told how long a prompt takes when its reading begins; ends
 	// takes one that was read.
 	onStart func(takes time.Duration)
-	onEnd   func(job *read)
+	onEnd   func(job *prefillJob)
 }
 
 // read is a prompt that waits or is being read.
-type read struct {
+type prefillJob struct {
 	run  *run
 	sent time.Duration
 	// begun is set once the engine has begun.
@@ -41,7 +41,7 @@
 }
 
 // add has a prompt wait; next begins with it.
-func (q *prefillQueue) add(r *run) { q.queue = append(q.queue, &read{run: r, sent: q.w.now}) }
+func (q *prefillQueue) add(r *run) { q.queue = append(q.queue, &prefillJob{run: r, sent: q.w.now}) }
 
 // next begins with the first prompt of the queue, unless it is being read.
 func (q *prefillQueue) startNext() {
@@ -58,7 +58,7 @@
 }
 
 // end hands on a prompt that was read, if it was not dropped.
-func (q *prefillQueue) end(job *read) {
+func (q *prefillQueue) end(job *prefillJob) {
 	if len(q.queue) == 0 || q.queue[0] != job {
 		return
 	}
@@ -70,7 +70,7 @@
 // drop takes a prompt out; reading says that the engine was at it.
 func (q *prefillQueue) drop(r *run) (reading bool) {
 	reading = len(q.queue) > 0 && q.queue[0].run == r
-	q.queue = slices.DeleteFunc(q.queue, func(job *read) bool { return job.run == r })
+	q.queue = slices.DeleteFunc(q.queue, func(job *prefillJob) bool { return job.run == r })
 	return reading
 }
 
@@ -93,7 +93,7 @@
 }
 
 // end hands on a prompt that was read.
-func (p *prefillEngine) end(job *read) {
+func (p *prefillEngine) end(job *prefillJob) {
 	w, r := p.w, job.run
 	w.report(r, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: w.now - job.sent})
 	r.transfer = time.Duration(w.slow * float64(w.Engines.Transfer))
@@ -122,7 +122,7 @@
 
 func newDecodeEngine(w *world) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.localPrefills = prefillQueue{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *read) { e.start(job.run) }}
+	e.localPrefills = prefillQueue{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *prefillJob) { e.start(job.run) }}
 	return e
 }
 
