--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -21,7 +21,7 @@
 }
 
 // counting is a scheduler that counts the engines that it tries.
-type counting interface{ Tried() uint64 }
+type evaluationCounter interface{ Tried() uint64 }
 
 // owner is the state of the pool's owner.
 type owner struct {
@@ -62,7 +62,7 @@
 }
 
 func (o *owner) tried() uint64 {
-	if c, ok := o.w.scheduler.(counting); ok {
+	if c, ok := o.w.scheduler.(evaluationCounter); ok {
 		return c.Tried()
 	}
 	return 0
