--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -32,7 +32,7 @@
 }
 
 // tell has the scheduler handle a message when its turn comes.
-func (o *owner) tell(handle func() []sched.Action) {
+func (o *owner) handle(handle func() []sched.Action) {
 	if o.w.Owner.Share == 0 {
 		o.w.take(handle())
 		return
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -147,7 +147,7 @@
 		if w.now > end {
 			return
 		}
-		w.owner.tell(func() []sched.Action { return w.scheduler.Tick(w.now) })
+		w.owner.handle(func() []sched.Action { return w.scheduler.Tick(w.now) })
 	}
 }
 
@@ -173,7 +173,7 @@
 func (w *world) send(c *caller, out pairing.Output) {
 	for _, m := range out.Messages {
 		if m.Want != nil {
-			w.owner.tell(func() []sched.Action { return w.scheduler.Want(w.now, *m.Want) })
+			w.owner.handle(func() []sched.Action { return w.scheduler.Want(w.now, *m.Want) })
 		}
 	}
 	for _, a := range out.Answers {
@@ -200,7 +200,7 @@
 		}
 		c.run.engine.drop(c.run)
 	}
-	w.owner.tell(func() []sched.Action { return w.scheduler.Withdraw(w.now, attempt) })
+	w.owner.handle(func() []sched.Action { return w.scheduler.Withdraw(w.now, attempt) })
 }
 
 // take carries out what the scheduler decided.
@@ -291,7 +291,7 @@
 	p.Request, p.Reservation, p.Endpoint = r.grant.Request, r.grant.Reservation, r.grant.Decode
 	p.PromptTokens, p.OutputTokens = r.caller.prompt, r.caller.output
 	w.at(w.now+hop, func() {
-		w.owner.tell(func() []sched.Action { return w.scheduler.Progress(w.now, p) })
+		w.owner.handle(func() []sched.Action { return w.scheduler.Progress(w.now, p) })
 	})
 }
 
