--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -15,7 +15,7 @@
 	Share float64
 	// Message is the processor time of one message, besides the engines that
 	// the scheduler tries for requests.
-	Message time.Duration
+	MessageCost time.Duration
 	// Try is the processor time of trying one engine for one request.
 	Try time.Duration
 }
@@ -54,7 +54,7 @@
 	o.mailbox = o.mailbox[1:]
 	before := o.tried()
 	actions := handle()
-	cost := o.w.Owner.Message + time.Duration(o.tried()-before)*o.w.Owner.Try
+	cost := o.w.Owner.MessageCost + time.Duration(o.tried()-before)*o.w.Owner.Try
 	o.w.at(o.w.now+time.Duration(float64(cost)/o.w.Owner.Share), func() {
 		o.w.take(actions)
 		o.handleNext()
