--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -17,7 +17,7 @@
 	// the scheduler tries for requests.
 	MessageCost time.Duration
 	// Try is the processor time of trying one engine for one request.
-	Try time.Duration
+	TryCost time.Duration
 }
 
 // counting is a scheduler that counts the engines that it tries.
@@ -54,7 +54,7 @@
 	o.mailbox = o.mailbox[1:]
 	before := o.tried()
 	actions := handle()
-	cost := o.w.Owner.MessageCost + time.Duration(o.tried()-before)*o.w.Owner.Try
+	cost := o.w.Owner.MessageCost + time.Duration(o.tried()-before)*o.w.Owner.TryCost
 	o.w.at(o.w.now+time.Duration(float64(cost)/o.w.Owner.Share), func() {
 		o.w.take(actions)
 		o.handleNext()
--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -47,7 +47,7 @@
 func TestAnOwnerOnASmallHostServesAsManyInTime(t *testing.T) {
 	r := fleet()
 	atOnce := r.Run(1)
-	r.Owner = Owner{Share: smallHost, MessageCost: oneMessage, Try: oneTry}
+	r.Owner = Owner{Share: smallHost, MessageCost: oneMessage, TryCost: oneTry}
 	small := r.Run(1)
 	t.Logf("of %d in time %d, on a small host %d; refused %d and %d", atOnce.Asked, atOnce.InTime, small.InTime,
 		atOnce.Refused, small.Refused)
