--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -6,7 +6,7 @@
 )
 
 // atOnce is how soon a refusal counts as one that came at once.
-const atOnce = 120 * time.Millisecond
+const atOnceLimit = 120 * time.Millisecond
 
 // outcome is what became of a caller's request.
 type outcome int
@@ -106,7 +106,7 @@
 	}
 	for _, wait := range w.refusalWaits {
 		r.Refusals++
-		if wait <= atOnce {
+		if wait <= atOnceLimit {
 			r.AtOnce++
 		}
 	}
