--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -110,12 +110,12 @@
 			r.AtOnce++
 		}
 	}
-	r.LargestShare, r.LargeShare = w.sizeShares()
+	r.LargestShare, r.LargeShare = w.largeShares()
 	return r
 }
 
 // sizeShares compares how often large requests were served with all.
-func (w *world) sizeShares() (largest, large float64) {
+func (w *world) largeShares() (largest, large float64) {
 	bySize := slices.Clone(w.callers)
 	slices.SortStableFunc(bySize, func(a, b *caller) int { return b.prompt + b.output - a.prompt - a.output })
 	served := func(cs []*caller) float64 {
