--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -28,7 +28,7 @@
 	serviceName id.Service = "s"
 	teamName    id.Team    = "t"
 	// settling is how long before the first arrival the scheduler begins.
-	settling = time.Second
+	warmup = time.Second
 	// hop is the time of a message between a daemon and the pool's owner.
 	hop = time.Millisecond
 )
@@ -80,7 +80,7 @@
 	w := &world{
 		Replay:    r,
 		rng:       rand.New(rand.NewPCG(seed, seed)),
-		now:       settling,
+		now:       warmup,
 		scheduler: r.New(poolName, asker),
 		wants:     map[id.Request]*caller{},
 		prefills:  map[id.Endpoint]*prefillEngine{},
@@ -90,13 +90,13 @@
 	w.owner.w = w
 	w.configure()
 	for _, s := range r.Engines.Slow {
-		w.at(settling+s.At, func() { w.slowDown(s.Factor) })
-		w.at(settling+s.At+s.For, func() { w.slowDown(1) })
+		w.at(warmup+s.At, func() { w.slowDown(s.Factor) })
+		w.at(warmup+s.At+s.For, func() { w.slowDown(1) })
 	}
 	for i, a := range r.Load.arrivals(w.rng) {
 		c := &caller{arrival: a, number: i, arrived: a.at}
 		w.callers = append(w.callers, c)
-		w.at(settling+a.at, func() { w.arrive(c) })
+		w.at(warmup+a.at, func() { w.arrive(c) })
 	}
 	w.play()
 	return w.result()
@@ -134,7 +134,7 @@
 // play carries out the events in order, and looks at the scheduler when it
 // wants to be looked at.
 func (w *world) play() {
-	end := settling + w.Load.Length + w.Callers.Deadline
+	end := warmup + w.Load.Length + w.Callers.Deadline
 	for w.events.Len() > 0 {
 		next := w.owner.next()
 		if due := w.events[0].at; next > due {
@@ -266,7 +266,7 @@
 		return
 	}
 	c.returns++
-	leftTime := c.arrived + settling + w.Callers.Deadline - w.now
+	leftTime := c.arrived + warmup + w.Callers.Deadline - w.now
 	wait := min(r.RetryAfter, time.Duration(w.Callers.WaitShare*float64(leftTime)))
 	if w.rng.Float64() < w.Callers.AtOnce {
 		wait = 0
@@ -278,7 +278,7 @@
 // first notes the first event of a caller's answer.
 func (w *world) first(c *caller) {
 	c.outcome = late
-	if w.now-settling-c.arrived <= w.Callers.Target {
+	if w.now-warmup-c.arrived <= w.Callers.Target {
 		c.outcome = inTime
 	}
 }
