--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -89,7 +89,7 @@
 func (p *prefillEngine) prefill(r *run) {
 	p.w.progress(r, sched.PhasePrefilling)
 	p.queue.add(r)
-	p.w.at(p.w.now+hop, p.queue.startNext)
+	p.w.at(p.w.now+messageDelay, p.queue.startNext)
 }
 
 // end hands on a prompt that was read.
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -30,7 +30,7 @@
 	// settling is how long before the first arrival the scheduler begins.
 	warmup = time.Second
 	// hop is the time of a message between a daemon and the pool's owner.
-	hop = time.Millisecond
+	messageDelay = time.Millisecond
 )
 
 var asker = id.Process{Daemon: "d1", Incarnation: 1}
@@ -272,7 +272,7 @@
 		wait = 0
 	}
 	c.attempt = ""
-	w.at(w.now+wait+hop, func() { w.arrive(c) })
+	w.at(w.now+wait+messageDelay, func() { w.arrive(c) })
 }
 
 // first notes the first event of a caller's answer.
@@ -290,7 +290,7 @@
 func (w *world) report(r *run, p sched.Progress) {
 	p.Request, p.Reservation, p.Endpoint = r.grant.Request, r.grant.Reservation, r.grant.Decode
 	p.PromptTokens, p.OutputTokens = r.caller.prompt, r.caller.output
-	w.at(w.now+hop, func() {
+	w.at(w.now+messageDelay, func() {
 		w.owner.handle(func() []sched.Action { return w.scheduler.Progress(w.now, p) })
 	})
 }
