--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -33,7 +33,7 @@
 	messageDelay = time.Millisecond
 )
 
-var asker = id.Process{Daemon: "d1", Incarnation: 1}
+var process = id.Process{Daemon: "d1", Incarnation: 1}
 
 // caller is one caller's request over all its attempts.
 type caller struct {
@@ -81,7 +81,7 @@
 		Replay:    r,
 		rng:       rand.New(rand.NewPCG(seed, seed)),
 		now:       warmup,
-		scheduler: r.New(poolName, asker),
+		scheduler: r.New(poolName, process),
 		wants:     map[id.Request]*caller{},
 		prefills:  map[id.Endpoint]*prefillEngine{},
 		decodes:   map[id.Endpoint]*decodeEngine{},
@@ -159,12 +159,12 @@
 	attempt := c.attempt
 	w.at(w.now+w.Callers.Patience, func() { w.leave(c, attempt) })
 	want := sched.Want{
-		Request: c.attempt, Team: teamName, Service: serviceName, Pool: poolName, From: asker,
+		Request: c.attempt, Team: teamName, Service: serviceName, Pool: poolName, From: process,
 		PromptTokens: c.prompt, OutputTokens: c.guess, Priority: 5, Attempt: 1,
 		Target: w.Callers.Target, Patience: w.Callers.Patience - 500*time.Millisecond, Lifetime: w.Callers.Deadline,
 		Pause: w.Callers.Pause,
 	}
-	c.asker = pairing.New(asker, pairing.Options{Local: true})
+	c.asker = pairing.New(process, pairing.Options{Local: true})
 	w.send(c, c.asker.Ask(w.now, want, want.Patience))
 }
 
