--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -48,7 +48,7 @@
 	at      time.Duration
 	run     *run
 	// asker sends the present want.
-	asker *pairing.Asker
+	requester *pairing.Asker
 }
 
 // world is the state of a replay.
@@ -164,8 +164,8 @@
 		Target: w.Callers.Target, Patience: w.Callers.Patience - 500*time.Millisecond, Lifetime: w.Callers.Deadline,
 		Pause: w.Callers.Pause,
 	}
-	c.asker = pairing.New(process, pairing.Options{Local: true})
-	w.send(c, c.asker.Ask(w.now, want, want.Patience))
+	c.requester = pairing.New(process, pairing.Options{Local: true})
+	w.send(c, c.requester.Ask(w.now, want, want.Patience))
 }
 
 // send passes on what a caller's asker wants sent, and has it look again when
@@ -180,9 +180,9 @@
 		w.refused(&sched.Refusal{Request: a.Request, RetryAfter: a.Err.RetryAfter})
 	}
 	attempt := c.attempt
-	w.at(max(w.now, c.asker.Next()), func() {
+	w.at(max(w.now, c.requester.Next()), func() {
 		if c.attempt == attempt && c.run == nil && c.outcome == unserved {
-			w.send(c, c.asker.Tick(w.now))
+			w.send(c, c.requester.Tick(w.now))
 		}
 	})
 }
