--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -168,7 +168,7 @@
 	}
 	e.countTokens()
 	if len(e.runs) >= w.Engines.Batch || e.held()+float64(r.caller.prompt) > float64(w.Engines.Memory) {
-		w.vain += r.caller.prompt
+		w.wastedTokens += r.caller.prompt
 		r.caller.run = nil
 		w.progress(r, sched.PhaseFailed)
 		w.refused(&sched.Refusal{Request: r.grant.Request, RetryAfter: time.Second})
@@ -246,7 +246,7 @@
 	last := e.runs[len(e.runs)-1]
 	e.runs = e.runs[:len(e.runs)-1]
 	tokens := last.caller.prompt + int(last.generated)
-	w.vain += tokens
+	w.wastedTokens += tokens
 	e.stall(last, w.Callers.Pause+1)
 	takes := w.readingTime(tokens, localPrefillSpeed)
 	w.at(w.now+takes, func() {
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -70,9 +70,9 @@
 
 	refusalWaits []time.Duration
 	// forGood counts the callers that were told not to come back.
-	forGood   int
-	vain      int
-	preempted int
+	forGood      int
+	wastedTokens int
+	preempted    int
 }
 
 // Run replays the load with a seed.
@@ -194,7 +194,7 @@
 	}
 	c.outcome = left
 	if c.run != nil {
-		w.vain += c.prompt
+		w.wastedTokens += c.prompt
 		if p := w.prefills[c.run.grant.Prefill]; p != nil {
 			p.drop(c.run)
 		}
