--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -98,7 +98,7 @@
 		w.callers = append(w.callers, c)
 		w.at(warmup+a.at, func() { w.arrive(c) })
 	}
-	w.play()
+	w.run()
 	return w.result()
 }
 
@@ -133,7 +133,7 @@
 
 // play carries out the events in order, and looks at the scheduler when it
 // wants to be looked at.
-func (w *world) play() {
+func (w *world) run() {
 	end := warmup + w.Load.Length + w.Callers.Deadline
 	for w.events.Len() > 0 {
 		next := w.owner.next()
