--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -34,7 +34,7 @@
 // tell has the scheduler handle a message when its turn comes.
 func (o *owner) handle(handle func() []sched.Action) {
 	if o.w.Owner.Share == 0 {
-		o.w.take(handle())
+		o.w.apply(handle())
 		return
 	}
 	o.mailbox = append(o.mailbox, handle)
@@ -56,7 +56,7 @@
 	actions := handle()
 	cost := o.w.Owner.MessageCost + time.Duration(o.tried()-before)*o.w.Owner.TryCost
 	o.w.at(o.w.now+time.Duration(float64(cost)/o.w.Owner.Share), func() {
-		o.w.take(actions)
+		o.w.apply(actions)
 		o.handleNext()
 	})
 }
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -128,7 +128,7 @@
 	}
 	add(live.RolePrefill, w.Engines.Prefills)
 	add(live.RoleDecode, w.Engines.Decodes)
-	w.take(w.scheduler.Configure(0, doc))
+	w.apply(w.scheduler.Configure(0, doc))
 }
 
 // play carries out the events in order, and looks at the scheduler when it
@@ -204,7 +204,7 @@
 }
 
 // take carries out what the scheduler decided.
-func (w *world) take(actions []sched.Action) {
+func (w *world) apply(actions []sched.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Grant != nil:
