--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -50,7 +50,7 @@
 	}
 	job := q.queue[0]
 	job.started = true
-	takes := q.w.readingTime(job.run.caller.prompt, q.speed)
+	takes := q.w.prefillTime(job.run.caller.prompt, q.speed)
 	if q.onStart != nil {
 		q.onStart(takes)
 	}
@@ -248,7 +248,7 @@
 	tokens := last.caller.prompt + int(last.generated)
 	w.wastedTokens += tokens
 	e.stall(last, w.Callers.Pause+1)
-	takes := w.readingTime(tokens, localPrefillSpeed)
+	takes := w.prefillTime(tokens, localPrefillSpeed)
 	w.at(w.now+takes, func() {
 		if last.caller.run == last {
 			e.countTokens()
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -244,7 +244,7 @@
 	}
 }
 
-func (w *world) readingTime(tokens int, speed float64) time.Duration {
+func (w *world) prefillTime(tokens int, speed float64) time.Duration {
 	return time.Duration(w.slow * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
 }
 
