--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -176,7 +176,7 @@
 	}
 	r.started = true
 	e.runs = append(e.runs, r)
-	w.first(r.caller)
+	w.firstEvent(r.caller)
 	w.report(r, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: r.transfer})
 	e.scheduleNext()
 }
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -276,7 +276,7 @@
 }
 
 // first notes the first event of a caller's answer.
-func (w *world) first(c *caller) {
+func (w *world) firstEvent(c *caller) {
 	c.outcome = late
 	if w.now-warmup-c.arrived <= w.Callers.Target {
 		c.outcome = inTime
