--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -90,8 +90,8 @@
 	w.owner.w = w
 	w.configure()
 	for _, s := range r.Engines.Slow {
-		w.at(warmup+s.At, func() { w.slowDown(s.Factor) })
-		w.at(warmup+s.At+s.For, func() { w.slowDown(1) })
+		w.at(warmup+s.At, func() { w.setSlowdown(s.Factor) })
+		w.at(warmup+s.At+s.For, func() { w.setSlowdown(1) })
 	}
 	for i, a := range r.Load.arrivals(w.rng) {
 		c := &caller{arrival: a, number: i, arrived: a.at}
@@ -234,7 +234,7 @@
 }
 
 // slowDown changes the speed of all engines.
-func (w *world) slowDown(factor float64) {
+func (w *world) setSlowdown(factor float64) {
 	for _, e := range w.decodes {
 		e.countTokens()
 	}
