--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -96,7 +96,7 @@
 func (p *prefillEngine) end(job *prefillJob) {
 	w, r := p.w, job.run
 	w.report(r, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: w.now - job.sent})
-	r.transfer = time.Duration(w.slow * float64(w.Engines.Transfer))
+	r.transfer = time.Duration(w.slowdown * float64(w.Engines.Transfer))
 	w.at(w.now+r.transfer, func() { r.engine.start(r) })
 }
 
@@ -132,7 +132,7 @@
 // pace is the tokens a second of each run.
 func (e *decodeEngine) decodeRate() float64 {
 	step := e.w.Engines.Step + time.Duration(len(e.runs))*e.w.Engines.StepEach
-	return float64(time.Second) / (e.w.slow * float64(step))
+	return float64(time.Second) / (e.w.slowdown * float64(step))
 }
 
 // read has the engine read a prompt itself: its other runs stand still.
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -66,7 +66,7 @@
 	decodes   map[id.Endpoint]*decodeEngine
 
 	// slow is the factor that the engines' times are multiplied by now.
-	slow float64
+	slowdown float64
 
 	refusalWaits []time.Duration
 	// forGood counts the callers that were told not to come back.
@@ -85,7 +85,7 @@
 		wants:     map[id.Request]*caller{},
 		prefills:  map[id.Endpoint]*prefillEngine{},
 		decodes:   map[id.Endpoint]*decodeEngine{},
-		slow:      1,
+		slowdown:  1,
 	}
 	w.owner.w = w
 	w.configure()
@@ -238,14 +238,14 @@
 	for _, e := range w.decodes {
 		e.countTokens()
 	}
-	w.slow = factor
+	w.slowdown = factor
 	for _, e := range w.decodes {
 		e.scheduleNext()
 	}
 }
 
 func (w *world) prefillTime(tokens int, speed float64) time.Duration {
-	return time.Duration(w.slow * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
+	return time.Duration(w.slowdown * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
 }
 
 // refused has a caller come back, as it was told or at once.
