--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -22,7 +22,7 @@
 // reader reads prompts one after another, for an engine of either kind. One whose
 // caller has gone is dropped, while it is read too.
 type prefillQueue struct {
-	w *world
+	w *simulation
 	// speed is the share of the prefill rate at which it reads.
 	speed float64
 	queue []*prefillJob
@@ -76,11 +76,11 @@
 
 // prefillEngine reads prompts.
 type prefillEngine struct {
-	w     *world
+	w     *simulation
 	queue prefillQueue
 }
 
-func newPrefillEngine(w *world) *prefillEngine {
+func newPrefillEngine(w *simulation) *prefillEngine {
 	p := &prefillEngine{w: w}
 	p.queue = prefillQueue{w: w, speed: 1, onEnd: p.end}
 	return p
@@ -108,7 +108,7 @@
 
 // decodeEngine writes answers, all at one pace that falls with their number.
 type decodeEngine struct {
-	w    *world
+	w    *simulation
 	runs []*run
 	// settled is up to when the runs' tokens are counted.
 	countedUntil time.Duration
@@ -120,7 +120,7 @@
 	planVersion int
 }
 
-func newDecodeEngine(w *world) *decodeEngine {
+func newDecodeEngine(w *simulation) *decodeEngine {
 	e := &decodeEngine{w: w}
 	e.localPrefills = prefillQueue{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *prefillJob) { e.start(job.run) }}
 	return e
--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -25,7 +25,7 @@
 
 // owner is the state of the pool's owner.
 type owner struct {
-	w *world
+	w *simulation
 	// mailbox holds the messages that wait; busy is set while one is handled.
 	mailbox []func() []sched.Action
 	busy    bool
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -75,7 +75,7 @@
 }
 
 // result sums the callers up.
-func (w *world) result() *Result {
+func (w *simulation) result() *Result {
 	r := &Result{Asked: len(w.callers), ForGood: w.forGood, VainTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
 		second := int(c.arrived / time.Second)
@@ -115,7 +115,7 @@
 }
 
 // sizeShares compares how often large requests were served with all.
-func (w *world) largeShares() (largest, large float64) {
+func (w *simulation) largeShares() (largest, large float64) {
 	bySize := slices.Clone(w.callers)
 	slices.SortStableFunc(bySize, func(a, b *caller) int { return b.prompt + b.output - a.prompt - a.output })
 	served := func(cs []*caller) float64 {
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -52,7 +52,7 @@
 }
 
 // world is the state of a replay.
-type world struct {
+type simulation struct {
 	Replay
 	rng       *rand.Rand
 	now       time.Duration
@@ -77,7 +77,7 @@
 
 // Run replays the load with a seed.
 func (r Replay) Run(seed uint64) *Result {
-	w := &world{
+	w := &simulation{
 		Replay:    r,
 		rng:       rand.New(rand.NewPCG(seed, seed)),
 		now:       warmup,
@@ -102,7 +102,7 @@
 	return w.result()
 }
 
-func (w *world) configure() {
+func (w *simulation) configure() {
 	doc := &live.Document{
 		Teams: []live.Team{{Name: teamName}},
 		Services: []live.Service{{
@@ -133,7 +133,7 @@
 
 // play carries out the events in order, and looks at the scheduler when it
 // wants to be looked at.
-func (w *world) run() {
+func (w *simulation) run() {
 	end := warmup + w.Load.Length + w.Callers.Deadline
 	for w.events.Len() > 0 {
 		next := w.owner.next()
@@ -152,7 +152,7 @@
 }
 
 // arrive has a caller send its request.
-func (w *world) arrive(c *caller) {
+func (w *simulation) arrive(c *caller) {
 	c.at = w.now
 	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.returns))
 	w.wants[c.attempt] = c
@@ -170,7 +170,7 @@
 
 // send passes on what a caller's asker wants sent, and has it look again when
 // it wants to: an answer that does not come is asked for again.
-func (w *world) send(c *caller, out pairing.Output) {
+func (w *simulation) send(c *caller, out pairing.Output) {
 	for _, m := range out.Messages {
 		if m.Want != nil {
 			w.owner.handle(func() []sched.Action { return w.scheduler.Want(w.now, *m.Want) })
@@ -188,7 +188,7 @@
 }
 
 // leave ends a caller that has no first event yet.
-func (w *world) leave(c *caller, attempt id.Request) {
+func (w *simulation) leave(c *caller, attempt id.Request) {
 	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.started) {
 		return
 	}
@@ -204,7 +204,7 @@
 }
 
 // take carries out what the scheduler decided.
-func (w *world) apply(actions []sched.Action) {
+func (w *simulation) apply(actions []sched.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Grant != nil:
@@ -215,7 +215,7 @@
 	}
 }
 
-func (w *world) granted(g *sched.Grant) {
+func (w *simulation) granted(g *sched.Grant) {
 	c := w.wants[g.Request]
 	if c == nil || c.attempt != g.Request || c.outcome != unserved {
 		return
@@ -234,7 +234,7 @@
 }
 
 // slowDown changes the speed of all engines.
-func (w *world) setSlowdown(factor float64) {
+func (w *simulation) setSlowdown(factor float64) {
 	for _, e := range w.decodes {
 		e.countTokens()
 	}
@@ -244,12 +244,12 @@
 	}
 }
 
-func (w *world) prefillTime(tokens int, speed float64) time.Duration {
+func (w *simulation) prefillTime(tokens int, speed float64) time.Duration {
 	return time.Duration(w.slowdown * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
 }
 
 // refused has a caller come back, as it was told or at once.
-func (w *world) refused(r *sched.Refusal) {
+func (w *simulation) refused(r *sched.Refusal) {
 	c := w.wants[r.Request]
 	if c == nil || c.attempt != r.Request || c.outcome != unserved {
 		return
@@ -276,7 +276,7 @@
 }
 
 // first notes the first event of a caller's answer.
-func (w *world) firstEvent(c *caller) {
+func (w *simulation) firstEvent(c *caller) {
 	c.outcome = late
 	if w.now-warmup-c.arrived <= w.Callers.Target {
 		c.outcome = inTime
@@ -284,10 +284,10 @@
 }
 
 // progress tells the scheduler how a request fares.
-func (w *world) progress(r *run, phase sched.Phase) { w.report(r, sched.Progress{Phase: phase}) }
+func (w *simulation) progress(r *run, phase sched.Phase) { w.report(r, sched.Progress{Phase: phase}) }
 
 // report tells the scheduler how a request fares, with what was measured.
-func (w *world) report(r *run, p sched.Progress) {
+func (w *simulation) report(r *run, p sched.Progress) {
 	p.Request, p.Reservation, p.Endpoint = r.grant.Request, r.grant.Reservation, r.grant.Decode
 	p.PromptTokens, p.OutputTokens = r.caller.prompt, r.caller.output
 	w.at(w.now+messageDelay, func() {
@@ -303,7 +303,7 @@
 }
 
 // at has something done at a time, in the order in which it was asked for.
-func (w *world) at(t time.Duration, do func()) {
+func (w *simulation) at(t time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{at: t, serial: w.serial, do: do})
 }
