--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -12,7 +12,7 @@
 const (
 	// inTimeAim is the share of requests that are to have their first token in
 	// time: 95 in 100, the stated aim.
-	inTimeAim = 0.95
+	inTimeTarget = 0.95
 	// relief is how long after a slowness the aim must hold again where engines are
 	// nearly idle: a caller that was refused in it waits about as long before it
 	// comes back. Engines that are well used have a backlog to serve first; for
@@ -53,7 +53,7 @@
 	sound := int((slow.At + slow.For + relief) / time.Second)
 	for i := sound; i < int(r.Load.Length/time.Second); i++ {
 		s := res.Seconds[i]
-		if got := share(s.InTime, s.Asked); got < inTimeAim {
+		if got := share(s.InTime, s.Asked); got < inTimeTarget {
 			t.Errorf("second %d, %v after the engines are sound: %.2f in time of %d (late %d, refused %d)",
 				i, time.Duration(i)*time.Second-slow.At-slow.For, got, s.Asked, s.Late, s.Refused)
 			return
