--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -17,7 +17,7 @@
 	// nearly idle: a caller that was refused in it waits about as long before it
 	// comes back. Engines that are well used have a backlog to serve first; for
 	// them it is what the platform allows for a recovery.
-	relief       = 2 * time.Second
+	recoveryTime = 2 * time.Second
 	reliefLoaded = 12 * time.Second
 )
 
@@ -82,7 +82,7 @@
 		if res.ForGood > 0 {
 			t.Errorf("%v times as slow: %d callers told not to come back", factor, res.ForGood)
 		}
-		checkRelief(t, r, res, relief)
+		checkRelief(t, r, res, recoveryTime)
 	}
 }
 
