--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -17,8 +17,8 @@
 	// nearly idle: a caller that was refused in it waits about as long before it
 	// comes back. Engines that are well used have a backlog to serve first; for
 	// them it is what the platform allows for a recovery.
-	recoveryTime = 2 * time.Second
-	reliefLoaded = 12 * time.Second
+	recoveryTime       = 2 * time.Second
+	recoveryTimeLoaded = 12 * time.Second
 )
 
 // slowdown is ten seconds in which engines take so many times as long.
@@ -105,7 +105,7 @@
 			if res.ForGood > 0 {
 				t.Errorf("%v times as slow, seed %d: %d callers told not to come back", factor, seed, res.ForGood)
 			}
-			checkRelief(t, r, res, reliefLoaded)
+			checkRelief(t, r, res, recoveryTimeLoaded)
 		}
 	}
 }
