--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -47,7 +47,7 @@
 
 // checkRelief fails the test if too few of those that arrive a while after the
 // slowness are answered in time.
-func checkRelief(t *testing.T, r Replay, res *Result, relief time.Duration) {
+func checkRecovery(t *testing.T, r Replay, res *Result, relief time.Duration) {
 	t.Helper()
 	slow := r.Engines.Slow[0]
 	sound := int((slow.At + slow.For + relief) / time.Second)
@@ -82,7 +82,7 @@
 		if res.ForGood > 0 {
 			t.Errorf("%v times as slow: %d callers told not to come back", factor, res.ForGood)
 		}
-		checkRelief(t, r, res, recoveryTime)
+		checkRecovery(t, r, res, recoveryTime)
 	}
 }
 
@@ -105,7 +105,7 @@
 			if res.ForGood > 0 {
 				t.Errorf("%v times as slow, seed %d: %d callers told not to come back", factor, seed, res.ForGood)
 			}
-			checkRelief(t, r, res, recoveryTimeLoaded)
+			checkRecovery(t, r, res, recoveryTimeLoaded)
 		}
 	}
 }
