--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -12,7 +12,7 @@
 	// its scheduler, oneTry that of trying one engine for one request: 5.4 s for
 	// 17.3 million tries, by a profile of this replay.
 	messageCost = 60 * time.Microsecond
-	oneTry      = 300 * time.Nanosecond
+	tryCost     = 300 * time.Nanosecond
 )
 
 // fleet is a desk of 90 engines at the load of 90 daemons, under two bursts.
@@ -47,7 +47,7 @@
 func TestAnOwnerOnASmallHostServesAsManyInTime(t *testing.T) {
 	r := fleet()
 	atOnce := r.Run(1)
-	r.Owner = Owner{Share: smallHost, MessageCost: messageCost, TryCost: oneTry}
+	r.Owner = Owner{Share: smallHost, MessageCost: messageCost, TryCost: tryCost}
 	small := r.Run(1)
 	t.Logf("of %d in time %d, on a small host %d; refused %d and %d", atOnce.Asked, atOnce.InTime, small.InTime,
 		atOnce.Refused, small.Refused)
