--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -7,7 +7,7 @@
 
 const (
 	// smallHost is the share of a core of the smallest hosts that a fleet runs on.
-	smallHost = 0.192
+	smallHostShare = 0.192
 	// oneMessage is the processor time of one message at the pool's owner besides
 	// its scheduler, oneTry that of trying one engine for one request: 5.4 s for
 	// 17.3 million tries, by a profile of this replay.
@@ -47,7 +47,7 @@
 func TestAnOwnerOnASmallHostServesAsManyInTime(t *testing.T) {
 	r := fleet()
 	atOnce := r.Run(1)
-	r.Owner = Owner{Share: smallHost, MessageCost: messageCost, TryCost: tryCost}
+	r.Owner = Owner{Share: smallHostShare, MessageCost: messageCost, TryCost: tryCost}
 	small := r.Run(1)
 	t.Logf("of %d in time %d, on a small host %d; refused %d and %d", atOnce.Asked, atOnce.InTime, small.InTime,
 		atOnce.Refused, small.Refused)
