--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -28,7 +28,7 @@
 	// Refusals counts all of them, AtOnce those that came within 120 ms.
 	Refusals, AtOnce int
 	// ForGood counts the callers that were told that coming back is of no use.
-	ForGood int
+	RefusedPermanently int
 	// VainTokens were read for requests that were not served.
 	VainTokens int
 	// Preempted counts the requests that lost their memory.
@@ -76,7 +76,7 @@
 
 // result sums the callers up.
 func (w *simulation) result() *Result {
-	r := &Result{Asked: len(w.callers), ForGood: w.forGood, VainTokens: w.wastedTokens, Preempted: w.preempted}
+	r := &Result{Asked: len(w.callers), RefusedPermanently: w.forGood, VainTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
 		second := int(c.arrived / time.Second)
 		for len(r.Seconds) <= second {
--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -78,9 +78,9 @@
 	for _, factor := range []float64{10, 40, 100} {
 		r := slotDesk(slowdown(factor))
 		res := r.Run(1)
-		t.Logf("%v times as slow: of %d in time %d, late %d, refused for good %d", factor, res.Asked, res.InTime, res.Late, res.ForGood)
-		if res.ForGood > 0 {
-			t.Errorf("%v times as slow: %d callers told not to come back", factor, res.ForGood)
+		t.Logf("%v times as slow: of %d in time %d, late %d, refused for good %d", factor, res.Asked, res.InTime, res.Late, res.RefusedPermanently)
+		if res.RefusedPermanently > 0 {
+			t.Errorf("%v times as slow: %d callers told not to come back", factor, res.RefusedPermanently)
 		}
 		checkRecovery(t, r, res, recoveryTime)
 	}
@@ -102,8 +102,8 @@
 			}
 			res := r.Run(seed)
 			t.Logf("%v times as slow, seed %d: of %d in time %d, late %d, left %d", factor, seed, res.Asked, res.InTime, res.Late, res.Left)
-			if res.ForGood > 0 {
-				t.Errorf("%v times as slow, seed %d: %d callers told not to come back", factor, seed, res.ForGood)
+			if res.RefusedPermanently > 0 {
+				t.Errorf("%v times as slow, seed %d: %d callers told not to come back", factor, seed, res.RefusedPermanently)
 			}
 			checkRecovery(t, r, res, recoveryTimeLoaded)
 		}
