--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -76,7 +76,7 @@
 
 // result sums the callers up.
 func (w *simulation) result() *Result {
-	r := &Result{Asked: len(w.callers), RefusedPermanently: w.forGood, VainTokens: w.wastedTokens, Preempted: w.preempted}
+	r := &Result{Asked: len(w.callers), RefusedPermanently: w.refusedPermanently, VainTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
 		second := int(c.arrived / time.Second)
 		for len(r.Seconds) <= second {
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -70,9 +70,9 @@
 
 	refusalWaits []time.Duration
 	// forGood counts the callers that were told not to come back.
-	forGood      int
-	wastedTokens int
-	preempted    int
+	refusedPermanently int
+	wastedTokens       int
+	preempted          int
 }
 
 // Run replays the load with a seed.
@@ -257,7 +257,7 @@
 	w.refusalWaits = append(w.refusalWaits, w.now-c.at)
 	c.refusals++
 	if r.Code == verdict.CodeTooLarge {
-		w.forGood++
+		w.refusedPermanently++
 		c.outcome = refused
 		return
 	}
