--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -24,7 +24,7 @@
 	Asked, InTime, Late, Refused, Left int
 	// Returned counts the callers that came back, RefusedAgain those of them
 	// that were refused once more.
-	Returned, RefusedAgain int
+	Retried, RefusedAgain int
 	// Refusals counts all of them, AtOnce those that came within 120 ms.
 	Refusals, AtOnce int
 	// ForGood counts the callers that were told that coming back is of no use.
@@ -98,7 +98,7 @@
 			r.Left++
 		}
 		if c.returns > 0 {
-			r.Returned++
+			r.Retried++
 		}
 		if c.refusals > 1 {
 			r.RefusedAgain++
