--- a/core/overload/desk.go
+++ b/core/overload/desk.go
@@ -12,7 +12,7 @@
 		},
 		Callers: Callers{
 			Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond, Deadline: 14 * time.Second,
-			Pause: 300 * time.Millisecond, Returns: 1, WaitShare: 1.0 / 3,
+			Pause: 300 * time.Millisecond, Retries: 1, WaitShare: 1.0 / 3,
 		},
 		Engines: Engines{
 			Prefills: 3, Decodes: 11, Batch: 16, Memory: 29250, Step: 3410 * time.Microsecond, StepEach: 97 * time.Microsecond,
--- a/core/overload/load.go
+++ b/core/overload/load.go
@@ -77,7 +77,7 @@
 	Pause time.Duration
 	// Returns is how often a refused caller comes back, and WaitShare the share
 	// of its time left for which it waits at most as it was told to.
-	Returns   int
+	Retries   int
 	WaitShare float64
 	// ServicePatience is the service's own; 0 for the default.
 	ServicePatience time.Duration
--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -33,7 +33,7 @@
 		Load: Load{Length: 25 * time.Second, PerSecond: 20, Prompt: 200, Output: 5, Spread: 0.3, Most: 2},
 		Callers: Callers{
 			Target: 360 * time.Millisecond, ServicePatience: 360 * time.Millisecond, Patience: time.Minute,
-			Deadline: time.Minute, Returns: 1000, WaitShare: 1,
+			Deadline: time.Minute, Retries: 1000, WaitShare: 1,
 		},
 		Engines: Engines{
 			Prefills: 9, Decodes: 9, Batch: 16, Memory: 1 << 20, Step: 5 * time.Millisecond,
@@ -95,7 +95,7 @@
 		for seed := uint64(1); seed <= seeds; seed++ {
 			r := desk()
 			r.Load.Length = 40 * time.Second
-			r.Callers.Returns = 1000
+			r.Callers.Retries = 1000
 			r.Engines.Slow = []Slowness{slowdown(factor)}
 			r.New = func(pool id.Pool, self id.Process) sched.Scheduler {
 				return kvsched.New(kvsched.Options{Pool: pool, Self: self})
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -261,7 +261,7 @@
 		c.outcome = refused
 		return
 	}
-	if c.returns >= w.Callers.Returns {
+	if c.returns >= w.Callers.Retries {
 		c.outcome = refused
 		return
 	}
