--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -97,7 +97,7 @@
 		default:
 			r.Left++
 		}
-		if c.returns > 0 {
+		if c.retries > 0 {
 			r.Retried++
 		}
 		if c.refusals > 1 {
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -40,7 +40,7 @@
 	arrival
 	number   int
 	arrived  time.Duration
-	returns  int
+	retries  int
 	refusals int
 	outcome  outcome
 	// attempt names the present want; at is when it arrived.
@@ -154,7 +154,7 @@
 // arrive has a caller send its request.
 func (w *simulation) arrive(c *caller) {
 	c.at = w.now
-	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.returns))
+	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
 	w.wants[c.attempt] = c
 	attempt := c.attempt
 	w.at(w.now+w.Callers.Patience, func() { w.leave(c, attempt) })
@@ -261,11 +261,11 @@
 		c.outcome = refused
 		return
 	}
-	if c.returns >= w.Callers.Retries {
+	if c.retries >= w.Callers.Retries {
 		c.outcome = refused
 		return
 	}
-	c.returns++
+	c.retries++
 	leftTime := c.arrived + warmup + w.Callers.Deadline - w.now
 	wait := min(r.RetryAfter, time.Duration(w.Callers.WaitShare*float64(leftTime)))
 	if w.rng.Float64() < w.Callers.AtOnce {
