--- a/core/overload/desk.go
+++ b/core/overload/desk.go
@@ -8,7 +8,7 @@
 func Desk(bursts ...Burst) Replay {
 	return Replay{
 		Load: Load{
-			Length: 34 * time.Second, PerSecond: 13, Prompt: 3200, Output: 792, Spread: 0.5, MaxFactor: 2.2, GuessError: 0.5, Bursts: bursts,
+			Length: 34 * time.Second, PerSecond: 13, Prompt: 3200, Output: 792, SizeDeviation: 0.5, MaxFactor: 2.2, GuessError: 0.5, Bursts: bursts,
 		},
 		Callers: Callers{
 			Target: 900 * time.Millisecond, Patience: 3600 * time.Millisecond, Deadline: 14 * time.Second,
--- a/core/overload/load.go
+++ b/core/overload/load.go
@@ -26,8 +26,8 @@
 	Bursts    []Burst
 	// Prompt and Output are the mean sizes, in tokens; Spread is the deviation
 	// of their logarithms, and Most bounds both as a multiple of the mean.
-	Prompt, Output    float64
-	Spread, MaxFactor float64
+	Prompt, Output           float64
+	SizeDeviation, MaxFactor float64
 	// GuessError is the deviation of the logarithm of a guess against the truth.
 	GuessError float64
 }
@@ -64,7 +64,7 @@
 }
 
 func (l *Load) size(rng *rand.Rand, mean float64) int {
-	factor := math.Exp(l.Spread*rng.NormFloat64() - l.Spread*l.Spread/2)
+	factor := math.Exp(l.SizeDeviation*rng.NormFloat64() - l.SizeDeviation*l.SizeDeviation/2)
 	return max(1, int(mean*min(factor, l.MaxFactor)))
 }
 
--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -30,7 +30,7 @@
 // 360 ms, at a twentieth of what they can serve.
 func slotDesk(slow Slowness) Replay {
 	return Replay{
-		Load: Load{Length: 25 * time.Second, PerSecond: 20, Prompt: 200, Output: 5, Spread: 0.3, MaxFactor: 2},
+		Load: Load{Length: 25 * time.Second, PerSecond: 20, Prompt: 200, Output: 5, SizeDeviation: 0.3, MaxFactor: 2},
 		Callers: Callers{
 			Target: 360 * time.Millisecond, ServicePatience: 360 * time.Millisecond, Patience: time.Minute,
 			Deadline: time.Minute, Retries: 1000, WaitShare: 1,
