--- a/core/overload/load.go
+++ b/core/overload/load.go
@@ -98,7 +98,7 @@
 	// Transfer is the time of a KV cache's way and the first token.
 	Transfer time.Duration
 	// Slow are the times in which all of them are slow, one at a time.
-	Slow []Slowness
+	Slowdowns []Slowness
 }
 
 // Slowness multiplies the time of all that engines do.
--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -37,7 +37,7 @@
 		},
 		Engines: Engines{
 			Prefills: 9, Decodes: 9, Batch: 16, Memory: 1 << 20, Step: 5 * time.Millisecond,
-			PrefillRate: 20000, Transfer: 10 * time.Millisecond, Slow: []Slowness{slow},
+			PrefillRate: 20000, Transfer: 10 * time.Millisecond, Slowdowns: []Slowness{slow},
 		},
 		New: func(pool id.Pool, self id.Process) sched.Scheduler {
 			return sched.NewLedger(sched.Options{Pool: pool, Self: self, Seed: 1})
@@ -49,7 +49,7 @@
 // slowness are answered in time.
 func checkRecovery(t *testing.T, r Replay, res *Result, relief time.Duration) {
 	t.Helper()
-	slow := r.Engines.Slow[0]
+	slow := r.Engines.Slowdowns[0]
 	sound := int((slow.At + slow.For + relief) / time.Second)
 	for i := sound; i < int(r.Load.Length/time.Second); i++ {
 		s := res.Seconds[i]
@@ -96,7 +96,7 @@
 			r := desk()
 			r.Load.Length = 40 * time.Second
 			r.Callers.Retries = 1000
-			r.Engines.Slow = []Slowness{slowdown(factor)}
+			r.Engines.Slowdowns = []Slowness{slowdown(factor)}
 			r.New = func(pool id.Pool, self id.Process) sched.Scheduler {
 				return kvsched.New(kvsched.Options{Pool: pool, Self: self})
 			}
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -89,7 +89,7 @@
 	}
 	w.owner.w = w
 	w.configure()
-	for _, s := range r.Engines.Slow {
+	for _, s := range r.Engines.Slowdowns {
 		w.at(warmup+s.At, func() { w.setSlowdown(s.Factor) })
 		w.at(warmup+s.At+s.For, func() { w.setSlowdown(1) })
 	}
