--- a/core/overload/load.go
+++ b/core/overload/load.go
@@ -98,11 +98,11 @@
 	// Transfer is the time of a KV cache's way and the first token.
 	Transfer time.Duration
 	// Slow are the times in which all of them are slow, one at a time.
-	Slowdowns []Slowness
+	Slowdowns []Slowdown
 }
 
 // Slowness multiplies the time of all that engines do.
-type Slowness struct {
+type Slowdown struct {
 	At, For time.Duration
 	Factor  float64
 }
--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -22,13 +22,13 @@
 )
 
 // slowdown is ten seconds in which engines take so many times as long.
-func slowdown(factor float64) Slowness {
-	return Slowness{At: 5 * time.Second, For: 10 * time.Second, Factor: factor}
+func slowdown(factor float64) Slowdown {
+	return Slowdown{At: 5 * time.Second, For: 10 * time.Second, Factor: factor}
 }
 
 // slotDesk is a desk of 18 engines whose callers want a first token within
 // 360 ms, at a twentieth of what they can serve.
-func slotDesk(slow Slowness) Replay {
+func slotDesk(slow Slowdown) Replay {
 	return Replay{
 		Load: Load{Length: 25 * time.Second, PerSecond: 20, Prompt: 200, Output: 5, SizeDeviation: 0.3, MaxFactor: 2},
 		Callers: Callers{
@@ -37,7 +37,7 @@
 		},
 		Engines: Engines{
 			Prefills: 9, Decodes: 9, Batch: 16, Memory: 1 << 20, Step: 5 * time.Millisecond,
-			PrefillRate: 20000, Transfer: 10 * time.Millisecond, Slowdowns: []Slowness{slow},
+			PrefillRate: 20000, Transfer: 10 * time.Millisecond, Slowdowns: []Slowdown{slow},
 		},
 		New: func(pool id.Pool, self id.Process) sched.Scheduler {
 			return sched.NewLedger(sched.Options{Pool: pool, Self: self, Seed: 1})
@@ -96,7 +96,7 @@
 			r := desk()
 			r.Load.Length = 40 * time.Second
 			r.Callers.Retries = 1000
-			r.Engines.Slowdowns = []Slowness{slowdown(factor)}
+			r.Engines.Slowdowns = []Slowdown{slowdown(factor)}
 			r.New = func(pool id.Pool, self id.Process) sched.Scheduler {
 				return kvsched.New(kvsched.Options{Pool: pool, Self: self})
 			}
