--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -22,7 +22,7 @@
 )
 
 // slowdown is ten seconds in which engines take so many times as long.
-func slowdown(factor float64) Slowdown {
+func testSlowdown(factor float64) Slowdown {
 	return Slowdown{At: 5 * time.Second, For: 10 * time.Second, Factor: factor}
 }
 
@@ -76,7 +76,7 @@
 //	  estimates: prefill 1906 tokens/s (13 samples, the last 2.461s ago), transfer 350.3 ms ..."
 func TestASlownessThatIsOverRefusesNobody(t *testing.T) {
 	for _, factor := range []float64{10, 40, 100} {
-		r := slotDesk(slowdown(factor))
+		r := slotDesk(testSlowdown(factor))
 		res := r.Run(1)
 		t.Logf("%v times as slow: of %d in time %d, late %d, refused for good %d", factor, res.Asked, res.InTime, res.Late, res.RefusedPermanently)
 		if res.RefusedPermanently > 0 {
@@ -96,7 +96,7 @@
 			r := desk()
 			r.Load.Length = 40 * time.Second
 			r.Callers.Retries = 1000
-			r.Engines.Slowdowns = []Slowdown{slowdown(factor)}
+			r.Engines.Slowdowns = []Slowdown{testSlowdown(factor)}
 			r.New = func(pool id.Pool, self id.Process) sched.Scheduler {
 				return kvsched.New(kvsched.Options{Pool: pool, Self: self})
 			}
