--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -16,7 +16,7 @@
 	inTime
 	late
 	refused
-	left
+	abandoned
 )
 
 // Result is what a load came to.
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -192,7 +192,7 @@
 	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.started) {
 		return
 	}
-	c.outcome = left
+	c.outcome = abandoned
 	if c.run != nil {
 		w.wastedTokens += c.prompt
 		if p := w.prefills[c.run.grant.Prefill]; p != nil {
