--- a/core/overload/slowness_test.go
+++ b/core/overload/slowness_test.go
@@ -28,7 +28,7 @@
 
 // slotDesk is a desk of 18 engines whose callers want a first token within
 // 360 ms, at a twentieth of what they can serve.
-func slotDesk(slow Slowdown) Replay {
+func slotPool(slow Slowdown) Replay {
 	return Replay{
 		Load: Load{Length: 25 * time.Second, PerSecond: 20, Prompt: 200, Output: 5, SizeDeviation: 0.3, MaxFactor: 2},
 		Callers: Callers{
@@ -76,7 +76,7 @@
 //	  estimates: prefill 1906 tokens/s (13 samples, the last 2.461s ago), transfer 350.3 ms ..."
 func TestASlownessThatIsOverRefusesNobody(t *testing.T) {
 	for _, factor := range []float64{10, 40, 100} {
-		r := slotDesk(testSlowdown(factor))
+		r := slotPool(testSlowdown(factor))
 		res := r.Run(1)
 		t.Logf("%v times as slow: of %d in time %d, late %d, refused for good %d", factor, res.Asked, res.InTime, res.Late, res.RefusedPermanently)
 		if res.RefusedPermanently > 0 {
