--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -16,7 +16,7 @@
 )
 
 // fleet is a desk of 90 engines at the load of 90 daemons, under two bursts.
-func fleet() Replay {
+func largePool() Replay {
 	r := desk(
 		Burst{At: 2 * time.Second, For: 4 * time.Second, Factor: 1.6},
 		Burst{At: 8 * time.Second, For: 4 * time.Second, Factor: 2.2},
@@ -45,7 +45,7 @@
 //	  engines_tried=237282 wants_repeated=2582
 //	event=duty_behind duty=broker late=1.353521289s
 func TestAnOwnerOnASmallHostServesAsManyInTime(t *testing.T) {
-	r := fleet()
+	r := largePool()
 	atOnce := r.Run(1)
 	r.Owner = Owner{Share: smallHostShare, MessageCost: messageCost, TryCost: tryCost}
 	small := r.Run(1)
