--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -41,7 +41,7 @@
 	recovery time.Duration
 }
 
-func replay(r Replay) total {
+func runSeeds(r Replay) total {
 	var sum total
 	for seed := uint64(1); seed <= seeds; seed++ {
 		one := r.Run(seed)
@@ -68,7 +68,7 @@
 
 func TestBurstsThatFitAreServedInTime(t *testing.T) {
 	is := is.New(t)
-	sum := replay(desk(usual...))
+	sum := runSeeds(desk(usual...))
 	t.Logf("goodput %.3f", sum.Goodput())
 	is.True(sum.Goodput() >= 0.99)
 	is.Equal(sum.Refused, 0)
@@ -80,9 +80,9 @@
 	is := is.New(t)
 	r := desk(triple...)
 	r.New = without(kvsched.ArrivalRefusal)
-	with := replay(r)
+	with := runSeeds(r)
 	r.New = without(kvsched.ArrivalRefusal, kvsched.LearnedLead)
-	off := replay(r)
+	off := runSeeds(r)
 	t.Logf("in time %d of %d, without %d", with.InTime, with.Asked, off.InTime)
 	is.True(with.Goodput() >= off.Goodput()+0.025)
 }
@@ -92,9 +92,9 @@
 func TestRefusalsComeAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := desk(triple...)
-	with := replay(r)
+	with := runSeeds(r)
 	r.New = without(kvsched.ArrivalRefusal)
-	off := replay(r)
+	off := runSeeds(r)
 	t.Logf("in time %d and %d of %d, served %d and %d, at once %d of %d and %d of %d refusals, largest %.2f %.2f",
 		with.InTime, off.InTime, with.Asked, with.InTime+with.Late, off.InTime+off.Late,
 		with.AtOnce, with.Refusals, off.AtOnce, off.Refusals, with.LargestShare, with.LargeShare)
@@ -109,7 +109,7 @@
 // that arrive behind it.
 func TestABurstIsOverSoon(t *testing.T) {
 	is := is.New(t)
-	sum := replay(desk(triple...))
+	sum := runSeeds(desk(triple...))
 	t.Logf("in time again after %v", sum.recovery)
 	is.True(sum.recovery <= 3*time.Second)
 }
@@ -126,9 +126,9 @@
 	r.Engines.PrefillRate /= 2
 	r.Engines.Step = r.Engines.Step * 3 / 2
 	r.Callers.Target = 1200 * time.Millisecond
-	with := replay(r)
+	with := runSeeds(r)
 	r.New = without(kvsched.LearnedLead)
-	off := replay(r)
+	off := runSeeds(r)
 	t.Logf("in time %d of %d, without the lead %d; %d of %d refusals at once", with.InTime, with.Asked, off.InTime, with.AtOnce, with.Refusals)
 	is.True(with.Goodput() >= off.Goodput()+0.015)
 	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
