--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -31,8 +31,8 @@
 // usual are bursts that the desk can serve in time, triple one of three times
 // the load for 8 s on top.
 var (
-	usual  = UsualBursts()
-	triple = append(UsualBursts(), Burst{At: 14 * time.Second, For: 8 * time.Second, Factor: 3})
+	usualBursts = UsualBursts()
+	triple      = append(UsualBursts(), Burst{At: 14 * time.Second, For: 8 * time.Second, Factor: 3})
 )
 
 // total sums some seeds of a replay up.
@@ -68,7 +68,7 @@
 
 func TestBurstsThatFitAreServedInTime(t *testing.T) {
 	is := is.New(t)
-	sum := runSeeds(desk(usual...))
+	sum := runSeeds(desk(usualBursts...))
 	t.Logf("goodput %.3f", sum.Goodput())
 	is.True(sum.Goodput() >= 0.99)
 	is.Equal(sum.Refused, 0)
