--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -32,7 +32,7 @@
 // the load for 8 s on top.
 var (
 	usualBursts = UsualBursts()
-	triple      = append(UsualBursts(), Burst{At: 14 * time.Second, For: 8 * time.Second, Factor: 3})
+	tripleBurst = append(UsualBursts(), Burst{At: 14 * time.Second, For: 8 * time.Second, Factor: 3})
 )
 
 // total sums some seeds of a replay up.
@@ -63,7 +63,7 @@
 
 func TestTheSameSeedGivesTheSameResult(t *testing.T) {
 	is := is.New(t)
-	is.Equal(desk(triple...).Run(7), desk(triple...).Run(7))
+	is.Equal(desk(tripleBurst...).Run(7), desk(tripleBurst...).Run(7))
 }
 
 func TestBurstsThatFitAreServedInTime(t *testing.T) {
@@ -78,7 +78,7 @@
 // that is too short, requests hold engines and are late all the same.
 func TestTheLeadIsLearned(t *testing.T) {
 	is := is.New(t)
-	r := desk(triple...)
+	r := desk(tripleBurst...)
 	r.New = without(kvsched.ArrivalRefusal)
 	with := runSeeds(r)
 	r.New = without(kvsched.ArrivalRefusal, kvsched.LearnedLead)
@@ -91,7 +91,7 @@
 // served at least 0.7 times as often as all.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	is := is.New(t)
-	r := desk(triple...)
+	r := desk(tripleBurst...)
 	with := runSeeds(r)
 	r.New = without(kvsched.ArrivalRefusal)
 	off := runSeeds(r)
@@ -109,7 +109,7 @@
 // that arrive behind it.
 func TestABurstIsOverSoon(t *testing.T) {
 	is := is.New(t)
-	sum := runSeeds(desk(triple...))
+	sum := runSeeds(desk(tripleBurst...))
 	t.Logf("in time again after %v", sum.recovery)
 	is.True(sum.recovery <= 3*time.Second)
 }
@@ -118,7 +118,7 @@
 // nothing is set for the first ones.
 func TestEnginesOfOtherFigures(t *testing.T) {
 	is := is.New(t)
-	r := desk(triple...)
+	r := desk(tripleBurst...)
 	r.Load.PerSecond = 11
 	r.Engines.Decodes = 24
 	r.Engines.Prefills = 6
