--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -17,12 +17,12 @@
 // desk is the usual desk with all mechanisms on.
 func desk(bursts ...Burst) Replay {
 	r := Desk(bursts...)
-	r.New = without()
+	r.New = schedulerWithout()
 	return r
 }
 
 // without makes the pool's scheduler with some mechanisms switched off.
-func without(off ...kvsched.Mechanism) func(id.Pool, id.Process) sched.Scheduler {
+func schedulerWithout(off ...kvsched.Mechanism) func(id.Pool, id.Process) sched.Scheduler {
 	return func(pool id.Pool, self id.Process) sched.Scheduler {
 		return kvsched.New(kvsched.Options{Pool: pool, Self: self, Disabled: off})
 	}
@@ -79,9 +79,9 @@
 func TestTheLeadIsLearned(t *testing.T) {
 	is := is.New(t)
 	r := desk(tripleBurst...)
-	r.New = without(kvsched.ArrivalRefusal)
+	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	with := runSeeds(r)
-	r.New = without(kvsched.ArrivalRefusal, kvsched.LearnedLead)
+	r.New = schedulerWithout(kvsched.ArrivalRefusal, kvsched.LearnedLead)
 	off := runSeeds(r)
 	t.Logf("in time %d of %d, without %d", with.InTime, with.Asked, off.InTime)
 	is.True(with.Goodput() >= off.Goodput()+0.025)
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	r := desk(tripleBurst...)
 	with := runSeeds(r)
-	r.New = without(kvsched.ArrivalRefusal)
+	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	off := runSeeds(r)
 	t.Logf("in time %d and %d of %d, served %d and %d, at once %d of %d and %d of %d refusals, largest %.2f %.2f",
 		with.InTime, off.InTime, with.Asked, with.InTime+with.Late, off.InTime+off.Late,
@@ -127,7 +127,7 @@
 	r.Engines.Step = r.Engines.Step * 3 / 2
 	r.Callers.Target = 1200 * time.Millisecond
 	with := runSeeds(r)
-	r.New = without(kvsched.LearnedLead)
+	r.New = schedulerWithout(kvsched.LearnedLead)
 	off := runSeeds(r)
 	t.Logf("in time %d of %d, without the lead %d; %d of %d refusals at once", with.InTime, with.Asked, off.InTime, with.AtOnce, with.Refusals)
 	is.True(with.Goodput() >= off.Goodput()+0.015)
