--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -70,7 +70,7 @@
 
 // next is when the scheduler wants to be looked at. One that is at work looks
 // with each message.
-func (o *owner) next() time.Duration {
+func (o *owner) nextTick() time.Duration {
 	if o.busy {
 		return math.MaxInt64
 	}
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -136,7 +136,7 @@
 func (w *simulation) run() {
 	end := warmup + w.Load.Length + w.Callers.Deadline
 	for w.events.Len() > 0 {
-		next := w.owner.next()
+		next := w.owner.nextTick()
 		if due := w.events[0].at; next > due {
 			e := heap.Pop(&w.events).(event)
 			w.now = max(w.now, e.at)
