--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -44,9 +44,9 @@
 	refusals int
 	outcome  outcome
 	// attempt names the present want; at is when it arrived.
-	attempt id.Request
-	at      time.Duration
-	run     *run
+	attempt   id.Request
+	attemptAt time.Duration
+	run       *run
 	// asker sends the present want.
 	requester *pairing.Asker
 }
@@ -153,7 +153,7 @@
 
 // arrive has a caller send its request.
 func (w *simulation) arrive(c *caller) {
-	c.at = w.now
+	c.attemptAt = w.now
 	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
 	w.wants[c.attempt] = c
 	attempt := c.attempt
@@ -254,7 +254,7 @@
 	if c == nil || c.attempt != r.Request || c.outcome != unserved {
 		return
 	}
-	w.refusalWaits = append(w.refusalWaits, w.now-c.at)
+	w.refusalWaits = append(w.refusalWaits, w.now-c.attemptAt)
 	c.refusals++
 	if r.Code == verdict.CodeTooLarge {
 		w.refusedPermanently++
