--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -54,7 +54,7 @@
 	if q.onStart != nil {
 		q.onStart(takes)
 	}
-	q.w.at(q.w.now+takes, func() { q.end(job) })
+	q.w.schedule(q.w.now+takes, func() { q.end(job) })
 }
 
 // end hands on a prompt that was read, if it was not dropped.
@@ -89,7 +89,7 @@
 func (p *prefillEngine) prefill(r *run) {
 	p.w.progress(r, sched.PhasePrefilling)
 	p.queue.add(r)
-	p.w.at(p.w.now+messageDelay, p.queue.startNext)
+	p.w.schedule(p.w.now+messageDelay, p.queue.startNext)
 }
 
 // end hands on a prompt that was read.
@@ -97,7 +97,7 @@
 	w, r := p.w, job.run
 	w.report(r, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: w.now - job.sent})
 	r.transfer = time.Duration(w.slowdown * float64(w.Engines.Transfer))
-	w.at(w.now+r.transfer, func() { r.engine.start(r) })
+	w.schedule(w.now+r.transfer, func() { r.engine.start(r) })
 }
 
 // drop ends the reading of a prompt, or its wait.
@@ -216,7 +216,7 @@
 	tokens := max(1, min(least, e.decodeRate()/4))
 	from := max(e.w.now, e.localPrefillUntil)
 	round := e.planVersion
-	e.w.at(from+time.Duration(tokens/e.decodeRate()*float64(time.Second)), func() {
+	e.w.schedule(from+time.Duration(tokens/e.decodeRate()*float64(time.Second)), func() {
 		if e.planVersion == round {
 			e.completeAndPreempt()
 		}
@@ -249,7 +249,7 @@
 	w.wastedTokens += tokens
 	e.stall(last, w.Callers.Pause+1)
 	takes := w.prefillTime(tokens, localPrefillSpeed)
-	w.at(w.now+takes, func() {
+	w.schedule(w.now+takes, func() {
 		if last.caller.run == last {
 			e.countTokens()
 			e.runs = append(e.runs, last)
--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -55,7 +55,7 @@
 	before := o.tried()
 	actions := handle()
 	cost := o.w.Owner.MessageCost + time.Duration(o.tried()-before)*o.w.Owner.TryCost
-	o.w.at(o.w.now+time.Duration(float64(cost)/o.w.Owner.Share), func() {
+	o.w.schedule(o.w.now+time.Duration(float64(cost)/o.w.Owner.Share), func() {
 		o.w.apply(actions)
 		o.handleNext()
 	})
--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -90,13 +90,13 @@
 	w.owner.w = w
 	w.configure()
 	for _, s := range r.Engines.Slowdowns {
-		w.at(warmup+s.At, func() { w.setSlowdown(s.Factor) })
-		w.at(warmup+s.At+s.For, func() { w.setSlowdown(1) })
+		w.schedule(warmup+s.At, func() { w.setSlowdown(s.Factor) })
+		w.schedule(warmup+s.At+s.For, func() { w.setSlowdown(1) })
 	}
 	for i, a := range r.Load.arrivals(w.rng) {
 		c := &caller{arrival: a, number: i, arrived: a.at}
 		w.callers = append(w.callers, c)
-		w.at(warmup+a.at, func() { w.arrive(c) })
+		w.schedule(warmup+a.at, func() { w.arrive(c) })
 	}
 	w.run()
 	return w.result()
@@ -157,7 +157,7 @@
 	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
 	w.wants[c.attempt] = c
 	attempt := c.attempt
-	w.at(w.now+w.Callers.Patience, func() { w.leave(c, attempt) })
+	w.schedule(w.now+w.Callers.Patience, func() { w.leave(c, attempt) })
 	want := sched.Want{
 		Request: c.attempt, Team: teamName, Service: serviceName, Pool: poolName, From: process,
 		PromptTokens: c.prompt, OutputTokens: c.guess, Priority: 5, Attempt: 1,
@@ -180,7 +180,7 @@
 		w.refused(&sched.Refusal{Request: a.Request, RetryAfter: a.Err.RetryAfter})
 	}
 	attempt := c.attempt
-	w.at(max(w.now, c.requester.Next()), func() {
+	w.schedule(max(w.now, c.requester.Next()), func() {
 		if c.attempt == attempt && c.run == nil && c.outcome == unserved {
 			w.send(c, c.requester.Tick(w.now))
 		}
@@ -227,7 +227,7 @@
 		return
 	}
 	if g.StartIn > 0 {
-		w.at(w.now+g.StartIn, func() { w.prefills[g.Prefill].prefill(r) })
+		w.schedule(w.now+g.StartIn, func() { w.prefills[g.Prefill].prefill(r) })
 		return
 	}
 	w.prefills[g.Prefill].prefill(r)
@@ -272,7 +272,7 @@
 		wait = 0
 	}
 	c.attempt = ""
-	w.at(w.now+wait+messageDelay, func() { w.arrive(c) })
+	w.schedule(w.now+wait+messageDelay, func() { w.arrive(c) })
 }
 
 // first notes the first event of a caller's answer.
@@ -290,7 +290,7 @@
 func (w *simulation) report(r *run, p sched.Progress) {
 	p.Request, p.Reservation, p.Endpoint = r.grant.Request, r.grant.Reservation, r.grant.Decode
 	p.PromptTokens, p.OutputTokens = r.caller.prompt, r.caller.output
-	w.at(w.now+messageDelay, func() {
+	w.schedule(w.now+messageDelay, func() {
 		w.owner.handle(func() []sched.Action { return w.scheduler.Progress(w.now, p) })
 	})
 }
@@ -303,7 +303,7 @@
 }
 
 // at has something done at a time, in the order in which it was asked for.
-func (w *simulation) at(t time.Duration, do func()) {
+func (w *simulation) schedule(t time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{at: t, serial: w.serial, do: do})
 }
