--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -96,7 +96,7 @@
 	for i, a := range r.Load.arrivals(w.rng) {
 		c := &caller{arrival: a, number: i, arrived: a.at}
 		w.callers = append(w.callers, c)
-		w.schedule(warmup+a.at, func() { w.arrive(c) })
+		w.schedule(warmup+a.at, func() { w.sendRequest(c) })
 	}
 	w.run()
 	return w.result()
@@ -152,7 +152,7 @@
 }
 
 // arrive has a caller send its request.
-func (w *simulation) arrive(c *caller) {
+func (w *simulation) sendRequest(c *caller) {
 	c.attemptAt = w.now
 	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
 	w.wants[c.attempt] = c
@@ -272,7 +272,7 @@
 		wait = 0
 	}
 	c.attempt = ""
-	w.schedule(w.now+wait+messageDelay, func() { w.arrive(c) })
+	w.schedule(w.now+wait+messageDelay, func() { w.sendRequest(c) })
 }
 
 // first notes the first event of a caller's answer.
