--- a/core/overload/world.go
+++ b/core/overload/world.go
@@ -157,7 +157,7 @@
 	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
 	w.wants[c.attempt] = c
 	attempt := c.attempt
-	w.schedule(w.now+w.Callers.Patience, func() { w.leave(c, attempt) })
+	w.schedule(w.now+w.Callers.Patience, func() { w.abandon(c, attempt) })
 	want := sched.Want{
 		Request: c.attempt, Team: teamName, Service: serviceName, Pool: poolName, From: process,
 		PromptTokens: c.prompt, OutputTokens: c.guess, Priority: 5, Attempt: 1,
@@ -188,7 +188,7 @@
 }
 
 // leave ends a caller that has no first event yet.
-func (w *simulation) leave(c *caller, attempt id.Request) {
+func (w *simulation) abandon(c *caller, attempt id.Request) {
 	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.started) {
 		return
 	}
