--- a/core/overload/desk.go
+++ b/core/overload/desk.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Desk is a desk of 14 engines with 16 requests each and 29,250 tokens of
-// memory, at 60 in 100 of what they can serve. A KV cache takes 100 ms to the
-// first token. The scheduler is left to be chosen.
+// Desk returns the replay of a pool of 14 engines, with 16 requests and 29,250
+// tokens of memory each, at 60% of its capacity. A KV cache transfer and the
+// first token take 100 ms. The caller sets New.
 func Desk(bursts ...Burst) Replay {
 	return Replay{
 		Load: Load{
@@ -21,7 +21,7 @@
 	}
 }
 
-// UsualBursts are bursts that the desk can serve in time.
+// UsualBursts returns bursts that the pool of Desk can serve in time.
 func UsualBursts() []Burst {
 	return []Burst{
 		{At: 6 * time.Second, For: 5 * time.Second, Factor: 1.5},
--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -7,57 +7,58 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// run is a request at the engines.
+// run is a granted request.
 type run struct {
 	caller *caller
 	grant  *sched.Grant
 	engine *decodeEngine
-	// transfer is the time of its KV cache's way.
+	// transfer is the time of its KV cache transfer.
 	transfer time.Duration
-	// begun is set with the first event; written are the tokens so far.
+	// started is set with the first event; generated is the number of tokens so
+	// far.
 	started   bool
 	generated float64
 }
 
-// reader reads prompts one after another, for an engine of either kind. One whose
-// caller has gone is dropped, while it is read too.
+// prefillQueue runs prefills one after another, for either kind of engine. A
+// prefill whose caller has gone is dropped, also while it runs.
 type prefillQueue struct {
 	w *simulation
-	// speed is the share of the prefill rate at which it reads.
+	// speed is the rate of this queue as a share of the prefill rate.
 	speed float64
 	queue []*prefillJob
-	// begins, if set, is told how long a prompt takes when its reading begins; ends
-	// takes one that was read.
-	onStart func(takes time.Duration)
+	// onStart, if set, is called with the duration of a prefill when the
+	// prefill starts; onEnd is called with each completed prefill.
+	onStart func(duration time.Duration)
 	onEnd   func(job *prefillJob)
 }
 
-// read is a prompt that waits or is being read.
+// prefillJob is a prefill that waits or runs.
 type prefillJob struct {
 	run  *run
 	sent time.Duration
-	// begun is set once the engine has begun.
+	// started is set once the engine has started the prefill.
 	started bool
 }
 
-// add has a prompt wait; next begins with it.
+// add queues a prefill; startNext starts it.
 func (q *prefillQueue) add(r *run) { q.queue = append(q.queue, &prefillJob{run: r, sent: q.w.now}) }
 
-// next begins with the first prompt of the queue, unless it is being read.
+// startNext starts the first prefill of the queue unless it runs already.
 func (q *prefillQueue) startNext() {
 	if len(q.queue) == 0 || q.queue[0].started {
 		return
 	}
 	job := q.queue[0]
 	job.started = true
-	takes := q.w.prefillTime(job.run.caller.prompt, q.speed)
+	duration := q.w.prefillTime(job.run.caller.prompt, q.speed)
 	if q.onStart != nil {
-		q.onStart(takes)
+		q.onStart(duration)
 	}
-	q.w.schedule(q.w.now+takes, func() { q.end(job) })
+	q.w.schedule(q.w.now+duration, func() { q.end(job) })
 }
 
-// end hands on a prompt that was read, if it was not dropped.
+// end completes a prefill, unless it was dropped.
 func (q *prefillQueue) end(job *prefillJob) {
 	if len(q.queue) == 0 || q.queue[0] != job {
 		return
@@ -67,14 +68,15 @@
 	q.startNext()
 }
 
-// drop takes a prompt out; reading says that the engine was at it.
-func (q *prefillQueue) drop(r *run) (reading bool) {
-	reading = len(q.queue) > 0 && q.queue[0].run == r
+// drop removes a prefill; running reports whether it was at the head of the
+// queue.
+func (q *prefillQueue) drop(r *run) (running bool) {
+	running = len(q.queue) > 0 && q.queue[0].run == r
 	q.queue = slices.DeleteFunc(q.queue, func(job *prefillJob) bool { return job.run == r })
-	return reading
+	return running
 }
 
-// prefillEngine reads prompts.
+// prefillEngine is a simulated prefill engine.
 type prefillEngine struct {
 	w     *simulation
 	queue prefillQueue
@@ -92,7 +94,7 @@
 	p.w.schedule(p.w.now+messageDelay, p.queue.startNext)
 }
 
-// end hands on a prompt that was read.
+// end starts the KV cache transfer of a completed prefill.
 func (p *prefillEngine) end(job *prefillJob) {
 	w, r := p.w, job.run
 	w.report(r, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: w.now - job.sent})
@@ -100,23 +102,25 @@
 	w.schedule(w.now+r.transfer, func() { r.engine.start(r) })
 }
 
-// drop ends the reading of a prompt, or its wait.
+// drop removes a prefill, whether it waits or runs.
 func (p *prefillEngine) drop(r *run) {
 	p.queue.drop(r)
 	p.queue.startNext()
 }
 
-// decodeEngine writes answers, all at one pace that falls with their number.
+// decodeEngine is a simulated decode engine. It decodes all requests at one
+// rate, which falls with their number.
 type decodeEngine struct {
 	w    *simulation
 	runs []*run
-	// settled is up to when the runs' tokens are counted.
+	// countedUntil is the time up to which the runs' tokens are counted.
 	countedUntil time.Duration
-	// reads are the prompts that the engine reads itself; readUntil is when the
-	// first of them is read.
+	// localPrefills are the prefills on this engine; localPrefillUntil is the
+	// end of the running one.
 	localPrefills     prefillQueue
 	localPrefillUntil time.Duration
-	// round numbers the changes: an event of an earlier one is stale.
+	// planVersion counts the scheduled checks: an event of an earlier version
+	// is stale.
 	planVersion int
 }
 
@@ -126,32 +130,34 @@
 	return e
 }
 
-// wholeSpeed is the share of the prefill rate at which a decode engine reads.
+// localPrefillSpeed is the rate of a local prefill as a share of the prefill
+// rate.
 const localPrefillSpeed = 0.5
 
-// pace is the tokens a second of each run.
+// decodeRate returns the tokens a second of each run.
 func (e *decodeEngine) decodeRate() float64 {
 	step := e.w.Engines.Step + time.Duration(len(e.runs))*e.w.Engines.StepEach
 	return float64(time.Second) / (e.w.slowdown * float64(step))
 }
 
-// read has the engine read a prompt itself: its other runs stand still.
+// prefillLocally queues a prefill on the decode engine; it pauses the engine's
+// other runs.
 func (e *decodeEngine) prefillLocally(r *run) {
 	e.localPrefills.add(r)
 	e.localPrefills.startNext()
 }
 
-// readBegins has the other runs stand still.
-func (e *decodeEngine) localPrefillStarted(takes time.Duration) {
+// localPrefillStarted pauses the other runs for the given time.
+func (e *decodeEngine) localPrefillStarted(duration time.Duration) {
 	e.countTokens()
-	e.localPrefillUntil = e.w.now + takes
+	e.localPrefillUntil = e.w.now + duration
 	for _, other := range e.runs {
-		e.stall(other, takes)
+		e.stall(other, duration)
 	}
 	e.scheduleNext()
 }
 
-// stall has a run stand still; it is late if that is longer than its caller
+// stall pauses a run; the answer is late if the pause is longer than its caller
 // accepts.
 func (e *decodeEngine) stall(r *run, d time.Duration) {
 	pause := e.w.Callers.Pause
@@ -160,7 +166,7 @@
 	}
 }
 
-// begin starts a run whose prompt was read, if the engine has room.
+// start starts the decode of a prefilled run if the engine has room for it.
 func (e *decodeEngine) start(r *run) {
 	w := e.w
 	if r.caller.run != r || r.caller.outcome != unserved {
@@ -189,7 +195,7 @@
 	return sum
 }
 
-// settle counts the tokens up to now.
+// countTokens counts the tokens up to now.
 func (e *decodeEngine) countTokens() {
 	from := max(e.countedUntil, min(e.localPrefillUntil, e.w.now))
 	e.countedUntil = e.w.now
@@ -202,7 +208,8 @@
 	}
 }
 
-// plan predicts the next end, or the moment at which the memory is full.
+// scheduleNext schedules the next completion, or the next check of the memory
+// if that is earlier.
 func (e *decodeEngine) scheduleNext() {
 	e.planVersion++
 	if len(e.runs) == 0 {
@@ -212,7 +219,7 @@
 	for _, r := range e.runs {
 		least = min(least, float64(r.caller.output)-r.generated)
 	}
-	// Below the end by a little: the memory is looked at four times a second.
+	// The memory is checked about four times a second.
 	tokens := max(1, min(least, e.decodeRate()/4))
 	from := max(e.w.now, e.localPrefillUntil)
 	round := e.planVersion
@@ -223,7 +230,8 @@
 	})
 }
 
-// look ends the runs that are complete, and preempts while memory is short.
+// completeAndPreempt completes finished runs and preempts runs while memory is
+// short.
 func (e *decodeEngine) completeAndPreempt() {
 	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
@@ -239,7 +247,8 @@
 	e.scheduleNext()
 }
 
-// preempt reads the newest run in again, which stalls all others.
+// preempt removes the newest run and prefills it again, which pauses it for
+// longer than its caller accepts.
 func (e *decodeEngine) preempt() {
 	w := e.w
 	w.preempted++
@@ -248,8 +257,8 @@
 	tokens := last.caller.prompt + int(last.generated)
 	w.wastedTokens += tokens
 	e.stall(last, w.Callers.Pause+1)
-	takes := w.prefillTime(tokens, localPrefillSpeed)
-	w.schedule(w.now+takes, func() {
+	duration := w.prefillTime(tokens, localPrefillSpeed)
+	w.schedule(w.now+duration, func() {
 		if last.caller.run == last {
 			e.countTokens()
 			e.runs = append(e.runs, last)
--- a/core/overload/load.go
+++ b/core/overload/load.go
@@ -1,7 +1,8 @@
 // Package overload replays loads against the scheduler of a pool, without
-// sockets and clocks: callers that arrive in patterns, leave, wait as told and
-// come back, and engines modelled from their published figures. The same seed
-// gives the same result, so that what a policy is worth under a load is a test.
+// sockets and clocks: callers that arrive in patterns, leave, wait for the
+// advised delay and retry, and engines modelled on their published figures. The
+// same seed gives the same result, so that the effect of a policy under a load
+// can be tested.
 package overload
 
 import (
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// Burst multiplies the arrivals for a while.
+// Burst multiplies the arrival rate for a time.
 type Burst struct {
 	At, For time.Duration
 	Factor  float64
@@ -18,17 +19,19 @@
 
 // Load is a pattern of arrivals.
 type Load struct {
-	// Length of the arrivals.
+	// Length is the time in which requests arrive.
 	Length time.Duration
-	// PerSecond is the rate without bursts; Bursts multiply it, one on top of
-	// another.
+	// PerSecond is the arrival rate without bursts; the factors of overlapping
+	// Bursts multiply.
 	PerSecond float64
 	Bursts    []Burst
-	// Prompt and Output are the mean sizes, in tokens; Spread is the deviation
-	// of their logarithms, and Most bounds both as a multiple of the mean.
+	// Prompt and Output are the mean sizes, in tokens; SizeDeviation is the
+	// standard deviation of their logarithms, and MaxFactor bounds both as a
+	// multiple of the mean.
 	Prompt, Output           float64
 	SizeDeviation, MaxFactor float64
-	// GuessError is the deviation of the logarithm of a guess against the truth.
+	// GuessError is the standard deviation of the logarithm of a guess relative
+	// to the actual size.
 	GuessError float64
 }
 
@@ -39,7 +42,7 @@
 	guess          int
 }
 
-// arrivals draws the arrivals of a load.
+// arrivals draws random arrivals of a load.
 func (l *Load) arrivals(rng *rand.Rand) []arrival {
 	var out []arrival
 	for at := time.Duration(0); at < l.Length; {
@@ -52,7 +55,7 @@
 	return out
 }
 
-// rate is the arrivals a second at a moment.
+// rate returns the arrivals a second at a time.
 func (l *Load) rate(at time.Duration) float64 {
 	rate := l.PerSecond
 	for _, b := range l.Bursts {
@@ -68,40 +71,47 @@
 	return max(1, int(mean*min(factor, l.MaxFactor)))
 }
 
-// Callers are how callers behave.
+// Callers describes how callers behave.
 type Callers struct {
-	// Target is when a first event is expected, Patience when a caller without
-	// one leaves, Deadline when it wants no answer any more.
+	// Target is the time until the first event is due, Patience the time after
+	// which a caller without a first event leaves, and Deadline the time after
+	// which it accepts no answer.
 	Target, Patience, Deadline time.Duration
-	// Pause is the longest pause between events that is still in time.
+	// Pause is the longest pause between events with which an answer counts as
+	// in time; 0 for no bound.
 	Pause time.Duration
-	// Returns is how often a refused caller comes back, and WaitShare the share
-	// of its time left for which it waits at most as it was told to.
+	// Retries is how often a refused caller retries. It waits for the advised
+	// delay, but at most for WaitShare of the time it has left.
 	Retries   int
 	WaitShare float64
-	// ServicePatience is the service's own; 0 for the default.
+	// ServicePatience is the patience configured for the service; 0 for the
+	// default.
 	ServicePatience time.Duration
-	// AtOnce callers come back at once, whatever they are told: a share of all.
+	// AtOnce is the share of callers that retry at once, ignoring the advised
+	// delay.
 	AtOnce float64
 }
 
-// Engines are a pool's engines.
+// Engines describes the engines of a pool.
 type Engines struct {
 	Prefills, Decodes int
-	// Batch is how many requests an engine runs at once, Memory its tokens.
+	// Batch is how many requests an engine runs at once; Memory is its memory
+	// in tokens.
 	Batch, Memory int
-	// Step is the time that a decode step takes, and StepEach what each request
-	// adds to it.
+	// Step is the time of a decode step, and StepEach the time that each
+	// request adds to it.
 	Step, StepEach time.Duration
-	// PrefillRate is in tokens a second; a decode engine reads at half of it.
+	// PrefillRate is in tokens a second; a decode engine prefills at half of
+	// it.
 	PrefillRate float64
-	// Transfer is the time of a KV cache's way and the first token.
+	// Transfer is the time of a KV cache transfer and the first token.
 	Transfer time.Duration
-	// Slow are the times in which all of them are slow, one at a time.
+	// Slowdowns are the periods in which all engines are slow; they must not
+	// overlap.
 	Slowdowns []Slowdown
 }
 
-// Slowness multiplies the time of all that engines do.
+// Slowdown multiplies the time of everything that engines do.
 type Slowdown struct {
 	At, For time.Duration
 	Factor  float64
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -11,31 +11,32 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// seeds that each load is replayed with.
+// seeds is the number of seeds that each load is replayed with.
 const seeds = 5
 
-// desk is the usual desk with all mechanisms on.
+// desk returns the replay of Desk with all mechanisms enabled.
 func desk(bursts ...Burst) Replay {
 	r := Desk(bursts...)
 	r.New = schedulerWithout()
 	return r
 }
 
-// without makes the pool's scheduler with some mechanisms switched off.
+// schedulerWithout returns a constructor of the pool's scheduler with some
+// mechanisms disabled.
 func schedulerWithout(off ...kvsched.Mechanism) func(id.Pool, id.Process) sched.Scheduler {
 	return func(pool id.Pool, self id.Process) sched.Scheduler {
 		return kvsched.New(kvsched.Options{Pool: pool, Self: self, Disabled: off})
 	}
 }
 
-// usual are bursts that the desk can serve in time, triple one of three times
-// the load for 8 s on top.
+// usualBursts are bursts that the pool can serve in time; tripleBurst adds a
+// burst of three times the load for 8 s.
 var (
 	usualBursts = UsualBursts()
 	tripleBurst = append(UsualBursts(), Burst{At: 14 * time.Second, For: 8 * time.Second, Factor: 3})
 )
 
-// total sums some seeds of a replay up.
+// total is the sum of the results of several seeds.
 type total struct {
 	Result
 	recovery time.Duration
@@ -61,12 +62,12 @@
 	return sum
 }
 
-func TestTheSameSeedGivesTheSameResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	is.Equal(desk(tripleBurst...).Run(7), desk(tripleBurst...).Run(7))
 }
 
-func TestBurstsThatFitAreServedInTime(t *testing.T) {
+func TestBurstsWithinCapacityAreServedInTime(t *testing.T) {
 	is := is.New(t)
 	sum := runSeeds(desk(usualBursts...))
 	t.Logf("goodput %.3f", sum.Goodput())
@@ -74,22 +75,23 @@
 	is.Equal(sum.Refused, 0)
 }
 
-// TestTheLeadIsLearned: granted at the last moment by a time to the first token
-// that is too short, requests hold engines and are late all the same.
-func TestTheLeadIsLearned(t *testing.T) {
+// TestLearnedLeadImprovesGoodput: if the assumed time to first token is too
+// short, requests granted at the last moment occupy engines and are late all
+// the same.
+func TestLearnedLeadImprovesGoodput(t *testing.T) {
 	is := is.New(t)
 	r := desk(tripleBurst...)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal, kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without %d", with.InTime, with.Asked, off.InTime)
+	t.Logf("in time %d of %d, without the mechanism %d", with.InTime, with.Asked, off.InTime)
 	is.True(with.Goodput() >= off.Goodput()+0.025)
 }
 
-// TestRefusalsComeAtOnce, and cost nobody an answer in time; the largest are
-// served at least 0.7 times as often as all.
-func TestRefusalsComeAtOnce(t *testing.T) {
+// TestRefusalsOnArrival: refusals on arrival cost no answers in time, and the
+// largest requests are served at least 0.7 times as often as all.
+func TestRefusalsOnArrival(t *testing.T) {
 	is := is.New(t)
 	r := desk(tripleBurst...)
 	with := runSeeds(r)
@@ -105,18 +107,19 @@
 	is.True(with.LargeShare >= 0.7)
 }
 
-// TestABurstIsOverSoon: what came late, or comes back, does not hold up those
-// that arrive behind it.
-func TestABurstIsOverSoon(t *testing.T) {
+// TestRecoveryAfterBurst: late requests and retries do not delay the requests
+// that arrive after the burst.
+func TestRecoveryAfterBurst(t *testing.T) {
 	is := is.New(t)
 	sum := runSeeds(desk(tripleBurst...))
-	t.Logf("in time again after %v", sum.recovery)
+	t.Logf("recovered after %v", sum.recovery)
 	is.True(sum.recovery <= 3*time.Second)
 }
 
-// TestEnginesOfOtherFigures: half of the memory, half as fast and more of them;
-// nothing is set for the first ones.
-func TestEnginesOfOtherFigures(t *testing.T) {
+// TestOtherEngineParameters: with half the memory, half the speed and more
+// engines, the mechanisms still work; no constant is fitted to the engines of
+// Desk.
+func TestOtherEngineParameters(t *testing.T) {
 	is := is.New(t)
 	r := desk(tripleBurst...)
 	r.Load.PerSecond = 11
@@ -129,7 +132,7 @@
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without the lead %d; %d of %d refusals at once", with.InTime, with.Asked, off.InTime, with.AtOnce, with.Refusals)
+	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Asked, off.InTime, with.AtOnce, with.Refusals)
 	is.True(with.Goodput() >= off.Goodput()+0.015)
 	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
 }
--- a/core/overload/owner.go
+++ b/core/overload/owner.go
@@ -7,53 +7,55 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// Owner is the daemon that schedules the pool, for which each message takes
-// processor time. Messages wait for one another there, and the scheduler hears
-// of what happened when their turn comes. The zero value takes no time.
+// Owner describes the daemon that schedules the pool and spends processor time
+// on each message. Messages queue there, so the scheduler handles an event only
+// when its message's turn comes. The zero value takes no time.
 type Owner struct {
-	// Share of a core that its host grants; 0 for an owner that takes no time.
+	// Share is the CPU quota of the owner's host, as a share of a core; 0 for
+	// an owner that takes no time.
 	Share float64
-	// Message is the processor time of one message, besides the engines that
-	// the scheduler tries for requests.
+	// MessageCost is the processor time of one message, without the engines
+	// that the scheduler evaluates for requests.
 	MessageCost time.Duration
-	// Try is the processor time of trying one engine for one request.
+	// TryCost is the processor time of evaluating one engine for one request.
 	TryCost time.Duration
 }
 
-// counting is a scheduler that counts the engines that it tries.
+// evaluationCounter is a scheduler that counts the engines that it evaluates.
 type evaluationCounter interface{ Tried() uint64 }
 
 // owner is the state of the pool's owner.
 type owner struct {
 	w *simulation
-	// mailbox holds the messages that wait; busy is set while one is handled.
+	// mailbox holds the waiting messages; busy is set while one is handled.
 	mailbox []func() []sched.Action
 	busy    bool
 }
 
-// tell has the scheduler handle a message when its turn comes.
-func (o *owner) handle(handle func() []sched.Action) {
+// handle queues a message for the scheduler; an owner that takes no time
+// handles it at once.
+func (o *owner) handle(message func() []sched.Action) {
 	if o.w.Owner.Share == 0 {
-		o.w.apply(handle())
+		o.w.apply(message())
 		return
 	}
-	o.mailbox = append(o.mailbox, handle)
+	o.mailbox = append(o.mailbox, message)
 	if !o.busy {
 		o.handleNext()
 	}
 }
 
-// handleNext handles the oldest message. What was decided goes out when the
-// processor time for it has passed.
+// handleNext handles the oldest message. The resulting actions take effect
+// after the processor time of the message.
 func (o *owner) handleNext() {
 	o.busy = len(o.mailbox) > 0
 	if !o.busy {
 		return
 	}
-	handle := o.mailbox[0]
+	message := o.mailbox[0]
 	o.mailbox = o.mailbox[1:]
 	before := o.tried()
-	actions := handle()
+	actions := message()
 	cost := o.w.Owner.MessageCost + time.Duration(o.tried()-before)*o.w.Owner.TryCost
 	o.w.schedule(o.w.now+time.Duration(float64(cost)/o.w.Owner.Share), func() {
 		o.w.apply(actions)
@@ -68,8 +70,8 @@
 	return 0
 }
 
-// next is when the scheduler wants to be looked at. One that is at work looks
-// with each message.
+// nextTick is when the scheduler is due for a tick. A busy owner needs none, as
+// the scheduler acts with each message.
 func (o *owner) nextTick() time.Duration {
 	if o.busy {
 		return math.MaxInt64
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// atOnce is how soon a refusal counts as one that came at once.
+// atOnceLimit is the time within which a refusal counts as immediate.
 const atOnceLimit = 120 * time.Millisecond
 
-// outcome is what became of a caller's request.
+// outcome is the outcome of a caller's request.
 type outcome int
 
 const (
@@ -19,22 +19,24 @@
 	abandoned
 )
 
-// Result is what a load came to.
+// Result summarizes a replay.
 type Result struct {
 	Asked, InTime, Late, Refused, Left int
-	// Returned counts the callers that came back, RefusedAgain those of them
-	// that were refused once more.
+	// Retried counts the callers that retried, RefusedAgain those that were
+	// refused more than once.
 	Retried, RefusedAgain int
-	// Refusals counts all of them, AtOnce those that came within 120 ms.
+	// Refusals counts all refusals, AtOnce those within 120 ms.
 	Refusals, AtOnce int
-	// ForGood counts the callers that were told that coming back is of no use.
+	// RefusedPermanently counts the callers that were refused with a code that
+	// rules out a retry.
 	RefusedPermanently int
-	// VainTokens were read for requests that were not served.
+	// VainTokens counts the prompt tokens of granted requests that were not
+	// served, and the tokens prefilled again after preemptions.
 	VainTokens int
-	// Preempted counts the requests that lost their memory.
+	// Preempted counts the preemptions of requests for lack of memory.
 	Preempted int
-	// LargestShare and LargeShare are how often the largest tenth, and the fifth
-	// below it, were served, against all.
+	// LargestShare and LargeShare are the served shares of the largest tenth of
+	// requests, and of the next fifth, relative to the served share of all.
 	LargestShare, LargeShare float64
 	// Seconds holds the requests by the second of their arrival.
 	Seconds []Second
@@ -56,8 +58,8 @@
 	return float64(n) / float64(of)
 }
 
-// Recovery is how long after a moment the share in time is back to nine tenths
-// of what it was in the first seconds, held for two seconds.
+// Recovery returns the time from second from until the share in time is back at
+// 90% of its mean over the first calm seconds, for two consecutive seconds.
 func (r *Result) Recovery(calm int, from int) time.Duration {
 	usual := 0.0
 	for _, s := range r.Seconds[:min(calm, len(r.Seconds))] {
@@ -74,7 +76,7 @@
 	return time.Duration(len(r.Seconds)-from) * time.Second
 }
 
-// result sums the callers up.
+// result sums up the outcomes of the callers.
 func (w *simulation) result() *Result {
 	r := &Result{Asked: len(w.callers), RefusedPermanently: w.refusedPermanently, VainTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
@@ -114,7 +116,8 @@
 	return r
 }
 
-// sizeShares compares how often large requests were served with all.
+// largeShares returns the served shares of the largest tenth of requests, and
+// of the next fifth, relative to the served share of all.
 func (w *simulation) largeShares() (largest, large float64) {
 	bySize := slices.Clone(w.callers)
 	slices.SortStableFunc(bySize, func(a, b *caller) int { return b.prompt + b.output - a.prompt - a.output })
--- a/core/overload/world.go
+++ b/core/overload/simulation.go
@@ -13,13 +13,13 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Replay is one load against one scheduler.
+// Replay is the replay of one load against one scheduler.
 type Replay struct {
 	Load    Load
 	Callers Callers
 	Engines Engines
 	Owner   Owner
-	// New makes the scheduler of the pool.
+	// New returns the scheduler of the pool.
 	New func(pool id.Pool, self id.Process) sched.Scheduler
 }
 
@@ -27,9 +27,10 @@
 	poolName    id.Pool    = "p"
 	serviceName id.Service = "s"
 	teamName    id.Team    = "t"
-	// settling is how long before the first arrival the scheduler begins.
+	// warmup is how long before the first arrival the scheduler starts.
 	warmup = time.Second
-	// hop is the time of a message between a daemon and the pool's owner.
+	// messageDelay is the delay of a message between a daemon and the pool's
+	// owner.
 	messageDelay = time.Millisecond
 )
 
@@ -43,15 +44,17 @@
 	retries  int
 	refusals int
 	outcome  outcome
-	// attempt names the present want; at is when it arrived.
+	// attempt is the request ID of the current attempt, attemptAt when it was
+	// sent.
 	attempt   id.Request
 	attemptAt time.Duration
 	run       *run
-	// asker sends the present want.
+	// requester sends the Want of the current attempt and repeats it if
+	// unanswered.
 	requester *pairing.Asker
 }
 
-// world is the state of a replay.
+// simulation is the state of a replay.
 type simulation struct {
 	Replay
 	rng       *rand.Rand
@@ -65,17 +68,18 @@
 	prefills  map[id.Endpoint]*prefillEngine
 	decodes   map[id.Endpoint]*decodeEngine
 
-	// slow is the factor that the engines' times are multiplied by now.
+	// slowdown is the current factor on the engines' times.
 	slowdown float64
 
 	refusalWaits []time.Duration
-	// forGood counts the callers that were told not to come back.
+	// refusedPermanently counts the callers that were refused with a code that
+	// rules out a retry.
 	refusedPermanently int
 	wastedTokens       int
 	preempted          int
 }
 
-// Run replays the load with a seed.
+// Run replays the load with the given seed.
 func (r Replay) Run(seed uint64) *Result {
 	w := &simulation{
 		Replay:    r,
@@ -131,8 +135,7 @@
 	w.apply(w.scheduler.Configure(0, doc))
 }
 
-// play carries out the events in order, and looks at the scheduler when it
-// wants to be looked at.
+// run processes the events in order and ticks the scheduler when it is due.
 func (w *simulation) run() {
 	end := warmup + w.Load.Length + w.Callers.Deadline
 	for w.events.Len() > 0 {
@@ -151,7 +154,7 @@
 	}
 }
 
-// arrive has a caller send its request.
+// sendRequest sends a caller's request, as a new attempt.
 func (w *simulation) sendRequest(c *caller) {
 	c.attemptAt = w.now
 	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
@@ -168,8 +171,8 @@
 	w.send(c, c.requester.Ask(w.now, want, want.Patience))
 }
 
-// send passes on what a caller's asker wants sent, and has it look again when
-// it wants to: an answer that does not come is asked for again.
+// send delivers the output of a caller's requester and schedules the
+// requester's next tick, so that an unanswered Want is repeated.
 func (w *simulation) send(c *caller, out pairing.Output) {
 	for _, m := range out.Messages {
 		if m.Want != nil {
@@ -187,7 +190,8 @@
 	})
 }
 
-// leave ends a caller that has no first event yet.
+// abandon ends the request of a caller whose patience has expired before the
+// first event.
 func (w *simulation) abandon(c *caller, attempt id.Request) {
 	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.started) {
 		return
@@ -203,7 +207,7 @@
 	w.owner.handle(func() []sched.Action { return w.scheduler.Withdraw(w.now, attempt) })
 }
 
-// take carries out what the scheduler decided.
+// apply carries out the scheduler's actions.
 func (w *simulation) apply(actions []sched.Action) {
 	for _, a := range actions {
 		switch {
@@ -233,7 +237,7 @@
 	w.prefills[g.Prefill].prefill(r)
 }
 
-// slowDown changes the speed of all engines.
+// setSlowdown changes the speed of all engines.
 func (w *simulation) setSlowdown(factor float64) {
 	for _, e := range w.decodes {
 		e.countTokens()
@@ -248,7 +252,8 @@
 	return time.Duration(w.slowdown * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
 }
 
-// refused has a caller come back, as it was told or at once.
+// refused handles a refusal: the caller retries after the advised delay or at
+// once, or ends.
 func (w *simulation) refused(r *sched.Refusal) {
 	c := w.wants[r.Request]
 	if c == nil || c.attempt != r.Request || c.outcome != unserved {
@@ -266,8 +271,8 @@
 		return
 	}
 	c.retries++
-	leftTime := c.arrived + warmup + w.Callers.Deadline - w.now
-	wait := min(r.RetryAfter, time.Duration(w.Callers.WaitShare*float64(leftTime)))
+	remaining := c.arrived + warmup + w.Callers.Deadline - w.now
+	wait := min(r.RetryAfter, time.Duration(w.Callers.WaitShare*float64(remaining)))
 	if w.rng.Float64() < w.Callers.AtOnce {
 		wait = 0
 	}
@@ -275,7 +280,7 @@
 	w.schedule(w.now+wait+messageDelay, func() { w.sendRequest(c) })
 }
 
-// first notes the first event of a caller's answer.
+// firstEvent records the first event of a caller's answer.
 func (w *simulation) firstEvent(c *caller) {
 	c.outcome = late
 	if w.now-warmup-c.arrived <= w.Callers.Target {
@@ -283,10 +288,11 @@
 	}
 }
 
-// progress tells the scheduler how a request fares.
+// progress reports the phase of a request to the scheduler.
 func (w *simulation) progress(r *run, phase sched.Phase) { w.report(r, sched.Progress{Phase: phase}) }
 
-// report tells the scheduler how a request fares, with what was measured.
+// report reports the progress of a request to the scheduler, with its measured
+// times.
 func (w *simulation) report(r *run, p sched.Progress) {
 	p.Request, p.Reservation, p.Endpoint = r.grant.Request, r.grant.Reservation, r.grant.Decode
 	p.PromptTokens, p.OutputTokens = r.caller.prompt, r.caller.output
@@ -295,14 +301,15 @@
 	})
 }
 
-// event is something that happens at a time.
+// event is a function to run at a simulated time.
 type event struct {
 	at     time.Duration
 	serial int
 	do     func()
 }
 
-// at has something done at a time, in the order in which it was asked for.
+// schedule runs a function at a simulated time; functions for the same time run
+// in the order in which they were scheduled.
 func (w *simulation) schedule(t time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{at: t, serial: w.serial, do: do})
