--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -82,7 +82,7 @@
 	switch {
 	case e.observed.Setup == e.desired && e.observed.Ready:
 		p.settle(e, "it has the desired setup after all")
-	case e.at > e.since && e.observed.Busy == 0:
+	case e.observedAt > e.since && e.observed.Busy == 0:
 		p.emptied(now, e)
 	case now-e.since >= p.cfg.DrainLimit:
 		e.again = now + p.cfg.DrainLimit
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -12,7 +12,7 @@
 
 // usable tells whether the endpoint's state is known well enough to act on.
 func (p *Placement) usable(now time.Duration, e *engine) bool {
-	return e.seen && e.observed.Reachable && now-e.at <= p.cfg.Fresh
+	return e.seen && e.observed.Reachable && now-e.observedAt <= p.cfg.Fresh
 }
 
 // warm tells whether the endpoint serves its pool's model in a role now, and
