--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -12,7 +12,7 @@
 
 // usable tells whether the endpoint's state is known well enough to act on.
 func (p *Placement) usable(now time.Duration, e *engine) bool {
-	return e.seen && e.observed.Reachable && now-e.observedAt <= p.cfg.Fresh
+	return e.everObserved && e.observed.Reachable && now-e.observedAt <= p.cfg.Fresh
 }
 
 // warm tells whether the endpoint serves its pool's model in a role now, and
@@ -43,7 +43,7 @@
 // decide sets the desired setup of each endpoint of a pool.
 func (p *Placement) decide(now time.Duration, g *group) {
 	for _, e := range g.members {
-		if e.leaving() || !e.seen {
+		if e.leaving() || !e.everObserved {
 			continue
 		}
 		role := p.decideRole(g, e)
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -136,12 +136,12 @@
 
 // engine is what placement knows of one endpoint.
 type engine struct {
-	name       id.Endpoint
-	config     *live.Endpoint
-	pool       *live.Pool
-	seen       bool
-	observed   Observation
-	observedAt time.Duration
+	name         id.Endpoint
+	config       *live.Endpoint
+	pool         *live.Pool
+	everObserved bool
+	observed     Observation
+	observedAt   time.Duration
 
 	desired Setup
 	decided bool
@@ -246,7 +246,7 @@
 		e.observed.Reachable = false
 		return
 	}
-	e.observed, e.observedAt, e.seen = o, now, true
+	e.observed, e.observedAt, e.everObserved = o, now, true
 }
 
 // Demand takes a pool's utilisation.
