--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -82,9 +82,9 @@
 // new, or any label in a pool of fixed roles.
 func (p *Placement) decideRole(g *group, e *engine) live.Role {
 	label := e.config.Labels[live.LabelRole]
-	relabelled := e.decided && label != e.label && label != ""
+	relabelled := e.decided && label != e.roleLabel && label != ""
 	first := !e.decided
-	e.label = label
+	e.roleLabel = label
 	if label != "" && (g.pool.FixedRoles || relabelled) {
 		return live.Role(label)
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -143,9 +143,9 @@
 	observed     Observation
 	observedAt   time.Duration
 
-	desired Setup
-	decided bool
-	label   string
+	desired   Setup
+	decided   bool
+	roleLabel string
 	// changed is when demand last changed the role; everChanged says if it did.
 	changed     time.Duration
 	everChanged bool
