--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -7,7 +7,7 @@
 
 // advance takes an endpoint's next step towards its desired setup.
 func (p *Placement) advance(now time.Duration, g *group, e *engine) {
-	if !e.decided {
+	if !e.hasDesired {
 		return
 	}
 	if e.leaving() {
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -48,12 +48,12 @@
 		}
 		role := p.decideRole(g, e)
 		setup := wanted(g.pool, e.config, role)
-		if e.decided && setup == e.desired {
+		if e.hasDesired && setup == e.desired {
 			continue
 		}
 		before := e.desired
-		first := !e.decided
-		e.desired, e.decided = setup, true
+		first := !e.hasDesired
+		e.desired, e.hasDesired = setup, true
 		if !first {
 			p.say(e, "desired", fmt.Sprintf("from %s to %s", before, setup))
 		}
@@ -82,8 +82,8 @@
 // new, or any label in a pool of fixed roles.
 func (p *Placement) decideRole(g *group, e *engine) live.Role {
 	label := e.config.Labels[live.LabelRole]
-	relabelled := e.decided && label != e.roleLabel && label != ""
-	first := !e.decided
+	relabelled := e.hasDesired && label != e.roleLabel && label != ""
+	first := !e.hasDesired
 	e.roleLabel = label
 	if label != "" && (g.pool.FixedRoles || relabelled) {
 		return live.Role(label)
@@ -105,7 +105,7 @@
 	prefill, decode := 0, 0
 	for _, e := range g.members {
 		switch {
-		case !e.decided || e.leaving():
+		case !e.hasDesired || e.leaving():
 		case e.desired.Role == live.RolePrefill:
 			prefill++
 		default:
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -143,9 +143,9 @@
 	observed     Observation
 	observedAt   time.Duration
 
-	desired   Setup
-	decided   bool
-	roleLabel string
+	desired    Setup
+	hasDesired bool
+	roleLabel  string
 	// changed is when demand last changed the role; everChanged says if it did.
 	changed     time.Duration
 	everChanged bool
@@ -275,7 +275,7 @@
 // Desired returns the setup that an endpoint should have.
 func (p *Placement) Desired(endpoint id.Endpoint) (Setup, bool) {
 	e := p.engines[endpoint]
-	if e == nil || !e.decided {
+	if e == nil || !e.hasDesired {
 		return Setup{}, false
 	}
 	return e.desired, true
