--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -147,8 +147,8 @@
 	hasDesired bool
 	roleLabel  string
 	// changed is when demand last changed the role; everChanged says if it did.
-	changed     time.Duration
-	everChanged bool
+	roleChangedAt time.Duration
+	everChanged   bool
 
 	step  step
 	since time.Duration
