--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -140,7 +140,7 @@
 		return
 	}
 	e.desired.Role = wish
-	e.roleChangedAt, e.everChanged = now, true
+	e.roleChangedAt, e.roleChanged = now, true
 	g.changed, g.moved = now, true
 	g.wishFrom = now
 	p.say(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
@@ -175,7 +175,7 @@
 	}
 	var best *engine
 	for _, e := range g.members {
-		dwelt := !e.everChanged || now-e.roleChangedAt >= p.cfg.MinDwell
+		dwelt := !e.roleChanged || now-e.roleChangedAt >= p.cfg.MinDwell
 		if !dwelt || !p.warm(now, e, role) || e.desired != e.observed.Setup {
 			continue
 		}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -148,7 +148,7 @@
 	roleLabel  string
 	// changed is when demand last changed the role; everChanged says if it did.
 	roleChangedAt time.Duration
-	everChanged   bool
+	roleChanged   bool
 
 	step  step
 	since time.Duration
