--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -52,7 +52,7 @@
 		return
 	}
 	e.held = ""
-	e.step, e.since, e.loads = stepDraining, now, loads
+	e.step, e.stepSince, e.loads = stepDraining, now, loads
 	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
 	p.say(e, "change", reason)
 	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
@@ -82,9 +82,9 @@
 	switch {
 	case e.observed.Setup == e.desired && e.observed.Ready:
 		p.settle(e, "it has the desired setup after all")
-	case e.observedAt > e.since && e.observed.Busy == 0:
+	case e.observedAt > e.stepSince && e.observed.Busy == 0:
 		p.emptied(now, e)
-	case now-e.since >= p.cfg.DrainLimit:
+	case now-e.stepSince >= p.cfg.DrainLimit:
 		e.again = now + p.cfg.DrainLimit
 		p.settle(e, "it did not become empty in time; the change is put off")
 	}
@@ -96,7 +96,7 @@
 		return
 	}
 	e.loads = true
-	e.step, e.since, e.again = stepGranting, now, now
+	e.step, e.stepSince, e.again = stepGranting, now, now
 	p.grant(now, e)
 }
 
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -150,8 +150,8 @@
 	roleChangedAt time.Duration
 	roleChanged   bool
 
-	step  step
-	since time.Duration
+	step      step
+	stepSince time.Duration
 	// loads is set while the change under way needs the weight store.
 	loads bool
 	// again is when the next repeat or request is due.
