--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -52,7 +52,7 @@
 		return
 	}
 	e.held = ""
-	e.step, e.stepSince, e.loads = stepDraining, now, loads
+	e.step, e.stepSince, e.needsLoad = stepDraining, now, loads
 	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
 	p.say(e, "change", reason)
 	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
@@ -70,7 +70,7 @@
 func (p *Placement) loads() int {
 	n := 0
 	for _, e := range p.engines {
-		if e.step != stepSettled && e.loads {
+		if e.step != stepSettled && e.needsLoad {
 			n++
 		}
 	}
@@ -95,7 +95,7 @@
 		p.order(now, e, "it is empty and needs no load")
 		return
 	}
-	e.loads = true
+	e.needsLoad = true
 	e.step, e.stepSince, e.again = stepGranting, now, now
 	p.grant(now, e)
 }
@@ -134,7 +134,7 @@
 
 // settle ends a change and lets new work in again.
 func (p *Placement) settle(e *engine, reason string) {
-	e.step, e.loads = stepSettled, false
+	e.step, e.needsLoad = stepSettled, false
 	p.say(e, "settled", reason)
 	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -153,7 +153,7 @@
 	step      step
 	stepSince time.Duration
 	// loads is set while the change under way needs the weight store.
-	loads bool
+	needsLoad bool
 	// again is when the next repeat or request is due.
 	again time.Duration
 	// held is the last reason why a change was put off, to log it once.
