--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -38,7 +38,7 @@
 		e.held = ""
 		return
 	}
-	if now < e.again {
+	if now < e.retryAt {
 		return
 	}
 	role := o.Setup.Role
@@ -85,7 +85,7 @@
 	case e.observedAt > e.stepSince && e.observed.Busy == 0:
 		p.emptied(now, e)
 	case now-e.stepSince >= p.cfg.DrainLimit:
-		e.again = now + p.cfg.DrainLimit
+		e.retryAt = now + p.cfg.DrainLimit
 		p.settle(e, "it did not become empty in time; the change is put off")
 	}
 }
@@ -96,23 +96,23 @@
 		return
 	}
 	e.needsLoad = true
-	e.step, e.stepSince, e.again = stepGranting, now, now
+	e.step, e.stepSince, e.retryAt = stepGranting, now, now
 	p.grant(now, e)
 }
 
 // grant asks the weight store, and again when it is due.
 func (p *Placement) grant(now time.Duration, e *engine) {
-	if now < e.again {
+	if now < e.retryAt {
 		return
 	}
-	e.again = now + p.cfg.GrantTimeout
+	e.retryAt = now + p.cfg.GrantTimeout
 	p.out = append(p.out, Action{Grant: &GrantRequest{Endpoint: e.name, Model: e.desired.Model}})
 }
 
 // order sends the desired setup.
 func (p *Placement) order(now time.Duration, e *engine, reason string) {
 	e.step = stepOrdered
-	e.again = now + p.cfg.OrderRepeat
+	e.retryAt = now + p.cfg.OrderRepeat
 	p.out = append(p.out, Action{Order: &Order{
 		Endpoint:      e.name,
 		Setup:         e.desired,
@@ -127,7 +127,7 @@
 		p.settle(e, "it is ready as desired")
 		return
 	}
-	if now >= e.again {
+	if now >= e.retryAt {
 		p.order(now, e, "the order is not carried out yet")
 	}
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -155,7 +155,7 @@
 	// loads is set while the change under way needs the weight store.
 	needsLoad bool
 	// again is when the next repeat or request is due.
-	again time.Duration
+	retryAt time.Duration
 	// held is the last reason why a change was put off, to log it once.
 	held string
 }
@@ -265,7 +265,7 @@
 		return nil
 	}
 	if !ok {
-		e.again = now + max(retryAfter, p.cfg.OrderRepeat/5)
+		e.retryAt = now + max(retryAfter, p.cfg.OrderRepeat/5)
 		return nil
 	}
 	p.order(now, e, "the weight store granted the load")
