--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -35,7 +35,7 @@
 func (p *Placement) start(now time.Duration, g *group, e *engine) {
 	o := e.observed
 	if o.Setup == e.desired {
-		e.held = ""
+		e.postponeReason = ""
 		return
 	}
 	if now < e.retryAt {
@@ -51,7 +51,7 @@
 		p.putOff(e, "as many loads run as may")
 		return
 	}
-	e.held = ""
+	e.postponeReason = ""
 	e.step, e.stepSince, e.needsLoad = stepDraining, now, loads
 	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
 	p.say(e, "change", reason)
@@ -60,8 +60,8 @@
 
 // putOff logs once why a change waits.
 func (p *Placement) putOff(e *engine, reason string) {
-	if e.held != reason {
-		e.held = reason
+	if e.postponeReason != reason {
+		e.postponeReason = reason
 		p.say(e, "held_back", reason)
 	}
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -157,7 +157,7 @@
 	// again is when the next repeat or request is due.
 	retryAt time.Duration
 	// held is the last reason why a change was put off, to log it once.
-	held string
+	postponeReason string
 }
 
 // group is what placement knows of one pool.
