--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -19,7 +19,7 @@
 		return
 	}
 	switch e.step {
-	case stepSettled:
+	case stepIdle:
 		p.start(now, g, e)
 	case stepDraining:
 		p.drain(now, e)
@@ -70,7 +70,7 @@
 func (p *Placement) loads() int {
 	n := 0
 	for _, e := range p.engines {
-		if e.step != stepSettled && e.needsLoad {
+		if e.step != stepIdle && e.needsLoad {
 			n++
 		}
 	}
@@ -134,14 +134,14 @@
 
 // settle ends a change and lets new work in again.
 func (p *Placement) settle(e *engine, reason string) {
-	e.step, e.needsLoad = stepSettled, false
+	e.step, e.needsLoad = stepIdle, false
 	p.say(e, "settled", reason)
 	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
 }
 
 // cancel ends a change that must not go on.
 func (p *Placement) cancel(e *engine, reason string) {
-	if e.step != stepSettled {
+	if e.step != stepIdle {
 		p.settle(e, reason)
 	}
 }
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -18,7 +18,7 @@
 // warm tells whether the endpoint serves its pool's model in a role now, and
 // will go on doing so.
 func (p *Placement) warm(now time.Duration, e *engine, role live.Role) bool {
-	return p.usable(now, e) && !e.leaving() && e.step == stepSettled &&
+	return p.usable(now, e) && !e.leaving() && e.step == stepIdle &&
 		e.observed.Ready && e.observed.Setup.Role == role && e.observed.Setup.Model == e.pool.Model
 }
 
@@ -189,7 +189,7 @@
 // changing tells whether an endpoint of the pool is on its way to another setup.
 func (p *Placement) changing(g *group) bool {
 	for _, e := range g.members {
-		if e.step != stepSettled {
+		if e.step != stepIdle {
 			return true
 		}
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -128,7 +128,7 @@
 type step uint8
 
 const (
-	stepSettled step = iota
+	stepIdle step = iota
 	stepDraining
 	stepGranting
 	stepOrdered
@@ -285,7 +285,7 @@
 func (p *Placement) Draining() []id.Endpoint {
 	var out []id.Endpoint
 	for _, e := range sortedEngines(p.engines) {
-		if e.step != stepSettled {
+		if e.step != stepIdle {
 			out = append(out, e.name)
 		}
 	}
