--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -23,7 +23,7 @@
 		p.start(now, g, e)
 	case stepDraining:
 		p.drain(now, e)
-	case stepGranting:
+	case stepRequestingGrant:
 		p.grant(now, e)
 	case stepOrdered:
 		p.await(now, e)
@@ -96,7 +96,7 @@
 		return
 	}
 	e.needsLoad = true
-	e.step, e.stepSince, e.retryAt = stepGranting, now, now
+	e.step, e.stepSince, e.retryAt = stepRequestingGrant, now, now
 	p.grant(now, e)
 }
 
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -130,7 +130,7 @@
 const (
 	stepIdle step = iota
 	stepDraining
-	stepGranting
+	stepRequestingGrant
 	stepOrdered
 )
 
@@ -261,7 +261,7 @@
 // Granted takes the weight store's answer; retryAfter counts where it refused.
 func (p *Placement) Granted(now time.Duration, endpoint id.Endpoint, ok bool, retryAfter time.Duration) []Action {
 	e := p.engines[endpoint]
-	if e == nil || e.step != stepGranting {
+	if e == nil || e.step != stepRequestingGrant {
 		return nil
 	}
 	if !ok {
