--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -148,7 +148,7 @@
 
 // wish is the role that demand asks for more of; empty for none.
 func (p *Placement) wish(g *group) live.Role {
-	if !g.known || g.pool.FixedRoles {
+	if !g.demandKnown || g.pool.FixedRoles {
 		return ""
 	}
 	switch d := g.demand; {
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -162,14 +162,14 @@
 
 // group is what placement knows of one pool.
 type group struct {
-	pool     *live.Pool
-	members  []*engine
-	demand   Demand
-	known    bool
-	wish     live.Role
-	wishFrom time.Duration
-	changed  time.Duration
-	moved    bool
+	pool        *live.Pool
+	members     []*engine
+	demand      Demand
+	demandKnown bool
+	wish        live.Role
+	wishFrom    time.Duration
+	changed     time.Duration
+	moved       bool
 }
 
 // Placement decides for all pools. It is not safe for concurrent use.
@@ -253,7 +253,7 @@
 func (p *Placement) Demand(now time.Duration, d Demand) {
 	for _, g := range p.groups {
 		if g.pool.Name == d.Pool {
-			g.demand, g.known = d, true
+			g.demand, g.demandKnown = d, true
 		}
 	}
 }
