--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -129,8 +129,8 @@
 // once demand has asked for it long enough.
 func (p *Placement) rebalance(now time.Duration, g *group) {
 	wish := p.wish(g)
-	if wish != g.wish {
-		g.wish, g.wishFrom = wish, now
+	if wish != g.shortRole {
+		g.shortRole, g.wishFrom = wish, now
 	}
 	if wish == "" || now-g.wishFrom < p.cfg.Sustain || (g.moved && now-g.changed < p.cfg.MinDwell) {
 		return
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -166,7 +166,7 @@
 	members     []*engine
 	demand      Demand
 	demandKnown bool
-	wish        live.Role
+	shortRole   live.Role
 	wishFrom    time.Duration
 	changed     time.Duration
 	moved       bool
