--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -167,7 +167,7 @@
 	demand      Demand
 	demandKnown bool
 	shortRole   live.Role
-	wishFrom    time.Duration
+	shortSince  time.Duration
 	changed     time.Duration
 	moved       bool
 }
