--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -168,7 +168,7 @@
 	demandKnown bool
 	shortRole   live.Role
 	shortSince  time.Duration
-	changed     time.Duration
+	lastMoveAt  time.Duration
 	moved       bool
 }
 
