--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -132,7 +132,7 @@
 	if wish != g.shortRole {
 		g.shortRole, g.shortSince = wish, now
 	}
-	if wish == "" || now-g.shortSince < p.cfg.Sustain || (g.moved && now-g.lastMoveAt < p.cfg.MinDwell) {
+	if wish == "" || now-g.shortSince < p.cfg.Sustain || (g.everMoved && now-g.lastMoveAt < p.cfg.MinDwell) {
 		return
 	}
 	e := p.donor(now, g, other(wish))
@@ -141,7 +141,7 @@
 	}
 	e.desired.Role = wish
 	e.roleChangedAt, e.roleChanged = now, true
-	g.lastMoveAt, g.moved = now, true
+	g.lastMoveAt, g.everMoved = now, true
 	g.shortSince = now
 	p.say(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -169,7 +169,7 @@
 	shortRole   live.Role
 	shortSince  time.Duration
 	lastMoveAt  time.Duration
-	moved       bool
+	everMoved   bool
 }
 
 // Placement decides for all pools. It is not safe for concurrent use.
