--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -6,7 +6,7 @@
 )
 
 // advance takes an endpoint's next step towards its desired setup.
-func (p *Placement) advance(now time.Duration, g *group, e *engine) {
+func (p *Placement) advance(now time.Duration, g *poolState, e *engine) {
 	if !e.hasDesired {
 		return
 	}
@@ -32,7 +32,7 @@
 
 // start begins a change where the observed setup differs from the desired
 // one: for a new wish, or to repair what somebody else's late order did.
-func (p *Placement) start(now time.Duration, g *group, e *engine) {
+func (p *Placement) start(now time.Duration, g *poolState, e *engine) {
 	o := e.observed
 	if o.Setup == e.desired {
 		e.postponeReason = ""
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -22,7 +22,7 @@
 		e.observed.Ready && e.observed.Setup.Role == role && e.observed.Setup.Model == e.pool.Model
 }
 
-func (p *Placement) warmCount(now time.Duration, g *group, role live.Role) int {
+func (p *Placement) warmCount(now time.Duration, g *poolState, role live.Role) int {
 	n := 0
 	for _, e := range g.members {
 		if p.warm(now, e, role) {
@@ -41,7 +41,7 @@
 }
 
 // decide sets the desired setup of each endpoint of a pool.
-func (p *Placement) decide(now time.Duration, g *group) {
+func (p *Placement) decide(now time.Duration, g *poolState) {
 	for _, e := range g.members {
 		if e.leaving() || !e.everObserved {
 			continue
@@ -80,7 +80,7 @@
 
 // decideRole keeps the role unless a label says otherwise: a label that is
 // new, or any label in a pool of fixed roles.
-func (p *Placement) decideRole(g *group, e *engine) live.Role {
+func (p *Placement) decideRole(g *poolState, e *engine) live.Role {
 	label := e.config.Labels[live.LabelRole]
 	relabelled := e.hasDesired && label != e.roleLabel && label != ""
 	first := !e.hasDesired
@@ -101,7 +101,7 @@
 }
 
 // firstRole gives a new endpoint the role that the pool lacks most.
-func firstRole(g *group) live.Role {
+func firstRole(g *poolState) live.Role {
 	prefill, decode := 0, 0
 	for _, e := range g.members {
 		switch {
@@ -127,7 +127,7 @@
 
 // rebalance moves at most one endpoint of a pool to the role that is short,
 // once demand has asked for it long enough.
-func (p *Placement) rebalance(now time.Duration, g *group) {
+func (p *Placement) rebalance(now time.Duration, g *poolState) {
 	wish := p.wish(g)
 	if wish != g.shortRole {
 		g.shortRole, g.shortSince = wish, now
@@ -147,7 +147,7 @@
 }
 
 // wish is the role that demand asks for more of; empty for none.
-func (p *Placement) wish(g *group) live.Role {
+func (p *Placement) wish(g *poolState) live.Role {
 	if !g.demandKnown || g.pool.FixedRoles {
 		return ""
 	}
@@ -169,7 +169,7 @@
 }
 
 // donor chooses the least busy warm endpoint of a role that may change it.
-func (p *Placement) donor(now time.Duration, g *group, role live.Role) *engine {
+func (p *Placement) donor(now time.Duration, g *poolState, role live.Role) *engine {
 	if p.changing(g) || p.warmCount(now, g, role) <= least(g.pool, role) {
 		return nil
 	}
@@ -187,7 +187,7 @@
 }
 
 // changing tells whether an endpoint of the pool is on its way to another setup.
-func (p *Placement) changing(g *group) bool {
+func (p *Placement) changing(g *poolState) bool {
 	for _, e := range g.members {
 		if e.step != stepIdle {
 			return true
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -161,7 +161,7 @@
 }
 
 // group is what placement knows of one pool.
-type group struct {
+type poolState struct {
 	pool        *live.Pool
 	members     []*engine
 	demand      Demand
@@ -176,7 +176,7 @@
 type Placement struct {
 	cfg     Config
 	engines map[id.Endpoint]*engine
-	groups  []*group
+	groups  []*poolState
 	out     []Action
 }
 
@@ -190,7 +190,7 @@
 func (p *Placement) Configure(now time.Duration, x *live.Index) []Action {
 	old := p.engines
 	p.engines = map[id.Endpoint]*engine{}
-	groups := map[id.Pool]*group{}
+	groups := map[id.Pool]*poolState{}
 	for _, g := range p.groups {
 		groups[g.pool.Name] = g
 	}
@@ -203,7 +203,7 @@
 		}
 		g := groups[pool.Name]
 		if g == nil {
-			g = &group{}
+			g = &poolState{}
 		}
 		g.pool = pool
 		g.members = p.adopt(x.Endpoints(pool.Name), pool, old)
