--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -176,7 +176,7 @@
 type Placement struct {
 	cfg     Config
 	engines map[id.Endpoint]*engine
-	groups  []*poolState
+	pools   []*poolState
 	out     []Action
 }
 
@@ -191,10 +191,10 @@
 	old := p.engines
 	p.engines = map[id.Endpoint]*engine{}
 	groups := map[id.Pool]*poolState{}
-	for _, g := range p.groups {
+	for _, g := range p.pools {
 		groups[g.pool.Name] = g
 	}
-	p.groups = nil
+	p.pools = nil
 	doc := x.Document()
 	for i := range doc.Pools {
 		pool := &doc.Pools[i]
@@ -207,7 +207,7 @@
 		}
 		g.pool = pool
 		g.members = p.adopt(x.Endpoints(pool.Name), pool, old)
-		p.groups = append(p.groups, g)
+		p.pools = append(p.pools, g)
 	}
 	for _, e := range sortedEngines(old) {
 		if p.engines[e.name] == nil {
@@ -251,7 +251,7 @@
 
 // Demand takes a pool's utilisation.
 func (p *Placement) Demand(now time.Duration, d Demand) {
-	for _, g := range p.groups {
+	for _, g := range p.pools {
 		if g.pool.Name == d.Pool {
 			g.demand, g.demandKnown = d, true
 		}
@@ -294,13 +294,13 @@
 
 // Tick decides and takes the next steps.
 func (p *Placement) Tick(now time.Duration) []Action {
-	for _, g := range p.groups {
+	for _, g := range p.pools {
 		p.decide(now, g)
 	}
-	for _, g := range p.groups {
+	for _, g := range p.pools {
 		p.rebalance(now, g)
 	}
-	for _, g := range p.groups {
+	for _, g := range p.pools {
 		for _, e := range g.members {
 			p.advance(now, g, e)
 		}
