--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -55,7 +55,7 @@
 	e.step, e.stepSince, e.needsLoad = stepDraining, now, loads
 	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
 	p.say(e, "change", reason)
-	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
+	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
 }
 
 // putOff logs once why a change waits.
@@ -106,14 +106,14 @@
 		return
 	}
 	e.retryAt = now + p.cfg.GrantTimeout
-	p.out = append(p.out, Action{Grant: &GrantRequest{Endpoint: e.name, Model: e.desired.Model}})
+	p.actions = append(p.actions, Action{Grant: &GrantRequest{Endpoint: e.name, Model: e.desired.Model}})
 }
 
 // order sends the desired setup.
 func (p *Placement) order(now time.Duration, e *engine, reason string) {
 	e.step = stepOrdered
 	e.retryAt = now + p.cfg.OrderRepeat
-	p.out = append(p.out, Action{Order: &Order{
+	p.actions = append(p.actions, Action{Order: &Order{
 		Endpoint:      e.name,
 		Setup:         e.desired,
 		ChecksFencing: e.config.ChecksFencing,
@@ -136,7 +136,7 @@
 func (p *Placement) settle(e *engine, reason string) {
 	e.step, e.needsLoad = stepIdle, false
 	p.say(e, "settled", reason)
-	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
+	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
 }
 
 // cancel ends a change that must not go on.
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -177,7 +177,7 @@
 	cfg     Config
 	engines map[id.Endpoint]*engine
 	pools   []*poolState
-	out     []Action
+	actions []Action
 }
 
 // New returns a placement that knows nothing yet. A new holder of the lease
@@ -309,13 +309,13 @@
 }
 
 func (p *Placement) flush() []Action {
-	out := p.out
-	p.out = nil
+	out := p.actions
+	p.actions = nil
 	return out
 }
 
 func (p *Placement) say(e *engine, event, reason string) {
-	p.out = append(p.out, Action{Decision: &Decision{Endpoint: e.name, Pool: e.pool.Name, Event: event, Reason: reason}})
+	p.actions = append(p.actions, Action{Decision: &Decision{Endpoint: e.name, Pool: e.pool.Name, Event: event, Reason: reason}})
 }
 
 func sortedEngines(m map[id.Endpoint]*engine) []*engine {
