--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -206,7 +206,7 @@
 			g = &poolState{}
 		}
 		g.pool = pool
-		g.members = p.adopt(x.Endpoints(pool.Name), pool, old)
+		g.members = p.carryOver(x.Endpoints(pool.Name), pool, old)
 		p.pools = append(p.pools, g)
 	}
 	for _, e := range sortedEngines(old) {
@@ -219,7 +219,7 @@
 
 // adopt keeps what is known of a pool's endpoints. One that several pools
 // select belongs to the first.
-func (p *Placement) adopt(endpoints []*live.Endpoint, pool *live.Pool, old map[id.Endpoint]*engine) []*engine {
+func (p *Placement) carryOver(endpoints []*live.Endpoint, pool *live.Pool, old map[id.Endpoint]*engine) []*engine {
 	var members []*engine
 	for _, c := range endpoints {
 		if p.engines[c.Name] != nil {
