--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -54,7 +54,7 @@
 	e.postponeReason = ""
 	e.step, e.stepSince, e.needsLoad = stepDraining, now, loads
 	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
-	p.say(e, "change", reason)
+	p.recordDecision(e, "change", reason)
 	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
 }
 
@@ -62,7 +62,7 @@
 func (p *Placement) putOff(e *engine, reason string) {
 	if e.postponeReason != reason {
 		e.postponeReason = reason
-		p.say(e, "held_back", reason)
+		p.recordDecision(e, "held_back", reason)
 	}
 }
 
@@ -135,7 +135,7 @@
 // settle ends a change and lets new work in again.
 func (p *Placement) settle(e *engine, reason string) {
 	e.step, e.needsLoad = stepIdle, false
-	p.say(e, "settled", reason)
+	p.recordDecision(e, "settled", reason)
 	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
 }
 
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -55,7 +55,7 @@
 		first := !e.hasDesired
 		e.desired, e.hasDesired = setup, true
 		if !first {
-			p.say(e, "desired", fmt.Sprintf("from %s to %s", before, setup))
+			p.recordDecision(e, "desired", fmt.Sprintf("from %s to %s", before, setup))
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	e.roleChangedAt, e.roleChanged = now, true
 	g.lastMoveAt, g.everMoved = now, true
 	g.shortSince = now
-	p.say(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
+	p.recordDecision(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
 }
 
 // wish is the role that demand asks for more of; empty for none.
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -314,7 +314,7 @@
 	return out
 }
 
-func (p *Placement) say(e *engine, event, reason string) {
+func (p *Placement) recordDecision(e *engine, event, reason string) {
 	p.actions = append(p.actions, Action{Decision: &Decision{Endpoint: e.name, Pool: e.pool.Name, Event: event, Reason: reason}})
 }
 
