--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -42,8 +42,8 @@
 		return
 	}
 	role := o.Setup.Role
-	if p.warm(now, e, role) && p.warmCount(now, g, role) <= least(g.pool, role) {
-		p.putOff(e, fmt.Sprintf("it is one of the last %d warm %s endpoints", least(g.pool, role), role))
+	if p.warm(now, e, role) && p.warmCount(now, g, role) <= minWarm(g.pool, role) {
+		p.putOff(e, fmt.Sprintf("it is one of the last %d warm %s endpoints", minWarm(g.pool, role), role))
 		return
 	}
 	loads := !o.Setup.sameWeights(e.desired)
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -33,7 +33,7 @@
 }
 
 // least is the fewest warm endpoints of a role that must stay; never none.
-func least(pool *live.Pool, role live.Role) int {
+func minWarm(pool *live.Pool, role live.Role) int {
 	if role == live.RolePrefill {
 		return max(1, pool.MinPrefill)
 	}
@@ -112,8 +112,8 @@
 			decode++
 		}
 	}
-	lackPrefill := least(g.pool, live.RolePrefill) - prefill
-	lackDecode := least(g.pool, live.RoleDecode) - decode
+	lackPrefill := minWarm(g.pool, live.RolePrefill) - prefill
+	lackDecode := minWarm(g.pool, live.RoleDecode) - decode
 	if lackPrefill > lackDecode || (lackPrefill == lackDecode && prefill < decode) {
 		return live.RolePrefill
 	}
@@ -170,7 +170,7 @@
 
 // donor chooses the least busy warm endpoint of a role that may change it.
 func (p *Placement) donor(now time.Duration, g *poolState, role live.Role) *engine {
-	if p.changing(g) || p.warmCount(now, g, role) <= least(g.pool, role) {
+	if p.changing(g) || p.warmCount(now, g, role) <= minWarm(g.pool, role) {
 		return nil
 	}
 	var best *engine
