--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -41,7 +41,7 @@
 }
 
 // decide sets the desired setup of each endpoint of a pool.
-func (p *Placement) decide(now time.Duration, g *poolState) {
+func (p *Placement) setDesired(now time.Duration, g *poolState) {
 	for _, e := range g.members {
 		if e.leaving() || !e.everObserved {
 			continue
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -295,7 +295,7 @@
 // Tick decides and takes the next steps.
 func (p *Placement) Tick(now time.Duration) []Action {
 	for _, g := range p.pools {
-		p.decide(now, g)
+		p.setDesired(now, g)
 	}
 	for _, g := range p.pools {
 		p.rebalance(now, g)
