--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		role := p.decideRole(g, e)
-		setup := wanted(g.pool, e.config, role)
+		setup := desiredSetup(g.pool, e.config, role)
 		if e.hasDesired && setup == e.desired {
 			continue
 		}
@@ -62,7 +62,7 @@
 
 // wanted is what the pool wants of an endpoint: its fields, over them its
 // labels, over them the endpoint's labels.
-func wanted(pool *live.Pool, e *live.Endpoint, role live.Role) Setup {
+func desiredSetup(pool *live.Pool, e *live.Endpoint, role live.Role) Setup {
 	setup := Setup{Model: pool.Model, Adapter: pool.Adapter, Version: pool.Version, Role: role}
 	for _, labels := range []live.Labels{pool.Labels, e.Labels} {
 		override(&setup.Model, labels[live.LabelModel])
--- a/core/placement/wanted_test.go
+++ b/core/placement/wanted_test.go
@@ -12,9 +12,9 @@
 	is := is.New(t)
 	pool := &live.Pool{Model: "m", Version: "1"}
 	e := &live.Endpoint{}
-	is.Equal(wanted(pool, e, live.RoleDecode), Setup{Model: "m", Version: "1", Role: live.RoleDecode})
+	is.Equal(desiredSetup(pool, e, live.RoleDecode), Setup{Model: "m", Version: "1", Role: live.RoleDecode})
 	pool.Labels = live.Labels{live.LabelVersion: "2"} // a roll-out to the whole pool
-	is.Equal(wanted(pool, e, live.RoleDecode).Version, "2")
+	is.Equal(desiredSetup(pool, e, live.RoleDecode).Version, "2")
 	e.Labels = live.Labels{live.LabelVersion: "3"} // a canary
-	is.Equal(wanted(pool, e, live.RoleDecode).Version, "3")
+	is.Equal(desiredSetup(pool, e, live.RoleDecode).Version, "3")
 }
