--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -65,14 +65,14 @@
 func desiredSetup(pool *live.Pool, e *live.Endpoint, role live.Role) Setup {
 	setup := Setup{Model: pool.Model, Adapter: pool.Adapter, Version: pool.Version, Role: role}
 	for _, labels := range []live.Labels{pool.Labels, e.Labels} {
-		override(&setup.Model, labels[live.LabelModel])
-		override(&setup.Adapter, labels[live.LabelAdapter])
-		override(&setup.Version, labels[live.LabelVersion])
+		overrideIfSet(&setup.Model, labels[live.LabelModel])
+		overrideIfSet(&setup.Adapter, labels[live.LabelAdapter])
+		overrideIfSet(&setup.Version, labels[live.LabelVersion])
 	}
 	return setup
 }
 
-func override(field *string, label string) {
+func overrideIfSet(field *string, label string) {
 	if label != "" {
 		*field = label
 	}
