--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -97,11 +97,11 @@
 	if label != "" {
 		return live.Role(label)
 	}
-	return firstRole(g)
+	return initialRole(g)
 }
 
 // firstRole gives a new endpoint the role that the pool lacks most.
-func firstRole(g *poolState) live.Role {
+func initialRole(g *poolState) live.Role {
 	prefill, decode := 0, 0
 	for _, e := range g.members {
 		switch {
