--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -128,7 +128,7 @@
 // rebalance moves at most one endpoint of a pool to the role that is short,
 // once demand has asked for it long enough.
 func (p *Placement) rebalance(now time.Duration, g *poolState) {
-	wish := p.wish(g)
+	wish := p.roleInDemand(g)
 	if wish != g.shortRole {
 		g.shortRole, g.shortSince = wish, now
 	}
@@ -147,7 +147,7 @@
 }
 
 // wish is the role that demand asks for more of; empty for none.
-func (p *Placement) wish(g *poolState) live.Role {
+func (p *Placement) roleInDemand(g *poolState) live.Role {
 	if !g.demandKnown || g.pool.FixedRoles {
 		return ""
 	}
