--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -135,7 +135,7 @@
 	if wish == "" || now-g.shortSince < p.cfg.Sustain || (g.everMoved && now-g.lastMoveAt < p.cfg.MinDwell) {
 		return
 	}
-	e := p.donor(now, g, other(wish))
+	e := p.donor(now, g, otherRole(wish))
 	if e == nil {
 		return
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-func other(r live.Role) live.Role {
+func otherRole(r live.Role) live.Role {
 	if r == live.RolePrefill {
 		return live.RoleDecode
 	}
