--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -135,7 +135,7 @@
 	if wish == "" || now-g.shortSince < p.cfg.Sustain || (g.everMoved && now-g.lastMoveAt < p.cfg.MinDwell) {
 		return
 	}
-	e := p.donor(now, g, otherRole(wish))
+	e := p.chooseDonor(now, g, otherRole(wish))
 	if e == nil {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // donor chooses the least busy warm endpoint of a role that may change it.
-func (p *Placement) donor(now time.Duration, g *poolState, role live.Role) *engine {
+func (p *Placement) chooseDonor(now time.Duration, g *poolState, role live.Role) *engine {
 	if p.changing(g) || p.warmCount(now, g, role) <= minWarm(g.pool, role) {
 		return nil
 	}
