--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -20,7 +20,7 @@
 	}
 	switch e.step {
 	case stepIdle:
-		p.start(now, g, e)
+		p.startChange(now, g, e)
 	case stepDraining:
 		p.drain(now, e)
 	case stepRequestingGrant:
@@ -32,7 +32,7 @@
 
 // start begins a change where the observed setup differs from the desired
 // one: for a new wish, or to repair what somebody else's late order did.
-func (p *Placement) start(now time.Duration, g *poolState, e *engine) {
+func (p *Placement) startChange(now time.Duration, g *poolState, e *engine) {
 	o := e.observed
 	if o.Setup == e.desired {
 		e.postponeReason = ""
