--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -43,12 +43,12 @@
 	}
 	role := o.Setup.Role
 	if p.warm(now, e, role) && p.warmCount(now, g, role) <= minWarm(g.pool, role) {
-		p.putOff(e, fmt.Sprintf("it is one of the last %d warm %s endpoints", minWarm(g.pool, role), role))
+		p.postpone(e, fmt.Sprintf("it is one of the last %d warm %s endpoints", minWarm(g.pool, role), role))
 		return
 	}
 	loads := !o.Setup.sameWeights(e.desired)
 	if loads && p.loads() >= p.cfg.MaxLoads {
-		p.putOff(e, "as many loads run as may")
+		p.postpone(e, "as many loads run as may")
 		return
 	}
 	e.postponeReason = ""
@@ -59,7 +59,7 @@
 }
 
 // putOff logs once why a change waits.
-func (p *Placement) putOff(e *engine, reason string) {
+func (p *Placement) postpone(e *engine, reason string) {
 	if e.postponeReason != reason {
 		e.postponeReason = reason
 		p.recordDecision(e, "held_back", reason)
