--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -47,7 +47,7 @@
 		return
 	}
 	loads := !o.Setup.sameWeights(e.desired)
-	if loads && p.loads() >= p.cfg.MaxLoads {
+	if loads && p.loadsInProgress() >= p.cfg.MaxLoads {
 		p.postpone(e, "as many loads run as may")
 		return
 	}
@@ -67,7 +67,7 @@
 }
 
 // loads counts the endpoints that load, or are about to.
-func (p *Placement) loads() int {
+func (p *Placement) loadsInProgress() int {
 	n := 0
 	for _, e := range p.engines {
 		if e.step != stepIdle && e.needsLoad {
