--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -22,7 +22,7 @@
 	case stepIdle:
 		p.startChange(now, g, e)
 	case stepDraining:
-		p.drain(now, e)
+		p.continueDrain(now, e)
 	case stepRequestingGrant:
 		p.grant(now, e)
 	case stepOrdered:
@@ -78,7 +78,7 @@
 }
 
 // drain waits until the endpoint is empty, seen so after the drain began.
-func (p *Placement) drain(now time.Duration, e *engine) {
+func (p *Placement) continueDrain(now time.Duration, e *engine) {
 	switch {
 	case e.observed.Setup == e.desired && e.observed.Ready:
 		p.settle(e, "it has the desired setup after all")
