--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -83,14 +83,14 @@
 	case e.observed.Setup == e.desired && e.observed.Ready:
 		p.settle(e, "it has the desired setup after all")
 	case e.observedAt > e.stepSince && e.observed.Busy == 0:
-		p.emptied(now, e)
+		p.afterDrain(now, e)
 	case now-e.stepSince >= p.cfg.DrainLimit:
 		e.retryAt = now + p.cfg.DrainLimit
 		p.settle(e, "it did not become empty in time; the change is put off")
 	}
 }
 
-func (p *Placement) emptied(now time.Duration, e *engine) {
+func (p *Placement) afterDrain(now time.Duration, e *engine) {
 	if e.observed.Setup.sameWeights(e.desired) {
 		p.order(now, e, "it is empty and needs no load")
 		return
