--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -24,7 +24,7 @@
 	case stepDraining:
 		p.continueDrain(now, e)
 	case stepRequestingGrant:
-		p.grant(now, e)
+		p.requestGrant(now, e)
 	case stepOrdered:
 		p.await(now, e)
 	}
@@ -97,11 +97,11 @@
 	}
 	e.needsLoad = true
 	e.step, e.stepSince, e.retryAt = stepRequestingGrant, now, now
-	p.grant(now, e)
+	p.requestGrant(now, e)
 }
 
 // grant asks the weight store, and again when it is due.
-func (p *Placement) grant(now time.Duration, e *engine) {
+func (p *Placement) requestGrant(now time.Duration, e *engine) {
 	if now < e.retryAt {
 		return
 	}
