--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -92,7 +92,7 @@
 
 func (p *Placement) afterDrain(now time.Duration, e *engine) {
 	if e.observed.Setup.sameWeights(e.desired) {
-		p.order(now, e, "it is empty and needs no load")
+		p.sendOrder(now, e, "it is empty and needs no load")
 		return
 	}
 	e.needsLoad = true
@@ -110,7 +110,7 @@
 }
 
 // order sends the desired setup.
-func (p *Placement) order(now time.Duration, e *engine, reason string) {
+func (p *Placement) sendOrder(now time.Duration, e *engine, reason string) {
 	e.step = stepOrdered
 	e.retryAt = now + p.cfg.OrderRepeat
 	p.actions = append(p.actions, Action{Order: &Order{
@@ -128,7 +128,7 @@
 		return
 	}
 	if now >= e.retryAt {
-		p.order(now, e, "the order is not carried out yet")
+		p.sendOrder(now, e, "the order is not carried out yet")
 	}
 }
 
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -268,7 +268,7 @@
 		e.retryAt = now + max(retryAfter, p.cfg.OrderRepeat/5)
 		return nil
 	}
-	p.order(now, e, "the weight store granted the load")
+	p.sendOrder(now, e, "the weight store granted the load")
 	return p.flush()
 }
 
