--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -26,7 +26,7 @@
 	case stepRequestingGrant:
 		p.requestGrant(now, e)
 	case stepOrdered:
-		p.await(now, e)
+		p.awaitReady(now, e)
 	}
 }
 
@@ -122,7 +122,7 @@
 }
 
 // await repeats the order until the endpoint is ready with it.
-func (p *Placement) await(now time.Duration, e *engine) {
+func (p *Placement) awaitReady(now time.Duration, e *engine) {
 	if e.observed.Setup == e.desired && e.observed.Ready {
 		p.settle(e, "it is ready as desired")
 		return
