--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -81,12 +81,12 @@
 func (p *Placement) continueDrain(now time.Duration, e *engine) {
 	switch {
 	case e.observed.Setup == e.desired && e.observed.Ready:
-		p.settle(e, "it has the desired setup after all")
+		p.endChange(e, "it has the desired setup after all")
 	case e.observedAt > e.stepSince && e.observed.Busy == 0:
 		p.afterDrain(now, e)
 	case now-e.stepSince >= p.cfg.DrainLimit:
 		e.retryAt = now + p.cfg.DrainLimit
-		p.settle(e, "it did not become empty in time; the change is put off")
+		p.endChange(e, "it did not become empty in time; the change is put off")
 	}
 }
 
@@ -124,7 +124,7 @@
 // await repeats the order until the endpoint is ready with it.
 func (p *Placement) awaitReady(now time.Duration, e *engine) {
 	if e.observed.Setup == e.desired && e.observed.Ready {
-		p.settle(e, "it is ready as desired")
+		p.endChange(e, "it is ready as desired")
 		return
 	}
 	if now >= e.retryAt {
@@ -133,7 +133,7 @@
 }
 
 // settle ends a change and lets new work in again.
-func (p *Placement) settle(e *engine, reason string) {
+func (p *Placement) endChange(e *engine, reason string) {
 	e.step, e.needsLoad = stepIdle, false
 	p.recordDecision(e, "settled", reason)
 	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
@@ -142,6 +142,6 @@
 // cancel ends a change that must not go on.
 func (p *Placement) cancel(e *engine, reason string) {
 	if e.step != stepIdle {
-		p.settle(e, reason)
+		p.endChange(e, reason)
 	}
 }
