--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-const step1 = 500 * time.Millisecond
+const tickInterval = 500 * time.Millisecond
 
 // site is a pool of engines that carry out orders, and placement beside it.
 type site struct {
@@ -88,7 +88,7 @@
 
 // run advances time; the engines that take new work are busy now and then.
 func (s *site) run(d time.Duration, always func()) {
-	for end := s.now + d; s.now < end; s.now += step1 {
+	for end := s.now + d; s.now < end; s.now += tickInterval {
 		s.loading = 0
 		for i := range s.doc.Endpoints {
 			e := s.engines[s.doc.Endpoints[i].Name]
