--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -15,7 +15,7 @@
 const tickInterval = 500 * time.Millisecond
 
 // site is a pool of engines that carry out orders, and placement beside it.
-type site struct {
+type simulation struct {
 	is      *is.I
 	now     time.Duration
 	rng     *rand.Rand
@@ -31,8 +31,8 @@
 	decisions     []Decision
 }
 
-func newSite(t *testing.T, prefill, decode int) *site {
-	s := &site{
+func newSite(t *testing.T, prefill, decode int) *simulation {
+	s := &simulation{
 		is: is.New(t), rng: rand.New(rand.NewPCG(1, 1)), place: New(DefaultConfig()),
 		engines: map[id.Endpoint]*Observation{}, readyAt: map[id.Endpoint]time.Duration{}, drained: map[id.Endpoint]bool{},
 		doc: &live.Document{Pools: []live.Pool{{Name: "p", EndpointSelector: "kind=engine", Model: "m", Version: "1"}}},
@@ -50,14 +50,14 @@
 	return s
 }
 
-func (s *site) configure(change func(*live.Document)) {
+func (s *simulation) configure(change func(*live.Document)) {
 	s.doc = live.Clone(s.doc)
 	change(s.doc)
 	s.doc = live.Normalize(s.doc)
 	s.act(s.place.Configure(s.now, live.NewIndex(s.doc)))
 }
 
-func (s *site) act(actions []Action) {
+func (s *simulation) act(actions []Action) {
 	for _, a := range actions {
 		switch {
 		case a.Decision != nil:
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *site) carryOut(o Order) {
+func (s *simulation) carryOut(o Order) {
 	s.orders++
 	e := s.engines[o.Endpoint]
 	s.is.Equal(e.Busy, 0) // an order never meets work in flight
@@ -87,7 +87,7 @@
 }
 
 // run advances time; the engines that take new work are busy now and then.
-func (s *site) run(d time.Duration, always func()) {
+func (s *simulation) run(d time.Duration, always func()) {
 	for end := s.now + d; s.now < end; s.now += tickInterval {
 		s.loading = 0
 		for i := range s.doc.Endpoints {
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *site) work(e *Observation) {
+func (s *simulation) work(e *Observation) {
 	switch {
 	case !e.Ready:
 	case s.drained[e.Endpoint]:
@@ -120,7 +120,7 @@
 }
 
 // warm counts the engines that take work in a role.
-func (s *site) warm(role live.Role) int {
+func (s *simulation) warm(role live.Role) int {
 	n := 0
 	for name, e := range s.engines {
 		if e.Ready && !s.drained[name] && e.Setup.Role == role && e.Setup.Model == "m" {
@@ -130,7 +130,7 @@
 	return n
 }
 
-func (s *site) said(event string) int {
+func (s *simulation) said(event string) int {
 	n := 0
 	for _, d := range s.decisions {
 		if d.Event == event {
