--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -31,7 +31,7 @@
 	decisions     []Decision
 }
 
-func newSite(t *testing.T, prefill, decode int) *simulation {
+func newSimulation(t *testing.T, prefill, decode int) *simulation {
 	s := &simulation{
 		is: is.New(t), rng: rand.New(rand.NewPCG(1, 1)), place: New(DefaultConfig()),
 		engines: map[id.Endpoint]*Observation{}, readyAt: map[id.Endpoint]time.Duration{}, drained: map[id.Endpoint]bool{},
@@ -141,14 +141,14 @@
 }
 
 func TestNewHolderLeavesWhatItFinds(t *testing.T) {
-	s := newSite(t, 3, 5)
+	s := newSimulation(t, 3, 5)
 	s.run(time.Minute, nil)
 	s.is.Equal(s.orders, 0)
 	s.is.Equal(len(s.place.Draining()), 0)
 }
 
 func TestVersionRollsOutByALabelledChangeWithoutTakingTheLastReplica(t *testing.T) {
-	s := newSite(t, 2, 4)
+	s := newSimulation(t, 2, 4)
 	s.run(5*time.Second, nil)
 	s.configure(func(d *live.Document) { d.Pools[0].Version = "2" })
 	s.run(10*time.Minute, func() {
@@ -164,7 +164,7 @@
 }
 
 func TestLastWarmReplicaIsNeverTaken(t *testing.T) {
-	s := newSite(t, 1, 1)
+	s := newSimulation(t, 1, 1)
 	s.run(5*time.Second, nil)
 	s.configure(func(d *live.Document) { d.Pools[0].Version = "2" })
 	s.run(5*time.Minute, nil)
@@ -173,7 +173,7 @@
 }
 
 func TestDemandMovesARoleWithHysteresis(t *testing.T) {
-	s := newSite(t, 2, 4)
+	s := newSimulation(t, 2, 4)
 	demand := func(prefill, decode float64) func() {
 		return func() { s.place.Demand(s.now, Demand{Pool: "p", Prefill: prefill, Decode: decode}) }
 	}
@@ -191,14 +191,14 @@
 	s.is.Equal(s.said("role"), 1)
 	s.run(30*time.Minute, demand(0.95, 0.3))
 	s.is.Equal(s.warm(live.RoleDecode), 1) // down to the least, never below
-	fixed := newSite(t, 2, 4)
+	fixed := newSimulation(t, 2, 4)
 	fixed.configure(func(d *live.Document) { d.Pools[0].FixedRoles = true })
 	fixed.run(10*time.Minute, func() { fixed.place.Demand(fixed.now, Demand{Pool: "p", Prefill: 1, Decode: 0}) })
 	fixed.is.Equal(fixed.orders, 0)
 }
 
 func TestLateOrderOfAFormerHolderIsRepaired(t *testing.T) {
-	s := newSite(t, 2, 3)
+	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
 	s.engines["e03"].Setup = Setup{Model: "old", Role: live.RolePrefill}
 	s.run(2*time.Minute, nil)
@@ -208,7 +208,7 @@
 }
 
 func TestLeavingEndpointIsSkippedAndABusyOneNotCut(t *testing.T) {
-	s := newSite(t, 2, 3)
+	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
 	s.configure(func(d *live.Document) {
 		d.Pools[0].Version = "2"
@@ -221,7 +221,7 @@
 }
 
 func TestRefusedGrantWaitsAndCanaryFollowsItsLabel(t *testing.T) {
-	s := newSite(t, 2, 3)
+	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
 	s.refuse = true
 	s.configure(func(d *live.Document) { d.Endpoints[4].Labels[live.LabelModel] = "canary" })
