--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -16,14 +16,14 @@
 
 // site is a pool of engines that carry out orders, and placement beside it.
 type simulation struct {
-	is      *is.I
-	now     time.Duration
-	rng     *rand.Rand
-	doc     *live.Document
-	engines map[id.Endpoint]*Observation
-	readyAt map[id.Endpoint]time.Duration
-	drained map[id.Endpoint]bool
-	place   *Placement
+	is        *is.I
+	now       time.Duration
+	rng       *rand.Rand
+	doc       *live.Document
+	engines   map[id.Endpoint]*Observation
+	readyAt   map[id.Endpoint]time.Duration
+	drained   map[id.Endpoint]bool
+	placement *Placement
 	// refuse makes the weight store refuse; loading and most count loads.
 	refuse        bool
 	loading, most int
@@ -33,7 +33,7 @@
 
 func newSimulation(t *testing.T, prefill, decode int) *simulation {
 	s := &simulation{
-		is: is.New(t), rng: rand.New(rand.NewPCG(1, 1)), place: New(DefaultConfig()),
+		is: is.New(t), rng: rand.New(rand.NewPCG(1, 1)), placement: New(DefaultConfig()),
 		engines: map[id.Endpoint]*Observation{}, readyAt: map[id.Endpoint]time.Duration{}, drained: map[id.Endpoint]bool{},
 		doc: &live.Document{Pools: []live.Pool{{Name: "p", EndpointSelector: "kind=engine", Model: "m", Version: "1"}}},
 	}
@@ -54,7 +54,7 @@
 	s.doc = live.Clone(s.doc)
 	change(s.doc)
 	s.doc = live.Normalize(s.doc)
-	s.act(s.place.Configure(s.now, live.NewIndex(s.doc)))
+	s.act(s.placement.Configure(s.now, live.NewIndex(s.doc)))
 }
 
 func (s *simulation) act(actions []Action) {
@@ -65,7 +65,7 @@
 		case a.Drain != nil:
 			s.drained[a.Drain.Endpoint] = a.Drain.On
 		case a.Grant != nil:
-			s.act(s.place.Granted(s.now, a.Grant.Endpoint, !s.refuse, time.Second))
+			s.act(s.placement.Granted(s.now, a.Grant.Endpoint, !s.refuse, time.Second))
 		case a.Order != nil:
 			s.carryOut(*a.Order)
 		}
@@ -99,10 +99,10 @@
 				s.loading++
 			}
 			s.work(e)
-			s.place.Observe(s.now, *e)
+			s.placement.Observe(s.now, *e)
 		}
 		s.most = max(s.most, s.loading)
-		s.act(s.place.Tick(s.now))
+		s.act(s.placement.Tick(s.now))
 		if always != nil {
 			always()
 		}
@@ -144,7 +144,7 @@
 	s := newSimulation(t, 3, 5)
 	s.run(time.Minute, nil)
 	s.is.Equal(s.orders, 0)
-	s.is.Equal(len(s.place.Draining()), 0)
+	s.is.Equal(len(s.placement.Draining()), 0)
 }
 
 func TestVersionRollsOutByALabelledChangeWithoutTakingTheLastReplica(t *testing.T) {
@@ -175,7 +175,7 @@
 func TestDemandMovesARoleWithHysteresis(t *testing.T) {
 	s := newSimulation(t, 2, 4)
 	demand := func(prefill, decode float64) func() {
-		return func() { s.place.Demand(s.now, Demand{Pool: "p", Prefill: prefill, Decode: decode}) }
+		return func() { s.placement.Demand(s.now, Demand{Pool: "p", Prefill: prefill, Decode: decode}) }
 	}
 	s.run(10*time.Second, demand(0.95, 0.3)) // shorter than Sustain
 	s.is.Equal(s.said("role"), 0)
@@ -193,7 +193,7 @@
 	s.is.Equal(s.warm(live.RoleDecode), 1) // down to the least, never below
 	fixed := newSimulation(t, 2, 4)
 	fixed.configure(func(d *live.Document) { d.Pools[0].FixedRoles = true })
-	fixed.run(10*time.Minute, func() { fixed.place.Demand(fixed.now, Demand{Pool: "p", Prefill: 1, Decode: 0}) })
+	fixed.run(10*time.Minute, func() { fixed.placement.Demand(fixed.now, Demand{Pool: "p", Prefill: 1, Decode: 0}) })
 	fixed.is.Equal(fixed.orders, 0)
 }
 
@@ -233,7 +233,7 @@
 	s.configure(func(d *live.Document) { d.Endpoints[2].Labels[live.LabelRole] = string(live.RolePrefill) })
 	s.run(time.Minute, nil)
 	s.is.Equal(s.engines["e02"].Setup.Role, live.RolePrefill) // a label change is an order
-	want, ok := s.place.Desired("e02")
+	want, ok := s.placement.Desired("e02")
 	s.is.True(ok)
 	s.is.Equal(want.Role, live.RolePrefill)
 }
