--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -25,7 +25,7 @@
 	drained   map[id.Endpoint]bool
 	placement *Placement
 	// refuse makes the weight store refuse; loading and most count loads.
-	refuse        bool
+	refuseGrants  bool
 	loading, most int
 	orders        int
 	decisions     []Decision
@@ -65,7 +65,7 @@
 		case a.Drain != nil:
 			s.drained[a.Drain.Endpoint] = a.Drain.On
 		case a.Grant != nil:
-			s.act(s.placement.Granted(s.now, a.Grant.Endpoint, !s.refuse, time.Second))
+			s.act(s.placement.Granted(s.now, a.Grant.Endpoint, !s.refuseGrants, time.Second))
 		case a.Order != nil:
 			s.carryOut(*a.Order)
 		}
@@ -223,11 +223,11 @@
 func TestRefusedGrantWaitsAndCanaryFollowsItsLabel(t *testing.T) {
 	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
-	s.refuse = true
+	s.refuseGrants = true
 	s.configure(func(d *live.Document) { d.Endpoints[4].Labels[live.LabelModel] = "canary" })
 	s.run(time.Minute, nil)
 	s.is.Equal(s.orders, 0)
-	s.refuse = false
+	s.refuseGrants = false
 	s.run(time.Minute, nil)
 	s.is.Equal(s.engines["e04"].Setup.Model, "canary")
 	s.configure(func(d *live.Document) { d.Endpoints[2].Labels[live.LabelRole] = string(live.RolePrefill) })
