--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -25,10 +25,10 @@
 	drained   map[id.Endpoint]bool
 	placement *Placement
 	// refuse makes the weight store refuse; loading and most count loads.
-	refuseGrants  bool
-	loading, most int
-	orders        int
-	decisions     []Decision
+	refuseGrants        bool
+	loading, maxLoading int
+	orders              int
+	decisions           []Decision
 }
 
 func newSimulation(t *testing.T, prefill, decode int) *simulation {
@@ -101,7 +101,7 @@
 			s.work(e)
 			s.placement.Observe(s.now, *e)
 		}
-		s.most = max(s.most, s.loading)
+		s.maxLoading = max(s.maxLoading, s.loading)
 		s.act(s.placement.Tick(s.now))
 		if always != nil {
 			always()
@@ -159,7 +159,7 @@
 		s.is.Equal(e.Setup.Version, "2")
 		s.is.True(e.Ready)
 	}
-	s.is.True(s.most <= DefaultConfig().MaxLoads) // within the weight store's rate
+	s.is.True(s.maxLoading <= DefaultConfig().MaxLoads) // within the weight store's rate
 	s.is.Equal(s.warm(live.RolePrefill), 2)
 }
 
