--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -54,10 +54,10 @@
 	s.doc = live.Clone(s.doc)
 	change(s.doc)
 	s.doc = live.Normalize(s.doc)
-	s.act(s.placement.Configure(s.now, live.NewIndex(s.doc)))
+	s.apply(s.placement.Configure(s.now, live.NewIndex(s.doc)))
 }
 
-func (s *simulation) act(actions []Action) {
+func (s *simulation) apply(actions []Action) {
 	for _, a := range actions {
 		switch {
 		case a.Decision != nil:
@@ -65,7 +65,7 @@
 		case a.Drain != nil:
 			s.drained[a.Drain.Endpoint] = a.Drain.On
 		case a.Grant != nil:
-			s.act(s.placement.Granted(s.now, a.Grant.Endpoint, !s.refuseGrants, time.Second))
+			s.apply(s.placement.Granted(s.now, a.Grant.Endpoint, !s.refuseGrants, time.Second))
 		case a.Order != nil:
 			s.carryOut(*a.Order)
 		}
@@ -102,7 +102,7 @@
 			s.placement.Observe(s.now, *e)
 		}
 		s.maxLoading = max(s.maxLoading, s.loading)
-		s.act(s.placement.Tick(s.now))
+		s.apply(s.placement.Tick(s.now))
 		if always != nil {
 			always()
 		}
