--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -67,12 +67,12 @@
 		case a.Grant != nil:
 			s.apply(s.placement.Granted(s.now, a.Grant.Endpoint, !s.refuseGrants, time.Second))
 		case a.Order != nil:
-			s.carryOut(*a.Order)
+			s.applyOrder(*a.Order)
 		}
 	}
 }
 
-func (s *simulation) carryOut(o Order) {
+func (s *simulation) applyOrder(o Order) {
 	s.orders++
 	e := s.engines[o.Endpoint]
 	s.is.Equal(e.Busy, 0) // an order never meets work in flight
