--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -98,7 +98,7 @@
 			if !e.Ready {
 				s.loading++
 			}
-			s.work(e)
+			s.updateBusy(e)
 			s.placement.Observe(s.now, *e)
 		}
 		s.maxLoading = max(s.maxLoading, s.loading)
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *simulation) work(e *Observation) {
+func (s *simulation) updateBusy(e *Observation) {
 	switch {
 	case !e.Ready:
 	case s.drained[e.Endpoint]:
