--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -130,7 +130,7 @@
 	return n
 }
 
-func (s *simulation) said(event string) int {
+func (s *simulation) decisionCount(event string) int {
 	n := 0
 	for _, d := range s.decisions {
 		if d.Event == event {
@@ -169,7 +169,7 @@
 	s.configure(func(d *live.Document) { d.Pools[0].Version = "2" })
 	s.run(5*time.Minute, nil)
 	s.is.Equal(s.orders, 0)
-	s.is.Equal(s.said("held_back"), 2) // said once for each, not each tick
+	s.is.Equal(s.decisionCount("held_back"), 2) // said once for each, not each tick
 }
 
 func TestDemandMovesARoleWithHysteresis(t *testing.T) {
@@ -178,9 +178,9 @@
 		return func() { s.placement.Demand(s.now, Demand{Pool: "p", Prefill: prefill, Decode: decode}) }
 	}
 	s.run(10*time.Second, demand(0.95, 0.3)) // shorter than Sustain
-	s.is.Equal(s.said("role"), 0)
+	s.is.Equal(s.decisionCount("role"), 0)
 	s.run(time.Minute, demand(0.95, 0.6)) // decode has nothing to spare
-	s.is.Equal(s.said("role"), 0)
+	s.is.Equal(s.decisionCount("role"), 0)
 	s.run(time.Minute, demand(0.95, 0.3))
 	s.is.Equal(s.warm(live.RolePrefill), 3)
 	s.is.Equal(s.warm(live.RoleDecode), 3)
@@ -188,7 +188,7 @@
 		s.run(10*time.Second, demand(0.95, 0.3))
 		s.run(10*time.Second, demand(0.3, 0.95))
 	}
-	s.is.Equal(s.said("role"), 1)
+	s.is.Equal(s.decisionCount("role"), 1)
 	s.run(30*time.Minute, demand(0.95, 0.3))
 	s.is.Equal(s.warm(live.RoleDecode), 1) // down to the least, never below
 	fixed := newSimulation(t, 2, 4)
@@ -203,8 +203,8 @@
 	s.engines["e03"].Setup = Setup{Model: "old", Role: live.RolePrefill}
 	s.run(2*time.Minute, nil)
 	s.is.Equal(s.engines["e03"].Setup, Setup{Model: "m", Version: "1", Role: live.RoleDecode})
-	s.is.Equal(s.said("change"), 1) // one repair
-	s.is.Equal(s.said("settled"), 1)
+	s.is.Equal(s.decisionCount("change"), 1) // one repair
+	s.is.Equal(s.decisionCount("settled"), 1)
 }
 
 func TestLeavingEndpointIsSkippedAndABusyOneNotCut(t *testing.T) {
@@ -217,7 +217,7 @@
 	s.run(5*time.Minute, func() { s.engines["e03"].Busy = 2 }) // it never becomes empty
 	s.is.Equal(s.engines["e04"].Setup.Version, "1")
 	s.is.Equal(s.engines["e03"].Setup.Version, "1")
-	s.is.True(s.said("settled") > 0)
+	s.is.True(s.decisionCount("settled") > 0)
 }
 
 func TestRefusedGrantWaitsAndCanaryFollowsItsLabel(t *testing.T) {
