--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -14,7 +14,7 @@
 		p.cancel(e, "the endpoint is leaving")
 		return
 	}
-	if !p.observationFresh(now, e) {
+	if !p.stateKnown(now, e) {
 		// It may come back as it was: its steps go on from there.
 		return
 	}
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -11,14 +11,14 @@
 func (e *engine) leaving() bool { return live.IsLeaving(e.config) || e.observed.Leaving }
 
 // usable tells whether the endpoint's state is known well enough to act on.
-func (p *Placement) observationFresh(now time.Duration, e *engine) bool {
+func (p *Placement) stateKnown(now time.Duration, e *engine) bool {
 	return e.everObserved && e.observed.Reachable && now-e.observedAt <= p.cfg.Fresh
 }
 
 // warm tells whether the endpoint serves its pool's model in a role now, and
 // will go on doing so.
 func (p *Placement) warm(now time.Duration, e *engine, role live.Role) bool {
-	return p.observationFresh(now, e) && !e.leaving() && e.step == stepIdle &&
+	return p.stateKnown(now, e) && !e.leaving() && e.step == stepIdle &&
 		e.observed.Ready && e.observed.Setup.Role == role && e.observed.Setup.Model == e.pool.Model
 }
 
