--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// advance takes an endpoint's next step towards its desired setup.
+// advance takes the next step of an endpoint towards its desired setup.
 func (p *Placement) advance(now time.Duration, g *poolState, e *engine) {
 	if !e.hasDesired {
 		return
@@ -15,7 +15,8 @@
 		return
 	}
 	if !p.stateKnown(now, e) {
-		// It may come back as it was: its steps go on from there.
+		// The endpoint may become reachable again unchanged; the change then
+		// continues from its current step.
 		return
 	}
 	switch e.step {
@@ -30,8 +31,9 @@
 	}
 }
 
-// start begins a change where the observed setup differs from the desired
-// one: for a new wish, or to repair what somebody else's late order did.
+// startChange starts a change if the observed setup differs from the desired
+// one: after a new decision, or to revert a late order of a former lease
+// holder.
 func (p *Placement) startChange(now time.Duration, g *poolState, e *engine) {
 	o := e.observed
 	if o.Setup == e.desired {
@@ -43,7 +45,7 @@
 	}
 	role := o.Setup.Role
 	if p.warm(now, e, role) && p.warmCount(now, g, role) <= minWarm(g.pool, role) {
-		p.postpone(e, fmt.Sprintf("it is one of the last %d warm %s endpoints", minWarm(g.pool, role), role))
+		p.postpone(e, fmt.Sprintf("the endpoint is one of the last %d warm %s endpoints", minWarm(g.pool, role), role))
 		return
 	}
 	loads := !o.Setup.sameWeights(e.desired)
@@ -53,12 +55,12 @@
 	}
 	e.postponeReason = ""
 	e.step, e.stepSince, e.needsLoad = stepDraining, now, loads
-	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
+	reason := fmt.Sprintf("the observed setup is %s, the desired one is %s", o.Setup, e.desired)
 	p.recordDecision(e, "change", reason)
 	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
 }
 
-// putOff logs once why a change waits.
+// postpone records, once per reason, why a change waits.
 func (p *Placement) postpone(e *engine, reason string) {
 	if e.postponeReason != reason {
 		e.postponeReason = reason
@@ -66,7 +68,7 @@
 	}
 }
 
-// loads counts the endpoints that load, or are about to.
+// loadsInProgress counts the endpoints whose change needs a load.
 func (p *Placement) loadsInProgress() int {
 	n := 0
 	for _, e := range p.engines {
@@ -77,22 +79,23 @@
 	return n
 }
 
-// drain waits until the endpoint is empty, seen so after the drain began.
+// continueDrain waits until an observation made after the start of the drain
+// shows the endpoint empty.
 func (p *Placement) continueDrain(now time.Duration, e *engine) {
 	switch {
 	case e.observed.Setup == e.desired && e.observed.Ready:
-		p.endChange(e, "it has the desired setup after all")
+		p.endChange(e, "the endpoint already has the desired setup")
 	case e.observedAt > e.stepSince && e.observed.Busy == 0:
 		p.afterDrain(now, e)
 	case now-e.stepSince >= p.cfg.DrainLimit:
 		e.retryAt = now + p.cfg.DrainLimit
-		p.endChange(e, "it did not become empty in time; the change is put off")
+		p.endChange(e, "the endpoint was still busy at the drain limit; the change is postponed")
 	}
 }
 
 func (p *Placement) afterDrain(now time.Duration, e *engine) {
 	if e.observed.Setup.sameWeights(e.desired) {
-		p.sendOrder(now, e, "it is empty and needs no load")
+		p.sendOrder(now, e, "the endpoint is empty and the change needs no load")
 		return
 	}
 	e.needsLoad = true
@@ -100,7 +103,8 @@
 	p.requestGrant(now, e)
 }
 
-// grant asks the weight store, and again when it is due.
+// requestGrant requests a load from the weight store, and repeats the request
+// when due.
 func (p *Placement) requestGrant(now time.Duration, e *engine) {
 	if now < e.retryAt {
 		return
@@ -109,7 +113,7 @@
 	p.actions = append(p.actions, Action{Grant: &GrantRequest{Endpoint: e.name, Model: e.desired.Model}})
 }
 
-// order sends the desired setup.
+// sendOrder sends the desired setup to the endpoint.
 func (p *Placement) sendOrder(now time.Duration, e *engine, reason string) {
 	e.step = stepOrdered
 	e.retryAt = now + p.cfg.OrderRepeat
@@ -121,25 +125,26 @@
 	}})
 }
 
-// await repeats the order until the endpoint is ready with it.
+// awaitReady repeats the order until the endpoint is ready with the desired
+// setup.
 func (p *Placement) awaitReady(now time.Duration, e *engine) {
 	if e.observed.Setup == e.desired && e.observed.Ready {
-		p.endChange(e, "it is ready as desired")
+		p.endChange(e, "the endpoint is ready with the desired setup")
 		return
 	}
 	if now >= e.retryAt {
-		p.sendOrder(now, e, "the order is not carried out yet")
+		p.sendOrder(now, e, "the endpoint has not applied the order yet")
 	}
 }
 
-// settle ends a change and lets new work in again.
+// endChange ends a change and its drain.
 func (p *Placement) endChange(e *engine, reason string) {
 	e.step, e.needsLoad = stepIdle, false
 	p.recordDecision(e, "settled", reason)
 	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
 }
 
-// cancel ends a change that must not go on.
+// cancel ends a change that must not continue.
 func (p *Placement) cancel(e *engine, reason string) {
 	if e.step != stepIdle {
 		p.endChange(e, reason)
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -7,16 +7,17 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// leaving tells whether an endpoint is skipped.
+// leaving reports whether the endpoint is leaving and must not be changed.
 func (e *engine) leaving() bool { return live.IsLeaving(e.config) || e.observed.Leaving }
 
-// usable tells whether the endpoint's state is known well enough to act on.
+// stateKnown reports whether the endpoint is reachable and its last observation
+// recent enough to act on.
 func (p *Placement) stateKnown(now time.Duration, e *engine) bool {
 	return e.everObserved && e.observed.Reachable && now-e.observedAt <= p.cfg.Fresh
 }
 
-// warm tells whether the endpoint serves its pool's model in a role now, and
-// will go on doing so.
+// warm reports whether the endpoint serves its pool's model in a role and no
+// change is under way.
 func (p *Placement) warm(now time.Duration, e *engine, role live.Role) bool {
 	return p.stateKnown(now, e) && !e.leaving() && e.step == stepIdle &&
 		e.observed.Ready && e.observed.Setup.Role == role && e.observed.Setup.Model == e.pool.Model
@@ -32,7 +33,8 @@
 	return n
 }
 
-// least is the fewest warm endpoints of a role that must stay; never none.
+// minWarm returns the number of warm endpoints of a role that must remain; at
+// least one.
 func minWarm(pool *live.Pool, role live.Role) int {
 	if role == live.RolePrefill {
 		return max(1, pool.MinPrefill)
@@ -40,7 +42,7 @@
 	return max(1, pool.MinDecode)
 }
 
-// decide sets the desired setup of each endpoint of a pool.
+// setDesired updates the desired setup of each endpoint of a pool.
 func (p *Placement) setDesired(now time.Duration, g *poolState) {
 	for _, e := range g.members {
 		if e.leaving() || !e.everObserved {
@@ -60,8 +62,9 @@
 	}
 }
 
-// wanted is what the pool wants of an endpoint: its fields, over them its
-// labels, over them the endpoint's labels.
+// desiredSetup returns the setup that a pool requires of an endpoint: the
+// pool's fields, overridden by the pool's labels, overridden by the endpoint's
+// labels.
 func desiredSetup(pool *live.Pool, e *live.Endpoint, role live.Role) Setup {
 	setup := Setup{Model: pool.Model, Adapter: pool.Adapter, Version: pool.Version, Role: role}
 	for _, labels := range []live.Labels{pool.Labels, e.Labels} {
@@ -78,8 +81,8 @@
 	}
 }
 
-// decideRole keeps the role unless a label says otherwise: a label that is
-// new, or any label in a pool of fixed roles.
+// decideRole keeps the current role unless a label requires another one: a
+// label that has changed, or any label in a pool of fixed roles.
 func (p *Placement) decideRole(g *poolState, e *engine) live.Role {
 	label := e.config.Labels[live.LabelRole]
 	relabelled := e.hasDesired && label != e.roleLabel && label != ""
@@ -100,7 +103,8 @@
 	return initialRole(g)
 }
 
-// firstRole gives a new endpoint the role that the pool lacks most.
+// initialRole returns the role for a new endpoint: the one that the pool lacks
+// most.
 func initialRole(g *poolState) live.Role {
 	prefill, decode := 0, 0
 	for _, e := range g.members {
@@ -120,13 +124,13 @@
 	return live.RoleDecode
 }
 
-// String gives the setup as it stands in reasons.
+// String returns the form used in reasons: model/adapter/version/role.
 func (s Setup) String() string {
 	return fmt.Sprintf("%s/%s/%s/%s", s.Model, s.Adapter, s.Version, s.Role)
 }
 
 // rebalance moves at most one endpoint of a pool to the role that is short,
-// once demand has asked for it long enough.
+// once the shortage has lasted for Sustain.
 func (p *Placement) rebalance(now time.Duration, g *poolState) {
 	wish := p.roleInDemand(g)
 	if wish != g.shortRole {
@@ -146,7 +150,8 @@
 	p.recordDecision(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
 }
 
-// wish is the role that demand asks for more of; empty for none.
+// roleInDemand returns the role that is short according to demand; empty for
+// none.
 func (p *Placement) roleInDemand(g *poolState) live.Role {
 	if !g.demandKnown || g.pool.FixedRoles {
 		return ""
@@ -168,7 +173,8 @@
 	return live.RolePrefill
 }
 
-// donor chooses the least busy warm endpoint of a role that may change it.
+// chooseDonor returns the least busy warm endpoint of a role that may change
+// its role; nil if there is none.
 func (p *Placement) chooseDonor(now time.Duration, g *poolState, role live.Role) *engine {
 	if p.changing(g) || p.warmCount(now, g, role) <= minWarm(g.pool, role) {
 		return nil
@@ -186,7 +192,7 @@
 	return best
 }
 
-// changing tells whether an endpoint of the pool is on its way to another setup.
+// changing reports whether a change is under way on an endpoint of the pool.
 func (p *Placement) changing(g *poolState) bool {
 	for _, e := range g.members {
 		if e.step != stepIdle {
--- a/core/placement/wanted_test.go
+++ b/core/placement/desiredsetup_test.go
@@ -8,13 +8,13 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-func TestLabelsGoBeforeThePool(t *testing.T) {
+func TestLabelsOverridePoolFields(t *testing.T) {
 	is := is.New(t)
 	pool := &live.Pool{Model: "m", Version: "1"}
 	e := &live.Endpoint{}
 	is.Equal(desiredSetup(pool, e, live.RoleDecode), Setup{Model: "m", Version: "1", Role: live.RoleDecode})
-	pool.Labels = live.Labels{live.LabelVersion: "2"} // a roll-out to the whole pool
+	pool.Labels = live.Labels{live.LabelVersion: "2"} // a rollout to the whole pool
 	is.Equal(desiredSetup(pool, e, live.RoleDecode).Version, "2")
-	e.Labels = live.Labels{live.LabelVersion: "3"} // a canary
+	e.Labels = live.Labels{live.LabelVersion: "3"} // a canary endpoint
 	is.Equal(desiredSetup(pool, e, live.RoleDecode).Version, "3")
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,8 +1,8 @@
-// Package placement decides which model, adapter, version and role each model
-// engine should have, from pools, labels and demand, and brings it about step
-// by step: drain, ask the weight store, order, wait until ready. One daemon
-// runs it, under a lease. It has no I/O: observations and a time go in,
-// actions come out. Orders are desired state, so repeating one is harmless.
+// Package placement decides which model, adapter, version and role each engine
+// should have, from pools, labels and demand, and applies the decisions in
+// steps: drain, request a load from the weight store, order, wait until ready.
+// One daemon runs it, under a lease. It has no I/O: observations and times go
+// in, actions come out. Orders are desired state, so repeating one is harmless.
 package placement
 
 import (
@@ -13,29 +13,30 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// Config sets the pace of placement.
+// Config holds the times and limits of placement.
 type Config struct {
 	// MinDwell is how long an endpoint and its pool keep their roles after a
-	// change that demand made.
+	// change caused by demand.
 	MinDwell time.Duration
-	// High and Low are utilisations, 0 to 1: a role above High takes an
-	// endpoint from one below Low, once that held for Sustain.
+	// High and Low are utilisations, 0 to 1: a role at or above High takes an
+	// endpoint from one at or below Low, once this has lasted for Sustain.
 	High, Low float64
 	Sustain   time.Duration
-	// DrainLimit bounds the wait for an endpoint to become empty. A change
-	// that can't be had by then is put off; work in flight is never cut.
+	// DrainLimit bounds the wait for an endpoint to become empty. A change that
+	// is not possible by then is postponed; running requests are never cut off.
 	DrainLimit time.Duration
-	// MaxLoads bounds the loads from the weight store at once.
+	// MaxLoads bounds the concurrent loads from the weight store.
 	MaxLoads int
-	// OrderRepeat is the time between repeats of an order not yet carried out.
+	// OrderRepeat is the interval at which an order is repeated until applied.
 	OrderRepeat time.Duration
-	// GrantTimeout is how long a request to the weight store may stay unanswered.
+	// GrantTimeout is how long a request to the weight store may stay
+	// unanswered before it is repeated.
 	GrantTimeout time.Duration
-	// Fresh is how old an observation may be to be acted on.
+	// Fresh is the maximum age of an observation that is acted on.
 	Fresh time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MinDwell:     2 * time.Minute,
@@ -58,34 +59,34 @@
 	Role    live.Role
 }
 
-// sameWeights tells whether no load is needed between two setups.
+// sameWeights reports whether a change between two setups needs no load.
 func (s Setup) sameWeights(o Setup) bool {
 	return s.Model == o.Model && s.Adapter == o.Adapter && s.Version == o.Version
 }
 
-// Observation is an endpoint's state as it was read back.
+// Observation is the observed state of an endpoint.
 type Observation struct {
 	Endpoint id.Endpoint
 	Setup    Setup
 	// Ready is false while a load or a role change runs.
 	Ready bool
-	// Busy counts the requests that the endpoint holds, waiting ones too.
+	// Busy counts the requests at the endpoint, including waiting ones.
 	Busy int
-	// Reachable is false when it could not be read.
+	// Reachable is false if the state could not be read.
 	Reachable bool
-	// Leaving is the endpoint's own word that it takes no new work.
+	// Leaving is set if the endpoint reports that it takes no new work.
 	Leaving bool
 }
 
-// Demand is the utilisation of a pool's roles, 0 (idle) to 1 (full) and above
-// when work waits.
+// Demand is the utilisation of a pool's roles: 0 is idle, 1 is full, and above
+// 1 work waits.
 type Demand struct {
 	Pool    id.Pool
 	Prefill float64
 	Decode  float64
 }
 
-// Order tells an endpoint its desired setup. It may go out only through the
+// Order sends an endpoint its desired setup. It may be sent only through the
 // lease's order gate.
 type Order struct {
 	Endpoint      id.Endpoint
@@ -94,13 +95,14 @@
 	Reason        string
 }
 
-// GrantRequest asks the weight store for one load.
+// GrantRequest requests one load from the weight store.
 type GrantRequest struct {
 	Endpoint id.Endpoint
 	Model    string
 }
 
-// Drain tells the pool's owner to stop, or resume, new work on an endpoint.
+// Drain requests that the pool's owner stop, or resume, new work on an
+// endpoint.
 type Drain struct {
 	Endpoint id.Endpoint
 	Pool     id.Pool
@@ -108,7 +110,7 @@
 	Reason   string
 }
 
-// Decision explains what was decided, for the log and for operators.
+// Decision describes a decision, for the log and for operators.
 type Decision struct {
 	Endpoint id.Endpoint
 	Pool     id.Pool
@@ -116,7 +118,8 @@
 	Reason   string
 }
 
-// Action is one thing to do or to know.
+// Action is an action to carry out or a decision to log; exactly one field is
+// set.
 type Action struct {
 	Order    *Order
 	Grant    *GrantRequest
@@ -124,7 +127,7 @@
 	Decision *Decision
 }
 
-// step is how far an endpoint is on its way to its desired setup.
+// step is the step of a change towards the desired setup.
 type step uint8
 
 const (
@@ -134,7 +137,7 @@
 	stepOrdered
 )
 
-// engine is what placement knows of one endpoint.
+// engine is the state of one endpoint.
 type engine struct {
 	name         id.Endpoint
 	config       *live.Endpoint
@@ -146,21 +149,24 @@
 	desired    Setup
 	hasDesired bool
 	roleLabel  string
-	// changed is when demand last changed the role; everChanged says if it did.
+	// roleChangedAt is when demand last changed the role; roleChanged is set if
+	// it ever did.
 	roleChangedAt time.Duration
 	roleChanged   bool
 
 	step      step
 	stepSince time.Duration
-	// loads is set while the change under way needs the weight store.
+	// needsLoad is set while the current change needs a load from the weight
+	// store.
 	needsLoad bool
-	// again is when the next repeat or request is due.
+	// retryAt is when the next request, order or change is due.
 	retryAt time.Duration
-	// held is the last reason why a change was put off, to log it once.
+	// postponeReason is the reason of the last postponement, kept to log it
+	// once.
 	postponeReason string
 }
 
-// group is what placement knows of one pool.
+// poolState is the state of one pool.
 type poolState struct {
 	pool        *live.Pool
 	members     []*engine
@@ -180,13 +186,13 @@
 	actions []Action
 }
 
-// New returns a placement that knows nothing yet. A new holder of the lease
-// starts with one, and takes the roles that it finds for desired.
+// New returns a placement without observations. A new lease holder starts with
+// one and adopts the observed roles as the desired ones.
 func New(cfg Config) *Placement {
 	return &Placement{cfg: cfg, engines: map[id.Endpoint]*engine{}}
 }
 
-// Configure takes a new configuration.
+// Configure applies a new configuration.
 func (p *Placement) Configure(now time.Duration, x *live.Index) []Action {
 	old := p.engines
 	p.engines = map[id.Endpoint]*engine{}
@@ -211,14 +217,14 @@
 	}
 	for _, e := range sortedEngines(old) {
 		if p.engines[e.name] == nil {
-			p.cancel(e, "the endpoint is in no pool now")
+			p.cancel(e, "the endpoint is no longer in any pool")
 		}
 	}
 	return p.flush()
 }
 
-// adopt keeps what is known of a pool's endpoints. One that several pools
-// select belongs to the first.
+// carryOver returns a pool's endpoints with their known state. An endpoint that
+// several pools select belongs to the first.
 func (p *Placement) carryOver(endpoints []*live.Endpoint, pool *live.Pool, old map[id.Endpoint]*engine) []*engine {
 	var members []*engine
 	for _, c := range endpoints {
@@ -236,7 +242,7 @@
 	return members
 }
 
-// Observe takes an endpoint's state.
+// Observe records the observed state of an endpoint.
 func (p *Placement) Observe(now time.Duration, o Observation) {
 	e := p.engines[o.Endpoint]
 	if e == nil {
@@ -249,7 +255,7 @@
 	e.observed, e.observedAt, e.everObserved = o, now, true
 }
 
-// Demand takes a pool's utilisation.
+// Demand records the utilisation of a pool.
 func (p *Placement) Demand(now time.Duration, d Demand) {
 	for _, g := range p.pools {
 		if g.pool.Name == d.Pool {
@@ -258,7 +264,8 @@
 	}
 }
 
-// Granted takes the weight store's answer; retryAfter counts where it refused.
+// Granted handles the reply of the weight store; retryAfter applies if the load
+// was refused.
 func (p *Placement) Granted(now time.Duration, endpoint id.Endpoint, ok bool, retryAfter time.Duration) []Action {
 	e := p.engines[endpoint]
 	if e == nil || e.step != stepRequestingGrant {
@@ -281,7 +288,8 @@
 	return e.desired, true
 }
 
-// Draining lists the endpoints that placement keeps free of new work, by name.
+// Draining returns the endpoints that placement keeps free of new work, sorted
+// by name.
 func (p *Placement) Draining() []id.Endpoint {
 	var out []id.Endpoint
 	for _, e := range sortedEngines(p.engines) {
@@ -292,7 +300,7 @@
 	return out
 }
 
-// Tick decides and takes the next steps.
+// Tick updates the decisions and takes the next steps.
 func (p *Placement) Tick(now time.Duration) []Action {
 	for _, g := range p.pools {
 		p.setDesired(now, g)
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -14,7 +14,8 @@
 
 const tickInterval = 500 * time.Millisecond
 
-// site is a pool of engines that carry out orders, and placement beside it.
+// simulation is a pool of simulated engines that apply orders, with the
+// placement under test.
 type simulation struct {
 	is        *is.I
 	now       time.Duration
@@ -24,7 +25,8 @@
 	readyAt   map[id.Endpoint]time.Duration
 	drained   map[id.Endpoint]bool
 	placement *Placement
-	// refuse makes the weight store refuse; loading and most count loads.
+	// refuseGrants makes the weight store refuse; loading and maxLoading count
+	// concurrent loads.
 	refuseGrants        bool
 	loading, maxLoading int
 	orders              int
@@ -75,7 +77,7 @@
 func (s *simulation) applyOrder(o Order) {
 	s.orders++
 	e := s.engines[o.Endpoint]
-	s.is.Equal(e.Busy, 0) // an order never meets work in flight
+	s.is.Equal(e.Busy, 0) // no order reaches an engine with running requests
 	if e.Setup == o.Setup {
 		return
 	}
@@ -86,7 +88,8 @@
 	e.Setup, e.Ready = o.Setup, false
 }
 
-// run advances time; the engines that take new work are busy now and then.
+// run advances time; engines that take new work have a random number of
+// requests.
 func (s *simulation) run(d time.Duration, always func()) {
 	for end := s.now + d; s.now < end; s.now += tickInterval {
 		s.loading = 0
@@ -140,14 +143,14 @@
 	return n
 }
 
-func TestNewHolderLeavesWhatItFinds(t *testing.T) {
+func TestNewLeaseHolderKeepsObservedSetups(t *testing.T) {
 	s := newSimulation(t, 3, 5)
 	s.run(time.Minute, nil)
 	s.is.Equal(s.orders, 0)
 	s.is.Equal(len(s.placement.Draining()), 0)
 }
 
-func TestVersionRollsOutByALabelledChangeWithoutTakingTheLastReplica(t *testing.T) {
+func TestVersionRolloutKeepsWarmReplicas(t *testing.T) {
 	s := newSimulation(t, 2, 4)
 	s.run(5*time.Second, nil)
 	s.configure(func(d *live.Document) { d.Pools[0].Version = "2" })
@@ -159,45 +162,45 @@
 		s.is.Equal(e.Setup.Version, "2")
 		s.is.True(e.Ready)
 	}
-	s.is.True(s.maxLoading <= DefaultConfig().MaxLoads) // within the weight store's rate
+	s.is.True(s.maxLoading <= DefaultConfig().MaxLoads) // the weight store's limit
 	s.is.Equal(s.warm(live.RolePrefill), 2)
 }
 
-func TestLastWarmReplicaIsNeverTaken(t *testing.T) {
+func TestLastWarmReplicaIsNeverChanged(t *testing.T) {
 	s := newSimulation(t, 1, 1)
 	s.run(5*time.Second, nil)
 	s.configure(func(d *live.Document) { d.Pools[0].Version = "2" })
 	s.run(5*time.Minute, nil)
 	s.is.Equal(s.orders, 0)
-	s.is.Equal(s.decisionCount("held_back"), 2) // said once for each, not each tick
+	s.is.Equal(s.decisionCount("held_back"), 2) // once for each endpoint, not on each tick
 }
 
-func TestDemandMovesARoleWithHysteresis(t *testing.T) {
+func TestDemandChangesRolesWithHysteresis(t *testing.T) {
 	s := newSimulation(t, 2, 4)
 	demand := func(prefill, decode float64) func() {
 		return func() { s.placement.Demand(s.now, Demand{Pool: "p", Prefill: prefill, Decode: decode}) }
 	}
 	s.run(10*time.Second, demand(0.95, 0.3)) // shorter than Sustain
 	s.is.Equal(s.decisionCount("role"), 0)
-	s.run(time.Minute, demand(0.95, 0.6)) // decode has nothing to spare
+	s.run(time.Minute, demand(0.95, 0.6)) // decode utilisation is above Low
 	s.is.Equal(s.decisionCount("role"), 0)
 	s.run(time.Minute, demand(0.95, 0.3))
 	s.is.Equal(s.warm(live.RolePrefill), 3)
 	s.is.Equal(s.warm(live.RoleDecode), 3)
-	for range 20 { // demand that swings each ten seconds moves nothing
+	for range 20 { // demand that alternates every ten seconds changes no role
 		s.run(10*time.Second, demand(0.95, 0.3))
 		s.run(10*time.Second, demand(0.3, 0.95))
 	}
 	s.is.Equal(s.decisionCount("role"), 1)
 	s.run(30*time.Minute, demand(0.95, 0.3))
-	s.is.Equal(s.warm(live.RoleDecode), 1) // down to the least, never below
+	s.is.Equal(s.warm(live.RoleDecode), 1) // down to the minimum
 	fixed := newSimulation(t, 2, 4)
 	fixed.configure(func(d *live.Document) { d.Pools[0].FixedRoles = true })
 	fixed.run(10*time.Minute, func() { fixed.placement.Demand(fixed.now, Demand{Pool: "p", Prefill: 1, Decode: 0}) })
 	fixed.is.Equal(fixed.orders, 0)
 }
 
-func TestLateOrderOfAFormerHolderIsRepaired(t *testing.T) {
+func TestLateOrderOfFormerLeaseHolderIsReverted(t *testing.T) {
 	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
 	s.engines["e03"].Setup = Setup{Model: "old", Role: live.RolePrefill}
@@ -207,20 +210,20 @@
 	s.is.Equal(s.decisionCount("settled"), 1)
 }
 
-func TestLeavingEndpointIsSkippedAndABusyOneNotCut(t *testing.T) {
+func TestLeavingAndBusyEndpointsAreNotChanged(t *testing.T) {
 	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
 	s.configure(func(d *live.Document) {
 		d.Pools[0].Version = "2"
 		d.Endpoints[4].Labels[live.LabelLeaving] = "true"
 	})
-	s.run(5*time.Minute, func() { s.engines["e03"].Busy = 2 }) // it never becomes empty
+	s.run(5*time.Minute, func() { s.engines["e03"].Busy = 2 }) // e03 never becomes empty
 	s.is.Equal(s.engines["e04"].Setup.Version, "1")
 	s.is.Equal(s.engines["e03"].Setup.Version, "1")
 	s.is.True(s.decisionCount("settled") > 0)
 }
 
-func TestRefusedGrantWaitsAndCanaryFollowsItsLabel(t *testing.T) {
+func TestRefusedGrantIsRetriedAndLabelsOverride(t *testing.T) {
 	s := newSimulation(t, 2, 3)
 	s.run(5*time.Second, nil)
 	s.refuseGrants = true
@@ -232,7 +235,7 @@
 	s.is.Equal(s.engines["e04"].Setup.Model, "canary")
 	s.configure(func(d *live.Document) { d.Endpoints[2].Labels[live.LabelRole] = string(live.RolePrefill) })
 	s.run(time.Minute, nil)
-	s.is.Equal(s.engines["e02"].Setup.Role, live.RolePrefill) // a label change is an order
+	s.is.Equal(s.engines["e02"].Setup.Role, live.RolePrefill) // a changed role label overrides the current role
 	want, ok := s.placement.Desired("e02")
 	s.is.True(ok)
 	s.is.Equal(want.Role, live.RolePrefill)
