--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -68,8 +68,8 @@
 	// expected length of its answer. Both are in tokens.
 	tokens int
 	output float64
-	// tooLate reports whether the request missed its target, as of the last
-	// scan.
+	// tooLate reports whether the request would miss its target if granted, as
+	// of the last scan.
 	tooLate bool
 	arrived time.Duration
 	// startTag orders the requests of one priority by their teams' shares.
--- a/core/kvsched/ledger_test.go
+++ b/core/kvsched/ledger_test.go
@@ -288,9 +288,9 @@
 	t.Fatal("no decode engine prefilled a prompt")
 }
 
-// TestAdoptedWorkDoesNotChangeDecodeRate: a new owner has no start time of adopted
-// work. A decode that ended right after the takeover once raised the estimated
-// decode rate so far that every answer appeared finished and the pool full.
+// TestAdoptedWorkDoesNotChangeDecodeRate: a new owner has no start time of
+// adopted work. A decode that ended right after the takeover once raised the
+// estimated decode rate so far that every answer appeared finished and the pool full.
 func TestAdoptedWorkDoesNotChangeDecodeRate(t *testing.T) {
 	is := is.New(t)
 	old := newLedger(t, document(4, 2, 10000))
