--- /dev/null
+++ b/core/kvsched/grant.go
@@ -0,0 +1,350 @@
+package kvsched
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/samphirequay/samphirequay/core/live"
+	"github.com/samphirequay/samphirequay/core/sched"
+)
+
+// Causes for which a waiting request is not granted.
+const (
+	causeNoPrefillEngine = "no prefill engine is free"
+	causeNoMemory        = "no decode engine has memory"
+	causeNoEngine        = "no engine is available"
+	causeLate            = "late requests wait until the pool has spare memory"
+)
+
+// grantWaiting scans the queue and grants the requests that can be granted.
+func (l *Ledger) grantWaiting(actions []sched.Action) []sched.Action {
+	if l.now < l.settled || len(l.queue) == 0 {
+		return actions
+	}
+	l.sortQueue()
+	defer l.clearSetAside()
+	l.scan.begin(l.queue)
+	for _, w := range l.scan.queue {
+		action, passable := l.try(w)
+		if action != nil {
+			actions = append(actions, *action)
+		}
+		if !passable {
+			break
+		}
+	}
+	return actions
+}
+
+// sortQueue sorts the queue: prefilled requests first, then those that can be
+// in time, then by priority, team share and age.
+func (l *Ledger) sortQueue() {
+	for _, w := range l.queue {
+		w.tooLate = !w.want.Prefilled && l.late(w)
+	}
+	l.sortByShares(l.queue)
+}
+
+// sortByShares sorts requests into the order in which they are granted.
+func (l *Ledger) sortByShares(queue []*waiting) {
+	byAge(queue)
+	if !l.sharesByTeam() {
+		return
+	}
+	l.fairQueue.assignStartTags(queue)
+	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.startTag, b.startTag)) })
+}
+
+// byAge sorts requests by rank, then by age.
+func byAge(queue []*waiting) {
+	slices.SortStableFunc(queue, func(a, b *waiting) int { return cmp.Or(byRank(a, b), cmp.Compare(a.arrived, b.arrived)) })
+}
+
+// byRank compares requests by the criteria that precede team share and age.
+func byRank(a, b *waiting) int {
+	return cmp.Or(
+		falseFirst(!a.want.Prefilled, !b.want.Prefilled),
+		falseFirst(a.tooLate, b.tooLate),
+		cmp.Compare(b.want.Priority, a.want.Priority),
+	)
+}
+
+// sharesByTeam reports whether team shares affect the order: the mechanism is
+// enabled and there are teams.
+func (l *Ledger) sharesByTeam() bool { return l.enabled(TeamShares) && l.fairQueue.hasTeams() }
+
+func falseFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	default:
+		return 1
+	}
+}
+
+// late reports whether a request granted now would miss its target.
+func (l *Ledger) late(w *waiting) bool {
+	return l.now+l.firstToken.expected(w.want.PromptTokens) > w.target
+}
+
+// initialPrefillTime returns the prefill time of a prompt at the initial rate,
+// for an engine without samples.
+func initialPrefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / initialPrefillRate * float64(time.Second))
+}
+
+// try grants one request if possible. passable reports whether the requests
+// after it may be tried.
+func (l *Ledger) try(w *waiting) (granted *sched.Action, passable bool) {
+	decode, cause := l.chooseInitialDecode(w)
+	if decode == nil {
+		w.blocked = cause
+		return nil, cause == causeNoMemory && l.passable(w)
+	}
+	if w.want.Prefilled {
+		return l.grant(w, nil, decode), true
+	}
+	if w.tooLate && !l.memoryForLate() {
+		w.blocked = causeLate
+		return nil, false
+	}
+	if decode.role == live.RoleWhole {
+		return l.grant(w, nil, decode), true
+	}
+	prefill := l.choosePrefill(w, decode)
+	if prefill == nil {
+		w.blocked = causeNoPrefillEngine
+		return l.grantLocalPrefill(w)
+	}
+	// With the prefill engine known, a decode engine in its failure domain is
+	// preferred.
+	if preferred, _ := l.chooseDecode(w, prefill); preferred != nil {
+		decode = preferred
+	}
+	return l.grant(w, prefill, decode), true
+}
+
+// maxSetAsideShare is the largest share of the decode engines that are set
+// aside for requests that fit on none yet; at least one engine may be.
+const maxSetAsideShare = 0.2
+
+// passable reports whether other requests may bypass one that fits on no
+// engine. During the bypass time they may; after it an engine is set aside for
+// the request, so that the others can use the free memory of the rest without
+// starving it. If too many engines are set aside already, nothing bypasses it.
+func (l *Ledger) passable(w *waiting) bool {
+	if l.now-w.arrived < l.options.BypassAfter && !w.want.Prefilled || !l.enabled(KeptEngine) {
+		return true
+	}
+	decoding, setAside := 0, 0
+	for _, e := range l.order {
+		if e.decodesHere() && e.available(l.now) {
+			decoding++
+		}
+		if e.setAside {
+			setAside++
+		}
+	}
+	if setAside >= max(1, int(maxSetAsideShare*float64(decoding))) {
+		return false
+	}
+	candidate := l.mostFree(w)
+	if candidate == nil {
+		return false
+	}
+	candidate.setAside = true
+	return true
+}
+
+// mostFree returns the usable decode engine with the most free memory, which
+// will fit the request first.
+func (l *Ledger) mostFree(w *waiting) *endpoint {
+	for _, e := range l.byFreeShare() {
+		if l.usable(e, w) {
+			return e
+		}
+	}
+	return nil
+}
+
+// byFreeShare returns the decoding engines, most free memory first; computed
+// once per scan.
+func (l *Ledger) byFreeShare() []*endpoint {
+	if len(l.scan.byFreeShare) > 0 {
+		return l.scan.byFreeShare
+	}
+	for _, e := range l.order {
+		if e.decodesHere() {
+			e.freeShare = l.freeShare(e)
+			l.scan.byFreeShare = append(l.scan.byFreeShare, e)
+		}
+	}
+	slices.SortStableFunc(l.scan.byFreeShare, func(a, b *endpoint) int { return cmp.Compare(b.freeShare, a.freeShare) })
+	return l.scan.byFreeShare
+}
+
+// clearSetAside ends the setting aside of engines, which lasts for one scan of
+// the queue.
+func (l *Ledger) clearSetAside() {
+	for _, e := range l.order {
+		e.setAside = false
+	}
+}
+
+// queuePrefillTime returns how long the prefill engines take for all prompts in
+// the queue, which is the wait of the last one.
+func (l *Ledger) queuePrefillTime() time.Duration {
+	tokens, rate := 0, 0.0
+	for _, w := range l.queue {
+		tokens += w.want.PromptTokens
+	}
+	for _, e := range l.order {
+		if e.role == live.RolePrefill && e.available(l.now) {
+			rate += e.prefillRate.perSecond()
+		}
+	}
+	if rate <= 0 {
+		return time.Hour
+	}
+	return time.Duration(float64(tokens) / rate * float64(time.Second))
+}
+
+// prefillWait returns the time until a prefill engine is free.
+func (l *Ledger) prefillWait() time.Duration {
+	wait := never
+	for _, e := range l.order {
+		if e.role == live.RolePrefill && e.available(l.now) {
+			wait = min(wait, e.startAt(l.now)-l.now)
+		}
+	}
+	return min(wait, time.Hour)
+}
+
+// memoryForLate reports whether the pool has enough free memory for late
+// requests.
+func (l *Ledger) memoryForLate() bool {
+	memory, free := 0, 0
+	for _, e := range l.order {
+		if e.decodesHere() && e.available(l.now) {
+			memory += e.memory
+			free += max(0, e.memory-int(l.peak(e, nil)))
+		}
+	}
+	return float64(free) >= l.options.LateFreeShare*float64(memory)
+}
+
+// sameDomainBonus is added to the score of a decode engine in the prefill
+// engine's failure domain, as a share of an engine's memory: the transfer of
+// the KV cache takes half as long within a domain.
+const sameDomainBonus = 0.15
+
+// chooseDecode returns the engine with the most free memory that the request
+// fits on, preferring one in the failure domain of the prefill engine if that
+// is known; otherwise nil and the cause.
+func (l *Ledger) chooseDecode(w *waiting, prefill *endpoint) (*endpoint, string) {
+	cause := causeNoEngine
+	var best *endpoint
+	bestScore := 0.0
+	for _, e := range l.order {
+		if !e.decodesHere() || !l.usable(e, w) {
+			continue
+		}
+		score, ok := l.fits(e, w)
+		if !ok {
+			cause = causeNoMemory
+			continue
+		}
+		if prefill != nil && prefill.domain == e.domain {
+			score += sameDomainBonus
+		}
+		if best == nil || score > bestScore {
+			best, bestScore = e, score
+		}
+	}
+	return best, cause
+}
+
+// choosePrefill returns the prefill engine that would finish first, among those
+// free within the horizon, preferring the decode engine's failure domain.
+func (l *Ledger) choosePrefill(w *waiting, decode *endpoint) *endpoint {
+	var best *endpoint
+	var bestAt time.Duration
+	for _, e := range l.order {
+		if e.role != live.RolePrefill || !l.usable(e, w) || len(e.prefills) >= max(1, e.slots) {
+			continue
+		}
+		start := e.startAt(l.now)
+		if start > l.now+l.options.Horizon {
+			continue
+		}
+		at := start + e.prefillTime(w.want.PromptTokens)
+		if e.domain == decode.domain {
+			at -= sameDomainLead
+		}
+		if best == nil || at < bestAt {
+			best, bestAt = e, at
+		}
+	}
+	return best
+}
+
+// sameDomainLead is how much later a prefill engine in the decode engine's
+// failure domain may finish and still be preferred.
+const sameDomainLead = 5 * time.Millisecond
+
+// usable reports whether an endpoint may serve this request at all.
+func (l *Ledger) usable(e *endpoint, w *waiting) bool {
+	if e.setAside || !e.available(l.now) || slices.Contains(w.want.Avoid, e.name) {
+		return false
+	}
+	return l.options.Health == nil || l.options.Health.Allowed(e.name)
+}
+
+// grant reserves the engines for a request and returns the answer. An already
+// prefilled request needs no prefill engine.
+func (l *Ledger) grant(w *waiting, prefill, decode *endpoint) *sched.Action {
+	l.serial++
+	r := &reservation{
+		want:      w.want,
+		tokens:    w.tokens,
+		output:    w.output,
+		prefill:   prefill,
+		decode:    decode,
+		grantedAt: l.now,
+		expires:   l.now + l.options.ExpiresIn,
+		lifetime:  w.lifetime,
+	}
+	r.grant = sched.Grant{
+		Request:     w.want.Request,
+		Decode:      decode.name,
+		Reservation: l.serial,
+		Owner:       l.options.Self,
+		ExpiresIn:   l.options.ExpiresIn,
+	}
+	start := l.now
+	if prefill != nil {
+		r.grant.Prefill = prefill.name
+		start = prefill.startAt(l.now)
+		prefill.addPrefill(l.now, r)
+		l.prefillWork += prefill.prefillTime(r.want.PromptTokens)
+	} else if decode.role == live.RoleDecode {
+		// A free prefill engine would have done this prefill.
+		l.prefillWork += initialPrefillTime(r.want.PromptTokens)
+	}
+	r.grant.Reason = fmt.Sprintf("waited %v, starts in %v, %d tokens beside %d requests with %d of %d",
+		(l.now - w.arrived).Round(time.Millisecond), (start - l.now).Round(time.Millisecond),
+		w.tokens, len(decode.decodes), l.held(decode), decode.memory)
+	decode.addDecode(r)
+	l.addReservation(r)
+	l.fairQueue.granted(w)
+	if l.waiting[w.want.Request] != nil {
+		l.unqueue(w)
+		l.serviceRate.granted(w.tokens)
+	}
+	grant := r.grant
+	return &sched.Action{To: w.want.From, Grant: &grant}
+}
--- a/core/kvsched/memory.go
+++ b/core/kvsched/memory.go
@@ -7,96 +7,100 @@
 )
 
 const (
-	// firstPace is the first estimate of how fast an answer is written, in
-	// tokens a second.
-	firstPace = 300.0
-	// paceMemory is the weight that the estimate gives to what was seen before.
-	paceMemory = 0.97
-	// overrun is the share of the expected output that a request which has
-	// exceeded it is believed to write yet: guesses are often far off.
-	overrun = 0.25
-	// mostWritten times the expected output is the most that a request is
-	// believed to have written.
-	mostWritten = 2.5
+	// initialDecodeRate is the initial estimate of the decode rate of one
+	// request, in tokens a second.
+	initialDecodeRate = 300.0
+	// decodeRateDecay is the weight of earlier samples in the estimate.
+	decodeRateDecay = 0.97
+	// minRemainingShare is the least share of the expected output that a
+	// request is assumed to generate yet, even beyond its expected length:
+	// guesses are often far off.
+	minRemainingShare = 0.25
+	// maxGeneratedShare bounds the output that a request is assumed to have
+	// generated, as a multiple of the expected output.
+	maxGeneratedShare = 2.5
 )
 
-// pace averages how fast answers are written. Guesses of single outputs are
-// often far off, their sum is not.
-type pace struct {
+// decodeRate averages the decode rate of one request, as the sum of guessed
+// outputs over the sum of decode times: single guesses are often far off, their
+// sum is not.
+type decodeRate struct {
 	tokens  float64
 	seconds float64
 }
 
-// ended takes a request whose answer is complete.
-func (p *pace) ended(expected int, took time.Duration) {
-	p.tokens = paceMemory*p.tokens + float64(expected)
-	p.seconds = paceMemory*p.seconds + took.Seconds()
+// add adds the sample of a completed answer.
+func (p *decodeRate) add(expected int, took time.Duration) {
+	p.tokens = decodeRateDecay*p.tokens + float64(expected)
+	p.seconds = decodeRateDecay*p.seconds + took.Seconds()
 }
 
-// perSecond is the pace of one request, in tokens.
-func (p *pace) perSecond() float64 {
+// perSecond returns the decode rate of one request, in tokens a second.
+func (p *decodeRate) perSecond() float64 {
 	if p.seconds <= 0 || p.tokens <= 0 {
-		return firstPace
+		return initialDecodeRate
 	}
 	return p.tokens / p.seconds
 }
 
-// claim is what one request holds now and will yet add, in tokens.
-type claim struct{ held, left float64 }
+// footprint is the memory that one request holds now and the memory that it
+// will add, in tokens.
+type footprint struct{ held, remaining float64 }
 
-// claimOf estimates a request's claim. Before its decode it holds its prompt.
-func (l *Ledger) claimOf(r *reservation) claim {
+// footprintOf estimates the footprint of a granted request. Before its decode
+// the request holds its prompt.
+func (l *Ledger) footprintOf(r *reservation) footprint {
 	output := r.output
-	written := 0.0
+	generated := 0.0
 	if r.decodingAt > 0 {
-		written = min((l.now-r.decodingAt).Seconds()*l.pace.perSecond(), mostWritten*output)
+		generated = min((l.now-r.decodingAt).Seconds()*l.decodeRate.perSecond(), maxGeneratedShare*output)
 	}
-	left := output - written
-	if least := overrun * output; left < least {
+	left := output - generated
+	if least := minRemainingShare * output; left < least {
 		left = least
 	}
-	return claim{held: float64(blocks(max(1, r.want.PromptTokens))) + written, left: left}
+	return footprint{held: float64(roundUpToBlocks(max(1, r.want.PromptTokens))) + generated, remaining: left}
 }
 
-// claimsLife is how long an engine's claims are reckoned with unchanged: up to
-// the next look at a queue that is held up. At 400 tokens a second a request
-// writes 2 in that time, of the thousands that it holds.
-const claimsLife = poll
-
-// claimsOf gives the claims of an engine's requests, the one with the most left
-// first. They are worked out anew only where something has changed: the owner of a
-// large pool would else spend most of its time on working them out for each
-// waiting request at each event.
-func (l *Ledger) claimsOf(e *endpoint) []claim {
-	if !e.claimsOld && l.now-e.claimsAt < claimsLife {
-		return e.claims
+// footprintTTL is how long cached footprints are used unchanged: up to the next
+// scan of a blocked queue. At 400 tokens a second a request generates 2 tokens
+// in that time, of the thousands that it holds.
+const footprintTTL = queuePollInterval
+
+// footprintsOf returns the footprints of an engine's requests, largest
+// remaining first. They are recomputed only after a change or the TTL;
+// otherwise the owner of a large pool would spend most of its time on computing
+// them for each waiting request at each event.
+func (l *Ledger) footprintsOf(e *endpoint) []footprint {
+	if !e.footprintsStale && l.now-e.footprintsAt < footprintTTL {
+		return e.footprints
 	}
-	e.claims = e.claims[:0]
+	e.footprints = e.footprints[:0]
 	for _, r := range e.decodes {
-		e.claims = append(e.claims, l.claimOf(r))
+		e.footprints = append(e.footprints, l.footprintOf(r))
 	}
-	slices.SortFunc(e.claims, func(a, b claim) int { return cmp.Compare(b.left, a.left) })
-	e.claimsAt, e.claimsOld = l.now, false
-	return e.claims
+	slices.SortFunc(e.footprints, func(a, b footprint) int { return cmp.Compare(b.remaining, a.remaining) })
+	e.footprintsAt, e.footprintsStale = l.now, false
+	return e.footprints
 }
 
-// climb adds claims up, those with the most left first: when one ends, all
-// before it still hold theirs.
-type climb struct{ held, writers, most float64 }
+// peakSum accumulates footprints, largest remaining first: when one request
+// ends, all before it still hold their memory.
+type peakSum struct{ held, decoding, peak float64 }
 
-func (p *climb) add(c claim) {
+func (p *peakSum) add(c footprint) {
 	p.held += c.held
-	p.writers++
-	p.most = max(p.most, p.held+p.writers*c.left)
+	p.decoding++
+	p.peak = max(p.peak, p.held+p.decoding*c.remaining)
 }
 
-// peak predicts the most memory that an engine's requests will hold together,
-// with one more if extra is set: memory comes back request by request, while
-// the others go on writing.
-func (l *Ledger) peak(e *endpoint, extra *claim) float64 {
-	var p climb
-	for _, c := range l.claimsOf(e) {
-		if extra != nil && extra.left > c.left {
+// peak predicts the peak memory of an engine's requests, plus one more if extra
+// is set: memory is released request by request while the others keep
+// generating.
+func (l *Ledger) peak(e *endpoint, extra *footprint) float64 {
+	var p peakSum
+	for _, c := range l.footprintsOf(e) {
+		if extra != nil && extra.remaining > c.remaining {
 			p.add(*extra)
 			extra = nil
 		}
@@ -105,48 +109,50 @@
 	if extra != nil {
 		p.add(*extra)
 	}
-	return p.most
+	return p.peak
 }
 
-// claim is what the request would hold when granted, and add.
-func (w *waiting) claim() claim {
-	return claim{held: float64(blocks(max(1, w.want.PromptTokens))), left: w.output}
+// footprint is the memory that the request would hold once granted, and add
+// later.
+func (w *waiting) footprint() footprint {
+	return footprint{held: float64(roundUpToBlocks(max(1, w.want.PromptTokens))), remaining: w.output}
 }
 
-// fits says whether a request fits on an engine, and which share of its memory
-// would be left at the peak.
-func (l *Ledger) fits(e *endpoint, w *waiting) (left float64, ok bool) {
+// fits reports whether a request fits on an engine, and the share of memory
+// that would be free at the peak.
+func (l *Ledger) fits(e *endpoint, w *waiting) (free float64, ok bool) {
 	l.tried++
 	if len(e.decodes) >= e.slots {
 		return 0, false
 	}
-	more := w.claim()
-	left = l.roomWith(e, &more)
-	return left, left >= 0
+	more := w.footprint()
+	free = l.freeShareWith(e, &more)
+	return free, free >= 0
 }
 
-// room is the share of an engine's memory that is left at the peak.
-func (l *Ledger) room(e *endpoint) float64 {
+// freeShare returns the share of an engine's memory that is free at the
+// predicted peak; 0 without a free slot.
+func (l *Ledger) freeShare(e *endpoint) float64 {
 	l.tried++
 	if len(e.decodes) >= e.slots {
 		return 0
 	}
-	return l.roomWith(e, nil)
+	return l.freeShareWith(e, nil)
 }
 
-// roomWith is that share with one more request if extra is set; that of its
-// places for an engine that does not tell its memory.
-func (l *Ledger) roomWith(e *endpoint, extra *claim) float64 {
+// freeShareWith returns the free share with one more request if extra is set;
+// for an engine that reports no memory size, the share of free slots.
+func (l *Ledger) freeShareWith(e *endpoint, extra *footprint) float64 {
 	if e.memory <= 0 {
 		return 1 - float64(len(e.decodes))/float64(max(1, e.slots))
 	}
 	return 1 - l.peak(e, extra)/float64(e.memory)
 }
 
-// held is the memory that an engine's requests hold now, in tokens.
+// held returns the memory that an engine's requests hold now, in tokens.
 func (l *Ledger) held(e *endpoint) int {
 	sum := 0.0
-	for _, c := range l.claimsOf(e) {
+	for _, c := range l.footprintsOf(e) {
 		sum += c.held
 	}
 	return int(sum)
--- a/core/kvsched/restart_test.go
+++ b/core/kvsched/restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// restarted is the document with one engine's later start in place of the
-// former one.
+// restarted returns the document with one engine replaced by its incarnation
+// that started at the given time.
 func restarted(doc *live.Document, which int, born int64) *live.Document {
 	out := *doc
 	out.Endpoints = append([]live.Endpoint(nil), doc.Endpoints...)
@@ -20,10 +20,10 @@
 	return &out
 }
 
-// TestARestartedEngineHoldsNothing of what was granted at its former start:
-// neither memory nor places in its batch, and the end of that work frees
-// nothing of its own.
-func TestARestartedEngineHoldsNothing(t *testing.T) {
+// TestRestartedEngineHoldsNothing: a new incarnation of an engine holds neither
+// memory nor batch slots of the former one's grants, and the end of the former
+// work frees nothing on the new one.
+func TestRestartedEngineHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	before := restarted(document(4, 1, 10000), 4, 100)
 	l := newLedger(t, before)
@@ -35,12 +35,12 @@
 	is.Equal(len(second), 1)
 	is.Equal(second[0].Decode, registry.Incarnation("engine", 200))
 	is.Equal(len(grants(l.Progress(now, done(first[0], sched.PhaseDone)))), 0)
-	is.Equal(len(grants(l.Want(now, want("c", 6000, 1000)))), 0) // b holds its memory
+	is.Equal(len(grants(l.Want(now, want("c", 6000, 1000)))), 0) // b holds the memory
 }
 
-// TestARestartedEngineIsNotWhatItsFormerStartWas: its queue of prefills, its
-// rate, its refusals and its silence.
-func TestARestartedEngineIsNotWhatItsFormerStartWas(t *testing.T) {
+// TestRestartedEngineStartsWithFreshState: the prefill queue, rate, refusals
+// and unreachability of the former incarnation do not carry over.
+func TestRestartedEngineStartsWithFreshState(t *testing.T) {
 	is := is.New(t)
 	before := restarted(document(1, 2, 100000), 0, 100)
 	l := newLedger(t, before)
@@ -49,22 +49,22 @@
 	now := start + 2*time.Second
 	l.Progress(now, sched.Progress{Request: g[0].Request, Reservation: g[0].Reservation, Phase: sched.PhaseTransferring})
 	former := l.endpoints[registry.Incarnation("engine", 100)]
-	is.True(former.rate.perSecond() < firstPrefillRate)
+	is.True(former.prefillRate.perSecond() < initialPrefillRate)
 	l.Load(now, sched.Load{Endpoint: former.name})
-	is.True(!former.open(now))
+	is.True(!former.available(now))
 	l.Configure(now, restarted(before, 0, 200))
 	present := l.endpoints[registry.Incarnation("engine", 200)]
-	is.True(present.open(now))
-	is.Equal(present.rate.perSecond(), firstPrefillRate)
+	is.True(present.available(now))
+	is.Equal(present.prefillRate.perSecond(), initialPrefillRate)
 	is.Equal(len(present.prefills), 0)
-	// What is still told of the former start concerns nobody.
+	// Late reports about the former incarnation have no effect.
 	l.Load(now, sched.Load{Endpoint: former.name})
-	is.True(present.open(now))
+	is.True(present.available(now))
 }
 
-// TestWorkAtAFormerStartIsNotTakenOver by a new owner: it ended with its
-// process.
-func TestWorkAtAFormerStartIsNotTakenOver(t *testing.T) {
+// TestWorkOfFormerIncarnationIsNotAdopted: work at a former incarnation of an
+// engine ended with its process, so a new owner does not adopt it.
+func TestWorkOfFormerIncarnationIsNotAdopted(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, restarted(document(1, 1, 10000), 1, 200))
 	l.Adopt(start, sched.Adopt{
--- a/core/kvsched/want.go
+++ b/core/kvsched/want.go
@@ -11,11 +11,11 @@
 // Want implements sched.Scheduler.
 func (l *Ledger) Want(now time.Duration, w sched.Want) []sched.Action {
 	l.begin(now)
-	return l.finish(l.take(w))
+	return l.finish(l.answerOrQueue(w))
 }
 
-// take queues a Want or answers it at once.
-func (l *Ledger) take(w sched.Want) []sched.Action {
+// answerOrQueue answers a Want at once or queues it.
+func (l *Ledger) answerOrQueue(w sched.Want) []sched.Action {
 	if r := l.granted[w.Request]; r != nil {
 		grant := r.grant
 		return []sched.Action{{To: w.From, Grant: &grant}}
@@ -36,7 +36,7 @@
 	}
 	fresh := l.newWaiting(w, service)
 	if w.Prefilled {
-		return l.takePrefilled(fresh)
+		return l.grantOrQueuePrefilled(fresh)
 	}
 	if refusal := l.admit(fresh); refusal != nil {
 		return refusal
@@ -48,20 +48,20 @@
 	return nil
 }
 
-// enqueue lets a request wait.
+// enqueue adds a request to the queue.
 func (l *Ledger) enqueue(w *waiting) {
 	l.queue = append(l.queue, w)
 	l.waiting[w.want.Request] = w
-	l.stirred = true
+	l.scanDue = true
 }
 
 func (l *Ledger) newWaiting(w sched.Want, s *live.Service) *waiting {
 	arrived := l.now - max(0, w.Age)
-	l.guesses.note(float64(max(1, w.OutputTokens)))
+	l.outputMean.add(float64(max(1, w.OutputTokens)))
 	return &waiting{
 		want:     w,
-		tokens:   l.size(&w),
-		output:   l.output(&w),
+		tokens:   l.finalTokens(&w),
+		output:   l.expectedOutput(&w),
 		arrived:  arrived,
 		target:   arrived + orDefault(w.Target, s.FirstTokenTarget()),
 		patience: arrived + orDefault(w.Patience, s.Patience()),
@@ -76,78 +76,80 @@
 	return otherwise
 }
 
-// output is the expected length of the answer, in tokens.
-func (l *Ledger) output(w *sched.Want) float64 {
+// expectedOutput returns the expected length of the answer, in tokens.
+func (l *Ledger) expectedOutput(w *sched.Want) float64 {
 	guess := float64(max(1, w.OutputTokens))
-	if l.on(GuessShrink) {
-		guess = l.guesses.drawn(guess)
+	if l.enabled(GuessShrink) {
+		guess = l.outputMean.shrink(guess)
 	}
 	return l.options.OutputShare * guess
 }
 
-// size is the memory that a request holds at its end, in tokens.
-func (l *Ledger) size(w *sched.Want) int {
-	return blocks(max(1, w.PromptTokens)) + blocks(int(l.output(w)))
+// finalTokens returns the memory that a request holds at its end, in tokens.
+func (l *Ledger) finalTokens(w *sched.Want) int {
+	return roundUpToBlocks(max(1, w.PromptTokens)) + roundUpToBlocks(int(l.expectedOutput(w)))
 }
 
-// admit refuses what can't be served; nil lets the request wait.
+// admit refuses a request that cannot be served; nil means that the request may
+// wait.
 func (l *Ledger) admit(w *waiting) []sched.Action {
 	largest := 0
 	for _, e := range l.order {
-		if e.writes() {
+		if e.decodesHere() {
 			largest = max(largest, e.memory)
 		}
 	}
 	switch {
 	case len(l.queue) >= l.options.MaxQueue:
-		return l.refuse(w.want, verdict.CodeOverloaded, l.flow.comeBack(l.now, l.backlog()), "the queue is full")
-	case largest > 0 && blocks(w.want.PromptTokens) > largest:
+		return l.refuse(w.want, verdict.CodeOverloaded, l.releaseRate.retryAfter(l.now, l.backlog()), "the queue is full")
+	case largest > 0 && roundUpToBlocks(w.want.PromptTokens) > largest:
 		return l.refuse(w.want, verdict.CodeTooLarge, 0, "the request is larger than an engine's memory")
 	default:
 		return nil
 	}
 }
 
-// takePrefilled grants a decode engine to a request whose prompt was read. Where
-// none has room it waits before all others, as long as its KV cache lives: where
-// engines are lost in a burst, no other one may have room at that moment, and the
-// prompt would have been read in vain.
-func (l *Ledger) takePrefilled(w *waiting) []sched.Action {
+// grantOrQueuePrefilled grants a decode engine to an already prefilled request.
+// If none has enough memory, the request waits at the head of the queue until
+// its KV cache expires: when engines are lost in a burst, no other engine may
+// have free memory at that moment, and the prefill would be wasted.
+func (l *Ledger) grantOrQueuePrefilled(w *waiting) []sched.Action {
 	decode, cause := l.chooseDecode(w, nil)
 	if decode != nil && l.now >= l.settled {
 		return []sched.Action{*l.grant(w, nil, decode)}
 	}
 	w.blocked = cause
-	if cause != lacksMemory || !l.on(PrefilledWait) || l.now >= w.patience {
-		return l.refuse(w.want, verdict.CodeOverloaded, l.flow.comeBack(l.now, l.backlog()), cause)
+	if cause != causeNoMemory || !l.enabled(PrefilledWait) || l.now >= w.patience {
+		return l.refuse(w.want, verdict.CodeOverloaded, l.releaseRate.retryAfter(l.now, l.backlog()), cause)
 	}
 	l.enqueue(w)
 	return nil
 }
 
-// backlog is the memory that the queue wants beyond what is free, in tokens.
+// backlog returns the memory that the queue needs beyond the free memory, in
+// tokens.
 func (l *Ledger) backlog() int {
 	wanted := 0
 	for _, w := range l.queue {
 		wanted += w.tokens
 	}
 	for _, e := range l.order {
-		if e.writes() && e.open(l.now) {
+		if e.decodesHere() && e.available(l.now) {
 			wanted -= max(0, e.memory-l.held(e))
 		}
 	}
 	return max(0, wanted)
 }
 
-// refuse answers a Want with a refusal and remembers it.
-func (l *Ledger) refuse(w sched.Want, code verdict.Code, after time.Duration, why string) []sched.Action {
-	refusal := &sched.Refusal{Request: w.Request, Code: code, RetryAfter: after, Reason: why}
+// refuse answers a Want with a refusal and stores it for repeated Wants.
+func (l *Ledger) refuse(w sched.Want, code verdict.Code, after time.Duration, reason string) []sched.Action {
+	refusal := &sched.Refusal{Request: w.Request, Code: code, RetryAfter: after, Reason: reason}
 	l.ended.Add(w.Request, refusal)
 	return []sched.Action{{To: w.From, Refusal: refusal}}
 }
 
-// refuseHopeless refuses those whose patience has run out.
-func (l *Ledger) refuseHopeless(actions []sched.Action) []sched.Action {
+// refuseExpired refuses the requests whose patience has expired.
+func (l *Ledger) refuseExpired(actions []sched.Action) []sched.Action {
 	kept := l.queue[:0]
 	for _, w := range l.queue {
 		if l.now < w.patience {
@@ -155,7 +157,7 @@
 			continue
 		}
 		delete(l.waiting, w.want.Request)
-		after := spread(l.flow.comeBack(l.now, l.backlog()), w.want.Request)
+		after := jitter(l.releaseRate.retryAfter(l.now, l.backlog()), w.want.Request)
 		actions = append(actions, l.refuse(w.want, verdict.CodeOverloaded, after, "no room in time: "+w.blocked)...)
 	}
 	clear(l.queue[len(kept):])
--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -7,151 +7,157 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// run is a request at the engines.
+// run is a granted request.
 type run struct {
 	caller *caller
 	grant  *sched.Grant
 	engine *decodeEngine
-	// transfer is the time of its KV cache's way.
+	// transfer is the time of its KV cache transfer.
 	transfer time.Duration
-	// begun is set with the first event; written are the tokens so far.
-	begun   bool
-	written float64
+	// started is set with the first event; generated is the number of tokens so
+	// far.
+	started   bool
+	generated float64
 }
 
-// reader reads prompts one after another, for an engine of either kind. One whose
-// caller has gone is dropped, while it is read too.
-type reader struct {
-	w *world
-	// speed is the share of the prefill rate at which it reads.
+// prefillQueue runs prefills one after another, for either kind of engine. A
+// prefill whose caller has gone is dropped, also while it runs.
+type prefillQueue struct {
+	w *simulation
+	// speed is the rate of this queue as a share of the prefill rate.
 	speed float64
-	queue []*read
-	// begins, if set, is told how long a prompt takes when its reading begins; ends
-	// takes one that was read.
-	begins func(takes time.Duration)
-	ends   func(job *read)
+	queue []*prefillJob
+	// onStart, if set, is called with the duration of a prefill when the
+	// prefill starts; onEnd is called with each completed prefill.
+	onStart func(duration time.Duration)
+	onEnd   func(job *prefillJob)
 }
 
-// read is a prompt that waits or is being read.
-type read struct {
+// prefillJob is a prefill that waits or runs.
+type prefillJob struct {
 	run  *run
 	sent time.Duration
-	// begun is set once the engine has begun.
-	begun bool
+	// started is set once the engine has started the prefill.
+	started bool
 }
 
-// add has a prompt wait; next begins with it.
-func (q *reader) add(r *run) { q.queue = append(q.queue, &read{run: r, sent: q.w.now}) }
+// add queues a prefill; startNext starts it.
+func (q *prefillQueue) add(r *run) { q.queue = append(q.queue, &prefillJob{run: r, sent: q.w.now}) }
 
-// next begins with the first prompt of the queue, unless it is being read.
-func (q *reader) next() {
-	if len(q.queue) == 0 || q.queue[0].begun {
+// startNext starts the first prefill of the queue unless it runs already.
+func (q *prefillQueue) startNext() {
+	if len(q.queue) == 0 || q.queue[0].started {
 		return
 	}
 	job := q.queue[0]
-	job.begun = true
-	takes := q.w.readingTime(job.run.caller.prompt, q.speed)
-	if q.begins != nil {
-		q.begins(takes)
+	job.started = true
+	duration := q.w.prefillTime(job.run.caller.prompt, q.speed)
+	if q.onStart != nil {
+		q.onStart(duration)
 	}
-	q.w.at(q.w.now+takes, func() { q.end(job) })
+	q.w.schedule(q.w.now+duration, func() { q.end(job) })
 }
 
-// end hands on a prompt that was read, if it was not dropped.
-func (q *reader) end(job *read) {
+// end completes a prefill, unless it was dropped.
+func (q *prefillQueue) end(job *prefillJob) {
 	if len(q.queue) == 0 || q.queue[0] != job {
 		return
 	}
 	q.queue = q.queue[1:]
-	q.ends(job)
-	q.next()
+	q.onEnd(job)
+	q.startNext()
 }
 
-// drop takes a prompt out; reading says that the engine was at it.
-func (q *reader) drop(r *run) (reading bool) {
-	reading = len(q.queue) > 0 && q.queue[0].run == r
-	q.queue = slices.DeleteFunc(q.queue, func(job *read) bool { return job.run == r })
-	return reading
+// drop removes a prefill; running reports whether it was at the head of the
+// queue.
+func (q *prefillQueue) drop(r *run) (running bool) {
+	running = len(q.queue) > 0 && q.queue[0].run == r
+	q.queue = slices.DeleteFunc(q.queue, func(job *prefillJob) bool { return job.run == r })
+	return running
 }
 
-// prefillEngine reads prompts.
+// prefillEngine is a simulated prefill engine.
 type prefillEngine struct {
-	w     *world
-	reads reader
+	w     *simulation
+	queue prefillQueue
 }
 
-func newPrefillEngine(w *world) *prefillEngine {
+func newPrefillEngine(w *simulation) *prefillEngine {
 	p := &prefillEngine{w: w}
-	p.reads = reader{w: w, speed: 1, ends: p.end}
+	p.queue = prefillQueue{w: w, speed: 1, onEnd: p.end}
 	return p
 }
 
-func (p *prefillEngine) read(r *run) {
+func (p *prefillEngine) prefill(r *run) {
 	p.w.progress(r, sched.PhasePrefilling)
-	p.reads.add(r)
-	p.w.at(p.w.now+hop, p.reads.next)
+	p.queue.add(r)
+	p.w.schedule(p.w.now+messageDelay, p.queue.startNext)
 }
 
-// end hands on a prompt that was read.
-func (p *prefillEngine) end(job *read) {
+// end starts the KV cache transfer of a completed prefill.
+func (p *prefillEngine) end(job *prefillJob) {
 	w, r := p.w, job.run
 	w.report(r, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: w.now - job.sent})
-	r.transfer = time.Duration(w.slow * float64(w.Engines.Transfer))
-	w.at(w.now+r.transfer, func() { r.engine.begin(r) })
+	r.transfer = time.Duration(w.slowdown * float64(w.Engines.Transfer))
+	w.schedule(w.now+r.transfer, func() { r.engine.start(r) })
 }
 
-// drop ends the reading of a prompt, or its wait.
+// drop removes a prefill, whether it waits or runs.
 func (p *prefillEngine) drop(r *run) {
-	p.reads.drop(r)
-	p.reads.next()
+	p.queue.drop(r)
+	p.queue.startNext()
 }
 
-// decodeEngine writes answers, all at one pace that falls with their number.
+// decodeEngine is a simulated decode engine. It decodes all requests at one
+// rate, which falls with their number.
 type decodeEngine struct {
-	w    *world
+	w    *simulation
 	runs []*run
-	// settled is up to when the runs' tokens are counted.
-	settled time.Duration
-	// reads are the prompts that the engine reads itself; readUntil is when the
-	// first of them is read.
-	reads     reader
-	readUntil time.Duration
-	// round numbers the changes: an event of an earlier one is stale.
-	round int
+	// countedUntil is the time up to which the runs' tokens are counted.
+	countedUntil time.Duration
+	// localPrefills are the prefills on this engine; localPrefillUntil is the
+	// end of the running one.
+	localPrefills     prefillQueue
+	localPrefillUntil time.Duration
+	// planVersion counts the scheduled checks: an event of an earlier version
+	// is stale.
+	planVersion int
 }
 
-func newDecodeEngine(w *world) *decodeEngine {
+func newDecodeEngine(w *simulation) *decodeEngine {
 	e := &decodeEngine{w: w}
-	e.reads = reader{w: w, speed: wholeSpeed, begins: e.readBegins, ends: func(job *read) { e.begin(job.run) }}
+	e.localPrefills = prefillQueue{w: w, speed: localPrefillSpeed, onStart: e.localPrefillStarted, onEnd: func(job *prefillJob) { e.start(job.run) }}
 	return e
 }
 
-// wholeSpeed is the share of the prefill rate at which a decode engine reads.
-const wholeSpeed = 0.5
+// localPrefillSpeed is the rate of a local prefill as a share of the prefill
+// rate.
+const localPrefillSpeed = 0.5
 
-// pace is the tokens a second of each run.
-func (e *decodeEngine) pace() float64 {
+// decodeRate returns the tokens a second of each run.
+func (e *decodeEngine) decodeRate() float64 {
 	step := e.w.Engines.Step + time.Duration(len(e.runs))*e.w.Engines.StepEach
-	return float64(time.Second) / (e.w.slow * float64(step))
+	return float64(time.Second) / (e.w.slowdown * float64(step))
 }
 
-// read has the engine read a prompt itself: its other runs stand still.
-func (e *decodeEngine) read(r *run) {
-	e.reads.add(r)
-	e.reads.next()
+// prefillLocally queues a prefill on the decode engine; it pauses the engine's
+// other runs.
+func (e *decodeEngine) prefillLocally(r *run) {
+	e.localPrefills.add(r)
+	e.localPrefills.startNext()
 }
 
-// readBegins has the other runs stand still.
-func (e *decodeEngine) readBegins(takes time.Duration) {
-	e.settle()
-	e.readUntil = e.w.now + takes
+// localPrefillStarted pauses the other runs for the given time.
+func (e *decodeEngine) localPrefillStarted(duration time.Duration) {
+	e.countTokens()
+	e.localPrefillUntil = e.w.now + duration
 	for _, other := range e.runs {
-		e.stall(other, takes)
+		e.stall(other, duration)
 	}
-	e.plan()
+	e.scheduleNext()
 }
 
-// stall has a run stand still; it is late if that is longer than its caller
+// stall pauses a run; the answer is late if the pause is longer than its caller
 // accepts.
 func (e *decodeEngine) stall(r *run, d time.Duration) {
 	pause := e.w.Callers.Pause
@@ -160,74 +166,76 @@
 	}
 }
 
-// begin starts a run whose prompt was read, if the engine has room.
-func (e *decodeEngine) begin(r *run) {
+// start starts the decode of a prefilled run if the engine has room for it.
+func (e *decodeEngine) start(r *run) {
 	w := e.w
 	if r.caller.run != r || r.caller.outcome != unserved {
 		return
 	}
-	e.settle()
+	e.countTokens()
 	if len(e.runs) >= w.Engines.Batch || e.held()+float64(r.caller.prompt) > float64(w.Engines.Memory) {
-		w.vain += r.caller.prompt
+		w.wastedTokens += r.caller.prompt
 		r.caller.run = nil
 		w.progress(r, sched.PhaseFailed)
 		w.refused(&sched.Refusal{Request: r.grant.Request, RetryAfter: time.Second})
 		return
 	}
-	r.begun = true
+	r.started = true
 	e.runs = append(e.runs, r)
-	w.first(r.caller)
+	w.firstEvent(r.caller)
 	w.report(r, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: r.transfer})
-	e.plan()
+	e.scheduleNext()
 }
 
 func (e *decodeEngine) held() float64 {
 	sum := 0.0
 	for _, r := range e.runs {
-		sum += float64(r.caller.prompt) + r.written
+		sum += float64(r.caller.prompt) + r.generated
 	}
 	return sum
 }
 
-// settle counts the tokens up to now.
-func (e *decodeEngine) settle() {
-	from := max(e.settled, min(e.readUntil, e.w.now))
-	e.settled = e.w.now
+// countTokens counts the tokens up to now.
+func (e *decodeEngine) countTokens() {
+	from := max(e.countedUntil, min(e.localPrefillUntil, e.w.now))
+	e.countedUntil = e.w.now
 	if e.w.now <= from {
 		return
 	}
-	tokens := (e.w.now - from).Seconds() * e.pace()
+	tokens := (e.w.now - from).Seconds() * e.decodeRate()
 	for _, r := range e.runs {
-		r.written += tokens
+		r.generated += tokens
 	}
 }
 
-// plan predicts the next end, or the moment at which the memory is full.
-func (e *decodeEngine) plan() {
-	e.round++
+// scheduleNext schedules the next completion, or the next check of the memory
+// if that is earlier.
+func (e *decodeEngine) scheduleNext() {
+	e.planVersion++
 	if len(e.runs) == 0 {
 		return
 	}
-	least := float64(e.runs[0].caller.output) - e.runs[0].written
+	least := float64(e.runs[0].caller.output) - e.runs[0].generated
 	for _, r := range e.runs {
-		least = min(least, float64(r.caller.output)-r.written)
+		least = min(least, float64(r.caller.output)-r.generated)
 	}
-	// Below the end by a little: the memory is looked at four times a second.
-	tokens := max(1, min(least, e.pace()/4))
-	from := max(e.w.now, e.readUntil)
-	round := e.round
-	e.w.at(from+time.Duration(tokens/e.pace()*float64(time.Second)), func() {
-		if e.round == round {
-			e.look()
+	// The memory is checked about four times a second.
+	tokens := max(1, min(least, e.decodeRate()/4))
+	from := max(e.w.now, e.localPrefillUntil)
+	round := e.planVersion
+	e.w.schedule(from+time.Duration(tokens/e.decodeRate()*float64(time.Second)), func() {
+		if e.planVersion == round {
+			e.completeAndPreempt()
 		}
 	})
 }
 
-// look ends the runs that are complete, and preempts while memory is short.
-func (e *decodeEngine) look() {
-	e.settle()
+// completeAndPreempt completes finished runs and preempts runs while memory is
+// short.
+func (e *decodeEngine) completeAndPreempt() {
+	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
-		if r.written < float64(r.caller.output)-0.5 {
+		if r.generated < float64(r.caller.output)-0.5 {
 			return false
 		}
 		e.w.progress(r, sched.PhaseDone)
@@ -236,36 +244,37 @@
 	for len(e.runs) > 1 && e.held() > float64(e.w.Engines.Memory) {
 		e.preempt()
 	}
-	e.plan()
+	e.scheduleNext()
 }
 
-// preempt reads the newest run in again, which stalls all others.
+// preempt removes the newest run and prefills it again, which pauses it for
+// longer than its caller accepts.
 func (e *decodeEngine) preempt() {
 	w := e.w
 	w.preempted++
 	last := e.runs[len(e.runs)-1]
 	e.runs = e.runs[:len(e.runs)-1]
-	tokens := last.caller.prompt + int(last.written)
-	w.vain += tokens
+	tokens := last.caller.prompt + int(last.generated)
+	w.wastedTokens += tokens
 	e.stall(last, w.Callers.Pause+1)
-	takes := w.readingTime(tokens, wholeSpeed)
-	w.at(w.now+takes, func() {
+	duration := w.prefillTime(tokens, localPrefillSpeed)
+	w.schedule(w.now+duration, func() {
 		if last.caller.run == last {
-			e.settle()
+			e.countTokens()
 			e.runs = append(e.runs, last)
-			e.look()
+			e.completeAndPreempt()
 		}
 	})
 }
 
 // drop ends a run whose caller has gone.
 func (e *decodeEngine) drop(r *run) {
-	e.settle()
+	e.countTokens()
 	e.runs = slices.DeleteFunc(e.runs, func(x *run) bool { return x == r })
 	r.caller.run = nil
-	if e.reads.drop(r) {
-		e.readUntil = e.w.now
+	if e.localPrefills.drop(r) {
+		e.localPrefillUntil = e.w.now
 	}
-	e.plan()
-	e.reads.next()
+	e.scheduleNext()
+	e.localPrefills.startNext()
 }
--- a/core/placement/advance.go
+++ b/core/placement/advance.go
@@ -5,115 +5,119 @@
 	"time"
 )
 
-// advance takes an endpoint's next step towards its desired setup.
-func (p *Placement) advance(now time.Duration, g *group, e *engine) {
-	if !e.decided {
+// advance takes the next step of an endpoint towards its desired setup.
+func (p *Placement) advance(now time.Duration, g *poolState, e *engine) {
+	if !e.hasDesired {
 		return
 	}
 	if e.leaving() {
 		p.cancel(e, "the endpoint is leaving")
 		return
 	}
-	if !p.usable(now, e) {
-		// It may come back as it was: its steps go on from there.
+	if !p.stateKnown(now, e) {
+		// The endpoint may become reachable again unchanged; the change then
+		// continues from its current step.
 		return
 	}
 	switch e.step {
-	case stepSettled:
-		p.start(now, g, e)
+	case stepIdle:
+		p.startChange(now, g, e)
 	case stepDraining:
-		p.drain(now, e)
-	case stepGranting:
-		p.grant(now, e)
+		p.continueDrain(now, e)
+	case stepRequestingGrant:
+		p.requestGrant(now, e)
 	case stepOrdered:
-		p.await(now, e)
+		p.awaitReady(now, e)
 	}
 }
 
-// start begins a change where the observed setup differs from the desired
-// one: for a new wish, or to repair what somebody else's late order did.
-func (p *Placement) start(now time.Duration, g *group, e *engine) {
+// startChange starts a change if the observed setup differs from the desired
+// one: after a new decision, or to revert a late order of a former lease
+// holder.
+func (p *Placement) startChange(now time.Duration, g *poolState, e *engine) {
 	o := e.observed
 	if o.Setup == e.desired {
-		e.held = ""
+		e.postponeReason = ""
 		return
 	}
-	if now < e.again {
+	if now < e.retryAt {
 		return
 	}
 	role := o.Setup.Role
-	if p.warm(now, e, role) && p.warmCount(now, g, role) <= least(g.pool, role) {
-		p.putOff(e, fmt.Sprintf("it is one of the last %d warm %s endpoints", least(g.pool, role), role))
+	if p.warm(now, e, role) && p.warmCount(now, g, role) <= minWarm(g.pool, role) {
+		p.postpone(e, fmt.Sprintf("the endpoint is one of the last %d warm %s endpoints", minWarm(g.pool, role), role))
 		return
 	}
 	loads := !o.Setup.sameWeights(e.desired)
-	if loads && p.loads() >= p.cfg.MaxLoads {
-		p.putOff(e, "as many loads run as may")
+	if loads && p.loadsInProgress() >= p.cfg.MaxLoads {
+		p.postpone(e, "as many loads run as may")
 		return
 	}
-	e.held = ""
-	e.step, e.since, e.loads = stepDraining, now, loads
-	reason := fmt.Sprintf("it has %s and should have %s", o.Setup, e.desired)
-	p.say(e, "change", reason)
-	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
+	e.postponeReason = ""
+	e.step, e.stepSince, e.needsLoad = stepDraining, now, loads
+	reason := fmt.Sprintf("the observed setup is %s, the desired one is %s", o.Setup, e.desired)
+	p.recordDecision(e, "change", reason)
+	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, On: true, Reason: reason}})
 }
 
-// putOff logs once why a change waits.
-func (p *Placement) putOff(e *engine, reason string) {
-	if e.held != reason {
-		e.held = reason
-		p.say(e, "held_back", reason)
+// postpone records, once per reason, why a change waits.
+func (p *Placement) postpone(e *engine, reason string) {
+	if e.postponeReason != reason {
+		e.postponeReason = reason
+		p.recordDecision(e, "held_back", reason)
 	}
 }
 
-// loads counts the endpoints that load, or are about to.
-func (p *Placement) loads() int {
+// loadsInProgress counts the endpoints whose change needs a load.
+func (p *Placement) loadsInProgress() int {
 	n := 0
 	for _, e := range p.engines {
-		if e.step != stepSettled && e.loads {
+		if e.step != stepIdle && e.needsLoad {
 			n++
 		}
 	}
 	return n
 }
 
-// drain waits until the endpoint is empty, seen so after the drain began.
-func (p *Placement) drain(now time.Duration, e *engine) {
+// continueDrain waits until an observation made after the start of the drain
+// shows the endpoint empty.
+func (p *Placement) continueDrain(now time.Duration, e *engine) {
 	switch {
 	case e.observed.Setup == e.desired && e.observed.Ready:
-		p.settle(e, "it has the desired setup after all")
-	case e.at > e.since && e.observed.Busy == 0:
-		p.emptied(now, e)
-	case now-e.since >= p.cfg.DrainLimit:
-		e.again = now + p.cfg.DrainLimit
-		p.settle(e, "it did not become empty in time; the change is put off")
+		p.endChange(e, "the endpoint already has the desired setup")
+	case e.observedAt > e.stepSince && e.observed.Busy == 0:
+		p.afterDrain(now, e)
+	case now-e.stepSince >= p.cfg.DrainLimit:
+		e.retryAt = now + p.cfg.DrainLimit
+		p.endChange(e, "the endpoint was still busy at the drain limit; the change is postponed")
 	}
 }
 
-func (p *Placement) emptied(now time.Duration, e *engine) {
+func (p *Placement) afterDrain(now time.Duration, e *engine) {
 	if e.observed.Setup.sameWeights(e.desired) {
-		p.order(now, e, "it is empty and needs no load")
+		p.sendOrder(now, e, "the endpoint is empty and the change needs no load")
 		return
 	}
-	e.loads = true
-	e.step, e.since, e.again = stepGranting, now, now
-	p.grant(now, e)
+	e.needsLoad = true
+	e.step, e.stepSince, e.retryAt = stepRequestingGrant, now, now
+	p.requestGrant(now, e)
 }
 
-// grant asks the weight store, and again when it is due.
-func (p *Placement) grant(now time.Duration, e *engine) {
-	if now < e.again {
+// requestGrant requests a load from the weight store, and repeats the request
+// when due.
+func (p *Placement) requestGrant(now time.Duration, e *engine) {
+	if now < e.retryAt {
 		return
 	}
-	e.again = now + p.cfg.GrantTimeout
-	p.out = append(p.out, Action{Grant: &GrantRequest{Endpoint: e.name, Model: e.desired.Model}})
+	e.retryAt = now + p.cfg.GrantTimeout
+	p.actions = append(p.actions, Action{Grant: &GrantRequest{Endpoint: e.name, Model: e.desired.Model}})
 }
 
-// order sends the desired setup.
-func (p *Placement) order(now time.Duration, e *engine, reason string) {
+// sendOrder sends the desired setup to the endpoint.
+func (p *Placement) sendOrder(now time.Duration, e *engine, reason string) {
 	e.step = stepOrdered
-	e.again = now + p.cfg.OrderRepeat
-	p.out = append(p.out, Action{Order: &Order{
+	e.retryAt = now + p.cfg.OrderRepeat
+	p.actions = append(p.actions, Action{Order: &Order{
 		Endpoint:      e.name,
 		Setup:         e.desired,
 		ChecksFencing: e.config.ChecksFencing,
@@ -121,27 +125,28 @@
 	}})
 }
 
-// await repeats the order until the endpoint is ready with it.
-func (p *Placement) await(now time.Duration, e *engine) {
+// awaitReady repeats the order until the endpoint is ready with the desired
+// setup.
+func (p *Placement) awaitReady(now time.Duration, e *engine) {
 	if e.observed.Setup == e.desired && e.observed.Ready {
-		p.settle(e, "it is ready as desired")
+		p.endChange(e, "the endpoint is ready with the desired setup")
 		return
 	}
-	if now >= e.again {
-		p.order(now, e, "the order is not carried out yet")
+	if now >= e.retryAt {
+		p.sendOrder(now, e, "the endpoint has not applied the order yet")
 	}
 }
 
-// settle ends a change and lets new work in again.
-func (p *Placement) settle(e *engine, reason string) {
-	e.step, e.loads = stepSettled, false
-	p.say(e, "settled", reason)
-	p.out = append(p.out, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
+// endChange ends a change and its drain.
+func (p *Placement) endChange(e *engine, reason string) {
+	e.step, e.needsLoad = stepIdle, false
+	p.recordDecision(e, "settled", reason)
+	p.actions = append(p.actions, Action{Drain: &Drain{Endpoint: e.name, Pool: e.pool.Name, Reason: reason}})
 }
 
-// cancel ends a change that must not go on.
+// cancel ends a change that must not continue.
 func (p *Placement) cancel(e *engine, reason string) {
-	if e.step != stepSettled {
-		p.settle(e, reason)
+	if e.step != stepIdle {
+		p.endChange(e, reason)
 	}
 }
