--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -12,7 +12,7 @@
 
 const (
 	// recentRows bounds the rows that are read before they are written.
-	recentRows = 4096
+	maxRecentRows = 4096
 	// retryAfterLive is the advice while a live owner runs the call.
 	retryAfterLive = time.Second
 	// readPause is the wait after a stale read.
@@ -65,7 +65,7 @@
 // New returns Claims without work. cfg.OwnerAlive must be set.
 func New(cfg Config) *Claims {
 	cfg = cfg.withDefaults()
-	recent, err := simplelru.NewLRU[string, struct{}](recentRows, nil)
+	recent, err := simplelru.NewLRU[string, struct{}](maxRecentRows, nil)
 	if err != nil {
 		panic(err) // the size is constant: a fault of the build
 	}
