--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -14,7 +14,7 @@
 	// recentRows bounds the rows that are read before they are written.
 	maxRecentRows = 4096
 	// retryAfterLive is the advice while a live owner runs the call.
-	retryAfterLive = time.Second
+	defaultRetryAfter = time.Second
 	// readPause is the wait after a stale read.
 	readPause = 10 * time.Millisecond
 	// objectPause is the wait after a body could not be stored.
@@ -99,7 +99,7 @@
 		claimed: wall.UnixMilli(),
 	}
 	if c.count >= c.cfg.MaxOps {
-		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many claims at work").WithRetryAfter(retryAfterLive))
+		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many claims at work").WithRetryAfter(defaultRetryAfter))
 		return c.flush()
 	}
 	if !c.answeredByQueue(o) {
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -246,5 +246,5 @@
 			"an earlier call under this key was lost with its daemon and may have run")
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-		"a call under this key is running").WithRetryAfter(retryAfterLive)
+		"a call under this key is running").WithRetryAfter(defaultRetryAfter)
 }
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -108,7 +108,7 @@
 		return
 	}
 	c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"the claim could not be stored in %s", c.cfg.MaxWait).WithRetryAfter(retryAfterLive))
+		"the claim could not be stored in %s", c.cfg.MaxWait).WithRetryAfter(defaultRetryAfter))
 	c.abandon(o)
 }
 
