--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -16,7 +16,7 @@
 	// retryAfterLive is the advice while a live owner runs the call.
 	defaultRetryAfter = time.Second
 	// readPause is the wait after a stale read.
-	readPause = 10 * time.Millisecond
+	staleReadDelay = 10 * time.Millisecond
 	// objectPause is the wait after a body could not be stored.
 	objectPause = 500 * time.Millisecond
 	// objectTries bounds the attempts to store a body.
