--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -18,7 +18,7 @@
 	// readPause is the wait after a stale read.
 	staleReadDelay = 10 * time.Millisecond
 	// objectPause is the wait after a body could not be stored.
-	objectPause = 500 * time.Millisecond
+	objectRetryDelay = 500 * time.Millisecond
 	// objectTries bounds the attempts to store a body.
 	objectTries = 8
 	// clockTolerance is how far wall time may move against the running time
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -136,7 +136,7 @@
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Body: make([]byte, DefaultMaxInline+1)}}))
 	for range objectTries {
 		b.settle(b.ObjectReply(b.now, claim.Row, false))
-		b.now += objectPause
+		b.now += objectRetryDelay
 		b.settle(b.tick())
 	}
 	is.Equal(b.begin(callOf("k", "b")).Refuse.Err.Verdict, verdict.Ran)
