--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -20,7 +20,7 @@
 	// objectPause is the wait after a body could not be stored.
 	objectRetryDelay = 500 * time.Millisecond
 	// objectTries bounds the attempts to store a body.
-	objectTries = 8
+	maxObjectAttempts = 8
 	// clockTolerance is how far wall time may move against the running time
 	// before expiry is no longer believed.
 	clockTolerance = time.Minute
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -134,7 +134,7 @@
 	b := newBench(nil)
 	claim := b.begin(callOf("k", "a")).Proceed.Claim
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Body: make([]byte, DefaultMaxInline+1)}}))
-	for range objectTries {
+	for range maxObjectAttempts {
 		b.settle(b.ObjectReply(b.now, claim.Row, false))
 		b.now += objectRetryDelay
 		b.settle(b.tick())
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -75,7 +75,7 @@
 
 func (c *Claims) objectFailed(o *op) {
 	o.objectTries++
-	if o.objectTries < objectTries {
+	if o.objectTries < maxObjectAttempts {
 		c.after(objectRetryDelay, timer{kind: timerAgain, op: o})
 		return
 	}
