--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -23,7 +23,7 @@
 	maxObjectAttempts = 8
 	// clockTolerance is how far wall time may move against the running time
 	// before expiry is no longer believed.
-	clockTolerance = time.Minute
+	maxClockDrift = time.Minute
 )
 
 // Never is what Next returns when nothing is due.
@@ -236,5 +236,5 @@
 // jump no row is taken for expired.
 func (c *Claims) clockTrusted() bool {
 	drift := time.Duration(c.wall.UnixNano()) - c.now - c.offset
-	return drift.Abs() <= clockTolerance
+	return drift.Abs() <= maxClockDrift
 }
