--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -38,10 +38,10 @@
 
 // Claims decides for the rows of one writer. It is not safe for concurrent use.
 type Claims struct {
-	cfg    Config
-	now    time.Duration
-	wall   time.Time
-	offset time.Duration
+	cfg        Config
+	now        time.Duration
+	wall       time.Time
+	wallOffset time.Duration
 	// started is set once offset is known.
 	started bool
 
@@ -228,13 +228,13 @@
 	c.wall = wall
 	if !c.started {
 		c.started = true
-		c.offset = time.Duration(wall.UnixNano()) - now
+		c.wallOffset = time.Duration(wall.UnixNano()) - now
 	}
 }
 
 // clockTrusted says whether wall time has run like the running time: after a
 // jump no row is taken for expired.
 func (c *Claims) clockTrusted() bool {
-	drift := time.Duration(c.wall.UnixNano()) - c.now - c.offset
+	drift := time.Duration(c.wall.UnixNano()) - c.now - c.wallOffset
 	return drift.Abs() <= maxClockDrift
 }
