--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -43,7 +43,7 @@
 	wall       time.Time
 	wallOffset time.Duration
 	// started is set once offset is known.
-	started bool
+	offsetKnown bool
 
 	ops   map[string][]*op
 	count int
@@ -226,8 +226,8 @@
 func (c *Claims) observe(now time.Duration, wall time.Time) {
 	c.advance(now)
 	c.wall = wall
-	if !c.started {
-		c.started = true
+	if !c.offsetKnown {
+		c.offsetKnown = true
 		c.wallOffset = time.Duration(wall.UnixNano()) - now
 	}
 }
