--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -58,7 +58,7 @@
 
 	timers     timers
 	timerOrder uint64
-	out        []Action
+	actions    []Action
 	stats      Stats
 }
 
@@ -192,7 +192,7 @@
 	c.emit(Action{Refuse: &Refuse{Token: o.token, Err: err}})
 }
 
-func (c *Claims) emit(a Action) { c.out = append(c.out, a) }
+func (c *Claims) emit(a Action) { c.actions = append(c.actions, a) }
 
 // Tick does what is due; call it at Next or earlier.
 func (c *Claims) Tick(now time.Duration, wall time.Time) []Action {
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -93,8 +93,8 @@
 			c.sendRead()
 		}
 	}
-	out := c.out
-	c.out = nil
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
