--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -53,7 +53,7 @@
 
 	commit committer
 	reads  reader
-	calls  map[CallID]*call
+	calls  map[CallID]*storeCall
 	lastID CallID
 
 	timers     timers
@@ -69,7 +69,7 @@
 	if err != nil {
 		panic(err) // the size is constant: a fault of the build
 	}
-	return &Claims{cfg: cfg, ops: map[string][]*op{}, calls: map[CallID]*call{}, recent: recent}
+	return &Claims{cfg: cfg, ops: map[string][]*op{}, calls: map[CallID]*storeCall{}, recent: recent}
 }
 
 func (cfg Config) withDefaults() Config {
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -39,7 +39,7 @@
 }
 
 // call is one transaction or read in flight.
-type call struct {
+type storeCall struct {
 	ops  []*op
 	read bool
 }
@@ -129,7 +129,7 @@
 	c.commit.notBefore = c.now + c.cfg.Gap
 	c.stats.Transactions++
 	c.stats.Rows += uint64(len(ops))
-	c.emit(Action{Transact: &Transact{ID: c.newCall(&call{ops: ops}), Transaction: t}})
+	c.emit(Action{Transact: &Transact{ID: c.newCall(&storeCall{ops: ops}), Transaction: t}})
 }
 
 func (c *Claims) encode(o *op) []byte {
@@ -154,10 +154,10 @@
 	}
 	c.reads.inFlight++
 	c.stats.Reads++
-	c.emit(Action{Read: &Read{ID: c.newCall(&call{ops: ops, read: true}), Keys: keys}})
+	c.emit(Action{Read: &Read{ID: c.newCall(&storeCall{ops: ops, read: true}), Keys: keys}})
 }
 
-func (c *Claims) newCall(k *call) CallID {
+func (c *Claims) newCall(k *storeCall) CallID {
 	c.lastID++
 	c.calls[c.lastID] = k
 	c.after(c.cfg.CallTimeout, timer{kind: timerCall, call: c.lastID})
@@ -165,7 +165,7 @@
 }
 
 // endCall takes a call out of flight; nil when it was given up before.
-func (c *Claims) endCall(id CallID) *call {
+func (c *Claims) endCall(id CallID) *storeCall {
 	k, ok := c.calls[id]
 	if !ok {
 		return nil
