--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -51,10 +51,10 @@
 	// repeats from failing their neighbours' transactions.
 	recent *simplelru.LRU[string, struct{}]
 
-	commit committer
-	reads  reader
-	calls  map[CallID]*storeCall
-	lastID CallID
+	commit     committer
+	reads      reader
+	storeCalls map[CallID]*storeCall
+	lastID     CallID
 
 	timers     timers
 	timerOrder uint64
@@ -69,7 +69,7 @@
 	if err != nil {
 		panic(err) // the size is constant: a fault of the build
 	}
-	return &Claims{cfg: cfg, ops: map[string][]*op{}, calls: map[CallID]*storeCall{}, recent: recent}
+	return &Claims{cfg: cfg, ops: map[string][]*op{}, storeCalls: map[CallID]*storeCall{}, recent: recent}
 }
 
 func (cfg Config) withDefaults() Config {
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -159,18 +159,18 @@
 
 func (c *Claims) newCall(k *storeCall) CallID {
 	c.lastID++
-	c.calls[c.lastID] = k
+	c.storeCalls[c.lastID] = k
 	c.after(c.cfg.CallTimeout, timer{kind: timerCall, call: c.lastID})
 	return c.lastID
 }
 
 // endCall takes a call out of flight; nil when it was given up before.
 func (c *Claims) endCall(id CallID) *storeCall {
-	k, ok := c.calls[id]
+	k, ok := c.storeCalls[id]
 	if !ok {
 		return nil
 	}
-	delete(c.calls, id)
+	delete(c.storeCalls, id)
 	if k.read {
 		c.reads.inFlight--
 	} else {
