--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -129,7 +129,7 @@
 	c.commit.notBefore = c.now + c.cfg.Gap
 	c.stats.Transactions++
 	c.stats.Rows += uint64(len(ops))
-	c.emit(Action{Transact: &Transact{ID: c.newCall(&storeCall{ops: ops}), Transaction: t}})
+	c.emit(Action{Transact: &Transact{ID: c.newStoreCall(&storeCall{ops: ops}), Transaction: t}})
 }
 
 func (c *Claims) encode(o *op) []byte {
@@ -154,10 +154,10 @@
 	}
 	c.reads.inFlight++
 	c.stats.Reads++
-	c.emit(Action{Read: &Read{ID: c.newCall(&storeCall{ops: ops, read: true}), Keys: keys}})
+	c.emit(Action{Read: &Read{ID: c.newStoreCall(&storeCall{ops: ops, read: true}), Keys: keys}})
 }
 
-func (c *Claims) newCall(k *storeCall) CallID {
+func (c *Claims) newStoreCall(k *storeCall) CallID {
 	c.lastID++
 	c.storeCalls[c.lastID] = k
 	c.after(c.cfg.CallTimeout, timer{kind: timerCall, call: c.lastID})
