--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -165,7 +165,7 @@
 }
 
 // endCall takes a call out of flight; nil when it was given up before.
-func (c *Claims) endCall(id CallID) *storeCall {
+func (c *Claims) endStoreCall(id CallID) *storeCall {
 	k, ok := c.storeCalls[id]
 	if !ok {
 		return nil
@@ -187,7 +187,7 @@
 }
 
 func (c *Claims) storeFailed(id CallID, f StoreFailure) {
-	k := c.endCall(id)
+	k := c.endStoreCall(id)
 	if k == nil {
 		return
 	}
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -11,7 +11,7 @@
 // StoreReply takes the store's reply to a transaction.
 func (c *Claims) StoreReply(now time.Duration, id CallID, r table.Reply) []Action {
 	c.advance(now)
-	k := c.endCall(id)
+	k := c.endStoreCall(id)
 	if k == nil {
 		return c.flush()
 	}
@@ -99,7 +99,7 @@
 // ReadReply takes the rows of a read. Rows that it lacks do not exist.
 func (c *Claims) ReadReply(now time.Duration, id CallID, rows []table.Row) []Action {
 	c.advance(now)
-	k := c.endCall(id)
+	k := c.endStoreCall(id)
 	if k == nil {
 		return c.flush()
 	}
