--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -7,11 +7,11 @@
 
 // timer wakes an op, or ends the wait for a call.
 type timer struct {
-	at    time.Duration
-	order uint64
-	op    *op
-	call  CallID
-	kind  timerKind
+	at     time.Duration
+	order  uint64
+	op     *op
+	callID CallID
+	kind   timerKind
 }
 
 type timerKind uint8
@@ -68,7 +68,7 @@
 		case timerAgain:
 			c.again(t.op)
 		case timerCall:
-			c.storeFailed(t.call, OutcomeUnknown)
+			c.storeFailed(t.callID, OutcomeUnknown)
 		}
 	}
 }
