--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -160,7 +160,7 @@
 func (c *Claims) newStoreCall(k *storeCall) CallID {
 	c.lastID++
 	c.storeCalls[c.lastID] = k
-	c.after(c.cfg.CallTimeout, timer{kind: timerCall, callID: c.lastID})
+	c.after(c.cfg.CallTimeout, timer{kind: timerStoreCall, callID: c.lastID})
 	return c.lastID
 }
 
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -22,7 +22,7 @@
 	// timerAgain ends an op's pause.
 	timerAgain
 	// timerCall gives a call to the store up.
-	timerCall
+	timerStoreCall
 )
 
 // timers is a heap ordered by time, then by order of creation.
@@ -67,7 +67,7 @@
 			c.expire(t.op)
 		case timerAgain:
 			c.again(t.op)
-		case timerCall:
+		case timerStoreCall:
 			c.storeFailed(t.callID, OutcomeUnknown)
 		}
 	}
