--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -60,7 +60,7 @@
 // readLater reads again after a pause: the last read was stale.
 func (c *Claims) readLater(o *op) {
 	o.phase = phasePause
-	c.after(staleReadDelay, timer{kind: timerAgain, op: o})
+	c.after(staleReadDelay, timer{kind: timerRetry, op: o})
 }
 
 // commitAt is when the waiting writes or reads may go.
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -76,7 +76,7 @@
 func (c *Claims) objectFailed(o *op) {
 	o.objectTries++
 	if o.objectTries < maxObjectAttempts {
-		c.after(objectRetryDelay, timer{kind: timerAgain, op: o})
+		c.after(objectRetryDelay, timer{kind: timerRetry, op: o})
 		return
 	}
 	o.outcome = Outcome{Failure: &Failure{
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -20,7 +20,7 @@
 	// timerDeadline ends the patience with an op.
 	timerDeadline timerKind = iota + 1
 	// timerAgain ends an op's pause.
-	timerAgain
+	timerRetry
 	// timerCall gives a call to the store up.
 	timerStoreCall
 )
@@ -65,7 +65,7 @@
 		switch t.kind {
 		case timerDeadline:
 			c.expire(t.op)
-		case timerAgain:
+		case timerRetry:
 			c.again(t.op)
 		case timerStoreCall:
 			c.storeFailed(t.callID, OutcomeUnknown)
