--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -8,7 +8,7 @@
 // timer wakes an op, or ends the wait for a call.
 type timer struct {
 	at     time.Duration
-	order  uint64
+	seq    uint64
 	op     *op
 	callID CallID
 	kind   timerKind
@@ -34,7 +34,7 @@
 	if t[i].at != t[j].at {
 		return t[i].at < t[j].at
 	}
-	return t[i].order < t[j].order
+	return t[i].seq < t[j].seq
 }
 
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
@@ -54,7 +54,7 @@
 func (c *Claims) after(d time.Duration, t timer) {
 	c.timerOrder++
 	t.at = c.now + d
-	t.order = c.timerOrder
+	t.seq = c.timerOrder
 	heap.Push(&c.timers, t)
 }
 
