--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -56,10 +56,10 @@
 	storeCalls map[CallID]*storeCall
 	lastID     CallID
 
-	timers     timers
-	timerOrder uint64
-	actions    []Action
-	stats      Stats
+	timers   timers
+	timerSeq uint64
+	actions  []Action
+	stats    Stats
 }
 
 // New returns Claims without work. cfg.OwnerAlive must be set.
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -52,9 +52,9 @@
 }
 
 func (c *Claims) after(d time.Duration, t timer) {
-	c.timerOrder++
+	c.timerSeq++
 	t.at = c.now + d
-	t.seq = c.timerOrder
+	t.seq = c.timerSeq
 	heap.Push(&c.timers, t)
 }
 
