--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -60,7 +60,7 @@
 // readLater reads again after a pause: the last read was stale.
 func (c *Claims) readLater(o *op) {
 	o.phase = phasePause
-	c.after(staleReadDelay, timer{kind: timerRetry, op: o})
+	c.startTimer(staleReadDelay, timer{kind: timerRetry, op: o})
 }
 
 // commitAt is when the waiting writes or reads may go.
@@ -160,7 +160,7 @@
 func (c *Claims) newStoreCall(k *storeCall) CallID {
 	c.lastID++
 	c.storeCalls[c.lastID] = k
-	c.after(c.cfg.CallTimeout, timer{kind: timerStoreCall, callID: c.lastID})
+	c.startTimer(c.cfg.CallTimeout, timer{kind: timerStoreCall, callID: c.lastID})
 	return c.lastID
 }
 
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -21,7 +21,7 @@
 
 func (c *Claims) setDeadline(o *op, patience time.Duration) {
 	o.deadline = c.now + patience
-	c.after(patience, timer{kind: timerDeadline, op: o})
+	c.startTimer(patience, timer{kind: timerDeadline, op: o})
 }
 
 // start lets the first op of a row begin its work.
@@ -76,7 +76,7 @@
 func (c *Claims) objectFailed(o *op) {
 	o.objectTries++
 	if o.objectTries < maxObjectAttempts {
-		c.after(objectRetryDelay, timer{kind: timerRetry, op: o})
+		c.startTimer(objectRetryDelay, timer{kind: timerRetry, op: o})
 		return
 	}
 	o.outcome = Outcome{Failure: &Failure{
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -51,7 +51,7 @@
 	return x
 }
 
-func (c *Claims) after(d time.Duration, t timer) {
+func (c *Claims) startTimer(d time.Duration, t timer) {
 	c.timerSeq++
 	t.at = c.now + d
 	t.seq = c.timerSeq
