--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -88,7 +88,7 @@
 }
 
 // again ends a pause.
-func (c *Claims) again(o *op) {
+func (c *Claims) retry(o *op) {
 	switch o.phase {
 	case phaseObject:
 		c.storeObject(o)
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -66,7 +66,7 @@
 		case timerDeadline:
 			c.expire(t.op)
 		case timerRetry:
-			c.again(t.op)
+			c.retry(t.op)
 		case timerStoreCall:
 			c.storeFailed(t.callID, OutcomeUnknown)
 		}
