--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -197,7 +197,7 @@
 // Tick does what is due; call it at Next or earlier.
 func (c *Claims) Tick(now time.Duration, wall time.Time) []Action {
 	c.observe(now, wall)
-	c.fire()
+	c.fireTimers()
 	return c.flush()
 }
 
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -59,7 +59,7 @@
 }
 
 // fire handles the timers that are due.
-func (c *Claims) fire() {
+func (c *Claims) fireTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		switch t.kind {
