--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -103,7 +103,7 @@
 		return c.flush()
 	}
 	if !c.answeredByQueue(o) {
-		c.add(o, c.cfg.MaxWait)
+		c.enqueue(o, c.cfg.MaxWait)
 	}
 	return c.flush()
 }
@@ -141,7 +141,7 @@
 		c.settle(o, false)
 		return c.flush()
 	}
-	c.add(o, c.cfg.FinishPatience)
+	c.enqueue(o, c.cfg.FinishPatience)
 	return c.flush()
 }
 
@@ -165,7 +165,7 @@
 		c.settle(opFor(claim, opRelease), false)
 		return
 	}
-	c.add(opFor(claim, opRelease), c.cfg.FinishPatience)
+	c.enqueue(opFor(claim, opRelease), c.cfg.FinishPatience)
 }
 
 func opFor(claim Claim, kind opKind) *op {
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -9,7 +9,7 @@
 )
 
 // add queues an op behind those of the same row.
-func (c *Claims) add(o *op, patience time.Duration) {
+func (c *Claims) enqueue(o *op, patience time.Duration) {
 	c.count++
 	o.phase = phaseBehind
 	c.ops[o.row] = append(c.ops[o.row], o)
