--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -57,14 +57,14 @@
 	}
 	o := queue[0]
 	if stored {
-		c.keepObject(o)
+		c.objectStored(o)
 	} else {
 		c.objectFailed(o)
 	}
 	return c.flush()
 }
 
-func (c *Claims) keepObject(o *op) {
+func (c *Claims) objectStored(o *op) {
 	answer := *o.outcome.Answer
 	answer.Object = objectName(o.token)
 	answer.ObjectBytes = len(answer.Body)
