--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -98,7 +98,7 @@
 }
 
 // expire ends the patience with an op.
-func (c *Claims) expire(o *op) {
+func (c *Claims) deadlineReached(o *op) {
 	if o.phase == phaseDone || c.now < o.deadline {
 		return
 	}
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -64,7 +64,7 @@
 		t := heap.Pop(&c.timers).(timer)
 		switch t.kind {
 		case timerDeadline:
-			c.expire(t.op)
+			c.deadlineReached(t.op)
 		case timerRetry:
 			c.retry(t.op)
 		case timerStoreCall:
