--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -214,7 +214,7 @@
 func (c *Claims) SetGap(gap time.Duration) { c.cfg.Gap = gap }
 
 // Working counts the Begins, Finishes and Releases at work.
-func (c *Claims) Working() int { return c.count }
+func (c *Claims) Pending() int { return c.count }
 
 // Stats returns the counts since the start.
 func (c *Claims) Stats() Stats { return c.stats }
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, d := range s.daemons {
-		if n := d.claims.Working(); n != 0 {
+		if n := d.claims.Pending(); n != 0 {
 			t.Fatalf("seed %d: %d ops are left at %s", seed, n, d.process)
 		}
 		out.unknowns += int(d.claims.Stats().Unknowns)
