--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -79,7 +79,7 @@
 	defaults.Set(&cfg.MaxInFlight, DefaultMaxInFlight)
 	defaults.Set(&cfg.MaxWait, DefaultMaxWait)
 	defaults.Set(&cfg.CallTimeout, DefaultCallTimeout)
-	defaults.Set(&cfg.FinishPatience, DefaultFinishPatience)
+	defaults.Set(&cfg.FinishTimeout, DefaultFinishPatience)
 	defaults.Set(&cfg.Retention, DefaultRetention)
 	defaults.Set(&cfg.MaxInline, DefaultMaxInline)
 	defaults.Set(&cfg.MaxOps, DefaultMaxOps)
@@ -141,7 +141,7 @@
 		c.settle(o, false)
 		return c.flush()
 	}
-	c.enqueue(o, c.cfg.FinishPatience)
+	c.enqueue(o, c.cfg.FinishTimeout)
 	return c.flush()
 }
 
@@ -165,7 +165,7 @@
 		c.settle(opFor(claim, opRelease), false)
 		return
 	}
-	c.enqueue(opFor(claim, opRelease), c.cfg.FinishPatience)
+	c.enqueue(opFor(claim, opRelease), c.cfg.FinishTimeout)
 }
 
 func opFor(claim Claim, kind opKind) *op {
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -120,7 +120,7 @@
 		return
 	}
 	o.kind = opRelease
-	c.setDeadline(o, c.cfg.FinishPatience)
+	c.setDeadline(o, c.cfg.FinishTimeout)
 }
 
 // done removes an op and starts the next one of its row.
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -165,7 +165,7 @@
 	// CallTimeout is when a call to the store counts as unknown. Default 2 s.
 	CallTimeout time.Duration
 	// FinishPatience bounds how long a Finish or Release is tried. Default 10 min.
-	FinishPatience time.Duration
+	FinishTimeout time.Duration
 	// Retention is how long a key is kept, in wall time. Default 24 h.
 	Retention time.Duration
 	// MaxInline bounds an answer's body within a row, in bytes. Default 64 KiB.
