--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -79,7 +79,7 @@
 	defaults.Set(&cfg.MaxInFlight, DefaultMaxInFlight)
 	defaults.Set(&cfg.MaxWait, DefaultMaxWait)
 	defaults.Set(&cfg.CallTimeout, DefaultCallTimeout)
-	defaults.Set(&cfg.FinishTimeout, DefaultFinishPatience)
+	defaults.Set(&cfg.FinishTimeout, DefaultFinishTimeout)
 	defaults.Set(&cfg.Retention, DefaultRetention)
 	defaults.Set(&cfg.MaxInline, DefaultMaxInline)
 	defaults.Set(&cfg.MaxOps, DefaultMaxOps)
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -178,14 +178,14 @@
 
 // Defaults of Config.
 const (
-	DefaultWindow         = 5 * time.Millisecond
-	DefaultGap            = 37500 * time.Microsecond
-	DefaultMaxBatch       = 64
-	DefaultMaxInFlight    = 2
-	DefaultMaxWait        = 300 * time.Millisecond
-	DefaultCallTimeout    = 2 * time.Second
-	DefaultFinishPatience = 10 * time.Minute
-	DefaultRetention      = 24 * time.Hour
-	DefaultMaxInline      = 64 << 10
-	DefaultMaxOps         = 8192
+	DefaultWindow        = 5 * time.Millisecond
+	DefaultGap           = 37500 * time.Microsecond
+	DefaultMaxBatch      = 64
+	DefaultMaxInFlight   = 2
+	DefaultMaxWait       = 300 * time.Millisecond
+	DefaultCallTimeout   = 2 * time.Second
+	DefaultFinishTimeout = 10 * time.Minute
+	DefaultRetention     = 24 * time.Hour
+	DefaultMaxInline     = 64 << 10
+	DefaultMaxOps        = 8192
 )
