--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -18,7 +18,7 @@
 
 // committer gathers writes for group commits.
 type committer struct {
-	waiting []*op
+	queue []*op
 	// since is when the first of waiting came.
 	since time.Duration
 	// urgent is set when a transaction failed for some of its rows: the rest
@@ -45,11 +45,11 @@
 }
 
 func (c *Claims) wantWrite(o *op) {
-	if len(c.commit.waiting) == 0 {
+	if len(c.commit.queue) == 0 {
 		c.commit.since = c.now
 	}
 	o.phase = phaseWrite
-	c.commit.waiting = append(c.commit.waiting, o)
+	c.commit.queue = append(c.commit.queue, o)
 }
 
 func (c *Claims) wantRead(o *op) {
@@ -66,7 +66,7 @@
 // commitAt is when the waiting writes or reads may go.
 func (c *Claims) commitAt() time.Duration {
 	at := Never
-	if len(c.commit.waiting) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
+	if len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
 		at = max(c.windowEnd(), c.commit.notBefore, c.commit.retryAt)
 	}
 	if len(c.reads.waiting) > 0 && c.reads.inFlight < c.cfg.MaxInFlight {
@@ -76,7 +76,7 @@
 }
 
 func (c *Claims) windowEnd() time.Duration {
-	if c.commit.urgent || len(c.commit.waiting) >= c.cfg.MaxBatch {
+	if c.commit.urgent || len(c.commit.queue) >= c.cfg.MaxBatch {
 		return c.now
 	}
 	return c.commit.since + c.cfg.Window
@@ -84,7 +84,7 @@
 
 // flush sends what may go and returns all actions of the event.
 func (c *Claims) flush() []Action {
-	c.commit.waiting = dropGone(c.commit.waiting, phaseWrite)
+	c.commit.queue = dropGone(c.commit.queue, phaseWrite)
 	c.reads.waiting = dropGone(c.reads.waiting, phaseRead)
 	for c.commitAt() <= c.now {
 		if c.writeDue() {
@@ -100,7 +100,7 @@
 
 func (c *Claims) writeDue() bool {
 	due := max(c.windowEnd(), c.commit.notBefore, c.commit.retryAt)
-	return len(c.commit.waiting) > 0 && c.commit.inFlight < c.cfg.MaxInFlight && due <= c.now
+	return len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight && due <= c.now
 }
 
 // dropGone removes ops that no longer wait in that phase.
@@ -112,7 +112,7 @@
 	var t table.Transaction
 	var ops []*op
 	size := 0
-	for _, o := range c.commit.waiting {
+	for _, o := range c.commit.queue {
 		if len(ops) == c.cfg.MaxBatch || size >= maxCommitBytes {
 			break
 		}
@@ -122,7 +122,7 @@
 		t.Puts = append(t.Puts, table.Put{Key: o.row, Value: value})
 		ops = append(ops, o)
 	}
-	c.commit.waiting = slices.Delete(c.commit.waiting, 0, len(ops))
+	c.commit.queue = slices.Delete(c.commit.queue, 0, len(ops))
 	c.commit.since = c.now
 	c.commit.urgent = false
 	c.commit.inFlight++
@@ -226,8 +226,8 @@
 	for _, o := range ops {
 		o.phase = phaseWrite
 	}
-	c.commit.waiting = append(ops, c.commit.waiting...)
-	c.commit.urgent = len(c.commit.waiting) > 0
+	c.commit.queue = append(ops, c.commit.queue...)
+	c.commit.urgent = len(c.commit.queue) > 0
 }
 
 func (c *Claims) requeueReads(ops []*op) {
