--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -20,7 +20,7 @@
 type committer struct {
 	queue []*op
 	// since is when the first of waiting came.
-	since time.Duration
+	waitingSince time.Duration
 	// urgent is set when a transaction failed for some of its rows: the rest
 	// has waited already.
 	urgent   bool
@@ -46,7 +46,7 @@
 
 func (c *Claims) wantWrite(o *op) {
 	if len(c.commit.queue) == 0 {
-		c.commit.since = c.now
+		c.commit.waitingSince = c.now
 	}
 	o.phase = phaseWrite
 	c.commit.queue = append(c.commit.queue, o)
@@ -79,7 +79,7 @@
 	if c.commit.urgent || len(c.commit.queue) >= c.cfg.MaxBatch {
 		return c.now
 	}
-	return c.commit.since + c.cfg.Window
+	return c.commit.waitingSince + c.cfg.Window
 }
 
 // flush sends what may go and returns all actions of the event.
@@ -123,7 +123,7 @@
 		ops = append(ops, o)
 	}
 	c.commit.queue = slices.Delete(c.commit.queue, 0, len(ops))
-	c.commit.since = c.now
+	c.commit.waitingSince = c.now
 	c.commit.urgent = false
 	c.commit.inFlight++
 	c.commit.notBefore = c.now + c.cfg.Gap
