--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -23,8 +23,8 @@
 	waitingSince time.Duration
 	// urgent is set when a transaction failed for some of its rows: the rest
 	// has waited already.
-	urgent   bool
-	inFlight int
+	skipWindow bool
+	inFlight   int
 	// notBefore keeps the Gap.
 	notBefore time.Duration
 	// retryAt holds all calls back after a failed one.
@@ -76,7 +76,7 @@
 }
 
 func (c *Claims) windowEnd() time.Duration {
-	if c.commit.urgent || len(c.commit.queue) >= c.cfg.MaxBatch {
+	if c.commit.skipWindow || len(c.commit.queue) >= c.cfg.MaxBatch {
 		return c.now
 	}
 	return c.commit.waitingSince + c.cfg.Window
@@ -124,7 +124,7 @@
 	}
 	c.commit.queue = slices.Delete(c.commit.queue, 0, len(ops))
 	c.commit.waitingSince = c.now
-	c.commit.urgent = false
+	c.commit.skipWindow = false
 	c.commit.inFlight++
 	c.commit.notBefore = c.now + c.cfg.Gap
 	c.stats.Transactions++
@@ -227,7 +227,7 @@
 		o.phase = phaseWrite
 	}
 	c.commit.queue = append(ops, c.commit.queue...)
-	c.commit.urgent = len(c.commit.queue) > 0
+	c.commit.skipWindow = len(c.commit.queue) > 0
 }
 
 func (c *Claims) requeueReads(ops []*op) {
