--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -34,7 +34,7 @@
 
 // reader gathers reads.
 type reader struct {
-	waiting  []*op
+	queue    []*op
 	inFlight int
 }
 
@@ -54,7 +54,7 @@
 
 func (c *Claims) wantRead(o *op) {
 	o.phase = phaseRead
-	c.reads.waiting = append(c.reads.waiting, o)
+	c.reads.queue = append(c.reads.queue, o)
 }
 
 // readLater reads again after a pause: the last read was stale.
@@ -69,7 +69,7 @@
 	if len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
 		at = max(c.windowEnd(), c.commit.notBefore, c.commit.retryAt)
 	}
-	if len(c.reads.waiting) > 0 && c.reads.inFlight < c.cfg.MaxInFlight {
+	if len(c.reads.queue) > 0 && c.reads.inFlight < c.cfg.MaxInFlight {
 		at = min(at, c.commit.retryAt)
 	}
 	return at
@@ -85,7 +85,7 @@
 // flush sends what may go and returns all actions of the event.
 func (c *Claims) flush() []Action {
 	c.commit.queue = dropGone(c.commit.queue, phaseWrite)
-	c.reads.waiting = dropGone(c.reads.waiting, phaseRead)
+	c.reads.queue = dropGone(c.reads.queue, phaseRead)
 	for c.commitAt() <= c.now {
 		if c.writeDue() {
 			c.sendCommit()
@@ -144,9 +144,9 @@
 }
 
 func (c *Claims) sendRead() {
-	n := min(len(c.reads.waiting), c.cfg.MaxBatch)
-	ops := slices.Clone(c.reads.waiting[:n])
-	c.reads.waiting = slices.Delete(c.reads.waiting, 0, n)
+	n := min(len(c.reads.queue), c.cfg.MaxBatch)
+	ops := slices.Clone(c.reads.queue[:n])
+	c.reads.queue = slices.Delete(c.reads.queue, 0, n)
 	keys := make([]string, 0, n)
 	for _, o := range ops {
 		o.phase = phaseReading
