--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -44,7 +44,7 @@
 	read bool
 }
 
-func (c *Claims) wantWrite(o *op) {
+func (c *Claims) queueWrite(o *op) {
 	if len(c.commit.queue) == 0 {
 		c.commit.waitingSince = c.now
 	}
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -46,7 +46,7 @@
 	case o.sent == StateClaimed:
 		// The Begin was given up while its write was in flight.
 		o.cond = version
-		c.wantWrite(o)
+		c.queueWrite(o)
 	default:
 		c.finished(o)
 	}
@@ -149,7 +149,7 @@
 		return
 	}
 	o.cond = 0
-	c.wantWrite(o)
+	c.queueWrite(o)
 }
 
 func (c *Claims) unreadable(o *op, err error) {
@@ -170,7 +170,7 @@
 		c.done(o)
 	case c.free(row):
 		o.cond = version
-		c.wantWrite(o)
+		c.queueWrite(o)
 	case row.RequestHash != o.hash || row.State == StateClaimed:
 		c.recent.Add(o.row, struct{}{})
 		c.refuse(o, refusal(row.RequestHash == o.hash, c.cfg.OwnerAlive(row.Owner)))
@@ -212,7 +212,7 @@
 		c.finished(o)
 	case row.Token == o.token && row.State == StateClaimed:
 		o.cond = version
-		c.wantWrite(o)
+		c.queueWrite(o)
 	default:
 		c.settle(o, false)
 		c.done(o)
@@ -228,7 +228,7 @@
 		c.finished(o)
 	case own && row.State == StateClaimed, !own && c.free(row):
 		o.cond = version
-		c.wantWrite(o)
+		c.queueWrite(o)
 	default:
 		c.settle(o, true)
 		c.done(o)
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -31,7 +31,7 @@
 	case o.kind == opFinish && c.tooLarge(o):
 		c.storeObject(o)
 	case o.kind == opBegin && !known, o.cond != 0:
-		c.wantWrite(o)
+		c.queueWrite(o)
 	default:
 		c.wantRead(o)
 	}
