--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -52,7 +52,7 @@
 	c.commit.queue = append(c.commit.queue, o)
 }
 
-func (c *Claims) wantRead(o *op) {
+func (c *Claims) queueRead(o *op) {
 	o.phase = phaseRead
 	c.reads.queue = append(c.reads.queue, o)
 }
@@ -232,6 +232,6 @@
 
 func (c *Claims) requeueReads(ops []*op) {
 	for _, o := range dropGone(slices.Clone(ops), phaseReading) {
-		c.wantRead(o)
+		c.queueRead(o)
 	}
 }
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -31,7 +31,7 @@
 		}
 		if i >= len(versions) {
 			o.unsure = true
-			c.wantRead(o)
+			c.queueRead(o)
 			continue
 		}
 		c.written(o, versions[i])
@@ -93,7 +93,7 @@
 
 func (c *Claims) conditionFailed(o *op) {
 	o.seen = max(o.seen, o.cond)
-	c.wantRead(o)
+	c.queueRead(o)
 }
 
 // ReadReply takes the rows of a read. Rows that it lacks do not exist.
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -33,7 +33,7 @@
 	case o.kind == opBegin && !known, o.cond != 0:
 		c.queueWrite(o)
 	default:
-		c.wantRead(o)
+		c.queueRead(o)
 	}
 }
 
@@ -93,7 +93,7 @@
 	case phaseObject:
 		c.storeObject(o)
 	case phasePause:
-		c.wantRead(o)
+		c.queueRead(o)
 	}
 }
 
