--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -58,7 +58,7 @@
 }
 
 // readLater reads again after a pause: the last read was stale.
-func (c *Claims) readLater(o *op) {
+func (c *Claims) delayRead(o *op) {
 	o.phase = phasePause
 	c.startTimer(staleReadDelay, timer{kind: timerRetry, op: o})
 }
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if o.stale(stored.Version) {
-		c.readLater(o)
+		c.delayRead(o)
 		return
 	}
 	row, err := DecodeRow(stored.Value)
@@ -145,7 +145,7 @@
 // tell whether the read was stale.
 func (c *Claims) absent(o *op) {
 	if o.kind == opFinish {
-		c.readLater(o)
+		c.delayRead(o)
 		return
 	}
 	o.cond = 0
