--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -207,7 +207,7 @@
 	if len(c.timers) > 0 {
 		next = c.timers[0].at
 	}
-	return max(c.now, min(next, c.commitAt()))
+	return max(c.now, min(next, c.nextSendAt()))
 }
 
 // SetGap changes Config.Gap, as when the number of writers has changed.
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -64,7 +64,7 @@
 }
 
 // commitAt is when the waiting writes or reads may go.
-func (c *Claims) commitAt() time.Duration {
+func (c *Claims) nextSendAt() time.Duration {
 	at := Never
 	if len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
 		at = max(c.windowEnd(), c.commit.notBefore, c.commit.retryAt)
@@ -86,7 +86,7 @@
 func (c *Claims) flush() []Action {
 	c.commit.queue = dropGone(c.commit.queue, phaseWrite)
 	c.reads.queue = dropGone(c.reads.queue, phaseRead)
-	for c.commitAt() <= c.now {
+	for c.nextSendAt() <= c.now {
 		if c.writeDue() {
 			c.sendCommit()
 		} else {
