--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -88,7 +88,7 @@
 	c.reads.queue = dropGone(c.reads.queue, phaseRead)
 	for c.nextSendAt() <= c.now {
 		if c.writeDue() {
-			c.sendCommit()
+			c.sendTransaction()
 		} else {
 			c.sendRead()
 		}
@@ -108,7 +108,7 @@
 	return slices.DeleteFunc(ops, func(o *op) bool { return o.phase != want })
 }
 
-func (c *Claims) sendCommit() {
+func (c *Claims) sendTransaction() {
 	var t table.Transaction
 	var ops []*op
 	size := 0
