--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -84,8 +84,8 @@
 
 // flush sends what may go and returns all actions of the event.
 func (c *Claims) flush() []Action {
-	c.commit.queue = dropGone(c.commit.queue, phaseWrite)
-	c.reads.queue = dropGone(c.reads.queue, phaseRead)
+	c.commit.queue = keepInPhase(c.commit.queue, phaseWrite)
+	c.reads.queue = keepInPhase(c.reads.queue, phaseRead)
 	for c.nextSendAt() <= c.now {
 		if c.writeDue() {
 			c.sendTransaction()
@@ -104,7 +104,7 @@
 }
 
 // dropGone removes ops that no longer wait in that phase.
-func dropGone(ops []*op, want phase) []*op {
+func keepInPhase(ops []*op, want phase) []*op {
 	return slices.DeleteFunc(ops, func(o *op) bool { return o.phase != want })
 }
 
@@ -222,7 +222,7 @@
 
 // requeueWrites puts ops back in front, without a new window.
 func (c *Claims) requeueWrites(ops []*op) {
-	ops = dropGone(slices.Clone(ops), phaseWriting)
+	ops = keepInPhase(slices.Clone(ops), phaseWriting)
 	for _, o := range ops {
 		o.phase = phaseWrite
 	}
@@ -231,7 +231,7 @@
 }
 
 func (c *Claims) requeueReads(ops []*op) {
-	for _, o := range dropGone(slices.Clone(ops), phaseReading) {
+	for _, o := range keepInPhase(slices.Clone(ops), phaseReading) {
 		c.queueRead(o)
 	}
 }
