--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -198,12 +198,12 @@
 	}
 	if f == OutcomeUnknown {
 		c.stats.Unknowns++
-		markUnsure(k.ops)
+		markWritesUncertain(k.ops)
 	}
 	c.requeueWrites(k.ops)
 }
 
-func markUnsure(ops []*op) {
+func markWritesUncertain(ops []*op) {
 	for _, o := range ops {
 		o.unsure = true
 	}
