--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -205,7 +205,7 @@
 
 func markWritesUncertain(ops []*op) {
 	for _, o := range ops {
-		o.unsure = true
+		o.writeUncertain = true
 	}
 }
 
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		if i >= len(versions) {
-			o.unsure = true
+			o.writeUncertain = true
 			c.queueRead(o)
 			continue
 		}
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -115,7 +115,7 @@
 // abandon drops a Begin. Where a write of it may have taken effect, the op
 // lives on as a Release: nothing was dispatched, so the key may be freed.
 func (c *Claims) abandon(o *op) {
-	if !o.unsure && o.phase != phaseWriting {
+	if !o.writeUncertain && o.phase != phaseWriting {
 		c.done(o)
 		return
 	}
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -57,7 +57,7 @@
 	sent State
 	// unsure is set once a write's reply was lost: it may have taken effect or
 	// still will.
-	unsure bool
+	writeUncertain bool
 	// objectTries counts failed attempts to store the body.
 	objectTries int
 	// deadline ends the patience with the op.
