--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -215,7 +215,7 @@
 	c.commit.retryAt = c.now + time.Duration(min(wait, float64(backoffMax)))
 }
 
-func (c *Claims) storeWorks() {
+func (c *Claims) resetBackoff() {
 	c.commit.failures = 0
 	c.commit.retryAt = 0
 }
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -15,7 +15,7 @@
 	if k == nil {
 		return c.flush()
 	}
-	c.storeWorks()
+	c.resetBackoff()
 	if r.Applied {
 		c.applied(k.ops, r.Versions)
 	} else {
@@ -103,7 +103,7 @@
 	if k == nil {
 		return c.flush()
 	}
-	c.storeWorks()
+	c.resetBackoff()
 	byKey := make(map[string]table.Row, len(rows))
 	for _, r := range rows {
 		byKey[r.Key] = r
