--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -170,13 +170,13 @@
 
 func opFor(claim Claim, kind opKind) *op {
 	return &op{
-		kind:    kind,
-		row:     claim.Row,
-		token:   claim.Token,
-		hash:    claim.RequestHash,
-		owner:   claim.Owner,
-		claimed: claim.ClaimedUnixMS,
-		cond:    claim.Version,
+		kind:            kind,
+		row:             claim.Row,
+		token:           claim.Token,
+		hash:            claim.RequestHash,
+		owner:           claim.Owner,
+		claimed:         claim.ClaimedUnixMS,
+		expectedVersion: claim.Version,
 	}
 }
 
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -118,7 +118,7 @@
 		}
 		value := c.encode(o)
 		size += len(value)
-		t.Conditions = append(t.Conditions, table.Condition{Key: o.row, Version: o.cond})
+		t.Conditions = append(t.Conditions, table.Condition{Key: o.row, Version: o.expectedVersion})
 		t.Puts = append(t.Puts, table.Put{Key: o.row, Value: value})
 		ops = append(ops, o)
 	}
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -45,7 +45,7 @@
 		c.proceed(o, version)
 	case o.sent == StateClaimed:
 		// The Begin was given up while its write was in flight.
-		o.cond = version
+		o.expectedVersion = version
 		c.queueWrite(o)
 	default:
 		c.finished(o)
@@ -92,7 +92,7 @@
 }
 
 func (c *Claims) conditionFailed(o *op) {
-	o.seen = max(o.seen, o.cond)
+	o.seen = max(o.seen, o.expectedVersion)
 	c.queueRead(o)
 }
 
@@ -148,7 +148,7 @@
 		c.delayRead(o)
 		return
 	}
-	o.cond = 0
+	o.expectedVersion = 0
 	c.queueWrite(o)
 }
 
@@ -169,7 +169,7 @@
 		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the owner has given this claim up"))
 		c.done(o)
 	case c.free(row):
-		o.cond = version
+		o.expectedVersion = version
 		c.queueWrite(o)
 	case row.RequestHash != o.hash || row.State == StateClaimed:
 		c.recent.Add(o.row, struct{}{})
@@ -211,7 +211,7 @@
 	case row.Token == o.token && row.State == StateFinished:
 		c.finished(o)
 	case row.Token == o.token && row.State == StateClaimed:
-		o.cond = version
+		o.expectedVersion = version
 		c.queueWrite(o)
 	default:
 		c.settle(o, false)
@@ -227,7 +227,7 @@
 	case own && row.State == StateReleased:
 		c.finished(o)
 	case own && row.State == StateClaimed, !own && c.free(row):
-		o.cond = version
+		o.expectedVersion = version
 		c.queueWrite(o)
 	default:
 		c.settle(o, true)
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -30,7 +30,7 @@
 	switch {
 	case o.kind == opFinish && c.tooLarge(o):
 		c.storeObject(o)
-	case o.kind == opBegin && !known, o.cond != 0:
+	case o.kind == opBegin && !known, o.expectedVersion != 0:
 		c.queueWrite(o)
 	default:
 		c.queueRead(o)
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -49,7 +49,7 @@
 	claimed int64 // wall time of the claim, in ms
 	outcome Outcome
 	// cond is the version that the next write expects.
-	cond uint64
+	expectedVersion uint64
 	// seen is the highest version that a write expected in vain: a read that
 	// shows it, or a lower one, is stale.
 	seen uint64
