--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -92,7 +92,7 @@
 }
 
 func (c *Claims) conditionFailed(o *op) {
-	o.seen = max(o.seen, o.expectedVersion)
+	o.staleVersion = max(o.staleVersion, o.expectedVersion)
 	c.queueRead(o)
 }
 
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -52,7 +52,7 @@
 	expectedVersion uint64
 	// seen is the highest version that a write expected in vain: a read that
 	// shows it, or a lower one, is stale.
-	seen uint64
+	staleVersion uint64
 	// sent is the state that the write in flight puts.
 	sent State
 	// unsure is set once a write's reply was lost: it may have taken effect or
@@ -97,4 +97,4 @@
 }
 
 // stale says whether a read of that version is older than what the op knows.
-func (o *op) stale(version uint64) bool { return version <= o.seen }
+func (o *op) stale(version uint64) bool { return version <= o.staleVersion }
