--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -134,7 +134,7 @@
 
 func (c *Claims) encode(o *op) []byte {
 	row := o.value(c.cfg.Retention)
-	o.sent = row.State
+	o.sentState = row.State
 	o.phase = phaseWriting
 	value, err := EncodeRow(row)
 	if err != nil {
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -43,7 +43,7 @@
 	switch {
 	case o.kind == opBegin:
 		c.proceed(o, version)
-	case o.sent == StateClaimed:
+	case o.sentState == StateClaimed:
 		// The Begin was given up while its write was in flight.
 		o.expectedVersion = version
 		c.queueWrite(o)
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -54,7 +54,7 @@
 	// shows it, or a lower one, is stale.
 	staleVersion uint64
 	// sent is the state that the write in flight puts.
-	sent State
+	sentState State
 	// unsure is set once a write's reply was lost: it may have taken effect or
 	// still will.
 	writeUncertain bool
