--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -133,7 +133,7 @@
 }
 
 func (c *Claims) encode(o *op) []byte {
-	row := o.value(c.cfg.Retention)
+	row := o.rowToWrite(c.cfg.Retention)
 	o.sentState = row.State
 	o.phase = phaseWriting
 	value, err := EncodeRow(row)
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -65,7 +65,7 @@
 }
 
 // value is the row that the op writes.
-func (o *op) value(retention time.Duration) Row {
+func (o *op) rowToWrite(retention time.Duration) Row {
 	r := Row{
 		State:         StateClaimed,
 		Token:         o.token,
