--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -11,7 +11,7 @@
 // add queues an op behind those of the same row.
 func (c *Claims) enqueue(o *op, patience time.Duration) {
 	c.count++
-	o.phase = phaseBehind
+	o.phase = phaseQueued
 	c.ops[o.row] = append(c.ops[o.row], o)
 	c.setDeadline(o, patience)
 	if len(c.ops[o.row]) == 1 {
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -20,7 +20,7 @@
 
 const (
 	// phaseBehind: an earlier op of the same row is at work.
-	phaseBehind phase = iota
+	phaseQueued phase = iota
 	// phaseObject: the answer's body is being stored.
 	phaseObject
 	// phaseWrite: the op is in the queue for the next transaction.
