--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -59,7 +59,7 @@
 
 // readLater reads again after a pause: the last read was stale.
 func (c *Claims) delayRead(o *op) {
-	o.phase = phasePause
+	o.phase = phaseReadDelay
 	c.startTimer(staleReadDelay, timer{kind: timerRetry, op: o})
 }
 
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -92,7 +92,7 @@
 	switch o.phase {
 	case phaseObject:
 		c.storeObject(o)
-	case phasePause:
+	case phaseReadDelay:
 		c.queueRead(o)
 	}
 }
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -32,7 +32,7 @@
 	// phaseReading: its read is in flight.
 	phaseReading
 	// phasePause: the op waits before it reads again.
-	phasePause
+	phaseReadDelay
 	// phaseDone: the op is over.
 	phaseDone
 )
