--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -34,12 +34,12 @@
 			c.queueRead(o)
 			continue
 		}
-		c.written(o, versions[i])
+		c.writeApplied(o, versions[i])
 	}
 }
 
 // written handles a write that took effect.
-func (c *Claims) written(o *op, version uint64) {
+func (c *Claims) writeApplied(o *op, version uint64) {
 	switch {
 	case o.kind == opBegin:
 		c.proceed(o, version)
