--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -48,7 +48,7 @@
 		o.expectedVersion = version
 		c.queueWrite(o)
 	default:
-		c.finished(o)
+		c.complete(o)
 	}
 }
 
@@ -60,7 +60,7 @@
 }
 
 // finished ends a Finish or Release whose row is as it wants it.
-func (c *Claims) finished(o *op) {
+func (c *Claims) complete(o *op) {
 	if o.kind == opRelease {
 		c.stats.Releases++
 		c.recent.Remove(o.row)
@@ -209,7 +209,7 @@
 func (c *Claims) decideFinish(o *op, row Row, version uint64) {
 	switch {
 	case row.Token == o.token && row.State == StateFinished:
-		c.finished(o)
+		c.complete(o)
 	case row.Token == o.token && row.State == StateClaimed:
 		o.expectedVersion = version
 		c.queueWrite(o)
@@ -225,7 +225,7 @@
 	own := row.Token == o.token
 	switch {
 	case own && row.State == StateReleased:
-		c.finished(o)
+		c.complete(o)
 	case own && row.State == StateClaimed, !own && c.free(row):
 		o.expectedVersion = version
 		c.queueWrite(o)
