--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -119,7 +119,7 @@
 // read decides on a row as read; the read may be stale.
 func (c *Claims) read(o *op, stored table.Row) {
 	if stored.Version == 0 {
-		c.absent(o)
+		c.rowAbsent(o)
 		return
 	}
 	if o.stale(stored.Version) {
@@ -143,7 +143,7 @@
 
 // absent handles a read without a row. Only a write that expects no row can
 // tell whether the read was stale.
-func (c *Claims) absent(o *op) {
+func (c *Claims) rowAbsent(o *op) {
 	if o.kind == opFinish {
 		c.delayRead(o)
 		return
