--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -128,7 +128,7 @@
 	}
 	row, err := DecodeRow(stored.Value)
 	if err != nil {
-		c.unreadable(o, err)
+		c.rowUnreadable(o, err)
 		return
 	}
 	switch o.kind {
@@ -152,7 +152,7 @@
 	c.queueWrite(o)
 }
 
-func (c *Claims) unreadable(o *op, err error) {
+func (c *Claims) rowUnreadable(o *op, err error) {
 	if o.kind == opBegin {
 		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be read").WithCause(err))
 	} else {
