--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -168,7 +168,7 @@
 	case row.Token == o.token && row.State == StateReleased:
 		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the owner has given this claim up"))
 		c.done(o)
-	case c.free(row):
+	case c.claimable(row):
 		o.expectedVersion = version
 		c.queueWrite(o)
 	case row.RequestHash != o.hash || row.State == StateClaimed:
@@ -183,7 +183,7 @@
 }
 
 // free says whether a row may be overwritten by a new claim.
-func (c *Claims) free(row Row) bool {
+func (c *Claims) claimable(row Row) bool {
 	if row.State == StateReleased {
 		return true
 	}
@@ -226,7 +226,7 @@
 	switch {
 	case own && row.State == StateReleased:
 		c.complete(o)
-	case own && row.State == StateClaimed, !own && c.free(row):
+	case own && row.State == StateClaimed, !own && c.claimable(row):
 		o.expectedVersion = version
 		c.queueWrite(o)
 	default:
