--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -110,14 +110,14 @@
 	}
 	for _, o := range k.ops {
 		if o.phase == phaseReading {
-			c.read(o, byKey[o.row])
+			c.handleRow(o, byKey[o.row])
 		}
 	}
 	return c.flush()
 }
 
 // read decides on a row as read; the read may be stale.
-func (c *Claims) read(o *op, stored table.Row) {
+func (c *Claims) handleRow(o *op, stored table.Row) {
 	if stored.Version == 0 {
 		c.rowAbsent(o)
 		return
