--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -24,23 +24,23 @@
 )
 
 // bench is one Claims on a table without faults.
-type bench struct {
+type harness struct {
 	*Claims
 	table *memTable
 	now   time.Duration
 	jump  time.Duration
 }
 
-func newBench(t *memTable) *bench {
+func newBench(t *memTable) *harness {
 	if t == nil {
 		t = &memTable{rows: map[string]table.Row{}, history: map[string][]table.Row{}}
 	}
-	return &bench{Claims: New(Config{OwnerAlive: func(p id.Process) bool { return p == live }}), table: t}
+	return &harness{Claims: New(Config{OwnerAlive: func(p id.Process) bool { return p == live }}), table: t}
 }
 
 // settle does what the actions ask for until nothing is due within 100 ms, and
 // returns the actions that are not for the store.
-func (b *bench) settle(actions []Action) []Action {
+func (b *harness) settle(actions []Action) []Action {
 	var out []Action
 	for end := b.now + 100*time.Millisecond; ; {
 		for len(actions) > 0 {
@@ -67,13 +67,13 @@
 	}
 }
 
-func (b *bench) wall() time.Time { return start.Add(b.now + b.jump) }
+func (b *harness) wall() time.Time { return start.Add(b.now + b.jump) }
 
-func (b *bench) tick() []Action { return b.Tick(b.now, b.wall()) }
+func (b *harness) tick() []Action { return b.Tick(b.now, b.wall()) }
 
-func (b *bench) begin(c Begin) Action { return b.settle(b.Begin(b.now, b.wall(), c))[0] }
+func (b *harness) begin(c Begin) Action { return b.settle(b.Begin(b.now, b.wall(), c))[0] }
 
-func (b *bench) put(r Row) {
+func (b *harness) put(r Row) {
 	value, _ := EncodeRow(r)
 	b.table.transact(table.Transaction{Puts: []table.Put{{Key: RowKey("t", "s", "k"), Value: value}}})
 }
