--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -31,7 +31,7 @@
 	jump  time.Duration
 }
 
-func newBench(t *memTable) *harness {
+func newHarness(t *memTable) *harness {
 	if t == nil {
 		t = &memTable{rows: map[string]table.Row{}, history: map[string][]table.Row{}}
 	}
@@ -80,7 +80,7 @@
 
 func TestRefusals(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	is.True(b.begin(callOf("k", "a")).Proceed != nil)
 
 	running := b.begin(callOf("k", "b")).Refuse.Err
@@ -107,7 +107,7 @@
 
 func TestLargeAnswerGoesToTheObjectStore(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	claim := b.begin(callOf("k", "a")).Proceed.Claim
 	body := bytes.Repeat([]byte("x"), DefaultMaxInline+1)
 	out := b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Status: 201, Body: body}}))
@@ -131,7 +131,7 @@
 
 func TestObjectStoreDown(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	claim := b.begin(callOf("k", "a")).Proceed.Claim
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Body: make([]byte, DefaultMaxInline+1)}}))
 	for range maxObjectAttempts {
@@ -144,7 +144,7 @@
 
 func TestExpiryAndClockJump(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	claim := b.begin(callOf("k", "a")).Proceed.Claim
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Status: 200}}))
 	b.jump = 25 * time.Hour
@@ -158,7 +158,7 @@
 
 func TestStoreDownRefusesNotRun(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	is.Equal(len(b.Begin(0, b.wall(), callOf("k", "a"))), 0)
 	b.now = DefaultWindow
 	sent := b.tick()[0].Transact
@@ -173,7 +173,7 @@
 
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	b.SetGap(0)
 	var out []Action
 	for i := range 3 * DefaultMaxBatch {
@@ -189,7 +189,7 @@
 // expects a released row; the release through another writer must outdate it.
 func TestReleaseFencesLateWrite(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	b.put(Row{State: StateReleased, Token: "old"})
 	row := RowKey("t", "s", "k")
 	late := table.Transaction{Conditions: []table.Condition{{Key: row, Version: b.table.rows[row].Version}}, Puts: []table.Put{{Key: row, Value: []byte("late")}}}
@@ -201,7 +201,7 @@
 
 func TestBeginAfterOwnRelease(t *testing.T) {
 	is := is.New(t)
-	b := newBench(nil)
+	b := newHarness(nil)
 	b.settle(b.Release(0, Claim{Row: RowKey("t", "s", "k"), Token: "a", Owner: live}))
 	is.Equal(b.begin(callOf("k", "a")).Refuse.Err.Code, verdict.CodeSuperseded)
 }
@@ -213,7 +213,7 @@
 	is := is.New(t)
 	const perSecond, share, seconds = 1650, 60, 5
 	gap := GapFor(4*share, 4)
-	b := newBench(nil)
+	b := newHarness(nil)
 	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, Gap: gap})
 	type due struct {
 		at time.Duration
