--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -83,12 +83,12 @@
 
 // attempt is one call as its caller sees it.
 type attempt struct {
-	key      string
-	owner    *daemon
-	awaited  bool
-	replies  []string
-	dispatch int
-	told     verdict.Verdict
+	key           string
+	owner         *daemon
+	callerWaiting bool
+	replies       []string
+	dispatch      int
+	told          verdict.Verdict
 }
 
 type simulation struct {
@@ -237,8 +237,8 @@
 		return
 	}
 	s.in(time.Millisecond, func() {
-		if s.alive(at.owner.process) && at.awaited {
-			at.awaited = false
+		if s.alive(at.owner.process) && at.callerWaiting {
+			at.callerWaiting = false
 			then(at)
 		} else if what == "proceed" {
 			s.release(at, t)
@@ -261,7 +261,7 @@
 	owner := s.daemons[s.rng.IntN(len(s.daemons))]
 	writer := s.daemons[s.rng.IntN(len(s.daemons))]
 	t := Token(fmt.Sprint("t", len(s.tokens)))
-	at := &attempt{key: key, owner: owner, awaited: true}
+	at := &attempt{key: key, owner: owner, callerWaiting: true}
 	s.attempts[t] = at
 	s.tokens = append(s.tokens, t)
 	s.to(writer, func(c *Claims) []Action {
@@ -271,8 +271,8 @@
 		})
 	})
 	s.in(400*time.Millisecond, func() {
-		if at.awaited {
-			at.awaited = false
+		if at.callerWaiting {
+			at.callerWaiting = false
 			at.told = verdict.NotRun
 			s.release(at, t)
 		}
