--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -87,7 +87,7 @@
 	owner         *daemon
 	callerWaiting bool
 	replies       []string
-	dispatch      int
+	dispatches    int
 	told          verdict.Verdict
 }
 
@@ -281,7 +281,7 @@
 }
 
 func (s *simulation) dispatch(at *attempt, claim Claim) {
-	at.dispatch++
+	at.dispatches++
 	refused := s.chance(0.3)
 	if !refused {
 		s.runs[at.key]++
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -161,7 +161,7 @@
 		if len(at.replies) > 1 {
 			t.Fatalf("seed %d: %s was answered %v", seed, token, at.replies)
 		}
-		if at.told == verdict.NotRun && at.dispatch > 0 {
+		if at.told == verdict.NotRun && at.dispatches > 0 {
 			t.Fatalf("seed %d: %s was told not run and was dispatched", seed, token)
 		}
 	}
