--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -88,7 +88,7 @@
 	callerWaiting bool
 	replies       []string
 	dispatches    int
-	told          verdict.Verdict
+	refusedWith   verdict.Verdict
 }
 
 type simulation struct {
@@ -184,7 +184,7 @@
 	case a.Proceed != nil:
 		s.reply(a.Proceed.Claim.Token, "proceed", func(at *attempt) { s.dispatch(at, a.Proceed.Claim) })
 	case a.Refuse != nil:
-		s.reply(a.Refuse.Token, "refuse", func(at *attempt) { at.told = a.Refuse.Err.Verdict })
+		s.reply(a.Refuse.Token, "refuse", func(at *attempt) { at.refusedWith = a.Refuse.Err.Verdict })
 	case a.Replay != nil:
 		s.reply(a.Replay.Token, "replay", func(at *attempt) { s.checkReplay(at, a.Replay.Answer) })
 	}
@@ -273,7 +273,7 @@
 	s.in(400*time.Millisecond, func() {
 		if at.callerWaiting {
 			at.callerWaiting = false
-			at.told = verdict.NotRun
+			at.refusedWith = verdict.NotRun
 			s.release(at, t)
 		}
 	})
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -142,7 +142,7 @@
 				out.replays++
 			}
 		}
-		if at.told == verdict.NotRun {
+		if at.refusedWith == verdict.NotRun {
 			out.unavailable++
 		}
 	}
@@ -161,7 +161,7 @@
 		if len(at.replies) > 1 {
 			t.Fatalf("seed %d: %s was answered %v", seed, token, at.replies)
 		}
-		if at.told == verdict.NotRun && at.dispatches > 0 {
+		if at.refusedWith == verdict.NotRun && at.dispatches > 0 {
 			t.Fatalf("seed %d: %s was told not run and was dispatched", seed, token)
 		}
 	}
