--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -92,23 +92,23 @@
 }
 
 type simulation struct {
-	rng      *rand.Rand
-	faults   faults
-	now      time.Duration
-	queue    events
-	order    int
-	table    *memTable
-	daemons  []*daemon
-	attempts map[Token]*attempt
-	tokens   []Token
-	runs     map[string]int
-	answers  map[string]string
-	ended    map[string]verdict.Verdict
-	deaths   int
-	dropped  int
-	downTill time.Duration
-	gap      time.Duration
-	broken   []string
+	rng        *rand.Rand
+	faults     faults
+	now        time.Duration
+	queue      events
+	order      int
+	table      *memTable
+	daemons    []*daemon
+	attempts   map[Token]*attempt
+	tokens     []Token
+	runs       map[string]int
+	answers    map[string]string
+	ended      map[string]verdict.Verdict
+	deaths     int
+	dropped    int
+	downTill   time.Duration
+	gap        time.Duration
+	violations []string
 }
 
 func newSimulation(seed uint64, f faults) *simulation {
@@ -303,7 +303,7 @@
 
 func (s *simulation) checkReplay(at *attempt, a Answer) {
 	if string(a.Body) != s.answers[at.key] {
-		s.broken = append(s.broken, fmt.Sprintf("replay of %s gives %q, want %q", at.key, a.Body, s.answers[at.key]))
+		s.violations = append(s.violations, fmt.Sprintf("replay of %s gives %q, want %q", at.key, a.Body, s.answers[at.key]))
 	}
 }
 
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -165,7 +165,7 @@
 			t.Fatalf("seed %d: %s was told not run and was dispatched", seed, token)
 		}
 	}
-	if len(s.broken) > 0 {
-		t.Fatalf("seed %d: %v", seed, s.broken)
+	if len(s.violations) > 0 {
+		t.Fatalf("seed %d: %v", seed, s.violations)
 	}
 }
