--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -92,23 +92,23 @@
 }
 
 type simulation struct {
-	rng        *rand.Rand
-	faults     faults
-	now        time.Duration
-	queue      events
-	order      int
-	table      *memTable
-	daemons    []*daemon
-	attempts   map[Token]*attempt
-	tokens     []Token
-	runs       map[string]int
-	answers    map[string]string
-	ended      map[string]verdict.Verdict
-	deaths     int
-	dropped    int
-	downTill   time.Duration
-	gap        time.Duration
-	violations []string
+	rng            *rand.Rand
+	faults         faults
+	now            time.Duration
+	queue          events
+	order          int
+	table          *memTable
+	daemons        []*daemon
+	attempts       map[Token]*attempt
+	tokens         []Token
+	runs           map[string]int
+	answers        map[string]string
+	ended          map[string]verdict.Verdict
+	deaths         int
+	dropped        int
+	storeDownUntil time.Duration
+	gap            time.Duration
+	violations     []string
 }
 
 func newSimulation(seed uint64, f faults) *simulation {
@@ -194,7 +194,7 @@
 	fail := func(after time.Duration, f StoreFailure) {
 		s.in(after, func() { s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
 	}
-	if s.now < s.downTill {
+	if s.now < s.storeDownUntil {
 		if !s.chance(s.faults.silent) {
 			fail(time.Millisecond, CertainlyNotRun)
 		}
@@ -213,7 +213,7 @@
 }
 
 func (s *simulation) read(d *daemon, r *Read) {
-	if s.now < s.downTill {
+	if s.now < s.storeDownUntil {
 		s.in(time.Millisecond, func() {
 			s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, r.ID, OutcomeUnknown) })
 		})
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -82,7 +82,7 @@
 				s.kill(s.rng.IntN(len(s.daemons)))
 			}
 			if s.chance(f.down * 5) {
-				s.downTill = s.now + time.Duration(s.rng.IntN(600))*time.Millisecond
+				s.storeDownUntil = s.now + time.Duration(s.rng.IntN(600))*time.Millisecond
 			}
 		})
 	}
