--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -103,7 +103,7 @@
 	tokens         []Token
 	runs           map[string]int
 	answers        map[string]string
-	ended          map[string]verdict.Verdict
+	failedWith     map[string]verdict.Verdict
 	deaths         int
 	dropped        int
 	storeDownUntil time.Duration
@@ -116,7 +116,7 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), faults: f,
 		table:    &memTable{rows: map[string]table.Row{}, history: map[string][]table.Row{}},
 		attempts: map[Token]*attempt{}, runs: map[string]int{},
-		answers: map[string]string{}, ended: map[string]verdict.Verdict{},
+		answers: map[string]string{}, failedWith: map[string]verdict.Verdict{},
 		gap: []time.Duration{time.Nanosecond, DefaultGap, 4 * DefaultGap}[seed%3],
 	}
 	for i := range 3 {
@@ -293,7 +293,7 @@
 			out = Outcome{Failure: &Failure{Verdict: verdict.NotRun}}
 		case s.chance(0.1):
 			out = Outcome{Failure: &Failure{Verdict: verdict.MayHaveRun, Code: verdict.CodeEndpointFailed}}
-			s.ended[at.key] = verdict.MayHaveRun
+			s.failedWith[at.key] = verdict.MayHaveRun
 		case s.alive(at.owner.process):
 			s.answers[at.key] = string(out.Answer.Body)
 		}
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -111,7 +111,7 @@
 		}
 		want := "proceed"
 		switch {
-		case ran > 0 && s.ended[key] == verdict.MayHaveRun:
+		case ran > 0 && s.failedWith[key] == verdict.MayHaveRun:
 			want = "refuse"
 		case ran > 0:
 			want = "replay"
