--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -142,7 +142,7 @@
 
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *simulation) in(d time.Duration, run func()) {
+func (s *simulation) schedule(d time.Duration, run func()) {
 	s.order++
 	heap.Push(&s.queue, event{at: s.now + d, order: s.order, run: run})
 }
@@ -156,7 +156,7 @@
 		s.act(d, a)
 	}
 	if at := d.claims.Next(); at != Never {
-		s.in(max(at-s.now, 0)+time.Microsecond, func() {
+		s.schedule(max(at-s.now, 0)+time.Microsecond, func() {
 			if d.claims.Next() <= s.now {
 				s.to(d, func(c *Claims) []Action { return c.Tick(s.now, s.wall()) })
 			}
@@ -178,7 +178,7 @@
 	case a.Read != nil:
 		s.read(d, a.Read)
 	case a.StoreObject != nil:
-		s.in(s.latency(), func() {
+		s.schedule(s.latency(), func() {
 			s.to(d, func(c *Claims) []Action { return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lost)) })
 		})
 	case a.Proceed != nil:
@@ -192,7 +192,7 @@
 
 func (s *simulation) transact(d *daemon, t *Transact) {
 	fail := func(after time.Duration, f StoreFailure) {
-		s.in(after, func() { s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
+		s.schedule(after, func() { s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
 	}
 	if s.now < s.storeDownUntil {
 		if !s.chance(s.faults.silent) {
@@ -204,7 +204,7 @@
 	if lost {
 		fail(s.latency(), OutcomeUnknown) // perhaps before the write takes effect
 	}
-	s.in(s.latency(), func() {
+	s.schedule(s.latency(), func() {
 		r := s.table.transact(t.Transaction)
 		if !lost {
 			s.to(d, func(c *Claims) []Action { return c.StoreReply(s.now, t.ID, r) })
@@ -214,12 +214,12 @@
 
 func (s *simulation) read(d *daemon, r *Read) {
 	if s.now < s.storeDownUntil {
-		s.in(time.Millisecond, func() {
+		s.schedule(time.Millisecond, func() {
 			s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, r.ID, OutcomeUnknown) })
 		})
 		return
 	}
-	s.in(s.latency(), func() {
+	s.schedule(s.latency(), func() {
 		var rows []table.Row
 		for _, key := range r.Keys {
 			rows = append(rows, s.table.read(key, s.chance(s.faults.stale), s.rng))
@@ -236,7 +236,7 @@
 		s.dropped++
 		return
 	}
-	s.in(time.Millisecond, func() {
+	s.schedule(time.Millisecond, func() {
 		if s.alive(at.owner.process) && at.callerWaiting {
 			at.callerWaiting = false
 			then(at)
@@ -270,7 +270,7 @@
 			RequestHash: HashRequest("POST", "/hold", []byte(key)),
 		})
 	})
-	s.in(400*time.Millisecond, func() {
+	s.schedule(400*time.Millisecond, func() {
 		if at.callerWaiting {
 			at.callerWaiting = false
 			at.refusedWith = verdict.NotRun
@@ -286,7 +286,7 @@
 	if !refused {
 		s.runs[at.key]++
 	}
-	s.in(time.Duration(s.rng.IntN(50))*time.Millisecond, func() {
+	s.schedule(time.Duration(s.rng.IntN(50))*time.Millisecond, func() {
 		out := Outcome{Answer: &Answer{Status: 200, Body: []byte(fmt.Sprint(at.key, " by ", claim.Token))}}
 		switch {
 		case refused:
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -72,12 +72,12 @@
 func simulate(t rapid.TB, seed uint64, f faults) outcome {
 	s := newSimulation(seed, f)
 	for range 24 {
-		s.in(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
+		s.schedule(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
 			s.call(fmt.Sprint("k", s.rng.IntN(simulatedKeys)))
 		})
 	}
 	for range 5 {
-		s.in(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
+		s.schedule(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
 			if s.chance(f.death) {
 				s.kill(s.rng.IntN(len(s.daemons)))
 			}
