--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -148,7 +148,7 @@
 }
 
 // to runs an event at a daemon unless its process has died, and does the actions.
-func (s *simulation) to(d *daemon, run func(c *Claims) []Action) {
+func (s *simulation) runAt(d *daemon, run func(c *Claims) []Action) {
 	if !s.alive(d.process) {
 		return
 	}
@@ -158,7 +158,7 @@
 	if at := d.claims.Next(); at != Never {
 		s.schedule(max(at-s.now, 0)+time.Microsecond, func() {
 			if d.claims.Next() <= s.now {
-				s.to(d, func(c *Claims) []Action { return c.Tick(s.now, s.wall()) })
+				s.runAt(d, func(c *Claims) []Action { return c.Tick(s.now, s.wall()) })
 			}
 		})
 	}
@@ -179,7 +179,7 @@
 		s.read(d, a.Read)
 	case a.StoreObject != nil:
 		s.schedule(s.latency(), func() {
-			s.to(d, func(c *Claims) []Action { return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lost)) })
+			s.runAt(d, func(c *Claims) []Action { return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lost)) })
 		})
 	case a.Proceed != nil:
 		s.reply(a.Proceed.Claim.Token, "proceed", func(at *attempt) { s.dispatch(at, a.Proceed.Claim) })
@@ -192,7 +192,7 @@
 
 func (s *simulation) transact(d *daemon, t *Transact) {
 	fail := func(after time.Duration, f StoreFailure) {
-		s.schedule(after, func() { s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
+		s.schedule(after, func() { s.runAt(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
 	}
 	if s.now < s.storeDownUntil {
 		if !s.chance(s.faults.silent) {
@@ -207,7 +207,7 @@
 	s.schedule(s.latency(), func() {
 		r := s.table.transact(t.Transaction)
 		if !lost {
-			s.to(d, func(c *Claims) []Action { return c.StoreReply(s.now, t.ID, r) })
+			s.runAt(d, func(c *Claims) []Action { return c.StoreReply(s.now, t.ID, r) })
 		}
 	})
 }
@@ -215,7 +215,7 @@
 func (s *simulation) read(d *daemon, r *Read) {
 	if s.now < s.storeDownUntil {
 		s.schedule(time.Millisecond, func() {
-			s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, r.ID, OutcomeUnknown) })
+			s.runAt(d, func(c *Claims) []Action { return c.StoreFailed(s.now, r.ID, OutcomeUnknown) })
 		})
 		return
 	}
@@ -224,7 +224,7 @@
 		for _, key := range r.Keys {
 			rows = append(rows, s.table.read(key, s.chance(s.faults.stale), s.rng))
 		}
-		s.to(d, func(c *Claims) []Action { return c.ReadReply(s.now, r.ID, rows) })
+		s.runAt(d, func(c *Claims) []Action { return c.ReadReply(s.now, r.ID, rows) })
 	})
 }
 
@@ -251,7 +251,7 @@
 		return
 	}
 	writer := s.daemons[s.rng.IntN(len(s.daemons))]
-	s.to(writer, func(c *Claims) []Action {
+	s.runAt(writer, func(c *Claims) []Action {
 		return c.Release(s.now, Claim{Row: RowKey("team", "seats", at.key), Token: t, Owner: at.owner.process})
 	})
 }
@@ -264,7 +264,7 @@
 	at := &attempt{key: key, owner: owner, callerWaiting: true}
 	s.attempts[t] = at
 	s.tokens = append(s.tokens, t)
-	s.to(writer, func(c *Claims) []Action {
+	s.runAt(writer, func(c *Claims) []Action {
 		return c.Begin(s.now, s.wall(), Begin{
 			Team: "team", Service: "seats", Key: key, Token: t, Owner: owner.process,
 			RequestHash: HashRequest("POST", "/hold", []byte(key)),
@@ -297,7 +297,7 @@
 		case s.alive(at.owner.process):
 			s.answers[at.key] = string(out.Answer.Body)
 		}
-		s.to(at.owner, func(c *Claims) []Action { return c.Finish(s.now, claim, out) })
+		s.runAt(at.owner, func(c *Claims) []Action { return c.Finish(s.now, claim, out) })
 	})
 }
 
