--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -317,7 +317,7 @@
 }
 
 // kill ends a process; another one of the same daemon starts.
-func (s *simulation) kill(i int) {
+func (s *simulation) restart(i int) {
 	s.deaths++
 	p := s.daemons[i].process
 	p.Incarnation++
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -79,7 +79,7 @@
 	for range 5 {
 		s.schedule(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
 			if s.chance(f.death) {
-				s.kill(s.rng.IntN(len(s.daemons)))
+				s.restart(s.rng.IntN(len(s.daemons)))
 			}
 			if s.chance(f.down * 5) {
 				s.storeDownUntil = s.now + time.Duration(s.rng.IntN(600))*time.Millisecond
