--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -104,7 +104,7 @@
 	runs           map[string]int
 	answers        map[string]string
 	failedWith     map[string]verdict.Verdict
-	deaths         int
+	restarts       int
 	dropped        int
 	storeDownUntil time.Duration
 	gap            time.Duration
@@ -318,7 +318,7 @@
 
 // kill ends a process; another one of the same daemon starts.
 func (s *simulation) restart(i int) {
-	s.deaths++
+	s.restarts++
 	p := s.daemons[i].process
 	p.Incarnation++
 	s.daemons[i] = s.start(p)
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -96,7 +96,7 @@
 
 // probe calls each key once more after all faults have ended.
 func (s *simulation) probe(t rapid.TB, seed uint64) outcome {
-	out := outcome{deaths: s.deaths}
+	out := outcome{deaths: s.restarts}
 	for i := range simulatedKeys {
 		key := fmt.Sprint("k", i)
 		ran := s.runs[key]
@@ -106,7 +106,7 @@
 		if len(at.replies) != 1 {
 			t.Fatalf("seed %d: %s got %d replies at the end", seed, key, len(at.replies))
 		}
-		if s.deaths > 0 || s.dropped > 0 {
+		if s.restarts > 0 || s.dropped > 0 {
 			continue // the outcome may be lost with its owner
 		}
 		want := "proceed"
