--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lost, stale, slow, down, silent, dropped, death float64
+	lost, stale, slow, down, silent, dropped, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -24,7 +24,7 @@
 			f = faults{lost: 0.2, stale: 0.4, slow: 0.1, down: 0.1, silent: 0.3}
 		}
 		if seed%4 == 3 {
-			f.dropped, f.death = 0.1, 0.1
+			f.dropped, f.restart = 0.1, 0.1
 		}
 		total.add(simulate(t, seed, f))
 	}
@@ -49,7 +49,7 @@
 			down:    rate.Draw(t, "down"),
 			silent:  rate.Draw(t, "silent"),
 			dropped: rate.Draw(t, "dropped"),
-			death:   rate.Draw(t, "death"),
+			restart: rate.Draw(t, "death"),
 		})
 	})
 }
@@ -78,7 +78,7 @@
 	}
 	for range 5 {
 		s.schedule(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
-			if s.chance(f.death) {
+			if s.chance(f.restart) {
 				s.restart(s.rng.IntN(len(s.daemons)))
 			}
 			if s.chance(f.down * 5) {
