--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lost, stale, slow, down, silent, dropped, restart float64
+	lost, stale, slow, down, noReply, dropped, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
@@ -195,7 +195,7 @@
 		s.schedule(after, func() { s.runAt(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
 	}
 	if s.now < s.storeDownUntil {
-		if !s.chance(s.faults.silent) {
+		if !s.chance(s.faults.noReply) {
 			fail(time.Millisecond, CertainlyNotRun)
 		}
 		return
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -21,7 +21,7 @@
 	for seed := range seeds {
 		f := faults{}
 		if seed%2 == 1 {
-			f = faults{lost: 0.2, stale: 0.4, slow: 0.1, down: 0.1, silent: 0.3}
+			f = faults{lost: 0.2, stale: 0.4, slow: 0.1, down: 0.1, noReply: 0.3}
 		}
 		if seed%4 == 3 {
 			f.dropped, f.restart = 0.1, 0.1
@@ -47,7 +47,7 @@
 			stale:   rate.Draw(t, "stale"),
 			slow:    rate.Draw(t, "slow"),
 			down:    rate.Draw(t, "down"),
-			silent:  rate.Draw(t, "silent"),
+			noReply: rate.Draw(t, "silent"),
 			dropped: rate.Draw(t, "dropped"),
 			restart: rate.Draw(t, "death"),
 		})
