--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lost, stale, slow, down, noReply, dropped, restart float64
+	lost, stale, slow, down, noReply, lostReply, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
@@ -232,7 +232,7 @@
 func (s *simulation) reply(t Token, what string, then func(*attempt)) {
 	at := s.attempts[t]
 	at.replies = append(at.replies, what)
-	if s.chance(s.faults.dropped) {
+	if s.chance(s.faults.lostReply) {
 		s.dropped++
 		return
 	}
