--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lost, stale, slow, down, noReply, lostReply, restart float64
+	lostStoreReply, stale, slow, down, noReply, lostReply, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
@@ -179,7 +179,9 @@
 		s.read(d, a.Read)
 	case a.StoreObject != nil:
 		s.schedule(s.latency(), func() {
-			s.runAt(d, func(c *Claims) []Action { return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lost)) })
+			s.runAt(d, func(c *Claims) []Action {
+				return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lostStoreReply))
+			})
 		})
 	case a.Proceed != nil:
 		s.reply(a.Proceed.Claim.Token, "proceed", func(at *attempt) { s.dispatch(at, a.Proceed.Claim) })
@@ -200,7 +202,7 @@
 		}
 		return
 	}
-	lost := s.chance(s.faults.lost)
+	lost := s.chance(s.faults.lostStoreReply)
 	if lost {
 		fail(s.latency(), OutcomeUnknown) // perhaps before the write takes effect
 	}
