--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lostStoreReply, stale, slow, down, noReply, lostReply, restart float64
+	lostStoreReply, staleRead, slow, down, noReply, lostReply, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
@@ -224,7 +224,7 @@
 	s.schedule(s.latency(), func() {
 		var rows []table.Row
 		for _, key := range r.Keys {
-			rows = append(rows, s.table.read(key, s.chance(s.faults.stale), s.rng))
+			rows = append(rows, s.table.read(key, s.chance(s.faults.staleRead), s.rng))
 		}
 		s.runAt(d, func(c *Claims) []Action { return c.ReadReply(s.now, r.ID, rows) })
 	})
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -21,7 +21,7 @@
 	for seed := range seeds {
 		f := faults{}
 		if seed%2 == 1 {
-			f = faults{lostStoreReply: 0.2, stale: 0.4, slow: 0.1, down: 0.1, noReply: 0.3}
+			f = faults{lostStoreReply: 0.2, staleRead: 0.4, slow: 0.1, down: 0.1, noReply: 0.3}
 		}
 		if seed%4 == 3 {
 			f.lostReply, f.restart = 0.1, 0.1
@@ -44,7 +44,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		simulate(t, rapid.Uint64().Draw(t, "seed"), faults{
 			lostStoreReply: rate.Draw(t, "lost"),
-			stale:          rate.Draw(t, "stale"),
+			staleRead:      rate.Draw(t, "stale"),
 			slow:           rate.Draw(t, "slow"),
 			down:           rate.Draw(t, "down"),
 			noReply:        rate.Draw(t, "silent"),
