--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lostStoreReply, staleRead, slow, down, noReply, lostReply, restart float64
+	lostStoreReply, staleRead, slowStore, down, noReply, lostReply, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
@@ -165,7 +165,7 @@
 }
 
 func (s *simulation) latency() time.Duration {
-	if s.chance(s.faults.slow) {
+	if s.chance(s.faults.slowStore) {
 		return time.Duration(s.rng.IntN(1500)) * time.Millisecond
 	}
 	return time.Duration(s.rng.IntN(5000)) * time.Microsecond
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -21,7 +21,7 @@
 	for seed := range seeds {
 		f := faults{}
 		if seed%2 == 1 {
-			f = faults{lostStoreReply: 0.2, staleRead: 0.4, slow: 0.1, down: 0.1, noReply: 0.3}
+			f = faults{lostStoreReply: 0.2, staleRead: 0.4, slowStore: 0.1, down: 0.1, noReply: 0.3}
 		}
 		if seed%4 == 3 {
 			f.lostReply, f.restart = 0.1, 0.1
@@ -45,7 +45,7 @@
 		simulate(t, rapid.Uint64().Draw(t, "seed"), faults{
 			lostStoreReply: rate.Draw(t, "lost"),
 			staleRead:      rate.Draw(t, "stale"),
-			slow:           rate.Draw(t, "slow"),
+			slowStore:      rate.Draw(t, "slow"),
 			down:           rate.Draw(t, "down"),
 			noReply:        rate.Draw(t, "silent"),
 			lostReply:      rate.Draw(t, "dropped"),
