--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lostStoreReply, staleRead, slowStore, down, noReply, lostReply, restart float64
+	lostStoreReply, staleRead, slowStore, storeDown, noReply, lostReply, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -21,7 +21,7 @@
 	for seed := range seeds {
 		f := faults{}
 		if seed%2 == 1 {
-			f = faults{lostStoreReply: 0.2, staleRead: 0.4, slowStore: 0.1, down: 0.1, noReply: 0.3}
+			f = faults{lostStoreReply: 0.2, staleRead: 0.4, slowStore: 0.1, storeDown: 0.1, noReply: 0.3}
 		}
 		if seed%4 == 3 {
 			f.lostReply, f.restart = 0.1, 0.1
@@ -46,7 +46,7 @@
 			lostStoreReply: rate.Draw(t, "lost"),
 			staleRead:      rate.Draw(t, "stale"),
 			slowStore:      rate.Draw(t, "slow"),
-			down:           rate.Draw(t, "down"),
+			storeDown:      rate.Draw(t, "down"),
 			noReply:        rate.Draw(t, "silent"),
 			lostReply:      rate.Draw(t, "dropped"),
 			restart:        rate.Draw(t, "death"),
@@ -81,7 +81,7 @@
 			if s.chance(f.restart) {
 				s.restart(s.rng.IntN(len(s.daemons)))
 			}
-			if s.chance(f.down * 5) {
+			if s.chance(f.storeDown * 5) {
 				s.storeDownUntil = s.now + time.Duration(s.rng.IntN(600))*time.Millisecond
 			}
 		})
