--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -105,7 +105,7 @@
 	answers        map[string]string
 	failedWith     map[string]verdict.Verdict
 	restarts       int
-	dropped        int
+	lostReplies    int
 	storeDownUntil time.Duration
 	gap            time.Duration
 	violations     []string
@@ -235,7 +235,7 @@
 	at := s.attempts[t]
 	at.replies = append(at.replies, what)
 	if s.chance(s.faults.lostReply) {
-		s.dropped++
+		s.lostReplies++
 		return
 	}
 	s.schedule(time.Millisecond, func() {
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -106,7 +106,7 @@
 		if len(at.replies) != 1 {
 			t.Fatalf("seed %d: %s got %d replies at the end", seed, key, len(at.replies))
 		}
-		if s.restarts > 0 || s.dropped > 0 {
+		if s.restarts > 0 || s.lostReplies > 0 {
 			continue // the outcome may be lost with its owner
 		}
 		want := "proceed"
