--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -51,16 +51,16 @@
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	run   func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -144,7 +144,7 @@
 
 func (s *simulation) schedule(d time.Duration, run func()) {
 	s.order++
-	heap.Push(&s.queue, event{at: s.now + d, order: s.order, run: run})
+	heap.Push(&s.queue, event{at: s.now + d, seq: s.order, run: run})
 }
 
 // to runs an event at a daemon unless its process has died, and does the actions.
