--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -96,7 +96,7 @@
 	faults         faults
 	now            time.Duration
 	queue          events
-	order          int
+	seq            int
 	table          *memTable
 	daemons        []*daemon
 	attempts       map[Token]*attempt
@@ -143,8 +143,8 @@
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
 func (s *simulation) schedule(d time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: s.now + d, seq: s.order, run: run})
+	s.seq++
+	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, run: run})
 }
 
 // to runs an event at a daemon unless its process has died, and does the actions.
