--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -26,9 +26,9 @@
 // bench is one Claims on a table without faults.
 type harness struct {
 	*Claims
-	table *memTable
-	now   time.Duration
-	jump  time.Duration
+	table    *memTable
+	now      time.Duration
+	wallJump time.Duration
 }
 
 func newHarness(t *memTable) *harness {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (b *harness) wall() time.Time { return start.Add(b.now + b.jump) }
+func (b *harness) wall() time.Time { return start.Add(b.now + b.wallJump) }
 
 func (b *harness) tick() []Action { return b.Tick(b.now, b.wall()) }
 
@@ -147,9 +147,9 @@
 	b := newHarness(nil)
 	claim := b.begin(callOf("k", "a")).Proceed.Claim
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Status: 200}}))
-	b.jump = 25 * time.Hour
+	b.wallJump = 25 * time.Hour
 	is.True(b.begin(callOf("k", "b")).Replay != nil) // wall time jumped, no time has passed
-	b.jump = 0
+	b.wallJump = 0
 	b.now += 25 * time.Hour
 	is.True(b.begin(callOf("k", "c")).Proceed != nil)
 	b.now += 25 * time.Hour
