--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -10,7 +10,7 @@
 // granted up to the limit just before, so that a full burst would come twice;
 // with none at all, the requests right after a change of the keeper would be
 // refused though their team is within its limit.
-const startShare = 0.5
+const initialShare = 0.5
 
 // Ledger holds the accounts of teams at the keeper.
 type Ledger struct {
@@ -118,7 +118,7 @@
 	a := l.accounts[c.Team]
 	if a == nil {
 		a = &account{at: now, limit: c.Limit, share: c.Share, room: room}
-		a.balance = min(startShare*max(c.Limit.Burst, 1)*c.Share, room)
+		a.balance = min(initialShare*max(c.Limit.Burst, 1)*c.Share, room)
 		l.accounts[c.Team] = a
 		return a
 	}
