--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -24,7 +24,7 @@
 type account struct {
 	balance float64
 	// room is the most that it may hold.
-	room float64
+	maxBalance float64
 	// at is when the balance was brought up to date.
 	at    time.Duration
 	limit Limit
@@ -97,7 +97,7 @@
 // Return gives back what was granted for a request that has not run.
 func (l *Ledger) Return(now time.Duration, c Charge) {
 	a := l.account(now, c)
-	a.balance = min(a.balance+c.Cost, a.room)
+	a.balance = min(a.balance+c.Cost, a.maxBalance)
 }
 
 // Balance is what a team's account holds; ok is false where there is none.
@@ -117,14 +117,14 @@
 	room := l.tolerance.room(c.Limit) * c.Share
 	a := l.accounts[c.Team]
 	if a == nil {
-		a = &account{at: now, limit: c.Limit, share: c.Share, room: room}
+		a = &account{at: now, limit: c.Limit, share: c.Share, maxBalance: room}
 		a.balance = min(initialShare*max(c.Limit.Burst, 1)*c.Share, room)
 		l.accounts[c.Team] = a
 		return a
 	}
 	a.balance += max(0, (now-a.at).Seconds()) * a.limit.Rate * a.share
 	a.at = max(a.at, now)
-	a.limit, a.share, a.room = c.Limit, c.Share, room
+	a.limit, a.share, a.maxBalance = c.Limit, c.Share, room
 	a.balance = min(a.balance, room)
 	return a
 }
