--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -114,7 +114,7 @@
 
 // account brings a team's account up to date, making it if there is none.
 func (l *Ledger) account(now time.Duration, c Charge) *account {
-	room := l.tolerance.room(c.Limit) * c.Share
+	room := l.tolerance.maxBalance(c.Limit) * c.Share
 	a := l.accounts[c.Team]
 	if a == nil {
 		a = &account{at: now, limit: c.Limit, share: c.Share, maxBalance: room}
--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -86,7 +86,7 @@
 
 // room is the most that a team's account can hold: without a burst the team may
 // still have a unit at a time.
-func (t Tolerance) room(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.Of(l) }
+func (t Tolerance) maxBalance(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.Of(l) }
 
 // Ahead is what each of so many daemons may spend ahead of the keeper's word.
 func (t Tolerance) Ahead(daemons int) float64 { return aheadShare * t.Slack / float64(max(1, daemons)) }
