--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -26,9 +26,9 @@
 	// room is the most that it may hold.
 	maxBalance float64
 	// at is when the balance was brought up to date.
-	at    time.Duration
-	limit Limit
-	share float64
+	updatedAt time.Duration
+	limit     Limit
+	share     float64
 	// bookedUntil is up to when the account's income is spoken for by those that
 	// were told to come back.
 	bookedUntil time.Duration
@@ -117,13 +117,13 @@
 	room := l.tolerance.maxBalance(c.Limit) * c.Share
 	a := l.accounts[c.Team]
 	if a == nil {
-		a = &account{at: now, limit: c.Limit, share: c.Share, maxBalance: room}
+		a = &account{updatedAt: now, limit: c.Limit, share: c.Share, maxBalance: room}
 		a.balance = min(initialShare*max(c.Limit.Burst, 1)*c.Share, room)
 		l.accounts[c.Team] = a
 		return a
 	}
-	a.balance += max(0, (now-a.at).Seconds()) * a.limit.Rate * a.share
-	a.at = max(a.at, now)
+	a.balance += max(0, (now-a.updatedAt).Seconds()) * a.limit.Rate * a.share
+	a.updatedAt = max(a.updatedAt, now)
 	a.limit, a.share, a.maxBalance = c.Limit, c.Share, room
 	a.balance = min(a.balance, room)
 	return a
