--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -31,7 +31,7 @@
 	share     float64
 	// bookedUntil is up to when the account's income is spoken for by those that
 	// were told to come back.
-	bookedUntil time.Duration
+	reservedUntil time.Duration
 }
 
 // NewLedger returns a ledger without accounts.
@@ -72,10 +72,10 @@
 // back one after another, as the account fills.
 func (a *account) refuse(now time.Duration, cost float64) Refusal {
 	r := Refusal{Wait: a.wait(cost)}
-	at := max(now+r.Wait, a.bookedUntil)
+	at := max(now+r.Wait, a.reservedUntil)
 	r.Back = min(at-now, longestWait)
 	if rate := a.limit.Rate * a.share; rate > 0 {
-		a.bookedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+mostBooked)
+		a.reservedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+mostBooked)
 	}
 	return r
 }
