--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -75,14 +75,14 @@
 	at := max(now+r.Wait, a.reservedUntil)
 	r.Back = min(at-now, longestWait)
 	if rate := a.limit.Rate * a.share; rate > 0 {
-		a.reservedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+mostBooked)
+		a.reservedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+maxReserved)
 	}
 	return r
 }
 
 // mostBooked is how far ahead those that were refused are told apart: callers
 // wait no longer.
-const mostBooked = 8 * time.Second
+const maxReserved = 8 * time.Second
 
 // Owe charges what was spent already, and says how long the account is in debt.
 func (l *Ledger) Owe(now time.Duration, c Charge) time.Duration {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -145,7 +145,7 @@
 		_, _ = l.Take(0, charge(50))
 	}
 	_, refused := l.Take(0, charge(50))
-	is.True(refused.Back <= mostBooked)
+	is.True(refused.Back <= maxReserved)
 	is.Equal(refused.Wait, shortestWait) // whoever comes first finds room as ever
 }
 
