--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -133,19 +133,19 @@
 // daemons may have many beside it, each with accounts of its own: their debts
 // would add up.
 func (a *account) allows(cost float64) bool {
-	if a.share < majority {
+	if a.share < majorityShare {
 		return a.balance >= cost
 	}
 	return a.balance > 0
 }
 
 // majority of the daemons can't be on two sides of a cut.
-const majority = 0.5
+const majorityShare = 0.5
 
 // wait is how long it takes until the account allows a cost.
 func (a *account) wait(cost float64) time.Duration {
 	needed := -a.balance
-	if a.share < majority {
+	if a.share < majorityShare {
 		needed = cost - a.balance
 	}
 	rate := a.limit.Rate * a.share
