--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -156,11 +156,11 @@
 	if seconds > longestWait.Seconds() {
 		return longestWait
 	}
-	return max(time.Duration(seconds*float64(time.Second)), shortestWait)
+	return max(time.Duration(seconds*float64(time.Second)), minWait)
 }
 
 const (
 	// shortestWait and longestWait bound the advice to come back.
-	shortestWait = 20 * time.Millisecond
-	longestWait  = time.Minute
+	minWait     = 20 * time.Millisecond
+	longestWait = time.Minute
 )
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -146,7 +146,7 @@
 	}
 	_, refused := l.Take(0, charge(50))
 	is.True(refused.Back <= maxReserved)
-	is.Equal(refused.Wait, shortestWait) // whoever comes first finds room as ever
+	is.Equal(refused.Wait, minWait) // whoever comes first finds room as ever
 }
 
 // BenchmarkTake charges requests of 900 teams.
