--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -73,7 +73,7 @@
 func (a *account) refuse(now time.Duration, cost float64) Refusal {
 	r := Refusal{Wait: a.wait(cost)}
 	at := max(now+r.Wait, a.reservedUntil)
-	r.Back = min(at-now, longestWait)
+	r.Back = min(at-now, maxWait)
 	if rate := a.limit.Rate * a.share; rate > 0 {
 		a.reservedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+maxReserved)
 	}
@@ -150,17 +150,17 @@
 	}
 	rate := a.limit.Rate * a.share
 	if rate <= 0 {
-		return longestWait
+		return maxWait
 	}
 	seconds := max(needed, 0) / rate
-	if seconds > longestWait.Seconds() {
-		return longestWait
+	if seconds > maxWait.Seconds() {
+		return maxWait
 	}
 	return max(time.Duration(seconds*float64(time.Second)), minWait)
 }
 
 const (
 	// shortestWait and longestWait bound the advice to come back.
-	minWait     = 20 * time.Millisecond
-	longestWait = time.Minute
+	minWait = 20 * time.Millisecond
+	maxWait = time.Minute
 )
