--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -81,7 +81,7 @@
 	burstShare = 0.5
 	// aheadShare of the slack is what all daemons together may spend ahead of the
 	// keeper's word. What is left is for accounts that begin anew.
-	aheadShare = 0.25
+	localShare = 0.25
 )
 
 // room is the most that a team's account can hold: without a burst the team may
@@ -89,4 +89,4 @@
 func (t Tolerance) maxBalance(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.Of(l) }
 
 // Ahead is what each of so many daemons may spend ahead of the keeper's word.
-func (t Tolerance) Ahead(daemons int) float64 { return aheadShare * t.Slack / float64(max(1, daemons)) }
+func (t Tolerance) Ahead(daemons int) float64 { return localShare * t.Slack / float64(max(1, daemons)) }
