--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -71,7 +71,7 @@
 // refuse tells a request when to come back. Those that are refused together come
 // back one after another, as the account fills.
 func (a *account) refuse(now time.Duration, cost float64) Refusal {
-	r := Refusal{Wait: a.wait(cost)}
+	r := Refusal{Wait: a.waitFor(cost)}
 	at := max(now+r.Wait, a.reservedUntil)
 	r.Back = min(at-now, maxWait)
 	if rate := a.limit.Rate * a.share; rate > 0 {
@@ -91,7 +91,7 @@
 	if a.balance > 0 {
 		return 0
 	}
-	return a.wait(0)
+	return a.waitFor(0)
 }
 
 // Return gives back what was granted for a request that has not run.
@@ -143,7 +143,7 @@
 const majorityShare = 0.5
 
 // wait is how long it takes until the account allows a cost.
-func (a *account) wait(cost float64) time.Duration {
+func (a *account) waitFor(cost float64) time.Duration {
 	needed := -a.balance
 	if a.share < majorityShare {
 		needed = cost - a.balance
