--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -11,14 +11,14 @@
 
 // Purse is what one daemon spends ahead of the keeper's word.
 type Purse struct {
-	pockets map[id.Team]*pocket
+	pockets map[id.Team]*teamBudget
 	// ahead bounds what each team may spend here before the keeper knows of it,
 	// in units.
 	ahead float64
 }
 
 // pocket is one team's part of the purse.
-type pocket struct {
+type teamBudget struct {
 	// debt was spent and not told to the keeper yet.
 	debt float64
 	// shutUntil is until when the keeper has nothing to grant, tightUntil until
@@ -41,7 +41,7 @@
 )
 
 // NewPurse returns an empty purse.
-func NewPurse() *Purse { return &Purse{pockets: map[id.Team]*pocket{}} }
+func NewPurse() *Purse { return &Purse{pockets: map[id.Team]*teamBudget{}} }
 
 // SetAhead bounds what each team may spend before the keeper knows of it.
 func (p *Purse) SetAhead(units float64) { p.ahead = units }
@@ -114,15 +114,15 @@
 			k.debt = 0
 		}
 	}
-	maps.DeleteFunc(p.pockets, func(_ id.Team, k *pocket) bool { return k.debt == 0 && now-k.used >= pocketIdle })
+	maps.DeleteFunc(p.pockets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.used >= pocketIdle })
 	slices.SortFunc(out, func(a, b Debt) int { return cmp.Compare(a.Team, b.Team) })
 	return out
 }
 
-func (p *Purse) pocket(now time.Duration, team id.Team) *pocket {
+func (p *Purse) pocket(now time.Duration, team id.Team) *teamBudget {
 	k := p.pockets[team]
 	if k == nil {
-		k = &pocket{}
+		k = &teamBudget{}
 		p.pockets[team] = k
 	}
 	k.used = now
