--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -11,7 +11,7 @@
 
 // Purse is what one daemon spends ahead of the keeper's word.
 type Purse struct {
-	pockets map[id.Team]*teamBudget
+	budgets map[id.Team]*teamBudget
 	// ahead bounds what each team may spend here before the keeper knows of it,
 	// in units.
 	ahead float64
@@ -41,7 +41,7 @@
 )
 
 // NewPurse returns an empty purse.
-func NewPurse() *Purse { return &Purse{pockets: map[id.Team]*teamBudget{}} }
+func NewPurse() *Purse { return &Purse{budgets: map[id.Team]*teamBudget{}} }
 
 // SetAhead bounds what each team may spend before the keeper knows of it.
 func (p *Purse) SetAhead(units float64) { p.ahead = units }
@@ -83,7 +83,7 @@
 
 // Open forgets all refusals: another keeper, or another limit, may have room.
 func (p *Purse) Open() {
-	for _, k := range p.pockets {
+	for _, k := range p.budgets {
 		k.shutUntil = 0
 	}
 }
@@ -91,7 +91,7 @@
 // Return takes back what was paid ahead for a request that has not run; false
 // where the keeper knows of it already.
 func (p *Purse) Return(team id.Team, cost float64) bool {
-	k := p.pockets[team]
+	k := p.budgets[team]
 	if k == nil || k.debt < cost {
 		return false
 	}
@@ -108,22 +108,22 @@
 // Settle empties the purse: the debts, by team, are the keeper's from now on.
 func (p *Purse) Settle(now time.Duration) []Debt {
 	var out []Debt
-	for team, k := range p.pockets {
+	for team, k := range p.budgets {
 		if k.debt > 0 {
 			out = append(out, Debt{Team: team, Cost: k.debt})
 			k.debt = 0
 		}
 	}
-	maps.DeleteFunc(p.pockets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.used >= pocketIdle })
+	maps.DeleteFunc(p.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.used >= pocketIdle })
 	slices.SortFunc(out, func(a, b Debt) int { return cmp.Compare(a.Team, b.Team) })
 	return out
 }
 
 func (p *Purse) pocket(now time.Duration, team id.Team) *teamBudget {
-	k := p.pockets[team]
+	k := p.budgets[team]
 	if k == nil {
 		k = &teamBudget{}
-		p.pockets[team] = k
+		p.budgets[team] = k
 	}
 	k.used = now
 	return k
