--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -62,7 +62,7 @@
 // Spend pays for a request if it is small enough to be paid ahead. wait goes with
 // Refused.
 func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (a Answer, wait time.Duration) {
-	k := p.pocket(now, team)
+	k := p.budget(now, team)
 	switch {
 	case now < k.shutUntil:
 		return Refused, max(k.backAt, k.shutUntil) - now
@@ -75,7 +75,7 @@
 
 // Shut notes that the keeper has nothing to grant to a team for a while.
 func (p *Purse) Shut(now time.Duration, team id.Team, r Refusal) {
-	k := p.pocket(now, team)
+	k := p.budget(now, team)
 	k.shutUntil = now + min(r.Wait, longestShut)
 	k.backAt = now + r.Back
 	k.tightUntil = k.shutUntil + tightFor
@@ -119,7 +119,7 @@
 	return out
 }
 
-func (p *Purse) pocket(now time.Duration, team id.Team) *teamBudget {
+func (p *Purse) budget(now time.Duration, team id.Team) *teamBudget {
 	k := p.budgets[team]
 	if k == nil {
 		k = &teamBudget{}
