--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -14,7 +14,7 @@
 	budgets map[id.Team]*teamBudget
 	// ahead bounds what each team may spend here before the keeper knows of it,
 	// in units.
-	ahead float64
+	maxDebt float64
 }
 
 // pocket is one team's part of the purse.
@@ -44,7 +44,7 @@
 func NewPurse() *Purse { return &Purse{budgets: map[id.Team]*teamBudget{}} }
 
 // SetAhead bounds what each team may spend before the keeper knows of it.
-func (p *Purse) SetAhead(units float64) { p.ahead = units }
+func (p *Purse) SetAhead(units float64) { p.maxDebt = units }
 
 // Answer is what a purse says to a request.
 type Answer uint8
@@ -66,7 +66,7 @@
 	switch {
 	case now < k.shutUntil:
 		return Refused, max(k.backAt, k.shutUntil) - now
-	case now < k.tightUntil || k.debt+cost > p.ahead:
+	case now < k.tightUntil || k.debt+cost > p.maxDebt:
 		return Ask, 0
 	}
 	k.debt += cost
