--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -32,7 +32,7 @@
 
 const (
 	// tightFor is how long after a refusal nothing is spent ahead.
-	tightFor = 2 * time.Second
+	askPeriod = 2 * time.Second
 	// longestShut bounds for how long a daemon refuses on the keeper's last
 	// word: the limit may be raised meanwhile.
 	longestShut = time.Second
@@ -78,7 +78,7 @@
 	k := p.budget(now, team)
 	k.shutUntil = now + min(r.Wait, longestShut)
 	k.backAt = now + r.Back
-	k.tightUntil = k.shutUntil + tightFor
+	k.tightUntil = k.shutUntil + askPeriod
 }
 
 // Open forgets all refusals: another keeper, or another limit, may have room.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -101,7 +101,7 @@
 	is.Equal(wait, 200*time.Millisecond)
 	a, _ = p.Spend(300*time.Millisecond, desk, 1)
 	is.Equal(a, Ask) // nothing ahead so soon after a refusal
-	a, _ = p.Spend(300*time.Millisecond+tightFor, desk, 1)
+	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
 	is.Equal(a, Paid)
 
 	p.Shut(10*time.Second, desk, Refusal{Wait: time.Hour})
