--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -35,7 +35,7 @@
 	askPeriod = 2 * time.Second
 	// longestShut bounds for how long a daemon refuses on the keeper's last
 	// word: the limit may be raised meanwhile.
-	longestShut = time.Second
+	maxRefusePeriod = time.Second
 	// pocketIdle is after how long an unused pocket goes.
 	pocketIdle = time.Minute
 )
@@ -76,7 +76,7 @@
 // Shut notes that the keeper has nothing to grant to a team for a while.
 func (p *Purse) Shut(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
-	k.shutUntil = now + min(r.Wait, longestShut)
+	k.shutUntil = now + min(r.Wait, maxRefusePeriod)
 	k.backAt = now + r.Back
 	k.tightUntil = k.shutUntil + askPeriod
 }
