--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -37,7 +37,7 @@
 	// word: the limit may be raised meanwhile.
 	maxRefusePeriod = time.Second
 	// pocketIdle is after how long an unused pocket goes.
-	pocketIdle = time.Minute
+	budgetIdleTimeout = time.Minute
 )
 
 // NewPurse returns an empty purse.
@@ -114,7 +114,7 @@
 			k.debt = 0
 		}
 	}
-	maps.DeleteFunc(p.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.used >= pocketIdle })
+	maps.DeleteFunc(p.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.used >= budgetIdleTimeout })
 	slices.SortFunc(out, func(a, b Debt) int { return cmp.Compare(a.Team, b.Team) })
 	return out
 }
