--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -47,12 +47,12 @@
 func (p *Purse) SetAhead(units float64) { p.maxDebt = units }
 
 // Answer is what a purse says to a request.
-type Answer uint8
+type Decision uint8
 
 // The answers.
 const (
 	// Paid: the request may be sent.
-	Paid Answer = iota + 1
+	Paid Decision = iota + 1
 	// Ask: only the keeper can say.
 	Ask
 	// Refused: the team is at its limit, by the keeper's last word.
@@ -61,7 +61,7 @@
 
 // Spend pays for a request if it is small enough to be paid ahead. wait goes with
 // Refused.
-func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (a Answer, wait time.Duration) {
+func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (a Decision, wait time.Duration) {
 	k := p.budget(now, team)
 	switch {
 	case now < k.shutUntil:
