--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -54,7 +54,7 @@
 	// Paid: the request may be sent.
 	Paid Decision = iota + 1
 	// Ask: only the keeper can say.
-	Ask
+	AskKeeper
 	// Refused: the team is at its limit, by the keeper's last word.
 	Refused
 )
@@ -67,7 +67,7 @@
 	case now < k.shutUntil:
 		return Refused, max(k.backAt, k.shutUntil) - now
 	case now < k.tightUntil || k.debt+cost > p.maxDebt:
-		return Ask, 0
+		return AskKeeper, 0
 	}
 	k.debt += cost
 	return Paid, 0
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -89,7 +89,7 @@
 	a, _ = p.Spend(0, desk, 200)
 	is.Equal(a, Paid)
 	a, _ = p.Spend(0, desk, 200)
-	is.Equal(a, Ask)
+	is.Equal(a, AskKeeper)
 	is.True(p.Return(desk, 200))
 	is.Equal(p.Settle(0), []Debt{{Team: desk, Cost: 200}})
 	is.True(!p.Return(desk, 200)) // the keeper's now
@@ -100,14 +100,14 @@
 	is.Equal(a, Refused)
 	is.Equal(wait, 200*time.Millisecond)
 	a, _ = p.Spend(300*time.Millisecond, desk, 1)
-	is.Equal(a, Ask) // nothing ahead so soon after a refusal
+	is.Equal(a, AskKeeper) // nothing ahead so soon after a refusal
 	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
 	is.Equal(a, Paid)
 
 	p.Shut(10*time.Second, desk, Refusal{Wait: time.Hour})
 	p.Open()
 	a, _ = p.Spend(10*time.Second, desk, 1)
-	is.Equal(a, Ask)
+	is.Equal(a, AskKeeper)
 }
 
 func TestTheToleranceIsSpentOnBurstsAndNotOnTheRate(t *testing.T) {
