--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -16,7 +16,7 @@
 
 // way is one of them. offer decides about a request that came to a daemon; it
 // calls done at once or after messages have gone there and back.
-type way interface {
+type strategy interface {
 	offer(w *world, daemon int, team id.Team, cost float64, done func(ok bool))
 	// every is called each step of a daemon, for what is exchanged in the
 	// background.
@@ -113,7 +113,7 @@
 	settled []time.Duration
 }
 
-func newAccounts(w *world) way {
+func newAccounts(w *world) strategy {
 	a := &accounts{ledger: NewLedger(sheet), settled: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		p := NewPurse()
@@ -203,7 +203,7 @@
 // term is how long a lease is good, and after how long it is asked for again.
 const term = time.Second
 
-func newLeases(w *world) way {
+func newLeases(w *world) strategy {
 	l := &leases{}
 	for range w.daemons {
 		l.lent = append(l.lent, map[id.Team]*lent{})
@@ -268,7 +268,7 @@
 // shares gives each daemon a fixed part of each rate and of the burst.
 type shares struct{ ledgers []*Ledger }
 
-func newShares(w *world) way {
+func newShares(w *world) strategy {
 	s := &shares{}
 	for range w.daemons {
 		s.ledgers = append(s.ledgers, NewLedger(Tolerance{}))
@@ -296,7 +296,7 @@
 	sentAt []time.Duration
 }
 
-func newCounts(w *world) way {
+func newCounts(w *world) strategy {
 	c := &counts{sentAt: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		c.told = append(c.told, map[id.Team]float64{})
@@ -361,7 +361,7 @@
 	leastRate = 36_000
 )
 
-func (l load) play(make func(*world) way, seed uint64) *world {
+func (l load) play(make func(*world) strategy, seed uint64) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
 		down: makeDown(l.daemons), granted: map[id.Team][]spent{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
@@ -415,7 +415,7 @@
 // hotTeam is the one that sends more than it may.
 const hotTeam = 1
 
-func (l load) arrivals(w *world, way way, i int, perS, cost float64) {
+func (l load) arrivals(w *world, way strategy, i int, perS, cost float64) {
 	team := teamName(i)
 	var next func()
 	next = func() {
@@ -434,7 +434,7 @@
 	w.after(time.Duration(w.rng.ExpFloat64()/perS*float64(time.Second)), next)
 }
 
-func (w *world) request(way way, daemon int, team id.Team, cost float64) {
+func (w *world) request(way strategy, daemon int, team id.Team, cost float64) {
 	if w.now < w.down[daemon] {
 		return
 	}
@@ -486,7 +486,7 @@
 
 var ways = []struct {
 	name string
-	make func(*world) way
+	make func(*world) strategy
 }{
 	{"accounts at one keeper", newAccounts},
 	{"credit lent for a term", newLeases},
