--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -27,7 +27,7 @@
 
 const (
 	// messageTime is one way between two daemons.
-	messageTime = 2 * time.Millisecond
+	messageDelay = 2 * time.Millisecond
 	// stepTime is the time between two calls of every.
 	stepTime = 250 * time.Millisecond
 )
@@ -88,7 +88,7 @@
 // send carries a message; a daemon that is down loses it.
 func (w *world) send(to int, do func()) {
 	w.messages++
-	w.after(messageTime, func() {
+	w.after(messageDelay, func() {
 		if w.now >= w.down[to] {
 			do()
 		}
