--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -29,7 +29,7 @@
 	// messageTime is one way between two daemons.
 	messageDelay = 2 * time.Millisecond
 	// stepTime is the time between two calls of every.
-	stepTime = 250 * time.Millisecond
+	exchangeInterval = 250 * time.Millisecond
 )
 
 // sheet is by how much limits may be exceeded.
@@ -381,9 +381,9 @@
 		var step func()
 		step = func() {
 			way.every(w, d)
-			w.after(stepTime, step)
+			w.after(exchangeInterval, step)
 		}
-		w.after(time.Duration(w.rng.Int64N(int64(stepTime))), step)
+		w.after(time.Duration(w.rng.Int64N(int64(exchangeInterval))), step)
 	}
 	for _, at := range l.keeperDies {
 		w.after(at, func() {
