--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -33,7 +33,7 @@
 )
 
 // sheet is by how much limits may be exceeded.
-var sheet = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140_000}
+var testTolerance = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140_000}
 
 // world is a fleet whose messages take time.
 type world struct {
@@ -114,10 +114,10 @@
 }
 
 func newAccounts(w *world) strategy {
-	a := &accounts{ledger: NewLedger(sheet), settled: make([]time.Duration, w.daemons)}
+	a := &accounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		p := NewPurse()
-		p.SetAhead(sheet.Ahead(w.daemons))
+		p.SetAhead(testTolerance.Ahead(w.daemons))
 		a.purses = append(a.purses, p)
 	}
 	return a
@@ -182,7 +182,7 @@
 	if daemon == a.keeper {
 		w.after(400*time.Millisecond, func() {
 			a.keeper = (a.keeper + 1) % w.daemons
-			a.ledger = NewLedger(sheet)
+			a.ledger = NewLedger(testTolerance)
 		})
 	}
 }
@@ -457,11 +457,11 @@
 	worst := 0.0
 	for team, all := range w.granted {
 		limit := w.limits[team]
-		allowed := limit.Rate*sheet.Window.Seconds() + limit.Burst + sheet.Of(limit)
+		allowed := limit.Rate*testTolerance.Window.Seconds() + limit.Burst + testTolerance.Of(limit)
 		sum, first := 0.0, 0
 		for _, s := range all {
 			sum += s.cost
-			for s.at-all[first].at > sheet.Window {
+			for s.at-all[first].at > testTolerance.Window {
 				sum -= all[first].cost
 				first++
 			}
