--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -17,12 +17,12 @@
 // way is one of them. offer decides about a request that came to a daemon; it
 // calls done at once or after messages have gone there and back.
 type strategy interface {
-	offer(w *world, daemon int, team id.Team, cost float64, done func(ok bool))
+	offer(w *fleet, daemon int, team id.Team, cost float64, done func(ok bool))
 	// every is called each step of a daemon, for what is exchanged in the
 	// background.
-	every(w *world, daemon int)
+	every(w *fleet, daemon int)
 	// died is called when a daemon starts anew without what it knew.
-	died(w *world, daemon int)
+	died(w *fleet, daemon int)
 }
 
 const (
@@ -36,7 +36,7 @@
 var testTolerance = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140_000}
 
 // world is a fleet whose messages take time.
-type world struct {
+type fleet struct {
 	rng     *rand.Rand
 	now     time.Duration
 	events  events
@@ -80,13 +80,13 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *fleet) after(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now + d, w.serial, do})
 }
 
 // send carries a message; a daemon that is down loses it.
-func (w *world) send(to int, do func()) {
+func (w *fleet) send(to int, do func()) {
 	w.messages++
 	w.after(messageDelay, func() {
 		if w.now >= w.down[to] {
@@ -95,7 +95,7 @@
 	})
 }
 
-func (w *world) run(until time.Duration) {
+func (w *fleet) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -113,7 +113,7 @@
 	settled []time.Duration
 }
 
-func newAccounts(w *world) strategy {
+func newAccounts(w *fleet) strategy {
 	a := &accounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		p := NewPurse()
@@ -123,7 +123,7 @@
 	return a
 }
 
-func (a *accounts) offer(w *world, daemon int, team id.Team, cost float64, done func(bool)) {
+func (a *accounts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	switch answer, _ := a.purses[daemon].Spend(w.now, team, cost); answer {
 	case Paid:
 		done(true)
@@ -134,7 +134,7 @@
 	}
 }
 
-func (a *accounts) ask(w *world, daemon int, team id.Team, cost float64, done func(bool), tries int) {
+func (a *accounts) ask(w *fleet, daemon int, team id.Team, cost float64, done func(bool), tries int) {
 	answered := false
 	w.send(a.keeper, func() {
 		ok, refused := a.ledger.Take(w.now, Charge{Team: team, Limit: w.limits[team], Cost: cost, Share: 1})
@@ -157,7 +157,7 @@
 	})
 }
 
-func (a *accounts) every(w *world, daemon int) {
+func (a *accounts) every(w *fleet, daemon int) {
 	if w.now-a.settled[daemon] < 500*time.Millisecond {
 		return
 	}
@@ -178,7 +178,7 @@
 
 // died has the next daemon keep the accounts once the keeper's silence is
 // noticed.
-func (a *accounts) died(w *world, daemon int) {
+func (a *accounts) died(w *fleet, daemon int) {
 	if daemon == a.keeper {
 		w.after(400*time.Millisecond, func() {
 			a.keeper = (a.keeper + 1) % w.daemons
@@ -203,7 +203,7 @@
 // term is how long a lease is good, and after how long it is asked for again.
 const term = time.Second
 
-func newLeases(w *world) strategy {
+func newLeases(w *fleet) strategy {
 	l := &leases{}
 	for range w.daemons {
 		l.lent = append(l.lent, map[id.Team]*lent{})
@@ -211,7 +211,7 @@
 	return l
 }
 
-func (l *leases) of(w *world, daemon int, team id.Team) *lent {
+func (l *leases) of(w *fleet, daemon int, team id.Team) *lent {
 	x := l.lent[daemon][team]
 	if x == nil {
 		// Until the keeper has answered, the part that each daemon may count on.
@@ -224,7 +224,7 @@
 	return x
 }
 
-func (l *leases) offer(w *world, daemon int, team id.Team, cost float64, done func(bool)) {
+func (l *leases) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	x := l.of(w, daemon, team)
 	x.use += cost
 	if x.balance <= 0 {
@@ -235,7 +235,7 @@
 	done(true)
 }
 
-func (l *leases) every(w *world, daemon int) {
+func (l *leases) every(w *fleet, daemon int) {
 	for team, x := range l.lent[daemon] {
 		if w.now-x.asked < term {
 			continue
@@ -258,7 +258,7 @@
 	}
 }
 
-func (l *leases) died(w *world, daemon int) {
+func (l *leases) died(w *fleet, daemon int) {
 	l.lent[daemon] = map[id.Team]*lent{}
 	if daemon == l.keeper {
 		w.after(400*time.Millisecond, func() { l.keeper = (l.keeper + 1) % w.daemons })
@@ -268,7 +268,7 @@
 // shares gives each daemon a fixed part of each rate and of the burst.
 type shares struct{ ledgers []*Ledger }
 
-func newShares(w *world) strategy {
+func newShares(w *fleet) strategy {
 	s := &shares{}
 	for range w.daemons {
 		s.ledgers = append(s.ledgers, NewLedger(Tolerance{}))
@@ -276,7 +276,7 @@
 	return s
 }
 
-func (s *shares) offer(w *world, daemon int, team id.Team, cost float64, done func(bool)) {
+func (s *shares) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	limit := w.limits[team]
 	limit.Rate /= float64(w.daemons)
 	limit.Burst /= float64(w.daemons)
@@ -284,8 +284,8 @@
 	done(ok)
 }
 
-func (s *shares) every(*world, int)         {}
-func (s *shares) died(_ *world, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
+func (s *shares) every(*fleet, int)         {}
+func (s *shares) died(_ *fleet, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
 
 // counts has each daemon tell all others what it has used; each admits the share
 // of a team's requests that would have kept to the rate by the last counts.
@@ -296,7 +296,7 @@
 	sentAt []time.Duration
 }
 
-func newCounts(w *world) strategy {
+func newCounts(w *fleet) strategy {
 	c := &counts{sentAt: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		c.told = append(c.told, map[id.Team]float64{})
@@ -305,13 +305,13 @@
 	return c
 }
 
-func (c *counts) offer(w *world, daemon int, team id.Team, cost float64, done func(bool)) {
+func (c *counts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	c.own[daemon][team] += cost
 	use := c.told[daemon][team]
 	done(use <= w.limits[team].Rate || w.rng.Float64() < w.limits[team].Rate/use)
 }
 
-func (c *counts) every(w *world, daemon int) {
+func (c *counts) every(w *fleet, daemon int) {
 	if w.now-c.sentAt[daemon] < 500*time.Millisecond {
 		return
 	}
@@ -331,7 +331,7 @@
 	}
 }
 
-func (c *counts) died(_ *world, daemon int) {
+func (c *counts) died(_ *fleet, daemon int) {
 	c.told[daemon], c.own[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
 }
 
@@ -361,8 +361,8 @@
 	leastRate = 36_000
 )
 
-func (l load) play(make func(*world) strategy, seed uint64) *world {
-	w := &world{
+func (l load) play(make func(*fleet) strategy, seed uint64) *fleet {
+	w := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
 		down: makeDown(l.daemons), granted: map[id.Team][]spent{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
 	}
@@ -415,7 +415,7 @@
 // hotTeam is the one that sends more than it may.
 const hotTeam = 1
 
-func (l load) arrivals(w *world, way strategy, i int, perS, cost float64) {
+func (l load) arrivals(w *fleet, way strategy, i int, perS, cost float64) {
 	team := teamName(i)
 	var next func()
 	next = func() {
@@ -434,7 +434,7 @@
 	w.after(time.Duration(w.rng.ExpFloat64()/perS*float64(time.Second)), next)
 }
 
-func (w *world) request(way strategy, daemon int, team id.Team, cost float64) {
+func (w *fleet) request(way strategy, daemon int, team id.Team, cost float64) {
 	if w.now < w.down[daemon] {
 		return
 	}
@@ -453,7 +453,7 @@
 
 // worst is the most that any team had in a window, as a share of what the rule
 // allows.
-func (w *world) worst() float64 {
+func (w *fleet) worst() float64 {
 	worst := 0.0
 	for team, all := range w.granted {
 		limit := w.limits[team]
@@ -473,7 +473,7 @@
 
 // refusedBelow is the share that was refused of what the teams within their limits
 // asked for.
-func (w *world) refusedBelow() float64 {
+func (w *fleet) refusedBelow() float64 {
 	refused, asked := 0.0, 0.0
 	for team := range w.limits {
 		if team != teamName(hotTeam) {
@@ -486,7 +486,7 @@
 
 var ways = []struct {
 	name string
-	make func(*world) strategy
+	make func(*fleet) strategy
 }{
 	{"accounts at one keeper", newAccounts},
 	{"credit lent for a term", newLeases},
@@ -528,7 +528,7 @@
 		for name, l := range hotLoads(daemons) {
 			for _, x := range ways {
 				b.Run(fmt.Sprintf("%d daemons/%s/%s", daemons, name, x.name), func(b *testing.B) {
-					var w *world
+					var w *fleet
 					for b.Loop() {
 						w = l.play(x.make, 1)
 					}
