--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -60,16 +60,16 @@
 }
 
 type event struct {
-	at     time.Duration
-	serial int
-	do     func()
+	at  time.Duration
+	seq int
+	do  func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].serial < e[j].serial
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
