--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -62,7 +62,7 @@
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -99,7 +99,7 @@
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.now = until
 }
