--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -47,14 +47,14 @@
 	down     []time.Duration
 	messages int
 	// granted are the moments and costs of what ran, by team.
-	granted map[id.Team][]spent
+	granted map[id.Team][]grant
 	refused map[id.Team]float64
 	asked   map[id.Team]float64
 	waited  time.Duration
 	offers  int
 }
 
-type spent struct {
+type grant struct {
 	at   time.Duration
 	cost float64
 }
@@ -364,7 +364,7 @@
 func (l load) play(make func(*fleet) strategy, seed uint64) *fleet {
 	w := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
-		down: makeDown(l.daemons), granted: map[id.Team][]spent{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
+		down: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
 	}
 	weights, total := l.weights()
 	for i, weight := range weights {
@@ -444,7 +444,7 @@
 		w.offers++
 		w.waited += w.now - began
 		if ok {
-			w.granted[team] = append(w.granted[team], spent{w.now, cost})
+			w.granted[team] = append(w.granted[team], grant{w.now, cost})
 		} else {
 			w.refused[team] += cost
 		}
