--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -106,7 +106,7 @@
 
 // accounts is the way of the product: accounts at one keeper, which large
 // requests ask, and small ones paid ahead and settled.
-type accounts struct {
+type keeperAccounts struct {
 	keeper  int
 	ledger  *Ledger
 	purses  []*Purse
@@ -114,7 +114,7 @@
 }
 
 func newAccounts(w *fleet) strategy {
-	a := &accounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, w.daemons)}
+	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		p := NewPurse()
 		p.SetAhead(testTolerance.Ahead(w.daemons))
@@ -123,7 +123,7 @@
 	return a
 }
 
-func (a *accounts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (a *keeperAccounts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	switch answer, _ := a.purses[daemon].Spend(w.now, team, cost); answer {
 	case Paid:
 		done(true)
@@ -134,7 +134,7 @@
 	}
 }
 
-func (a *accounts) ask(w *fleet, daemon int, team id.Team, cost float64, done func(bool), tries int) {
+func (a *keeperAccounts) ask(w *fleet, daemon int, team id.Team, cost float64, done func(bool), tries int) {
 	answered := false
 	w.send(a.keeper, func() {
 		ok, refused := a.ledger.Take(w.now, Charge{Team: team, Limit: w.limits[team], Cost: cost, Share: 1})
@@ -157,7 +157,7 @@
 	})
 }
 
-func (a *accounts) every(w *fleet, daemon int) {
+func (a *keeperAccounts) every(w *fleet, daemon int) {
 	if w.now-a.settled[daemon] < 500*time.Millisecond {
 		return
 	}
@@ -178,7 +178,7 @@
 
 // died has the next daemon keep the accounts once the keeper's silence is
 // noticed.
-func (a *accounts) died(w *fleet, daemon int) {
+func (a *keeperAccounts) died(w *fleet, daemon int) {
 	if daemon == a.keeper {
 		w.after(400*time.Millisecond, func() {
 			a.keeper = (a.keeper + 1) % w.daemons
@@ -388,7 +388,7 @@
 	for _, at := range l.keeperDies {
 		w.after(at, func() {
 			keeper := 0
-			if a, ok := way.(*accounts); ok {
+			if a, ok := way.(*keeperAccounts); ok {
 				keeper = a.keeper
 			}
 			w.down[keeper] = w.now + 3*time.Second
