--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -113,7 +113,7 @@
 	settled []time.Duration
 }
 
-func newAccounts(w *fleet) strategy {
+func newKeeperAccounts(w *fleet) strategy {
 	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		p := NewPurse()
@@ -488,7 +488,7 @@
 	name string
 	make func(*fleet) strategy
 }{
-	{"accounts at one keeper", newAccounts},
+	{"accounts at one keeper", newKeeperAccounts},
 	{"credit lent for a term", newLeases},
 	{"fixed shares", newShares},
 	{"counts told to all", newCounts},
@@ -508,7 +508,7 @@
 func TestATeamThatSendsManyTimesItsUsualKeepsItsLimit(t *testing.T) {
 	for name, l := range hotLoads(82) {
 		for seed := range uint64(3) {
-			w := l.play(newAccounts, seed)
+			w := l.play(newKeeperAccounts, seed)
 			if worst := w.worst(); worst > 1 {
 				t.Errorf("%s, seed %d: a team had %.2f of what it may have", name, seed, worst)
 			}
