--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -192,10 +192,10 @@
 type leases struct {
 	keeper int
 	// lent is what each daemon may spend of each team, and until when.
-	lent []map[id.Team]*lent
+	lent []map[id.Team]*credit
 }
 
-type lent struct {
+type credit struct {
 	balance, rate, use float64
 	at, asked          time.Duration
 }
@@ -206,17 +206,17 @@
 func newLeases(w *fleet) strategy {
 	l := &leases{}
 	for range w.daemons {
-		l.lent = append(l.lent, map[id.Team]*lent{})
+		l.lent = append(l.lent, map[id.Team]*credit{})
 	}
 	return l
 }
 
-func (l *leases) of(w *fleet, daemon int, team id.Team) *lent {
+func (l *leases) of(w *fleet, daemon int, team id.Team) *credit {
 	x := l.lent[daemon][team]
 	if x == nil {
 		// Until the keeper has answered, the part that each daemon may count on.
 		part := w.limits[team].Rate / float64(w.daemons)
-		x = &lent{rate: part, balance: part, at: w.now}
+		x = &credit{rate: part, balance: part, at: w.now}
 		l.lent[daemon][team] = x
 	}
 	x.balance = min(x.balance+x.rate*(w.now-x.at).Seconds(), max(x.rate, 1)*term.Seconds())
@@ -259,7 +259,7 @@
 }
 
 func (l *leases) died(w *fleet, daemon int) {
-	l.lent[daemon] = map[id.Team]*lent{}
+	l.lent[daemon] = map[id.Team]*credit{}
 	if daemon == l.keeper {
 		w.after(400*time.Millisecond, func() { l.keeper = (l.keeper + 1) % w.daemons })
 	}
