--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -192,7 +192,7 @@
 type leases struct {
 	keeper int
 	// lent is what each daemon may spend of each team, and until when.
-	lent []map[id.Team]*credit
+	credits []map[id.Team]*credit
 }
 
 type credit struct {
@@ -206,18 +206,18 @@
 func newLeases(w *fleet) strategy {
 	l := &leases{}
 	for range w.daemons {
-		l.lent = append(l.lent, map[id.Team]*credit{})
+		l.credits = append(l.credits, map[id.Team]*credit{})
 	}
 	return l
 }
 
 func (l *leases) of(w *fleet, daemon int, team id.Team) *credit {
-	x := l.lent[daemon][team]
+	x := l.credits[daemon][team]
 	if x == nil {
 		// Until the keeper has answered, the part that each daemon may count on.
 		part := w.limits[team].Rate / float64(w.daemons)
 		x = &credit{rate: part, balance: part, at: w.now}
-		l.lent[daemon][team] = x
+		l.credits[daemon][team] = x
 	}
 	x.balance = min(x.balance+x.rate*(w.now-x.at).Seconds(), max(x.rate, 1)*term.Seconds())
 	x.at = w.now
@@ -236,7 +236,7 @@
 }
 
 func (l *leases) every(w *fleet, daemon int) {
-	for team, x := range l.lent[daemon] {
+	for team, x := range l.credits[daemon] {
 		if w.now-x.asked < term {
 			continue
 		}
@@ -244,7 +244,7 @@
 		w.send(l.keeper, func() {
 			// By proportional use, as the use of all daemons is known there.
 			total := 0.0
-			for _, other := range l.lent {
+			for _, other := range l.credits {
 				if o := other[team]; o != nil {
 					total += o.use
 				}
@@ -259,7 +259,7 @@
 }
 
 func (l *leases) died(w *fleet, daemon int) {
-	l.lent[daemon] = map[id.Team]*credit{}
+	l.credits[daemon] = map[id.Team]*credit{}
 	if daemon == l.keeper {
 		w.after(400*time.Millisecond, func() { l.keeper = (l.keeper + 1) % w.daemons })
 	}
