--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -211,7 +211,7 @@
 	return l
 }
 
-func (l *leases) of(w *fleet, daemon int, team id.Team) *credit {
+func (l *leases) creditOf(w *fleet, daemon int, team id.Team) *credit {
 	x := l.credits[daemon][team]
 	if x == nil {
 		// Until the keeper has answered, the part that each daemon may count on.
@@ -225,7 +225,7 @@
 }
 
 func (l *leases) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
-	x := l.of(w, daemon, team)
+	x := l.creditOf(w, daemon, team)
 	x.use += cost
 	if x.balance <= 0 {
 		done(false)
