--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -201,7 +201,7 @@
 }
 
 // term is how long a lease is good, and after how long it is asked for again.
-const term = time.Second
+const leaseTerm = time.Second
 
 func newLeases(w *fleet) strategy {
 	l := &leases{}
@@ -219,7 +219,7 @@
 		x = &credit{rate: part, balance: part, at: w.now}
 		l.credits[daemon][team] = x
 	}
-	x.balance = min(x.balance+x.rate*(w.now-x.at).Seconds(), max(x.rate, 1)*term.Seconds())
+	x.balance = min(x.balance+x.rate*(w.now-x.at).Seconds(), max(x.rate, 1)*leaseTerm.Seconds())
 	x.at = w.now
 	return x
 }
@@ -237,7 +237,7 @@
 
 func (l *leases) every(w *fleet, daemon int) {
 	for team, x := range l.credits[daemon] {
-		if w.now-x.asked < term {
+		if w.now-x.asked < leaseTerm {
 			continue
 		}
 		x.asked = w.now
