--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -266,17 +266,17 @@
 }
 
 // shares gives each daemon a fixed part of each rate and of the burst.
-type shares struct{ ledgers []*Ledger }
+type fixedShares struct{ ledgers []*Ledger }
 
 func newShares(w *fleet) strategy {
-	s := &shares{}
+	s := &fixedShares{}
 	for range w.daemons {
 		s.ledgers = append(s.ledgers, NewLedger(Tolerance{}))
 	}
 	return s
 }
 
-func (s *shares) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (s *fixedShares) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	limit := w.limits[team]
 	limit.Rate /= float64(w.daemons)
 	limit.Burst /= float64(w.daemons)
@@ -284,8 +284,8 @@
 	done(ok)
 }
 
-func (s *shares) every(*fleet, int)         {}
-func (s *shares) died(_ *fleet, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
+func (s *fixedShares) every(*fleet, int)         {}
+func (s *fixedShares) died(_ *fleet, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
 
 // counts has each daemon tell all others what it has used; each admits the share
 // of a team's requests that would have kept to the rate by the last counts.
