--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -268,7 +268,7 @@
 // shares gives each daemon a fixed part of each rate and of the burst.
 type fixedShares struct{ ledgers []*Ledger }
 
-func newShares(w *fleet) strategy {
+func newFixedShares(w *fleet) strategy {
 	s := &fixedShares{}
 	for range w.daemons {
 		s.ledgers = append(s.ledgers, NewLedger(Tolerance{}))
@@ -490,7 +490,7 @@
 }{
 	{"accounts at one keeper", newKeeperAccounts},
 	{"credit lent for a term", newLeases},
-	{"fixed shares", newShares},
+	{"fixed shares", newFixedShares},
 	{"counts told to all", newCounts},
 }
 
