--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -289,7 +289,7 @@
 
 // counts has each daemon tell all others what it has used; each admits the share
 // of a team's requests that would have kept to the rate by the last counts.
-type counts struct {
+type broadcastCounts struct {
 	// told is the use of each team by the last counts of all, in units a second.
 	told   []map[id.Team]float64
 	own    []map[id.Team]float64
@@ -297,7 +297,7 @@
 }
 
 func newCounts(w *fleet) strategy {
-	c := &counts{sentAt: make([]time.Duration, w.daemons)}
+	c := &broadcastCounts{sentAt: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		c.told = append(c.told, map[id.Team]float64{})
 		c.own = append(c.own, map[id.Team]float64{})
@@ -305,13 +305,13 @@
 	return c
 }
 
-func (c *counts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (c *broadcastCounts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	c.own[daemon][team] += cost
 	use := c.told[daemon][team]
 	done(use <= w.limits[team].Rate || w.rng.Float64() < w.limits[team].Rate/use)
 }
 
-func (c *counts) every(w *fleet, daemon int) {
+func (c *broadcastCounts) every(w *fleet, daemon int) {
 	if w.now-c.sentAt[daemon] < 500*time.Millisecond {
 		return
 	}
@@ -331,7 +331,7 @@
 	}
 }
 
-func (c *counts) died(_ *fleet, daemon int) {
+func (c *broadcastCounts) died(_ *fleet, daemon int) {
 	c.told[daemon], c.own[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
 }
 
