--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -296,7 +296,7 @@
 	sentAt []time.Duration
 }
 
-func newCounts(w *fleet) strategy {
+func newBroadcastCounts(w *fleet) strategy {
 	c := &broadcastCounts{sentAt: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		c.told = append(c.told, map[id.Team]float64{})
@@ -491,7 +491,7 @@
 	{"accounts at one keeper", newKeeperAccounts},
 	{"credit lent for a term", newLeases},
 	{"fixed shares", newFixedShares},
-	{"counts told to all", newCounts},
+	{"counts told to all", newBroadcastCounts},
 }
 
 // hotLoads are plays of one team that sends 7.5 times its usual.
