--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -337,7 +337,7 @@
 
 // load is a play: teams of unequal size, one of which sends many times its
 // usual, prompts and plain calls.
-type load struct {
+type workload struct {
 	daemons, teams int
 	// hot times its usual is what the hot team sends, from hotAt to hotEnd.
 	hot           float64
@@ -361,7 +361,7 @@
 	leastRate = 36_000
 )
 
-func (l load) play(make func(*fleet) strategy, seed uint64) *fleet {
+func (l workload) play(make func(*fleet) strategy, seed uint64) *fleet {
 	w := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
 		down: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
@@ -402,7 +402,7 @@
 func makeDown(n int) []time.Duration { return make([]time.Duration, n) }
 
 // weights make the first teams several times as large as the last.
-func (l load) weights() (weights []float64, total float64) {
+func (l workload) weights() (weights []float64, total float64) {
 	for i := range l.teams {
 		weights = append(weights, 1/math.Sqrt(float64(i+1)))
 		total += weights[i]
@@ -415,7 +415,7 @@
 // hotTeam is the one that sends more than it may.
 const hotTeam = 1
 
-func (l load) arrivals(w *fleet, way strategy, i int, perS, cost float64) {
+func (l workload) arrivals(w *fleet, way strategy, i int, perS, cost float64) {
 	team := teamName(i)
 	var next func()
 	next = func() {
@@ -495,12 +495,12 @@
 }
 
 // hotLoads are plays of one team that sends 7.5 times its usual.
-func hotLoads(daemons int) map[string]load {
-	base := load{daemons: daemons, teams: 16, hot: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
+func hotLoads(daemons int) map[string]workload {
+	base := workload{daemons: daemons, teams: 16, hot: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
 	moved, dies := base, base
 	moved.moved = true
 	dies.keeperDies = []time.Duration{12 * time.Second, 16 * time.Second}
-	return map[string]load{"hot": base, "hot at one daemon": moved, "hot, the keeper dies twice": dies}
+	return map[string]workload{"hot": base, "hot at one daemon": moved, "hot, the keeper dies twice": dies}
 }
 
 // TestATeamThatSendsManyTimesItsUsualKeepsItsLimit replays it on 82 daemons, with
