--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -355,7 +355,7 @@
 	// promptsPerS and plainPerS are those of all teams together, on any number of
 	// daemons.
 	promptsPerSecond = 53.0
-	plainPerS        = 246.0
+	plainPerSecond   = 246.0
 	// allowance is how many times its usual use a team's limit is.
 	allowance = 1.8
 	leastRate = 36_000
@@ -368,14 +368,14 @@
 	}
 	weights, total := l.weights()
 	for i, weight := range weights {
-		use := weight / total * (promptsPerSecond*promptCost + plainPerS*plainCost)
+		use := weight / total * (promptsPerSecond*promptCost + plainPerSecond*plainCost)
 		rate := max(allowance*use, leastRate)
 		w.limits[teamName(i)] = Limit{Rate: rate, Burst: rate, ByTokens: true, PlainTokens: plainCost}
 	}
 	way := make(w)
 	for i, weight := range weights {
 		l.arrivals(w, way, i, weight/total*promptsPerSecond, promptCost)
-		l.arrivals(w, way, i, weight/total*plainPerS, plainCost)
+		l.arrivals(w, way, i, weight/total*plainPerSecond, plainCost)
 	}
 	for d := range l.daemons {
 		var step func()
