--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -358,7 +358,7 @@
 	plainPerSecond   = 246.0
 	// allowance is how many times its usual use a team's limit is.
 	limitFactor = 1.8
-	leastRate   = 36_000
+	minRate     = 36_000
 )
 
 func (l workload) play(make func(*fleet) strategy, seed uint64) *fleet {
@@ -369,7 +369,7 @@
 	weights, total := l.weights()
 	for i, weight := range weights {
 		use := weight / total * (promptsPerSecond*promptCost + plainPerSecond*plainCost)
-		rate := max(limitFactor*use, leastRate)
+		rate := max(limitFactor*use, minRate)
 		w.limits[teamName(i)] = Limit{Rate: rate, Burst: rate, ByTokens: true, PlainTokens: plainCost}
 	}
 	way := make(w)
