--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -484,7 +484,7 @@
 	return refused / asked
 }
 
-var ways = []struct {
+var strategies = []struct {
 	name string
 	make func(*fleet) strategy
 }{
@@ -526,7 +526,7 @@
 func BenchmarkWaysOfHoldingALimit(b *testing.B) {
 	for _, daemons := range []int{9, 82, 143, 420} {
 		for name, l := range hotLoads(daemons) {
-			for _, x := range ways {
+			for _, x := range strategies {
 				b.Run(fmt.Sprintf("%d daemons/%s/%s", daemons, name, x.name), func(b *testing.B) {
 					var w *fleet
 					for b.Loop() {
