--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -495,7 +495,7 @@
 }
 
 // hotLoads are plays of one team that sends 7.5 times its usual.
-func hotLoads(daemons int) map[string]workload {
+func hotWorkloads(daemons int) map[string]workload {
 	base := workload{daemons: daemons, teams: 16, hot: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
 	moved, dies := base, base
 	moved.moved = true
@@ -506,7 +506,7 @@
 // TestATeamThatSendsManyTimesItsUsualKeepsItsLimit replays it on 82 daemons, with
 // the keeper dying meanwhile: the bound holds, and nobody else is refused.
 func TestATeamThatSendsManyTimesItsUsualKeepsItsLimit(t *testing.T) {
-	for name, l := range hotLoads(82) {
+	for name, l := range hotWorkloads(82) {
 		for seed := range uint64(3) {
 			w := l.play(newKeeperAccounts, seed)
 			if worst := w.worst(); worst > 1 {
@@ -525,7 +525,7 @@
 // daemon.
 func BenchmarkWaysOfHoldingALimit(b *testing.B) {
 	for _, daemons := range []int{9, 82, 143, 420} {
-		for name, l := range hotLoads(daemons) {
+		for name, l := range hotWorkloads(daemons) {
 			for _, x := range strategies {
 				b.Run(fmt.Sprintf("%d daemons/%s/%s", daemons, name, x.name), func(b *testing.B) {
 					var w *fleet
