--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -23,7 +23,7 @@
 	debt float64
 	// shutUntil is until when the keeper has nothing to grant, tightUntil until
 	// when each request asks it first.
-	shutUntil, tightUntil time.Duration
+	refuseUntil, tightUntil time.Duration
 	// backAt is when those that are refused should come back.
 	backAt time.Duration
 	// used is when the team last had a request here.
@@ -64,8 +64,8 @@
 func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (a Decision, wait time.Duration) {
 	k := p.budget(now, team)
 	switch {
-	case now < k.shutUntil:
-		return Refused, max(k.backAt, k.shutUntil) - now
+	case now < k.refuseUntil:
+		return Refused, max(k.backAt, k.refuseUntil) - now
 	case now < k.tightUntil || k.debt+cost > p.maxDebt:
 		return AskKeeper, 0
 	}
@@ -76,15 +76,15 @@
 // Shut notes that the keeper has nothing to grant to a team for a while.
 func (p *Purse) Shut(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
-	k.shutUntil = now + min(r.Wait, maxRefusePeriod)
+	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
 	k.backAt = now + r.Back
-	k.tightUntil = k.shutUntil + askPeriod
+	k.tightUntil = k.refuseUntil + askPeriod
 }
 
 // Open forgets all refusals: another keeper, or another limit, may have room.
 func (p *Purse) Open() {
 	for _, k := range p.budgets {
-		k.shutUntil = 0
+		k.refuseUntil = 0
 	}
 }
 
