--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -23,7 +23,7 @@
 	debt float64
 	// shutUntil is until when the keeper has nothing to grant, tightUntil until
 	// when each request asks it first.
-	refuseUntil, tightUntil time.Duration
+	refuseUntil, askUntil time.Duration
 	// backAt is when those that are refused should come back.
 	backAt time.Duration
 	// used is when the team last had a request here.
@@ -66,7 +66,7 @@
 	switch {
 	case now < k.refuseUntil:
 		return Refused, max(k.backAt, k.refuseUntil) - now
-	case now < k.tightUntil || k.debt+cost > p.maxDebt:
+	case now < k.askUntil || k.debt+cost > p.maxDebt:
 		return AskKeeper, 0
 	}
 	k.debt += cost
@@ -78,7 +78,7 @@
 	k := p.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
 	k.backAt = now + r.Back
-	k.tightUntil = k.refuseUntil + askPeriod
+	k.askUntil = k.refuseUntil + askPeriod
 }
 
 // Open forgets all refusals: another keeper, or another limit, may have room.
