--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -25,7 +25,7 @@
 	// when each request asks it first.
 	refuseUntil, askUntil time.Duration
 	// backAt is when those that are refused should come back.
-	backAt time.Duration
+	retryAt time.Duration
 	// used is when the team last had a request here.
 	used time.Duration
 }
@@ -65,7 +65,7 @@
 	k := p.budget(now, team)
 	switch {
 	case now < k.refuseUntil:
-		return Refused, max(k.backAt, k.refuseUntil) - now
+		return Refused, max(k.retryAt, k.refuseUntil) - now
 	case now < k.askUntil || k.debt+cost > p.maxDebt:
 		return AskKeeper, 0
 	}
@@ -77,7 +77,7 @@
 func (p *Purse) Shut(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
-	k.backAt = now + r.Back
+	k.retryAt = now + r.Back
 	k.askUntil = k.refuseUntil + askPeriod
 }
 
