--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -27,7 +27,7 @@
 	// backAt is when those that are refused should come back.
 	retryAt time.Duration
 	// used is when the team last had a request here.
-	used time.Duration
+	lastUsed time.Duration
 }
 
 const (
@@ -114,7 +114,7 @@
 			k.debt = 0
 		}
 	}
-	maps.DeleteFunc(p.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.used >= budgetIdleTimeout })
+	maps.DeleteFunc(p.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.lastUsed >= budgetIdleTimeout })
 	slices.SortFunc(out, func(a, b Debt) int { return cmp.Compare(a.Team, b.Team) })
 	return out
 }
@@ -125,6 +125,6 @@
 		k = &teamBudget{}
 		p.budgets[team] = k
 	}
-	k.used = now
+	k.lastUsed = now
 	return k
 }
