--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -17,7 +17,7 @@
 // way is one of them. offer decides about a request that came to a daemon; it
 // calls done at once or after messages have gone there and back.
 type strategy interface {
-	offer(w *fleet, daemon int, team id.Team, cost float64, done func(ok bool))
+	decide(w *fleet, daemon int, team id.Team, cost float64, done func(ok bool))
 	// every is called each step of a daemon, for what is exchanged in the
 	// background.
 	every(w *fleet, daemon int)
@@ -123,7 +123,7 @@
 	return a
 }
 
-func (a *keeperAccounts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (a *keeperAccounts) decide(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	switch answer, _ := a.purses[daemon].Spend(w.now, team, cost); answer {
 	case Paid:
 		done(true)
@@ -224,7 +224,7 @@
 	return x
 }
 
-func (l *leases) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (l *leases) decide(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	x := l.creditOf(w, daemon, team)
 	x.use += cost
 	if x.balance <= 0 {
@@ -276,7 +276,7 @@
 	return s
 }
 
-func (s *fixedShares) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (s *fixedShares) decide(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	limit := w.limits[team]
 	limit.Rate /= float64(w.daemons)
 	limit.Burst /= float64(w.daemons)
@@ -305,7 +305,7 @@
 	return c
 }
 
-func (c *broadcastCounts) offer(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
+func (c *broadcastCounts) decide(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	c.own[daemon][team] += cost
 	use := c.told[daemon][team]
 	done(use <= w.limits[team].Rate || w.rng.Float64() < w.limits[team].Rate/use)
@@ -440,7 +440,7 @@
 	}
 	began := w.now
 	w.asked[team] += cost
-	way.offer(w, daemon, team, cost, func(ok bool) {
+	way.decide(w, daemon, team, cost, func(ok bool) {
 		w.offers++
 		w.waited += w.now - began
 		if ok {
