--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -20,7 +20,7 @@
 	decide(w *fleet, daemon int, team id.Team, cost float64, done func(ok bool))
 	// every is called each step of a daemon, for what is exchanged in the
 	// background.
-	every(w *fleet, daemon int)
+	exchange(w *fleet, daemon int)
 	// died is called when a daemon starts anew without what it knew.
 	died(w *fleet, daemon int)
 }
@@ -157,7 +157,7 @@
 	})
 }
 
-func (a *keeperAccounts) every(w *fleet, daemon int) {
+func (a *keeperAccounts) exchange(w *fleet, daemon int) {
 	if w.now-a.settled[daemon] < 500*time.Millisecond {
 		return
 	}
@@ -235,7 +235,7 @@
 	done(true)
 }
 
-func (l *leases) every(w *fleet, daemon int) {
+func (l *leases) exchange(w *fleet, daemon int) {
 	for team, x := range l.credits[daemon] {
 		if w.now-x.asked < leaseTerm {
 			continue
@@ -284,7 +284,7 @@
 	done(ok)
 }
 
-func (s *fixedShares) every(*fleet, int)         {}
+func (s *fixedShares) exchange(*fleet, int)      {}
 func (s *fixedShares) died(_ *fleet, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
 
 // counts has each daemon tell all others what it has used; each admits the share
@@ -311,7 +311,7 @@
 	done(use <= w.limits[team].Rate || w.rng.Float64() < w.limits[team].Rate/use)
 }
 
-func (c *broadcastCounts) every(w *fleet, daemon int) {
+func (c *broadcastCounts) exchange(w *fleet, daemon int) {
 	if w.now-c.sentAt[daemon] < 500*time.Millisecond {
 		return
 	}
@@ -380,7 +380,7 @@
 	for d := range l.daemons {
 		var step func()
 		step = func() {
-			way.every(w, d)
+			way.exchange(w, d)
 			w.after(exchangeInterval, step)
 		}
 		w.after(time.Duration(w.rng.Int64N(int64(exchangeInterval))), step)
