--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -22,7 +22,7 @@
 	// background.
 	exchange(w *fleet, daemon int)
 	// died is called when a daemon starts anew without what it knew.
-	died(w *fleet, daemon int)
+	restarted(w *fleet, daemon int)
 }
 
 const (
@@ -178,7 +178,7 @@
 
 // died has the next daemon keep the accounts once the keeper's silence is
 // noticed.
-func (a *keeperAccounts) died(w *fleet, daemon int) {
+func (a *keeperAccounts) restarted(w *fleet, daemon int) {
 	if daemon == a.keeper {
 		w.after(400*time.Millisecond, func() {
 			a.keeper = (a.keeper + 1) % w.daemons
@@ -258,7 +258,7 @@
 	}
 }
 
-func (l *leases) died(w *fleet, daemon int) {
+func (l *leases) restarted(w *fleet, daemon int) {
 	l.credits[daemon] = map[id.Team]*credit{}
 	if daemon == l.keeper {
 		w.after(400*time.Millisecond, func() { l.keeper = (l.keeper + 1) % w.daemons })
@@ -284,8 +284,8 @@
 	done(ok)
 }
 
-func (s *fixedShares) exchange(*fleet, int)      {}
-func (s *fixedShares) died(_ *fleet, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
+func (s *fixedShares) exchange(*fleet, int)           {}
+func (s *fixedShares) restarted(_ *fleet, daemon int) { s.ledgers[daemon] = NewLedger(Tolerance{}) }
 
 // counts has each daemon tell all others what it has used; each admits the share
 // of a team's requests that would have kept to the rate by the last counts.
@@ -331,7 +331,7 @@
 	}
 }
 
-func (c *broadcastCounts) died(_ *fleet, daemon int) {
+func (c *broadcastCounts) restarted(_ *fleet, daemon int) {
 	c.told[daemon], c.own[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
 }
 
@@ -392,7 +392,7 @@
 				keeper = a.keeper
 			}
 			w.down[keeper] = w.now + 3*time.Second
-			way.died(w, keeper)
+			way.restarted(w, keeper)
 		})
 	}
 	w.run(l.length)
