--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -44,8 +44,8 @@
 	daemons int
 	limits  map[id.Team]Limit
 	// down is until when a daemon neither hears nor answers.
-	down     []time.Duration
-	messages int
+	downUntil []time.Duration
+	messages  int
 	// granted are the moments and costs of what ran, by team.
 	granted map[id.Team][]grant
 	refused map[id.Team]float64
@@ -89,7 +89,7 @@
 func (w *fleet) send(to int, do func()) {
 	w.messages++
 	w.after(messageDelay, func() {
-		if w.now >= w.down[to] {
+		if w.now >= w.downUntil[to] {
 			do()
 		}
 	})
@@ -364,7 +364,7 @@
 func (l workload) play(make func(*fleet) strategy, seed uint64) *fleet {
 	w := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
-		down: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
+		downUntil: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
 	}
 	weights, total := l.weights()
 	for i, weight := range weights {
@@ -391,7 +391,7 @@
 			if a, ok := way.(*keeperAccounts); ok {
 				keeper = a.keeper
 			}
-			w.down[keeper] = w.now + 3*time.Second
+			w.downUntil[keeper] = w.now + 3*time.Second
 			way.restarted(w, keeper)
 		})
 	}
@@ -435,7 +435,7 @@
 }
 
 func (w *fleet) request(way strategy, daemon int, team id.Team, cost float64) {
-	if w.now < w.down[daemon] {
+	if w.now < w.downUntil[daemon] {
 		return
 	}
 	began := w.now
