--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -47,11 +47,11 @@
 	downUntil []time.Duration
 	messages  int
 	// granted are the moments and costs of what ran, by team.
-	granted map[id.Team][]grant
-	refused map[id.Team]float64
-	asked   map[id.Team]float64
-	waited  time.Duration
-	offers  int
+	granted   map[id.Team][]grant
+	refused   map[id.Team]float64
+	requested map[id.Team]float64
+	waited    time.Duration
+	offers    int
 }
 
 type grant struct {
@@ -364,7 +364,7 @@
 func (l workload) play(make func(*fleet) strategy, seed uint64) *fleet {
 	w := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
-		downUntil: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, asked: map[id.Team]float64{},
+		downUntil: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, requested: map[id.Team]float64{},
 	}
 	weights, total := l.weights()
 	for i, weight := range weights {
@@ -439,7 +439,7 @@
 		return
 	}
 	began := w.now
-	w.asked[team] += cost
+	w.requested[team] += cost
 	way.decide(w, daemon, team, cost, func(ok bool) {
 		w.offers++
 		w.waited += w.now - began
@@ -478,7 +478,7 @@
 	for team := range w.limits {
 		if team != teamName(hotTeam) {
 			refused += w.refused[team]
-			asked += w.asked[team]
+			asked += w.requested[team]
 		}
 	}
 	return refused / asked
