--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -50,7 +50,7 @@
 	granted   map[id.Team][]grant
 	refused   map[id.Team]float64
 	requested map[id.Team]float64
-	waited    time.Duration
+	totalWait time.Duration
 	offers    int
 }
 
@@ -442,7 +442,7 @@
 	w.requested[team] += cost
 	way.decide(w, daemon, team, cost, func(ok bool) {
 		w.offers++
-		w.waited += w.now - began
+		w.totalWait += w.now - began
 		if ok {
 			w.granted[team] = append(w.granted[team], grant{w.now, cost})
 		} else {
@@ -534,7 +534,7 @@
 					}
 					b.ReportMetric(w.worst(), "most/allowed")
 					b.ReportMetric(w.refusedBelow(), "refused-below")
-					b.ReportMetric(float64(w.waited.Microseconds())/1000/float64(max(1, w.offers)), "ms-added")
+					b.ReportMetric(float64(w.totalWait.Microseconds())/1000/float64(max(1, w.offers)), "ms-added")
 					b.ReportMetric(float64(w.messages)/l.length.Seconds()/float64(daemons), "messages/s")
 				})
 			}
