--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -51,7 +51,7 @@
 	refused   map[id.Team]float64
 	requested map[id.Team]float64
 	totalWait time.Duration
-	offers    int
+	decisions int
 }
 
 type grant struct {
@@ -441,7 +441,7 @@
 	began := w.now
 	w.requested[team] += cost
 	way.decide(w, daemon, team, cost, func(ok bool) {
-		w.offers++
+		w.decisions++
 		w.totalWait += w.now - began
 		if ok {
 			w.granted[team] = append(w.granted[team], grant{w.now, cost})
@@ -534,7 +534,7 @@
 					}
 					b.ReportMetric(w.worst(), "most/allowed")
 					b.ReportMetric(w.refusedBelow(), "refused-below")
-					b.ReportMetric(float64(w.totalWait.Microseconds())/1000/float64(max(1, w.offers)), "ms-added")
+					b.ReportMetric(float64(w.totalWait.Microseconds())/1000/float64(max(1, w.decisions)), "ms-added")
 					b.ReportMetric(float64(w.messages)/l.length.Seconds()/float64(daemons), "messages/s")
 				})
 			}
