--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -80,7 +80,7 @@
 	return last
 }
 
-func (w *fleet) after(d time.Duration, do func()) {
+func (w *fleet) schedule(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now + d, w.serial, do})
 }
@@ -88,7 +88,7 @@
 // send carries a message; a daemon that is down loses it.
 func (w *fleet) send(to int, do func()) {
 	w.messages++
-	w.after(messageDelay, func() {
+	w.schedule(messageDelay, func() {
 		if w.now >= w.downUntil[to] {
 			do()
 		}
@@ -146,7 +146,7 @@
 			done(ok)
 		})
 	})
-	w.after(150*time.Millisecond, func() {
+	w.schedule(150*time.Millisecond, func() {
 		switch {
 		case answered:
 		case tries == 9:
@@ -180,7 +180,7 @@
 // noticed.
 func (a *keeperAccounts) restarted(w *fleet, daemon int) {
 	if daemon == a.keeper {
-		w.after(400*time.Millisecond, func() {
+		w.schedule(400*time.Millisecond, func() {
 			a.keeper = (a.keeper + 1) % w.daemons
 			a.ledger = NewLedger(testTolerance)
 		})
@@ -261,7 +261,7 @@
 func (l *leases) restarted(w *fleet, daemon int) {
 	l.credits[daemon] = map[id.Team]*credit{}
 	if daemon == l.keeper {
-		w.after(400*time.Millisecond, func() { l.keeper = (l.keeper + 1) % w.daemons })
+		w.schedule(400*time.Millisecond, func() { l.keeper = (l.keeper + 1) % w.daemons })
 	}
 }
 
@@ -381,12 +381,12 @@
 		var step func()
 		step = func() {
 			way.exchange(w, d)
-			w.after(exchangeInterval, step)
+			w.schedule(exchangeInterval, step)
 		}
-		w.after(time.Duration(w.rng.Int64N(int64(exchangeInterval))), step)
+		w.schedule(time.Duration(w.rng.Int64N(int64(exchangeInterval))), step)
 	}
 	for _, at := range l.keeperDies {
-		w.after(at, func() {
+		w.schedule(at, func() {
 			keeper := 0
 			if a, ok := way.(*keeperAccounts); ok {
 				keeper = a.keeper
@@ -424,14 +424,14 @@
 		if hot {
 			rate *= l.hot
 		}
-		w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
+		w.schedule(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
 		daemon := w.rng.IntN(w.daemons)
 		if hot && l.moved {
 			daemon = w.daemons - 1
 		}
 		w.request(way, daemon, team, cost)
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/perS*float64(time.Second)), next)
+	w.schedule(time.Duration(w.rng.ExpFloat64()/perS*float64(time.Second)), next)
 }
 
 func (w *fleet) request(way strategy, daemon int, team id.Team, cost float64) {
