--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -40,7 +40,7 @@
 	rng     *rand.Rand
 	now     time.Duration
 	events  events
-	serial  int
+	seq     int
 	daemons int
 	limits  map[id.Team]Limit
 	// down is until when a daemon neither hears nor answers.
@@ -81,8 +81,8 @@
 }
 
 func (w *fleet) schedule(d time.Duration, do func()) {
-	w.serial++
-	heap.Push(&w.events, event{w.now + d, w.serial, do})
+	w.seq++
+	heap.Push(&w.events, event{w.now + d, w.seq, do})
 }
 
 // send carries a message; a daemon that is down loses it.
