--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -291,15 +291,15 @@
 // of a team's requests that would have kept to the rate by the last counts.
 type broadcastCounts struct {
 	// told is the use of each team by the last counts of all, in units a second.
-	told   []map[id.Team]float64
-	own    []map[id.Team]float64
-	sentAt []time.Duration
+	knownUse []map[id.Team]float64
+	own      []map[id.Team]float64
+	sentAt   []time.Duration
 }
 
 func newBroadcastCounts(w *fleet) strategy {
 	c := &broadcastCounts{sentAt: make([]time.Duration, w.daemons)}
 	for range w.daemons {
-		c.told = append(c.told, map[id.Team]float64{})
+		c.knownUse = append(c.knownUse, map[id.Team]float64{})
 		c.own = append(c.own, map[id.Team]float64{})
 	}
 	return c
@@ -307,7 +307,7 @@
 
 func (c *broadcastCounts) decide(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	c.own[daemon][team] += cost
-	use := c.told[daemon][team]
+	use := c.knownUse[daemon][team]
 	done(use <= w.limits[team].Rate || w.rng.Float64() < w.limits[team].Rate/use)
 }
 
@@ -317,7 +317,7 @@
 	}
 	for team := range w.limits {
 		// Averaged over some exchanges.
-		c.told[daemon][team] *= 0.5
+		c.knownUse[daemon][team] *= 0.5
 	}
 	c.sentAt[daemon] = w.now
 	mine := c.own[daemon]
@@ -325,14 +325,14 @@
 	for to := range w.daemons {
 		w.send(to, func() {
 			for team, n := range mine {
-				c.told[to][team] += n
+				c.knownUse[to][team] += n
 			}
 		})
 	}
 }
 
 func (c *broadcastCounts) restarted(_ *fleet, daemon int) {
-	c.told[daemon], c.own[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
+	c.knownUse[daemon], c.own[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
 }
 
 // load is a play: teams of unequal size, one of which sends many times its
