--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -292,7 +292,7 @@
 type broadcastCounts struct {
 	// told is the use of each team by the last counts of all, in units a second.
 	knownUse []map[id.Team]float64
-	own      []map[id.Team]float64
+	ownUse   []map[id.Team]float64
 	sentAt   []time.Duration
 }
 
@@ -300,13 +300,13 @@
 	c := &broadcastCounts{sentAt: make([]time.Duration, w.daemons)}
 	for range w.daemons {
 		c.knownUse = append(c.knownUse, map[id.Team]float64{})
-		c.own = append(c.own, map[id.Team]float64{})
+		c.ownUse = append(c.ownUse, map[id.Team]float64{})
 	}
 	return c
 }
 
 func (c *broadcastCounts) decide(w *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
-	c.own[daemon][team] += cost
+	c.ownUse[daemon][team] += cost
 	use := c.knownUse[daemon][team]
 	done(use <= w.limits[team].Rate || w.rng.Float64() < w.limits[team].Rate/use)
 }
@@ -320,8 +320,8 @@
 		c.knownUse[daemon][team] *= 0.5
 	}
 	c.sentAt[daemon] = w.now
-	mine := c.own[daemon]
-	c.own[daemon] = map[id.Team]float64{}
+	mine := c.ownUse[daemon]
+	c.ownUse[daemon] = map[id.Team]float64{}
 	for to := range w.daemons {
 		w.send(to, func() {
 			for team, n := range mine {
@@ -332,7 +332,7 @@
 }
 
 func (c *broadcastCounts) restarted(_ *fleet, daemon int) {
-	c.knownUse[daemon], c.own[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
+	c.knownUse[daemon], c.ownUse[daemon] = map[id.Team]float64{}, map[id.Team]float64{}
 }
 
 // load is a play: teams of unequal size, one of which sends many times its
