--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -340,7 +340,7 @@
 type workload struct {
 	daemons, teams int
 	// hot times its usual is what the hot team sends, from hotAt to hotEnd.
-	hot           float64
+	hotFactor     float64
 	hotAt, hotEnd time.Duration
 	// moved has the hot team's callers all turn to one daemon.
 	moved bool
@@ -422,7 +422,7 @@
 		rate := perS
 		hot := i == hotTeam && w.now >= l.hotAt && w.now < l.hotEnd
 		if hot {
-			rate *= l.hot
+			rate *= l.hotFactor
 		}
 		w.schedule(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
 		daemon := w.rng.IntN(w.daemons)
@@ -496,7 +496,7 @@
 
 // hotLoads are plays of one team that sends 7.5 times its usual.
 func hotWorkloads(daemons int) map[string]workload {
-	base := workload{daemons: daemons, teams: 16, hot: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
+	base := workload{daemons: daemons, teams: 16, hotFactor: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
 	moved, dies := base, base
 	moved.moved = true
 	dies.keeperDies = []time.Duration{12 * time.Second, 16 * time.Second}
