--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -343,7 +343,7 @@
 	hotFactor     float64
 	hotAt, hotEnd time.Duration
 	// moved has the hot team's callers all turn to one daemon.
-	moved bool
+	hotAtOneDaemon bool
 	// keeperDies at these moments.
 	keeperDies []time.Duration
 	length     time.Duration
@@ -426,7 +426,7 @@
 		}
 		w.schedule(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
 		daemon := w.rng.IntN(w.daemons)
-		if hot && l.moved {
+		if hot && l.hotAtOneDaemon {
 			daemon = w.daemons - 1
 		}
 		w.request(way, daemon, team, cost)
@@ -498,7 +498,7 @@
 func hotWorkloads(daemons int) map[string]workload {
 	base := workload{daemons: daemons, teams: 16, hotFactor: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
 	moved, dies := base, base
-	moved.moved = true
+	moved.hotAtOneDaemon = true
 	dies.keeperDies = []time.Duration{12 * time.Second, 16 * time.Second}
 	return map[string]workload{"hot": base, "hot at one daemon": moved, "hot, the keeper dies twice": dies}
 }
