--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -345,8 +345,8 @@
 	// moved has the hot team's callers all turn to one daemon.
 	hotAtOneDaemon bool
 	// keeperDies at these moments.
-	keeperDies []time.Duration
-	length     time.Duration
+	keeperRestarts []time.Duration
+	length         time.Duration
 }
 
 const (
@@ -385,7 +385,7 @@
 		}
 		w.schedule(time.Duration(w.rng.Int64N(int64(exchangeInterval))), step)
 	}
-	for _, at := range l.keeperDies {
+	for _, at := range l.keeperRestarts {
 		w.schedule(at, func() {
 			keeper := 0
 			if a, ok := way.(*keeperAccounts); ok {
@@ -499,7 +499,7 @@
 	base := workload{daemons: daemons, teams: 16, hotFactor: 7.5, hotAt: 10 * time.Second, hotEnd: 20 * time.Second, length: 30 * time.Second}
 	moved, dies := base, base
 	moved.hotAtOneDaemon = true
-	dies.keeperDies = []time.Duration{12 * time.Second, 16 * time.Second}
+	dies.keeperRestarts = []time.Duration{12 * time.Second, 16 * time.Second}
 	return map[string]workload{"hot": base, "hot at one daemon": moved, "hot, the keeper dies twice": dies}
 }
 
