--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -361,7 +361,7 @@
 	minRate     = 36_000
 )
 
-func (l workload) play(make func(*fleet) strategy, seed uint64) *fleet {
+func (l workload) simulate(make func(*fleet) strategy, seed uint64) *fleet {
 	w := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), daemons: l.daemons, limits: map[id.Team]Limit{},
 		downUntil: makeDown(l.daemons), granted: map[id.Team][]grant{}, refused: map[id.Team]float64{}, requested: map[id.Team]float64{},
@@ -508,7 +508,7 @@
 func TestATeamThatSendsManyTimesItsUsualKeepsItsLimit(t *testing.T) {
 	for name, l := range hotWorkloads(82) {
 		for seed := range uint64(3) {
-			w := l.play(newKeeperAccounts, seed)
+			w := l.simulate(newKeeperAccounts, seed)
 			if worst := w.worst(); worst > 1 {
 				t.Errorf("%s, seed %d: a team had %.2f of what it may have", name, seed, worst)
 			}
@@ -530,7 +530,7 @@
 				b.Run(fmt.Sprintf("%d daemons/%s/%s", daemons, name, x.name), func(b *testing.B) {
 					var w *fleet
 					for b.Loop() {
-						w = l.play(x.make, 1)
+						w = l.simulate(x.make, 1)
 					}
 					b.ReportMetric(w.worst(), "most/allowed")
 					b.ReportMetric(w.refusedBelow(), "refused-below")
