--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -453,7 +453,7 @@
 
 // worst is the most that any team had in a window, as a share of what the rule
 // allows.
-func (w *fleet) worst() float64 {
+func (w *fleet) maxUsage() float64 {
 	worst := 0.0
 	for team, all := range w.granted {
 		limit := w.limits[team]
@@ -509,7 +509,7 @@
 	for name, l := range hotWorkloads(82) {
 		for seed := range uint64(3) {
 			w := l.simulate(newKeeperAccounts, seed)
-			if worst := w.worst(); worst > 1 {
+			if worst := w.maxUsage(); worst > 1 {
 				t.Errorf("%s, seed %d: a team had %.2f of what it may have", name, seed, worst)
 			}
 			if below := w.refusedBelow(); below > 0.005 {
@@ -532,7 +532,7 @@
 					for b.Loop() {
 						w = l.simulate(x.make, 1)
 					}
-					b.ReportMetric(w.worst(), "most/allowed")
+					b.ReportMetric(w.maxUsage(), "most/allowed")
 					b.ReportMetric(w.refusedBelow(), "refused-below")
 					b.ReportMetric(float64(w.totalWait.Microseconds())/1000/float64(max(1, w.decisions)), "ms-added")
 					b.ReportMetric(float64(w.messages)/l.length.Seconds()/float64(daemons), "messages/s")
