--- a/core/quota/ways_test.go
+++ b/core/quota/ways_test.go
@@ -473,7 +473,7 @@
 
 // refusedBelow is the share that was refused of what the teams within their limits
 // asked for.
-func (w *fleet) refusedBelow() float64 {
+func (w *fleet) refusedWithinLimits() float64 {
 	refused, asked := 0.0, 0.0
 	for team := range w.limits {
 		if team != teamName(hotTeam) {
@@ -512,7 +512,7 @@
 			if worst := w.maxUsage(); worst > 1 {
 				t.Errorf("%s, seed %d: a team had %.2f of what it may have", name, seed, worst)
 			}
-			if below := w.refusedBelow(); below > 0.005 {
+			if below := w.refusedWithinLimits(); below > 0.005 {
 				t.Errorf("%s, seed %d: %.4f refused of what came within the limits", name, seed, below)
 			}
 		}
@@ -533,7 +533,7 @@
 						w = l.simulate(x.make, 1)
 					}
 					b.ReportMetric(w.maxUsage(), "most/allowed")
-					b.ReportMetric(w.refusedBelow(), "refused-below")
+					b.ReportMetric(w.refusedWithinLimits(), "refused-below")
 					b.ReportMetric(float64(w.totalWait.Microseconds())/1000/float64(max(1, w.decisions)), "ms-added")
 					b.ReportMetric(float64(w.messages)/l.length.Seconds()/float64(daemons), "messages/s")
 				})
