--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -17,7 +17,7 @@
 }
 
 // drift is by how much two clocks may part in a second.
-const drift = 200 * time.Microsecond
+const maxDriftPerSecond = 200 * time.Microsecond
 
 // Sample takes what the store's clock showed in the answer to a call.
 func (c *Clock) Sample(sent, received, shown time.Duration) {
@@ -35,7 +35,7 @@
 
 // bounds are those of the difference at a later moment.
 func (c *Clock) bounds(now time.Duration) (least, most time.Duration) {
-	slack := time.Duration(float64(drift) * max(0, (now-c.at).Seconds()))
+	slack := time.Duration(float64(maxDriftPerSecond) * max(0, (now-c.at).Seconds()))
 	return c.least - slack, c.most + slack
 }
 
