--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -12,8 +12,8 @@
 type Clock struct {
 	known bool
 	// least and most bound the store's clock minus the daemon's, as of at.
-	minOffset, most time.Duration
-	at              time.Duration
+	minOffset, maxOffset time.Duration
+	at                   time.Duration
 }
 
 // drift is by how much two clocks may part in a second.
@@ -30,13 +30,13 @@
 		// Bounds that exclude each other: the store's clock began anew.
 		least, most = shown-received, shown-sent
 	}
-	c.known, c.minOffset, c.most, c.at = true, least, most, received
+	c.known, c.minOffset, c.maxOffset, c.at = true, least, most, received
 }
 
 // bounds are those of the difference at a later moment.
 func (c *Clock) bounds(now time.Duration) (least, most time.Duration) {
 	slack := time.Duration(float64(maxDriftPerSecond) * max(0, (now-c.at).Seconds()))
-	return c.minOffset - slack, c.most + slack
+	return c.minOffset - slack, c.maxOffset + slack
 }
 
 // Shown is what the store's clock showed at least at a moment of the daemon's;
