--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -13,7 +13,7 @@
 	known bool
 	// least and most bound the store's clock minus the daemon's, as of at.
 	minOffset, maxOffset time.Duration
-	at                   time.Duration
+	sampledAt            time.Duration
 }
 
 // drift is by how much two clocks may part in a second.
@@ -30,12 +30,12 @@
 		// Bounds that exclude each other: the store's clock began anew.
 		least, most = shown-received, shown-sent
 	}
-	c.known, c.minOffset, c.maxOffset, c.at = true, least, most, received
+	c.known, c.minOffset, c.maxOffset, c.sampledAt = true, least, most, received
 }
 
 // bounds are those of the difference at a later moment.
 func (c *Clock) bounds(now time.Duration) (least, most time.Duration) {
-	slack := time.Duration(float64(maxDriftPerSecond) * max(0, (now-c.at).Seconds()))
+	slack := time.Duration(float64(maxDriftPerSecond) * max(0, (now-c.sampledAt).Seconds()))
 	return c.minOffset - slack, c.maxOffset + slack
 }
 
