--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -10,7 +10,7 @@
 // Clock relates the store's clock to the daemon's own. Each call to the store
 // bounds the difference: the clock was read between the call and its answer.
 type Clock struct {
-	known bool
+	sampled bool
 	// least and most bound the store's clock minus the daemon's, as of at.
 	minOffset, maxOffset time.Duration
 	sampledAt            time.Duration
@@ -22,15 +22,15 @@
 // Sample takes what the store's clock showed in the answer to a call.
 func (c *Clock) Sample(sent, received, shown time.Duration) {
 	least, most := shown-received, shown-sent
-	if c.known {
+	if c.sampled {
 		oldLeast, oldMost := c.bounds(received)
 		least, most = max(least, oldLeast), min(most, oldMost)
 	}
-	if !c.known || least > most {
+	if !c.sampled || least > most {
 		// Bounds that exclude each other: the store's clock began anew.
 		least, most = shown-received, shown-sent
 	}
-	c.known, c.minOffset, c.maxOffset, c.sampledAt = true, least, most, received
+	c.sampled, c.minOffset, c.maxOffset, c.sampledAt = true, least, most, received
 }
 
 // bounds are those of the difference at a later moment.
@@ -43,12 +43,12 @@
 // ok is false before the first sample.
 func (c *Clock) Shown(at time.Duration) (shown time.Duration, ok bool) {
 	least, _ := c.bounds(at)
-	return at + least, c.known
+	return at + least, c.sampled
 }
 
 // Earliest is the first moment of the daemon's at which the store's clock can
 // have shown a time; ok is false before the first sample.
 func (c *Clock) Earliest(now, shown time.Duration) (at time.Duration, ok bool) {
 	_, most := c.bounds(now)
-	return shown - most, c.known
+	return shown - most, c.sampled
 }
