--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -41,7 +41,7 @@
 
 // Shown is what the store's clock showed at least at a moment of the daemon's;
 // ok is false before the first sample.
-func (c *Clock) Shown(at time.Duration) (shown time.Duration, ok bool) {
+func (c *Clock) MinStoreTime(at time.Duration) (shown time.Duration, ok bool) {
 	least, _ := c.bounds(at)
 	return at + least, c.sampled
 }
--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -48,7 +48,7 @@
 	}
 	// Without a sample of the store's clock the proof is good here only.
 	proof := Proof{}
-	if at, ok := t.clock.Shown(since); ok {
+	if at, ok := t.clock.MinStoreTime(since); ok {
 		proof = Proof{Version: t.version, At: at}
 	}
 	t.cover(proof, since)
