--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -48,7 +48,7 @@
 
 // Earliest is the first moment of the daemon's at which the store's clock can
 // have shown a time; ok is false before the first sample.
-func (c *Clock) Earliest(now, shown time.Duration) (at time.Duration, ok bool) {
+func (c *Clock) MinLocalTime(now, shown time.Duration) (at time.Duration, ok bool) {
 	_, most := c.bounds(now)
 	return shown - most, c.sampled
 }
--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -56,7 +56,7 @@
 
 // Learn takes another daemon's proof.
 func (t *Tracker) Learn(now time.Duration, p Proof) {
-	since, ok := t.clock.Earliest(now, p.At)
+	since, ok := t.clock.MinLocalTime(now, p.At)
 	if !ok || p.Version == 0 {
 		return
 	}
--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -66,7 +66,7 @@
 	var c Clock
 	c.Sample(0, time.Millisecond, time.Hour)
 	c.Sample(time.Second, 1001*time.Millisecond, time.Second)
-	at, ok := c.Earliest(2*time.Second, time.Second)
+	at, ok := c.MinLocalTime(2*time.Second, time.Second)
 	is.True(ok)
 	is.True(at <= 1001*time.Millisecond && at >= 900*time.Millisecond)
 }
