--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -17,9 +17,9 @@
 	version uint64
 	// newest is the newest proof that the configuration in force fulfils, since
 	// is its moment in the daemon's time.
-	newest  Proof
-	since   time.Duration
-	covered bool
+	newest    Proof
+	since     time.Duration
+	confirmed bool
 	// ahead is the newest proof of a configuration that is not in force here yet.
 	ahead      Proof
 	aheadSince time.Duration
@@ -73,10 +73,10 @@
 
 // cover takes a proof that the configuration in force fulfils.
 func (t *Tracker) cover(p Proof, since time.Duration) {
-	if t.covered && since <= t.since {
+	if t.confirmed && since <= t.since {
 		return
 	}
-	t.covered, t.since = true, since
+	t.confirmed, t.since = true, since
 	if p.Version > 0 {
 		t.newest = p
 	}
@@ -84,7 +84,7 @@
 
 // Since is the last moment, in the daemon's time, at which the configuration in
 // force is known to have been the newest; ok is false where none is known.
-func (t *Tracker) Since() (since time.Duration, ok bool) { return t.since, t.covered }
+func (t *Tracker) Since() (since time.Duration, ok bool) { return t.since, t.confirmed }
 
 // Newest is the proof to hand on; ok is false where there is none.
 func (t *Tracker) Newest() (p Proof, ok bool) { return t.newest, t.newest.Version > 0 }
