--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -35,7 +35,7 @@
 	}
 	t.version = version
 	if t.ahead.Version > 0 && t.ahead.Version <= version {
-		t.cover(t.ahead, t.aheadSince)
+		t.accept(t.ahead, t.aheadSince)
 		t.ahead = Proof{}
 	}
 }
@@ -51,7 +51,7 @@
 	if at, ok := t.clock.MinStoreTime(since); ok {
 		proof = Proof{Version: t.version, At: at}
 	}
-	t.cover(proof, since)
+	t.accept(proof, since)
 }
 
 // Learn takes another daemon's proof.
@@ -63,7 +63,7 @@
 	// No proof is of the future, whatever clock dated it.
 	since = min(since, now)
 	if p.Version <= t.version {
-		t.cover(p, since)
+		t.accept(p, since)
 		return
 	}
 	if t.ahead.Version == 0 || since > t.aheadSince {
@@ -72,7 +72,7 @@
 }
 
 // cover takes a proof that the configuration in force fulfils.
-func (t *Tracker) cover(p Proof, since time.Duration) {
+func (t *Tracker) accept(p Proof, since time.Duration) {
 	if t.confirmed && since <= t.since {
 		return
 	}
