--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -21,7 +21,7 @@
 	since     time.Duration
 	confirmed bool
 	// ahead is the newest proof of a configuration that is not in force here yet.
-	ahead      Proof
+	newer      Proof
 	aheadSince time.Duration
 }
 
@@ -34,9 +34,9 @@
 		return
 	}
 	t.version = version
-	if t.ahead.Version > 0 && t.ahead.Version <= version {
-		t.accept(t.ahead, t.aheadSince)
-		t.ahead = Proof{}
+	if t.newer.Version > 0 && t.newer.Version <= version {
+		t.accept(t.newer, t.aheadSince)
+		t.newer = Proof{}
 	}
 }
 
@@ -66,8 +66,8 @@
 		t.accept(p, since)
 		return
 	}
-	if t.ahead.Version == 0 || since > t.aheadSince {
-		t.ahead, t.aheadSince = p, since
+	if t.newer.Version == 0 || since > t.aheadSince {
+		t.newer, t.aheadSince = p, since
 	}
 }
 
@@ -90,4 +90,4 @@
 func (t *Tracker) Newest() (p Proof, ok bool) { return t.newest, t.newest.Version > 0 }
 
 // Behind says whether a newer configuration than the one in force was accepted.
-func (t *Tracker) Behind() bool { return t.ahead.Version > t.version }
+func (t *Tracker) Behind() bool { return t.newer.Version > t.version }
