--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -22,7 +22,7 @@
 	confirmed bool
 	// ahead is the newest proof of a configuration that is not in force here yet.
 	newer      Proof
-	aheadSince time.Duration
+	newerSince time.Duration
 }
 
 // Sample takes what the store's clock showed in the answer to a call.
@@ -35,7 +35,7 @@
 	}
 	t.version = version
 	if t.newer.Version > 0 && t.newer.Version <= version {
-		t.accept(t.newer, t.aheadSince)
+		t.accept(t.newer, t.newerSince)
 		t.newer = Proof{}
 	}
 }
@@ -66,8 +66,8 @@
 		t.accept(p, since)
 		return
 	}
-	if t.newer.Version == 0 || since > t.aheadSince {
-		t.newer, t.aheadSince = p, since
+	if t.newer.Version == 0 || since > t.newerSince {
+		t.newer, t.newerSince = p, since
 	}
 }
 
