--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -83,17 +83,17 @@
 
 type simulatedDaemon struct {
 	Tracker
-	pace   float64
-	offset time.Duration
-	frozen time.Duration
-	cut    time.Duration
+	clockRate float64
+	offset    time.Duration
+	frozen    time.Duration
+	cut       time.Duration
 	// inbox holds proofs that are on their way, or wait behind a freeze.
 	inbox []Proof
 }
 
 // clock is the daemon's own at a moment.
 func (d *simulatedDaemon) clock(at time.Duration) time.Duration {
-	return d.offset + time.Duration(float64(at)*d.pace)
+	return d.offset + time.Duration(float64(at)*d.clockRate)
 }
 
 const storeOffset = 1000 * time.Second
@@ -164,7 +164,7 @@
 			s := &simulated{rng: rand.New(rand.NewPCG(seed, 9)), accepted: []time.Duration{0}}
 			for i := range 12 {
 				pace := 1 + (s.rng.Float64()-0.5)*1.8e-4
-				s.daemons = append(s.daemons, &simulatedDaemon{pace: pace, offset: time.Duration(i) * time.Hour})
+				s.daemons = append(s.daemons, &simulatedDaemon{clockRate: pace, offset: time.Duration(i) * time.Hour})
 				s.read(s.daemons[i]) // each reads once as it starts
 			}
 			claims := 0
