--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -83,10 +83,10 @@
 
 type simulatedDaemon struct {
 	Tracker
-	clockRate float64
-	offset    time.Duration
-	frozen    time.Duration
-	cut       time.Duration
+	clockRate   float64
+	offset      time.Duration
+	frozenUntil time.Duration
+	cut         time.Duration
 	// inbox holds proofs that are on their way, or wait behind a freeze.
 	inbox []Proof
 }
@@ -121,12 +121,12 @@
 	}
 	for i, d := range s.daemons {
 		if s.rng.IntN(200) == 0 {
-			d.frozen = s.now + time.Duration(s.rng.Int64N(int64(12*time.Second)))
+			d.frozenUntil = s.now + time.Duration(s.rng.Int64N(int64(12*time.Second)))
 		}
 		if s.rng.IntN(100) == 0 {
 			d.cut = s.now + time.Duration(s.rng.Int64N(int64(12*time.Second)))
 		}
-		if s.now < d.frozen {
+		if s.now < d.frozenUntil {
 			continue
 		}
 		for _, p := range d.inbox {
