--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -83,10 +83,10 @@
 
 type simulatedDaemon struct {
 	Tracker
-	clockRate   float64
-	offset      time.Duration
-	frozenUntil time.Duration
-	cut         time.Duration
+	clockRate        float64
+	offset           time.Duration
+	frozenUntil      time.Duration
+	partitionedUntil time.Duration
 	// inbox holds proofs that are on their way, or wait behind a freeze.
 	inbox []Proof
 }
@@ -124,7 +124,7 @@
 			d.frozenUntil = s.now + time.Duration(s.rng.Int64N(int64(12*time.Second)))
 		}
 		if s.rng.IntN(100) == 0 {
-			d.cut = s.now + time.Duration(s.rng.Int64N(int64(12*time.Second)))
+			d.partitionedUntil = s.now + time.Duration(s.rng.Int64N(int64(12*time.Second)))
 		}
 		if s.now < d.frozenUntil {
 			continue
@@ -133,11 +133,11 @@
 			d.Learn(d.clock(s.now), p)
 		}
 		d.inbox = d.inbox[:0]
-		if i < 2 && s.now >= d.cut {
+		if i < 2 && s.now >= d.partitionedUntil {
 			s.read(d)
 		}
 		s.tell(d)
-		if s.rng.IntN(30) == 0 && s.now >= d.cut {
+		if s.rng.IntN(30) == 0 && s.now >= d.partitionedUntil {
 			// The tables come from another daemon, which may be behind itself.
 			from := s.daemons[s.rng.IntN(len(s.daemons))]
 			d.InForce(from.version)
