--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -136,7 +136,7 @@
 		if i < 2 && s.now >= d.partitionedUntil {
 			s.read(d)
 		}
-		s.tell(d)
+		s.gossip(d)
 		if s.rng.IntN(30) == 0 && s.now >= d.partitionedUntil {
 			// The tables come from another daemon, which may be behind itself.
 			from := s.daemons[s.rng.IntN(len(s.daemons))]
@@ -146,7 +146,7 @@
 }
 
 // tell hands a daemon's proof on; what a cut holds up arrives later.
-func (s *simulated) tell(d *simulatedDaemon) {
+func (s *simulated) gossip(d *simulatedDaemon) {
 	p, ok := d.Newest()
 	if !ok || s.rng.IntN(3) > 0 {
 		return
