--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -205,7 +205,7 @@
 			t.Fatalf("seed %d: %d endpoints crashed for %d poisons", seed, cost, poisons)
 		}
 		most = max(most, cost)
-		if len(s.ledgers[0].crashes) > 0 && len(s.ledgers[0].byPrint) > poisons {
+		if len(s.ledgers[0].crashes) > 0 && len(s.ledgers[0].byFingerprint) > poisons {
 			company++
 		}
 		for _, l := range s.ledgers {
--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -39,7 +39,7 @@
 func (l *Ledger) evidence(wall time.Time, f Fingerprint) []Crash {
 	since := max(l.clearedAt(f), wall.Add(-l.cfg.Quarantine).UnixMilli())
 	var out []Crash
-	for _, id := range l.byPrint[f] {
+	for _, id := range l.byFingerprint[f] {
 		if c := l.crashes[id].crash; c.AtUnixMS > since {
 			out = append(out, c)
 		}
@@ -98,7 +98,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Entry
-	for f, ids := range l.byPrint {
+	for f, ids := range l.byFingerprint {
 		finding := l.check(wall, f)
 		if finding.Standing == Quarantined {
 			out = append(out, Entry{Fingerprint: f, Team: l.suspect(f, ids[0]).Team, Crashes: finding.Crashes, Until: finding.Until})
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -9,12 +9,12 @@
 
 // Ledger holds the evidence of all daemons. It is safe for concurrent use.
 type Ledger struct {
-	mu         sync.Mutex
-	cfg        Config
-	crashes    map[CrashID]*entry
-	byPrint    map[Fingerprint][]CrashID
-	cleared    map[Fingerprint]*mark
-	allCleared mark
+	mu            sync.Mutex
+	cfg           Config
+	crashes       map[CrashID]*entry
+	byFingerprint map[Fingerprint][]CrashID
+	cleared       map[Fingerprint]*mark
+	allCleared    mark
 	// floor is the time of the latest crash that was dropped, plus Settle.
 	// Reports up to then are refused: one that comes alone would make a request look as if
 	// nothing had run beside it.
@@ -38,10 +38,10 @@
 // New returns an empty Ledger.
 func New(cfg Config) *Ledger {
 	return &Ledger{
-		cfg:     cfg.withDefaults(),
-		crashes: map[CrashID]*entry{},
-		byPrint: map[Fingerprint][]CrashID{},
-		cleared: map[Fingerprint]*mark{},
+		cfg:           cfg.withDefaults(),
+		crashes:       map[CrashID]*entry{},
+		byFingerprint: map[Fingerprint][]CrashID{},
+		cleared:       map[Fingerprint]*mark{},
 	}
 }
 
@@ -59,7 +59,7 @@
 func (l *Ledger) Finished(wall time.Time, f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.byPrint[f]) == 0 {
+	if len(l.byFingerprint[f]) == 0 {
 		return false
 	}
 	l.mergeCleared(Cleared{Fingerprint: f, AtUnixMS: wall.UnixMilli()})
@@ -171,17 +171,17 @@
 
 func (l *Ledger) index(c Crash) {
 	for _, s := range c.Running {
-		l.byPrint[s.Fingerprint] = append(l.byPrint[s.Fingerprint], c.ID)
+		l.byFingerprint[s.Fingerprint] = append(l.byFingerprint[s.Fingerprint], c.ID)
 	}
 }
 
 func (l *Ledger) unindex(c Crash) {
 	for _, s := range c.Running {
-		rest := slices.DeleteFunc(l.byPrint[s.Fingerprint], func(id CrashID) bool { return id == c.ID })
+		rest := slices.DeleteFunc(l.byFingerprint[s.Fingerprint], func(id CrashID) bool { return id == c.ID })
 		if len(rest) == 0 {
-			delete(l.byPrint, s.Fingerprint)
+			delete(l.byFingerprint, s.Fingerprint)
 		} else {
-			l.byPrint[s.Fingerprint] = rest
+			l.byFingerprint[s.Fingerprint] = rest
 		}
 	}
 }
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -142,7 +142,7 @@
 	}
 	is.Equal(len(l.crashes), 10)
 	is.Equal(len(l.cleared), 10)
-	is.True(len(l.byPrint) <= 20)
+	is.True(len(l.byFingerprint) <= 20)
 	l.Merge(wall.Add(2*DefaultQuarantine), State{})
-	is.Equal(len(l.crashes)+len(l.cleared)+len(l.byPrint), 0)
+	is.Equal(len(l.crashes)+len(l.cleared)+len(l.byFingerprint), 0)
 }
