--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -11,7 +11,7 @@
 type Ledger struct {
 	mu            sync.Mutex
 	cfg           Config
-	crashes       map[CrashID]*entry
+	crashes       map[CrashID]*crashRecord
 	byFingerprint map[Fingerprint][]CrashID
 	cleared       map[Fingerprint]*mark
 	allCleared    mark
@@ -24,7 +24,7 @@
 }
 
 // entry is a crash with the number of its last change.
-type entry struct {
+type crashRecord struct {
 	crash   Crash
 	changed uint64
 }
@@ -39,7 +39,7 @@
 func New(cfg Config) *Ledger {
 	return &Ledger{
 		cfg:           cfg.withDefaults(),
-		crashes:       map[CrashID]*entry{},
+		crashes:       map[CrashID]*crashRecord{},
 		byFingerprint: map[Fingerprint][]CrashID{},
 		cleared:       map[Fingerprint]*mark{},
 	}
@@ -142,7 +142,7 @@
 		return
 	}
 	if !ok {
-		e = &entry{crash: Crash{ID: c.ID, AtUnixMS: c.AtUnixMS}}
+		e = &crashRecord{crash: Crash{ID: c.ID, AtUnixMS: c.AtUnixMS}}
 		l.crashes[c.ID] = e
 		e.changed = l.next()
 	}
