--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -13,8 +13,8 @@
 	cfg           Config
 	crashes       map[CrashID]*crashRecord
 	byFingerprint map[Fingerprint][]CrashID
-	cleared       map[Fingerprint]*mark
-	allCleared    mark
+	cleared       map[Fingerprint]*clearance
+	allCleared    clearance
 	// floor is the time of the latest crash that was dropped, plus Settle.
 	// Reports up to then are refused: one that comes alone would make a request look as if
 	// nothing had run beside it.
@@ -30,7 +30,7 @@
 }
 
 // mark is a time with the number of its last change.
-type mark struct {
+type clearance struct {
 	at      int64
 	changed uint64
 }
@@ -41,7 +41,7 @@
 		cfg:           cfg.withDefaults(),
 		crashes:       map[CrashID]*crashRecord{},
 		byFingerprint: map[Fingerprint][]CrashID{},
-		cleared:       map[Fingerprint]*mark{},
+		cleared:       map[Fingerprint]*clearance{},
 	}
 }
 
@@ -189,7 +189,7 @@
 func (l *Ledger) mergeCleared(c Cleared) {
 	m, ok := l.cleared[c.Fingerprint]
 	if !ok {
-		m = &mark{}
+		m = &clearance{}
 		l.cleared[c.Fingerprint] = m
 	}
 	if c.AtUnixMS > m.at {
@@ -200,7 +200,7 @@
 
 func (l *Ledger) mergeAllCleared(at int64) {
 	if at > l.allCleared.at {
-		l.allCleared = mark{at: at, changed: l.next()}
+		l.allCleared = clearance{at: at, changed: l.next()}
 	}
 }
 
