--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -18,7 +18,7 @@
 	// floor is the time of the latest crash that was dropped, plus Settle.
 	// Reports up to then are refused: one that comes alone would make a request look as if
 	// nothing had run beside it.
-	floor int64
+	refuseUntil int64
 	// change numbers the changes, for Delta.
 	change uint64
 }
@@ -138,7 +138,7 @@
 
 func (l *Ledger) mergeCrash(c Crash) {
 	e, ok := l.crashes[c.ID]
-	if !ok && c.AtUnixMS <= l.floor {
+	if !ok && c.AtUnixMS <= l.refuseUntil {
 		return
 	}
 	if !ok {
@@ -228,7 +228,7 @@
 
 func (l *Ledger) drop(id CrashID) {
 	dropped := l.crashes[id].crash
-	l.floor = max(l.floor, dropped.AtUnixMS+l.cfg.Settle.Milliseconds())
+	l.refuseUntil = max(l.refuseUntil, dropped.AtUnixMS+l.cfg.Settle.Milliseconds())
 	l.unindex(dropped)
 	delete(l.crashes, id)
 }
