--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -20,7 +20,7 @@
 	// nothing had run beside it.
 	refuseUntil int64
 	// change numbers the changes, for Delta.
-	change uint64
+	lastChange uint64
 }
 
 // entry is a crash with the number of its last change.
@@ -92,7 +92,7 @@
 func (l *Ledger) Merge(wall time.Time, s State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.change
+	before := l.lastChange
 	oldest := wall.Add(-l.cfg.Quarantine).UnixMilli()
 	latest := wall.Add(maxFuture).UnixMilli()
 	for _, c := range s.Crashes {
@@ -109,7 +109,7 @@
 		l.mergeAllCleared(s.AllClearedUnixMS)
 	}
 	l.prune(wall)
-	return l.change != before
+	return l.lastChange != before
 }
 
 // Delta returns what changed behind the given number, in a fixed order, and
@@ -133,7 +133,7 @@
 	}
 	slices.SortFunc(s.Crashes, func(a, b Crash) int { return compareIDs(a.ID, b.ID) })
 	slices.SortFunc(s.Cleared, func(a, b Cleared) int { return compareFingerprints(a.Fingerprint, b.Fingerprint) })
-	return s, l.change
+	return s, l.lastChange
 }
 
 func (l *Ledger) mergeCrash(c Crash) {
@@ -205,8 +205,8 @@
 }
 
 func (l *Ledger) next() uint64 {
-	l.change++
-	return l.change
+	l.lastChange++
+	return l.lastChange
 }
 
 // prune drops what is past its time and, above the bounds, the oldest.
