--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -144,11 +144,11 @@
 	if !ok {
 		e = &crashRecord{crash: Crash{ID: c.ID, AtUnixMS: c.AtUnixMS}}
 		l.crashes[c.ID] = e
-		e.changed = l.next()
+		e.changed = l.nextChange()
 	}
 	if c.AtUnixMS < e.crash.AtUnixMS {
 		e.crash.AtUnixMS = c.AtUnixMS
-		e.changed = l.next()
+		e.changed = l.nextChange()
 	}
 	union := l.union(e.crash.Running, c.Running)
 	if slices.Equal(union, e.crash.Running) {
@@ -156,7 +156,7 @@
 	}
 	l.unindex(e.crash)
 	e.crash.Running = union
-	e.changed = l.next()
+	e.changed = l.nextChange()
 	l.index(e.crash)
 }
 
@@ -194,17 +194,17 @@
 	}
 	if c.AtUnixMS > m.at {
 		m.at = c.AtUnixMS
-		m.changed = l.next()
+		m.changed = l.nextChange()
 	}
 }
 
 func (l *Ledger) mergeAllCleared(at int64) {
 	if at > l.allCleared.at {
-		l.allCleared = clearance{at: at, changed: l.next()}
+		l.allCleared = clearance{at: at, changed: l.nextChange()}
 	}
 }
 
-func (l *Ledger) next() uint64 {
+func (l *Ledger) nextChange() uint64 {
 	l.lastChange++
 	return l.lastChange
 }
