--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -24,9 +24,9 @@
 	switch {
 	case n == 0:
 		return Finding{Standing: Clear}
-	case l.convicted(wall, f, evidence):
+	case l.quarantined(wall, f, evidence):
 		return Finding{Standing: Quarantined, Crashes: n, Until: last(evidence).Add(l.cfg.Quarantine)}
-	case l.convicted(wall.Add(l.cfg.Settle), f, evidence):
+	case l.quarantined(wall.Add(l.cfg.Settle), f, evidence):
 		return Finding{Standing: Held, Crashes: n, Until: last(evidence).Add(l.cfg.Settle)}
 	case n == 1:
 		return Finding{Standing: Suspected, Crashes: n}
@@ -55,7 +55,7 @@
 	return at
 }
 
-func (l *Ledger) convicted(wall time.Time, f Fingerprint, evidence []Crash) bool {
+func (l *Ledger) quarantined(wall time.Time, f Fingerprint, evidence []Crash) bool {
 	alone := 0
 	for _, c := range evidence {
 		if len(c.Running) == 1 && l.settled(wall, c) {
