--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -65,7 +65,7 @@
 	if alone >= l.cfg.AloneCrashes {
 		return true
 	}
-	return len(evidence) >= l.cfg.CompanyCrashes && (alone > 0 || l.companyCleared(f, evidence))
+	return len(evidence) >= l.cfg.CompanyCrashes && (alone > 0 || l.othersCleared(f, evidence))
 }
 
 func (l *Ledger) settled(wall time.Time, c Crash) bool {
@@ -73,7 +73,7 @@
 }
 
 // companyCleared says whether all others at those crashes finished later.
-func (l *Ledger) companyCleared(f Fingerprint, evidence []Crash) bool {
+func (l *Ledger) othersCleared(f Fingerprint, evidence []Crash) bool {
 	for _, c := range evidence {
 		for _, s := range c.Running {
 			if s.Fingerprint != f && l.clearedAt(s.Fingerprint) <= c.AtUnixMS {
