--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -19,7 +19,7 @@
 }
 
 func (l *Ledger) check(wall time.Time, f Fingerprint) Finding {
-	evidence := l.evidence(wall, f)
+	evidence := l.countedCrashes(wall, f)
 	n := len(evidence)
 	switch {
 	case n == 0:
@@ -36,7 +36,7 @@
 }
 
 // evidence lists the crashes that count against a fingerprint.
-func (l *Ledger) evidence(wall time.Time, f Fingerprint) []Crash {
+func (l *Ledger) countedCrashes(wall time.Time, f Fingerprint) []Crash {
 	since := max(l.clearedAt(f), wall.Add(-l.cfg.Quarantine).UnixMilli())
 	var out []Crash
 	for _, id := range l.byFingerprint[f] {
