--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -25,9 +25,9 @@
 	case n == 0:
 		return Finding{Standing: Clear}
 	case l.quarantined(wall, f, evidence):
-		return Finding{Standing: Quarantined, Crashes: n, Until: last(evidence).Add(l.cfg.Quarantine)}
+		return Finding{Standing: Quarantined, Crashes: n, Until: latestCrash(evidence).Add(l.cfg.Quarantine)}
 	case l.quarantined(wall.Add(l.cfg.Settle), f, evidence):
-		return Finding{Standing: Held, Crashes: n, Until: last(evidence).Add(l.cfg.Settle)}
+		return Finding{Standing: Held, Crashes: n, Until: latestCrash(evidence).Add(l.cfg.Settle)}
 	case n == 1:
 		return Finding{Standing: Suspected, Crashes: n}
 	default:
@@ -85,7 +85,7 @@
 }
 
 // last returns the time of the latest crash.
-func last(evidence []Crash) time.Time {
+func latestCrash(evidence []Crash) time.Time {
 	var at int64
 	for _, c := range evidence {
 		at = max(at, c.AtUnixMS)
