--- a/core/poison/judge.go
+++ b/core/poison/judge.go
@@ -65,7 +65,7 @@
 	if alone >= l.cfg.AloneCrashes {
 		return true
 	}
-	return len(evidence) >= l.cfg.CompanyCrashes && (alone > 0 || l.othersCleared(f, evidence))
+	return len(evidence) >= l.cfg.SharedCrashes && (alone > 0 || l.othersCleared(f, evidence))
 }
 
 func (l *Ledger) settled(wall time.Time, c Crash) bool {
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -161,7 +161,7 @@
 	AloneCrashes int
 	// CompanyCrashes convict if one of them was alone, or if all others that
 	// ran at them were cleared. Default 3.
-	CompanyCrashes int
+	SharedCrashes int
 	// MaxCrashes bounds the crashes kept; the newest stay. Default 1024.
 	MaxCrashes int
 	// MaxRunning bounds the fingerprints kept of one crash. Default 64.
@@ -188,7 +188,7 @@
 	defaults.Set(&c.Quarantine, DefaultQuarantine)
 	defaults.Set(&c.Settle, DefaultSettle)
 	defaults.Set(&c.AloneCrashes, DefaultAloneCrashes)
-	defaults.Set(&c.CompanyCrashes, DefaultCompanyCrashes)
+	defaults.Set(&c.SharedCrashes, DefaultCompanyCrashes)
 	defaults.Set(&c.MaxCrashes, DefaultMaxCrashes)
 	defaults.Set(&c.MaxRunning, DefaultMaxRunning)
 	defaults.Set(&c.MaxCleared, DefaultMaxCleared)
