--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -172,13 +172,13 @@
 
 // Defaults of Config.
 const (
-	DefaultQuarantine     = time.Hour
-	DefaultSettle         = 2 * time.Second
-	DefaultAloneCrashes   = 2
-	DefaultCompanyCrashes = 3
-	DefaultMaxCrashes     = 1024
-	DefaultMaxRunning     = 64
-	DefaultMaxCleared     = 4096
+	DefaultQuarantine    = time.Hour
+	DefaultSettle        = 2 * time.Second
+	DefaultAloneCrashes  = 2
+	DefaultSharedCrashes = 3
+	DefaultMaxCrashes    = 1024
+	DefaultMaxRunning    = 64
+	DefaultMaxCleared    = 4096
 )
 
 // maxFuture is how far ahead of this host's clock a report may be.
@@ -188,7 +188,7 @@
 	defaults.Set(&c.Quarantine, DefaultQuarantine)
 	defaults.Set(&c.Settle, DefaultSettle)
 	defaults.Set(&c.AloneCrashes, DefaultAloneCrashes)
-	defaults.Set(&c.SharedCrashes, DefaultCompanyCrashes)
+	defaults.Set(&c.SharedCrashes, DefaultSharedCrashes)
 	defaults.Set(&c.MaxCrashes, DefaultMaxCrashes)
 	defaults.Set(&c.MaxRunning, DefaultMaxRunning)
 	defaults.Set(&c.MaxCleared, DefaultMaxCleared)
