--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -94,7 +94,7 @@
 	defer l.mu.Unlock()
 	before := l.lastChange
 	oldest := wall.Add(-l.cfg.Quarantine).UnixMilli()
-	latest := wall.Add(maxFuture).UnixMilli()
+	latest := wall.Add(maxClockSkew).UnixMilli()
 	for _, c := range s.Crashes {
 		if oldest <= c.AtUnixMS && c.AtUnixMS <= latest {
 			l.mergeCrash(c)
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -182,7 +182,7 @@
 )
 
 // maxFuture is how far ahead of this host's clock a report may be.
-const maxFuture = 10 * time.Minute
+const maxClockSkew = 10 * time.Minute
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.Quarantine, DefaultQuarantine)
