--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -24,14 +24,14 @@
 	poison   bool
 	sendAt   time.Duration
 	daemon   int
-	server   *server
+	server   *testEndpoint
 	endsAt   time.Duration
 	finished bool
 	refused  bool
 }
 
 // server is an endpoint; it runs requests of all daemons.
-type server struct {
+type testEndpoint struct {
 	id      CrashID
 	running []*request
 	upAt    time.Duration
@@ -49,7 +49,7 @@
 	ledgers  []*Ledger
 	sent     []uint64
 	mail     []message
-	servers  []*server
+	servers  []*testEndpoint
 	requests []*request
 	crashes  int
 }
@@ -60,7 +60,7 @@
 		s.ledgers = append(s.ledgers, New(Config{}))
 	}
 	for i := range fleetSize {
-		s.servers = append(s.servers, &server{id: CrashID{Endpoint: id.Endpoint(fmt.Sprint("e", i)), Incarnation: 1}})
+		s.servers = append(s.servers, &testEndpoint{id: CrashID{Endpoint: id.Endpoint(fmt.Sprint("e", i)), Incarnation: 1}})
 	}
 	return s
 }
@@ -88,7 +88,7 @@
 	case Suspected, Isolated:
 		room = 0
 	}
-	var fit []*server
+	var fit []*testEndpoint
 	for _, e := range s.servers {
 		if s.now >= e.upAt && len(e.running) <= room && !slices.ContainsFunc(e.running, s.alone) {
 			fit = append(fit, e)
@@ -108,7 +108,7 @@
 	return s.ledgers[r.daemon].Check(s.wall(), r.suspect.Fingerprint).Standing != Clear
 }
 
-func (s *simulation) crash(e *server) {
+func (s *simulation) crash(e *testEndpoint) {
 	s.crashes++
 	for d, ledger := range s.ledgers {
 		var mine []Suspect
