--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -44,14 +44,14 @@
 }
 
 type simulation struct {
-	rng      *rand.Rand
-	now      time.Duration
-	ledgers  []*Ledger
-	sent     []uint64
-	mail     []message
-	servers  []*testEndpoint
-	requests []*request
-	crashes  int
+	rng       *rand.Rand
+	now       time.Duration
+	ledgers   []*Ledger
+	sent      []uint64
+	mail      []message
+	endpoints []*testEndpoint
+	requests  []*request
+	crashes   int
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -60,7 +60,7 @@
 		s.ledgers = append(s.ledgers, New(Config{}))
 	}
 	for i := range fleetSize {
-		s.servers = append(s.servers, &testEndpoint{id: CrashID{Endpoint: id.Endpoint(fmt.Sprint("e", i)), Incarnation: 1}})
+		s.endpoints = append(s.endpoints, &testEndpoint{id: CrashID{Endpoint: id.Endpoint(fmt.Sprint("e", i)), Incarnation: 1}})
 	}
 	return s
 }
@@ -89,7 +89,7 @@
 		room = 0
 	}
 	var fit []*testEndpoint
-	for _, e := range s.servers {
+	for _, e := range s.endpoints {
 		if s.now >= e.upAt && len(e.running) <= room && !slices.ContainsFunc(e.running, s.alone) {
 			fit = append(fit, e)
 		}
@@ -192,7 +192,7 @@
 		for s.now < 15*time.Second {
 			s.step()
 			if chance == 1 && s.now == at {
-				s.crash(s.servers[s.rng.IntN(fleetSize)])
+				s.crash(s.endpoints[s.rng.IntN(fleetSize)])
 			}
 		}
 		for _, r := range s.requests {
