--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -24,7 +24,7 @@
 	poison   bool
 	sendAt   time.Duration
 	daemon   int
-	server   *testEndpoint
+	endpoint *testEndpoint
 	endsAt   time.Duration
 	finished bool
 	refused  bool
@@ -98,8 +98,8 @@
 		r.sendAt = s.now + step
 		return
 	}
-	r.server = fit[s.rng.IntN(len(fit))]
-	r.server.running = append(r.server.running, r)
+	r.endpoint = fit[s.rng.IntN(len(fit))]
+	r.endpoint.running = append(r.endpoint.running, r)
 	r.endsAt = s.now + time.Duration(50+s.rng.IntN(400))*time.Millisecond
 }
 
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, r := range e.running {
-		r.server = nil
+		r.endpoint = nil
 		r.sendAt = s.now + 2*gossipDelay + time.Duration(s.rng.IntN(1000))*time.Millisecond
 	}
 	e.running = nil
@@ -132,12 +132,12 @@
 
 func (s *simulation) end(r *request) {
 	if r.poison {
-		s.crash(r.server)
+		s.crash(r.endpoint)
 		return
 	}
 	r.finished = true
 	s.ledgers[r.daemon].Finished(s.wall(), r.suspect.Fingerprint)
-	r.server.running = slices.DeleteFunc(r.server.running, func(o *request) bool { return o == r })
+	r.endpoint.running = slices.DeleteFunc(r.endpoint.running, func(o *request) bool { return o == r })
 }
 
 func (s *simulation) gossip() {
@@ -165,9 +165,9 @@
 	for _, r := range s.requests {
 		switch {
 		case r.finished || r.refused:
-		case r.server != nil && s.now >= r.endsAt:
+		case r.endpoint != nil && s.now >= r.endsAt:
 			s.end(r)
-		case r.server == nil && s.now >= r.sendAt:
+		case r.endpoint == nil && s.now >= r.sendAt:
 			s.send(r)
 		}
 	}
