--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -48,7 +48,7 @@
 	now       time.Duration
 	ledgers   []*Ledger
 	sent      []uint64
-	mail      []message
+	inFlight  []message
 	endpoints []*testEndpoint
 	requests  []*request
 	crashes   int
@@ -148,10 +148,10 @@
 		}
 		s.sent[d] = next
 		for to := range s.ledgers {
-			s.mail = append(s.mail, message{at: s.now + gossipDelay, to: to, state: state})
+			s.inFlight = append(s.inFlight, message{at: s.now + gossipDelay, to: to, state: state})
 		}
 	}
-	s.mail = slices.DeleteFunc(s.mail, func(m message) bool {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(m message) bool {
 		if m.at <= s.now {
 			s.ledgers[m.to].Merge(s.wall(), m.state)
 		}
