--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -47,7 +47,7 @@
 	rng       *rand.Rand
 	now       time.Duration
 	ledgers   []*Ledger
-	sent      []uint64
+	sentUpTo  []uint64
 	inFlight  []message
 	endpoints []*testEndpoint
 	requests  []*request
@@ -55,7 +55,7 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), sent: make([]uint64, 3)}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), sentUpTo: make([]uint64, 3)}
 	for range 3 {
 		s.ledgers = append(s.ledgers, New(Config{}))
 	}
@@ -142,11 +142,11 @@
 
 func (s *simulation) gossip() {
 	for d, ledger := range s.ledgers {
-		state, next := ledger.Delta(s.sent[d])
-		if next == s.sent[d] {
+		state, next := ledger.Delta(s.sentUpTo[d])
+		if next == s.sentUpTo[d] {
 			continue
 		}
-		s.sent[d] = next
+		s.sentUpTo[d] = next
 		for to := range s.ledgers {
 			s.inFlight = append(s.inFlight, message{at: s.now + gossipDelay, to: to, state: state})
 		}
