--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -130,7 +130,7 @@
 	e.upAt = s.now + time.Second
 }
 
-func (s *simulation) end(r *request) {
+func (s *simulation) finish(r *request) {
 	if r.poison {
 		s.crash(r.endpoint)
 		return
@@ -166,7 +166,7 @@
 		switch {
 		case r.finished || r.refused:
 		case r.endpoint != nil && s.now >= r.endsAt:
-			s.end(r)
+			s.finish(r)
 		case r.endpoint == nil && s.now >= r.sendAt:
 			s.send(r)
 		}
