--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	step        = 10 * time.Millisecond
-	fleetSize   = 12
-	gossipDelay = 50 * time.Millisecond
+	stepInterval = 10 * time.Millisecond
+	fleetSize    = 12
+	gossipDelay  = 50 * time.Millisecond
 )
 
 // request is what a caller wants; it sends again until it is done or refused.
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(fit) == 0 {
-		r.sendAt = s.now + step
+		r.sendAt = s.now + stepInterval
 		return
 	}
 	r.endpoint = fit[s.rng.IntN(len(fit))]
@@ -160,7 +160,7 @@
 }
 
 func (s *simulation) step() {
-	s.now += step
+	s.now += stepInterval
 	s.gossip()
 	for _, r := range s.requests {
 		switch {
@@ -188,7 +188,7 @@
 			s.add(fmt.Sprint("innocent", i), false)
 		}
 		chance := int(seed/2) % 2
-		at := time.Duration(s.rng.IntN(100)) * step
+		at := time.Duration(s.rng.IntN(100)) * stepInterval
 		for s.now < 15*time.Second {
 			s.step()
 			if chance == 1 && s.now == at {
