--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -73,7 +73,7 @@
 
 // simulated is a fleet with a store: daemons whose clocks run at a pace of their
 // own, that read the store or hear of one another, freeze, and are cut off.
-type simulated struct {
+type simulation struct {
 	rng *rand.Rand
 	now time.Duration
 	// accepted are the moments at which each configuration, by version, was.
@@ -100,7 +100,7 @@
 
 // read has a daemon read the store: the call takes a while, within which the
 // store answers.
-func (s *simulated) read(d *simulatedDaemon) {
+func (s *simulation) read(d *simulatedDaemon) {
 	took := time.Duration(s.rng.Int64N(int64(80 * time.Millisecond)))
 	answered := s.now + time.Duration(s.rng.Int64N(int64(took)+1))
 	version := uint64(0)
@@ -114,7 +114,7 @@
 	d.Confirm(d.clock(s.now))
 }
 
-func (s *simulated) step() {
+func (s *simulation) step() {
 	s.now += 100 * time.Millisecond
 	if s.rng.IntN(40) == 0 {
 		s.accepted = append(s.accepted, s.now)
@@ -146,7 +146,7 @@
 }
 
 // tell hands a daemon's proof on; what a cut holds up arrives later.
-func (s *simulated) gossip(d *simulatedDaemon) {
+func (s *simulation) gossip(d *simulatedDaemon) {
 	p, ok := d.Newest()
 	if !ok || s.rng.IntN(3) > 0 {
 		return
@@ -161,7 +161,7 @@
 func TestNoDaemonTakesAnOldConfigurationForFresh(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			s := &simulated{rng: rand.New(rand.NewPCG(seed, 9)), accepted: []time.Duration{0}}
+			s := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), accepted: []time.Duration{0}}
 			for i := range 12 {
 				pace := 1 + (s.rng.Float64()-0.5)*1.8e-4
 				s.daemons = append(s.daemons, &simulatedDaemon{clockRate: pace, offset: time.Duration(i) * time.Hour})
@@ -179,7 +179,7 @@
 	}
 }
 
-func checkClaims(t *testing.T, s *simulated) int {
+func checkClaims(t *testing.T, s *simulation) int {
 	t.Helper()
 	claims := 0
 	for i, d := range s.daemons {
