--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -11,44 +11,48 @@
 )
 
 const (
-	// recentRows bounds the rows that are read before they are written.
+	// maxRecentRows bounds the row keys kept in Claims.recent.
 	maxRecentRows = 4096
-	// retryAfterLive is the advice while a live owner runs the call.
+	// defaultRetryAfter is the retry delay given with a refusal while a live owner
+	// runs the call, on overload and when the claim could not be stored in time.
 	defaultRetryAfter = time.Second
-	// readPause is the wait after a stale read.
+	// staleReadDelay is the delay before a row is read again after a stale read.
 	staleReadDelay = 10 * time.Millisecond
-	// objectPause is the wait after a body could not be stored.
+	// objectRetryDelay is the delay before another attempt to store a body.
 	objectRetryDelay = 500 * time.Millisecond
-	// objectTries bounds the attempts to store a body.
+	// maxObjectAttempts bounds the attempts to store a body.
 	maxObjectAttempts = 8
-	// clockTolerance is how far wall time may move against the running time
-	// before expiry is no longer believed.
+	// maxClockDrift is how far wall time may drift from monotonic time before
+	// rows no longer count as expired.
 	maxClockDrift = time.Minute
 )
 
-// Never is what Next returns when nothing is due.
+// Never is the result of Next when nothing is scheduled.
 const Never = time.Duration(math.MaxInt64)
 
-// Stats counts what happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	Transactions, Rows, Reads    uint64
 	Proceeds, Refusals, Replays  uint64
 	Releases, Unstored, Unknowns uint64
 }
 
-// Claims decides for the rows of one writer. It is not safe for concurrent use.
+// Claims is the state machine of one claim writer. It is not safe for
+// concurrent use.
 type Claims struct {
 	cfg        Config
 	now        time.Duration
 	wall       time.Time
 	wallOffset time.Duration
-	// started is set once offset is known.
+	// offsetKnown is set once wallOffset, the difference between wall time and
+	// monotonic time, was taken.
 	offsetKnown bool
 
 	ops   map[string][]*op
 	count int
-	// recent holds rows that are likely to exist: reading them first keeps
-	// repeats from failing their neighbours' transactions.
+	// recent holds the keys of rows that are likely to exist. These are read
+	// before they are written: a write that expects no row would fail, and with
+	// it the whole transaction, which other calls share.
 	recent *simplelru.LRU[string, struct{}]
 
 	commit     committer
@@ -62,12 +66,12 @@
 	stats    Stats
 }
 
-// New returns Claims without work. cfg.OwnerAlive must be set.
+// New returns a Claims without operations. cfg.OwnerAlive must be set.
 func New(cfg Config) *Claims {
 	cfg = cfg.withDefaults()
 	recent, err := simplelru.NewLRU[string, struct{}](maxRecentRows, nil)
 	if err != nil {
-		panic(err) // the size is constant: a fault of the build
+		panic(err) // unreachable: the size is a positive constant
 	}
 	return &Claims{cfg: cfg, ops: map[string][]*op{}, storeCalls: map[CallID]*storeCall{}, recent: recent}
 }
@@ -86,8 +90,8 @@
 	return cfg
 }
 
-// Begin takes a call that must not run twice. It ends with one Proceed, Refuse
-// or Replay that names its token.
+// Begin claims a call that must not run twice. The result is one Proceed, Refuse
+// or Replay with the token of b, returned now or by a later event.
 func (c *Claims) Begin(now time.Duration, wall time.Time, b Begin) []Action {
 	c.observe(now, wall)
 	o := &op{
@@ -99,7 +103,7 @@
 		claimed: wall.UnixMilli(),
 	}
 	if c.count >= c.cfg.MaxOps {
-		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many claims at work").WithRetryAfter(defaultRetryAfter))
+		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many claims are in progress").WithRetryAfter(defaultRetryAfter))
 		return c.flush()
 	}
 	if !c.answeredByQueue(o) {
@@ -108,12 +112,12 @@
 	return c.flush()
 }
 
-// answeredByQueue answers a Begin from the ops at work on the same row.
+// answeredByQueue answers a Begin from the operations in progress on its row.
 func (c *Claims) answeredByQueue(o *op) bool {
 	for _, other := range c.ops[o.row] {
 		switch {
 		case other.token == o.token && other.kind == opBegin:
-			return true // the same Begin again
+			return true // a repeat of the same Begin
 		case other.kind == opRelease:
 			continue
 		case other.kind == opFinish && other.hash == o.hash && other.phase != phaseObject:
@@ -127,8 +131,8 @@
 	return false
 }
 
-// Finish stores the outcome of a claim. The caller's answer need not wait for
-// it. It ends with one Settled that names the claim's token.
+// Finish stores the outcome of a claimed call. The caller may be answered before
+// it is stored. The result is one Settled with the token of the claim.
 func (c *Claims) Finish(now time.Duration, claim Claim, outcome Outcome) []Action {
 	c.advance(now)
 	if outcome.Failure != nil && outcome.Failure.Verdict == verdict.NotRun {
@@ -146,8 +150,9 @@
 }
 
 // Release gives up a claim whose call was not dispatched and never will be, or
-// a Begin that nobody waits for. Only the owner may ask for it. The version
-// may be 0. It ends with one Settled, unless nothing was written yet.
+// cancels a Begin whose caller no longer waits. Only the owner may request it.
+// The version of the claim may be 0. The result is one Settled, unless nothing
+// was written yet.
 func (c *Claims) Release(now time.Duration, claim Claim) []Action {
 	c.advance(now)
 	c.release(claim)
@@ -194,14 +199,14 @@
 
 func (c *Claims) emit(a Action) { c.actions = append(c.actions, a) }
 
-// Tick does what is due; call it at Next or earlier.
+// Tick runs what is due. Call it no later than the time that Next returns.
 func (c *Claims) Tick(now time.Duration, wall time.Time) []Action {
 	c.observe(now, wall)
 	c.fireTimers()
 	return c.flush()
 }
 
-// Next is when Tick is due; Never when nothing is.
+// Next returns when Tick is due, or Never.
 func (c *Claims) Next() time.Duration {
 	next := Never
 	if len(c.timers) > 0 {
@@ -210,19 +215,19 @@
 	return max(c.now, min(next, c.nextSendAt()))
 }
 
-// SetGap changes Config.Gap, as when the number of writers has changed.
+// SetGap changes Config.Gap, for example when the number of writers changes.
 func (c *Claims) SetGap(gap time.Duration) { c.cfg.Gap = gap }
 
-// Working counts the Begins, Finishes and Releases at work.
+// Pending returns the number of Begins, Finishes and Releases in progress.
 func (c *Claims) Pending() int { return c.count }
 
 // Stats returns the counts since the start.
 func (c *Claims) Stats() Stats { return c.stats }
 
-// advance takes the running time; it never goes back.
+// advance sets the monotonic time, which never goes back.
 func (c *Claims) advance(now time.Duration) { c.now = max(c.now, now) }
 
-// observe takes both times.
+// observe sets the monotonic time and the wall time.
 func (c *Claims) observe(now time.Duration, wall time.Time) {
 	c.advance(now)
 	c.wall = wall
@@ -232,8 +237,8 @@
 	}
 }
 
-// clockTrusted says whether wall time has run like the running time: after a
-// jump no row is taken for expired.
+// clockTrusted reports whether wall time has kept pace with monotonic time. After
+// a jump, no row counts as expired.
 func (c *Claims) clockTrusted() bool {
 	drift := time.Duration(c.wall.UnixNano()) - c.now - c.wallOffset
 	return drift.Abs() <= maxClockDrift
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	start  = time.Unix(1_000_000, 0)
-	live   = id.Process{Daemon: "live", Incarnation: 2}
-	dead   = id.Process{Daemon: "live", Incarnation: 1}
-	callOf = func(key string, token Token) Begin {
+	start    = time.Unix(1_000_000, 0)
+	live     = id.Process{Daemon: "live", Incarnation: 2}
+	dead     = id.Process{Daemon: "live", Incarnation: 1}
+	newBegin = func(key string, token Token) Begin {
 		return Begin{Team: "t", Service: "s", Key: key, Token: token, Owner: live, RequestHash: HashRequest("POST", "/", nil)}
 	}
 )
 
-// bench is one Claims on a table without faults.
+// harness runs one Claims on a table without faults.
 type harness struct {
 	*Claims
 	table    *memTable
@@ -38,8 +38,8 @@
 	return &harness{Claims: New(Config{OwnerAlive: func(p id.Process) bool { return p == live }}), table: t}
 }
 
-// settle does what the actions ask for until nothing is due within 100 ms, and
-// returns the actions that are not for the store.
+// settle performs the store's actions until nothing is due within 100 ms, and
+// returns the other actions.
 func (b *harness) settle(actions []Action) []Action {
 	var out []Action
 	for end := b.now + 100*time.Millisecond; ; {
@@ -81,20 +81,20 @@
 func TestRefusals(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	is.True(b.begin(callOf("k", "a")).Proceed != nil)
+	is.True(b.begin(newBegin("k", "a")).Proceed != nil)
 
-	running := b.begin(callOf("k", "b")).Refuse.Err
+	running := b.begin(newBegin("k", "b")).Refuse.Err
 	is.Equal(running.Verdict, verdict.MayHaveRun)
 	is.Equal(running.Code, verdict.CodeClaimed)
 	is.True(running.RetryAfter > 0)
 
-	other := callOf("k", "c")
+	other := newBegin("k", "c")
 	other.RequestHash = HashRequest("POST", "/", []byte("other"))
 	conflict := b.begin(other).Refuse.Err
 	is.Equal(conflict.Verdict, verdict.NotRun)
 	is.Equal(conflict.Code, verdict.CodeConflict)
 
-	foreign := callOf("k", "d")
+	foreign := newBegin("k", "d")
 	foreign.Team = "u"
 	is.True(b.begin(foreign).Proceed != nil) // the same key of another team
 
@@ -108,14 +108,14 @@
 func TestLargeAnswerGoesToTheObjectStore(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	claim := b.begin(callOf("k", "a")).Proceed.Claim
+	claim := b.begin(newBegin("k", "a")).Proceed.Claim
 	body := bytes.Repeat([]byte("x"), DefaultMaxInline+1)
 	out := b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Status: 201, Body: body}}))
 	is.Equal(out[0].StoreObject.Body, body)
-	is.Equal(b.begin(callOf("k", "early")).Refuse.Err.Verdict, verdict.MayHaveRun) // not stored yet
+	is.Equal(b.begin(newBegin("k", "early")).Refuse.Err.Verdict, verdict.MayHaveRun) // not stored yet
 	out = b.settle(b.ObjectReply(b.now, out[0].StoreObject.Row, true))
 	is.True(out[0].Settled.Stored)
-	replay := b.begin(callOf("k", "b")).Replay.Answer
+	replay := b.begin(newBegin("k", "b")).Replay.Answer
 	is.Equal(replay.Status, 201)
 	is.Equal(replay.ObjectBytes, len(body))
 	is.Equal(replay.Object, objectName("a"))
@@ -132,34 +132,34 @@
 func TestObjectStoreDown(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	claim := b.begin(callOf("k", "a")).Proceed.Claim
+	claim := b.begin(newBegin("k", "a")).Proceed.Claim
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Body: make([]byte, DefaultMaxInline+1)}}))
 	for range maxObjectAttempts {
 		b.settle(b.ObjectReply(b.now, claim.Row, false))
 		b.now += objectRetryDelay
 		b.settle(b.tick())
 	}
-	is.Equal(b.begin(callOf("k", "b")).Refuse.Err.Verdict, verdict.Ran)
+	is.Equal(b.begin(newBegin("k", "b")).Refuse.Err.Verdict, verdict.Ran)
 }
 
 func TestExpiryAndClockJump(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	claim := b.begin(callOf("k", "a")).Proceed.Claim
+	claim := b.begin(newBegin("k", "a")).Proceed.Claim
 	b.settle(b.Finish(b.now, claim, Outcome{Answer: &Answer{Status: 200}}))
 	b.wallJump = 25 * time.Hour
-	is.True(b.begin(callOf("k", "b")).Replay != nil) // wall time jumped, no time has passed
+	is.True(b.begin(newBegin("k", "b")).Replay != nil) // wall time jumped, monotonic time did not
 	b.wallJump = 0
 	b.now += 25 * time.Hour
-	is.True(b.begin(callOf("k", "c")).Proceed != nil)
+	is.True(b.begin(newBegin("k", "c")).Proceed != nil)
 	b.now += 25 * time.Hour
-	is.Equal(b.begin(callOf("k", "d")).Refuse.Err.Code, verdict.CodeClaimed) // its owner lives
+	is.Equal(b.begin(newBegin("k", "d")).Refuse.Err.Code, verdict.CodeClaimed) // the owner is alive
 }
 
 func TestStoreDownRefusesNotRun(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	is.Equal(len(b.Begin(0, b.wall(), callOf("k", "a"))), 0)
+	is.Equal(len(b.Begin(0, b.wall(), newBegin("k", "a"))), 0)
 	b.now = DefaultWindow
 	sent := b.tick()[0].Transact
 	b.StoreFailed(b.now, sent.ID, CertainlyNotRun)
@@ -177,7 +177,7 @@
 	b.SetGap(0)
 	var out []Action
 	for i := range 3 * DefaultMaxBatch {
-		out = append(out, b.Begin(0, b.wall(), callOf(fmt.Sprint(i), Token(fmt.Sprint(i))))...)
+		out = append(out, b.Begin(0, b.wall(), newBegin(fmt.Sprint(i), Token(fmt.Sprint(i))))...)
 	}
 	is.Equal(len(out), DefaultMaxInFlight)
 	is.Equal(len(out[0].Transact.Transaction.Puts), DefaultMaxBatch)
@@ -185,8 +185,9 @@
 	is.Equal(b.Stats().Transactions, uint64(3))
 }
 
-// TestReleaseFencesLateWrite: a writer dies with a claim write under way that
-// expects a released row; the release through another writer must outdate it.
+// TestReleaseFencesLateWrite: a writer dies while its claim write, which expects a
+// released row, is in flight. A release through another writer must make that
+// write fail.
 func TestReleaseFencesLateWrite(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
@@ -196,41 +197,41 @@
 	out := b.settle(b.Release(0, Claim{Row: row, Token: "a", Owner: live}))
 	is.True(out[0].Settled.Stored)
 	is.True(!b.table.transact(late).Applied)
-	is.True(b.begin(callOf("k", "b")).Proceed != nil)
+	is.True(b.begin(newBegin("k", "b")).Proceed != nil)
 }
 
 func TestBeginAfterOwnRelease(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
 	b.settle(b.Release(0, Claim{Row: RowKey("t", "s", "k"), Token: "a", Owner: live}))
-	is.Equal(b.begin(callOf("k", "a")).Refuse.Err.Code, verdict.CodeSuperseded)
+	is.Equal(b.begin(newBegin("k", "a")).Refuse.Err.Code, verdict.CodeSuperseded)
 }
 
 // TestRateAtTargetSize: one of four writers gets a quarter of 6,600 claims a
-// second and their outcomes; the table answers after 8 ms. Its share of 240
-// transactions a second suffices.
+// second and their outcomes, and the table replies after 8 ms. The writer's share
+// of 240 transactions a second must suffice.
 func TestRateAtTargetSize(t *testing.T) {
 	is := is.New(t)
 	const perSecond, share, seconds = 1650, 60, 5
 	gap := GapFor(4*share, 4)
 	b := newHarness(nil)
 	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, Gap: gap})
-	type due struct {
+	type pendingReply struct {
 		at time.Duration
 		tx *Transact
 	}
-	var sent []due
+	var inFlight []pendingReply
 	begun := map[Token]time.Duration{}
 	var waits []time.Duration
-	var take func(actions []Action)
-	take = func(actions []Action) {
+	var perform func(actions []Action)
+	perform = func(actions []Action) {
 		for _, a := range actions {
 			switch {
 			case a.Transact != nil:
-				sent = append(sent, due{b.now + 8*time.Millisecond, a.Transact})
+				inFlight = append(inFlight, pendingReply{b.now + 8*time.Millisecond, a.Transact})
 			case a.Proceed != nil:
 				waits = append(waits, b.now-begun[a.Proceed.Claim.Token])
-				take(b.Finish(b.now, a.Proceed.Claim, Outcome{Answer: &Answer{Status: 200}}))
+				perform(b.Finish(b.now, a.Proceed.Claim, Outcome{Answer: &Answer{Status: 200}}))
 			}
 		}
 	}
@@ -238,14 +239,14 @@
 		if n := len(begun); time.Duration(n)*time.Second/perSecond <= b.now {
 			token := Token(fmt.Sprint(n))
 			begun[token] = b.now
-			take(b.Begin(b.now, b.wall(), callOf(string(token), token)))
+			perform(b.Begin(b.now, b.wall(), newBegin(string(token), token)))
 		}
-		for len(sent) > 0 && sent[0].at <= b.now {
-			tx := sent[0].tx
-			sent = sent[1:]
-			take(b.StoreReply(b.now, tx.ID, b.table.transact(tx.Transaction)))
+		for len(inFlight) > 0 && inFlight[0].at <= b.now {
+			tx := inFlight[0].tx
+			inFlight = inFlight[1:]
+			perform(b.StoreReply(b.now, tx.ID, b.table.transact(tx.Transaction)))
 		}
-		take(b.tick())
+		perform(b.tick())
 	}
 	slices.Sort(waits)
 	p50, p99 := waits[len(waits)/2], waits[len(waits)*99/100]
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// maxCommitBytes bounds the values of one transaction.
+	// maxCommitBytes bounds the values of one transaction, in bytes; only the last
+	// value may exceed it.
 	maxCommitBytes = 1 << 20
-	// backoffMin and backoffMax bound the wait after a failed call.
+	// backoffMin and backoffMax bound the delay after a failed store call.
 	backoffMin = 10 * time.Millisecond
 	backoffMax = time.Second
 )
 
-// committer gathers writes for group commits.
+// committer collects writes for group commits.
 type committer struct {
 	queue []*op
-	// since is when the first of waiting came.
+	// waitingSince is when the batching window of the queue began.
 	waitingSince time.Duration
-	// urgent is set when a transaction failed for some of its rows: the rest
-	// has waited already.
+	// skipWindow is set when writes are requeued: they have already waited for a
+	// window.
 	skipWindow bool
 	inFlight   int
-	// notBefore keeps the Gap.
+	// notBefore is the earliest start of the next transaction, by Config.Gap.
 	notBefore time.Duration
-	// retryAt holds all calls back after a failed one.
+	// retryAt is the earliest time of the next store call after a failed one.
 	retryAt  time.Duration
 	failures int
 }
 
-// reader gathers reads.
+// reader collects reads for batches.
 type reader struct {
 	queue    []*op
 	inFlight int
 }
 
-// call is one transaction or read in flight.
+// storeCall is one transaction or read in flight.
 type storeCall struct {
 	ops  []*op
 	read bool
@@ -57,13 +58,13 @@
 	c.reads.queue = append(c.reads.queue, o)
 }
 
-// readLater reads again after a pause: the last read was stale.
+// delayRead reads the row again after a delay: the last read was stale.
 func (c *Claims) delayRead(o *op) {
 	o.phase = phaseReadDelay
 	c.startTimer(staleReadDelay, timer{kind: timerRetry, op: o})
 }
 
-// commitAt is when the waiting writes or reads may go.
+// nextSendAt returns when the queued writes or reads may be sent, or Never.
 func (c *Claims) nextSendAt() time.Duration {
 	at := Never
 	if len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
@@ -82,7 +83,7 @@
 	return c.commit.waitingSince + c.cfg.Window
 }
 
-// flush sends what may go and returns all actions of the event.
+// flush sends the writes and reads that are due and returns all pending actions.
 func (c *Claims) flush() []Action {
 	c.commit.queue = keepInPhase(c.commit.queue, phaseWrite)
 	c.reads.queue = keepInPhase(c.reads.queue, phaseRead)
@@ -103,7 +104,7 @@
 	return len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight && due <= c.now
 }
 
-// dropGone removes ops that no longer wait in that phase.
+// keepInPhase removes the ops that are in another phase.
 func keepInPhase(ops []*op, want phase) []*op {
 	return slices.DeleteFunc(ops, func(o *op) bool { return o.phase != want })
 }
@@ -138,7 +139,7 @@
 	o.phase = phaseWriting
 	value, err := EncodeRow(row)
 	if err != nil {
-		panic(err) // every field of a Row can be encoded: a fault of the build
+		panic(err) // unreachable: every field of a Row can be encoded
 	}
 	return value
 }
@@ -164,7 +165,8 @@
 	return c.lastID
 }
 
-// endCall takes a call out of flight; nil when it was given up before.
+// endStoreCall removes a store call from those in flight and returns it, or nil
+// if it has ended already, for example by a timeout.
 func (c *Claims) endStoreCall(id CallID) *storeCall {
 	k, ok := c.storeCalls[id]
 	if !ok {
@@ -179,7 +181,7 @@
 	return k
 }
 
-// StoreFailed tells that a call to the store gave no reply.
+// StoreFailed handles a store call that failed without a reply.
 func (c *Claims) StoreFailed(now time.Duration, id CallID, f StoreFailure) []Action {
 	c.advance(now)
 	c.storeFailed(id, f)
@@ -220,7 +222,7 @@
 	c.commit.retryAt = 0
 }
 
-// requeueWrites puts ops back in front, without a new window.
+// requeueWrites puts ops back at the head of the queue, without a new window.
 func (c *Claims) requeueWrites(ops []*op) {
 	ops = keepInPhase(slices.Clone(ops), phaseWriting)
 	for _, o := range ops {
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// StoreReply takes the store's reply to a transaction.
+// StoreReply handles the store's reply to a transaction.
 func (c *Claims) StoreReply(now time.Duration, id CallID, r table.Reply) []Action {
 	c.advance(now)
 	k := c.endStoreCall(id)
@@ -38,13 +38,13 @@
 	}
 }
 
-// written handles a write that took effect.
+// writeApplied handles a write that took effect.
 func (c *Claims) writeApplied(o *op, version uint64) {
 	switch {
 	case o.kind == opBegin:
 		c.proceed(o, version)
 	case o.sentState == StateClaimed:
-		// The Begin was given up while its write was in flight.
+		// The Begin was abandoned while its write was in flight.
 		o.expectedVersion = version
 		c.queueWrite(o)
 	default:
@@ -59,7 +59,7 @@
 	c.done(o)
 }
 
-// finished ends a Finish or Release whose row is as it wants it.
+// complete ends a Finish or Release whose row has the state that it writes.
 func (c *Claims) complete(o *op) {
 	if o.kind == opRelease {
 		c.stats.Releases++
@@ -69,7 +69,7 @@
 	c.done(o)
 }
 
-// notApplied reads the rows whose condition failed and sends the rest again.
+// notApplied reads the rows whose condition failed and requeues the other writes.
 func (c *Claims) notApplied(ops []*op, failed []string) {
 	var rest []*op
 	for _, o := range ops {
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(rest) == len(ops) {
-		// The store did not say whose condition failed.
+		// The reply does not name the rows whose condition failed.
 		for _, o := range rest {
 			c.conditionFailed(o)
 		}
@@ -96,7 +96,8 @@
 	c.queueRead(o)
 }
 
-// ReadReply takes the rows of a read. Rows that it lacks do not exist.
+// ReadReply handles the rows of a read. A key without a row counts as
+// absent.
 func (c *Claims) ReadReply(now time.Duration, id CallID, rows []table.Row) []Action {
 	c.advance(now)
 	k := c.endStoreCall(id)
@@ -116,7 +117,8 @@
 	return c.flush()
 }
 
-// read decides on a row as read; the read may be stale.
+// handleRow decides how an op goes on after its row was read; the read may be
+// stale.
 func (c *Claims) handleRow(o *op, stored table.Row) {
 	if stored.Version == 0 {
 		c.rowAbsent(o)
@@ -141,8 +143,8 @@
 	}
 }
 
-// absent handles a read without a row. Only a write that expects no row can
-// tell whether the read was stale.
+// rowAbsent handles a read that found no row. Only a write that expects no row
+// can show whether the read was stale.
 func (c *Claims) rowAbsent(o *op) {
 	if o.kind == opFinish {
 		c.delayRead(o)
@@ -154,7 +156,7 @@
 
 func (c *Claims) rowUnreadable(o *op, err error) {
 	if o.kind == opBegin {
-		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be read").WithCause(err))
+		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be decoded").WithCause(err))
 	} else {
 		c.settle(o, false)
 	}
@@ -166,7 +168,7 @@
 	case row.Token == o.token && row.State == StateClaimed:
 		c.proceed(o, version)
 	case row.Token == o.token && row.State == StateReleased:
-		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the owner has given this claim up"))
+		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the claim was released by its owner"))
 		c.done(o)
 	case c.claimable(row):
 		o.expectedVersion = version
@@ -182,7 +184,7 @@
 	}
 }
 
-// free says whether a row may be overwritten by a new claim.
+// claimable reports whether a new claim may overwrite the row.
 func (c *Claims) claimable(row Row) bool {
 	if row.State == StateReleased {
 		return true
@@ -203,7 +205,7 @@
 	if f == nil {
 		f = &Failure{Verdict: verdict.MayHaveRun, Code: verdict.CodeInternal, Message: "the stored outcome is empty"}
 	}
-	c.refuse(o, verdict.New(f.Verdict, f.Code, "an earlier call under this key failed: %s", f.Message))
+	c.refuse(o, verdict.New(f.Verdict, f.Code, "an earlier call with this idempotency key failed: %s", f.Message))
 }
 
 func (c *Claims) decideFinish(o *op, row Row, version uint64) {
@@ -219,8 +221,9 @@
 	}
 }
 
-// decideRelease frees a row of its own. It also overwrites a free row, so that
-// a claim write of its own which is still under way can't take effect later.
+// decideRelease releases the op's own row. It also overwrites a claimable row of
+// another attempt, so that the op's own claim write fails if it is still in
+// flight.
 func (c *Claims) decideRelease(o *op, row Row, version uint64) {
 	own := row.Token == o.token
 	switch {
@@ -235,7 +238,7 @@
 	}
 }
 
-// refusal tells why a call does not run while another holds its key.
+// refusal returns the error for a call whose key is held by another call.
 func refusal(sameRequest, ownerAlive bool) *verdict.Error {
 	if !sameRequest {
 		return verdict.New(verdict.NotRun, verdict.CodeConflict,
@@ -243,8 +246,8 @@
 	}
 	if !ownerAlive {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-			"an earlier call under this key was lost with its daemon and may have run")
+			"an earlier call with this idempotency key may have run; its daemon has failed")
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-		"a call under this key is running").WithRetryAfter(defaultRetryAfter)
+		"a call with this idempotency key is running").WithRetryAfter(defaultRetryAfter)
 }
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -8,23 +8,23 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// add queues an op behind those of the same row.
-func (c *Claims) enqueue(o *op, patience time.Duration) {
+// enqueue adds an op to the queue of its row, with a timeout for the whole op.
+func (c *Claims) enqueue(o *op, timeout time.Duration) {
 	c.count++
 	o.phase = phaseQueued
 	c.ops[o.row] = append(c.ops[o.row], o)
-	c.setDeadline(o, patience)
+	c.setDeadline(o, timeout)
 	if len(c.ops[o.row]) == 1 {
 		c.start(o)
 	}
 }
 
-func (c *Claims) setDeadline(o *op, patience time.Duration) {
-	o.deadline = c.now + patience
-	c.startTimer(patience, timer{kind: timerDeadline, op: o})
+func (c *Claims) setDeadline(o *op, timeout time.Duration) {
+	o.deadline = c.now + timeout
+	c.startTimer(timeout, timer{kind: timerDeadline, op: o})
 }
 
-// start lets the first op of a row begin its work.
+// start begins the work of the first op in a row's queue.
 func (c *Claims) start(o *op) {
 	_, known := c.recent.Get(o.row)
 	switch {
@@ -48,7 +48,7 @@
 
 func objectName(t Token) string { return ObjectPrefix + url.PathEscape(string(t)) }
 
-// ObjectReply tells whether the body that belongs to the row is stored.
+// ObjectReply handles the result of a StoreObject action for the row.
 func (c *Claims) ObjectReply(now time.Duration, row string, stored bool) []Action {
 	c.advance(now)
 	queue := c.ops[row]
@@ -82,12 +82,12 @@
 	o.outcome = Outcome{Failure: &Failure{
 		Verdict: verdict.Ran,
 		Code:    verdict.CodeUnavailable,
-		Message: "the call ran, its answer was too large to be kept in the table and could not be stored",
+		Message: "the call ran, but its answer was too large for the table and could not be stored in the object store",
 	}}
 	c.start(o)
 }
 
-// again ends a pause.
+// retry continues an op after a delay.
 func (c *Claims) retry(o *op) {
 	switch o.phase {
 	case phaseObject:
@@ -97,7 +97,7 @@
 	}
 }
 
-// expire ends the patience with an op.
+// deadlineReached ends an op that has timed out.
 func (c *Claims) deadlineReached(o *op) {
 	if o.phase == phaseDone || c.now < o.deadline {
 		return
@@ -108,12 +108,12 @@
 		return
 	}
 	c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"the claim could not be stored in %s", c.cfg.MaxWait).WithRetryAfter(defaultRetryAfter))
+		"the claim could not be stored within %s", c.cfg.MaxWait).WithRetryAfter(defaultRetryAfter))
 	c.abandon(o)
 }
 
-// abandon drops a Begin. Where a write of it may have taken effect, the op
-// lives on as a Release: nothing was dispatched, so the key may be freed.
+// abandon drops a Begin. If a write of it may have taken effect, the op continues
+// as a Release: nothing was dispatched, so the key may be freed.
 func (c *Claims) abandon(o *op) {
 	if !o.writeUncertain && o.phase != phaseWriting {
 		c.done(o)
--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// memTable models the platform's table with all its faults.
+// memTable models the platform's table, including stale reads.
 type memTable struct {
 	rows    map[string]table.Row
 	history map[string][]table.Row
@@ -39,7 +39,7 @@
 	return r
 }
 
-// read gives a row, or a stale copy of it.
+// read returns a row, or a stale version of it.
 func (t *memTable) read(key string, stale bool, rng *rand.Rand) table.Row {
 	if old := t.history[key]; stale && len(old) > 0 {
 		if at := rng.IntN(len(old) + 1); at < len(old) {
@@ -81,7 +81,7 @@
 	claims  *Claims
 }
 
-// attempt is one call as its caller sees it.
+// attempt is one call from the point of view of its caller.
 type attempt struct {
 	key           string
 	owner         *daemon
@@ -147,7 +147,8 @@
 	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, run: run})
 }
 
-// to runs an event at a daemon unless its process has died, and does the actions.
+// runAt runs an event at a daemon unless its process has ended, and performs the
+// resulting actions.
 func (s *simulation) runAt(d *daemon, run func(c *Claims) []Action) {
 	if !s.alive(d.process) {
 		return
@@ -204,7 +205,7 @@
 	}
 	lost := s.chance(s.faults.lostStoreReply)
 	if lost {
-		fail(s.latency(), OutcomeUnknown) // perhaps before the write takes effect
+		fail(s.latency(), OutcomeUnknown) // possibly before the write takes effect
 	}
 	s.schedule(s.latency(), func() {
 		r := s.table.transact(t.Transaction)
@@ -230,7 +231,7 @@
 	})
 }
 
-// reply carries a decision from the writer to the owner, or loses it.
+// reply sends a decision from the writer to the owner, or loses it.
 func (s *simulation) reply(t Token, what string, then func(*attempt)) {
 	at := s.attempts[t]
 	at.replies = append(at.replies, what)
@@ -258,7 +259,7 @@
 	})
 }
 
-// call is one call through an owner and a writer, which may be the same.
+// call starts one call through an owner and a writer, which may be the same.
 func (s *simulation) call(key string) Token {
 	owner := s.daemons[s.rng.IntN(len(s.daemons))]
 	writer := s.daemons[s.rng.IntN(len(s.daemons))]
@@ -305,7 +306,7 @@
 
 func (s *simulation) checkReplay(at *attempt, a Answer) {
 	if string(a.Body) != s.answers[at.key] {
-		s.violations = append(s.violations, fmt.Sprintf("replay of %s gives %q, want %q", at.key, a.Body, s.answers[at.key]))
+		s.violations = append(s.violations, fmt.Sprintf("replay of %s: got %q, want %q", at.key, a.Body, s.answers[at.key]))
 	}
 }
 
@@ -318,7 +319,7 @@
 	s.now = until
 }
 
-// kill ends a process; another one of the same daemon starts.
+// restart ends the process of a daemon and starts another one.
 func (s *simulation) restart(i int) {
 	s.restarts++
 	p := s.daemons[i].process
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -6,7 +6,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// opKind says what an op wants the row to become.
+// opKind is the kind of change that an op makes to its row.
 type opKind uint8
 
 const (
@@ -19,7 +19,7 @@
 type phase uint8
 
 const (
-	// phaseBehind: an earlier op of the same row is at work.
+	// phaseQueued: an earlier op of the same row is in progress.
 	phaseQueued phase = iota
 	// phaseObject: the answer's body is being stored.
 	phaseObject
@@ -31,13 +31,13 @@
 	phaseRead
 	// phaseReading: its read is in flight.
 	phaseReading
-	// phasePause: the op waits before it reads again.
+	// phaseReadDelay: the op waits before it reads again.
 	phaseReadDelay
-	// phaseDone: the op is over.
+	// phaseDone: the op has ended.
 	phaseDone
 )
 
-// op is one Begin, Finish or Release at work. Only the first op of a row's
+// op is one Begin, Finish or Release in progress. Only the first op of a row's
 // queue reads or writes.
 type op struct {
 	kind    opKind
@@ -48,23 +48,23 @@
 	owner   id.Process
 	claimed int64 // wall time of the claim, in ms
 	outcome Outcome
-	// cond is the version that the next write expects.
+	// expectedVersion is the row version that the next write expects.
 	expectedVersion uint64
-	// seen is the highest version that a write expected in vain: a read that
-	// shows it, or a lower one, is stale.
+	// staleVersion is the highest version for which a conditional write failed: a
+	// read that returns it, or a lower one, is stale.
 	staleVersion uint64
-	// sent is the state that the write in flight puts.
+	// sentState is the state that the write in flight stores.
 	sentState State
-	// unsure is set once a write's reply was lost: it may have taken effect or
-	// still will.
+	// writeUncertain is set once the reply to a write was lost: the write may have
+	// taken effect or may still do so.
 	writeUncertain bool
 	// objectTries counts failed attempts to store the body.
 	objectTries int
-	// deadline ends the patience with the op.
+	// deadline is when the op times out.
 	deadline time.Duration
 }
 
-// value is the row that the op writes.
+// rowToWrite returns the row that the op writes.
 func (o *op) rowToWrite(retention time.Duration) Row {
 	r := Row{
 		State:         StateClaimed,
@@ -84,7 +84,7 @@
 	return r
 }
 
-// claim is the handle that a Begin's owner gets.
+// claim returns the handle for the owner of a Begin.
 func (o *op) claim(version uint64) Claim {
 	return Claim{
 		Row:           o.row,
@@ -96,5 +96,5 @@
 	}
 }
 
-// stale says whether a read of that version is older than what the op knows.
+// stale reports whether a read that returned the version is outdated.
 func (o *op) stale(version uint64) bool { return version <= o.staleVersion }
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -28,7 +28,7 @@
 		}
 		total.add(simulate(t, seed, f))
 	}
-	// The faults and all endings must have been met.
+	// All faults and all results must have occurred.
 	is := is.New(t)
 	is.True(total.proceeds > 1000)
 	is.True(total.replays > 1000)
@@ -38,7 +38,7 @@
 	is.True(total.freed > 100)
 }
 
-// TestAnyFaultRates draws the rates of the faults as well.
+// TestAnyFaultRates also draws the rates of the faults at random.
 func TestAnyFaultRates(t *testing.T) {
 	rate := rapid.Float64Range(0, 0.5)
 	rapid.Check(t, func(t *rapid.T) {
@@ -119,12 +119,12 @@
 			out.freed++
 		}
 		if at.replies[0] != want {
-			t.Fatalf("seed %d: %s ran %d times and ends with %s, want %s", seed, key, ran, at.replies[0], want)
+			t.Fatalf("seed %d: %s ran %d times and the last call got %s, want %s", seed, key, ran, at.replies[0], want)
 		}
 	}
 	for _, d := range s.daemons {
 		if n := d.claims.Pending(); n != 0 {
-			t.Fatalf("seed %d: %d ops are left at %s", seed, n, d.process)
+			t.Fatalf("seed %d: %d ops still in progress at %s", seed, n, d.process)
 		}
 		out.unknowns += int(d.claims.Stats().Unknowns)
 	}
@@ -149,7 +149,8 @@
 	return out
 }
 
-// check holds the promises against what happened.
+// check verifies that no key ran twice, that no call had two replies, and that no
+// call refused as not run was dispatched.
 func (s *simulation) check(t rapid.TB, seed uint64) {
 	for i := range simulatedKeys {
 		if key := fmt.Sprint("k", i); s.runs[key] > 1 {
@@ -159,10 +160,10 @@
 	for _, token := range s.tokens {
 		at := s.attempts[token]
 		if len(at.replies) > 1 {
-			t.Fatalf("seed %d: %s was answered %v", seed, token, at.replies)
+			t.Fatalf("seed %d: %s got several replies: %v", seed, token, at.replies)
 		}
 		if at.refusedWith == verdict.NotRun && at.dispatches > 0 {
-			t.Fatalf("seed %d: %s was told not run and was dispatched", seed, token)
+			t.Fatalf("seed %d: %s was refused as not run but was dispatched", seed, token)
 		}
 	}
 	if len(s.violations) > 0 {
--- a/core/claim/row.go
+++ b/core/claim/row.go
@@ -13,13 +13,13 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// RowPrefix starts the key of every claim row.
+// RowPrefix is the prefix of the keys of all claim rows.
 const RowPrefix = "claim/"
 
-// ObjectPrefix starts the name of every stored body.
+// ObjectPrefix is the prefix of the names of all stored bodies.
 const ObjectPrefix = "claim/"
 
-// State is how far a claimed call has come, as far as the table knows.
+// State is the progress of a claimed call as recorded in the table.
 type State uint8
 
 // The states of a row.
@@ -45,7 +45,8 @@
 }
 
 // RowKey returns the table key: claim/<team>/<service>/<hash>. The hash covers
-// team, service and key with their lengths, so that no two ever meet.
+// the lengths of team, service and key as well, so that their concatenations
+// can't collide.
 func RowKey(team id.Team, service id.Service, key string) string {
 	h := sha256.New()
 	for _, part := range []string{string(team), string(service), key} {
@@ -56,7 +57,7 @@
 	return RowPrefix + url.PathEscape(string(team)) + "/" + url.PathEscape(string(service)) + "/" + sum
 }
 
-// HashRequest hashes a call, so that another call under the same key is noticed.
+// HashRequest hashes a call, so that a different call with the same key is detected.
 func HashRequest(method, path string, body []byte) Hash {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
@@ -66,7 +67,7 @@
 	return Hash(h.Sum(nil))
 }
 
-// EncodeRow gives the value of a row.
+// EncodeRow returns the table value of a row.
 func EncodeRow(r Row) ([]byte, error) {
 	value, err := cbor.Marshal(r)
 	if err != nil {
@@ -75,17 +76,17 @@
 	return value, nil
 }
 
-// DecodeRow reads the value of a row.
+// DecodeRow decodes the table value of a row.
 func DecodeRow(value []byte) (Row, error) {
 	var r Row
 	if err := cbor.Unmarshal(value, &r); err != nil {
 		return Row{}, fmt.Errorf("decode claim row: %w", err)
 	}
 	if r.State < StateClaimed || r.State > StateReleased {
-		return Row{}, fmt.Errorf("decode claim row: state %d is unknown", r.State)
+		return Row{}, fmt.Errorf("decode claim row: unknown state %d", r.State)
 	}
 	return r, nil
 }
 
-// Expired says whether the row's retention is over at the wall time.
+// Expired reports whether the row's retention has ended at the given wall time.
 func (r *Row) Expired(wall time.Time) bool { return wall.UnixMilli() >= r.ExpiresUnixMS }
--- a/core/claim/shard.go
+++ b/core/claim/shard.go
@@ -7,24 +7,24 @@
 	"github.com/samphirequay/samphirequay/core/rendezvous"
 )
 
-// writersKey ranks the members that write claims.
+// writersKey is the rendezvous hashing key that selects the writers.
 const writersKey = "claim-writers"
 
-// Writers chooses the n daemons that write claims: a member that comes or goes
+// Writers selects the n daemons that write claims. A member that joins or leaves
 // changes at most one of them.
 func Writers(members []id.Daemon, n int) []id.Daemon {
 	ranked := rendezvous.Ranked(writersKey, members)
 	return ranked[:min(n, len(ranked))]
 }
 
-// WriterFor chooses the writer of a row; empty when there is none. Two daemons
-// that disagree for a moment are no danger: the table decides.
+// WriterFor returns the writer of a row, or "" if there is none. Daemons may
+// disagree on it for a moment: the table's conditions prevent a double claim.
 func WriterFor(row string, writers []id.Daemon) id.Daemon {
 	return rendezvous.Owner(row, writers)
 }
 
-// GapFor returns the Gap by which that many writers share a number of
-// transactions a second.
+// GapFor returns the Config.Gap at which the given number of writers together make
+// at most the given number of transactions a second.
 func GapFor(transactionsPerSecond, writers int) time.Duration {
 	return time.Duration(max(writers, 1)) * time.Second / time.Duration(max(transactionsPerSecond, 1))
 }
--- a/core/claim/sweep.go
+++ b/core/claim/sweep.go
@@ -7,14 +7,14 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// SweepGrace is how long past its expiry a row stays: no write of its time can
-// still be under way when it is deleted.
+// SweepGrace is how long a row is kept past its expiry, so that no earlier write
+// of it can still be in flight when it is deleted.
 const SweepGrace = time.Hour
 
-// Sweep returns the transaction that deletes those of the rows whose time is
-// over, at most DefaultMaxBatch, and the names of the bodies to delete after
-// it was applied. The sweeping daemon pages through RowPrefix with it. A
-// claimed row of a live owner stays.
+// Sweep returns the transaction that deletes the expired rows among the given
+// ones, at most DefaultMaxBatch, and the names of the bodies to delete after it
+// was applied. The sweeping daemon pages through RowPrefix with it. A claimed row
+// of a live owner is kept.
 func Sweep(wall time.Time, rows []table.Row, ownerAlive func(id.Process) bool) (table.Transaction, []string) {
 	var t table.Transaction
 	var objects []string
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer wakes an op, or ends the wait for a call.
+// timer ends an op's delay, or times out an op or a store call.
 type timer struct {
 	at     time.Duration
 	seq    uint64
@@ -17,11 +17,11 @@
 type timerKind uint8
 
 const (
-	// timerDeadline ends the patience with an op.
+	// timerDeadline times out an op.
 	timerDeadline timerKind = iota + 1
-	// timerAgain ends an op's pause.
+	// timerRetry ends an op's delay.
 	timerRetry
-	// timerCall gives a call to the store up.
+	// timerStoreCall times out a store call.
 	timerStoreCall
 )
 
@@ -58,7 +58,7 @@
 	heap.Push(&c.timers, t)
 }
 
-// fire handles the timers that are due.
+// fireTimers handles the timers that are due.
 func (c *Claims) fireTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		t := heap.Pop(&c.timers).(timer)
