--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -74,8 +74,8 @@
 }
 
 func (c *Claims) objectFailed(o *op) {
-	o.objectTries++
-	if o.objectTries < maxObjectAttempts {
+	o.objectAttempts++
+	if o.objectAttempts < maxObjectAttempts {
 		c.startTimer(objectRetryDelay, timer{kind: timerRetry, op: o})
 		return
 	}
--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -59,7 +59,7 @@
 	// taken effect or may still do so.
 	writeUncertain bool
 	// objectTries counts failed attempts to store the body.
-	objectTries int
+	objectAttempts int
 	// deadline is when the op times out.
 	deadline time.Duration
 }
