--- a/core/claim/op.go
+++ b/core/claim/op.go
@@ -58,7 +58,7 @@
 	// writeUncertain is set once the reply to a write was lost: the write may have
 	// taken effect or may still do so.
 	writeUncertain bool
-	// objectTries counts failed attempts to store the body.
+	// objectAttempts counts failed attempts to store the body.
 	objectAttempts int
 	// deadline is when the op times out.
 	deadline time.Duration
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -6,59 +6,59 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// startShare of the burst is in an account that begins. Another keeper may have
-// granted up to the limit just before, so that a full burst would come twice;
-// with none at all, the requests right after a change of the keeper would be
-// refused though their team is within its limit.
+// initialShare is the share of the burst that a new account holds. Another keeper
+// may have granted up to the limit just before, so that a full burst would be
+// granted twice; with an empty account, the requests right after a change of the
+// keeper would be refused although their team is within its limit.
 const initialShare = 0.5
 
-// Ledger holds the accounts of teams at the keeper.
+// Ledger holds the keeper's accounts of teams.
 type Ledger struct {
 	tolerance Tolerance
 	accounts  map[id.Team]*account
 }
 
-// account fills at its team's rate up to the burst. Whoever finds something in
-// it may spend more than that, and leaves a debt: large requests of a team have
-// the same chance as small ones.
+// account is a token bucket: it fills at its team's rate up to maxBalance. A
+// request may cost more than the balance and leave a debt, so that the large
+// requests of a team have the same chance as the small ones.
 type account struct {
 	balance float64
-	// room is the most that it may hold.
+	// maxBalance is the most that the account may hold.
 	maxBalance float64
-	// at is when the balance was brought up to date.
+	// updatedAt is when the balance was brought up to date.
 	updatedAt time.Duration
 	limit     Limit
 	share     float64
-	// bookedUntil is up to when the account's income is spoken for by those that
-	// were told to come back.
+	// reservedUntil is up to when the account's income is reserved for refused
+	// requests that were given a time for their retry.
 	reservedUntil time.Duration
 }
 
 // NewLedger returns a ledger without accounts.
 func NewLedger(t Tolerance) *Ledger { return &Ledger{tolerance: t, accounts: map[id.Team]*account{}} }
 
-// Charge is what a request asks of a team's account.
+// Charge is the cost of a request and the limit that it is charged against.
 type Charge struct {
 	Team  id.Team
 	Limit Limit
 	// Cost is in the limit's units.
 	Cost float64
 	// Share is the part of the limit that this ledger may grant: the part of the
-	// daemons that its keeper reaches. Two keepers on either side of a cut then
-	// grant no more together than one.
+	// daemons that its keeper reaches. Two keepers on either side of a network
+	// partition then grant no more together than one.
 	Share float64
 }
 
-// Refusal says when there will be room.
+// Refusal gives the delays after which a refused request may succeed.
 type Refusal struct {
-	// Wait is how long it takes until there is some.
+	// Wait is how long it takes until the account has credit.
 	Wait time.Duration
-	// Back is when the refused request should come back: behind those that were
-	// refused before it.
+	// Back is after how long the refused request should be retried: after the
+	// requests that were refused before it.
 	Back time.Duration
 }
 
-// Take grants the cost if there is room.
+// Take grants the cost if the account allows it.
 func (l *Ledger) Take(now time.Duration, c Charge) (ok bool, r Refusal) {
 	a := l.account(now, c)
 	if !a.allows(c.Cost) {
@@ -68,8 +68,8 @@
 	return true, Refusal{}
 }
 
-// refuse tells a request when to come back. Those that are refused together come
-// back one after another, as the account fills.
+// refuse returns when a request should be retried. Requests that are refused
+// together get successive times, at the rate at which the account fills.
 func (a *account) refuse(now time.Duration, cost float64) Refusal {
 	r := Refusal{Wait: a.waitFor(cost)}
 	at := max(now+r.Wait, a.reservedUntil)
@@ -80,11 +80,12 @@
 	return r
 }
 
-// mostBooked is how far ahead those that were refused are told apart: callers
-// wait no longer.
+// maxReserved is how far ahead refused requests get distinct times for their
+// retries: callers wait no longer than that.
 const maxReserved = 8 * time.Second
 
-// Owe charges what was spent already, and says how long the account is in debt.
+// Owe charges a cost that was already spent, and returns how long the account
+// stays in debt.
 func (l *Ledger) Owe(now time.Duration, c Charge) time.Duration {
 	a := l.account(now, c)
 	a.balance -= c.Cost
@@ -94,13 +95,13 @@
 	return a.waitFor(0)
 }
 
-// Return gives back what was granted for a request that has not run.
+// Return credits what was granted for a request that has not run.
 func (l *Ledger) Return(now time.Duration, c Charge) {
 	a := l.account(now, c)
 	a.balance = min(a.balance+c.Cost, a.maxBalance)
 }
 
-// Balance is what a team's account holds; ok is false where there is none.
+// Balance returns the balance of a team's account; ok is false if there is none.
 func (l *Ledger) Balance(team id.Team) (balance float64, ok bool) {
 	a, ok := l.accounts[team]
 	if !ok {
@@ -109,29 +110,29 @@
 	return a.balance, true
 }
 
-// Len is how many accounts there are.
+// Len returns the number of accounts.
 func (l *Ledger) Len() int { return len(l.accounts) }
 
-// account brings a team's account up to date, making it if there is none.
+// account returns a team's account, brought up to date. It creates a missing one.
 func (l *Ledger) account(now time.Duration, c Charge) *account {
-	room := l.tolerance.maxBalance(c.Limit) * c.Share
+	maxBalance := l.tolerance.maxBalance(c.Limit) * c.Share
 	a := l.accounts[c.Team]
 	if a == nil {
-		a = &account{updatedAt: now, limit: c.Limit, share: c.Share, maxBalance: room}
-		a.balance = min(initialShare*max(c.Limit.Burst, 1)*c.Share, room)
+		a = &account{updatedAt: now, limit: c.Limit, share: c.Share, maxBalance: maxBalance}
+		a.balance = min(initialShare*max(c.Limit.Burst, 1)*c.Share, maxBalance)
 		l.accounts[c.Team] = a
 		return a
 	}
 	a.balance += max(0, (now-a.updatedAt).Seconds()) * a.limit.Rate * a.share
 	a.updatedAt = max(a.updatedAt, now)
-	a.limit, a.share, a.maxBalance = c.Limit, c.Share, room
-	a.balance = min(a.balance, room)
+	a.limit, a.share, a.maxBalance = c.Limit, c.Share, maxBalance
+	a.balance = min(a.balance, maxBalance)
 	return a
 }
 
-// allows says whether a cost may be granted. A keeper that reaches few of the
-// daemons may have many beside it, each with accounts of its own: their debts
-// would add up.
+// allows reports whether a cost may be granted. A keeper that reaches less than
+// half of the daemons may be one of many, each with accounts of its own. Their
+// debts would add up, so the balance has to cover the whole cost there.
 func (a *account) allows(cost float64) bool {
 	if a.share < majorityShare {
 		return a.balance >= cost
@@ -139,10 +140,11 @@
 	return a.balance > 0
 }
 
-// majority of the daemons can't be on two sides of a cut.
+// majorityShare: only one side of a partition can have more than this share of the
+// daemons.
 const majorityShare = 0.5
 
-// wait is how long it takes until the account allows a cost.
+// waitFor returns how long it takes until the account allows a cost.
 func (a *account) waitFor(cost float64) time.Duration {
 	needed := -a.balance
 	if a.share < majorityShare {
@@ -160,7 +162,7 @@
 }
 
 const (
-	// shortestWait and longestWait bound the advice to come back.
+	// minWait and maxWait bound the wait that is given with a refusal.
 	minWait = 20 * time.Millisecond
 	maxWait = time.Minute
 )
--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -1,7 +1,8 @@
-// Package quota holds teams to their limits over all daemons together. One
+// Package quota enforces the limits of teams over all daemons together. One
 // daemon, the keeper, has an account for each team and grants credit on demand;
-// the others spend a little ahead of it, so that a small request need not wait
-// for the keeper. It has no I/O: requests and a time go in, decisions come out.
+// the others spend a little in advance, before the keeper has charged it, so that
+// a small request need not wait for the keeper. The package does no I/O: it takes
+// requests and a time and returns decisions.
 package quota
 
 import (
@@ -10,23 +11,23 @@
 	"time"
 )
 
-// Limit is how much a team may have run, over all daemons together. It is
-// counted in units: requests, or tokens.
+// Limit bounds what a team may run, over all daemons together. It is counted in
+// units: requests or tokens.
 type Limit struct {
 	// Rate is in units a second; 0 for no limit.
 	Rate float64 `cbor:"1,keyasint,omitempty"`
-	// Burst is how many units may come at once beyond the rate.
+	// Burst is how many units may be used at once beyond the rate.
 	Burst float64 `cbor:"2,keyasint,omitempty"`
 	// ByTokens counts tokens in place of requests.
 	ByTokens bool `cbor:"3,keyasint,omitempty"`
-	// PlainTokens is what a request counts that names no size; only by tokens.
+	// PlainTokens is the cost of a request of unknown size; only with ByTokens.
 	PlainTokens float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Limited says whether there is a limit at all.
+// Limited reports whether there is a limit at all.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Check names the first figure that can't be one of a limit.
+// Check returns an error that names the first invalid value of the limit.
 func (l Limit) Check() error {
 	figures := []struct {
 		name  string
@@ -40,15 +41,16 @@
 	return nil
 }
 
-// Size is how large a request says that it is, in tokens.
+// Size is the size that a request declares, in tokens.
 type Size struct {
-	// Known is false for a request that names no size.
+	// Known is false for a request that declares no size.
 	Known bool
-	// Prompt is the number of its tokens, Output the most of the answer.
+	// Prompt is the number of prompt tokens, Output the maximum number of output
+	// tokens.
 	Prompt, Output int
 }
 
-// Cost is what a request of a size counts against the limit.
+// Cost returns what a request of a size counts against the limit, in units.
 func (l Limit) Cost(s Size) float64 {
 	switch {
 	case !l.ByTokens:
@@ -61,7 +63,7 @@
 }
 
 // Tolerance is by how much a limit may be exceeded in any window, over all
-// daemons together: by Overshoot, a share of what the limit allows in it, and by
+// daemons together: by Overshoot, a share of what the limit allows in it, plus
 // Slack units.
 type Tolerance struct {
 	Window    time.Duration
@@ -69,24 +71,25 @@
 	Slack     float64
 }
 
-// Of is the tolerance for one limit, in units.
+// Of returns the tolerance for one limit, in units.
 func (t Tolerance) Of(l Limit) float64 {
 	return t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
 }
 
 const (
-	// burstShare of the tolerance is a longer burst. In the long run a team has no
-	// more than its rate; but what it sends at once is counted at other moments
-	// here than where it is sent, and must not be refused for that.
+	// burstShare of the tolerance extends the burst. In the long run a team gets no
+	// more than its rate; but a burst is charged at the keeper at other times than
+	// it was sent, and must not be refused for that.
 	burstShare = 0.5
-	// aheadShare of the slack is what all daemons together may spend ahead of the
-	// keeper's word. What is left is for accounts that begin anew.
+	// localShare of the slack is what all daemons together may spend before the
+	// keeper has charged it. The rest of the slack covers new accounts.
 	localShare = 0.25
 )
 
-// room is the most that a team's account can hold: without a burst the team may
-// still have a unit at a time.
+// maxBalance returns the most that a team's account can hold: without a burst the
+// team may still use one unit at a time.
 func (t Tolerance) maxBalance(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.Of(l) }
 
-// Ahead is what each of so many daemons may spend ahead of the keeper's word.
+// Ahead returns what each of the given number of daemons may spend before the
+// keeper has charged it, in units.
 func (t Tolerance) Ahead(daemons int) float64 { return localShare * t.Slack / float64(max(1, daemons)) }
--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -9,59 +9,60 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Purse is what one daemon spends ahead of the keeper's word.
+// Purse is what one daemon spends in advance, before the keeper has charged it.
 type Purse struct {
 	budgets map[id.Team]*teamBudget
-	// ahead bounds what each team may spend here before the keeper knows of it,
-	// in units.
+	// maxDebt bounds what each team may spend here before the keeper has charged
+	// it, in units.
 	maxDebt float64
 }
 
-// pocket is one team's part of the purse.
+// teamBudget is one team's part of a Purse.
 type teamBudget struct {
-	// debt was spent and not told to the keeper yet.
+	// debt was spent and is not yet reported to the keeper.
 	debt float64
-	// shutUntil is until when the keeper has nothing to grant, tightUntil until
-	// when each request asks it first.
+	// refuseUntil is until when requests are refused here, askUntil until when each
+	// request asks the keeper first.
 	refuseUntil, askUntil time.Duration
-	// backAt is when those that are refused should come back.
+	// retryAt is when refused requests should be retried.
 	retryAt time.Duration
-	// used is when the team last had a request here.
+	// lastUsed is when the team last sent a request here.
 	lastUsed time.Duration
 }
 
 const (
-	// tightFor is how long after a refusal nothing is spent ahead.
+	// askPeriod is how long after a refusal each request asks the keeper first.
 	askPeriod = 2 * time.Second
-	// longestShut bounds for how long a daemon refuses on the keeper's last
-	// word: the limit may be raised meanwhile.
+	// maxRefusePeriod bounds how long a daemon refuses requests without asking the
+	// keeper again: the limit may be raised meanwhile.
 	maxRefusePeriod = time.Second
-	// pocketIdle is after how long an unused pocket goes.
+	// budgetIdleTimeout is after how long an unused teamBudget is removed.
 	budgetIdleTimeout = time.Minute
 )
 
 // NewPurse returns an empty purse.
 func NewPurse() *Purse { return &Purse{budgets: map[id.Team]*teamBudget{}} }
 
-// SetAhead bounds what each team may spend before the keeper knows of it.
+// SetAhead sets what each team may spend before the keeper has charged it, in
+// units.
 func (p *Purse) SetAhead(units float64) { p.maxDebt = units }
 
-// Answer is what a purse says to a request.
+// Decision is the result of Spend.
 type Decision uint8
 
-// The answers.
+// The decisions.
 const (
-	// Paid: the request may be sent.
+	// Paid: the request may be sent; its cost is part of the debt.
 	Paid Decision = iota + 1
-	// Ask: only the keeper can say.
+	// AskKeeper: the keeper has to decide.
 	AskKeeper
-	// Refused: the team is at its limit, by the keeper's last word.
+	// Refused: the team is at its limit, by the keeper's last reply.
 	Refused
 )
 
-// Spend pays for a request if it is small enough to be paid ahead. wait goes with
-// Refused.
-func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (a Decision, wait time.Duration) {
+// Spend pays for a request if the team's debt stays within the bound. wait is the
+// delay before a retry; it is set with Refused only.
+func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (d Decision, wait time.Duration) {
 	k := p.budget(now, team)
 	switch {
 	case now < k.refuseUntil:
@@ -73,7 +74,7 @@
 	return Paid, 0
 }
 
-// Shut notes that the keeper has nothing to grant to a team for a while.
+// Shut records that the keeper refuses a team's requests for a while.
 func (p *Purse) Shut(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
@@ -81,15 +82,15 @@
 	k.askUntil = k.refuseUntil + askPeriod
 }
 
-// Open forgets all refusals: another keeper, or another limit, may have room.
+// Open discards all refusals: another keeper, or another limit, may grant more.
 func (p *Purse) Open() {
 	for _, k := range p.budgets {
 		k.refuseUntil = 0
 	}
 }
 
-// Return takes back what was paid ahead for a request that has not run; false
-// where the keeper knows of it already.
+// Return takes back what was paid for a request that has not run; false if it was
+// already reported to the keeper.
 func (p *Purse) Return(team id.Team, cost float64) bool {
 	k := p.budgets[team]
 	if k == nil || k.debt < cost {
@@ -99,13 +100,13 @@
 	return true
 }
 
-// Debt is what a team has spent ahead.
+// Debt is what a team has spent in advance.
 type Debt struct {
 	Team id.Team `cbor:"1,keyasint"`
 	Cost float64 `cbor:"2,keyasint"`
 }
 
-// Settle empties the purse: the debts, by team, are the keeper's from now on.
+// Settle empties the purse and returns the debts by team, for the keeper to charge.
 func (p *Purse) Settle(now time.Duration) []Debt {
 	var out []Debt
 	for team, k := range p.budgets {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -16,7 +16,7 @@
 	return Charge{Team: desk, Limit: Limit{Rate: 100, Burst: 200}, Cost: cost, Share: 1}
 }
 
-func TestARequestCountsAsItsLimitSays(t *testing.T) {
+func TestCostFollowsTheLimitsUnit(t *testing.T) {
 	is := is.New(t)
 	tokens := Limit{Rate: 1, ByTokens: true, PlainTokens: 200}
 	is.Equal(tokens.Cost(Size{Known: true, Prompt: 5200, Output: 71}), 5271.0)
@@ -28,10 +28,10 @@
 	is.NoErr(tokens.Check())
 }
 
-func TestAnAccountFillsAtItsRateUpToTheBurst(t *testing.T) {
+func TestAccountRefillsUpToTheBurst(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	ok, _ := l.Take(0, charge(150)) // half of the burst is there, and a debt of 50 is left
+	ok, _ := l.Take(0, charge(150)) // half of the burst is available, and a debt of 50 remains
 	is.True(ok)
 	ok, refused := l.Take(0, charge(1))
 	is.True(!ok)
@@ -44,7 +44,7 @@
 	is.Equal(balance, 200.0)
 }
 
-func TestALoweredLimitHoldsAtOnce(t *testing.T) {
+func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
 	_, _ = l.Take(0, charge(0))
@@ -56,12 +56,12 @@
 			granted++
 		}
 	}
-	is.True(granted <= 5) // 5 at the beginning and 10 in ten seconds, and a debt of 5 at most
+	is.True(granted <= 5) // 5 units at the start, 10 in ten seconds, and a debt of 5 at most
 }
 
-// TestKeepersBesideOneAnotherKeepTheLimit: daemons that each reach only
+// TestPartitionedKeepersTogetherKeepTheLimit: daemons that each reach only
 // themselves grant no more together than one keeper of all.
-func TestKeepersBesideOneAnotherKeepTheLimit(t *testing.T) {
+func TestPartitionedKeepersTogetherKeepTheLimit(t *testing.T) {
 	is := is.New(t)
 	const daemons, cost, length = 20, 50, 8 * time.Second
 	total := 0.0
@@ -80,7 +80,7 @@
 	is.True(total >= 0.9*1000*length.Seconds())
 }
 
-func TestASmallRequestIsPaidAheadUntilTheKeeperRefuses(t *testing.T) {
+func TestSmallRequestsArePaidInAdvanceUntilTheKeeperRefuses(t *testing.T) {
 	is := is.New(t)
 	p := NewPurse()
 	p.SetAhead(400)
@@ -92,7 +92,7 @@
 	is.Equal(a, AskKeeper)
 	is.True(p.Return(desk, 200))
 	is.Equal(p.Settle(0), []Debt{{Team: desk, Cost: 200}})
-	is.True(!p.Return(desk, 200)) // the keeper's now
+	is.True(!p.Return(desk, 200)) // already reported to the keeper
 	is.Equal(len(p.Settle(0)), 0)
 
 	p.Shut(0, desk, Refusal{Wait: 300 * time.Millisecond})
@@ -100,7 +100,7 @@
 	is.Equal(a, Refused)
 	is.Equal(wait, 200*time.Millisecond)
 	a, _ = p.Spend(300*time.Millisecond, desk, 1)
-	is.Equal(a, AskKeeper) // nothing ahead so soon after a refusal
+	is.Equal(a, AskKeeper) // nothing is paid in advance so soon after a refusal
 	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
 	is.Equal(a, Paid)
 
@@ -110,7 +110,7 @@
 	is.Equal(a, AskKeeper)
 }
 
-func TestTheToleranceIsSpentOnBurstsAndNotOnTheRate(t *testing.T) {
+func TestToleranceExtendsTheBurstNotTheRate(t *testing.T) {
 	is := is.New(t)
 	tolerance := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140}
 	limit := charge(0).Limit
@@ -129,8 +129,8 @@
 	is.True(granted >= 100*length.Seconds())
 }
 
-// TestThoseThatAreRefusedTogetherComeBackOneAfterAnother, as the account fills.
-func TestThoseThatAreRefusedTogetherComeBackOneAfterAnother(t *testing.T) {
+// TestSimultaneousRefusalsGetStaggeredRetries, at the rate at which the account fills.
+func TestSimultaneousRefusalsGetStaggeredRetries(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
 	_, _ = l.Take(0, charge(100)) // the account is empty
@@ -139,14 +139,14 @@
 		ok, refused := l.Take(0, charge(50))
 		is.True(!ok)
 		is.True(refused.Back >= last)
-		last = refused.Back + 500*time.Millisecond // what the request takes of the rate
+		last = refused.Back + 500*time.Millisecond // the income that the request takes
 	}
 	for range 1000 {
 		_, _ = l.Take(0, charge(50))
 	}
 	_, refused := l.Take(0, charge(50))
 	is.True(refused.Back <= maxReserved)
-	is.Equal(refused.Wait, minWait) // whoever comes first finds room as ever
+	is.Equal(refused.Wait, minWait) // the reservations do not change when there is credit
 }
 
 // BenchmarkTake charges requests of 900 teams.
