--- a/core/freshness/clock.go
+++ b/core/freshness/clock.go
@@ -1,54 +1,57 @@
-// Package freshness tells how old a daemon's configuration may be. A proof that
-// a configuration was the newest one comes from the store; it is dated by the
-// store's clock, which never jumps, and handed on unchanged. Nothing makes it
-// younger: not a message that was held up, nor a host that stood still. It has
-// no I/O.
+// Package freshness tracks how old a daemon's configuration may be. The proof that
+// a configuration was the newest one comes from the store. It is dated by the
+// store's clock, which never jumps, and is forwarded unchanged, so that neither a
+// delayed message nor a frozen host makes it look more recent. The package does no
+// I/O.
 package freshness
 
 import "time"
 
-// Clock relates the store's clock to the daemon's own. Each call to the store
-// bounds the difference: the clock was read between the call and its answer.
+// Clock estimates the offset between the store's clock and the daemon's own. Each
+// call to the store bounds it: the store's clock was read between the call and its
+// reply.
 type Clock struct {
 	sampled bool
-	// least and most bound the store's clock minus the daemon's, as of at.
+	// minOffset and maxOffset bound the store's clock minus the daemon's, as of
+	// sampledAt.
 	minOffset, maxOffset time.Duration
 	sampledAt            time.Duration
 }
 
-// drift is by how much two clocks may part in a second.
+// maxDriftPerSecond is by how much two clocks may diverge in a second.
 const maxDriftPerSecond = 200 * time.Microsecond
 
-// Sample takes what the store's clock showed in the answer to a call.
+// Sample records the time of the store's clock that the reply to a call contained.
+// sent and received are by the daemon's clock.
 func (c *Clock) Sample(sent, received, shown time.Duration) {
-	least, most := shown-received, shown-sent
+	lower, upper := shown-received, shown-sent
 	if c.sampled {
-		oldLeast, oldMost := c.bounds(received)
-		least, most = max(least, oldLeast), min(most, oldMost)
+		oldLower, oldUpper := c.bounds(received)
+		lower, upper = max(lower, oldLower), min(upper, oldUpper)
 	}
-	if !c.sampled || least > most {
-		// Bounds that exclude each other: the store's clock began anew.
-		least, most = shown-received, shown-sent
+	if !c.sampled || lower > upper {
+		// The bounds exclude each other: the store's clock was reset.
+		lower, upper = shown-received, shown-sent
 	}
-	c.sampled, c.minOffset, c.maxOffset, c.sampledAt = true, least, most, received
+	c.sampled, c.minOffset, c.maxOffset, c.sampledAt = true, lower, upper, received
 }
 
-// bounds are those of the difference at a later moment.
-func (c *Clock) bounds(now time.Duration) (least, most time.Duration) {
+// bounds returns the bounds of the offset at a later time, widened by the drift.
+func (c *Clock) bounds(now time.Duration) (lower, upper time.Duration) {
 	slack := time.Duration(float64(maxDriftPerSecond) * max(0, (now-c.sampledAt).Seconds()))
 	return c.minOffset - slack, c.maxOffset + slack
 }
 
-// Shown is what the store's clock showed at least at a moment of the daemon's;
-// ok is false before the first sample.
+// MinStoreTime returns the least time that the store's clock can have shown at a
+// time of the daemon's clock; ok is false before the first sample.
 func (c *Clock) MinStoreTime(at time.Duration) (shown time.Duration, ok bool) {
-	least, _ := c.bounds(at)
-	return at + least, c.sampled
+	lower, _ := c.bounds(at)
+	return at + lower, c.sampled
 }
 
-// Earliest is the first moment of the daemon's at which the store's clock can
-// have shown a time; ok is false before the first sample.
+// MinLocalTime returns the earliest time of the daemon's clock at which the store's
+// clock can have shown a given time; ok is false before the first sample.
 func (c *Clock) MinLocalTime(now, shown time.Duration) (at time.Duration, ok bool) {
-	_, most := c.bounds(now)
-	return shown - most, c.sampled
+	_, upper := c.bounds(now)
+	return shown - upper, c.sampled
 }
--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Proof says that at a moment no configuration newer than Version was accepted.
+// Proof states that at a given time no configuration newer than Version was accepted.
 type Proof struct {
 	// Version of the configuration.
 	Version uint64 `cbor:"1,keyasint"`
-	// At is the moment, by the store's clock.
+	// At is that time, by the store's clock.
 	At time.Duration `cbor:"2,keyasint"`
 }
 
-// Tracker holds what one daemon knows of how fresh its configuration is. It is
-// not safe for concurrent use.
+// Tracker tracks how fresh the configuration of one daemon is. It is not safe for
+// concurrent use.
 type Tracker struct {
 	clock   Clock
 	version uint64
-	// newest is the newest proof that the configuration in force fulfils, since
-	// is its moment in the daemon's time.
+	// newest is the newest proof that holds for the configuration in force; since
+	// is its time by the daemon's clock.
 	newest    Proof
 	since     time.Duration
 	confirmed bool
-	// ahead is the newest proof of a configuration that is not in force here yet.
+	// newer is the newest proof of a configuration that is not in force here yet.
 	newer      Proof
 	newerSince time.Duration
 }
 
-// Sample takes what the store's clock showed in the answer to a call.
+// Sample records the time of the store's clock that the reply to a call contained.
 func (t *Tracker) Sample(sent, received, shown time.Duration) { t.clock.Sample(sent, received, shown) }
 
-// InForce notes the configuration that is in force from now on.
+// InForce records the configuration that is in force from now on.
 func (t *Tracker) InForce(version uint64) {
 	if version <= t.version {
 		return
@@ -40,13 +40,13 @@
 	}
 }
 
-// Confirm notes that the store itself had nothing newer than the configuration
-// in force at a moment of the daemon's: when the call to the store began.
+// Confirm records that the store itself had nothing newer than the configuration
+// in force at a time of the daemon's clock: when the call to the store began.
 func (t *Tracker) Confirm(since time.Duration) {
 	if t.version == 0 {
 		return
 	}
-	// Without a sample of the store's clock the proof is good here only.
+	// Without a sample of the store's clock the proof is valid on this daemon only.
 	proof := Proof{}
 	if at, ok := t.clock.MinStoreTime(since); ok {
 		proof = Proof{Version: t.version, At: at}
@@ -54,13 +54,13 @@
 	t.accept(proof, since)
 }
 
-// Learn takes another daemon's proof.
+// Learn records another daemon's proof.
 func (t *Tracker) Learn(now time.Duration, p Proof) {
 	since, ok := t.clock.MinLocalTime(now, p.At)
 	if !ok || p.Version == 0 {
 		return
 	}
-	// No proof is of the future, whatever clock dated it.
+	// No proof is from the future, whatever clock dated it.
 	since = min(since, now)
 	if p.Version <= t.version {
 		t.accept(p, since)
@@ -71,7 +71,7 @@
 	}
 }
 
-// cover takes a proof that the configuration in force fulfils.
+// accept records a proof that holds for the configuration in force.
 func (t *Tracker) accept(p Proof, since time.Duration) {
 	if t.confirmed && since <= t.since {
 		return
@@ -82,12 +82,12 @@
 	}
 }
 
-// Since is the last moment, in the daemon's time, at which the configuration in
-// force is known to have been the newest; ok is false where none is known.
+// Since returns the last time, by the daemon's clock, at which the configuration in
+// force is known to have been the newest; ok is false if there is none.
 func (t *Tracker) Since() (since time.Duration, ok bool) { return t.since, t.confirmed }
 
-// Newest is the proof to hand on; ok is false where there is none.
+// Newest returns the proof to send to other daemons; ok is false if there is none.
 func (t *Tracker) Newest() (p Proof, ok bool) { return t.newest, t.newest.Version > 0 }
 
-// Behind says whether a newer configuration than the one in force was accepted.
+// Behind reports whether a configuration newer than the one in force was accepted.
 func (t *Tracker) Behind() bool { return t.newer.Version > t.version }
--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAProofIsNoYoungerThanItIs(t *testing.T) {
+func TestProofAgeIsNeverUnderstated(t *testing.T) {
 	is := is.New(t)
 	var reader, other Tracker
 	reader.InForce(7)
@@ -21,16 +21,16 @@
 	is.True(ok)
 	is.Equal(p.Version, uint64(7))
 	is.True(p.At <= 102*time.Second && p.At >= 101900*time.Millisecond)
-	other.Learn(9*time.Second, p) // it was on its way for three seconds
+	other.Learn(9*time.Second, p) // it was in transit for three seconds
 	since, ok := other.Since()
 	is.True(ok)
 	is.True(since <= 6*time.Second && since >= 5900*time.Millisecond)
-	other.Learn(20*time.Second, p) // hearing it again changes nothing
+	other.Learn(20*time.Second, p) // a repeat changes nothing
 	again, _ := other.Since()
 	is.Equal(again, since)
 }
 
-func TestAProofOfANewerConfigurationCountsOnceThatIsInForce(t *testing.T) {
+func TestNewerProofCountsOnceItsConfigurationIsInForce(t *testing.T) {
 	is := is.New(t)
 	var x Tracker
 	x.Sample(0, 0, 100*time.Second)
@@ -46,14 +46,14 @@
 	is.True(since > 1900*time.Millisecond)
 }
 
-func TestWithoutTheStoresClockNothingIsLearnt(t *testing.T) {
+func TestPeerProofsNeedASampleOfTheStoreClock(t *testing.T) {
 	is := is.New(t)
 	var x Tracker
 	x.InForce(7)
 	x.Learn(time.Second, Proof{Version: 7, At: time.Hour})
 	_, ok := x.Since()
 	is.True(!ok)
-	x.Confirm(2 * time.Second) // its own call to the store is enough
+	x.Confirm(2 * time.Second) // the daemon's own call to the store is enough
 	since, ok := x.Since()
 	is.True(ok)
 	is.Equal(since, 2*time.Second)
@@ -61,7 +61,7 @@
 	is.True(!ok)
 }
 
-func TestAClockThatBeganAnewIsTakenAsItIs(t *testing.T) {
+func TestStoreClockReset(t *testing.T) {
 	is := is.New(t)
 	var c Clock
 	c.Sample(0, time.Millisecond, time.Hour)
@@ -71,12 +71,12 @@
 	is.True(at <= 1001*time.Millisecond && at >= 900*time.Millisecond)
 }
 
-// simulated is a fleet with a store: daemons whose clocks run at a pace of their
-// own, that read the store or hear of one another, freeze, and are cut off.
+// simulation runs a fleet and a store: the daemons' clocks run at different rates,
+// and the daemons read the store, exchange proofs, freeze and are partitioned.
 type simulation struct {
 	rng *rand.Rand
 	now time.Duration
-	// accepted are the moments at which each configuration, by version, was.
+	// accepted holds the time at which each configuration, by version, was accepted.
 	accepted []time.Duration
 	daemons  []*simulatedDaemon
 }
@@ -87,19 +87,19 @@
 	offset           time.Duration
 	frozenUntil      time.Duration
 	partitionedUntil time.Duration
-	// inbox holds proofs that are on their way, or wait behind a freeze.
+	// inbox holds proofs that are in transit or were not handled during a freeze.
 	inbox []Proof
 }
 
-// clock is the daemon's own at a moment.
+// clock returns the daemon's own time at a time of the simulation.
 func (d *simulatedDaemon) clock(at time.Duration) time.Duration {
 	return d.offset + time.Duration(float64(at)*d.clockRate)
 }
 
 const storeOffset = 1000 * time.Second
 
-// read has a daemon read the store: the call takes a while, within which the
-// store answers.
+// read makes a daemon read the store: the call takes a while, within which the
+// store replies.
 func (s *simulation) read(d *simulatedDaemon) {
 	took := time.Duration(s.rng.Int64N(int64(80 * time.Millisecond)))
 	answered := s.now + time.Duration(s.rng.Int64N(int64(took)+1))
@@ -138,14 +138,14 @@
 		}
 		s.gossip(d)
 		if s.rng.IntN(30) == 0 && s.now >= d.partitionedUntil {
-			// The tables come from another daemon, which may be behind itself.
+			// The tables come from another daemon, which may be outdated itself.
 			from := s.daemons[s.rng.IntN(len(s.daemons))]
 			d.InForce(from.version)
 		}
 	}
 }
 
-// tell hands a daemon's proof on; what a cut holds up arrives later.
+// gossip sends a daemon's proof to another one; a frozen daemon handles it later.
 func (s *simulation) gossip(d *simulatedDaemon) {
 	p, ok := d.Newest()
 	if !ok || s.rng.IntN(3) > 0 {
@@ -155,45 +155,46 @@
 	to.inbox = append(to.inbox, p)
 }
 
-// TestNoDaemonTakesAnOldConfigurationForFresh: whatever is frozen, cut off or
-// held up, and at whatever pace the clocks run, each configuration that was
-// accepted up to the moment a daemon names is in force there.
-func TestNoDaemonTakesAnOldConfigurationForFresh(t *testing.T) {
+// TestOutdatedConfigurationIsNeverReportedFresh: whichever daemons freeze or are
+// partitioned, however late messages arrive and at whatever rates the clocks run,
+// each configuration that was accepted up to the time that a daemon reports is in
+// force there.
+func TestOutdatedConfigurationIsNeverReportedFresh(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			s := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), accepted: []time.Duration{0}}
 			for i := range 12 {
-				pace := 1 + (s.rng.Float64()-0.5)*1.8e-4
-				s.daemons = append(s.daemons, &simulatedDaemon{clockRate: pace, offset: time.Duration(i) * time.Hour})
-				s.read(s.daemons[i]) // each reads once as it starts
+				rate := 1 + (s.rng.Float64()-0.5)*1.8e-4
+				s.daemons = append(s.daemons, &simulatedDaemon{clockRate: rate, offset: time.Duration(i) * time.Hour})
+				s.read(s.daemons[i]) // each reads once at its start
 			}
-			claims := 0
+			reports := 0
 			for range 1200 {
 				s.step()
-				claims += checkClaims(t, s)
+				reports += checkReports(t, s)
 			}
-			if claims < 1000 {
-				t.Fatalf("only %d claims of a fresh configuration", claims)
+			if reports < 1000 {
+				t.Fatalf("only %d reports of a fresh configuration", reports)
 			}
 		})
 	}
 }
 
-func checkClaims(t *testing.T, s *simulation) int {
+func checkReports(t *testing.T, s *simulation) int {
 	t.Helper()
-	claims := 0
+	reports := 0
 	for i, d := range s.daemons {
 		since, ok := d.Since()
 		if !ok {
 			continue
 		}
-		claims++
+		reports++
 		for v, at := range s.accepted {
 			if d.clock(at) <= since && uint64(v+1) > d.version {
-				t.Fatalf("at %v daemon %d claims that %d was the newest until %v, but %d was accepted at %v",
+				t.Fatalf("at %v daemon %d reports that %d was the newest until %v, but %d was accepted at %v",
 					s.now, i, d.version, since, v+1, d.clock(at))
 			}
 		}
 	}
-	return claims
+	return reports
 }
