--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -18,7 +18,7 @@
 	gossipDelay  = 50 * time.Millisecond
 )
 
-// request is what a caller wants; it sends again until it is done or refused.
+// request is one request of a caller, who repeats it until it is finished or refused.
 type request struct {
 	suspect  Suspect
 	poison   bool
@@ -30,7 +30,7 @@
 	refused  bool
 }
 
-// server is an endpoint; it runs requests of all daemons.
+// testEndpoint is an endpoint; it runs requests of all daemons.
 type testEndpoint struct {
 	id      CrashID
 	running []*request
@@ -74,10 +74,10 @@
 	})
 }
 
-// send runs a request as its standing asks, or waits for room.
+// send runs a request as its standing requires, or waits for capacity.
 func (s *simulation) send(r *request) {
-	r.daemon = s.rng.IntN(len(s.ledgers)) // callers come through any host
-	room := 3
+	r.daemon = s.rng.IntN(len(s.ledgers)) // callers use any host
+	maxOthers := 3
 	switch finding := s.ledgers[r.daemon].Check(s.wall(), r.suspect.Fingerprint); finding.Standing {
 	case Quarantined:
 		r.refused = true
@@ -86,11 +86,11 @@
 		r.sendAt = s.now + gossipDelay
 		return
 	case Suspected, Isolated:
-		room = 0
+		maxOthers = 0
 	}
 	var fit []*testEndpoint
 	for _, e := range s.endpoints {
-		if s.now >= e.upAt && len(e.running) <= room && !slices.ContainsFunc(e.running, s.alone) {
+		if s.now >= e.upAt && len(e.running) <= maxOthers && !slices.ContainsFunc(e.running, s.alone) {
 			fit = append(fit, e)
 		}
 	}
@@ -103,7 +103,7 @@
 	r.endsAt = s.now + time.Duration(50+s.rng.IntN(400))*time.Millisecond
 }
 
-// alone says whether a running request must have its endpoint for itself.
+// alone reports whether a running request must not share its endpoint.
 func (s *simulation) alone(r *request) bool {
 	return s.ledgers[r.daemon].Check(s.wall(), r.suspect.Fingerprint).Standing != Clear
 }
@@ -173,11 +173,11 @@
 	}
 }
 
-// TestPoisonCostsFewAndConvictsNobodyElse mixes poisons with innocent requests
-// and, in half of the runs, a crash by chance.
-func TestPoisonCostsFewAndConvictsNobodyElse(t *testing.T) {
+// TestPoisonIsQuarantinedWithFewCrashesAndNoFalsePositives mixes poisonous with
+// harmless requests and, in half of the runs, a random crash.
+func TestPoisonIsQuarantinedWithFewCrashesAndNoFalsePositives(t *testing.T) {
 	is := is.New(t)
-	most, company := 0, 0
+	mostCrashes, shared := 0, 0
 	for seed := range uint64(200) {
 		s := newSimulation(seed)
 		poisons := 1 + int(seed%2)
@@ -200,18 +200,18 @@
 				t.Fatalf("seed %d: %v: poison %v, refused %v, finished %v", seed, r.suspect, r.poison, r.refused, r.finished)
 			}
 		}
-		cost := s.crashes - chance
-		if cost > 3*poisons {
-			t.Fatalf("seed %d: %d endpoints crashed for %d poisons", seed, cost, poisons)
+		crashes := s.crashes - chance
+		if crashes > 3*poisons {
+			t.Fatalf("seed %d: %d endpoints crashed for %d poisons", seed, crashes, poisons)
 		}
-		most = max(most, cost)
+		mostCrashes = max(mostCrashes, crashes)
 		if len(s.ledgers[0].crashes) > 0 && len(s.ledgers[0].byFingerprint) > poisons {
-			company++
+			shared++
 		}
 		for _, l := range s.ledgers {
-			is.Equal(len(l.List(s.wall())), poisons) // every daemon knows
+			is.Equal(len(l.List(s.wall())), poisons) // every daemon lists them
 		}
 	}
-	is.True(company > 100) // innocents did stand beside the crashes
-	t.Logf("at most %d crashes for two poisons", most)
+	is.True(shared > 100) // harmless requests did run on crashed endpoints
+	t.Logf("at most %d crashes for two poisons", mostCrashes)
 }
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Ledger holds the evidence of all daemons. It is safe for concurrent use.
+// Ledger holds the crash reports of all daemons. It is safe for concurrent use.
 type Ledger struct {
 	mu            sync.Mutex
 	cfg           Config
@@ -15,21 +15,22 @@
 	byFingerprint map[Fingerprint][]CrashID
 	cleared       map[Fingerprint]*clearance
 	allCleared    clearance
-	// floor is the time of the latest crash that was dropped, plus Settle.
-	// Reports up to then are refused: one that comes alone would make a request look as if
-	// nothing had run beside it.
+	// refuseUntil is the time of the latest dropped crash, plus Settle, in
+	// milliseconds since 1970. Reports of crashes up to then are refused: a late
+	// report of a dropped crash would lack the other requests that ran there.
 	refuseUntil int64
-	// change numbers the changes, for Delta.
+	// lastChange is the number of the last change, for Delta.
 	lastChange uint64
 }
 
-// entry is a crash with the number of its last change.
+// crashRecord is a crash with the number of its last change.
 type crashRecord struct {
 	crash   Crash
 	changed uint64
 }
 
-// mark is a time with the number of its last change.
+// clearance is the time up to which crashes don't count, with the number of its
+// last change.
 type clearance struct {
 	at      int64
 	changed uint64
@@ -45,8 +46,8 @@
 	}
 }
 
-// Crash records a crash with the requests that this daemon had there. A crash
-// that each daemon with work there reports is complete.
+// Crash records a crash with the requests that this daemon ran on the endpoint. The
+// record is complete once each daemon with requests there has reported the crash.
 func (l *Ledger) Crash(wall time.Time, crash CrashID, running []Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,8 +55,8 @@
 	l.prune(wall)
 }
 
-// Finished clears a request that ran to its end. It returns whether anything
-// was held against it.
+// Finished clears a request that finished. It returns whether any crash was
+// recorded against it.
 func (l *Ledger) Finished(wall time.Time, f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +67,7 @@
 	return true
 }
 
-// Lift frees a fingerprint of all evidence up to now.
+// Lift clears a fingerprint of all crashes up to now.
 func (l *Ledger) Lift(wall time.Time, f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,21 +75,21 @@
 	l.prune(wall)
 }
 
-// LiftAll frees every fingerprint of all evidence up to now.
+// LiftAll clears every fingerprint of all crashes up to now.
 func (l *Ledger) LiftAll(wall time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mergeAllCleared(wall.UnixMilli())
 }
 
-// Len is the number of crashes that are held against requests.
+// Len returns the number of recorded crashes.
 func (l *Ledger) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.crashes)
 }
 
-// Merge takes evidence from another daemon. It returns true if some was new.
+// Merge adds the state of another daemon. It returns whether any of it was new.
 func (l *Ledger) Merge(wall time.Time, s State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +113,8 @@
 	return l.lastChange != before
 }
 
-// Delta returns what changed behind the given number, in a fixed order, and
-// the number to ask with next time. Delta(0) is the whole state.
+// Delta returns what changed after the change of the given number, in a fixed
+// order, and the number to pass next time. Delta(0) returns the whole state.
 func (l *Ledger) Delta(after uint64) (State, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,8 +161,8 @@
 	l.index(e.crash)
 }
 
-// union keeps the first MaxRunning of both, which does not depend on the order
-// of merging.
+// union returns the first MaxRunning of both, so that the result does not depend on
+// the order of merging.
 func (l *Ledger) union(a, b []Suspect) []Suspect {
 	all := append(slices.Clone(a), b...)
 	slices.SortFunc(all, compareSuspects)
@@ -209,7 +210,7 @@
 	return l.lastChange
 }
 
-// prune drops what is past its time and, above the bounds, the oldest.
+// prune drops what has expired and, above the bounds, the oldest.
 func (l *Ledger) prune(wall time.Time) {
 	oldest := wall.Add(-l.cfg.Quarantine).UnixMilli()
 	for id, e := range l.crashes {
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -64,11 +64,11 @@
 	rest, _ := l.Delta(n)
 	is.Equal(rest, State{})
 	future := State{Crashes: []Crash{{ID: crash("x"), AtUnixMS: wall.Add(time.Hour).UnixMilli()}}}
-	is.True(!l.Merge(wall, future)) // a clock far ahead
+	is.True(!l.Merge(wall, future)) // the other daemon's clock is far ahead
 }
 
-// TestPartialReport: two daemons had work on the endpoint, the second report
-// comes later; the first request is not convicted as if it had been alone.
+// TestPartialReport: two daemons had requests on the endpoint, and the second report
+// arrives later. The first request must not count as having run alone.
 func TestPartialReport(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{AloneCrashes: 1})
@@ -80,8 +80,8 @@
 	is.Equal(l.Check(wall.Add(time.Minute), a.Fingerprint).Standing, Clear)
 }
 
-// TestDroppedCrashStaysDropped: a report that comes after its crash was dropped
-// for lack of room must not come back without the company.
+// TestDroppedCrashStaysDropped: a report that arrives after its crash was dropped
+// for lack of space must not be recorded without the other requests of the crash.
 func TestDroppedCrashStaysDropped(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{MaxCrashes: 1, AloneCrashes: 1})
@@ -92,7 +92,7 @@
 	is.Equal(l.Check(wall.Add(time.Hour/2), a.Fingerprint).Standing, Clear)
 }
 
-func TestConvictionInCompany(t *testing.T) {
+func TestQuarantineAfterSharedCrashes(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{})
 	var beside []Suspect
@@ -111,11 +111,11 @@
 func TestLiftAndExpiry(t *testing.T) {
 	is := is.New(t)
 	l := New(Config{})
-	convict := func() {
+	quarantine := func() {
 		l.Crash(wall, crash("e"), []Suspect{a})
 		l.Crash(wall, crash("f"), []Suspect{a})
 	}
-	convict()
+	quarantine()
 	later := wall.Add(DefaultSettle)
 	found := l.List(later)
 	is.Equal(found, []Entry{{Fingerprint: a.Fingerprint, Team: "t", Crashes: 2, Until: wall.Add(DefaultQuarantine)}})
--- a/core/poison/judge.go
+++ b/core/poison/standing.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Check tells how a request of that fingerprint shall be treated.
+// Check returns how a request with the fingerprint is to be treated.
 //
-// One crash makes it suspected. It is convicted by AloneCrashes crashes at
-// which nothing else ran, by CompanyCrashes crashes of which it was alone at
-// one, or by CompanyCrashes crashes if all that ran beside it have since been
-// cleared. A crash alone counts once it has settled: until then another daemon
-// may still report a neighbour.
+// One crash makes it suspected. It is quarantined after AloneCrashes crashes at
+// which nothing else ran, after SharedCrashes crashes of which it was alone at
+// one, or after SharedCrashes crashes if all other requests at them have since been
+// cleared. A crash with a single request counts as alone once Settle has passed:
+// until then another daemon may still report a second request.
 func (l *Ledger) Check(wall time.Time, f Fingerprint) Finding {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -19,15 +19,15 @@
 }
 
 func (l *Ledger) check(wall time.Time, f Fingerprint) Finding {
-	evidence := l.countedCrashes(wall, f)
-	n := len(evidence)
+	crashes := l.countedCrashes(wall, f)
+	n := len(crashes)
 	switch {
 	case n == 0:
 		return Finding{Standing: Clear}
-	case l.quarantined(wall, f, evidence):
-		return Finding{Standing: Quarantined, Crashes: n, Until: latestCrash(evidence).Add(l.cfg.Quarantine)}
-	case l.quarantined(wall.Add(l.cfg.Settle), f, evidence):
-		return Finding{Standing: Held, Crashes: n, Until: latestCrash(evidence).Add(l.cfg.Settle)}
+	case l.quarantined(wall, f, crashes):
+		return Finding{Standing: Quarantined, Crashes: n, Until: latestCrash(crashes).Add(l.cfg.Quarantine)}
+	case l.quarantined(wall.Add(l.cfg.Settle), f, crashes):
+		return Finding{Standing: Held, Crashes: n, Until: latestCrash(crashes).Add(l.cfg.Settle)}
 	case n == 1:
 		return Finding{Standing: Suspected, Crashes: n}
 	default:
@@ -35,7 +35,7 @@
 	}
 }
 
-// evidence lists the crashes that count against a fingerprint.
+// countedCrashes returns the crashes that count against a fingerprint.
 func (l *Ledger) countedCrashes(wall time.Time, f Fingerprint) []Crash {
 	since := max(l.clearedAt(f), wall.Add(-l.cfg.Quarantine).UnixMilli())
 	var out []Crash
@@ -55,9 +55,9 @@
 	return at
 }
 
-func (l *Ledger) quarantined(wall time.Time, f Fingerprint, evidence []Crash) bool {
+func (l *Ledger) quarantined(wall time.Time, f Fingerprint, crashes []Crash) bool {
 	alone := 0
-	for _, c := range evidence {
+	for _, c := range crashes {
 		if len(c.Running) == 1 && l.settled(wall, c) {
 			alone++
 		}
@@ -65,16 +65,17 @@
 	if alone >= l.cfg.AloneCrashes {
 		return true
 	}
-	return len(evidence) >= l.cfg.SharedCrashes && (alone > 0 || l.othersCleared(f, evidence))
+	return len(crashes) >= l.cfg.SharedCrashes && (alone > 0 || l.othersCleared(f, crashes))
 }
 
 func (l *Ledger) settled(wall time.Time, c Crash) bool {
 	return !wall.Before(time.UnixMilli(c.AtUnixMS).Add(l.cfg.Settle))
 }
 
-// companyCleared says whether all others at those crashes finished later.
-func (l *Ledger) othersCleared(f Fingerprint, evidence []Crash) bool {
-	for _, c := range evidence {
+// othersCleared reports whether all other requests at those crashes were cleared
+// later.
+func (l *Ledger) othersCleared(f Fingerprint, crashes []Crash) bool {
+	for _, c := range crashes {
 		for _, s := range c.Running {
 			if s.Fingerprint != f && l.clearedAt(s.Fingerprint) <= c.AtUnixMS {
 				return false
@@ -84,16 +85,16 @@
 	return true
 }
 
-// last returns the time of the latest crash.
-func latestCrash(evidence []Crash) time.Time {
+// latestCrash returns the time of the latest crash.
+func latestCrash(crashes []Crash) time.Time {
 	var at int64
-	for _, c := range evidence {
+	for _, c := range crashes {
 		at = max(at, c.AtUnixMS)
 	}
 	return time.UnixMilli(at)
 }
 
-// List returns the quarantined fingerprints in order.
+// List returns the quarantined requests, ordered by fingerprint.
 func (l *Ledger) List(wall time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -1,6 +1,6 @@
-// Package poison finds the requests that crash every endpoint that runs them.
-// Crash reports and acquittals are merged over all daemons, so that a poison
-// is counted over the whole fleet. See docs/design/poison.md.
+// Package poison detects requests that crash every endpoint that runs them. Crash
+// reports and clearances are merged over all daemons, so that the crashes of a
+// request count over the whole fleet. See docs/design/poison.md.
 package poison
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Fingerprint identifies a request by team and content, whatever its id is.
+// Fingerprint identifies a request by team and content, independent of its ID.
 type Fingerprint [16]byte
 
-// Print fingerprints a request. The parts of its content are told apart: "ab"
-// and "c" are another content than "a" and "bc".
+// Print returns the fingerprint of a request. The boundaries between the parts of
+// the content matter: "ab" and "c" differ from "a" and "bc".
 func Print(team id.Team, service id.Service, content ...[]byte) Fingerprint {
 	h := sha256.New()
 	write := func(part []byte) {
@@ -34,10 +34,10 @@
 	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
 
-// String gives the fingerprint in hex, as operators see it.
+// String returns the fingerprint in hex, as operators see it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String gives.
+// ParseFingerprint parses the result of String.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	raw, err := hex.DecodeString(s)
 	if err != nil || len(raw) != len(Fingerprint{}) {
@@ -46,7 +46,7 @@
 	return Fingerprint(raw), nil
 }
 
-// CrashID names a crash: the incarnation of an endpoint that it ended.
+// CrashID identifies a crash by the incarnation of the endpoint that crashed.
 type CrashID struct {
 	Endpoint    id.Endpoint    `cbor:"1,keyasint"`
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
@@ -70,52 +70,51 @@
 	return cmp.Compare(string(a[:]), string(b[:]))
 }
 
-// Crash is what is known of one crash. Each daemon reports the requests it had
-// there; the union is what counts.
+// Crash is what is known about one crash. Each daemon reports the requests that it
+// ran there; the reports are merged.
 type Crash struct {
 	ID CrashID `cbor:"1,keyasint"`
-	// AtUnixMS is the earliest wall time that a daemon saw the crash, in
+	// AtUnixMS is the earliest wall time at which a daemon noticed the crash, in
 	// milliseconds since 1970.
 	AtUnixMS int64 `cbor:"2,keyasint"`
-	// Running is sorted and holds each fingerprint once.
+	// Running is sorted and has each fingerprint once.
 	Running []Suspect `cbor:"3,keyasint"`
 }
 
-// Cleared frees a fingerprint of the crashes up to a time: it finished, or an
-// operator lifted it.
+// Cleared discounts the crashes of a fingerprint up to a time: the request finished,
+// or an operator lifted its quarantine.
 type Cleared struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	AtUnixMS    int64       `cbor:"2,keyasint"`
 }
 
-// State is mergeable evidence. Merging is commutative, associative and
-// idempotent as long as the bounds of Config are kept; above them old evidence
-// is lost, never changed.
+// State is mergeable: merging is commutative, associative and idempotent as long as
+// the bounds of Config are kept. Above them old entries are dropped, never changed.
 type State struct {
 	Crashes []Crash   `cbor:"1,keyasint,omitempty"`
 	Cleared []Cleared `cbor:"2,keyasint,omitempty"`
-	// AllClearedUnixMS frees every fingerprint of the crashes up to that time.
+	// AllClearedUnixMS discounts the crashes of every fingerprint up to that time.
 	AllClearedUnixMS int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Standing is how a request shall be treated.
+// Standing is how a request is to be treated.
 type Standing uint8
 
 // The standings, from the best to the worst.
 const (
-	// Clear: nothing is held against it.
+	// Clear: no crash counts against the request.
 	Clear Standing = iota + 1
-	// Suspected: run it alone where that can be helped.
+	// Suspected: run it alone if possible.
 	Suspected
 	// Isolated: run it alone or refuse it.
 	Isolated
-	// Held: refuse it for a moment, the reports on its last crash are coming in.
+	// Held: refuse it for a moment, until all reports of its last crash have arrived.
 	Held
 	// Quarantined: refuse it until the quarantine ends.
 	Quarantined
 )
 
-// String names the standing for logs.
+// String returns the name of the standing for logs.
 func (s Standing) String() string {
 	switch s {
 	case Clear:
@@ -133,16 +132,16 @@
 	}
 }
 
-// Finding is the standing of a fingerprint and its grounds.
+// Finding is the standing of a fingerprint and the reason for it.
 type Finding struct {
 	Standing Standing
-	// Crashes that count against it.
+	// Crashes is the number of crashes that count against the request.
 	Crashes int
 	// Until is the end of Held or Quarantined.
 	Until time.Time
 }
 
-// Entry is one line of the quarantine list.
+// Entry is one entry of the quarantine list.
 type Entry struct {
 	Fingerprint Fingerprint
 	Team        id.Team
@@ -150,23 +149,24 @@
 	Until       time.Time
 }
 
-// Config sets the bounds; zero fields take the defaults.
+// Config sets the limits of a Ledger; zero fields take the defaults.
 type Config struct {
-	// Quarantine is how long evidence counts, from the crash on. Default 1 h.
+	// Quarantine is how long a crash counts. Default 1 h.
 	Quarantine time.Duration
-	// Settle is how long reports on a crash may take to arrive from all
-	// daemons. Default 2 s.
+	// Settle is how long the reports of a crash may take to arrive from all daemons.
+	// Default 2 s.
 	Settle time.Duration
-	// AloneCrashes convict by themselves. Default 2: one may be chance.
+	// AloneCrashes is after how many crashes at which nothing else ran a request is
+	// quarantined. Default 2: a single one may be chance.
 	AloneCrashes int
-	// CompanyCrashes convict if one of them was alone, or if all others that
-	// ran at them were cleared. Default 3.
+	// SharedCrashes is after how many crashes a request is quarantined if it was
+	// alone at one of them, or if all other requests at them were cleared. Default 3.
 	SharedCrashes int
-	// MaxCrashes bounds the crashes kept; the newest stay. Default 1024.
+	// MaxCrashes bounds the recorded crashes; the newest are kept. Default 1024.
 	MaxCrashes int
-	// MaxRunning bounds the fingerprints kept of one crash. Default 64.
+	// MaxRunning bounds the requests recorded for one crash. Default 64.
 	MaxRunning int
-	// MaxCleared bounds the cleared fingerprints kept; the newest stay. Default 4096.
+	// MaxCleared bounds the cleared fingerprints; the newest are kept. Default 4096.
 	MaxCleared int
 }
 
@@ -181,7 +181,7 @@
 	DefaultMaxCleared    = 4096
 )
 
-// maxFuture is how far ahead of this host's clock a report may be.
+// maxClockSkew is how far ahead of this host's clock a report may be dated.
 const maxClockSkew = 10 * time.Minute
 
 func (c Config) withDefaults() Config {
