--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -33,7 +33,7 @@
 	is.True(total.proceeds > 1000)
 	is.True(total.replays > 1000)
 	is.True(total.unavailable > 100)
-	is.True(total.deaths > 100)
+	is.True(total.restarts > 100)
 	is.True(total.unknowns > 1000)
 	is.True(total.freed > 100)
 }
@@ -55,14 +55,14 @@
 }
 
 type outcome struct {
-	proceeds, replays, unavailable, deaths, unknowns, freed int
+	proceeds, replays, unavailable, restarts, unknowns, freed int
 }
 
 func (o *outcome) add(p outcome) {
 	o.proceeds += p.proceeds
 	o.replays += p.replays
 	o.unavailable += p.unavailable
-	o.deaths += p.deaths
+	o.restarts += p.restarts
 	o.unknowns += p.unknowns
 	o.freed += p.freed
 }
@@ -96,7 +96,7 @@
 
 // probe calls each key once more after all faults have ended.
 func (s *simulation) probe(t rapid.TB, seed uint64) outcome {
-	out := outcome{deaths: s.restarts}
+	out := outcome{restarts: s.restarts}
 	for i := range simulatedKeys {
 		key := fmt.Sprint("k", i)
 		ran := s.runs[key]
