--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -139,7 +139,7 @@
 		c.release(claim)
 		return c.flush()
 	}
-	o := opFor(claim, opFinish)
+	o := newOp(claim, opFinish)
 	o.outcome = outcome
 	if c.count >= 2*c.cfg.MaxOps {
 		c.settle(o, false)
@@ -167,13 +167,13 @@
 		}
 	}
 	if c.count >= 2*c.cfg.MaxOps {
-		c.settle(opFor(claim, opRelease), false)
+		c.settle(newOp(claim, opRelease), false)
 		return
 	}
-	c.enqueue(opFor(claim, opRelease), c.cfg.FinishTimeout)
+	c.enqueue(newOp(claim, opRelease), c.cfg.FinishTimeout)
 }
 
-func opFor(claim Claim, kind opKind) *op {
+func newOp(claim Claim, kind opKind) *op {
 	return &op{
 		kind:            kind,
 		row:             claim.Row,
