--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -9,144 +9,145 @@
 )
 
 const (
-	// maxCommitBytes bounds the values of one transaction.
+	// maxCommitBytes bounds the values of one transaction, in bytes; only the last
+	// value may exceed it.
 	maxCommitBytes = 1 << 20
-	// backoffMin and backoffMax bound the wait after a failed call.
+	// backoffMin and backoffMax bound the delay after a failed store call.
 	backoffMin = 10 * time.Millisecond
 	backoffMax = time.Second
 )
 
-// committer gathers writes for group commits.
+// committer collects writes for group commits.
 type committer struct {
-	waiting []*op
-	// since is when the first of waiting came.
-	since time.Duration
-	// urgent is set when a transaction failed for some of its rows: the rest
-	// has waited already.
-	urgent   bool
-	inFlight int
-	// notBefore keeps the Gap.
+	queue []*op
+	// waitingSince is when the batching window of the queue began.
+	waitingSince time.Duration
+	// skipWindow is set when writes are requeued: they have already waited for a
+	// window.
+	skipWindow bool
+	inFlight   int
+	// notBefore is the earliest start of the next transaction, by Config.Gap.
 	notBefore time.Duration
-	// retryAt holds all calls back after a failed one.
+	// retryAt is the earliest time of the next store call after a failed one.
 	retryAt  time.Duration
 	failures int
 }
 
-// reader gathers reads.
+// reader collects reads for batches.
 type reader struct {
-	waiting  []*op
+	queue    []*op
 	inFlight int
 }
 
-// call is one transaction or read in flight.
-type call struct {
+// storeCall is one transaction or read in flight.
+type storeCall struct {
 	ops  []*op
 	read bool
 }
 
-func (c *Claims) wantWrite(o *op) {
-	if len(c.commit.waiting) == 0 {
-		c.commit.since = c.now
+func (c *Claims) queueWrite(o *op) {
+	if len(c.commit.queue) == 0 {
+		c.commit.waitingSince = c.now
 	}
 	o.phase = phaseWrite
-	c.commit.waiting = append(c.commit.waiting, o)
+	c.commit.queue = append(c.commit.queue, o)
 }
 
-func (c *Claims) wantRead(o *op) {
+func (c *Claims) queueRead(o *op) {
 	o.phase = phaseRead
-	c.reads.waiting = append(c.reads.waiting, o)
+	c.reads.queue = append(c.reads.queue, o)
 }
 
-// readLater reads again after a pause: the last read was stale.
-func (c *Claims) readLater(o *op) {
-	o.phase = phasePause
-	c.after(readPause, timer{kind: timerAgain, op: o})
+// delayRead reads the row again after a delay: the last read was stale.
+func (c *Claims) delayRead(o *op) {
+	o.phase = phaseReadDelay
+	c.startTimer(staleReadDelay, timer{kind: timerRetry, op: o})
 }
 
-// commitAt is when the waiting writes or reads may go.
-func (c *Claims) commitAt() time.Duration {
+// nextSendAt returns when the queued writes or reads may be sent, or Never.
+func (c *Claims) nextSendAt() time.Duration {
 	at := Never
-	if len(c.commit.waiting) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
+	if len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight {
 		at = max(c.windowEnd(), c.commit.notBefore, c.commit.retryAt)
 	}
-	if len(c.reads.waiting) > 0 && c.reads.inFlight < c.cfg.MaxInFlight {
+	if len(c.reads.queue) > 0 && c.reads.inFlight < c.cfg.MaxInFlight {
 		at = min(at, c.commit.retryAt)
 	}
 	return at
 }
 
 func (c *Claims) windowEnd() time.Duration {
-	if c.commit.urgent || len(c.commit.waiting) >= c.cfg.MaxBatch {
+	if c.commit.skipWindow || len(c.commit.queue) >= c.cfg.MaxBatch {
 		return c.now
 	}
-	return c.commit.since + c.cfg.Window
+	return c.commit.waitingSince + c.cfg.Window
 }
 
-// flush sends what may go and returns all actions of the event.
+// flush sends the writes and reads that are due and returns all pending actions.
 func (c *Claims) flush() []Action {
-	c.commit.waiting = dropGone(c.commit.waiting, phaseWrite)
-	c.reads.waiting = dropGone(c.reads.waiting, phaseRead)
-	for c.commitAt() <= c.now {
+	c.commit.queue = keepInPhase(c.commit.queue, phaseWrite)
+	c.reads.queue = keepInPhase(c.reads.queue, phaseRead)
+	for c.nextSendAt() <= c.now {
 		if c.writeDue() {
-			c.sendCommit()
+			c.sendTransaction()
 		} else {
 			c.sendRead()
 		}
 	}
-	out := c.out
-	c.out = nil
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
 func (c *Claims) writeDue() bool {
 	due := max(c.windowEnd(), c.commit.notBefore, c.commit.retryAt)
-	return len(c.commit.waiting) > 0 && c.commit.inFlight < c.cfg.MaxInFlight && due <= c.now
+	return len(c.commit.queue) > 0 && c.commit.inFlight < c.cfg.MaxInFlight && due <= c.now
 }
 
-// dropGone removes ops that no longer wait in that phase.
-func dropGone(ops []*op, want phase) []*op {
+// keepInPhase removes the ops that are in another phase.
+func keepInPhase(ops []*op, want phase) []*op {
 	return slices.DeleteFunc(ops, func(o *op) bool { return o.phase != want })
 }
 
-func (c *Claims) sendCommit() {
+func (c *Claims) sendTransaction() {
 	var t table.Transaction
 	var ops []*op
 	size := 0
-	for _, o := range c.commit.waiting {
+	for _, o := range c.commit.queue {
 		if len(ops) == c.cfg.MaxBatch || size >= maxCommitBytes {
 			break
 		}
 		value := c.encode(o)
 		size += len(value)
-		t.Conditions = append(t.Conditions, table.Condition{Key: o.row, Version: o.cond})
+		t.Conditions = append(t.Conditions, table.Condition{Key: o.row, Version: o.expectedVersion})
 		t.Puts = append(t.Puts, table.Put{Key: o.row, Value: value})
 		ops = append(ops, o)
 	}
-	c.commit.waiting = slices.Delete(c.commit.waiting, 0, len(ops))
-	c.commit.since = c.now
-	c.commit.urgent = false
+	c.commit.queue = slices.Delete(c.commit.queue, 0, len(ops))
+	c.commit.waitingSince = c.now
+	c.commit.skipWindow = false
 	c.commit.inFlight++
 	c.commit.notBefore = c.now + c.cfg.Gap
 	c.stats.Transactions++
 	c.stats.Rows += uint64(len(ops))
-	c.emit(Action{Transact: &Transact{ID: c.newCall(&call{ops: ops}), Transaction: t}})
+	c.emit(Action{Transact: &Transact{ID: c.newStoreCall(&storeCall{ops: ops}), Transaction: t}})
 }
 
 func (c *Claims) encode(o *op) []byte {
-	row := o.value(c.cfg.Retention)
-	o.sent = row.State
+	row := o.rowToWrite(c.cfg.Retention)
+	o.sentState = row.State
 	o.phase = phaseWriting
 	value, err := EncodeRow(row)
 	if err != nil {
-		panic(err) // every field of a Row can be encoded: a fault of the build
+		panic(err) // unreachable: every field of a Row can be encoded
 	}
 	return value
 }
 
 func (c *Claims) sendRead() {
-	n := min(len(c.reads.waiting), c.cfg.MaxBatch)
-	ops := slices.Clone(c.reads.waiting[:n])
-	c.reads.waiting = slices.Delete(c.reads.waiting, 0, n)
+	n := min(len(c.reads.queue), c.cfg.MaxBatch)
+	ops := slices.Clone(c.reads.queue[:n])
+	c.reads.queue = slices.Delete(c.reads.queue, 0, n)
 	keys := make([]string, 0, n)
 	for _, o := range ops {
 		o.phase = phaseReading
@@ -154,23 +155,24 @@
 	}
 	c.reads.inFlight++
 	c.stats.Reads++
-	c.emit(Action{Read: &Read{ID: c.newCall(&call{ops: ops, read: true}), Keys: keys}})
+	c.emit(Action{Read: &Read{ID: c.newStoreCall(&storeCall{ops: ops, read: true}), Keys: keys}})
 }
 
-func (c *Claims) newCall(k *call) CallID {
+func (c *Claims) newStoreCall(k *storeCall) CallID {
 	c.lastID++
-	c.calls[c.lastID] = k
-	c.after(c.cfg.CallTimeout, timer{kind: timerCall, call: c.lastID})
+	c.storeCalls[c.lastID] = k
+	c.startTimer(c.cfg.CallTimeout, timer{kind: timerStoreCall, callID: c.lastID})
 	return c.lastID
 }
 
-// endCall takes a call out of flight; nil when it was given up before.
-func (c *Claims) endCall(id CallID) *call {
-	k, ok := c.calls[id]
+// endStoreCall removes a store call from those in flight and returns it, or nil
+// if it has ended already, for example by a timeout.
+func (c *Claims) endStoreCall(id CallID) *storeCall {
+	k, ok := c.storeCalls[id]
 	if !ok {
 		return nil
 	}
-	delete(c.calls, id)
+	delete(c.storeCalls, id)
 	if k.read {
 		c.reads.inFlight--
 	} else {
@@ -179,7 +181,7 @@
 	return k
 }
 
-// StoreFailed tells that a call to the store gave no reply.
+// StoreFailed handles a store call that failed without a reply.
 func (c *Claims) StoreFailed(now time.Duration, id CallID, f StoreFailure) []Action {
 	c.advance(now)
 	c.storeFailed(id, f)
@@ -187,7 +189,7 @@
 }
 
 func (c *Claims) storeFailed(id CallID, f StoreFailure) {
-	k := c.endCall(id)
+	k := c.endStoreCall(id)
 	if k == nil {
 		return
 	}
@@ -198,14 +200,14 @@
 	}
 	if f == OutcomeUnknown {
 		c.stats.Unknowns++
-		markUnsure(k.ops)
+		markWritesUncertain(k.ops)
 	}
 	c.requeueWrites(k.ops)
 }
 
-func markUnsure(ops []*op) {
+func markWritesUncertain(ops []*op) {
 	for _, o := range ops {
-		o.unsure = true
+		o.writeUncertain = true
 	}
 }
 
@@ -215,23 +217,23 @@
 	c.commit.retryAt = c.now + time.Duration(min(wait, float64(backoffMax)))
 }
 
-func (c *Claims) storeWorks() {
+func (c *Claims) resetBackoff() {
 	c.commit.failures = 0
 	c.commit.retryAt = 0
 }
 
-// requeueWrites puts ops back in front, without a new window.
+// requeueWrites puts ops back at the head of the queue, without a new window.
 func (c *Claims) requeueWrites(ops []*op) {
-	ops = dropGone(slices.Clone(ops), phaseWriting)
+	ops = keepInPhase(slices.Clone(ops), phaseWriting)
 	for _, o := range ops {
 		o.phase = phaseWrite
 	}
-	c.commit.waiting = append(ops, c.commit.waiting...)
-	c.commit.urgent = len(c.commit.waiting) > 0
+	c.commit.queue = append(ops, c.commit.queue...)
+	c.commit.skipWindow = len(c.commit.queue) > 0
 }
 
 func (c *Claims) requeueReads(ops []*op) {
-	for _, o := range dropGone(slices.Clone(ops), phaseReading) {
-		c.wantRead(o)
+	for _, o := range keepInPhase(slices.Clone(ops), phaseReading) {
+		c.queueRead(o)
 	}
 }
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -8,32 +8,32 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// add queues an op behind those of the same row.
-func (c *Claims) add(o *op, patience time.Duration) {
+// enqueue adds an op to the queue of its row, with a timeout for the whole op.
+func (c *Claims) enqueue(o *op, timeout time.Duration) {
 	c.count++
-	o.phase = phaseBehind
+	o.phase = phaseQueued
 	c.ops[o.row] = append(c.ops[o.row], o)
-	c.setDeadline(o, patience)
+	c.setDeadline(o, timeout)
 	if len(c.ops[o.row]) == 1 {
 		c.start(o)
 	}
 }
 
-func (c *Claims) setDeadline(o *op, patience time.Duration) {
-	o.deadline = c.now + patience
-	c.after(patience, timer{kind: timerDeadline, op: o})
+func (c *Claims) setDeadline(o *op, timeout time.Duration) {
+	o.deadline = c.now + timeout
+	c.startTimer(timeout, timer{kind: timerDeadline, op: o})
 }
 
-// start lets the first op of a row begin its work.
+// start begins the work of the first op in a row's queue.
 func (c *Claims) start(o *op) {
 	_, known := c.recent.Get(o.row)
 	switch {
 	case o.kind == opFinish && c.tooLarge(o):
 		c.storeObject(o)
-	case o.kind == opBegin && !known, o.cond != 0:
-		c.wantWrite(o)
+	case o.kind == opBegin && !known, o.expectedVersion != 0:
+		c.queueWrite(o)
 	default:
-		c.wantRead(o)
+		c.queueRead(o)
 	}
 }
 
@@ -48,7 +48,7 @@
 
 func objectName(t Token) string { return ObjectPrefix + url.PathEscape(string(t)) }
 
-// ObjectReply tells whether the body that belongs to the row is stored.
+// ObjectReply handles the result of a StoreObject action for the row.
 func (c *Claims) ObjectReply(now time.Duration, row string, stored bool) []Action {
 	c.advance(now)
 	queue := c.ops[row]
@@ -57,14 +57,14 @@
 	}
 	o := queue[0]
 	if stored {
-		c.keepObject(o)
+		c.objectStored(o)
 	} else {
 		c.objectFailed(o)
 	}
 	return c.flush()
 }
 
-func (c *Claims) keepObject(o *op) {
+func (c *Claims) objectStored(o *op) {
 	answer := *o.outcome.Answer
 	answer.Object = objectName(o.token)
 	answer.ObjectBytes = len(answer.Body)
@@ -74,31 +74,31 @@
 }
 
 func (c *Claims) objectFailed(o *op) {
-	o.objectTries++
-	if o.objectTries < objectTries {
-		c.after(objectPause, timer{kind: timerAgain, op: o})
+	o.objectAttempts++
+	if o.objectAttempts < maxObjectAttempts {
+		c.startTimer(objectRetryDelay, timer{kind: timerRetry, op: o})
 		return
 	}
 	o.outcome = Outcome{Failure: &Failure{
 		Verdict: verdict.Ran,
 		Code:    verdict.CodeUnavailable,
-		Message: "the call ran, its answer was too large to be kept in the table and could not be stored",
+		Message: "the call ran, but its answer was too large for the table and could not be stored in the object store",
 	}}
 	c.start(o)
 }
 
-// again ends a pause.
-func (c *Claims) again(o *op) {
+// retry continues an op after a delay.
+func (c *Claims) retry(o *op) {
 	switch o.phase {
 	case phaseObject:
 		c.storeObject(o)
-	case phasePause:
-		c.wantRead(o)
+	case phaseReadDelay:
+		c.queueRead(o)
 	}
 }
 
-// expire ends the patience with an op.
-func (c *Claims) expire(o *op) {
+// deadlineReached ends an op that has timed out.
+func (c *Claims) deadlineReached(o *op) {
 	if o.phase == phaseDone || c.now < o.deadline {
 		return
 	}
@@ -108,19 +108,19 @@
 		return
 	}
 	c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"the claim could not be stored in %s", c.cfg.MaxWait).WithRetryAfter(retryAfterLive))
+		"the claim could not be stored within %s", c.cfg.MaxWait).WithRetryAfter(defaultRetryAfter))
 	c.abandon(o)
 }
 
-// abandon drops a Begin. Where a write of it may have taken effect, the op
-// lives on as a Release: nothing was dispatched, so the key may be freed.
+// abandon drops a Begin. If a write of it may have taken effect, the op continues
+// as a Release: nothing was dispatched, so the key may be freed.
 func (c *Claims) abandon(o *op) {
-	if !o.unsure && o.phase != phaseWriting {
+	if !o.writeUncertain && o.phase != phaseWriting {
 		c.done(o)
 		return
 	}
 	o.kind = opRelease
-	c.setDeadline(o, c.cfg.FinishPatience)
+	c.setDeadline(o, c.cfg.FinishTimeout)
 }
 
 // done removes an op and starts the next one of its row.
--- a/core/claim/random_test.go
+++ b/core/claim/random_test.go
@@ -21,48 +21,48 @@
 	for seed := range seeds {
 		f := faults{}
 		if seed%2 == 1 {
-			f = faults{lost: 0.2, stale: 0.4, slow: 0.1, down: 0.1, silent: 0.3}
+			f = faults{lostStoreReply: 0.2, staleRead: 0.4, slowStore: 0.1, storeDown: 0.1, noReply: 0.3}
 		}
 		if seed%4 == 3 {
-			f.dropped, f.death = 0.1, 0.1
+			f.lostReply, f.restart = 0.1, 0.1
 		}
 		total.add(simulate(t, seed, f))
 	}
-	// The faults and all endings must have been met.
+	// All faults and all results must have occurred.
 	is := is.New(t)
 	is.True(total.proceeds > 1000)
 	is.True(total.replays > 1000)
 	is.True(total.unavailable > 100)
-	is.True(total.deaths > 100)
+	is.True(total.restarts > 100)
 	is.True(total.unknowns > 1000)
 	is.True(total.freed > 100)
 }
 
-// TestAnyFaultRates draws the rates of the faults as well.
+// TestAnyFaultRates also draws the rates of the faults at random.
 func TestAnyFaultRates(t *testing.T) {
 	rate := rapid.Float64Range(0, 0.5)
 	rapid.Check(t, func(t *rapid.T) {
 		simulate(t, rapid.Uint64().Draw(t, "seed"), faults{
-			lost:    rate.Draw(t, "lost"),
-			stale:   rate.Draw(t, "stale"),
-			slow:    rate.Draw(t, "slow"),
-			down:    rate.Draw(t, "down"),
-			silent:  rate.Draw(t, "silent"),
-			dropped: rate.Draw(t, "dropped"),
-			death:   rate.Draw(t, "death"),
+			lostStoreReply: rate.Draw(t, "lost"),
+			staleRead:      rate.Draw(t, "stale"),
+			slowStore:      rate.Draw(t, "slow"),
+			storeDown:      rate.Draw(t, "down"),
+			noReply:        rate.Draw(t, "silent"),
+			lostReply:      rate.Draw(t, "dropped"),
+			restart:        rate.Draw(t, "death"),
 		})
 	})
 }
 
 type outcome struct {
-	proceeds, replays, unavailable, deaths, unknowns, freed int
+	proceeds, replays, unavailable, restarts, unknowns, freed int
 }
 
 func (o *outcome) add(p outcome) {
 	o.proceeds += p.proceeds
 	o.replays += p.replays
 	o.unavailable += p.unavailable
-	o.deaths += p.deaths
+	o.restarts += p.restarts
 	o.unknowns += p.unknowns
 	o.freed += p.freed
 }
@@ -72,17 +72,17 @@
 func simulate(t rapid.TB, seed uint64, f faults) outcome {
 	s := newSimulation(seed, f)
 	for range 24 {
-		s.in(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
+		s.schedule(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
 			s.call(fmt.Sprint("k", s.rng.IntN(simulatedKeys)))
 		})
 	}
 	for range 5 {
-		s.in(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
-			if s.chance(f.death) {
-				s.kill(s.rng.IntN(len(s.daemons)))
+		s.schedule(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
+			if s.chance(f.restart) {
+				s.restart(s.rng.IntN(len(s.daemons)))
 			}
-			if s.chance(f.down * 5) {
-				s.downTill = s.now + time.Duration(s.rng.IntN(600))*time.Millisecond
+			if s.chance(f.storeDown * 5) {
+				s.storeDownUntil = s.now + time.Duration(s.rng.IntN(600))*time.Millisecond
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 
 // probe calls each key once more after all faults have ended.
 func (s *simulation) probe(t rapid.TB, seed uint64) outcome {
-	out := outcome{deaths: s.deaths}
+	out := outcome{restarts: s.restarts}
 	for i := range simulatedKeys {
 		key := fmt.Sprint("k", i)
 		ran := s.runs[key]
@@ -106,12 +106,12 @@
 		if len(at.replies) != 1 {
 			t.Fatalf("seed %d: %s got %d replies at the end", seed, key, len(at.replies))
 		}
-		if s.deaths > 0 || s.dropped > 0 {
+		if s.restarts > 0 || s.lostReplies > 0 {
 			continue // the outcome may be lost with its owner
 		}
 		want := "proceed"
 		switch {
-		case ran > 0 && s.ended[key] == verdict.MayHaveRun:
+		case ran > 0 && s.failedWith[key] == verdict.MayHaveRun:
 			want = "refuse"
 		case ran > 0:
 			want = "replay"
@@ -119,12 +119,12 @@
 			out.freed++
 		}
 		if at.replies[0] != want {
-			t.Fatalf("seed %d: %s ran %d times and ends with %s, want %s", seed, key, ran, at.replies[0], want)
+			t.Fatalf("seed %d: %s ran %d times and the last call got %s, want %s", seed, key, ran, at.replies[0], want)
 		}
 	}
 	for _, d := range s.daemons {
-		if n := d.claims.Working(); n != 0 {
-			t.Fatalf("seed %d: %d ops are left at %s", seed, n, d.process)
+		if n := d.claims.Pending(); n != 0 {
+			t.Fatalf("seed %d: %d ops still in progress at %s", seed, n, d.process)
 		}
 		out.unknowns += int(d.claims.Stats().Unknowns)
 	}
@@ -142,14 +142,15 @@
 				out.replays++
 			}
 		}
-		if at.told == verdict.NotRun {
+		if at.refusedWith == verdict.NotRun {
 			out.unavailable++
 		}
 	}
 	return out
 }
 
-// check holds the promises against what happened.
+// check verifies that no key ran twice, that no call had two replies, and that no
+// call refused as not run was dispatched.
 func (s *simulation) check(t rapid.TB, seed uint64) {
 	for i := range simulatedKeys {
 		if key := fmt.Sprint("k", i); s.runs[key] > 1 {
@@ -159,13 +160,13 @@
 	for _, token := range s.tokens {
 		at := s.attempts[token]
 		if len(at.replies) > 1 {
-			t.Fatalf("seed %d: %s was answered %v", seed, token, at.replies)
+			t.Fatalf("seed %d: %s got several replies: %v", seed, token, at.replies)
 		}
-		if at.told == verdict.NotRun && at.dispatch > 0 {
-			t.Fatalf("seed %d: %s was told not run and was dispatched", seed, token)
+		if at.refusedWith == verdict.NotRun && at.dispatches > 0 {
+			t.Fatalf("seed %d: %s was refused as not run but was dispatched", seed, token)
 		}
 	}
-	if len(s.broken) > 0 {
-		t.Fatalf("seed %d: %v", seed, s.broken)
+	if len(s.violations) > 0 {
+		t.Fatalf("seed %d: %v", seed, s.violations)
 	}
 }
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// timer wakes an op, or ends the wait for a call.
+// timer ends an op's delay, or times out an op or a store call.
 type timer struct {
-	at    time.Duration
-	order uint64
-	op    *op
-	call  CallID
-	kind  timerKind
+	at     time.Duration
+	seq    uint64
+	op     *op
+	callID CallID
+	kind   timerKind
 }
 
 type timerKind uint8
 
 const (
-	// timerDeadline ends the patience with an op.
+	// timerDeadline times out an op.
 	timerDeadline timerKind = iota + 1
-	// timerAgain ends an op's pause.
-	timerAgain
-	// timerCall gives a call to the store up.
-	timerCall
+	// timerRetry ends an op's delay.
+	timerRetry
+	// timerStoreCall times out a store call.
+	timerStoreCall
 )
 
 // timers is a heap ordered by time, then by order of creation.
@@ -34,7 +34,7 @@
 	if t[i].at != t[j].at {
 		return t[i].at < t[j].at
 	}
-	return t[i].order < t[j].order
+	return t[i].seq < t[j].seq
 }
 
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
@@ -51,24 +51,24 @@
 	return x
 }
 
-func (c *Claims) after(d time.Duration, t timer) {
-	c.timerOrder++
+func (c *Claims) startTimer(d time.Duration, t timer) {
+	c.timerSeq++
 	t.at = c.now + d
-	t.order = c.timerOrder
+	t.seq = c.timerSeq
 	heap.Push(&c.timers, t)
 }
 
-// fire handles the timers that are due.
-func (c *Claims) fire() {
+// fireTimers handles the timers that are due.
+func (c *Claims) fireTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		switch t.kind {
 		case timerDeadline:
-			c.expire(t.op)
-		case timerAgain:
-			c.again(t.op)
-		case timerCall:
-			c.storeFailed(t.call, OutcomeUnknown)
+			c.deadlineReached(t.op)
+		case timerRetry:
+			c.retry(t.op)
+		case timerStoreCall:
+			c.storeFailed(t.callID, OutcomeUnknown)
 		}
 	}
 }
--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// Ledger holds the evidence of all daemons. It is safe for concurrent use.
+// Ledger holds the crash reports of all daemons. It is safe for concurrent use.
 type Ledger struct {
-	mu         sync.Mutex
-	cfg        Config
-	crashes    map[CrashID]*entry
-	byPrint    map[Fingerprint][]CrashID
-	cleared    map[Fingerprint]*mark
-	allCleared mark
-	// floor is the time of the latest crash that was dropped, plus Settle.
-	// Reports up to then are refused: one that comes alone would make a request look as if
-	// nothing had run beside it.
-	floor int64
-	// change numbers the changes, for Delta.
-	change uint64
+	mu            sync.Mutex
+	cfg           Config
+	crashes       map[CrashID]*crashRecord
+	byFingerprint map[Fingerprint][]CrashID
+	cleared       map[Fingerprint]*clearance
+	allCleared    clearance
+	// refuseUntil is the time of the latest dropped crash, plus Settle, in
+	// milliseconds since 1970. Reports of crashes up to then are refused: a late
+	// report of a dropped crash would lack the other requests that ran there.
+	refuseUntil int64
+	// lastChange is the number of the last change, for Delta.
+	lastChange uint64
 }
 
-// entry is a crash with the number of its last change.
-type entry struct {
+// crashRecord is a crash with the number of its last change.
+type crashRecord struct {
 	crash   Crash
 	changed uint64
 }
 
-// mark is a time with the number of its last change.
-type mark struct {
+// clearance is the time up to which crashes don't count, with the number of its
+// last change.
+type clearance struct {
 	at      int64
 	changed uint64
 }
@@ -38,15 +39,15 @@
 // New returns an empty Ledger.
 func New(cfg Config) *Ledger {
 	return &Ledger{
-		cfg:     cfg.withDefaults(),
-		crashes: map[CrashID]*entry{},
-		byPrint: map[Fingerprint][]CrashID{},
-		cleared: map[Fingerprint]*mark{},
+		cfg:           cfg.withDefaults(),
+		crashes:       map[CrashID]*crashRecord{},
+		byFingerprint: map[Fingerprint][]CrashID{},
+		cleared:       map[Fingerprint]*clearance{},
 	}
 }
 
-// Crash records a crash with the requests that this daemon had there. A crash
-// that each daemon with work there reports is complete.
+// Crash records a crash with the requests that this daemon ran on the endpoint. The
+// record is complete once each daemon with requests there has reported the crash.
 func (l *Ledger) Crash(wall time.Time, crash CrashID, running []Suspect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,19 +55,19 @@
 	l.prune(wall)
 }
 
-// Finished clears a request that ran to its end. It returns whether anything
-// was held against it.
+// Finished clears a request that finished. It returns whether any crash was
+// recorded against it.
 func (l *Ledger) Finished(wall time.Time, f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.byPrint[f]) == 0 {
+	if len(l.byFingerprint[f]) == 0 {
 		return false
 	}
 	l.mergeCleared(Cleared{Fingerprint: f, AtUnixMS: wall.UnixMilli()})
 	return true
 }
 
-// Lift frees a fingerprint of all evidence up to now.
+// Lift clears a fingerprint of all crashes up to now.
 func (l *Ledger) Lift(wall time.Time, f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,27 +75,27 @@
 	l.prune(wall)
 }
 
-// LiftAll frees every fingerprint of all evidence up to now.
+// LiftAll clears every fingerprint of all crashes up to now.
 func (l *Ledger) LiftAll(wall time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mergeAllCleared(wall.UnixMilli())
 }
 
-// Len is the number of crashes that are held against requests.
+// Len returns the number of recorded crashes.
 func (l *Ledger) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.crashes)
 }
 
-// Merge takes evidence from another daemon. It returns true if some was new.
+// Merge adds the state of another daemon. It returns whether any of it was new.
 func (l *Ledger) Merge(wall time.Time, s State) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.change
+	before := l.lastChange
 	oldest := wall.Add(-l.cfg.Quarantine).UnixMilli()
-	latest := wall.Add(maxFuture).UnixMilli()
+	latest := wall.Add(maxClockSkew).UnixMilli()
 	for _, c := range s.Crashes {
 		if oldest <= c.AtUnixMS && c.AtUnixMS <= latest {
 			l.mergeCrash(c)
@@ -109,11 +110,11 @@
 		l.mergeAllCleared(s.AllClearedUnixMS)
 	}
 	l.prune(wall)
-	return l.change != before
+	return l.lastChange != before
 }
 
-// Delta returns what changed behind the given number, in a fixed order, and
-// the number to ask with next time. Delta(0) is the whole state.
+// Delta returns what changed after the change of the given number, in a fixed
+// order, and the number to pass next time. Delta(0) returns the whole state.
 func (l *Ledger) Delta(after uint64) (State, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,22 +134,22 @@
 	}
 	slices.SortFunc(s.Crashes, func(a, b Crash) int { return compareIDs(a.ID, b.ID) })
 	slices.SortFunc(s.Cleared, func(a, b Cleared) int { return compareFingerprints(a.Fingerprint, b.Fingerprint) })
-	return s, l.change
+	return s, l.lastChange
 }
 
 func (l *Ledger) mergeCrash(c Crash) {
 	e, ok := l.crashes[c.ID]
-	if !ok && c.AtUnixMS <= l.floor {
+	if !ok && c.AtUnixMS <= l.refuseUntil {
 		return
 	}
 	if !ok {
-		e = &entry{crash: Crash{ID: c.ID, AtUnixMS: c.AtUnixMS}}
+		e = &crashRecord{crash: Crash{ID: c.ID, AtUnixMS: c.AtUnixMS}}
 		l.crashes[c.ID] = e
-		e.changed = l.next()
+		e.changed = l.nextChange()
 	}
 	if c.AtUnixMS < e.crash.AtUnixMS {
 		e.crash.AtUnixMS = c.AtUnixMS
-		e.changed = l.next()
+		e.changed = l.nextChange()
 	}
 	union := l.union(e.crash.Running, c.Running)
 	if slices.Equal(union, e.crash.Running) {
@@ -156,12 +157,12 @@
 	}
 	l.unindex(e.crash)
 	e.crash.Running = union
-	e.changed = l.next()
+	e.changed = l.nextChange()
 	l.index(e.crash)
 }
 
-// union keeps the first MaxRunning of both, which does not depend on the order
-// of merging.
+// union returns the first MaxRunning of both, so that the result does not depend on
+// the order of merging.
 func (l *Ledger) union(a, b []Suspect) []Suspect {
 	all := append(slices.Clone(a), b...)
 	slices.SortFunc(all, compareSuspects)
@@ -171,17 +172,17 @@
 
 func (l *Ledger) index(c Crash) {
 	for _, s := range c.Running {
-		l.byPrint[s.Fingerprint] = append(l.byPrint[s.Fingerprint], c.ID)
+		l.byFingerprint[s.Fingerprint] = append(l.byFingerprint[s.Fingerprint], c.ID)
 	}
 }
 
 func (l *Ledger) unindex(c Crash) {
 	for _, s := range c.Running {
-		rest := slices.DeleteFunc(l.byPrint[s.Fingerprint], func(id CrashID) bool { return id == c.ID })
+		rest := slices.DeleteFunc(l.byFingerprint[s.Fingerprint], func(id CrashID) bool { return id == c.ID })
 		if len(rest) == 0 {
-			delete(l.byPrint, s.Fingerprint)
+			delete(l.byFingerprint, s.Fingerprint)
 		} else {
-			l.byPrint[s.Fingerprint] = rest
+			l.byFingerprint[s.Fingerprint] = rest
 		}
 	}
 }
@@ -189,27 +190,27 @@
 func (l *Ledger) mergeCleared(c Cleared) {
 	m, ok := l.cleared[c.Fingerprint]
 	if !ok {
-		m = &mark{}
+		m = &clearance{}
 		l.cleared[c.Fingerprint] = m
 	}
 	if c.AtUnixMS > m.at {
 		m.at = c.AtUnixMS
-		m.changed = l.next()
+		m.changed = l.nextChange()
 	}
 }
 
 func (l *Ledger) mergeAllCleared(at int64) {
 	if at > l.allCleared.at {
-		l.allCleared = mark{at: at, changed: l.next()}
+		l.allCleared = clearance{at: at, changed: l.nextChange()}
 	}
 }
 
-func (l *Ledger) next() uint64 {
-	l.change++
-	return l.change
+func (l *Ledger) nextChange() uint64 {
+	l.lastChange++
+	return l.lastChange
 }
 
-// prune drops what is past its time and, above the bounds, the oldest.
+// prune drops what has expired and, above the bounds, the oldest.
 func (l *Ledger) prune(wall time.Time) {
 	oldest := wall.Add(-l.cfg.Quarantine).UnixMilli()
 	for id, e := range l.crashes {
@@ -228,7 +229,7 @@
 
 func (l *Ledger) drop(id CrashID) {
 	dropped := l.crashes[id].crash
-	l.floor = max(l.floor, dropped.AtUnixMS+l.cfg.Settle.Milliseconds())
+	l.refuseUntil = max(l.refuseUntil, dropped.AtUnixMS+l.cfg.Settle.Milliseconds())
 	l.unindex(dropped)
 	delete(l.crashes, id)
 }
