--- a/daemon/gateway/document.go
+++ b/daemon/gateway/document.go
@@ -32,7 +32,7 @@
 		return doc
 	}
 	config := routes.Config()
-	doc.Teams = shareOut(config.Teams)
+	doc.Teams = teamWeights(config.Teams)
 	for i := range config.Services {
 		s := &config.Services[i]
 		if s.Engine == nil {
@@ -54,7 +54,7 @@
 // shareOut weighs the teams by their limits: what the operator grants each of them
 // is also its part where there is too little for all. Where a team has no limit,
 // or limits count different things, all weigh the same.
-func shareOut(teams []route.Team) []live.Team {
+func teamWeights(teams []route.Team) []live.Team {
 	out := make([]live.Team, len(teams))
 	alike := true
 	for i, t := range teams {
