--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -42,7 +42,7 @@
 )
 
 // hostRow is a daemon's row: where others reach it.
-type hostRow struct {
+type daemonRow struct {
 	Domain  id.Domain `json:"domain"`
 	Peers   string    `json:"peers"`
 	Callers string    `json:"callers"`
@@ -164,7 +164,7 @@
 	if err != nil {
 		return 0, err
 	}
-	value, err := json.Marshal(hostRow{Domain: d.set.Domain, Peers: d.set.Listen.Peers, Callers: d.set.Listen.Callers})
+	value, err := json.Marshal(daemonRow{Domain: d.set.Domain, Peers: d.set.Listen.Peers, Callers: d.set.Listen.Callers})
 	if err != nil {
 		return 0, eris.Wrap(err, "the daemon's row")
 	}
@@ -280,7 +280,7 @@
 func (d *Daemon) hosts(s feed.State) []member.Host {
 	var out []member.Host
 	for _, row := range s.Rows {
-		var h hostRow
+		var h daemonRow
 		if err := json.Unmarshal(row.Value, &h); err != nil {
 			d.knowledge.mu.Lock()
 			d.badRow(row.Key, row.Version, err)
