--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -32,8 +32,8 @@
 	// enrollTimeout bounds one call of an enrolment.
 	enrollTimeout = time.Second
 	// enrollRetry and enrollRetryMost bound the pause after a failed enrolment.
-	enrollRetry     = 50 * time.Millisecond
-	enrollRetryMost = 500 * time.Millisecond
+	enrollRetry    = 50 * time.Millisecond
+	enrollRetryMax = 500 * time.Millisecond
 	// authorityWait bounds the wait for another daemon to make the fleet's CA: of
 	// those that start together, all would else write one, and read again.
 	authorityWait = 250 * time.Millisecond
@@ -61,7 +61,7 @@
 		if !d.sleep(pause/2 + time.Duration(d.rand.Int64N(int64(pause)))) {
 			return
 		}
-		pause = min(2*pause, enrollRetryMost)
+		pause = min(2*pause, enrollRetryMax)
 	}
 }
 
