--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -129,12 +129,12 @@
 		return nil, err
 	}
 	if row.Version == 0 {
-		return d.makeAuthority()
+		return d.createAuthority()
 	}
 	return keys.LoadCA(row.Value, d.opts.Wall())
 }
 
-func (d *Daemon) makeAuthority() (*keys.DevCA, error) {
+func (d *Daemon) createAuthority() (*keys.DevCA, error) {
 	made, err := keys.NewDevCA(d.opts.Wall())
 	if err != nil {
 		return nil, err
