--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -237,7 +237,7 @@
 	d.fleet.Store(f)
 	close(wired)
 	go d.shareReading(f)
-	go d.keepTime()
+	go d.syncStoreClock()
 	go d.tellSpent(f)
 	d.logger.Event("daemon_enrolled", "incarnation", self.Incarnation)
 	d.knowledge.mu.Lock()
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -140,7 +140,7 @@
 
 // keepTime looks at the store's clock now and then: the daemon's own runs at
 // another pace.
-func (d *Daemon) keepTime() {
+func (d *Daemon) syncStoreClock() {
 	d.every(timeEvery, func() {
 		if _, err := d.read(keyAuthority); err != nil {
 			d.logger.Warn("store_clock_not_read", "why", err)
