--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -238,7 +238,7 @@
 	close(wired)
 	go d.shareReading(f)
 	go d.syncStoreClock()
-	go d.tellSpent(f)
+	go d.logUsage(f)
 	d.logger.Event("daemon_enrolled", "incarnation", self.Incarnation)
 	d.knowledge.mu.Lock()
 	defer d.knowledge.mu.Unlock()
--- a/daemon/gateway/spent.go
+++ b/daemon/gateway/spent.go
@@ -22,7 +22,7 @@
 
 // tellSpent writes, now and then, what the daemon has spent since its start on
 // other daemons and on the store, and the memory that it holds.
-func (d *Daemon) tellSpent(f *fleet) {
+func (d *Daemon) logUsage(f *fleet) {
 	d.every(spentEvery, func() {
 		wire := f.transport.Wire()
 		heap, memory, goroutines := runtimeFigures()
