--- a/daemon/gateway/spent.go
+++ b/daemon/gateway/spent.go
@@ -11,7 +11,7 @@
 
 // spentEvery is the time between the lines that tell what a daemon spends apart
 // from requests.
-const spentEvery = 10 * time.Second
+const usageLogInterval = 10 * time.Second
 
 // Names of the runtime's figures.
 const (
@@ -23,7 +23,7 @@
 // tellSpent writes, now and then, what the daemon has spent since its start on
 // other daemons and on the store, and the memory that it holds.
 func (d *Daemon) logUsage(f *fleet) {
-	d.every(spentEvery, func() {
+	d.every(usageLogInterval, func() {
 		wire := f.transport.Wire()
 		heap, memory, goroutines := runtimeFigures()
 		d.logger.Event("daemon_spent", "owner", f.owner.Load(), "reader", f.tells.Load(), "linked", f.linked.Load(),
