--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -93,7 +93,7 @@
 	}
 	if reply.Clock > 0 {
 		d.freshness.sample(sent, d.now(), reply.Clock)
-		d.dateBy(time.Unix(0, 0).Add(reply.Clock))
+		d.setEpoch(time.Unix(0, 0).Add(reply.Clock))
 	}
 	return reply.Row(key), nil
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -173,7 +173,7 @@
 		rand:     rand.New(rand.NewPCG(opts.Seed, uint64(len(set.Daemon)))),
 		closed:   make(chan struct{}),
 	}
-	d.dateBy(opts.Wall())
+	d.setEpoch(opts.Wall())
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	if err := d.provision(); err != nil {
 		d.cancel()
@@ -275,7 +275,7 @@
 func (d *Daemon) wall() time.Time { return d.epoch.Load().Add(d.now()) }
 
 // dateBy has evidence dated by a clock that shows now; the boot clock moves it on.
-func (d *Daemon) dateBy(now time.Time) {
+func (d *Daemon) setEpoch(now time.Time) {
 	epoch := now.Add(-d.now())
 	d.epoch.Store(&epoch)
 }
