--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -200,7 +200,7 @@
 		Spread:     func(s poison.State) { d.spreadEvidence(f, s) },
 		Relay:      func(s poison.State) { d.relayEvidence(f, s) },
 		Epoch:      *d.epoch.Load(),
-		Behind:     d.behind("broker"),
+		Behind:     d.logDelay("broker"),
 		Metrics:    d.metrics,
 		Now:        d.now,
 		Ready:      wired,
@@ -229,7 +229,7 @@
 		Log:    d.logger.Event,
 		Now:    d.now,
 		Rand:   d.newRand(),
-		Behind: d.behind("members"),
+		Behind: d.logDelay("members"),
 		Ready:  wired,
 	})
 	f.orderer = startOrderer(d, f, work, wired)
@@ -253,7 +253,7 @@
 
 // behind writes a line when work waits long for a duty: the daemon's answers,
 // and all that it decides, are late by as much.
-func (d *Daemon) behind(name string) func(late time.Duration) {
+func (d *Daemon) logDelay(name string) func(late time.Duration) {
 	return func(late time.Duration) {
 		if late >= behindLeast {
 			d.logger.Event("duty_behind", "duty", name, "late", late)
