--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -249,13 +249,13 @@
 
 // behindLeast is how long work must wait for a duty to be worth a line: a
 // quarter of the shortest time in which callers expect a first event.
-const behindLeast = 200 * time.Millisecond
+const minLoggedDelay = 200 * time.Millisecond
 
 // behind writes a line when work waits long for a duty: the daemon's answers,
 // and all that it decides, are late by as much.
 func (d *Daemon) logDelay(name string) func(late time.Duration) {
 	return func(late time.Duration) {
-		if late >= behindLeast {
+		if late >= minLoggedDelay {
 			d.logger.Event("duty_behind", "duty", name, "late", late)
 		}
 	}
