--- a/daemon/gateway/entries.go
+++ b/daemon/gateway/entries.go
@@ -6,7 +6,7 @@
 )
 
 // readEntry is what a row of the table of endpoints came to.
-type readEntry struct {
+type parsedEntry struct {
 	row      table.Row
 	endpoint registry.Endpoint
 	// err says why the row names no endpoint to use.
@@ -16,18 +16,18 @@
 // entryCache remembers the rows that were read, so that the change of one row
 // does not cost the reading of all. A row's version stands for its value.
 type entryCache struct {
-	read map[string]readEntry
+	read map[string]parsedEntry
 }
 
 // update reads those of the rows that are new or have changed, and forgets those
 // that are gone. It returns the entries in the order of the rows.
-func (c *entryCache) update(rows []table.Row, read func(table.Row) (registry.Endpoint, error)) []readEntry {
-	out := make([]readEntry, 0, len(rows))
-	kept := make(map[string]readEntry, len(rows))
+func (c *entryCache) update(rows []table.Row, read func(table.Row) (registry.Endpoint, error)) []parsedEntry {
+	out := make([]parsedEntry, 0, len(rows))
+	kept := make(map[string]parsedEntry, len(rows))
 	for _, row := range rows {
 		entry, known := c.read[row.Key]
 		if !known || entry.row.Version != row.Version {
-			entry = readEntry{row: row}
+			entry = parsedEntry{row: row}
 			entry.endpoint, entry.err = read(row)
 		}
 		kept[row.Key] = entry
