--- a/daemon/gateway/entries.go
+++ b/daemon/gateway/entries.go
@@ -16,7 +16,7 @@
 // entryCache remembers the rows that were read, so that the change of one row
 // does not cost the reading of all. A row's version stands for its value.
 type entryCache struct {
-	read map[string]parsedEntry
+	parsed map[string]parsedEntry
 }
 
 // update reads those of the rows that are new or have changed, and forgets those
@@ -25,7 +25,7 @@
 	out := make([]parsedEntry, 0, len(rows))
 	kept := make(map[string]parsedEntry, len(rows))
 	for _, row := range rows {
-		entry, known := c.read[row.Key]
+		entry, known := c.parsed[row.Key]
 		if !known || entry.row.Version != row.Version {
 			entry = parsedEntry{row: row}
 			entry.endpoint, entry.err = read(row)
@@ -33,6 +33,6 @@
 		kept[row.Key] = entry
 		out = append(out, entry)
 	}
-	c.read = kept
+	c.parsed = kept
 	return out
 }
--- a/daemon/gateway/entries_test.go
+++ b/daemon/gateway/entries_test.go
@@ -43,5 +43,5 @@
 	c.update([]table.Row{row("b", "bad", 2)}, reader) // a is gone
 	c.update([]table.Row{row("a", "1", 5)}, reader)   // and back
 	is.Equal(read, []string{"a"})
-	is.Equal(len(c.read), 1)
+	is.Equal(len(c.parsed), 1)
 }
