--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -12,7 +12,7 @@
 
 // maxNamed bounds the addresses of an entry answer; callers pick among them at
 // random, so that all daemons are named where they are not too many.
-const maxNamed = 64
+const maxEntryAddresses = 64
 
 // ready says whether the daemon takes requests, and if not, why.
 func (d *Daemon) ready() (bool, string) {
@@ -35,7 +35,7 @@
 		return entry.Answer{}, false
 	}
 	lifetime := d.set.entryLifetime()
-	cfg := entry.Config{Lifetime: lifetime, MinLifetime: lifetime, MaxAddresses: maxNamed}
+	cfg := entry.Config{Lifetime: lifetime, MinLifetime: lifetime, MaxAddresses: maxEntryAddresses}
 	// The random source of a call is its own: callers ask at the same time.
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	answer := entry.Make(cfg, d.candidates(f), f.self.Daemon, rng)
