--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -39,13 +39,13 @@
 	// The random source of a call is its own: callers ask at the same time.
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	answer := entry.Make(cfg, d.candidates(f), f.self.Daemon, rng)
-	if s := d.stopping.Load(); s != nil && namesSelf(answer, f.self.Daemon) {
+	if s := d.stopping.Load(); s != nil && containsDaemon(answer, f.self.Daemon) {
 		s.Named(d.now())
 	}
 	return answer, len(answer.Addresses) > 0
 }
 
-func namesSelf(a entry.Answer, self id.Daemon) bool {
+func containsDaemon(a entry.Answer, self id.Daemon) bool {
 	return slices.ContainsFunc(a.Addresses, func(x entry.Address) bool { return x.Daemon == self })
 }
 
