--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -96,14 +96,14 @@
 }
 
 // walled says whether the configuration in force has teams.
-func (d *Daemon) walled() bool {
+func (d *Daemon) hasTeams() bool {
 	routes := d.knowledge.current().Routes
 	return routes != nil && routes.Walled()
 }
 
 // configWait is how long a call waits for a change of the configuration.
 func (d *Daemon) configWait() time.Duration {
-	if d.walled() {
+	if d.hasTeams() {
 		return walledWait
 	}
 	return feedWait
@@ -130,7 +130,7 @@
 // proofToTell is what other daemons are told of the configuration in force; nil
 // where there are no teams, or nothing is proved.
 func (d *Daemon) proofToTell() *freshness.Proof {
-	if !d.walled() {
+	if !d.hasTeams() {
 		return nil
 	}
 	return d.freshness.proof()
@@ -150,7 +150,7 @@
 
 // stale says whether callers with keys had better go to other daemons.
 func (d *Daemon) stale() bool {
-	if !d.walled() || d.set.Bounds.RevokeMS == 0 {
+	if !d.hasTeams() || d.set.Bounds.RevokeMS == 0 {
 		return false
 	}
 	age, ok := d.freshness.age(d.now())
