--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -11,7 +11,7 @@
 	// walledWait takes the place of feedWait for the configuration where there are
 	// teams: a reader's proof that it is the newest is as old as the reader's last
 	// call to the store.
-	walledWait = 800 * time.Millisecond
+	teamsConfigWait = 800 * time.Millisecond
 	// revokeMargin is kept free of the bound on revoked keys.
 	revokeMargin = 50 * time.Millisecond
 	// staleShare of that bound may pass until a daemon sends callers elsewhere:
@@ -104,7 +104,7 @@
 // configWait is how long a call waits for a change of the configuration.
 func (d *Daemon) configWait() time.Duration {
 	if d.hasTeams() {
-		return walledWait
+		return teamsConfigWait
 	}
 	return feedWait
 }
