--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -16,7 +16,7 @@
 	revokeMargin = 50 * time.Millisecond
 	// staleShare of that bound may pass until a daemon sends callers elsewhere:
 	// what they were told is good for a while.
-	staleShare = 0.7
+	staleFraction = 0.7
 	// behindAfter is how old the configuration may be for an unknown key to be
 	// taken for one that nobody has.
 	behindAfter = 2500 * time.Millisecond
@@ -154,7 +154,7 @@
 		return false
 	}
 	age, ok := d.freshness.age(d.now())
-	return !ok || age > time.Duration(staleShare*float64(Milliseconds(d.set.Bounds.RevokeMS)))
+	return !ok || age > time.Duration(staleFraction*float64(Milliseconds(d.set.Bounds.RevokeMS)))
 }
 
 // freshnessOf implements forward.Freshness.
