--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -19,7 +19,7 @@
 	staleFraction = 0.7
 	// behindAfter is how old the configuration may be for an unknown key to be
 	// taken for one that nobody has.
-	behindAfter = 2500 * time.Millisecond
+	unknownKeyMaxAge = 2500 * time.Millisecond
 	// refreshPause is the least time between two reads for unknown keys.
 	refreshPause = 2 * time.Second
 	// timeEvery is the time between two looks at the store's clock.
@@ -172,7 +172,7 @@
 // Behind implements forward.Freshness.
 func (f freshnessOf) Behind() bool {
 	age, ok := f.d.freshness.age(f.d.now())
-	return !ok || age > behindAfter || f.d.freshness.behind()
+	return !ok || age > unknownKeyMaxAge || f.d.freshness.behind()
 }
 
 // Refresh implements forward.Freshness. While the store does not answer it is
