--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -21,7 +21,7 @@
 	// taken for one that nobody has.
 	unknownKeyMaxAge = 2500 * time.Millisecond
 	// refreshPause is the least time between two reads for unknown keys.
-	refreshPause = 2 * time.Second
+	refreshInterval = 2 * time.Second
 	// timeEvery is the time between two looks at the store's clock.
 	timeEvery = 10 * time.Minute
 )
@@ -91,7 +91,7 @@
 	if now < c.refreshAt {
 		return false
 	}
-	c.refreshAt = now + refreshPause
+	c.refreshAt = now + refreshInterval
 	return true
 }
 
--- a/daemon/gateway/freshness_test.go
+++ b/daemon/gateway/freshness_test.go
@@ -19,7 +19,7 @@
 			reads++
 		}
 	}
-	is.Equal(reads, int(time.Minute/refreshPause))
+	is.Equal(reads, int(time.Minute/refreshInterval))
 }
 
 // TestAProofIsHandedOnAsItCame, with the version that it is about.
