--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -23,7 +23,7 @@
 	// refreshPause is the least time between two reads for unknown keys.
 	refreshInterval = 2 * time.Second
 	// timeEvery is the time between two looks at the store's clock.
-	timeEvery = 10 * time.Minute
+	clockReadInterval = 10 * time.Minute
 )
 
 // configFreshness is how old the configuration may be. It is safe for concurrent
@@ -141,7 +141,7 @@
 // keepTime looks at the store's clock now and then: the daemon's own runs at
 // another pace.
 func (d *Daemon) syncStoreClock() {
-	d.every(timeEvery, func() {
+	d.every(clockReadInterval, func() {
 		if _, err := d.read(keyAuthority); err != nil {
 			d.logger.Warn("store_clock_not_read", "why", err)
 		}
