--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -114,7 +114,7 @@
 func (d *Daemon) configConfirmed(since time.Duration) {
 	d.freshness.confirm(since)
 	f := d.fleet.Load()
-	if f == nil || !f.tells.Load() {
+	if f == nil || !f.broadcasts.Load() {
 		return
 	}
 	p := d.proofToTell()
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -150,8 +150,8 @@
 	owner atomic.Bool
 	// tells is set while this daemon tells the others of the store's tables, and
 	// readers are those that do.
-	tells   atomic.Bool
-	readers atomic.Pointer[[]id.Daemon]
+	broadcasts atomic.Bool
+	readers    atomic.Pointer[[]id.Daemon]
 	// lostSince is since when others have been without the store, by the daemon's
 	// time; 0 where none is.
 	lostSince atomic.Int64
--- a/daemon/gateway/hub.go
+++ b/daemon/gateway/hub.go
@@ -61,7 +61,7 @@
 // spreadEvidence tells the others of evidence that is new here: all of them, or
 // in a large fleet the daemons that tell all.
 func (d *Daemon) spreadEvidence(f *fleet, s poison.State) {
-	if !f.members.Large() || f.tells.Load() {
+	if !f.members.Large() || f.broadcasts.Load() {
 		f.links().SendEvidence(f.members.Others(), s)
 		return
 	}
@@ -94,7 +94,7 @@
 	switch {
 	case !f.members.Large():
 		f.links().RelayEvidence(f.members.Others(), s)
-	case f.tells.Load():
+	case f.broadcasts.Load():
 		f.links().SendEvidence(f.members.Others(), s)
 	}
 }
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -66,7 +66,7 @@
 		now := decision.Decide(d.now(), candidates, !decision.Waited() && f.onlyOne())
 		chosen := decision.Chosen()
 		f.readers.Store(&chosen)
-		f.tells.Store(decision.Tells())
+		f.broadcasts.Store(decision.Tells())
 		f.linked.Store(asHub.settled(d.now(), decision.Tells() || d.standsBy(f.self.Daemon, candidates)))
 		if now != reads || decision.Waited() && !told {
 			d.logger.Event("store_reading_changed", "reads", now)
@@ -103,7 +103,7 @@
 // tellNews tells the other daemons what the store told this one.
 func (d *Daemon) tellNews(n feed.News) {
 	f := d.fleet.Load()
-	if f == nil || !f.tells.Load() {
+	if f == nil || !f.broadcasts.Load() {
 		return
 	}
 	size := 0
--- a/daemon/gateway/spent.go
+++ b/daemon/gateway/spent.go
@@ -26,7 +26,7 @@
 	d.every(usageLogInterval, func() {
 		wire := f.transport.Wire()
 		heap, memory, goroutines := runtimeFigures()
-		d.logger.Event("daemon_spent", "owner", f.owner.Load(), "reader", f.tells.Load(), "linked", f.linked.Load(),
+		d.logger.Event("daemon_spent", "owner", f.owner.Load(), "reader", f.broadcasts.Load(), "linked", f.linked.Load(),
 			"large", f.members.Large(), "connections", wire.Connections, "wire_sent", wire.SentBytes,
 			"wire_received", wire.ReceivedBytes, "packets_sent", wire.SentPackets, "packets_received", wire.ReceivedPackets,
 			"sent", d.counts("peer_sent"), "received", d.counts("peer_received"), "store_calls", d.counts("store_calls"),
