--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -223,7 +223,7 @@
 				Linked:    f.linked.Load(),
 				StoreLost: d.storeLost(),
 				Stale:     d.stale(),
-				Proof:     d.proofToTell(),
+				Proof:     d.proofToSend(),
 			}
 		},
 		Log:    d.logger.Event,
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -117,7 +117,7 @@
 	if f == nil || !f.broadcasts.Load() {
 		return
 	}
-	p := d.proofToTell()
+	p := d.proofToSend()
 	if p == nil {
 		return
 	}
@@ -129,7 +129,7 @@
 
 // proofToTell is what other daemons are told of the configuration in force; nil
 // where there are no teams, or nothing is proved.
-func (d *Daemon) proofToTell() *freshness.Proof {
+func (d *Daemon) proofToSend() *freshness.Proof {
 	if !d.hasTeams() {
 		return nil
 	}
