--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -158,10 +158,10 @@
 }
 
 // freshnessOf implements forward.Freshness.
-type freshnessOf struct{ d *Daemon }
+type freshnessAdapter struct{ d *Daemon }
 
 // Fresh implements forward.Freshness.
-func (f freshnessOf) Fresh() (bool, time.Duration) {
+func (f freshnessAdapter) Fresh() (bool, time.Duration) {
 	age, ok := f.d.freshness.age(f.d.now())
 	if f.d.set.Bounds.RevokeMS == 0 {
 		return true, age
@@ -170,14 +170,14 @@
 }
 
 // Behind implements forward.Freshness.
-func (f freshnessOf) Behind() bool {
+func (f freshnessAdapter) Behind() bool {
 	age, ok := f.d.freshness.age(f.d.now())
 	return !ok || age > unknownKeyMaxAge || f.d.freshness.behind()
 }
 
 // Refresh implements forward.Freshness. While the store does not answer it is
 // asked again and again anyway.
-func (f freshnessOf) Refresh() {
+func (f freshnessAdapter) Refresh() {
 	if !f.d.configs.Lost() && f.d.freshness.mayRefresh(f.d.now()) {
 		f.d.configs.Refresh()
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -237,7 +237,7 @@
 		},
 		Misdirected: d.inspect,
 		Stale:       func() bool { return d.configs.Lost() },
-		Freshness:   freshnessOf{d},
+		Freshness:   freshnessAdapter{d},
 		Payer:       payer{d},
 		TooLate:     d.tooLate,
 		Daemons:     d.daemons,
