--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -35,7 +35,7 @@
 	refreshAt time.Duration
 }
 
-func (c *configFreshness) inForce(version uint64) {
+func (c *configFreshness) setVersion(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tracker.InForce(version)
--- a/daemon/gateway/freshness_test.go
+++ b/daemon/gateway/freshness_test.go
@@ -28,7 +28,7 @@
 	var c configFreshness
 	is.Equal(c.proof(), nil)
 	c.sample(0, time.Millisecond, time.Hour)
-	c.inForce(9)
+	c.setVersion(9)
 	c.learn(2*time.Second, freshness.Proof{Version: 7, At: time.Hour + time.Second})
 	is.Equal(*c.proof(), freshness.Proof{Version: 7, At: time.Hour + time.Second})
 	age, ok := c.age(3 * time.Second)
--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -150,7 +150,7 @@
 		return
 	}
 	k.routes = routes
-	d.freshness.inForce(config.Version)
+	d.freshness.setVersion(config.Version)
 	d.logger.Event("config_in_force", "version", config.Version, "row", s.Version,
 		"routes", len(config.Routes), "services", len(config.Services), "teams", len(config.Teams))
 	d.publish()
