--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -18,7 +18,7 @@
 
 const (
 	// headBytes bounds the head of a request.
-	headBytes = 17 << 10
+	maxHeaderBytes = 17 << 10
 	// bodyBytes bounds its body while no configuration says how large it may be.
 	bodyBytes = 8 << 20
 	// readTimeout bounds the reading of one request.
@@ -41,7 +41,7 @@
 		Handler:            d.handle,
 		HeaderReceived:     d.headReceived,
 		ErrorHandler:       d.platform.Adapter.ProtocolError,
-		ReadBufferSize:     headBytes,
+		ReadBufferSize:     maxHeaderBytes,
 		MaxRequestBodySize: bodyBytes,
 		ReadTimeout:        readTimeout,
 		IdleTimeout:        idleTimeout,
