--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -20,7 +20,7 @@
 	// headBytes bounds the head of a request.
 	maxHeaderBytes = 17 << 10
 	// bodyBytes bounds its body while no configuration says how large it may be.
-	bodyBytes = 8 << 20
+	defaultMaxBodyBytes = 8 << 20
 	// readTimeout bounds the reading of one request.
 	readTimeout = 30 * time.Second
 	// idleTimeout is longer than any caller keeps a connection unused, so that
@@ -42,7 +42,7 @@
 		HeaderReceived:     d.headReceived,
 		ErrorHandler:       d.platform.Adapter.ProtocolError,
 		ReadBufferSize:     maxHeaderBytes,
-		MaxRequestBodySize: bodyBytes,
+		MaxRequestBodySize: defaultMaxBodyBytes,
 		ReadTimeout:        readTimeout,
 		IdleTimeout:        idleTimeout,
 		CloseOnShutdown:    true,
