--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -39,7 +39,7 @@
 func (d *Daemon) serve() error {
 	front := &fasthttp.Server{
 		Handler:            d.handle,
-		HeaderReceived:     d.headReceived,
+		HeaderReceived:     d.headerReceived,
 		ErrorHandler:       d.platform.Adapter.ProtocolError,
 		ReadBufferSize:     maxHeaderBytes,
 		MaxRequestBodySize: defaultMaxBodyBytes,
@@ -116,7 +116,7 @@
 }
 
 // headReceived says how large the body behind a head may be.
-func (d *Daemon) headReceived(*fasthttp.RequestHeader) fasthttp.RequestConfig {
+func (d *Daemon) headerReceived(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	return fasthttp.RequestConfig{MaxRequestBodySize: d.limits().BodyBytes}
 }
 
