--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -121,14 +121,14 @@
 }
 
 // largeHead says whether the head is larger than the configuration allows.
-func (d *Daemon) largeHead(h *fasthttp.RequestHeader) bool {
+func (d *Daemon) headerTooLarge(h *fasthttp.RequestHeader) bool {
 	limit := d.limits().HeadBytes
 	return limit > 0 && len(h.RawHeaders()) > limit
 }
 
 // handle serves one request of a caller.
 func (d *Daemon) handle(ctx *fasthttp.RequestCtx) {
-	if d.largeHead(&ctx.Request.Header) {
+	if d.headerTooLarge(&ctx.Request.Header) {
 		d.logger.Event("request_refused", "verdict", verdict.NotRun, "code", verdict.CodeTooLarge, "why", "the head is too large")
 		d.platform.Adapter.ProtocolError(ctx, &fasthttp.ErrSmallBuffer{})
 		return
