--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -204,7 +204,7 @@
 	d.metrics.OnViolation(func(name, detail string) {
 		d.logger.Error("invariant_violated", "name", name, "detail", detail)
 	})
-	d.poison = poison.New(poison.Config{AloneCrashes: breaksToRefuse})
+	d.poison = poison.New(poison.Config{AloneCrashes: crashesToRefuse})
 	d.metrics.GaugeFunc("evidence_breaks", metrics.UnitCount, "Endpoints that broke off while they ran requests, as held against those by all daemons.", func() float64 {
 		return float64(d.poison.Len())
 	})
@@ -252,7 +252,7 @@
 // request alone, and none have finished it, before all daemons refuse it. Two
 // may be chance: an endpoint that spoils three answers in a hundred does so to
 // one request in a thousand.
-const breaksToRefuse = 3
+const crashesToRefuse = 3
 
 // repeatSafety is the share of the bound on repeats that the daemons use: their
 // parts of it follow the membership, which lags.
