--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -126,7 +126,7 @@
 	ended    sync.Once
 
 	// asking is set while others are asked when the store answered.
-	asking atomic.Bool
+	queryingUptime atomic.Bool
 	// freshness is how old the configuration may be.
 	freshness configFreshness
 	// fleet is nil until the daemon has enrolled.
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -135,7 +135,7 @@
 // are kept by what this daemon alone knows of it.
 func (d *Daemon) askUptime(upTo uint64) {
 	f := d.fleet.Load()
-	if f == nil || !d.asking.CompareAndSwap(false, true) {
+	if f == nil || !d.queryingUptime.CompareAndSwap(false, true) {
 		return
 	}
 	var asked sync.WaitGroup
@@ -144,7 +144,7 @@
 	}
 	go func() {
 		asked.Wait()
-		d.asking.Store(false)
+		d.queryingUptime.Store(false)
 	}()
 }
 
