--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -123,7 +123,7 @@
 	inspected probes
 	// unusable counts registered entries that name no endpoint to use, by reason.
 	unusable *metrics.CounterMap
-	ended    sync.Once
+	endOnce  sync.Once
 
 	// asking is set while others are asked when the store answered.
 	queryingUptime atomic.Bool
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -83,7 +83,7 @@
 
 // Kill ends the daemon at once.
 func (d *Daemon) Kill() {
-	d.ended.Do(d.end)
+	d.endOnce.Do(d.end)
 }
 
 func (d *Daemon) end() {
