--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -107,7 +107,7 @@
 		if !more {
 			return
 		}
-		d.catchUp(f, from, revision)
+		d.catchUpOnce(f, from, revision)
 		pause = min(2*pause, mostPursuitPause)
 	}
 }
@@ -115,7 +115,7 @@
 // catchUp learns what another daemon knows more of the store's tables: from
 // the store, whose feed may have gone silent, and if that does not answer from
 // the daemon.
-func (d *Daemon) catchUp(f *fleet, from id.Daemon, revision uint64) {
+func (d *Daemon) catchUpOnce(f *fleet, from id.Daemon, revision uint64) {
 	d.logger.Event("tables_behind", "peer", from, "peer_revision", revision, "own", d.revision())
 	d.configs.Refresh()
 	d.endpoints.Refresh()
