--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -63,7 +63,7 @@
 }
 
 // pursuit is what other daemons are known to know more of the store's tables.
-type pursuit struct {
+type catchUpTarget struct {
 	mu sync.Mutex
 	// running is set while the daemon tries to learn it.
 	running  bool
@@ -74,7 +74,7 @@
 // note takes what a daemon knows; begin says that the pursuit is not running
 // yet. Of daemons that know as much the last one is asked: all others hear of a
 // change at the same time, and should not ask the same one.
-func (p *pursuit) note(from id.Daemon, revision uint64) (begin bool) {
+func (p *catchUpTarget) note(from id.Daemon, revision uint64) (begin bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if revision >= p.revision {
@@ -87,7 +87,7 @@
 
 // next says whom to ask for what; the pursuit ends where the daemon knows it, or
 // has tried often enough: the next change begins another one.
-func (p *pursuit) next(own uint64, tries int) (from id.Daemon, revision uint64, more bool) {
+func (p *catchUpTarget) next(own uint64, tries int) (from id.Daemon, revision uint64, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running = own < p.revision && tries < mostPursued
--- a/daemon/gateway/pursuit_test.go
+++ b/daemon/gateway/pursuit_test.go
@@ -12,7 +12,7 @@
 // milliseconds.
 func TestOneAttemptAtATimeToCatchUp(t *testing.T) {
 	is := is.New(t)
-	var p pursuit
+	var p catchUpTarget
 	is.True(p.note("a", 7))
 	is.True(!p.note("b", 7))
 	is.True(!p.note("c", 6)) // knows less than the others
@@ -32,7 +32,7 @@
 
 func TestAPursuitEndsThoughNothingIsLearned(t *testing.T) {
 	is := is.New(t)
-	var p pursuit
+	var p catchUpTarget
 	p.note("a", 7)
 	_, _, more := p.next(5, mostPursued)
 	is.True(!more)
