--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -158,7 +158,7 @@
 	// linked is set while this daemon keeps connections to all others.
 	linked atomic.Bool
 	// pursuit brings the tables up to what other daemons know of them.
-	pursuit catchUpTarget
+	catchUpTarget catchUpTarget
 }
 
 // New provisions a daemon. Nothing listens yet.
--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -46,7 +46,7 @@
 
 // PeerRevision implements members.Listener.
 func (l fleetListener) PeerRevision(from id.Daemon, revision uint64) {
-	if revision > l.d.revision() && l.f.pursuit.note(from, revision) {
+	if revision > l.d.revision() && l.f.catchUpTarget.note(from, revision) {
 		go l.d.pursue(l.f)
 	}
 }
@@ -103,7 +103,7 @@
 		if !d.sleep(pause) {
 			return
 		}
-		from, revision, more := f.pursuit.next(d.revision(), tries)
+		from, revision, more := f.catchUpTarget.next(d.revision(), tries)
 		if !more {
 			return
 		}
