--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -90,7 +90,7 @@
 func (p *catchUpTarget) next(own uint64, tries int) (from id.Daemon, revision uint64, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.running = own < p.revision && tries < mostPursued
+	p.running = own < p.revision && tries < maxCatchUpAttempts
 	return p.from, p.revision, p.running
 }
 
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -71,8 +71,8 @@
 	behindFor = 250 * time.Millisecond
 	// mostPursued and mostPursuitPause bound the attempts to learn what other
 	// daemons know more: by then the store's feed has ended a call and begun anew.
-	mostPursued      = 8
-	mostPursuitPause = 2 * time.Second
+	maxCatchUpAttempts = 8
+	mostPursuitPause   = 2 * time.Second
 	// tablesTimeout bounds the question to another daemon.
 	tablesTimeout = 400 * time.Millisecond
 	// Bounds of the traffic between daemons; the memory that they may take
--- a/daemon/gateway/pursuit_test.go
+++ b/daemon/gateway/pursuit_test.go
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	var p catchUpTarget
 	p.note("a", 7)
-	_, _, more := p.next(5, mostPursued)
+	_, _, more := p.next(5, maxCatchUpAttempts)
 	is.True(!more)
 	is.True(p.note("a", 7)) // whoever tells of it again begins it again
 }
