--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -108,7 +108,7 @@
 			return
 		}
 		d.catchUpOnce(f, from, revision)
-		pause = min(2*pause, mostPursuitPause)
+		pause = min(2*pause, maxCatchUpPause)
 	}
 }
 
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -72,7 +72,7 @@
 	// mostPursued and mostPursuitPause bound the attempts to learn what other
 	// daemons know more: by then the store's feed has ended a call and begun anew.
 	maxCatchUpAttempts = 8
-	mostPursuitPause   = 2 * time.Second
+	maxCatchUpPause    = 2 * time.Second
 	// tablesTimeout bounds the question to another daemon.
 	tablesTimeout = 400 * time.Millisecond
 	// Bounds of the traffic between daemons; the memory that they may take
