--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -98,7 +98,7 @@
 // after another: an attempt for each of the others that know more, with two reads
 // of the store each, would grow with the square of the fleet.
 func (d *Daemon) pursue(f *fleet) {
-	pause := behindFor
+	pause := catchUpDelay
 	for tries := 0; ; tries++ {
 		if !d.sleep(pause) {
 			return
@@ -119,7 +119,7 @@
 	d.logger.Event("tables_behind", "peer", from, "peer_revision", revision, "own", d.revision())
 	d.configs.Refresh()
 	d.endpoints.Refresh()
-	if !d.storeLost() && !d.sleep(behindFor) {
+	if !d.storeLost() && !d.sleep(catchUpDelay) {
 		return
 	}
 	d.askPeer(f, from, revision)
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -68,7 +68,7 @@
 	goneGrace = time.Second
 	// behindFor is how long another daemon must know more of the store's tables
 	// before this one asks: its own feed is seldom that much slower.
-	behindFor = 250 * time.Millisecond
+	catchUpDelay = 250 * time.Millisecond
 	// mostPursued and mostPursuitPause bound the attempts to learn what other
 	// daemons know more: by then the store's feed has ended a call and begun anew.
 	maxCatchUpAttempts = 8
