--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -122,10 +122,10 @@
 	if !d.storeLost() && !d.sleep(catchUpDelay) {
 		return
 	}
-	d.askPeer(f, from, revision)
+	d.fetchTables(f, from, revision)
 }
 
-func (d *Daemon) askPeer(f *fleet, from id.Daemon, revision uint64) {
+func (d *Daemon) fetchTables(f *fleet, from id.Daemon, revision uint64) {
 	if d.ctx.Err() != nil || d.revision() >= revision {
 		return
 	}
