--- a/daemon/gateway/hub.go
+++ b/daemon/gateway/hub.go
@@ -39,7 +39,7 @@
 // standsBy says whether a daemon would own a pool if the pool's owner died: the
 // others' requests should find it connected then, and not have to wait for 200
 // handshakes on one host.
-func (d *Daemon) standsBy(self id.Daemon, candidates []readers.Candidate) bool {
+func (d *Daemon) isStandbyOwner(self id.Daemon, candidates []readers.Candidate) bool {
 	able := capacity.Able(candidates, func(c readers.Candidate) capacity.Capacity { return c.Capacity })
 	names := make([]id.Daemon, 0, len(able))
 	for _, c := range able {
