--- a/daemon/gateway/hub.go
+++ b/daemon/gateway/hub.go
@@ -28,7 +28,7 @@
 
 // settled takes whether the daemon is chosen, and says whether it has been for
 // a while.
-func (h *hub) settled(now time.Duration, chosen bool) bool {
+func (h *hub) update(now time.Duration, chosen bool) bool {
 	if chosen && !h.chosen {
 		h.since = now
 	}
--- a/daemon/gateway/hub_test.go
+++ b/daemon/gateway/hub_test.go
@@ -13,10 +13,10 @@
 func TestADaemonIsAHubOnlyAfterAWhile(t *testing.T) {
 	is := is.New(t)
 	var h hub
-	is.True(!h.settled(0, true))
-	is.True(!h.settled(hubSettle-time.Millisecond, true))
-	is.True(h.settled(hubSettle, true))
-	is.True(!h.settled(hubSettle+1, false)) // at once
-	is.True(!h.settled(hubSettle+2, true))
-	is.True(h.settled(2*hubSettle+2, true))
+	is.True(!h.update(0, true))
+	is.True(!h.update(hubSettle-time.Millisecond, true))
+	is.True(h.update(hubSettle, true))
+	is.True(!h.update(hubSettle+1, false)) // at once
+	is.True(!h.update(hubSettle+2, true))
+	is.True(h.update(2*hubSettle+2, true))
 }
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -67,7 +67,7 @@
 		chosen := decision.Chosen()
 		f.readers.Store(&chosen)
 		f.broadcasts.Store(decision.Tells())
-		f.linked.Store(asHub.settled(d.now(), decision.Tells() || d.isStandbyOwner(f.self.Daemon, candidates)))
+		f.linked.Store(asHub.update(d.now(), decision.Tells() || d.isStandbyOwner(f.self.Daemon, candidates)))
 		if now != reads || decision.Waited() && !told {
 			d.logger.Event("store_reading_changed", "reads", now)
 		}
