--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -36,12 +36,12 @@
 }
 
 // finding is what an endpoint said of itself.
-type finding uint8
+type identityResult uint8
 
 // The findings.
 const (
 	// unknown: it did not say.
-	unknown finding = iota
+	unknown identityResult = iota
 	// asListed: it is what its entry says.
 	asListed
 	// changed: it has another role than its entry says, or started again.
@@ -51,7 +51,7 @@
 )
 
 // inspectNow asks an endpoint who it is, and waits for the answer.
-func (d *Daemon) inspectNow(e registry.Endpoint) finding {
+func (d *Daemon) inspectNow(e registry.Endpoint) identityResult {
 	path := d.healthPath(e.Service)
 	if path == "" {
 		return unknown
