--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -41,7 +41,7 @@
 // The findings.
 const (
 	// unknown: it did not say.
-	unknown identityResult = iota
+	identityUnknown identityResult = iota
 	// asListed: it is what its entry says.
 	asListed
 	// changed: it has another role than its entry says, or started again.
@@ -54,13 +54,13 @@
 func (d *Daemon) inspectNow(e registry.Endpoint) identityResult {
 	path := d.healthPath(e.Service)
 	if path == "" {
-		return unknown
+		return identityUnknown
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, inspectTimeout)
 	defer cancel()
 	who, err := d.platform.Inspector.Instance(ctx, e, path)
 	if err != nil {
-		return unknown
+		return identityUnknown
 	}
 	if who != e.Instance {
 		d.displace(e, who)
@@ -72,7 +72,7 @@
 	state, err := d.platform.Engines.State(ctx, e)
 	switch {
 	case err != nil:
-		return unknown
+		return identityUnknown
 	case state.Born > e.Born:
 		d.restarted(e, state)
 		return changed
