--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -43,7 +43,7 @@
 	// unknown: it did not say.
 	identityUnknown identityResult = iota
 	// asListed: it is what its entry says.
-	asListed
+	identityMatches
 	// changed: it has another role than its entry says, or started again.
 	changed
 	// displaced: another process has its address.
@@ -67,7 +67,7 @@
 		return displaced
 	}
 	if e.Role == "" {
-		return asListed
+		return identityMatches
 	}
 	state, err := d.platform.Engines.State(ctx, e)
 	switch {
@@ -79,7 +79,7 @@
 	case state.Role != e.Role:
 		return changed
 	default:
-		return asListed
+		return identityMatches
 	}
 }
 
