--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -45,7 +45,7 @@
 	// asListed: it is what its entry says.
 	identityMatches
 	// changed: it has another role than its entry says, or started again.
-	changed
+	identityChanged
 	// displaced: another process has its address.
 	displaced
 )
@@ -75,9 +75,9 @@
 		return identityUnknown
 	case state.Born > e.Born:
 		d.restarted(e, state)
-		return changed
+		return identityChanged
 	case state.Role != e.Role:
-		return changed
+		return identityChanged
 	default:
 		return identityMatches
 	}
