--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -47,7 +47,7 @@
 	// changed: it has another role than its entry says, or started again.
 	identityChanged
 	// displaced: another process has its address.
-	displaced
+	identityDisplaced
 )
 
 // inspectNow asks an endpoint who it is, and waits for the answer.
@@ -64,7 +64,7 @@
 	}
 	if who != e.Instance {
 		d.displace(e, who)
-		return displaced
+		return identityDisplaced
 	}
 	if e.Role == "" {
 		return identityMatches
