--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -74,7 +74,7 @@
 	case err != nil:
 		return identityUnknown
 	case state.Born > e.Born:
-		d.restarted(e, state)
+		d.markRestarted(e, state)
 		return identityChanged
 	case state.Role != e.Role:
 		return identityChanged
@@ -106,7 +106,7 @@
 }
 
 // restarted takes an engine's own word that it has started again.
-func (d *Daemon) restarted(e registry.Endpoint, state EngineState) {
+func (d *Daemon) markRestarted(e registry.Endpoint, state EngineState) {
 	d.knowledge.mu.Lock()
 	defer d.knowledge.mu.Unlock()
 	if !d.knowledge.list.Restarted(e.Instance, state.Born, state.Role) {
