--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -31,7 +31,7 @@
 	}
 	go func() {
 		defer d.inspected.end(e.Name)
-		d.inspectNow(e)
+		d.inspectSync(e)
 	}()
 }
 
@@ -51,7 +51,7 @@
 )
 
 // inspectNow asks an endpoint who it is, and waits for the answer.
-func (d *Daemon) inspectNow(e registry.Endpoint) identityResult {
+func (d *Daemon) inspectSync(e registry.Endpoint) identityResult {
 	path := d.healthPath(e.Service)
 	if path == "" {
 		return identityUnknown
--- a/daemon/gateway/probe.go
+++ b/daemon/gateway/probe.go
@@ -51,7 +51,7 @@
 			if !known {
 				return
 			}
-			if d.inspectNow(endpoint) == identityMatches {
+			if d.inspectSync(endpoint) == identityMatches {
 				f.broker.Load(p, sched.Load{Endpoint: e, Reachable: true})
 				return
 			}
