--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -111,7 +111,7 @@
 	logger  *logline.Logger
 	poison  *poison.Ledger
 
-	knowledge *knowledge
+	knowledge *tableCache
 	configs   *feed.Follower
 	endpoints *feed.Follower
 	forwarder *forward.Forwarder
--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -37,7 +37,7 @@
 )
 
 // knowledge is what the daemon has learnt from the store's tables.
-type knowledge struct {
+type tableCache struct {
 	view atomic.Pointer[forward.View]
 	// mu guards what the view is made of.
 	mu       sync.Mutex
@@ -51,8 +51,8 @@
 	badRows map[string]uint64
 }
 
-func newKnowledge() *knowledge {
-	k := &knowledge{
+func newKnowledge() *tableCache {
+	k := &tableCache{
 		list:     registry.New(),
 		versions: map[string]uint64{},
 		badRows:  map[string]uint64{},
@@ -61,7 +61,7 @@
 	return k
 }
 
-func (k *knowledge) current() *forward.View { return k.view.Load() }
+func (k *tableCache) current() *forward.View { return k.view.Load() }
 
 // follow starts to follow the store's tables.
 func (d *Daemon) follow() {
@@ -119,7 +119,7 @@
 
 // outdated says whether a table's state is older than what is in force; the
 // lock is held. States of one follower may arrive in another order.
-func (k *knowledge) outdated(s feed.State) bool {
+func (k *tableCache) outdated(s feed.State) bool {
 	if s.Version < k.versions[s.Name] {
 		return true
 	}
