--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -208,7 +208,7 @@
 	d.metrics.GaugeFunc("evidence_breaks", metrics.UnitCount, "Endpoints that broke off while they ran requests, as held against those by all daemons.", func() float64 {
 		return float64(d.poison.Len())
 	})
-	d.knowledge = newKnowledge()
+	d.knowledge = newTableCache()
 	d.unusable = d.metrics.CounterMap("registry_entries_unusable", metrics.UnitCount, "Changes of registered entries that name no endpoint to use, by reason.")
 	d.metrics.GaugeFunc("registry_unlisted", metrics.UnitCount, "Endpoints that the store no longer lists and that are kept, since they may have lapsed with it.", func() float64 {
 		return float64(d.knowledge.current().Lapsed)
--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -51,7 +51,7 @@
 	badRows map[string]uint64
 }
 
-func newKnowledge() *tableCache {
+func newTableCache() *tableCache {
 	k := &tableCache{
 		list:     registry.New(),
 		versions: map[string]uint64{},
