--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -240,10 +240,10 @@
 	go d.syncStoreClock()
 	go d.logUsage(f)
 	d.logger.Event("daemon_enrolled", "incarnation", self.Incarnation)
-	d.knowledge.mu.Lock()
-	defer d.knowledge.mu.Unlock()
+	d.tables.mu.Lock()
+	defer d.tables.mu.Unlock()
 	d.publish()
-	f.quotas.SetKey(keeperKey(d.knowledge.routes))
+	f.quotas.SetKey(keeperKey(d.tables.routes))
 	return nil
 }
 
@@ -282,9 +282,9 @@
 	for _, row := range s.Rows {
 		var h daemonRow
 		if err := json.Unmarshal(row.Value, &h); err != nil {
-			d.knowledge.mu.Lock()
+			d.tables.mu.Lock()
 			d.badRow(row.Key, row.Version, err)
-			d.knowledge.mu.Unlock()
+			d.tables.mu.Unlock()
 			continue
 		}
 		if id.Daemon(row.Key) != d.set.Daemon {
--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -19,7 +19,7 @@
 	switch {
 	case d.stopping.Load() != nil:
 		return false, "leaving"
-	case d.knowledge.current().Routes == nil:
+	case d.tables.current().Routes == nil:
 		return false, "no configuration yet"
 	case d.fleet.Load() == nil:
 		return false, "not enrolled in the fleet yet"
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -97,7 +97,7 @@
 
 // walled says whether the configuration in force has teams.
 func (d *Daemon) hasTeams() bool {
-	routes := d.knowledge.current().Routes
+	routes := d.tables.current().Routes
 	return routes != nil && routes.Walled()
 }
 
--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -108,7 +108,7 @@
 
 // limits are those that the configuration sets for callers.
 func (d *Daemon) limits() route.Limits {
-	routes := d.knowledge.current().Routes
+	routes := d.tables.current().Routes
 	if routes == nil {
 		return route.Limits{}
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -111,7 +111,7 @@
 	logger  *logline.Logger
 	poison  *poison.Ledger
 
-	knowledge *tableCache
+	tables    *tableCache
 	configs   *feed.Follower
 	endpoints *feed.Follower
 	forwarder *forward.Forwarder
@@ -208,15 +208,15 @@
 	d.metrics.GaugeFunc("evidence_breaks", metrics.UnitCount, "Endpoints that broke off while they ran requests, as held against those by all daemons.", func() float64 {
 		return float64(d.poison.Len())
 	})
-	d.knowledge = newTableCache()
+	d.tables = newTableCache()
 	d.unusable = d.metrics.CounterMap("registry_entries_unusable", metrics.UnitCount, "Changes of registered entries that name no endpoint to use, by reason.")
 	d.metrics.GaugeFunc("registry_unlisted", metrics.UnitCount, "Endpoints that the store no longer lists and that are kept, since they may have lapsed with it.", func() float64 {
-		return float64(d.knowledge.current().Lapsed)
+		return float64(d.tables.current().Lapsed)
 	})
 	d.forwarder = forward.New(forward.Deps{
 		Self:      d.self,
 		Domain:    d.set.Domain,
-		View:      d.knowledge.current,
+		View:      d.tables.current,
 		Endpoints: d.platform.Endpoints,
 		Pairer:    pairer{d},
 		Balancer:  balance.New(d.set.Domain, d.newRand()),
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -18,7 +18,7 @@
 // 518 requests, and 260 prompts were read in vain, while 16 engines started
 // again within 34 s.
 func (d *Daemon) inspectDisputed() {
-	for _, e := range d.knowledge.list.Disputed() {
+	for _, e := range d.tables.list.Disputed() {
 		d.inspect(e)
 	}
 }
@@ -84,7 +84,7 @@
 }
 
 func (d *Daemon) healthPath(service id.Service) string {
-	routes := d.knowledge.current().Routes
+	routes := d.tables.current().Routes
 	if routes == nil {
 		return ""
 	}
@@ -96,9 +96,9 @@
 
 // displace drops an endpoint at whose address another process answers.
 func (d *Daemon) displace(e registry.Endpoint, by id.Instance) {
-	d.knowledge.mu.Lock()
-	defer d.knowledge.mu.Unlock()
-	if !d.knowledge.list.Displace(e) {
+	d.tables.mu.Lock()
+	defer d.tables.mu.Unlock()
+	if !d.tables.list.Displace(e) {
 		return
 	}
 	d.logger.Event("endpoint_displaced", "endpoint", e.Name, "address", e.Address, "by", by)
@@ -107,9 +107,9 @@
 
 // restarted takes an engine's own word that it has started again.
 func (d *Daemon) markRestarted(e registry.Endpoint, state EngineState) {
-	d.knowledge.mu.Lock()
-	defer d.knowledge.mu.Unlock()
-	if !d.knowledge.list.Restarted(e.Instance, state.Born, state.Role) {
+	d.tables.mu.Lock()
+	defer d.tables.mu.Unlock()
+	if !d.tables.list.Restarted(e.Instance, state.Born, state.Role) {
 		return
 	}
 	d.logger.Event("endpoint_restarted", "endpoint", e.Name, "born", state.Born, "role", state.Role)
--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -112,9 +112,9 @@
 
 // withRegistry does something with the list of endpoints, under its lock.
 func (d *Daemon) withRegistry(do func(l *registry.List)) {
-	d.knowledge.mu.Lock()
-	defer d.knowledge.mu.Unlock()
-	do(d.knowledge.list)
+	d.tables.mu.Lock()
+	defer d.tables.mu.Unlock()
+	do(d.tables.list)
 }
 
 // outdated says whether a table's state is older than what is in force; the
@@ -130,7 +130,7 @@
 // configChanged puts a newer configuration in force. One that can't be read
 // leaves the last good one.
 func (d *Daemon) configChanged(s feed.State) {
-	k := d.knowledge
+	k := d.tables
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.outdated(s) {
@@ -159,7 +159,7 @@
 // badRow logs a row that can't be read, once a version, which it tells; the
 // lock is held.
 func (d *Daemon) badRow(name string, version uint64, err error) bool {
-	bad := d.knowledge.badRows
+	bad := d.tables.badRows
 	if bad[name] == version {
 		return false
 	}
@@ -177,7 +177,7 @@
 
 // endpointsChanged takes the registered endpoints.
 func (d *Daemon) endpointsChanged(s feed.State) {
-	k := d.knowledge
+	k := d.tables
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.outdated(s) {
@@ -209,7 +209,7 @@
 // and others for what it takes to tell.
 func (d *Daemon) watchRegistry() {
 	d.every(registryLook, func() {
-		if d.knowledge.current().Lapsed == 0 {
+		if d.tables.current().Lapsed == 0 {
 			return
 		}
 		upTo, ask, due := d.settleRegistry()
@@ -226,7 +226,7 @@
 // others are to be asked when the store answered, and up to which of its
 // versions, and whether the store's next answer may tell.
 func (d *Daemon) settleRegistry() (upTo uint64, ask, due bool) {
-	k, now, pause := d.knowledge, d.now(), d.askPause()
+	k, now, pause := d.tables, d.now(), d.askPause()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.list.Settle() {
@@ -263,7 +263,7 @@
 // publish makes a new view of what is known and tells the duties; the lock is
 // held.
 func (d *Daemon) publish() {
-	k := d.knowledge
+	k := d.tables
 	entries := fitting(k.routes, k.list.All())
 	byName := make(map[id.Endpoint]registry.Endpoint, len(entries))
 	for _, e := range entries {
@@ -340,7 +340,7 @@
 // 0 until it can serve. It is a sum, so that a daemon that has missed a change
 // of one table is behind the others whatever it knows of the other one.
 func (d *Daemon) revision() uint64 {
-	if d.knowledge.current().Routes == nil {
+	if d.tables.current().Routes == nil {
 		return 0
 	}
 	return d.configs.Version() + d.endpoints.Version()
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -43,7 +43,7 @@
 
 // limitOf is a team's by the configuration in force.
 func (d *Daemon) limitOf(name id.Team) (quota.Limit, bool) {
-	routes := d.knowledge.current().Routes
+	routes := d.tables.current().Routes
 	if routes == nil {
 		return quota.Limit{}, false
 	}
--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -113,7 +113,7 @@
 
 func (o *orderer) lookAtPools(now time.Duration) {
 	owned := map[id.Pool]bool{}
-	for _, name := range poolNames(o.d.knowledge.current().Routes) {
+	for _, name := range poolNames(o.d.tables.current().Routes) {
 		if o.lookAtPool(now, name) {
 			owned[name] = true
 		}
@@ -147,7 +147,7 @@
 		p.engines = n
 		p.settledAt = now + p.settleTime()
 	}
-	settled := now >= p.settledAt && o.d.knowledge.current().Lapsed == 0
+	settled := now >= p.settledAt && o.d.tables.current().Lapsed == 0
 	for settled && len(p.changes) < p.mostChanges() {
 		c := p.decider.Decide(now, demand)
 		if c == nil {
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -29,7 +29,7 @@
 func (o *orderer) order(endpoint id.Endpoint, c *change) (OrderResult, uint64) {
 	ctx, cancel := context.WithTimeout(o.duty.Context(), orderTimeout)
 	defer cancel()
-	e, known := o.d.knowledge.current().Endpoints[endpoint]
+	e, known := o.d.tables.current().Endpoints[endpoint]
 	if !known {
 		return OrderRefused, 0
 	}
--- a/daemon/gateway/probe.go
+++ b/daemon/gateway/probe.go
@@ -47,7 +47,7 @@
 	go func() {
 		defer d.probes.end(e)
 		for d.ctx.Err() == nil {
-			endpoint, known := d.knowledge.current().Endpoints[e]
+			endpoint, known := d.tables.current().Endpoints[e]
 			if !known {
 				return
 			}
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -106,7 +106,7 @@
 
 // endChanges forgets the changes that are done, lost, or whose engine is gone.
 func (o *orderer) endChanges(now time.Duration, p *poolRoles) {
-	view := o.d.knowledge.current()
+	view := o.d.tables.current()
 	for endpoint, c := range p.changes {
 		e, known := view.Endpoints[endpoint]
 		why := ""
@@ -129,7 +129,7 @@
 }
 
 func (o *orderer) switchTime(service id.Service) time.Duration {
-	if s := o.d.knowledge.current().Routes.Service(service); s != nil && s.Engine != nil {
+	if s := o.d.tables.current().Routes.Service(service); s != nil && s.Engine != nil {
 		return s.Engine.SwitchTime
 	}
 	return 0
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -111,7 +111,7 @@
 // mayReturn notes by another daemon's word that entries may have lapsed with the
 // store; the lock is held.
 func (d *Daemon) mayReturn(from id.Daemon) {
-	list, now := d.knowledge.list, d.now()
+	list, now := d.tables.list, d.now()
 	doubted := list.Doubts(now)
 	list.MayReturn(now)
 	if !doubted && list.Doubts(now) {
