--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -33,7 +33,7 @@
 	// the store refuses many daemons, their calls would be most of all.
 	idleRetry = 2 * time.Second
 	// registryLook is how often lapsed entries of the registry are looked at.
-	registryLook = 400 * time.Millisecond
+	registryCheckInterval = 400 * time.Millisecond
 )
 
 // knowledge is what the daemon has learnt from the store's tables.
@@ -208,7 +208,7 @@
 // watchRegistry drops lapsed entries when their time is over, and asks the store
 // and others for what it takes to tell.
 func (d *Daemon) watchRegistry() {
-	d.every(registryLook, func() {
+	d.every(registryCheckInterval, func() {
 		if d.tables.current().Lapsed == 0 {
 			return
 		}
