--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -163,7 +163,7 @@
 	if bad[name] == version {
 		return false
 	}
-	if len(bad) >= mostBadRows {
+	if len(bad) >= maxBadRows {
 		clear(bad)
 	}
 	bad[name] = version
@@ -173,7 +173,7 @@
 
 // mostBadRows bounds the unreadable rows that are remembered: anybody may write
 // some. Beyond it they are logged anew.
-const mostBadRows = 4096
+const maxBadRows = 4096
 
 // endpointsChanged takes the registered endpoints.
 func (d *Daemon) endpointsChanged(s feed.State) {
