--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -264,7 +264,7 @@
 // held.
 func (d *Daemon) publish() {
 	k := d.tables
-	entries := fitting(k.routes, k.list.All())
+	entries := withMatchingRole(k.routes, k.list.All())
 	byName := make(map[id.Endpoint]registry.Endpoint, len(entries))
 	for _, e := range entries {
 		byName[e.Name] = e
@@ -289,7 +289,7 @@
 
 // fitting leaves out the endpoints whose entry has no role though their service
 // consists of engines, or has one though it does not.
-func fitting(routes *route.Table, entries []registry.Endpoint) []registry.Endpoint {
+func withMatchingRole(routes *route.Table, entries []registry.Endpoint) []registry.Endpoint {
 	if routes == nil {
 		return entries
 	}
