--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -276,7 +276,7 @@
 		Lapsed:    k.list.Lapsed(),
 	})
 	d.logRegistry(old.Endpoints, byName)
-	d.forgetGone(old.Endpoints, byName)
+	d.closeGoneConnections(old.Endpoints, byName)
 	d.forwarder.Configure(entries)
 	if f := d.fleet.Load(); f != nil {
 		f.broker.SetDocument(document(k.routes, entries))
@@ -301,7 +301,7 @@
 
 // forgetGone closes the kept connections to endpoints that are gone: the next
 // process at their address has others.
-func (d *Daemon) forgetGone(old, now map[id.Endpoint]registry.Endpoint) {
+func (d *Daemon) closeGoneConnections(old, now map[id.Endpoint]registry.Endpoint) {
 	for name, e := range old {
 		if _, still := now[name]; !still {
 			d.platform.Inspector.Forget(e.Address)
