--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -275,7 +275,7 @@
 		Registry:  k.versions[d.platform.Adapter.Tables().Endpoints],
 		Lapsed:    k.list.Lapsed(),
 	})
-	d.logRegistry(old.Endpoints, byName)
+	d.logRegistryChanges(old.Endpoints, byName)
 	d.closeGoneConnections(old.Endpoints, byName)
 	d.forwarder.Configure(entries)
 	if f := d.fleet.Load(); f != nil {
@@ -310,7 +310,7 @@
 }
 
 // logRegistry writes a line for each endpoint that came, went or changed.
-func (d *Daemon) logRegistry(old, now map[id.Endpoint]registry.Endpoint) {
+func (d *Daemon) logRegistryChanges(old, now map[id.Endpoint]registry.Endpoint) {
 	if maps.Equal(old, now) {
 		return
 	}
