--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -91,11 +91,11 @@
 		Idle:      true,
 		Lost: func(err error) {
 			d.logger.Warn("dependency_lost", "dependency", "store", "table", name, "why", err)
-			d.tellRegistry(name, func(l *registry.List) { l.StoreLost() })
+			d.notifyRegistry(name, func(l *registry.List) { l.StoreLost() })
 		},
 		Back: func() {
 			d.logger.Event("dependency_regained", "dependency", "store", "table", name)
-			d.tellRegistry(name, func(l *registry.List) { l.StoreBack(d.now()) })
+			d.notifyRegistry(name, func(l *registry.List) { l.StoreBack(d.now()) })
 		},
 		Rand: d.newRand(),
 	}
@@ -103,7 +103,7 @@
 
 // tellRegistry tells the list of endpoints what became of the store, if the
 // table is that of the endpoints.
-func (d *Daemon) tellRegistry(name string, tell func(l *registry.List)) {
+func (d *Daemon) notifyRegistry(name string, tell func(l *registry.List)) {
 	if name != d.platform.Adapter.Tables().Endpoints {
 		return
 	}
