--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -21,14 +21,14 @@
 	if len(daemons) == 0 {
 		daemons = []id.Daemon{l.f.self.Daemon}
 	}
-	able := ableAmong(daemons, l.f.members.Entries())
+	able := eligibleOwners(daemons, l.f.members.Entries())
 	l.f.broker.SetMembers(able)
 	l.f.quotas.SetMembers(able)
 }
 
 // ableAmong are the daemons that pools' owners are chosen among: those on the
 // largest hosts.
-func ableAmong(daemons []id.Daemon, entries []member.Entry) []id.Daemon {
+func eligibleOwners(daemons []id.Daemon, entries []member.Entry) []id.Daemon {
 	known := make(map[id.Daemon]capacity.Capacity, len(entries))
 	for _, e := range entries {
 		known[e.Process.Daemon] = e.Capacity
--- a/daemon/gateway/owners_test.go
+++ b/daemon/gateway/owners_test.go
@@ -18,7 +18,7 @@
 		return member.Entry{Process: id.Process{Daemon: name}, Capacity: capacity.Capacity{Cores: cores, LinkMbps: 100}}
 	}
 	entries := []member.Entry{entry("a", 0.192), entry("b", 0.8), entry("c", 0.192), entry("d", 0.8)}
-	is.Equal(ableAmong([]id.Daemon{"a", "b", "c", "d"}, entries), []id.Daemon{"b", "d"})
-	is.Equal(ableAmong([]id.Daemon{"a", "c", "d"}, entries), []id.Daemon{"d"})
-	is.Equal(ableAmong([]id.Daemon{"a", "c"}, entries), []id.Daemon{"a", "c"})
+	is.Equal(eligibleOwners([]id.Daemon{"a", "b", "c", "d"}, entries), []id.Daemon{"b", "d"})
+	is.Equal(eligibleOwners([]id.Daemon{"a", "c", "d"}, entries), []id.Daemon{"d"})
+	is.Equal(eligibleOwners([]id.Daemon{"a", "c"}, entries), []id.Daemon{"a", "c"})
 }
