--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -27,7 +27,7 @@
 	return quotas.New(quotas.Config{
 		Self:  f.self.Daemon,
 		Send:  f.links().SendQuota,
-		Limit: d.limitOf,
+		Limit: d.teamLimit,
 		Tolerance: quota.Tolerance{
 			Window:    Seconds(d.set.Bounds.QuotaWindowS),
 			Overshoot: d.set.Bounds.QuotaOvershoot,
@@ -42,7 +42,7 @@
 }
 
 // limitOf is a team's by the configuration in force.
-func (d *Daemon) limitOf(name id.Team) (quota.Limit, bool) {
+func (d *Daemon) teamLimit(name id.Team) (quota.Limit, bool) {
 	routes := d.tables.current().Routes
 	if routes == nil {
 		return quota.Limit{}, false
