--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -15,7 +15,7 @@
 
 const (
 	// rolesLook is how often the demand of the owned pools is looked at.
-	rolesLook = 500 * time.Millisecond
+	rolesInterval = 500 * time.Millisecond
 	// rolesStart is how long a pool must have had the same engines before an
 	// order: when the fleet starts, or the store returns, endpoints register
 	// over two heartbeats of theirs.
@@ -108,7 +108,7 @@
 		o.lookAtPools(now)
 	}
 	o.tickLease(now)
-	return now + rolesLook
+	return now + rolesInterval
 }
 
 func (o *orderer) lookAtPools(now time.Duration) {
