--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -19,7 +19,7 @@
 	// rolesStart is how long a pool must have had the same engines before an
 	// order: when the fleet starts, or the store returns, endpoints register
 	// over two heartbeats of theirs.
-	rolesStart = 2500 * time.Millisecond
+	initialSettleTime = 2500 * time.Millisecond
 	// rolesSettle is that time once work was measured.
 	rolesSettle = 400 * time.Millisecond
 	// orderTimeout bounds an order, and the report before it.
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -58,7 +58,7 @@
 	if p.decider.Measured() {
 		return rolesSettle
 	}
-	return rolesStart
+	return initialSettleTime
 }
 
 // stateEvery is how often the state of an owned pool is logged.
