--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -21,7 +21,7 @@
 	// over two heartbeats of theirs.
 	initialSettleTime = 2500 * time.Millisecond
 	// rolesSettle is that time once work was measured.
-	rolesSettle = 400 * time.Millisecond
+	measuredSettleTime = 400 * time.Millisecond
 	// orderTimeout bounds an order, and the report before it.
 	orderTimeout = 800 * time.Millisecond
 	// drainFor is how long an engine may go on with its work before the order
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -56,7 +56,7 @@
 // one after the other must not wait for the last.
 func (p *poolRoles) settleTime() time.Duration {
 	if p.decider.Measured() {
-		return rolesSettle
+		return measuredSettleTime
 	}
 	return initialSettleTime
 }
