--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -26,7 +26,7 @@
 	orderTimeout = 800 * time.Millisecond
 	// drainFor is how long an engine may go on with its work before the order
 	// is given; the engine itself lets running work end.
-	drainFor = 400 * time.Millisecond
+	drainTime = 400 * time.Millisecond
 	// changeMargin is added to the time that a change of role takes before it
 	// is taken for lost.
 	changeMargin = 6 * time.Second
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -147,7 +147,7 @@
 		return
 	}
 	o.f.broker.Drain(c.pool, endpoint, true)
-	if !open || c.ordered || c.asking || now < c.again || now-c.drainedAt < drainFor {
+	if !open || c.ordered || c.asking || now < c.again || now-c.drainedAt < drainTime {
 		return
 	}
 	c.asking = true
