--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -31,7 +31,7 @@
 	// is taken for lost.
 	changeMargin = 6 * time.Second
 	// changeLimit bounds the wait for the lease and for an answer to the order.
-	changeLimit = 12 * time.Second
+	changeTimeout = 12 * time.Second
 	// orderAgain is the pause before an order that was refused, or whose result
 	// is unknown, is looked at again.
 	orderAgain = time.Second
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -117,7 +117,7 @@
 			why = "done"
 		case c.ordered && now-c.orderedAt >= o.switchTime(e.Service)+changeMargin:
 			why = "no change was seen in time"
-		case !c.ordered && now-c.begun >= changeLimit:
+		case !c.ordered && now-c.begun >= changeTimeout:
 			why = "no order could be given in time"
 		default:
 			continue
