--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -34,7 +34,7 @@
 	changeTimeout = 12 * time.Second
 	// orderAgain is the pause before an order that was refused, or whose result
 	// is unknown, is looked at again.
-	orderAgain = time.Second
+	orderRetryDelay = time.Second
 	// changesShare of a pool's engines, and at least one, may be changing at a
 	// time: they do no work meanwhile.
 	changesShare = 6
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -69,7 +69,7 @@
 func (o *orderer) ordered(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
 	o.results.Add(result.String(), 1)
 	c.asking = false
-	c.again = now + orderAgain
+	c.again = now + orderRetryDelay
 	o.quietFrom = now + o.longestOrder()
 	switch result {
 	case OrderTaken:
