--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -37,7 +37,7 @@
 	orderRetryDelay = time.Second
 	// changesShare of a pool's engines, and at least one, may be changing at a
 	// time: they do no work meanwhile.
-	changesShare = 6
+	enginesPerChange = 6
 	// leaseIdle is how long the lease is kept without an order to give.
 	leaseIdle = 3 * time.Second
 	// dutyRoles names the lease of the orders.
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -48,7 +48,7 @@
 	if !p.decider.Measured() {
 		return max(1, p.engines)
 	}
-	return max(1, p.engines/changesShare)
+	return max(1, p.engines/enginesPerChange)
 }
 
 // settleTime is how long a pool must have the same engines before one is
