--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -39,7 +39,7 @@
 	// time: they do no work meanwhile.
 	enginesPerChange = 6
 	// leaseIdle is how long the lease is kept without an order to give.
-	leaseIdle = 3 * time.Second
+	leaseIdleTimeout = 3 * time.Second
 	// dutyRoles names the lease of the orders.
 	dutyRoles = "roles"
 )
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -57,7 +57,7 @@
 		o.lease = lease.New(o.leaseConfig(), dutyRoles, o.f.self, now, o.d.newRand())
 		o.gate = lease.NewOrderGate(lease.GateConfig{LongestOrder: o.longestOrder(), LapseCovers: true}, o.lease)
 		o.mu.Unlock()
-	case !needed && o.lease != nil && now-o.idleSince >= leaseIdle && o.quiet(now):
+	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.quiet(now):
 		o.releaseLease(now)
 	}
 }
