--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -41,7 +41,7 @@
 	// leaseIdle is how long the lease is kept without an order to give.
 	leaseIdleTimeout = 3 * time.Second
 	// dutyRoles names the lease of the orders.
-	dutyRoles = "roles"
+	leaseRoles = "roles"
 )
 
 // orderer is the duty that orders changes of role in the pools that this
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -54,7 +54,7 @@
 	switch {
 	case needed && o.lease == nil:
 		o.mu.Lock()
-		o.lease = lease.New(o.leaseConfig(), dutyRoles, o.f.self, now, o.d.newRand())
+		o.lease = lease.New(o.leaseConfig(), leaseRoles, o.f.self, now, o.d.newRand())
 		o.gate = lease.NewOrderGate(lease.GateConfig{LongestOrder: o.longestOrder(), LapseCovers: true}, o.lease)
 		o.mu.Unlock()
 	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.quiet(now):
