--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -56,8 +56,8 @@
 	// idleSince is when the last order was done with.
 	idleSince time.Duration
 	// quietFrom is from when another holder might give an order at once.
-	quietFrom time.Duration
-	stopped   bool
+	releaseSafeAt time.Duration
+	stopped       bool
 
 	// mu guards what is looked at right before an order.
 	mu sync.Mutex
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -70,7 +70,7 @@
 	o.results.Add(result.String(), 1)
 	c.asking = false
 	c.again = now + orderRetryDelay
-	o.quietFrom = now + o.longestOrder()
+	o.releaseSafeAt = now + o.longestOrder()
 	switch result {
 	case OrderTaken:
 		c.ordered = true
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -151,7 +151,7 @@
 		return
 	}
 	c.asking = true
-	o.quietFrom = now + orderTimeout + o.longestOrder()
+	o.releaseSafeAt = now + orderTimeout + o.longestOrder()
 	sent := o.work.Submit(func() { o.orderNow(endpoint, c) })
 	if !sent {
 		c.asking = false
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -37,7 +37,7 @@
 }
 
 // quiet says whether another holder might give an order at once.
-func (o *orderer) quiet(now time.Duration) bool { return now >= o.quietFrom }
+func (o *orderer) quiet(now time.Duration) bool { return now >= o.releaseSafeAt }
 
 // leaseWhileNeeded contends for the lease while there are orders to give, and
 // gives it up a while after.
