--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -37,7 +37,7 @@
 }
 
 // quiet says whether another holder might give an order at once.
-func (o *orderer) quiet(now time.Duration) bool { return now >= o.releaseSafeAt }
+func (o *orderer) releaseSafe(now time.Duration) bool { return now >= o.releaseSafeAt }
 
 // leaseWhileNeeded contends for the lease while there are orders to give, and
 // gives it up a while after.
@@ -57,7 +57,7 @@
 		o.lease = lease.New(o.leaseConfig(), leaseRoles, o.f.self, now, o.d.newRand())
 		o.gate = lease.NewOrderGate(lease.GateConfig{LongestOrder: o.longestOrder(), LapseCovers: true}, o.lease)
 		o.mu.Unlock()
-	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.quiet(now):
+	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.releaseSafe(now):
 		o.releaseLease(now)
 	}
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	o.mu.Lock()
-	actions := o.lease.Release(now, o.quiet(now))
+	actions := o.lease.Release(now, o.releaseSafe(now))
 	o.mu.Unlock()
 	o.perform(now, actions)
 }
