--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -65,7 +65,7 @@
 	lease *lease.Lease
 	gate  *lease.OrderGate
 	// fenced is the highest fencing number that was refused.
-	fenced uint64
+	rejectedFence uint64
 	// heldLast is the fencing number that this process held last.
 	heldLast uint64
 
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -14,7 +14,7 @@
 func (o *orderer) passage(now time.Duration, endpoint id.Endpoint) lease.Passage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lease == nil || o.lease.Fence() <= o.fenced {
+	if o.lease == nil || o.lease.Fence() <= o.rejectedFence {
 		return lease.Closed
 	}
 	return o.gate.Allow(now, endpoint, false)
@@ -62,7 +62,7 @@
 	}
 	o.gate.Repaired(now, endpoint)
 	fence := o.gate.Fence()
-	return fence, fence > o.fenced && o.gate.Allow(now, endpoint, false) == lease.Open
+	return fence, fence > o.rejectedFence && o.gate.Allow(now, endpoint, false) == lease.Open
 }
 
 // ordered takes what came of an order.
@@ -77,7 +77,7 @@
 		c.orderedAt = now
 	case OrderFenced:
 		o.mu.Lock()
-		o.fenced = max(o.fenced, fence)
+		o.rejectedFence = max(o.rejectedFence, fence)
 		if o.lease != nil {
 			o.lease.Halt(now)
 		}
