--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -67,7 +67,7 @@
 	// fenced is the highest fencing number that was refused.
 	rejectedFence uint64
 	// heldLast is the fencing number that this process held last.
-	heldLast uint64
+	lastFence uint64
 
 	results *metrics.CounterMap
 	fence   *metrics.Gauge
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -97,8 +97,8 @@
 		case a.Acquired != nil:
 			o.mu.Lock()
 			// Nobody held it between: no order but this process's own is on its way.
-			a.Acquired.Own = o.heldLast != 0 && a.Acquired.Fence == o.heldLast+1
-			o.heldLast = a.Acquired.Fence
+			a.Acquired.Own = o.lastFence != 0 && a.Acquired.Fence == o.lastFence+1
+			o.lastFence = a.Acquired.Fence
 			o.gate.Acquired(now, *a.Acquired)
 			o.mu.Unlock()
 			o.fence.Set(float64(a.Acquired.Fence))
