--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -105,13 +105,13 @@
 // tick looks at the owned pools, and at the lease if there is one.
 func (o *orderer) tick(now time.Duration) time.Duration {
 	if !o.stopped {
-		o.lookAtPools(now)
+		o.updatePools(now)
 	}
 	o.tickLease(now)
 	return now + rolesInterval
 }
 
-func (o *orderer) lookAtPools(now time.Duration) {
+func (o *orderer) updatePools(now time.Duration) {
 	owned := map[id.Pool]bool{}
 	for _, name := range poolNames(o.d.tables.current().Routes) {
 		if o.lookAtPool(now, name) {
