--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -114,7 +114,7 @@
 func (o *orderer) updatePools(now time.Duration) {
 	owned := map[id.Pool]bool{}
 	for _, name := range poolNames(o.d.tables.current().Routes) {
-		if o.lookAtPool(now, name) {
+		if o.updatePool(now, name) {
 			owned[name] = true
 		}
 	}
@@ -128,7 +128,7 @@
 }
 
 // lookAtPool decides for one pool; it returns false for one that is not owned.
-func (o *orderer) lookAtPool(now time.Duration, name id.Pool) bool {
+func (o *orderer) updatePool(now time.Duration, name id.Pool) bool {
 	demand, ok := o.f.broker.Demand(name)
 	if !ok {
 		return false
