--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -11,7 +11,7 @@
 // passage says whether an order may go out right now. Engines that check
 // fencing numbers are treated as those that don't: orders of two holders must
 // be apart towards all.
-func (o *orderer) passage(now time.Duration, endpoint id.Endpoint) lease.Passage {
+func (o *orderer) gateState(now time.Duration, endpoint id.Endpoint) lease.Passage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.lease == nil || o.lease.Fence() <= o.rejectedFence {
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -138,7 +138,7 @@
 // advance takes the next step of a change. The engine goes on with its work
 // until an order could be given.
 func (o *orderer) advance(now time.Duration, endpoint id.Endpoint, c *change) {
-	open := o.passage(now, endpoint) >= lease.ReadBack
+	open := o.gateState(now, endpoint) >= lease.ReadBack
 	if !c.draining && open {
 		c.draining = true
 		c.drainedAt = now
