--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -21,7 +21,7 @@
 }
 
 // orderNow reads the engine's state and gives the order, in a worker.
-func (o *orderer) orderNow(endpoint id.Endpoint, c *change) {
+func (o *orderer) runOrder(endpoint id.Endpoint, c *change) {
 	result, fence := o.order(endpoint, c)
 	o.duty.Post(func(now time.Duration) { o.ordered(now, endpoint, c, result, fence) })
 }
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -152,7 +152,7 @@
 	}
 	c.asking = true
 	o.releaseSafeAt = now + orderTimeout + o.longestOrder()
-	sent := o.work.Submit(func() { o.orderNow(endpoint, c) })
+	sent := o.work.Submit(func() { o.runOrder(endpoint, c) })
 	if !sent {
 		c.asking = false
 	}
