--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -23,7 +23,7 @@
 // orderNow reads the engine's state and gives the order, in a worker.
 func (o *orderer) runOrder(endpoint id.Endpoint, c *change) {
 	result, fence := o.order(endpoint, c)
-	o.duty.Post(func(now time.Duration) { o.ordered(now, endpoint, c, result, fence) })
+	o.duty.Post(func(now time.Duration) { o.handleOrderResult(now, endpoint, c, result, fence) })
 }
 
 func (o *orderer) order(endpoint id.Endpoint, c *change) (OrderResult, uint64) {
@@ -66,7 +66,7 @@
 }
 
 // ordered takes what came of an order.
-func (o *orderer) ordered(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
+func (o *orderer) handleOrderResult(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
 	o.results.Add(result.String(), 1)
 	c.asking = false
 	c.again = now + orderRetryDelay
