--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -93,7 +93,7 @@
 	for _, a := range actions {
 		switch {
 		case a.Request != nil:
-			o.ask(*a.Request)
+			o.runRequest(*a.Request)
 		case a.Acquired != nil:
 			o.mu.Lock()
 			// Nobody held it between: no order but this process's own is on its way.
@@ -110,7 +110,7 @@
 	}
 }
 
-func (o *orderer) ask(q table.Request) {
+func (o *orderer) runRequest(q table.Request) {
 	asked := o.lease
 	o.store.Do(o.duty.Context(), q, func(reply table.Reply) {
 		o.duty.Post(func(now time.Duration) {
