--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -148,7 +148,7 @@
 		p.settledAt = now + p.settleTime()
 	}
 	settled := now >= p.settledAt && o.d.tables.current().Lapsed == 0
-	for settled && len(p.changes) < p.mostChanges() {
+	for settled && len(p.changes) < p.maxChanges() {
 		c := p.decider.Decide(now, demand)
 		if c == nil {
 			break
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -44,7 +44,7 @@
 
 // mostChanges bounds the changes under way. Before there is work nothing is
 // lost by many.
-func (p *poolRoles) mostChanges() int {
+func (p *poolRoles) maxChanges() int {
 	if !p.decider.Measured() {
 		return max(1, p.engines)
 	}
