--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -19,7 +19,7 @@
 	engines   int
 	settledAt time.Duration
 	// toldAt is when the pool's state was last logged.
-	toldAt time.Duration
+	loggedAt time.Duration
 	// tried and repeated are the scheduler's counts that were logged last.
 	tried    uint64
 	repeated uint64
@@ -67,10 +67,10 @@
 // logState writes a line on an owned pool that has work: what an engineer on
 // call needs to tell a full pool from one that lost its engines.
 func (o *orderer) logState(now time.Duration, name id.Pool, p *poolRoles, d sched.Demand) {
-	if now < p.toldAt+stateEvery || d.Queued+d.MemoryHeld == 0 {
+	if now < p.loggedAt+stateEvery || d.Queued+d.MemoryHeld == 0 {
 		return
 	}
-	p.toldAt = now
+	p.loggedAt = now
 	working := 0
 	for _, e := range d.Prefills {
 		if e.Work > 0 {
