--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -139,8 +139,8 @@
 		o.pools[name] = p
 	}
 	o.endChanges(now, p)
-	p.mark(demand.Prefills)
-	p.mark(demand.Decodes)
+	p.markDrained(demand.Prefills)
+	p.markDrained(demand.Decodes)
 	p.decider.Observe(now, demand)
 	o.logState(now, name, p, demand)
 	if n := len(demand.Prefills) + len(demand.Decodes); n != p.engines {
@@ -154,8 +154,8 @@
 			break
 		}
 		o.beginChange(now, name, p, c)
-		p.mark(demand.Prefills)
-		p.mark(demand.Decodes)
+		p.markDrained(demand.Prefills)
+		p.markDrained(demand.Decodes)
 	}
 	for endpoint, c := range p.changes {
 		o.advance(now, endpoint, c)
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -89,7 +89,7 @@
 }
 
 // mark tells the engines that are about to change their role.
-func (p *poolRoles) mark(engines []sched.EngineDemand) {
+func (p *poolRoles) markDrained(engines []sched.EngineDemand) {
 	for i := range engines {
 		if p.changes[engines[i].Endpoint] != nil {
 			engines[i].Drained = true
