--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -62,12 +62,12 @@
 }
 
 // stateEvery is how often the state of an owned pool is logged.
-const stateEvery = time.Second
+const stateLogInterval = time.Second
 
 // logState writes a line on an owned pool that has work: what an engineer on
 // call needs to tell a full pool from one that lost its engines.
 func (o *orderer) logState(now time.Duration, name id.Pool, p *poolRoles, d sched.Demand) {
-	if now < p.loggedAt+stateEvery || d.Queued+d.MemoryHeld == 0 {
+	if now < p.loggedAt+stateLogInterval || d.Queued+d.MemoryHeld == 0 {
 		return
 	}
 	p.loggedAt = now
