--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -27,9 +27,9 @@
 
 // change is one change of role under way.
 type change struct {
-	pool  id.Pool
-	to    live.Role
-	begun time.Duration
+	pool      id.Pool
+	to        live.Role
+	startedAt time.Duration
 	// draining is set once the engine gets no new work, from drainedAt on.
 	draining  bool
 	drainedAt time.Duration
@@ -99,7 +99,7 @@
 
 func (o *orderer) beginChange(now time.Duration, pool id.Pool, p *poolRoles, c *roles.Change) {
 	p.decider.Changed(now)
-	p.changes[c.Endpoint] = &change{pool: pool, to: c.To, begun: now}
+	p.changes[c.Endpoint] = &change{pool: pool, to: c.To, startedAt: now}
 	o.d.logger.Event("role_change_begun", "pool", pool, "endpoint", c.Endpoint, "to", c.To,
 		"wanted_prefills", c.Wanted, "prefills", c.Prefills, "decodes", c.Decodes)
 }
@@ -117,14 +117,14 @@
 			why = "done"
 		case c.ordered && now-c.orderedAt >= o.switchTime(e.Service)+changeMargin:
 			why = "no change was seen in time"
-		case !c.ordered && now-c.begun >= changeTimeout:
+		case !c.ordered && now-c.startedAt >= changeTimeout:
 			why = "no order could be given in time"
 		default:
 			continue
 		}
 		delete(p.changes, endpoint)
 		o.f.broker.Drain(c.pool, endpoint, false)
-		o.d.logger.Event("role_change_ended", "endpoint", endpoint, "to", c.to, "why", why, "took", now-c.begun)
+		o.d.logger.Event("role_change_ended", "endpoint", endpoint, "to", c.to, "why", why, "took", now-c.startedAt)
 	}
 }
 
