--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -68,7 +68,7 @@
 // ordered takes what came of an order.
 func (o *orderer) handleOrderResult(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
 	o.results.Add(result.String(), 1)
-	c.asking = false
+	c.pending = false
 	c.again = now + orderRetryDelay
 	o.releaseSafeAt = now + o.longestOrder()
 	switch result {
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -37,7 +37,7 @@
 	ordered   bool
 	orderedAt time.Duration
 	// asking is set while a report or an order is on its way.
-	asking bool
+	pending bool
 	// again is when the next step may be tried.
 	again time.Duration
 }
@@ -147,13 +147,13 @@
 		return
 	}
 	o.f.broker.Drain(c.pool, endpoint, true)
-	if !open || c.ordered || c.asking || now < c.again || now-c.drainedAt < drainTime {
+	if !open || c.ordered || c.pending || now < c.again || now-c.drainedAt < drainTime {
 		return
 	}
-	c.asking = true
+	c.pending = true
 	o.releaseSafeAt = now + orderTimeout + o.longestOrder()
 	sent := o.work.Submit(func() { o.runOrder(endpoint, c) })
 	if !sent {
-		c.asking = false
+		c.pending = false
 	}
 }
