--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -69,7 +69,7 @@
 func (o *orderer) handleOrderResult(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
 	o.results.Add(result.String(), 1)
 	c.pending = false
-	c.again = now + orderRetryDelay
+	c.retryAt = now + orderRetryDelay
 	o.releaseSafeAt = now + o.longestOrder()
 	switch result {
 	case OrderTaken:
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -39,7 +39,7 @@
 	// asking is set while a report or an order is on its way.
 	pending bool
 	// again is when the next step may be tried.
-	again time.Duration
+	retryAt time.Duration
 }
 
 // mostChanges bounds the changes under way. Before there is work nothing is
@@ -147,7 +147,7 @@
 		return
 	}
 	o.f.broker.Drain(c.pool, endpoint, true)
-	if !open || c.ordered || c.pending || now < c.again || now-c.drainedAt < drainTime {
+	if !open || c.ordered || c.pending || now < c.retryAt || now-c.drainedAt < drainTime {
 		return
 	}
 	c.pending = true
