--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -58,8 +58,8 @@
 	// mostHeartbeats is how many heartbeats a daemon of a small fleet sends in a
 	// second at most, mostWatched an owner of pools in a fleet of any size: where
 	// they would be more, they come less often.
-	maxHeartbeats = 60
-	mostWatched   = 600
+	maxHeartbeats        = 60
+	maxWatchedHeartbeats = 600
 	// meshUpTo is up to how many other daemons all exchange heartbeats with all:
 	// as many as get one every memberPeriod within mostHeartbeats.
 	meshUpTo = 24
@@ -97,7 +97,7 @@
 	cfg.WatchedSuspect = watchedSuspect
 	cfg.WatchedDead = watchedDead
 	cfg.MostSent = maxHeartbeats
-	cfg.MostWatched = mostWatched
+	cfg.MostWatched = maxWatchedHeartbeats
 	cfg.MeshUpTo = meshUpTo
 	return cfg
 }
