--- a/daemon/gateway/probe.go
+++ b/daemon/gateway/probe.go
@@ -10,7 +10,7 @@
 
 // probeEvery is the pause between two looks at an engine that could not be
 // reached.
-const probeEvery = 400 * time.Millisecond
+const probeInterval = 400 * time.Millisecond
 
 // probes are the engines that are being looked at.
 type probes struct {
@@ -55,7 +55,7 @@
 				f.broker.Load(p, sched.Load{Endpoint: e, Reachable: true})
 				return
 			}
-			if !d.sleep(probeEvery) {
+			if !d.sleep(probeInterval) {
 				return
 			}
 		}
