--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -119,8 +119,8 @@
 	servers   []*fasthttp.Server
 	listeners []net.Listener
 	inFlight  atomic.Int64
-	probes    probes
-	inspected probes
+	probes    activeChecks
+	inspected activeChecks
 	// unusable counts registered entries that name no endpoint to use, by reason.
 	unusable *metrics.CounterMap
 	endOnce  sync.Once
--- a/daemon/gateway/probe.go
+++ b/daemon/gateway/probe.go
@@ -13,13 +13,13 @@
 const probeInterval = 400 * time.Millisecond
 
 // probes are the engines that are being looked at.
-type probes struct {
+type activeChecks struct {
 	mu     sync.Mutex
 	active map[id.Endpoint]bool
 }
 
 // begin says whether the engine is not being looked at yet.
-func (p *probes) begin(e id.Endpoint) bool {
+func (p *activeChecks) begin(e id.Endpoint) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.active[e] {
@@ -32,7 +32,7 @@
 	return true
 }
 
-func (p *probes) end(e id.Endpoint) {
+func (p *activeChecks) end(e id.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.active, e)
