--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -16,7 +16,7 @@
 	// tables for others. Silent readers are noticed after memberSuspect: with
 	// this pause and one call, well within the two seconds in which a change
 	// must be in force.
-	readersLook = 250 * time.Millisecond
+	readersInterval = 250 * time.Millisecond
 	// newsMaxBytes bounds the rows that are sent along with news. A fleet reads
 	// larger ones from the store, whose link is wider than that of any daemon.
 	newsMaxBytes = 16 << 10
@@ -59,7 +59,7 @@
 	decision := readers.NewDecision(f.self.Daemon)
 	reads, told := false, false
 	var asHub hub
-	d.every(readersLook, func() {
+	d.every(readersInterval, func() {
 		entries := f.members.Entries()
 		f.noteLost(d.now(), entries)
 		candidates := readingCandidates(entries)
--- a/daemon/gateway/reading_test.go
+++ b/daemon/gateway/reading_test.go
@@ -17,6 +17,6 @@
 	const bound = 2 * time.Second
 	noticed := endpointsWait + feed.CallSlack
 	told := noticed + memberPeriod
-	replaced := told + readersLook
+	replaced := told + readersInterval
 	is.True(replaced < bound)
 }
