--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -236,7 +236,7 @@
 	f.hosts = feed.Start(d.hostsConfig(f))
 	d.fleet.Store(f)
 	close(wired)
-	go d.shareReading(f)
+	go d.updateReading(f)
 	go d.syncStoreClock()
 	go d.logUsage(f)
 	d.logger.Event("daemon_enrolled", "incarnation", self.Incarnation)
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -55,7 +55,7 @@
 
 // shareReading decides again and again whether this daemon follows the store or
 // leaves it to others, so that calls to the store don't grow with the fleet.
-func (d *Daemon) shareReading(f *fleet) {
+func (d *Daemon) updateReading(f *fleet) {
 	decision := readers.NewDecision(f.self.Daemon)
 	reads, told := false, false
 	var asHub hub
