--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -86,7 +86,7 @@
 		Retry:     feedRetry,
 		IdleRetry: idleRetry,
 		Changed:   changed,
-		Learnt:    d.tellNews,
+		Learnt:    d.sendNews,
 		Now:       d.now,
 		Idle:      true,
 		Lost: func(err error) {
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -101,7 +101,7 @@
 }
 
 // tellNews tells the other daemons what the store told this one.
-func (d *Daemon) tellNews(n feed.News) {
+func (d *Daemon) sendNews(n feed.News) {
 	f := d.fleet.Load()
 	if f == nil || !f.broadcasts.Load() {
 		return
