--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -181,7 +181,7 @@
 	}
 	var n tableNews
 	if h.decode(from, body, &n) {
-		h.d.takeNews(from, n)
+		h.d.handleNews(from, n)
 	}
 }
 
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -121,7 +121,7 @@
 }
 
 // takeNews takes what another daemon tells of the store's tables.
-func (d *Daemon) takeNews(from id.Daemon, n tableNews) {
+func (d *Daemon) handleNews(from id.Daemon, n tableNews) {
 	if n.Store != nil {
 		d.takeStoreStatus(from, *n.Store)
 	}
