--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -136,7 +136,7 @@
 		d.logger.Warn("tables_not_learnt", "peer", from, "why", err)
 		return
 	}
-	d.takeStoreStatus(from, reply.Store)
+	d.handleStoreStatus(from, reply.Store)
 	if d.adopt(reply.States) {
 		d.logger.Event("tables_learnt", "peer", from, "revision", d.revision())
 	}
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -123,7 +123,7 @@
 // takeNews takes what another daemon tells of the store's tables.
 func (d *Daemon) handleNews(from id.Daemon, n tableNews) {
 	if n.Store != nil {
-		d.takeStoreStatus(from, *n.Store)
+		d.handleStoreStatus(from, *n.Store)
 	}
 	follower := d.follower(n.News.Name)
 	if follower == nil {
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -95,7 +95,7 @@
 }
 
 // takeStoreStatus takes what another daemon knows of the store's own state.
-func (d *Daemon) takeStoreStatus(from id.Daemon, told storeStatus) {
+func (d *Daemon) handleStoreStatus(from id.Daemon, told storeStatus) {
 	d.withRegistry(func(l *registry.List) {
 		if l.Learn(told.Uptime, told.Listed) {
 			newest := told.Uptime.Newest()
@@ -176,7 +176,7 @@
 		return
 	}
 	told.MayReturn = false // the question is about the past only
-	d.takeStoreStatus(other, told)
+	d.handleStoreStatus(other, told)
 	if d.endpoints.Position() < told.Listed {
 		d.endpoints.Refresh()
 	}
