--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -31,11 +31,11 @@
 
 // askEach is the pause between questions for each daemon of the fleet: behind an
 // outage all of them may keep entries, and ask the same three.
-const askEach = 5 * time.Millisecond
+const uptimeQueryPause = 5 * time.Millisecond
 
 // askPause is the pause between two questions about entries that are kept by
 // others' word.
-func (d *Daemon) askPause() time.Duration { return time.Duration(d.daemons()) * askEach }
+func (d *Daemon) askPause() time.Duration { return time.Duration(d.daemons()) * uptimeQueryPause }
 
 // mostAsked is how many others a daemon asks at a time: those that read the
 // store for all.
