--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -226,7 +226,7 @@
 // others are to be asked when the store answered, and up to which of its
 // versions, and whether the store's next answer may tell.
 func (d *Daemon) settleRegistry() (upTo uint64, ask, due bool) {
-	k, now, pause := d.tables, d.now(), d.askPause()
+	k, now, pause := d.tables, d.now(), d.uptimeQueryInterval()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.list.Settle() {
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -35,7 +35,9 @@
 
 // askPause is the pause between two questions about entries that are kept by
 // others' word.
-func (d *Daemon) askPause() time.Duration { return time.Duration(d.daemons()) * uptimeQueryPause }
+func (d *Daemon) uptimeQueryInterval() time.Duration {
+	return time.Duration(d.daemons()) * uptimeQueryPause
+}
 
 // mostAsked is how many others a daemon asks at a time: those that read the
 // store for all.
