--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -41,7 +41,7 @@
 
 // mostAsked is how many others a daemon asks at a time: those that read the
 // store for all.
-const mostAsked = 3
+const maxUptimePeers = 3
 
 // lostLeast is for how long other daemons must have been without the store for
 // this one to doubt its first answer: less time than entries need to lapse, and
@@ -161,7 +161,7 @@
 	asked := map[id.Daemon]bool{f.self.Daemon: true}
 	kept := out[:0]
 	for _, other := range out {
-		if !asked[other] && len(kept) < mostAsked {
+		if !asked[other] && len(kept) < maxUptimePeers {
 			kept = append(kept, other)
 		}
 		asked[other] = true
