--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -46,7 +46,7 @@
 // lostLeast is for how long other daemons must have been without the store for
 // this one to doubt its first answer: less time than entries need to lapse, and
 // more than it takes to read in place of others that the store refuses alone.
-const lostLeast = time.Second
+const minPeerOutage = time.Second
 
 // storeAnswered notes an answer of the store. One that does not follow another
 // may be the first behind an outage that this daemon has not seen.
@@ -67,7 +67,7 @@
 		return false
 	}
 	since := time.Duration(f.lostSince.Load())
-	return since > 0 && d.now()-since >= lostLeast
+	return since > 0 && d.now()-since >= minPeerOutage
 }
 
 // noteLost notes since when others have been without the store.
