--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -154,7 +154,7 @@
 	readers    atomic.Pointer[[]id.Daemon]
 	// lostSince is since when others have been without the store, by the daemon's
 	// time; 0 where none is.
-	lostSince atomic.Int64
+	peersLostSince atomic.Int64
 	// linked is set while this daemon keeps connections to all others.
 	linked atomic.Bool
 	// pursuit brings the tables up to what other daemons know of them.
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -66,7 +66,7 @@
 	if f == nil {
 		return false
 	}
-	since := time.Duration(f.lostSince.Load())
+	since := time.Duration(f.peersLostSince.Load())
 	return since > 0 && d.now()-since >= minPeerOutage
 }
 
@@ -76,10 +76,10 @@
 		return e.State == member.Alive && e.StoreLost && e.Process.Daemon != f.self.Daemon
 	})
 	if !lost {
-		f.lostSince.Store(0)
+		f.peersLostSince.Store(0)
 		return
 	}
-	f.lostSince.CompareAndSwap(0, int64(now))
+	f.peersLostSince.CompareAndSwap(0, int64(now))
 }
 
 // endpointsConfirmed notes that the endpoints are known as the store has them.
