--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -61,7 +61,7 @@
 	var asHub hub
 	d.every(readersInterval, func() {
 		entries := f.members.Entries()
-		f.noteLost(d.now(), entries)
+		f.notePeersLost(d.now(), entries)
 		candidates := readingCandidates(entries)
 		now := decision.Decide(d.now(), candidates, !decision.Waited() && f.onlyOne())
 		chosen := decision.Chosen()
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -71,7 +71,7 @@
 }
 
 // noteLost notes since when others have been without the store.
-func (f *fleet) noteLost(now time.Duration, entries []member.Entry) {
+func (f *fleet) notePeersLost(now time.Duration, entries []member.Entry) {
 	lost := slices.ContainsFunc(entries, func(e member.Entry) bool {
 		return e.State == member.Alive && e.StoreLost && e.Process.Daemon != f.self.Daemon
 	})
