--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -51,7 +51,7 @@
 // storeAnswered notes an answer of the store. One that does not follow another
 // may be the first behind an outage that this daemon has not seen.
 func (d *Daemon) storeAnswered(a feed.Answer) {
-	suspect := !a.Unbroken && d.othersLost()
+	suspect := !a.Unbroken && d.peersLost()
 	d.withRegistry(func(l *registry.List) {
 		if suspect {
 			l.Suspect(d.now())
@@ -61,7 +61,7 @@
 }
 
 // othersLost says whether others have been without the store for a while.
-func (d *Daemon) othersLost() bool {
+func (d *Daemon) peersLost() bool {
 	f := d.fleet.Load()
 	if f == nil {
 		return false
