--- a/daemon/gateway/knowledge.go
+++ b/daemon/gateway/knowledge.go
@@ -217,7 +217,7 @@
 			d.endpoints.Poll()
 		}
 		if ask {
-			d.askUptime(upTo)
+			d.queryUptime(upTo)
 		}
 	})
 }
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -135,7 +135,7 @@
 
 // askUptime asks others when the store answered, one question at a time: entries
 // are kept by what this daemon alone knows of it.
-func (d *Daemon) askUptime(upTo uint64) {
+func (d *Daemon) queryUptime(upTo uint64) {
 	f := d.fleet.Load()
 	if f == nil || !d.queryingUptime.CompareAndSwap(false, true) {
 		return
