--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -142,7 +142,7 @@
 	}
 	var asked sync.WaitGroup
 	for _, other := range f.askedForUptime() {
-		asked.Go(func() { d.askUptimeOf(f, other, upTo) })
+		asked.Go(func() { d.queryUptimeOf(f, other, upTo) })
 	}
 	go func() {
 		asked.Wait()
@@ -169,7 +169,7 @@
 	return kept
 }
 
-func (d *Daemon) askUptimeOf(f *fleet, other id.Daemon, upTo uint64) {
+func (d *Daemon) queryUptimeOf(f *fleet, other id.Daemon, upTo uint64) {
 	ctx, cancel := context.WithTimeout(d.ctx, tablesTimeout)
 	defer cancel()
 	var told storeStatus
