--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -141,7 +141,7 @@
 		return
 	}
 	var asked sync.WaitGroup
-	for _, other := range f.askedForUptime() {
+	for _, other := range f.uptimePeers() {
 		asked.Go(func() { d.queryUptimeOf(f, other, upTo) })
 	}
 	go func() {
@@ -152,7 +152,7 @@
 
 // askedForUptime are those that read the store for all, or others where these
 // can't be told.
-func (f *fleet) askedForUptime() []id.Daemon {
+func (f *fleet) uptimePeers() []id.Daemon {
 	var out []id.Daemon
 	if chosen := f.readers.Load(); chosen != nil {
 		out = append(out, *chosen...)
