--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -11,7 +11,7 @@
 
 const (
 	// stopLook is how often a leaving daemon asks whether it may close.
-	stopLook = 50 * time.Millisecond
+	stopCheckInterval = 50 * time.Millisecond
 	// stopSpread is how long until every daemon knows of the leaving.
 	stopSpread = 500 * time.Millisecond
 	// stopQuiet is how long no new caller must have come.
@@ -61,7 +61,7 @@
 
 func (d *Daemon) leave(s *leaving.Stop) {
 	inFlight := func() int { return int(d.inFlight.Load()) }
-	why, ok := s.Wait(d.ctx, stopLook, d.now, inFlight)
+	why, ok := s.Wait(d.ctx, stopCheckInterval, d.now, inFlight)
 	if !ok {
 		return
 	}
