--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -13,7 +13,7 @@
 	// stopLook is how often a leaving daemon asks whether it may close.
 	stopCheckInterval = 50 * time.Millisecond
 	// stopSpread is how long until every daemon knows of the leaving.
-	stopSpread = 500 * time.Millisecond
+	stopPropagation = 500 * time.Millisecond
 	// stopQuiet is how long no new caller must have come.
 	stopQuiet = 300 * time.Millisecond
 	// lateAfter is how long after the beginning of a planned stop a stream is
@@ -42,7 +42,7 @@
 // an answer that names it.
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
-		Spread:   stopSpread,
+		Spread:   stopPropagation,
 		Lifetime: keptTimes * d.set.entryLifetime(),
 		Quiet:    stopQuiet,
 		Limit:    Seconds(d.set.Bounds.GraceS) - stopMargin,
