--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -18,7 +18,7 @@
 	stopQuiet = 300 * time.Millisecond
 	// lateAfter is how long after the beginning of a planned stop a stream is
 	// refused: one that came later might not end before the process must.
-	lateAfter = 2800 * time.Millisecond
+	streamCutoff = 2800 * time.Millisecond
 	// shutdownTimeout bounds the closing of servers that have nothing to do.
 	shutdownTimeout = 300 * time.Millisecond
 )
@@ -27,7 +27,7 @@
 // not end before the process must.
 func (d *Daemon) tooLate() bool {
 	s := d.stopping.Load()
-	return s != nil && d.now()-s.Began() >= lateAfter
+	return s != nil && d.now()-s.Began() >= streamCutoff
 }
 
 // noteCaller tells the plan of a planned stop that a caller still came.
