--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -239,7 +239,7 @@
 		Stale:       func() bool { return d.configs.Lost() },
 		Freshness:   freshnessAdapter{d},
 		Payer:       payer{d},
-		TooLate:     d.tooLate,
+		TooLate:     d.streamCutoffPassed,
 		Daemons:     d.daemons,
 		Log:         d.logger,
 		Metrics:     d.metrics,
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -25,7 +25,7 @@
 
 // tooLate says whether a planned stop has gone on for so long that a stream may
 // not end before the process must.
-func (d *Daemon) tooLate() bool {
+func (d *Daemon) streamCutoffPassed() bool {
 	s := d.stopping.Load()
 	return s != nil && d.now()-s.Began() >= streamCutoff
 }
