--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -153,7 +153,7 @@
 	}
 	reply, err := d.forwarder.Run(caller, request)
 	if err == nil && reply.Events != nil {
-		reply.Events = &tracked{ReadCloser: reply.Events, ended: ended}
+		reply.Events = &trackedStream{ReadCloser: reply.Events, ended: ended}
 		d.platform.Adapter.Reply(ctx, reply)
 		return
 	}
--- a/daemon/gateway/tracked.go
+++ b/daemon/gateway/tracked.go
@@ -6,14 +6,14 @@
 )
 
 // tracked is the body of a stream that tells once when it has ended.
-type tracked struct {
+type trackedStream struct {
 	io.ReadCloser
 	once  sync.Once
 	ended func()
 }
 
 // Close implements io.Closer.
-func (t *tracked) Close() error {
+func (t *trackedStream) Close() error {
 	err := t.ReadCloser.Close()
 	t.once.Do(t.ended)
 	return err
