--- a/daemon/gateway/settings.go
+++ b/daemon/gateway/settings.go
@@ -96,7 +96,7 @@
 	// whole streams, long enough that asking costs less than the requests do.
 	preferredLifetime = 900 * time.Millisecond
 	// keptTimes is how many lifetimes some callers keep an answer.
-	keptTimes = 3
+	keptLifetimes = 3
 	// stopMargin of the grace is left for the end of the process.
 	stopMargin = 700 * time.Millisecond
 )
@@ -104,6 +104,6 @@
 // entryLifetime is what entry answers say.
 func (s *Settings) entryLifetime() time.Duration {
 	most := Seconds(s.Bounds.EntryLifetimeS)
-	stop := (Seconds(s.Bounds.GraceS) - stopMargin) / (keptTimes + 1)
+	stop := (Seconds(s.Bounds.GraceS) - stopMargin) / (keptLifetimes + 1)
 	return max(min(preferredLifetime, most, stop), 200*time.Millisecond)
 }
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -43,7 +43,7 @@
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
 		Spread:   stopPropagation,
-		Lifetime: keptTimes * d.set.entryLifetime(),
+		Lifetime: keptLifetimes * d.set.entryLifetime(),
 		Quiet:    stopQuiet,
 		Limit:    Seconds(d.set.Bounds.GraceS) - stopMargin,
 	}
