--- a/daemon/gateway/clock_test.go
+++ b/daemon/gateway/clock_test.go
@@ -10,7 +10,7 @@
 // wallClock says how often a file may read the clock that people can set, and
 // what for. Socket deadlines and a certificate's dates need it; whatever a
 // daemon decides goes by Now.
-var wallClock = map[string]int{
+var allowedWallClockReads = map[string]int{
 	"../forward/relay.go":     1, // a socket's deadline
 	"../upstream/upstream.go": 3, // idle connections, by the monotonic part
 	"../gateway/gateway.go":   3, // the default of Options.Wall, twice named; evidence until the store's clock is known
@@ -32,7 +32,7 @@
 			if strings.HasSuffix(path, "_test.go") {
 				continue
 			}
-			if got, allowed := wallClockReads(t, path), wallClock[filepath.ToSlash(path)]; got != allowed {
+			if got, allowed := wallClockReads(t, path), allowedWallClockReads[filepath.ToSlash(path)]; got != allowed {
 				t.Errorf("%s reads the wall clock %d times, %d are known", path, got, allowed)
 			}
 		}
