--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -47,7 +47,7 @@
 // PeerRevision implements members.Listener.
 func (l fleetListener) PeerRevision(from id.Daemon, revision uint64) {
 	if revision > l.d.revision() && l.f.catchUpTarget.note(from, revision) {
-		go l.d.pursue(l.f)
+		go l.d.catchUp(l.f)
 	}
 }
 
@@ -97,7 +97,7 @@
 // pursue learns what other daemons know more of the store's tables, one attempt
 // after another: an attempt for each of the others that know more, with two reads
 // of the store each, would grow with the square of the fleet.
-func (d *Daemon) pursue(f *fleet) {
+func (d *Daemon) catchUp(f *fleet) {
 	pause := catchUpDelay
 	for tries := 0; ; tries++ {
 		if !d.sleep(pause) {
