--- a/daemon/gateway/learn.go
+++ b/daemon/gateway/learn.go
@@ -46,7 +46,7 @@
 
 // PeerRevision implements members.Listener.
 func (l fleetListener) PeerRevision(from id.Daemon, revision uint64) {
-	if revision > l.d.revision() && l.f.catchUpTarget.note(from, revision) {
+	if revision > l.d.revision() && l.f.catchUpTarget.observe(from, revision) {
 		go l.d.catchUp(l.f)
 	}
 }
@@ -74,7 +74,7 @@
 // note takes what a daemon knows; begin says that the pursuit is not running
 // yet. Of daemons that know as much the last one is asked: all others hear of a
 // change at the same time, and should not ask the same one.
-func (p *catchUpTarget) note(from id.Daemon, revision uint64) (begin bool) {
+func (p *catchUpTarget) observe(from id.Daemon, revision uint64) (begin bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if revision >= p.revision {
