--- a/daemon/broker/evidence.go
+++ b/daemon/broker/evidence.go
@@ -16,9 +16,9 @@
 
 	mu sync.Mutex
 	// told is the number of the ledger's last change that was gathered.
-	told   uint64
-	own    poison.State
-	learnt poison.State
+	gathered uint64
+	own      poison.State
+	learnt   poison.State
 }
 
 // merge takes evidence from another daemon. It returns whether any is new.
@@ -27,8 +27,8 @@
 	defer e.mu.Unlock()
 	e.gatherOwn()
 	isNew := e.ledger.Merge(wall, s)
-	delta, number := e.ledger.Delta(e.told)
-	e.told = number
+	delta, number := e.ledger.Delta(e.gathered)
+	e.gathered = number
 	add(&e.learnt, delta)
 	return isNew
 }
@@ -37,8 +37,8 @@
 // was learnt has been taken at once, so the rest is this daemon's own. The lock
 // is held.
 func (e *evidence) gatherOwn() {
-	delta, number := e.ledger.Delta(e.told)
-	e.told = number
+	delta, number := e.ledger.Delta(e.gathered)
+	e.gathered = number
 	add(&e.own, delta)
 }
 
