--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -100,7 +100,7 @@
 // spread sends evidence that is new since the last time, and returns when it
 // wants to be called again.
 func (b *Broker) spread(now time.Duration) time.Duration {
-	if !b.evidence.waits() {
+	if !b.evidence.pending() {
 		return duty.Never
 	}
 	if now < b.spreadAt {
--- a/daemon/broker/evidence.go
+++ b/daemon/broker/evidence.go
@@ -43,7 +43,7 @@
 }
 
 // waits says whether there is anything to tell.
-func (e *evidence) waits() bool {
+func (e *evidence) pending() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.gatherOwn()
