--- a/daemon/broker/evidence.go
+++ b/daemon/broker/evidence.go
@@ -29,7 +29,7 @@
 	isNew := e.ledger.Merge(wall, s)
 	delta, number := e.ledger.Delta(e.gathered)
 	e.gathered = number
-	add(&e.learnt, delta)
+	appendState(&e.learnt, delta)
 	return isNew
 }
 
@@ -39,7 +39,7 @@
 func (e *evidence) gatherOwn() {
 	delta, number := e.ledger.Delta(e.gathered)
 	e.gathered = number
-	add(&e.own, delta)
+	appendState(&e.own, delta)
 }
 
 // waits says whether there is anything to tell.
@@ -63,7 +63,7 @@
 	return len(s.Crashes) == 0 && len(s.Cleared) == 0 && s.AllClearedUnixMS == 0
 }
 
-func add(to *poison.State, s poison.State) {
+func appendState(to *poison.State, s poison.State) {
 	to.Crashes = append(to.Crashes, s.Crashes...)
 	to.Cleared = append(to.Cleared, s.Cleared...)
 	to.AllClearedUnixMS = max(to.AllClearedUnixMS, s.AllClearedUnixMS)
