--- a/daemon/broker/deliver.go
+++ b/daemon/broker/deliver.go
@@ -14,7 +14,7 @@
 		b.answer(a)
 	}
 	for _, binding := range out.Bindings {
-		b.bound(binding)
+		b.deliverBinding(binding)
 	}
 	for _, m := range out.Messages {
 		b.send(now, m)
@@ -34,7 +34,7 @@
 }
 
 // bound hands a binding to the request that waits, or will wait, for it.
-func (b *Broker) bound(binding sched.Binding) {
+func (b *Broker) deliverBinding(binding sched.Binding) {
 	ch, ok := b.bindings[binding.Request]
 	if !ok {
 		return
