--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -49,8 +49,8 @@
 	managers map[id.Pool]*pool.Manager
 	doc      *live.Document
 	// known are the pools of doc; no other gets a manager.
-	known   map[id.Pool]bool
-	waiting map[id.Request]chan<- pairing.Answer
+	configured map[id.Pool]bool
+	waiting    map[id.Request]chan<- pairing.Answer
 	// bindings hand each provisional grant its binding.
 	bindings map[id.Request]chan sched.Binding
 	lost     *metrics.Counter
--- a/daemon/broker/deliver.go
+++ b/daemon/broker/deliver.go
@@ -74,7 +74,7 @@
 // handle takes an envelope from this or another daemon. One about a pool that
 // is not in the configuration here is dropped: its sender asks again.
 func (b *Broker) handle(now time.Duration, from id.Daemon, e *Envelope) {
-	if p, ok := e.pool(); ok && !b.known[p] {
+	if p, ok := e.pool(); ok && !b.configured[p] {
 		b.unknown.Inc()
 		return
 	}
--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -48,9 +48,9 @@
 func (b *Broker) SetDocument(doc *live.Document) {
 	b.duty.Post(func(now time.Duration) {
 		b.doc = doc
-		b.known = poolNames(doc)
+		b.configured = poolNames(doc)
 		for _, p := range b.sortedPools() {
-			if !b.known[p] {
+			if !b.configured[p] {
 				delete(b.managers, p)
 				continue
 			}
