--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -52,9 +52,9 @@
 	configured map[id.Pool]bool
 	waiting    map[id.Request]chan<- pairing.Answer
 	// bindings hand each provisional grant its binding.
-	bindings map[id.Request]chan sched.Binding
-	lost     *metrics.Counter
-	unknown  *metrics.Counter
+	bindings     map[id.Request]chan sched.Binding
+	lostMessages *metrics.Counter
+	unknown      *metrics.Counter
 	// evidence waits to be told to other daemons, from spreadAt on.
 	evidence *evidence
 	spreadAt time.Duration
@@ -63,14 +63,14 @@
 // New returns a Broker whose duty is running.
 func New(cfg Config) *Broker {
 	b := &Broker{
-		cfg:      cfg,
-		asker:    pairing.New(cfg.Self, pairing.Options{Local: cfg.Local}),
-		managers: make(map[id.Pool]*pool.Manager),
-		doc:      &live.Document{},
-		waiting:  make(map[id.Request]chan<- pairing.Answer),
-		bindings: make(map[id.Request]chan sched.Binding),
-		evidence: &evidence{ledger: cfg.Poison},
-		lost:     cfg.Metrics.Counter("broker_messages_lost", metrics.UnitCount, "messages to other daemons that could not be queued"),
+		cfg:          cfg,
+		asker:        pairing.New(cfg.Self, pairing.Options{Local: cfg.Local}),
+		managers:     make(map[id.Pool]*pool.Manager),
+		doc:          &live.Document{},
+		waiting:      make(map[id.Request]chan<- pairing.Answer),
+		bindings:     make(map[id.Request]chan sched.Binding),
+		evidence:     &evidence{ledger: cfg.Poison},
+		lostMessages: cfg.Metrics.Counter("broker_messages_lost", metrics.UnitCount, "messages to other daemons that could not be queued"),
 	}
 	b.unknown = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in the configuration here")
 	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, Behind: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
--- a/daemon/broker/deliver.go
+++ b/daemon/broker/deliver.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if err := b.cfg.Sender.SendBroker(to, e); err != nil {
-		b.lost.Inc()
+		b.lostMessages.Inc()
 	}
 }
 
