--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -54,7 +54,7 @@
 	// bindings hand each provisional grant its binding.
 	bindings     map[id.Request]chan sched.Binding
 	lostMessages *metrics.Counter
-	unknown      *metrics.Counter
+	unknownPools *metrics.Counter
 	// evidence waits to be told to other daemons, from spreadAt on.
 	evidence *evidence
 	spreadAt time.Duration
@@ -72,7 +72,7 @@
 		evidence:     &evidence{ledger: cfg.Poison},
 		lostMessages: cfg.Metrics.Counter("broker_messages_lost", metrics.UnitCount, "messages to other daemons that could not be queued"),
 	}
-	b.unknown = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in the configuration here")
+	b.unknownPools = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in the configuration here")
 	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, Behind: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return b
 }
--- a/daemon/broker/deliver.go
+++ b/daemon/broker/deliver.go
@@ -75,7 +75,7 @@
 // is not in the configuration here is dropped: its sender asks again.
 func (b *Broker) handle(now time.Duration, from id.Daemon, e *Envelope) {
 	if p, ok := e.pool(); ok && !b.configured[p] {
-		b.unknown.Inc()
+		b.unknownPools.Inc()
 		return
 	}
 	switch {
