--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -95,7 +95,7 @@
 }
 
 // spreadEvery gathers evidence, well below the time in which a verdict settles.
-const spreadEvery = 250 * time.Millisecond
+const spreadInterval = 250 * time.Millisecond
 
 // spread sends evidence that is new since the last time, and returns when it
 // wants to be called again.
@@ -106,7 +106,7 @@
 	if now < b.spreadAt {
 		return b.spreadAt
 	}
-	b.spreadAt = now + spreadEvery
+	b.spreadAt = now + spreadInterval
 	own, learnt := b.evidence.take()
 	if !empty(own) {
 		b.cfg.Spread(own)
