--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -20,14 +20,14 @@
 				delete(b.managers, p)
 			}
 		}
-		b.takeOwned(now)
+		b.createOwnedManagers(now)
 	})
 }
 
 // takeOwned makes the managers of the pools that this daemon owns: they settle
 // while the other daemons tell them what is in use, not when the first request
 // comes.
-func (b *Broker) takeOwned(now time.Duration) {
+func (b *Broker) createOwnedManagers(now time.Duration) {
 	for i := range b.doc.Pools {
 		if p := b.doc.Pools[i].Name; b.owns(p) {
 			b.manager(now, p)
@@ -56,7 +56,7 @@
 			}
 			b.actions(now, p, b.managers[p].Configure(now, doc))
 		}
-		b.takeOwned(now)
+		b.createOwnedManagers(now)
 	})
 }
 
