--- a/daemon/broker/ask.go
+++ b/daemon/broker/ask.go
@@ -10,8 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Pair asks for the endpoints of a request and waits for them. When ctx ends
-// first the request is withdrawn.
+// Pair requests the endpoints for a request and waits for them. If ctx ends first,
+// the request is withdrawn.
 func (b *Broker) Pair(ctx context.Context, w sched.Want, patience time.Duration) (sched.Grant, *verdict.Error) {
 	answers := make(chan pairing.Answer, 1)
 	ask := func(now time.Duration) {
@@ -38,12 +38,12 @@
 	}
 }
 
-// Resume registers a request whose engine stream was begun by another process.
+// Resume registers a request whose engine stream was started by another process.
 func (b *Broker) Resume(w sched.Want, g sched.Grant) {
 	b.duty.Post(func(now time.Duration) { b.output(now, b.asker.Resume(now, w, g)) })
 }
 
-// Progress reports how a granted request fares.
+// Progress reports the progress of a granted request.
 func (b *Broker) Progress(p sched.Progress) {
 	b.duty.Post(func(now time.Duration) {
 		if p.Phase >= sched.PhaseDecoding {
@@ -53,8 +53,8 @@
 	})
 }
 
-// Bind waits for the endpoint of a provisional grant, no longer than the grant
-// allows. Without a binding in time it is the endpoint that the grant named.
+// Bind waits for the decode endpoint of a provisional grant, at most as long as the
+// grant allows. Without a binding in time, it returns the endpoint in the grant.
 func (b *Broker) Bind(ctx context.Context, g sched.Grant) id.Endpoint {
 	if !g.Provisional {
 		return g.Decode
--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -13,31 +13,32 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// ringSize bounds the events that wait for the duty.
+// ringSize bounds the events that are queued for the duty.
 const ringSize = 4096
 
-// Config is what a Broker works with.
+// Config configures a Broker.
 type Config struct {
 	Self id.Process
-	// Local keeps every pool on this daemon: for policies without an owner.
+	// Local makes this daemon the owner of every pool, for policies without an owner.
 	Local bool
-	// NewManager makes the manager of a pool that this daemon owns.
+	// NewManager creates the manager of a pool that this daemon owns.
 	NewManager func(p id.Pool) *pool.Manager
 	Sender     Sender
 	// Poison holds the evidence against requests that crash endpoints.
 	Poison *poison.Ledger
-	// Spread sends this daemon's own new evidence to all others, Relay passes on
-	// to a few what others told: it reaches those that the first sending missed.
+	// Spread sends this daemon's own new evidence to all other daemons. Relay forwards
+	// new evidence from others to a few daemons, to reach those that the first sending
+	// missed.
 	Spread func(s poison.State)
 	Relay  func(s poison.State)
-	// Epoch is the wall time at time zero.
+	// Epoch is the wall clock time at time zero of Now.
 	Epoch time.Time
-	// Behind, if set, is told how long work waits for the broker.
+	// Behind, if set, is called with the time for which work waited for the broker.
 	Behind  func(late time.Duration)
 	Metrics *metrics.Registry
 	// Now is the time since the daemon's start.
 	Now func() time.Duration
-	// Ready holds the duty back until it is closed.
+	// Ready delays the start of the duty until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -48,19 +49,20 @@
 	asker    *pairing.Asker
 	managers map[id.Pool]*pool.Manager
 	doc      *live.Document
-	// known are the pools of doc; no other gets a manager.
+	// configured holds the pools of doc; other pools get no manager.
 	configured map[id.Pool]bool
 	waiting    map[id.Request]chan<- pairing.Answer
-	// bindings hand each provisional grant its binding.
+	// bindings holds, by request, the channel that delivers the binding of a
+	// provisional grant.
 	bindings     map[id.Request]chan sched.Binding
 	lostMessages *metrics.Counter
 	unknownPools *metrics.Counter
-	// evidence waits to be told to other daemons, from spreadAt on.
+	// evidence is pending for other daemons and is sent at spreadAt or later.
 	evidence *evidence
 	spreadAt time.Duration
 }
 
-// New returns a Broker whose duty is running.
+// New returns a Broker and starts its duty.
 func New(cfg Config) *Broker {
 	b := &Broker{
 		cfg:          cfg,
@@ -77,10 +79,10 @@
 	return b
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (b *Broker) Close() { b.duty.Close() }
 
-// tick does what is due and returns when the next thing is.
+// tick performs the actions that are due and returns the time of the next one.
 func (b *Broker) tick(now time.Duration) time.Duration {
 	b.output(now, b.asker.Tick(now))
 	next := b.asker.Next()
@@ -94,11 +96,12 @@
 	return min(next, b.spread(now))
 }
 
-// spreadEvery gathers evidence, well below the time in which a verdict settles.
+// spreadInterval is the interval at which evidence is sent, in batches. It is well
+// below the time for which a verdict waits for reports from other daemons.
 const spreadInterval = 250 * time.Millisecond
 
-// spread sends evidence that is new since the last time, and returns when it
-// wants to be called again.
+// spread sends the evidence that is new since the last call, and returns the time of
+// the next call.
 func (b *Broker) spread(now time.Duration) time.Duration {
 	if !b.evidence.pending() {
 		return duty.Never
@@ -117,13 +120,13 @@
 	return duty.Never
 }
 
-// EvidenceChanged has new evidence spread. It doesn't wait.
+// EvidenceChanged wakes the duty to send new evidence. It does not block.
 func (b *Broker) EvidenceChanged() {
 	b.duty.PostLater(func(time.Duration) {})
 }
 
-// MergeEvidence takes evidence from another daemon, and passes what is new on to
-// a few. It returns whether any is.
+// MergeEvidence merges evidence from another daemon into the ledger and forwards new
+// evidence with Relay. It reports whether any was new.
 func (b *Broker) MergeEvidence(s poison.State) bool {
 	isNew := b.evidence.merge(b.cfg.Epoch.Add(b.cfg.Now()), s)
 	if isNew {
@@ -132,7 +135,7 @@
 	return isNew
 }
 
-// Receive takes an envelope from another daemon.
+// Receive handles an envelope from another daemon.
 func (b *Broker) Receive(from id.Daemon, e *Envelope) {
 	b.duty.Post(func(now time.Duration) { b.handle(now, from, e) })
 }
--- a/daemon/broker/broker_test.go
+++ b/daemon/broker/broker_test.go
@@ -14,7 +14,7 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// silentOwner takes every message and answers none.
+// silentOwner accepts every message, answers none and counts the Wants.
 type silentOwner struct{ wants int }
 
 // SendBroker implements Sender.
@@ -25,9 +25,9 @@
 	return nil
 }
 
-// TestADaemonWithoutPoolsWakesForItsOwnWants: nothing else happens in a daemon
-// that owns no pool, so its duty must wake when a Want is to be sent again.
-func TestADaemonWithoutPoolsWakesForItsOwnWants(t *testing.T) {
+// TestBrokerWithoutPoolsResendsWants guards against a broker that does not wake to
+// resend a Want: in a daemon that owns no pool, no other event wakes its duty.
+func TestBrokerWithoutPoolsResendsWants(t *testing.T) {
 	is := is.New(t)
 	owner := &silentOwner{}
 	b := New(Config{
@@ -40,7 +40,7 @@
 		Metrics:    metrics.New("a"),
 		Now:        func() time.Duration { return 0 },
 	})
-	b.Close() // from here on the test is the duty
+	b.Close() // from here on the test replaces the duty
 
 	const asked = time.Minute
 	b.output(asked, b.asker.Members(asked, []id.Daemon{"owner"}))
@@ -48,5 +48,5 @@
 	next := b.tick(asked)
 	is.Equal(next, asked+pairing.DefaultResend)
 	b.tick(next)
-	is.Equal(owner.wants, 2) // asked, and asked again when it woke
+	is.Equal(owner.wants, 2) // sent, and resent after the wake-up
 }
--- a/daemon/broker/deliver.go
+++ b/daemon/broker/deliver.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// output sends what the asker wants sent and delivers its answers.
+// output delivers the asker's answers and bindings, and sends its messages.
 func (b *Broker) output(now time.Duration, out pairing.Output) {
 	for _, a := range out.Answers {
 		b.answer(a)
@@ -33,7 +33,7 @@
 	ch <- a
 }
 
-// bound hands a binding to the request that waits, or will wait, for it.
+// deliverBinding passes a binding to the request that waits, or will wait, for it.
 func (b *Broker) deliverBinding(binding sched.Binding) {
 	ch, ok := b.bindings[binding.Request]
 	if !ok {
@@ -49,7 +49,8 @@
 	b.sendTo(now, m.To, &Envelope{Want: m.Want, Withdraw: m.Withdraw, Progress: m.Progress, Adopt: m.Adopt})
 }
 
-// sendTo handles what is for this daemon at once and sends the rest.
+// sendTo handles an envelope for this daemon directly and sends others to their
+// daemon.
 func (b *Broker) sendTo(now time.Duration, to id.Daemon, e *Envelope) {
 	if to == b.cfg.Self.Daemon {
 		b.handle(now, to, e)
@@ -60,7 +61,7 @@
 	}
 }
 
-// actions carries out what a manager decided.
+// actions sends the decisions of a pool's manager to the daemons concerned.
 func (b *Broker) actions(now time.Duration, p id.Pool, actions []sched.Action) {
 	for _, a := range actions {
 		e := &Envelope{Refusal: a.Refusal, Binding: a.Binding}
@@ -71,8 +72,8 @@
 	}
 }
 
-// handle takes an envelope from this or another daemon. One about a pool that
-// is not in the configuration here is dropped: its sender asks again.
+// handle processes an envelope from this or another daemon. An envelope about a pool
+// that is not configured here is dropped: its sender resends it.
 func (b *Broker) handle(now time.Duration, from id.Daemon, e *Envelope) {
 	if p, ok := e.pool(); ok && !b.configured[p] {
 		b.unknownPools.Inc()
--- a/daemon/broker/evidence.go
+++ b/daemon/broker/evidence.go
@@ -7,21 +7,22 @@
 	"github.com/samphirequay/samphirequay/core/poison"
 )
 
-// evidence gathers what other daemons are to be told of requests that crash
-// endpoints, this daemon's own apart from what it was told itself: if each
-// daemon passed on to all what it learns, one break would cost a message for
-// each pair of daemons.
+// evidence collects the evidence about requests that crash endpoints which is pending
+// for other daemons. It separates this daemon's own evidence from evidence that it
+// received: if each daemon forwarded received evidence to all, one crash would cost a
+// message for each pair of daemons.
 type evidence struct {
 	ledger *poison.Ledger
 
 	mu sync.Mutex
-	// told is the number of the ledger's last change that was gathered.
+	// gathered is the number of the ledger's last change that was collected.
 	gathered uint64
 	own      poison.State
 	learnt   poison.State
 }
 
-// merge takes evidence from another daemon. It returns whether any is new.
+// merge merges evidence from another daemon into the ledger. It reports whether any
+// was new.
 func (e *evidence) merge(wall time.Time, s poison.State) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -33,16 +34,16 @@
 	return isNew
 }
 
-// gatherOwn takes what has changed in the ledger since the last look: all that
-// was learnt has been taken at once, so the rest is this daemon's own. The lock
-// is held.
+// gatherOwn collects the changes of the ledger since the last call. Received evidence
+// is collected when it is merged, so all other changes are this daemon's own. The lock
+// must be held.
 func (e *evidence) gatherOwn() {
 	delta, number := e.ledger.Delta(e.gathered)
 	e.gathered = number
 	appendState(&e.own, delta)
 }
 
-// waits says whether there is anything to tell.
+// pending reports whether there is evidence to send.
 func (e *evidence) pending() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +51,7 @@
 	return !empty(e.own) || !empty(e.learnt)
 }
 
-// take returns what is to be told, and begins anew.
+// take returns the pending evidence and clears it.
 func (e *evidence) take() (own, learnt poison.State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/broker/evidence_test.go
+++ b/daemon/broker/evidence_test.go
@@ -12,8 +12,9 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// TestOnlyOwnEvidenceIsSentToAll: in a storm of breaks a fleet of 79 that passed
-// on to all what it learnt filled the links of its small hosts.
+// TestOnlyOwnEvidenceIsSentToAll guards against forwarding received evidence to all
+// daemons: after many crashes that saturated the links of the small hosts in a fleet
+// of 79 daemons.
 func TestOnlyOwnEvidenceIsSentToAll(t *testing.T) {
 	is := is.New(t)
 	var spread, relayed []poison.State
@@ -29,7 +30,7 @@
 		Metrics:    metrics.New("a"),
 		Now:        func() time.Duration { return 0 },
 	})
-	b.Close() // from here on the test is the duty
+	b.Close() // from here on the test replaces the duty
 	wall := time.Unix(1e9, 0)
 	suspects := []poison.Suspect{{Fingerprint: poison.Fingerprint{1}}}
 
@@ -43,7 +44,7 @@
 	is.Equal(len(relayed), 1)
 	is.Equal(relayed[0].Crashes[0].ID.Endpoint, id.Endpoint("told"))
 
-	is.True(!b.evidence.merge(wall, told)) // what is known is not passed on
+	is.True(!b.evidence.merge(wall, told)) // known evidence is not forwarded
 	b.tick(2 * time.Minute)
 	is.Equal(len(spread)+len(relayed), 2)
 }
--- a/daemon/broker/fuzz_test.go
+++ b/daemon/broker/fuzz_test.go
@@ -17,7 +17,7 @@
 
 var fuzzSelf = id.Process{Daemon: "d1", Incarnation: 1}
 
-// fuzzSender counts what goes out.
+// fuzzSender counts the envelopes that are sent.
 type fuzzSender struct{ sent int }
 
 // SendBroker implements Sender.
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// fuzzBroker is a Broker that owns a pool with an engine of each role; none of
-// its invariants may break.
+// fuzzBroker returns a Broker that owns a pool with one engine of each role. A violated
+// invariant fails the test.
 func fuzzBroker(t *testing.T) *Broker {
 	ledger := poison.New(poison.Config{})
 	b := New(Config{
@@ -59,8 +59,8 @@
 	return b
 }
 
-// FuzzEnvelope: whatever envelopes a peer sends, in whatever order, the broker
-// goes on, and its pools' invariants hold.
+// FuzzEnvelope checks that the broker keeps running and its pools' invariants hold for
+// any envelopes from a peer in any order.
 func FuzzEnvelope(f *testing.F) {
 	want := sched.Want{
 		Request: "r", Team: "t", Service: "s", Pool: "p", From: fuzzSelf, PromptTokens: 10, OutputTokens: 5,
--- a/daemon/broker/messages.go
+++ b/daemon/broker/messages.go
@@ -1,7 +1,7 @@
-// Package broker is the duty that pairs requests with endpoints. One goroutine
-// drives two deterministic parts: the asker of this daemon's own requests
-// (core/pairing) and the managers of the pools that this daemon owns
-// (core/pool). Everything reaches it through one bounded ring.
+// Package broker pairs requests with endpoints. One goroutine, a duty, drives two
+// deterministic parts: the asker for this daemon's own requests (core/pairing) and the
+// managers of the pools that this daemon owns (core/pool). All events reach it through
+// one bounded ring.
 package broker
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// Envelope is what brokers send one another. One field is set.
+// Envelope is a message between brokers. Exactly one field is set.
 type Envelope struct {
 	Want     *sched.Want           `cbor:"1,keyasint,omitempty"`
 	Withdraw *pairing.Withdrawal   `cbor:"2,keyasint,omitempty"`
@@ -22,7 +22,8 @@
 	Binding  *sched.Binding        `cbor:"8,keyasint,omitempty"`
 }
 
-// pool is the pool that an envelope asks its receiver to schedule for.
+// pool returns the pool for which the receiver must schedule; false for an envelope
+// that answers the receiver.
 func (e *Envelope) pool() (id.Pool, bool) {
 	switch {
 	case e.Want != nil:
@@ -40,21 +41,21 @@
 	}
 }
 
-// Drain keeps new work off an endpoint of a pool, or lets it in again.
+// Drain stops new work for an endpoint of a pool, or allows it again.
 type Drain struct {
 	Pool     id.Pool     `cbor:"1,keyasint"`
 	Endpoint id.Endpoint `cbor:"2,keyasint"`
 	On       bool        `cbor:"3,keyasint"`
 }
 
-// PoolGrant is a Grant with the pool it belongs to.
+// PoolGrant is a Grant with its pool.
 type PoolGrant struct {
 	Pool  id.Pool     `cbor:"1,keyasint"`
 	Grant sched.Grant `cbor:"2,keyasint"`
 }
 
-// Sender sends an envelope to another daemon without blocking. An error means
-// that it will not arrive; the asker's resending makes up for it.
+// Sender sends an envelope to another daemon without blocking. An error means that
+// it will not arrive; the asker resends its messages.
 type Sender interface {
 	SendBroker(to id.Daemon, e *Envelope) error
 }
--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -10,8 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// SetMembers takes the live daemons, this one among them. A manager whose pool
-// moved away is dropped: the askers tell the new owner of all that is in use.
+// SetMembers sets the live daemons, including this one. The manager of a pool that has
+// another owner now is dropped: the askers report to the new owner what is in use.
 func (b *Broker) SetMembers(members []id.Daemon) {
 	b.duty.Post(func(now time.Duration) {
 		b.output(now, b.asker.Members(now, members))
@@ -24,9 +24,9 @@
 	})
 }
 
-// takeOwned makes the managers of the pools that this daemon owns: they settle
-// while the other daemons tell them what is in use, not when the first request
-// comes.
+// createOwnedManagers creates the managers of the pools that this daemon owns. Created
+// in advance, a manager learns from the other daemons what is in use before the first
+// request, instead of delaying that request.
 func (b *Broker) createOwnedManagers(now time.Duration) {
 	for i := range b.doc.Pools {
 		if p := b.doc.Pools[i].Name; b.owns(p) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// ProcessGone releases what a dead process held in this daemon's pools.
+// ProcessGone releases the grants of a dead process in this daemon's pools.
 func (b *Broker) ProcessGone(p id.Process) {
 	b.duty.Post(func(now time.Duration) {
 		for _, name := range b.sortedPools() {
@@ -44,7 +44,7 @@
 	})
 }
 
-// SetDocument takes a new configuration.
+// SetDocument applies a new configuration.
 func (b *Broker) SetDocument(doc *live.Document) {
 	b.duty.Post(func(now time.Duration) {
 		b.doc = doc
@@ -60,14 +60,14 @@
 	})
 }
 
-// Drain tells a pool's owner to keep new work off an endpoint, or let it in.
+// Drain makes a pool's owner stop new work for an endpoint, or allow it again.
 func (b *Broker) Drain(p id.Pool, e id.Endpoint, on bool) {
 	b.duty.Post(func(now time.Duration) {
 		b.sendTo(now, b.asker.Owner(p), &Envelope{Drain: &Drain{Pool: p, Endpoint: e, On: on}})
 	})
 }
 
-// Load takes an endpoint's report for one of its pools.
+// Load applies an endpoint's load report for one of its pools.
 func (b *Broker) Load(p id.Pool, l sched.Load) {
 	b.duty.Post(func(now time.Duration) {
 		if b.schedules(p) {
@@ -76,7 +76,7 @@
 	})
 }
 
-// Holding takes the requests that an endpoint holds, by its own list.
+// Holding applies an endpoint's report of the requests that it holds.
 func (b *Broker) Holding(p id.Pool, e id.Endpoint, held map[id.Request]bool) {
 	b.duty.Post(func(now time.Duration) {
 		if b.schedules(p) {
@@ -85,7 +85,7 @@
 	})
 }
 
-// Cache takes an endpoint's cache events for one of its pools.
+// Cache applies an endpoint's cache events for one of its pools.
 func (b *Broker) Cache(p id.Pool, e id.Endpoint, events []sched.CacheEvent, gap bool) {
 	b.duty.Post(func(now time.Duration) {
 		if b.schedules(p) {
@@ -94,11 +94,11 @@
 	})
 }
 
-// schedules is true for the owner of a pool, and for a daemon that others take
-// for it and so send their Wants.
+// schedules reports whether this daemon schedules a pool: it is the owner, or other
+// daemons consider it the owner and send it their Wants.
 func (b *Broker) schedules(p id.Pool) bool { return b.owns(p) || b.managers[p] != nil }
 
-// Scheduled lists those of the pools that this daemon schedules.
+// Scheduled returns those of the pools that this daemon schedules.
 func (b *Broker) Scheduled(pools []id.Pool) []id.Pool {
 	var out []id.Pool
 	b.duty.Query(func(time.Duration) {
@@ -113,8 +113,8 @@
 
 func (b *Broker) owns(p id.Pool) bool { return b.asker.Owner(p) == b.cfg.Self.Daemon }
 
-// Owners returns the daemon that schedules each of the pools, as this daemon
-// sees it.
+// Owners returns the owner of each of the pools, by this daemon's view of the
+// membership.
 func (b *Broker) Owners(pools []id.Pool) []id.Daemon {
 	owners := make([]id.Daemon, len(pools))
 	b.duty.Query(func(time.Duration) {
@@ -125,8 +125,8 @@
 	return owners
 }
 
-// Demand is what the roles of a pool have to do; ok is false for a pool that
-// this daemon does not own, or whose scheduler does not tell.
+// Demand returns the demand for the roles of a pool; ok is false for a pool that this
+// daemon does not own, or whose scheduler does not report it.
 func (b *Broker) Demand(p id.Pool) (d sched.Demand, ok bool) {
 	b.duty.Query(func(now time.Duration) {
 		if m := b.managers[p]; m != nil && b.owns(p) {
@@ -136,7 +136,7 @@
 	return d, ok
 }
 
-// Pools reads the state of the pools that this daemon owns.
+// Pools returns the status of the pools that this daemon schedules.
 func (b *Broker) Pools() []pool.Status {
 	var out []pool.Status
 	b.duty.Query(func(now time.Duration) {
@@ -156,8 +156,8 @@
 	return pools
 }
 
-// manager returns the manager of a pool, making it on the first message: the
-// sender takes this daemon for the owner.
+// manager returns the manager of a pool. It creates it on the first message, whose
+// sender considers this daemon the owner.
 func (b *Broker) manager(now time.Duration, p id.Pool) *pool.Manager {
 	m, ok := b.managers[p]
 	if ok {
