--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -189,8 +189,8 @@
 // table. Messages of peers are dropped until all are assembled.
 func (d *Daemon) join(self id.Process, material *keys.Store) error {
 	f := &fleet{self: self}
-	wired := make(chan struct{})
-	transport, err := peer.Listen(d.peerConfig(f, material, wired))
+	ready := make(chan struct{})
+	transport, err := peer.Listen(d.peerConfig(f, material, ready))
 	if err != nil {
 		return eris.Wrapf(err, "listen.peers %s", d.set.Listen.Peers)
 	}
@@ -211,9 +211,9 @@
 		Behind:     d.logDelay("broker"),
 		Metrics:    d.metrics,
 		Now:        d.now,
-		Ready:      wired,
+		Ready:      ready,
 	})
-	f.quotas = d.newQuotas(f, wired)
+	f.quotas = d.newQuotas(f, ready)
 	f.members = members.Start(members.Config{
 		Core: memberConfig(),
 		Self: member.Entry{
@@ -238,12 +238,12 @@
 		Now:    d.now,
 		Rand:   d.newRand(),
 		Behind: d.logDelay("members"),
-		Ready:  wired,
+		Ready:  ready,
 	})
-	f.orderer = startOrderer(d, f, work, wired)
+	f.orderer = startOrderer(d, f, work, ready)
 	f.hosts = feed.Start(d.hostsConfig(f))
 	d.fleet.Store(f)
-	close(wired)
+	close(ready)
 	go d.updateReading(f)
 	go d.syncStoreClock()
 	go d.logUsage(f)
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -24,7 +24,7 @@
 }
 
 // newQuotas starts the component that enforces the teams' limits.
-func (d *Daemon) newQuotas(f *fleet, wired <-chan struct{}) *quotas.Quotas {
+func (d *Daemon) newQuotas(f *fleet, ready <-chan struct{}) *quotas.Quotas {
 	return quotas.New(quotas.Config{
 		Self:  f.self.Daemon,
 		Send:  f.links().SendQuota,
@@ -38,7 +38,7 @@
 		Log:     d.logger.Event,
 		Metrics: d.metrics,
 		Now:     d.now,
-		Ready:   wired,
+		Ready:   ready,
 	})
 }
 
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -107,12 +107,12 @@
 	return cfg
 }
 
-func (d *Daemon) peerConfig(f *fleet, material *keys.Store, wired <-chan struct{}) peer.Config {
+func (d *Daemon) peerConfig(f *fleet, material *keys.Store, ready <-chan struct{}) peer.Config {
 	return peer.Config{
 		Self:        f.self,
 		Listen:      d.set.Listen.Peers,
 		Keys:        material,
-		Handler:     &peerHandler{Handler: link.Handler{Receiver: receiver{d, f}, Wired: wired}, d: d},
+		Handler:     &peerHandler{Handler: link.Handler{Receiver: receiver{d, f}, Wired: ready}, d: d},
 		KindName:    link.KindName(kindNames),
 		Registry:    d.metrics,
 		Address:     func(name id.Daemon) string { return f.members.Address(name) },
