--- a/daemon/gateway/catchup.go
+++ b/daemon/gateway/catchup.go
@@ -77,25 +77,25 @@
 // running yet. Of several daemons with the same revision the last one is queried: all
 // daemons learn of a change at about the same time, and should not query the same
 // daemon.
-func (p *catchUpTarget) observe(from id.Daemon, revision uint64) (begin bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if revision >= p.revision {
-		p.from, p.revision = from, revision
+func (c *catchUpTarget) observe(from id.Daemon, revision uint64) (begin bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if revision >= c.revision {
+		c.from, c.revision = from, revision
 	}
-	begin = !p.running
-	p.running = true
+	begin = !c.running
+	c.running = true
 	return begin
 }
 
 // next returns the daemon to query and the revision to reach. more is false, and the
 // catch-up ends, if the daemon has that revision or has made maxCatchUpAttempts
 // attempts; the next change starts another catch-up.
-func (p *catchUpTarget) next(own uint64, tries int) (from id.Daemon, revision uint64, more bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.running = own < p.revision && tries < maxCatchUpAttempts
-	return p.from, p.revision, p.running
+func (c *catchUpTarget) next(own uint64, tries int) (from id.Daemon, revision uint64, more bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.running = own < c.revision && tries < maxCatchUpAttempts
+	return c.from, c.revision, c.running
 }
 
 // catchUp brings the store's tables up to the newest revision known to other
--- a/daemon/gateway/probe.go
+++ b/daemon/gateway/probe.go
@@ -20,23 +20,23 @@
 }
 
 // begin adds an endpoint. It returns false if a check of it is in progress already.
-func (p *activeChecks) begin(e id.Endpoint) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.active[e] {
+func (a *activeChecks) begin(e id.Endpoint) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.active[e] {
 		return false
 	}
-	if p.active == nil {
-		p.active = map[id.Endpoint]bool{}
+	if a.active == nil {
+		a.active = map[id.Endpoint]bool{}
 	}
-	p.active[e] = true
+	a.active[e] = true
 	return true
 }
 
-func (p *activeChecks) end(e id.Endpoint) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.active, e)
+func (a *activeChecks) end(e id.Endpoint) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.active, e)
 }
 
 // probe checks an unreachable engine in the background until it answers as the
