--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -8,28 +8,28 @@
 	"github.com/samphirequay/samphirequay/core/lease"
 )
 
-// passage says whether an order may go out right now. Engines that check
-// fencing numbers are treated as those that don't: orders of two holders must
-// be apart towards all.
-func (o *orderer) passage(now time.Duration, endpoint id.Endpoint) lease.Passage {
+// gateState returns whether an order may be sent now. Engines that check fencing
+// numbers are treated like those that do not: the orders of two holders must be
+// separated in time for all engines.
+func (o *orderer) gateState(now time.Duration, endpoint id.Endpoint) lease.Passage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lease == nil || o.lease.Fence() <= o.fenced {
+	if o.lease == nil || o.lease.Fence() <= o.rejectedFence {
 		return lease.Closed
 	}
 	return o.gate.Allow(now, endpoint, false)
 }
 
-// orderNow reads the engine's state and gives the order, in a worker.
-func (o *orderer) orderNow(endpoint id.Endpoint, c *change) {
+// runOrder reads the engine's state and sends the order. It runs in a worker.
+func (o *orderer) runOrder(endpoint id.Endpoint, c *change) {
 	result, fence := o.order(endpoint, c)
-	o.duty.Post(func(now time.Duration) { o.ordered(now, endpoint, c, result, fence) })
+	o.duty.Post(func(now time.Duration) { o.handleOrderResult(now, endpoint, c, result, fence) })
 }
 
 func (o *orderer) order(endpoint id.Endpoint, c *change) (OrderResult, uint64) {
 	ctx, cancel := context.WithTimeout(o.duty.Context(), orderTimeout)
 	defer cancel()
-	e, known := o.d.knowledge.current().Endpoints[endpoint]
+	e, known := o.d.tables.current().Endpoints[endpoint]
 	if !known {
 		return OrderRefused, 0
 	}
@@ -52,7 +52,8 @@
 	return result, fence
 }
 
-// openGate is the last look, with the time read right then, before an order.
+// openGate checks the gate immediately before an order, at the current time, and
+// returns the fencing number for the order.
 func (o *orderer) openGate(endpoint id.Endpoint) (uint64, bool) {
 	now := o.d.now()
 	o.mu.Lock()
@@ -62,22 +63,22 @@
 	}
 	o.gate.Repaired(now, endpoint)
 	fence := o.gate.Fence()
-	return fence, fence > o.fenced && o.gate.Allow(now, endpoint, false) == lease.Open
+	return fence, fence > o.rejectedFence && o.gate.Allow(now, endpoint, false) == lease.Open
 }
 
-// ordered takes what came of an order.
-func (o *orderer) ordered(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
+// handleOrderResult processes the result of an order.
+func (o *orderer) handleOrderResult(now time.Duration, endpoint id.Endpoint, c *change, result OrderResult, fence uint64) {
 	o.results.Add(result.String(), 1)
-	c.asking = false
-	c.again = now + orderAgain
-	o.quietFrom = now + o.longestOrder()
+	c.pending = false
+	c.retryAt = now + orderRetryDelay
+	o.releaseSafeAt = now + o.longestOrder()
 	switch result {
 	case OrderTaken:
 		c.ordered = true
 		c.orderedAt = now
 	case OrderFenced:
 		o.mu.Lock()
-		o.fenced = max(o.fenced, fence)
+		o.rejectedFence = max(o.rejectedFence, fence)
 		if o.lease != nil {
 			o.lease.Halt(now)
 		}
--- a/daemon/gateway/probe.go
+++ b/daemon/gateway/probe.go
@@ -8,38 +8,40 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// probeEvery is the pause between two looks at an engine that could not be
+// probeInterval is the pause between two probes of an engine that could not be
 // reached.
-const probeEvery = 400 * time.Millisecond
+const probeInterval = 400 * time.Millisecond
 
-// probes are the engines that are being looked at.
-type probes struct {
+// activeChecks is the set of endpoints with a check in progress. It is safe for
+// concurrent use.
+type activeChecks struct {
 	mu     sync.Mutex
 	active map[id.Endpoint]bool
 }
 
-// begin says whether the engine is not being looked at yet.
-func (p *probes) begin(e id.Endpoint) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.active[e] {
+// begin adds an endpoint. It returns false if a check of it is in progress already.
+func (a *activeChecks) begin(e id.Endpoint) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.active[e] {
 		return false
 	}
-	if p.active == nil {
-		p.active = map[id.Endpoint]bool{}
+	if a.active == nil {
+		a.active = map[id.Endpoint]bool{}
 	}
-	p.active[e] = true
+	a.active[e] = true
 	return true
 }
 
-func (p *probes) end(e id.Endpoint) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.active, e)
+func (a *activeChecks) end(e id.Endpoint) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.active, e)
 }
 
-// probe looks at an engine that could not be reached until it answers as the
-// one that is registered, or is no longer registered. It does not block: the pool's owner asks within its duty.
+// probe checks an unreachable engine in the background until it answers as the
+// registered process, or is no longer registered. It does not block, since the pool's
+// manager calls it within the broker's duty.
 func (d *Daemon) probe(f *fleet, p id.Pool, e id.Endpoint) {
 	if !d.probes.begin(e) {
 		return
@@ -47,15 +49,15 @@
 	go func() {
 		defer d.probes.end(e)
 		for d.ctx.Err() == nil {
-			endpoint, known := d.knowledge.current().Endpoints[e]
+			endpoint, known := d.tables.current().Endpoints[e]
 			if !known {
 				return
 			}
-			if d.inspectNow(endpoint) == asListed {
+			if d.inspectSync(endpoint) == identityMatches {
 				f.broker.Load(p, sched.Load{Endpoint: e, Reachable: true})
 				return
 			}
-			if !d.sleep(probeEvery) {
+			if !d.sleep(probeInterval) {
 				return
 			}
 		}
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -7,18 +7,18 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// Halt stops trusting the lease at once.
+// Halt makes the daemon stop trusting the lease immediately.
 func (o *orderer) Halt() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.lease != nil {
-		// What it says of a lost lease is told by the next order's look.
+		// The returned actions are ignored: the next order checks the lease itself.
 		o.lease.Halt(o.d.now())
 	}
 }
 
-// leaseConfig keeps the orders of two holders apart: the time for which a
-// holder trusts its lease ends a whole lease time before another may take it.
+// leaseConfig separates the orders of two holders: a holder stops trusting its lease
+// Bounds.LeaseMS and two order timeouts before another daemon may take it.
 func (o *orderer) leaseConfig() lease.Config {
 	apart := Milliseconds(o.d.set.Bounds.LeaseMS)
 	trust := apart
@@ -31,16 +31,17 @@
 	return cfg
 }
 
-// longestOrder is how long behind an order another holder must not give one.
+// longestOrder returns the time after an order during which another holder must not
+// send one.
 func (o *orderer) longestOrder() time.Duration {
 	return Milliseconds(o.d.set.Bounds.LeaseMS) + orderTimeout
 }
 
-// quiet says whether another holder might give an order at once.
-func (o *orderer) quiet(now time.Duration) bool { return now >= o.quietFrom }
+// releaseSafe reports whether another holder may send orders at once.
+func (o *orderer) releaseSafe(now time.Duration) bool { return now >= o.releaseSafeAt }
 
-// leaseWhileNeeded contends for the lease while there are orders to give, and
-// gives it up a while after.
+// leaseWhileNeeded contends for the lease while there are orders to send, and releases
+// it leaseIdleTimeout after the last one.
 func (o *orderer) leaseWhileNeeded(now time.Duration) {
 	needed := false
 	for _, p := range o.pools {
@@ -54,10 +55,10 @@
 	switch {
 	case needed && o.lease == nil:
 		o.mu.Lock()
-		o.lease = lease.New(o.leaseConfig(), dutyRoles, o.f.self, now, o.d.newRand())
+		o.lease = lease.New(o.leaseConfig(), leaseRoles, o.f.self, now, o.d.newRand())
 		o.gate = lease.NewOrderGate(lease.GateConfig{LongestOrder: o.longestOrder(), LapseCovers: true}, o.lease)
 		o.mu.Unlock()
-	case !needed && o.lease != nil && now-o.idleSince >= leaseIdle && o.quiet(now):
+	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.releaseSafe(now):
 		o.releaseLease(now)
 	}
 }
@@ -67,7 +68,7 @@
 		return
 	}
 	o.mu.Lock()
-	actions := o.lease.Release(now, o.quiet(now))
+	actions := o.lease.Release(now, o.releaseSafe(now))
 	o.mu.Unlock()
 	o.perform(now, actions)
 }
@@ -88,17 +89,18 @@
 	}
 }
 
-// perform carries out what the lease wants done.
+// perform carries out the actions that the lease returned.
 func (o *orderer) perform(now time.Duration, actions []lease.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Request != nil:
-			o.ask(*a.Request)
+			o.runRequest(*a.Request)
 		case a.Acquired != nil:
 			o.mu.Lock()
-			// Nobody held it between: no order but this process's own is on its way.
-			a.Acquired.Own = o.heldLast != 0 && a.Acquired.Fence == o.heldLast+1
-			o.heldLast = a.Acquired.Fence
+			// Consecutive fencing numbers: no other process held the lease in
+			// between, so only orders of this process can be in flight.
+			a.Acquired.Own = o.lastFence != 0 && a.Acquired.Fence == o.lastFence+1
+			o.lastFence = a.Acquired.Fence
 			o.gate.Acquired(now, *a.Acquired)
 			o.mu.Unlock()
 			o.fence.Set(float64(a.Acquired.Fence))
@@ -110,11 +112,11 @@
 	}
 }
 
-func (o *orderer) ask(q table.Request) {
-	asked := o.lease
+func (o *orderer) runRequest(q table.Request) {
+	requester := o.lease
 	o.store.Do(o.duty.Context(), q, func(reply table.Reply) {
 		o.duty.Post(func(now time.Duration) {
-			if o.lease != asked {
+			if o.lease != requester {
 				return
 			}
 			o.mu.Lock()
