--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -45,7 +45,7 @@
 	cycle   cycle
 	// standing is the cycle in which the standing filters are asked.
 	standing cycle
-	row      row
+	row      pipeline
 	pool     poolEstimate
 	// awaited counts the granted requests that have yet to give a first token.
 	awaited int
--- a/core/sched/row.go
+++ b/core/sched/row.go
@@ -3,7 +3,7 @@
 import "github.com/samphirequay/samphirequay/core/live"
 
 // row is the fixed row of plugins that a decision goes through.
-type row struct {
+type pipeline struct {
 	// standing filters depend on the endpoint alone; they decide what is indexed.
 	standing map[live.Role][]endpointFilter
 	// perRequest filters are asked for each request.
@@ -14,8 +14,8 @@
 }
 
 // newRow returns the row of the ledger.
-func newRow() row {
-	return row{
+func newRow() pipeline {
+	return pipeline{
 		standing: map[live.Role][]endpointFilter{
 			live.RolePrefill: standingFilters(live.RolePrefill),
 			live.RoleDecode:  standingFilters(live.RoleDecode),
