--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -45,7 +45,7 @@
 	cycle   cycle
 	// standing is the cycle in which the standing filters are asked.
 	standing cycle
-	row      pipeline
+	pipeline pipeline
 	pool     poolEstimate
 	// awaited counts the granted requests that have yet to give a first token.
 	awaited int
@@ -96,7 +96,7 @@
 		ended:     ended,
 		fleet:     newFleet(),
 		caches:    newCacheIndex(),
-		row:       newRow(),
+		pipeline:  newRow(),
 		pool:      newPoolEstimate(),
 		serial:    o.FirstReservation,
 	}
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -120,7 +120,7 @@
 	}
 	l.findPairs(c)
 	l.scratch.memo = c.memo[:0]
-	best := l.row.picker.pick(c, l.scratch.pairs)
+	best := l.pipeline.picker.pick(c, l.scratch.pairs)
 	if best < 0 {
 		return nil, c.blocked
 	}
@@ -158,7 +158,7 @@
 			c.blocked = slotFilter{}.name()
 			return false, false
 		}
-		if !keepAll(l.row.perRequest, c, e) {
+		if !keepAll(l.pipeline.perRequest, c, e) {
 			return false, true
 		}
 		found = append(found, e)
@@ -181,7 +181,7 @@
 			c.blocked = "prefill"
 			return false, false
 		}
-		if e.overdue(l.now) || !keepAll(l.row.perRequest, c, e) {
+		if e.overdue(l.now) || !keepAll(l.pipeline.perRequest, c, e) {
 			return false, true
 		}
 		found = append(found, l.prefillChoice(e, w))
@@ -201,7 +201,7 @@
 			continue
 		}
 		choice := l.prefillChoice(e, w)
-		if choice.start-l.now > l.worthWaiting(&choice) || !keepAll(l.row.perRequest, c, e) {
+		if choice.start-l.now > l.worthWaiting(&choice) || !keepAll(l.pipeline.perRequest, c, e) {
 			continue
 		}
 		found = append(found, choice)
@@ -241,7 +241,7 @@
 				pairs = pairs[:len(pairs)-1]
 				continue
 			}
-			for _, s := range l.row.scorers {
+			for _, s := range l.pipeline.scorers {
 				candidate.score += s.score(c, candidate)
 			}
 			candidate.tie = l.random.Uint64()
@@ -252,7 +252,7 @@
 
 // keepPair applies the row of pair filters.
 func (l *Ledger) keepPair(c *cycle, p *pair) bool {
-	for _, f := range l.row.pairs {
+	for _, f := range l.pipeline.pairs {
 		if !f.keepPair(c, p) {
 			c.blocked = f.name()
 			return false
--- a/core/sched/rebind.go
+++ b/core/sched/rebind.go
@@ -70,7 +70,7 @@
 		if e.free(l.now) <= 0 {
 			return false, false
 		}
-		if e == r.decode || !keepAll(l.row.perRequest, c, e) {
+		if e == r.decode || !keepAll(l.pipeline.perRequest, c, e) {
 			return false, true
 		}
 		if end := l.importEndAt(r, e); end < soonest {
