--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -96,7 +96,7 @@
 		ended:     ended,
 		fleet:     newFleet(),
 		caches:    newCacheIndex(),
-		pipeline:  newRow(),
+		pipeline:  newPipeline(),
 		pool:      newPoolEstimate(),
 		serial:    o.FirstReservation,
 	}
--- a/core/sched/row.go
+++ b/core/sched/row.go
@@ -14,7 +14,7 @@
 }
 
 // newRow returns the row of the ledger.
-func newRow() pipeline {
+func newPipeline() pipeline {
 	return pipeline{
 		standing: map[live.Role][]endpointFilter{
 			live.RolePrefill: standingFilters(live.RolePrefill),
