--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -206,7 +206,7 @@
 	l.promoted = append(l.promoted, e.promoted...)
 	e.promoted = e.promoted[:0]
 	l.standing.model = l.model
-	filters := l.pipeline.standing[e.role()]
+	filters := l.pipeline.static[e.role()]
 	if filters == nil || !keepAll(filters, &l.standing, e) {
 		return
 	}
--- a/core/sched/row.go
+++ b/core/sched/row.go
@@ -5,7 +5,7 @@
 // row is the fixed row of plugins that a decision goes through.
 type pipeline struct {
 	// standing filters depend on the endpoint alone; they decide what is indexed.
-	standing map[live.Role][]endpointFilter
+	static map[live.Role][]endpointFilter
 	// perRequest filters are asked for each request.
 	perRequest []endpointFilter
 	pairs      []pairFilter
@@ -16,7 +16,7 @@
 // newRow returns the row of the ledger.
 func newPipeline() pipeline {
 	return pipeline{
-		standing: map[live.Role][]endpointFilter{
+		static: map[live.Role][]endpointFilter{
 			live.RolePrefill: standingFilters(live.RolePrefill),
 			live.RoleDecode:  standingFilters(live.RoleDecode),
 			live.RolePlain:   standingFilters(live.RolePlain),
