--- a/core/sched/optimistic.go
+++ b/core/sched/optimistic.go
@@ -170,7 +170,7 @@
 func optimisticFilters() map[live.Role][]endpointFilter {
 	filters := map[live.Role][]endpointFilter{}
 	for _, role := range []live.Role{live.RolePrefill, live.RoleDecode, live.RolePlain} {
-		filters[role] = append(standingFilters(role), healthFilter{}, avoidFilter{})
+		filters[role] = append(staticFilters(role), healthFilter{}, avoidFilter{})
 	}
 	return filters
 }
--- a/core/sched/row.go
+++ b/core/sched/row.go
@@ -17,9 +17,9 @@
 func newPipeline() pipeline {
 	return pipeline{
 		static: map[live.Role][]endpointFilter{
-			live.RolePrefill: standingFilters(live.RolePrefill),
-			live.RoleDecode:  standingFilters(live.RoleDecode),
-			live.RolePlain:   standingFilters(live.RolePlain),
+			live.RolePrefill: staticFilters(live.RolePrefill),
+			live.RoleDecode:  staticFilters(live.RoleDecode),
+			live.RolePlain:   staticFilters(live.RolePlain),
 		},
 		perRequest: []endpointFilter{
 			healthFilter{},
@@ -34,6 +34,6 @@
 }
 
 // standingFilters are the filters that every endpoint of a role must pass.
-func standingFilters(role live.Role) []endpointFilter {
+func staticFilters(role live.Role) []endpointFilter {
 	return []endpointFilter{roleFilter{role: role}, modelFilter{}, leavingFilter{}}
 }
