--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -205,9 +205,9 @@
 func (l *Ledger) touch(e *endpoint) {
 	l.promoted = append(l.promoted, e.promoted...)
 	e.promoted = e.promoted[:0]
-	l.standing.model = l.model
+	l.staticCycle.model = l.model
 	filters := l.pipeline.static[e.role()]
-	if filters == nil || !keepAll(filters, &l.standing, e) {
+	if filters == nil || !keepAll(filters, &l.staticCycle, e) {
 		return
 	}
 	l.fleet.putIn(e, l.now, l.random.Uint64())
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -44,9 +44,9 @@
 	scratch candidates
 	cycle   cycle
 	// standing is the cycle in which the standing filters are asked.
-	standing cycle
-	pipeline pipeline
-	pool     poolEstimate
+	staticCycle cycle
+	pipeline    pipeline
+	pool        poolEstimate
 	// awaited counts the granted requests that have yet to give a first token.
 	awaited int
 	// relaxed is when estimates were last looked at for their age.
