--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -35,7 +35,7 @@
 	}
 	estimate := l.pool.cost(s, &w, cached)
 	first := l.pool.firstToken(s, estimate)
-	if l.queue.queued == 0 && l.tries(s, w.Age+least) {
+	if l.queue.queued == 0 && l.mayProbe(s, w.Age+least) {
 		first = min(first, least)
 	}
 	wait := l.predictWait(s, t, clampPriority(w.Priority), first)
--- a/core/sched/trial.go
+++ b/core/sched/trial.go
@@ -10,7 +10,7 @@
 //
 // Without it, a few seconds in which engines are slow leave means by which every
 // prompt is refused, and no sample comes that would correct them.
-func (l *Ledger) tries(s *service, atBest time.Duration) bool {
+func (l *Ledger) mayProbe(s *service, atBest time.Duration) bool {
 	return !s.plain && l.awaited == 0 && atBest <= s.patience
 }
 
