--- a/core/sched/filter_deadline.go
+++ b/core/sched/filter_deadline.go
@@ -18,7 +18,7 @@
 	if p.prefill.endpoint != nil {
 		first += seconds(p.decode.tokenTime.mean)
 	}
-	return first-c.now+c.waited <= c.service.patience || c.untaught && p.atOnce(c.now)
+	return first-c.now+c.waited <= c.service.patience || c.probe && p.atOnce(c.now)
 }
 
 // atOnce says whether both endpoints are free for the request now.
--- a/core/sched/plugin.go
+++ b/core/sched/plugin.go
@@ -77,7 +77,7 @@
 	meanQueue time.Duration
 	kvBytes   float64
 	// untaught is set while the request may run against the estimates.
-	untaught bool
+	probe bool
 	// memo keeps the link predictions of this decision.
 	memo []linkMemo
 	// blocked names the filter that left out the last pair.
