--- a/core/sched/filter_deadline.go
+++ b/core/sched/filter_deadline.go
@@ -18,10 +18,10 @@
 	if p.prefill.endpoint != nil {
 		first += seconds(p.decode.tokenTime.mean)
 	}
-	return first-c.now+c.waited <= c.service.patience || c.probe && p.atOnce(c.now)
+	return first-c.now+c.waited <= c.service.patience || c.probe && p.canStartNow(c.now)
 }
 
 // atOnce says whether both endpoints are free for the request now.
-func (p *pair) atOnce(now time.Duration) bool {
+func (p *pair) canStartNow(now time.Duration) bool {
 	return p.prefill.endpoint != nil && p.prefill.start <= now && p.delay == 0 && p.decode.free(now) > 0
 }
