--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -31,7 +31,7 @@
 	cached := l.bestCached(&w)
 	least := l.pool.leastFirstToken(s, &w, cached)
 	if least > s.patience {
-		return nil, hopeless(&w, s, least)
+		return nil, promptTooLarge(&w, s, least)
 	}
 	estimate := l.pool.cost(s, &w, cached)
 	first := l.pool.firstToken(s, estimate)
@@ -78,7 +78,7 @@
 // hopeless refuses a prompt that can't be read within the service's patience
 // even by an idle pool at its best. Coming back does not help, so there is no
 // such advice.
-func hopeless(w *Want, s *service, least time.Duration) *Refusal {
+func promptTooLarge(w *Want, s *service, least time.Duration) *Refusal {
 	return &Refusal{
 		Request: w.Request,
 		Code:    verdict.CodeTooLarge,
