--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -201,7 +201,7 @@
 }
 
 // dropHopeless refuses queued requests whose patience can't be met any more.
-func (l *Ledger) dropHopeless(actions []Action) []Action {
+func (l *Ledger) refuseLate(actions []Action) []Action {
 	for len(l.queue.latest) > 0 && l.queue.latest[0].latest < l.now {
 		w := l.queue.latest[0]
 		l.unqueue(w)
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -122,7 +122,7 @@
 	l.recheckFull()
 	l.rebind()
 	actions = l.bind(actions)
-	actions = l.dropHopeless(actions)
+	actions = l.refuseLate(actions)
 	actions = l.pump(actions)
 	l.check()
 	return actions
