--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -205,13 +205,13 @@
 	for len(l.queue.latest) > 0 && l.queue.latest[0].latest < l.now {
 		w := l.queue.latest[0]
 		l.unqueue(w)
-		actions = append(actions, l.refuse(w.want.From, l.tooLate(w))...)
+		actions = append(actions, l.refuse(w.want.From, l.lateRefusal(w))...)
 	}
 	return actions
 }
 
 // tooLate is the refusal of a request whose patience can't be met any more.
-func (l *Ledger) tooLate(w *waiting) *Refusal {
+func (l *Ledger) lateRefusal(w *waiting) *Refusal {
 	return &Refusal{
 		Request:    w.want.Request,
 		Code:       verdict.CodeOverloaded,
