--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -39,7 +39,7 @@
 		first = min(first, least)
 	}
 	wait := l.predictWait(s, t, clampPriority(w.Priority), first)
-	if refusal := l.noTime(&w, s, wait, first); refusal != nil {
+	if refusal := l.checkPatience(&w, s, wait, first); refusal != nil {
 		return nil, refusal
 	}
 	arrived := l.now - w.Age
@@ -57,7 +57,7 @@
 // noTime refuses a request that is predicted to have its first token too late.
 // That passes: a backlog is served, and estimates that rest on slow engines are
 // corrected by the requests that are tried in spite of them.
-func (l *Ledger) noTime(w *Want, s *service, wait, first time.Duration) *Refusal {
+func (l *Ledger) checkPatience(w *Want, s *service, wait, first time.Duration) *Refusal {
 	late := w.Age + wait + first - s.patience
 	if late <= 0 {
 		return nil
