--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -22,7 +22,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	if refusal := l.overLimit(&w, t); refusal != nil {
+	if refusal := l.checkLimits(&w, t); refusal != nil {
 		return nil, refusal
 	}
 	if refusal := l.lacking(&w, s); refusal != nil {
@@ -88,7 +88,7 @@
 }
 
 // overLimit refuses what exceeds a bound of the team or of the queue.
-func (l *Ledger) overLimit(w *Want, t *team) *Refusal {
+func (l *Ledger) checkLimits(w *Want, t *team) *Refusal {
 	refusal := Refusal{Request: w.Request}
 	switch {
 	case t.inFlight() >= t.maxInFlight:
