--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -25,7 +25,7 @@
 	if refusal := l.checkLimits(&w, t); refusal != nil {
 		return nil, refusal
 	}
-	if refusal := l.lacking(&w, s); refusal != nil {
+	if refusal := l.checkEndpoints(&w, s); refusal != nil {
 		return nil, refusal
 	}
 	cached := l.bestCached(&w)
@@ -108,7 +108,7 @@
 }
 
 // lacking refuses what no endpoint could serve.
-func (l *Ledger) lacking(w *Want, s *service) *Refusal {
+func (l *Ledger) checkEndpoints(w *Want, s *service) *Refusal {
 	missing := live.Role("")
 	if !s.plain && l.fleet.engines() == 0 {
 		missing = live.RolePrefill
