--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -18,7 +18,7 @@
 // admit decides whether a request may wait. It is refused at once if a limit
 // is reached or if its patience can't be met given the backlog.
 func (l *Ledger) admit(w Want) (*waiting, *Refusal) {
-	s, t, refusal := l.permitted(&w)
+	s, t, refusal := l.authorize(&w)
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -24,7 +24,7 @@
 func (l *Ledger) recheckWaiting() []Action {
 	var actions []Action
 	for _, w := range l.waitingInOrder() {
-		s, _, refusal := l.permitted(&w.want)
+		s, _, refusal := l.authorize(&w.want)
 		if refusal == nil {
 			w.service = s
 			continue
--- a/core/sched/want.go
+++ b/core/sched/want.go
@@ -75,7 +75,7 @@
 }
 
 // permitted says whether the team may use the service; a refusal tells why not.
-func (l *Ledger) permitted(w *Want) (*service, *team, *Refusal) {
+func (l *Ledger) authorize(w *Want) (*service, *team, *Refusal) {
 	s := l.services[w.Service]
 	if s == nil {
 		return nil, nil, &Refusal{
