--- a/core/sched/want.go
+++ b/core/sched/want.go
@@ -12,11 +12,11 @@
 // Want implements Scheduler.
 func (l *Ledger) Want(now time.Duration, w Want) []Action {
 	l.begin(now)
-	return l.finish(l.take(w))
+	return l.finish(l.enqueue(w))
 }
 
 // take queues a Want or answers it at once.
-func (l *Ledger) take(w Want) []Action {
+func (l *Ledger) enqueue(w Want) []Action {
 	if actions, repeated := l.repeated(&w); repeated {
 		return actions
 	}
