--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -69,7 +69,7 @@
 	return &Refusal{
 		Request:    w.Request,
 		Code:       verdict.CodeOverloaded,
-		RetryAfter: l.comeBack(late),
+		RetryAfter: l.retryAfter(late),
 		Reason: fmt.Sprintf("predicted wait %v and first token %v, patience %v; estimates: %s",
 			wait, first, s.patience-w.Age, l.pool.parts(l.now)),
 	}
@@ -215,7 +215,7 @@
 	return &Refusal{
 		Request:    w.want.Request,
 		Code:       verdict.CodeOverloaded,
-		RetryAfter: l.comeBack(l.drainTime(w.team)),
+		RetryAfter: l.retryAfter(l.drainTime(w.team)),
 		Reason: fmt.Sprintf("waited %v of %v, held up by %s",
 			l.now-w.arrived, w.service.patience, cmp.Or(w.blocked, "requests before it")),
 	}
--- a/core/sched/advice.go
+++ b/core/sched/advice.go
@@ -48,7 +48,7 @@
 
 // comeBack advises a request that is refused for want of room, given when it
 // alone could be served.
-func (l *Ledger) comeBack(alone time.Duration) time.Duration {
+func (l *Ledger) retryAfter(alone time.Duration) time.Duration {
 	l.pressure.refused(l.now)
 	spread := 0.5 + l.random.Float64()
 	advice := seconds(boundRetry(alone).Seconds() * l.pressure.factor() * spread)
