--- a/core/sched/advice.go
+++ b/core/sched/advice.go
@@ -24,7 +24,7 @@
 	at       time.Duration
 }
 
-func (p *pressure) fade(now time.Duration) {
+func (p *pressure) decay(now time.Duration) {
 	keep := math.Exp(-float64(now-p.at) / float64(pressureMemory))
 	p.grants *= keep
 	p.refusals *= keep
@@ -32,12 +32,12 @@
 }
 
 func (p *pressure) granted(now time.Duration) {
-	p.fade(now)
+	p.decay(now)
 	p.grants++
 }
 
 func (p *pressure) refused(now time.Duration) {
-	p.fade(now)
+	p.decay(now)
 	p.refusals++
 }
 
