--- a/core/sched/advice.go
+++ b/core/sched/advice.go
@@ -7,7 +7,7 @@
 
 const (
 	// pressureMemory is the time over which grants and refusals are counted.
-	pressureMemory = 2 * time.Second
+	pressureTimeConstant = 2 * time.Second
 	// maxPressure bounds how far the advice is stretched.
 	maxPressure = 40.0
 	// maxAdvice bounds the advice to one refused for want of room.
@@ -25,7 +25,7 @@
 }
 
 func (p *pressure) decay(now time.Duration) {
-	keep := math.Exp(-float64(now-p.at) / float64(pressureMemory))
+	keep := math.Exp(-float64(now-p.at) / float64(pressureTimeConstant))
 	p.grants *= keep
 	p.refusals *= keep
 	p.at = now
