--- a/core/sched/advice.go
+++ b/core/sched/advice.go
@@ -11,7 +11,7 @@
 	// maxPressure bounds how far the advice is stretched.
 	maxPressure = 40.0
 	// maxAdvice bounds the advice to one refused for want of room.
-	maxAdvice = 5 * time.Second
+	maxOverloadRetryAfter = 5 * time.Second
 )
 
 // pressure counts grants and refusals of late. When more is refused than
@@ -52,5 +52,5 @@
 	l.pressure.refused(l.now)
 	spread := 0.5 + l.random.Float64()
 	advice := seconds(boundRetry(alone).Seconds() * l.pressure.factor() * spread)
-	return min(max(advice, minRetryAfter), maxAdvice)
+	return min(max(advice, minRetryAfter), maxOverloadRetryAfter)
 }
