--- a/core/sched/check.go
+++ b/core/sched/check.go
@@ -105,7 +105,7 @@
 	l.require(holding == slots, "slots", "endpoint %s: %d listed, %d granted", e.name, holding, slots)
 	l.require(len(e.queue) == prefills, "prefills", "endpoint %s: %d queued, %d granted", e.name, len(e.queue), prefills)
 	l.require(!e.indexed || !e.leaving(), "leaving_indexed", "endpoint %s", e.name)
-	if e.alone != nil {
-		l.require(l.granted[e.alone.want.Request] == e.alone, "suspect", "endpoint %s: %v has ended", e.name, e.alone)
+	if e.suspect != nil {
+		l.require(l.granted[e.suspect.want.Request] == e.suspect, "suspect", "endpoint %s: %v has ended", e.name, e.suspect)
 	}
 }
--- a/core/sched/endpoint.go
+++ b/core/sched/endpoint.go
@@ -44,7 +44,7 @@
 	// released are the times of late releases, for reports that lag.
 	released []time.Duration
 	// alone is the suspect that runs here alone.
-	alone *reservation
+	suspect *reservation
 
 	cache *cacheView
 
@@ -148,8 +148,8 @@
 		e.noteRelease(now, lag)
 	}
 	e.pending = without(e.pending, r)
-	if e.alone == r {
-		e.alone = nil
+	if e.suspect == r {
+		e.suspect = nil
 	}
 	e.promote()
 	e.predictQueue(now)
--- a/core/sched/filter_suspect.go
+++ b/core/sched/filter_suspect.go
@@ -12,7 +12,7 @@
 func (suspectFilter) name() string { return "suspect" }
 
 func (suspectFilter) keep(c *cycle, e *endpoint) bool {
-	if e.alone != nil {
+	if e.suspect != nil {
 		return false
 	}
 	if !c.want.Suspect || e.idle() {
--- a/core/sched/filter_suspect_test.go
+++ b/core/sched/filter_suspect_test.go
@@ -18,7 +18,7 @@
 	keeps(is, suspectFilter{}, c, e, false)
 	c.waited = 600 * ms // more than half of its patience
 	keeps(is, suspectFilter{}, c, e, true)
-	e.alone = e.held[0]
+	e.suspect = e.held[0]
 	keeps(is, suspectFilter{}, c, e, false)
 	c.want.Suspect = false
 	keeps(is, suspectFilter{}, c, e, false)
@@ -37,5 +37,5 @@
 	again := onlyGrant(t, l.Want(3*ms, testWant(3, teamName(0))))
 	is.Equal(again.Decode, beside.Decode)
 	l.Progress(4*ms, progressOf(g, PhaseDone))
-	is.Equal(l.endpoints[g.Decode].alone, nil)
+	is.Equal(l.endpoints[g.Decode].suspect, nil)
 }
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -105,7 +105,7 @@
 		l.fleet.prefillSeconds += r.prefillTime.Seconds()
 		e.busyUntil = max(e.busyUntil, r.prefillEnd)
 		if r.want.Suspect {
-			e.alone = r
+			e.suspect = r
 		}
 	})
 }
@@ -123,7 +123,7 @@
 			l.borrowers = append(l.borrowers, r)
 		}
 		if r.want.Suspect {
-			e.alone = r
+			e.suspect = r
 		}
 	})
 }
