--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -29,7 +29,7 @@
 	l.queue.serve(w, l.scalar(r.charge))
 	delete(l.waiting, w.want.Request)
 	l.hold(r)
-	if r.borrowed {
+	if r.speculative {
 		r.grant.Provisional = true
 		r.grant.BindWithin = seconds(waitShare * l.options.KVLife.Seconds())
 	}
@@ -119,7 +119,7 @@
 			e.promoted = append(e.promoted, r)
 		} else {
 			e.pending = append(e.pending, r)
-			r.borrowed = true
+			r.speculative = true
 			l.borrowers = append(l.borrowers, r)
 		}
 		if r.want.Suspect {
--- a/core/sched/reservation.go
+++ b/core/sched/reservation.go
@@ -38,7 +38,7 @@
 	expiryIndex int
 
 	// borrowed is set on a prefill begun on a predicted slot.
-	borrowed bool
+	speculative bool
 
 	cachedTokens int
 	promptTokens int
--- a/core/sched/risk.go
+++ b/core/sched/risk.go
@@ -52,9 +52,9 @@
 // if the prefill was wasted, or if its KV cache waited for a slot for so long
 // that the first token was late.
 func (r *reservation) judgeRisk(bad bool) {
-	if !r.borrowed {
+	if !r.speculative {
 		return
 	}
-	r.borrowed = false
+	r.speculative = false
 	r.service.estimate.risk.add(bad)
 }
--- a/core/sched/risk_test.go
+++ b/core/sched/risk_test.go
@@ -49,7 +49,7 @@
 func TestABorrowedSlotIsJudgedOnce(t *testing.T) {
 	is := is.New(t)
 	s := &service{estimate: &serviceEstimate{risk: risk{deviations: 1, tolerated: 0.1}}}
-	r := &reservation{service: s, borrowed: true}
+	r := &reservation{service: s, speculative: true}
 	r.judgeRisk(true)
 	after := s.estimate.risk.deviations
 	is.True(after > 1)
