--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -120,7 +120,7 @@
 		} else {
 			e.pending = append(e.pending, r)
 			r.speculative = true
-			l.borrowers = append(l.borrowers, r)
+			l.awaitingSlot = append(l.awaitingSlot, r)
 		}
 		if r.want.Suspect {
 			e.suspect = r
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -57,7 +57,7 @@
 	weighed  weighed
 	pressure pressure
 	// borrowers are the reservations that rely on a predicted release.
-	borrowers []*reservation
+	awaitingSlot []*reservation
 	// promoted reservations have got their slots and aren't told yet.
 	promoted []*reservation
 	// virtual is the last seen virtual time, for the invariant.
--- a/core/sched/rebind.go
+++ b/core/sched/rebind.go
@@ -14,11 +14,11 @@
 // new requests. A KV cache then waits for the slot of the pool at which it is
 // soonest: a slow path to a free slot can be worse than a wait.
 func (l *Ledger) rebind() {
-	l.borrowers = slices.DeleteFunc(l.borrowers, func(r *reservation) bool { return !l.waitsForSlot(r) })
-	slices.SortStableFunc(l.borrowers, func(a, b *reservation) int {
+	l.awaitingSlot = slices.DeleteFunc(l.awaitingSlot, func(r *reservation) bool { return !l.waitsForSlot(r) })
+	slices.SortStableFunc(l.awaitingSlot, func(a, b *reservation) int {
 		return cmp.Or(cmp.Compare(a.prefillEnd, b.prefillEnd), cmp.Compare(a.number, b.number))
 	})
-	for _, r := range l.borrowers {
+	for _, r := range l.awaitingSlot {
 		if r.want.Suspect || l.tooLateToMove(r) {
 			continue
 		}
