--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -146,7 +146,7 @@
 		l.endWait(r)
 		r.phase = PhaseDecoding
 		r.decodingFrom = l.now
-		r.judgeRisk(r.deadline > 0 && l.now > r.deadline)
+		r.recordOutcome(r.deadline > 0 && l.now > r.deadline)
 		l.leaveLink(r)
 		if p.TransferTime > 0 {
 			l.pool.transfer.add(l.now, p.TransferTime.Seconds())
@@ -197,7 +197,7 @@
 		})
 	}
 	if p.Full {
-		r.judgeRisk(true)
+		r.recordOutcome(true)
 		l.change(e, func(e *endpoint) { e.fullUntil = l.now + l.options.FullHold })
 		l.full = append(l.full, e)
 	}
--- a/core/sched/risk.go
+++ b/core/sched/risk.go
@@ -51,7 +51,7 @@
 // judgeRisk tells the service's risk, once, how a borrowed slot turned out: bad
 // if the prefill was wasted, or if its KV cache waited for a slot for so long
 // that the first token was late.
-func (r *reservation) judgeRisk(bad bool) {
+func (r *reservation) recordOutcome(bad bool) {
 	if !r.speculative {
 		return
 	}
--- a/core/sched/risk_test.go
+++ b/core/sched/risk_test.go
@@ -50,9 +50,9 @@
 	is := is.New(t)
 	s := &service{estimate: &serviceEstimate{risk: risk{deviations: 1, tolerated: 0.1}}}
 	r := &reservation{service: s, speculative: true}
-	r.judgeRisk(true)
+	r.recordOutcome(true)
 	after := s.estimate.risk.deviations
 	is.True(after > 1)
-	r.judgeRisk(true)
+	r.recordOutcome(true)
 	is.Equal(s.estimate.risk.deviations, after)
 }
