--- a/core/sched/bind.go
+++ b/core/sched/bind.go
@@ -3,8 +3,8 @@
 // bind tells the daemons of provisional grants that have got their slots.
 func (l *Ledger) bind(actions []Action) []Action {
 	for _, r := range l.promoted {
-		if r.slotFrom == 0 {
-			r.slotFrom = l.now
+		if r.slotSince == 0 {
+			r.slotSince = l.now
 		}
 		if !r.grant.Provisional || r.phase >= PhaseDecoding || l.granted[r.want.Request] != r {
 			continue
--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -57,7 +57,7 @@
 // revive takes an expired reservation back into the ledgers.
 func (l *Ledger) revive(r *reservation) {
 	r.grantedAt = l.now
-	r.slotFrom = 0
+	r.slotSince = 0
 	r.charge = cost{}
 	r.begun = true
 	r.phase = PhasePrefilling
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -51,8 +51,8 @@
 // counts from when it was got, since nobody else could have it from then on.
 func (r *reservation) taken(now time.Duration) cost {
 	took := cost{}
-	if r.slotFrom > 0 {
-		took.slot = (now - r.slotFrom).Seconds()
+	if r.slotSince > 0 {
+		took.slot = (now - r.slotSince).Seconds()
 	}
 	if r.prefill == nil || !r.begun {
 		return took
--- a/core/sched/reservation.go
+++ b/core/sched/reservation.go
@@ -23,7 +23,7 @@
 	// deadline is the last moment of a first token in time; zero if unknown.
 	deadline time.Duration
 	// slotFrom is when the slot was got; zero while it is waited for.
-	slotFrom time.Duration
+	slotSince time.Duration
 	// start and prefillEnd are predicted until the prefill begins and ends.
 	start        time.Duration
 	prefillTime  time.Duration
