--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -31,7 +31,7 @@
 	l.hold(r)
 	if r.speculative {
 		r.grant.Provisional = true
-		r.grant.BindWithin = seconds(waitShare * l.options.KVLife.Seconds())
+		r.grant.BindWithin = seconds(maxSlotWaitShare * l.options.KVLife.Seconds())
 	}
 	grant := r.grant
 	return &Action{To: w.want.From, Grant: &grant}
--- a/core/sched/risk.go
+++ b/core/sched/risk.go
@@ -9,7 +9,7 @@
 	maxRisk = 8.0
 	// waitShare is the part of its life that a KV cache is at most planned to
 	// wait for a slot.
-	waitShare = 0.75
+	maxSlotWaitShare = 0.75
 )
 
 // risk is how sure a slot's predicted release must be before a service relies
@@ -44,7 +44,7 @@
 // margin is added to a predicted release of some deviation before it is
 // relied on.
 func (k *risk) margin(deviation, kvLife time.Duration) time.Duration {
-	least := -seconds(waitShare * kvLife.Seconds())
+	least := -seconds(maxSlotWaitShare * kvLife.Seconds())
 	return max(least, seconds(k.deviations*deviation.Seconds()))
 }
 
