--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -141,7 +141,7 @@
 
 // decoding notes the first token, or how far the answer has come.
 func (l *Ledger) decoding(r *reservation, p *Progress) {
-	l.follow(r, p.Endpoint)
+	l.correctDecode(r, p.Endpoint)
 	if r.phase < PhaseDecoding {
 		l.endWait(r)
 		r.phase = PhaseDecoding
--- a/core/sched/rebind.go
+++ b/core/sched/rebind.go
@@ -46,7 +46,7 @@
 
 // follow corrects the ledger where a request decodes elsewhere than thought:
 // its Binding was lost or came too late.
-func (l *Ledger) follow(r *reservation, actual id.Endpoint) {
+func (l *Ledger) correctDecode(r *reservation, actual id.Endpoint) {
 	e := l.endpoints[actual]
 	if e == nil || e == r.decode {
 		return
