--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -52,7 +52,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		l.pump(nil)
+		l.dispatch(nil)
 	}
 }
 
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -123,7 +123,7 @@
 	l.rebind()
 	actions = l.bind(actions)
 	actions = l.refuseLate(actions)
-	actions = l.pump(actions)
+	actions = l.dispatch(actions)
 	l.check()
 	return actions
 }
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -27,7 +27,7 @@
 }
 
 // pump grants what can be granted, in the order of the fair queue.
-func (l *Ledger) pump(actions []Action) []Action {
+func (l *Ledger) dispatch(actions []Action) []Action {
 	l.blocked = false
 	for l.queue.queued > 0 {
 		l.queue.weigh(len(l.granted), l.activeWeights())
