--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -10,7 +10,7 @@
 // release ends a reservation: its place in the prefill queue, its slot and its
 // part of the link are free, and its team pays for what it really took.
 func (l *Ledger) release(r *reservation) {
-	l.pay(r)
+	l.correctCharge(r)
 	delete(l.granted, r.want.Request)
 	r.team.granted--
 	l.endWait(r)
@@ -42,7 +42,7 @@
 }
 
 // pay corrects the team's charge from the estimate to what was taken.
-func (l *Ledger) pay(r *reservation) {
+func (l *Ledger) correctCharge(r *reservation) {
 	took := r.taken(l.now)
 	l.queue.correct(r.team, l.scalar(took)-l.scalar(r.charge))
 }
