--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -43,13 +43,13 @@
 
 // pay corrects the team's charge from the estimate to what was taken.
 func (l *Ledger) correctCharge(r *reservation) {
-	took := r.taken(l.now)
+	took := r.usage(l.now)
 	l.queue.correct(r.team, l.scalar(took)-l.scalar(r.charge))
 }
 
 // taken is the engine time that the reservation has taken by now. The slot
 // counts from when it was got, since nobody else could have it from then on.
-func (r *reservation) taken(now time.Duration) cost {
+func (r *reservation) usage(now time.Duration) cost {
 	took := cost{}
 	if r.slotSince > 0 {
 		took.slot = (now - r.slotSince).Seconds()
