--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -26,7 +26,7 @@
 	if r.prefill != nil {
 		r.grant.Prefill = r.prefill.name
 	}
-	l.queue.serve(w, l.scalar(r.charge))
+	l.queue.serve(w, l.poolSeconds(r.charge))
 	delete(l.waiting, w.want.Request)
 	l.hold(r)
 	if r.speculative {
@@ -155,7 +155,7 @@
 
 // scalar is a cost as the part of the pool's capacity that it takes, in
 // seconds of the whole pool.
-func (l *Ledger) scalar(c cost) float64 {
+func (l *Ledger) poolSeconds(c cost) float64 {
 	engines := max(1, float64(l.fleet.engines()))
 	slots := 0
 	for _, x := range l.fleet.slots {
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -44,7 +44,7 @@
 // pay corrects the team's charge from the estimate to what was taken.
 func (l *Ledger) correctCharge(r *reservation) {
 	took := r.usage(l.now)
-	l.queue.correct(r.team, l.scalar(took)-l.scalar(r.charge))
+	l.queue.correct(r.team, l.poolSeconds(took)-l.poolSeconds(r.charge))
 }
 
 // taken is the engine time that the reservation has taken by now. The slot
