--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -161,11 +161,11 @@
 	for _, x := range l.fleet.slots {
 		slots += x
 	}
-	return max(leastCharge, c.prefill/engines+c.slot/max(1, float64(slots)))
+	return max(minCharge, c.prefill/engines+c.slot/max(1, float64(slots)))
 }
 
 // leastCharge is charged for any request, in seconds of the whole pool.
-const leastCharge = 1e-7
+const minCharge = 1e-7
 
 // String names the reservation in the details of violations.
 func (r *reservation) String() string {
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -94,7 +94,7 @@
 // weigh finds out which teams are heavy, given the grants in use and the
 // weights of all teams at work.
 func (q *fairQueue) weigh(granted int, weights float64) {
-	bound := heavyFactor * float64(granted) / max(weights, leastCharge)
+	bound := heavyFactor * float64(granted) / max(weights, minCharge)
 	changed := false
 	for _, t := range q.teams {
 		heavy := t.holding() > bound
