--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -54,7 +54,7 @@
 	blocked bool
 	// full are the endpoints that refused for lack of room lately.
 	full     []*endpoint
-	weighed  weighed
+	weighed  timedSum
 	pressure pressure
 	// borrowers are the reservations that rely on a predicted release.
 	awaitingSlot []*reservation
@@ -72,7 +72,7 @@
 }
 
 // weighed is a sum of weights with its time.
-type weighed struct {
+type timedSum struct {
 	sum float64
 	at  time.Duration
 }
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -50,7 +50,7 @@
 	if l.now-l.weighed.at < weighEvery && l.weighed.sum > 0 {
 		return l.weighed.sum
 	}
-	l.weighed = weighed{at: l.now}
+	l.weighed = timedSum{at: l.now}
 	for _, t := range l.teams {
 		if t.inFlight() > 0 {
 			l.weighed.sum += t.weight
