--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -47,16 +47,16 @@
 // activeWeights is the sum of the weights of the teams that have requests in
 // the pool, as of a moment ago.
 func (l *Ledger) activeWeights() float64 {
-	if l.now-l.weighed.at < weighEvery && l.weighed.sum > 0 {
-		return l.weighed.sum
+	if l.now-l.activeSum.at < weighEvery && l.activeSum.sum > 0 {
+		return l.activeSum.sum
 	}
-	l.weighed = timedSum{at: l.now}
+	l.activeSum = timedSum{at: l.now}
 	for _, t := range l.teams {
 		if t.inFlight() > 0 {
-			l.weighed.sum += t.weight
+			l.activeSum.sum += t.weight
 		}
 	}
-	return l.weighed.sum
+	return l.activeSum.sum
 }
 
 // grantNext grants the next request that can be. Only a request that is held
