--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -42,12 +42,12 @@
 }
 
 // weighEvery is how often the weights of the teams at work are summed up.
-const weighEvery = 5 * time.Millisecond
+const activeWeightsInterval = 5 * time.Millisecond
 
 // activeWeights is the sum of the weights of the teams that have requests in
 // the pool, as of a moment ago.
 func (l *Ledger) activeWeights() float64 {
-	if l.now-l.activeSum.at < weighEvery && l.activeSum.sum > 0 {
+	if l.now-l.activeSum.at < activeWeightsInterval && l.activeSum.sum > 0 {
 		return l.activeSum.sum
 	}
 	l.activeSum = timedSum{at: l.now}
