--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -30,7 +30,7 @@
 func (l *Ledger) dispatch(actions []Action) []Action {
 	l.blocked = false
 	for l.queue.queued > 0 {
-		l.queue.weigh(len(l.granted), l.activeWeights())
+		l.queue.markHeavy(len(l.granted), l.activeWeights())
 		granted := l.grantNext()
 		if granted == nil {
 			l.blocked = true
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -93,7 +93,7 @@
 
 // weigh finds out which teams are heavy, given the grants in use and the
 // weights of all teams at work.
-func (q *fairQueue) weigh(granted int, weights float64) {
+func (q *fairQueue) markHeavy(granted int, weights float64) {
 	bound := heavyFactor * float64(granted) / max(weights, minCharge)
 	changed := false
 	for _, t := range q.teams {
