--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -84,7 +84,7 @@
 	q.virtual = max(q.virtual, t.position)
 	t.finish = max(t.position, t.finish) + charge/t.weight
 	q.remove(w)
-	q.settle(t)
+	q.reposition(t)
 }
 
 // heavyFactor is how far over the mean a team's holdings must be for the team
@@ -109,11 +109,11 @@
 // correct changes what a team was charged, once its request has ended.
 func (q *fairQueue) correct(t *team, difference float64) {
 	t.finish += difference / t.weight
-	q.settle(t)
+	q.reposition(t)
 }
 
 // settle moves a backlogged team to the place that its charges give it.
-func (q *fairQueue) settle(t *team) {
+func (q *fairQueue) reposition(t *team) {
 	if t.queued == 0 {
 		return
 	}
