--- a/core/sched/check.go
+++ b/core/sched/check.go
@@ -18,10 +18,10 @@
 
 // check asserts after each event what costs nothing to assert.
 func (l *Ledger) check() {
-	if l.queue.virtual < l.virtual {
-		l.violate("virtual_time", fmt.Sprintf("went back from %g to %g", l.virtual, l.queue.virtual))
+	if l.queue.virtualTime < l.virtual {
+		l.violate("virtual_time", fmt.Sprintf("went back from %g to %g", l.virtual, l.queue.virtualTime))
 	}
-	l.virtual = l.queue.virtual
+	l.virtual = l.queue.virtualTime
 	if l.queue.queued > l.options.MaxQueue {
 		l.violate("queue_bound", fmt.Sprintf("%d requests waiting", l.queue.queued))
 	}
