--- a/core/sched/heaps.go
+++ b/core/sched/heaps.go
@@ -49,8 +49,8 @@
 	if t.heavy != o.heavy {
 		return o.heavy
 	}
-	if t.position != o.position {
-		return t.position < o.position
+	if t.startTag != o.startTag {
+		return t.startTag < o.startTag
 	}
 	return t.name < o.name
 }
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -55,7 +55,7 @@
 	q.queued++
 	heap.Push(&q.latest, w)
 	if t.queued == 1 {
-		t.position = max(q.virtualTime, t.finish)
+		t.startTag = max(q.virtualTime, t.finish)
 		q.weights += t.weight
 		heap.Push(&q.teams, t)
 	}
@@ -81,8 +81,8 @@
 // serve takes a request out and charges its team.
 func (q *fairQueue) serve(w *waiting, charge float64) {
 	t := w.team
-	q.virtualTime = max(q.virtualTime, t.position)
-	t.finish = max(t.position, t.finish) + charge/t.weight
+	q.virtualTime = max(q.virtualTime, t.startTag)
+	t.finish = max(t.startTag, t.finish) + charge/t.weight
 	q.remove(w)
 	q.reposition(t)
 }
@@ -117,7 +117,7 @@
 	if t.queued == 0 {
 		return
 	}
-	t.position = max(q.virtualTime, t.finish)
+	t.startTag = max(q.virtualTime, t.finish)
 	heap.Fix(&q.teams, t.index)
 }
 
--- a/core/sched/team.go
+++ b/core/sched/team.go
@@ -25,7 +25,7 @@
 	index   int
 	// position is the team's place in virtual time while it has requests
 	// waiting; finish is the virtual time up to which it has had its share.
-	position float64
+	startTag float64
 	// heavy is set while the team holds clearly more for its weight than the
 	// teams at work do in the mean; see fairQueue.weigh.
 	heavy  bool
