--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -102,10 +102,10 @@
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 2))
 	g := onlyGrant(t, l.Want(0+2, testWant(1, teamName(0))))
-	charged := l.teams[teamName(0)].finish
+	charged := l.teams[teamName(0)].finishTag
 	l.Progress(3*ms, progressOf(g, PhasePrefilling))
 	l.Progress(60*ms, progressOf(g, PhaseCancelled))
-	paid := l.teams[teamName(0)].finish
+	paid := l.teams[teamName(0)].finishTag
 	is.True(paid > charged/10)
 	is.True(paid < charged)
 	onlyGrant(t, l.Want(70*ms, testWant(2, teamName(1))))
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -55,7 +55,7 @@
 	q.queued++
 	heap.Push(&q.latest, w)
 	if t.queued == 1 {
-		t.startTag = max(q.virtualTime, t.finish)
+		t.startTag = max(q.virtualTime, t.finishTag)
 		q.weights += t.weight
 		heap.Push(&q.teams, t)
 	}
@@ -82,7 +82,7 @@
 func (q *fairQueue) serve(w *waiting, charge float64) {
 	t := w.team
 	q.virtualTime = max(q.virtualTime, t.startTag)
-	t.finish = max(t.startTag, t.finish) + charge/t.weight
+	t.finishTag = max(t.startTag, t.finishTag) + charge/t.weight
 	q.remove(w)
 	q.reposition(t)
 }
@@ -108,7 +108,7 @@
 
 // correct changes what a team was charged, once its request has ended.
 func (q *fairQueue) correct(t *team, difference float64) {
-	t.finish += difference / t.weight
+	t.finishTag += difference / t.weight
 	q.reposition(t)
 }
 
@@ -117,7 +117,7 @@
 	if t.queued == 0 {
 		return
 	}
-	t.startTag = max(q.virtualTime, t.finish)
+	t.startTag = max(q.virtualTime, t.finishTag)
 	heap.Fix(&q.teams, t.index)
 }
 
--- a/core/sched/team.go
+++ b/core/sched/team.go
@@ -28,8 +28,8 @@
 	startTag float64
 	// heavy is set while the team holds clearly more for its weight than the
 	// teams at work do in the mean; see fairQueue.weigh.
-	heavy  bool
-	finish float64
+	heavy     bool
+	finishTag float64
 }
 
 // level holds the waiting requests of one priority, in the order of the last
