--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -29,7 +29,7 @@
 		return nil, refusal
 	}
 	cached := l.bestCached(&w)
-	least := l.pool.leastFirstToken(s, &w, cached)
+	least := l.pool.minFirstToken(s, &w, cached)
 	if least > s.patience {
 		return nil, promptTooLarge(&w, s, least)
 	}
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -90,7 +90,7 @@
 
 // leastFirstToken is the shortest time to the first output that an idle pool at
 // its best could do.
-func (p *poolEstimate) leastFirstToken(s *service, w *Want, cachedTokens int) time.Duration {
+func (p *poolEstimate) minFirstToken(s *service, w *Want, cachedTokens int) time.Duration {
 	if s.plain || p.prefills == 0 || p.decodes == 0 {
 		return 0
 	}
