--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -44,13 +44,13 @@
 	}
 	arrived := l.now - w.Age
 	return &waiting{
-		want:    w,
-		service: s,
-		team:    t,
-		arrived: arrived,
-		latest:  arrived + s.patience - first,
-		cost:    estimate,
-		least:   least,
+		want:          w,
+		service:       s,
+		team:          t,
+		arrived:       arrived,
+		latest:        arrived + s.patience - first,
+		cost:          estimate,
+		minFirstToken: least,
 	}, nil
 }
 
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -142,7 +142,7 @@
 		waited:    l.now - w.arrived,
 		meanQueue: l.fleet.meanQueue(),
 		kvBytes:   w.service.estimate.kvBytes(&w.want),
-		probe:     l.mayProbe(w.service, l.now-w.arrived+w.least),
+		probe:     l.mayProbe(w.service, l.now-w.arrived+w.minFirstToken),
 		memo:      l.scratch.memo[:0],
 		blocked:   "none",
 	}
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -15,9 +15,9 @@
 	latest time.Duration
 	cost   cost
 	// least is the shortest time to the first output at the pool's best.
-	least time.Duration
-	index int
-	seq   uint64
+	minFirstToken time.Duration
+	index         int
+	seq           uint64
 	// blocked names what held the request up when it was last tried; empty if
 	// it stood behind others.
 	blocked string
