--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -71,7 +71,7 @@
 		Code:       verdict.CodeOverloaded,
 		RetryAfter: l.retryAfter(late),
 		Reason: fmt.Sprintf("predicted wait %v and first token %v, patience %v; estimates: %s",
-			wait, first, s.patience-w.Age, l.pool.parts(l.now)),
+			wait, first, s.patience-w.Age, l.pool.describe(l.now)),
 	}
 }
 
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -83,7 +83,7 @@
 
 // parts tells what a prediction of the first token is made of, and what each
 // part rests on, for those who ask why a request was refused.
-func (p *poolEstimate) parts(now time.Duration) string {
+func (p *poolEstimate) describe(now time.Duration) string {
 	return fmt.Sprintf("prefill %.0f tokens/s (%s), transfer %.1f ms (%s), token %.1f ms (%s)",
 		p.rate.mean, p.rate.origin(now), 1000*p.transfer.mean, p.transfer.origin(now), 1000*p.token.mean, p.token.origin(now))
 }
