--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -185,7 +185,7 @@
 	e.cache = newCacheView(l.options.CacheBlocks, l.options.CacheLife, func(block uint64) {
 		l.caches.remove(block, e)
 	})
-	l.pool.start(LabelledRole(d), rate, token/1000)
+	l.pool.addConfigured(LabelledRole(d), rate, token/1000)
 	return e
 }
 
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -35,7 +35,7 @@
 }
 
 // start takes an endpoint's configured estimates into the means.
-func (p *poolEstimate) start(role live.Role, rate, token float64) {
+func (p *poolEstimate) addConfigured(role live.Role, rate, token float64) {
 	if role == live.RolePrefill {
 		p.prefills++
 		p.rate.join(rate, p.prefills)
