--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -37,7 +37,7 @@
 }
 
 // join takes a further first estimate into the mean of n of them.
-func (a *average) join(first float64, n int) {
+func (a *average) addInitial(first float64, n int) {
 	a.first += (first - a.first) / float64(n)
 	a.mean += (first - a.mean) / float64(n)
 }
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -38,12 +38,12 @@
 func (p *poolEstimate) addConfigured(role live.Role, rate, token float64) {
 	if role == live.RolePrefill {
 		p.prefills++
-		p.rate.join(rate, p.prefills)
+		p.rate.addInitial(rate, p.prefills)
 		p.bestRate = max(p.bestRate, rate)
 		return
 	}
 	p.decodes++
-	p.token.join(token, p.decodes)
+	p.token.addInitial(token, p.decodes)
 	p.bestToken = min(p.bestToken, token)
 }
 
