--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -12,7 +12,7 @@
 // average is an exponentially weighted moving average with its mean deviation.
 type average struct {
 	// first is the first estimate: the configuration's, or a default.
-	first     float64
+	initial   float64
 	mean      float64
 	deviation float64
 	samples   int
@@ -22,7 +22,7 @@
 
 // newAverage starts from a first estimate, trusted to a fifth of its size.
 func newAverage(first float64) average {
-	return average{first: first, mean: first, deviation: first * smoothing}
+	return average{initial: first, mean: first, deviation: first * smoothing}
 }
 
 // add takes a sample.
@@ -38,7 +38,7 @@
 
 // join takes a further first estimate into the mean of n of them.
 func (a *average) addInitial(first float64, n int) {
-	a.first += (first - a.first) / float64(n)
+	a.initial += (first - a.initial) / float64(n)
 	a.mean += (first - a.mean) / float64(n)
 }
 
@@ -58,8 +58,8 @@
 		return
 	}
 	gone := 1 - math.Exp(-float64(passed)/float64(relaxAfter))
-	a.mean += gone * (a.first - a.mean)
-	a.deviation += gone * (smoothing*a.first - a.deviation)
+	a.mean += gone * (a.initial - a.mean)
+	a.deviation += gone * (smoothing*a.initial - a.deviation)
 }
 
 // relax lets the estimates of the pool and its endpoints grow old.
