--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -53,7 +53,7 @@
 
 // relax lets the average go back to its first estimate for the time that has
 // passed, if no sample came in it.
-func (a *average) relax(now, passed time.Duration) {
+func (a *average) decay(now, passed time.Duration) {
 	if a.samples == 0 || now-a.sampled < passed {
 		return
 	}
@@ -71,8 +71,8 @@
 	l.relaxed = l.now
 	l.pool.relax(l.now, passed)
 	for _, e := range l.endpoints {
-		e.prefillRate.relax(l.now, passed)
-		e.tokenTime.relax(l.now, passed)
+		e.prefillRate.decay(l.now, passed)
+		e.tokenTime.decay(l.now, passed)
 	}
 }
 
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -61,9 +61,9 @@
 
 // relax lets the means that nothing confirms go back to the configured figures.
 func (p *poolEstimate) relax(now, passed time.Duration) {
-	p.rate.relax(now, passed)
-	p.token.relax(now, passed)
-	p.transfer.relax(now, passed)
+	p.rate.decay(now, passed)
+	p.token.decay(now, passed)
+	p.transfer.decay(now, passed)
 }
 
 // prefillTime predicts the prefill of some tokens.
