--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -69,7 +69,7 @@
 		return
 	}
 	l.relaxed = l.now
-	l.pool.relax(l.now, passed)
+	l.pool.decay(l.now, passed)
 	for _, e := range l.endpoints {
 		e.prefillRate.decay(l.now, passed)
 		e.tokenTime.decay(l.now, passed)
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -60,7 +60,7 @@
 }
 
 // relax lets the means that nothing confirms go back to the configured figures.
-func (p *poolEstimate) relax(now, passed time.Duration) {
+func (p *poolEstimate) decay(now, passed time.Duration) {
 	p.rate.decay(now, passed)
 	p.token.decay(now, passed)
 	p.transfer.decay(now, passed)
