--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -63,7 +63,7 @@
 }
 
 // relax lets the estimates of the pool and its endpoints grow old.
-func (l *Ledger) relax() {
+func (l *Ledger) decayEstimates() {
 	passed := l.now - l.relaxed
 	if passed < relaxEvery {
 		return
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -113,7 +113,7 @@
 		return
 	}
 	l.now = now
-	l.relax()
+	l.decayEstimates()
 }
 
 // finish does what the event made possible or due and checks the invariants.
