--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -64,11 +64,11 @@
 
 // relax lets the estimates of the pool and its endpoints grow old.
 func (l *Ledger) decayEstimates() {
-	passed := l.now - l.relaxed
+	passed := l.now - l.decayedAt
 	if passed < relaxEvery {
 		return
 	}
-	l.relaxed = l.now
+	l.decayedAt = l.now
 	l.pool.decay(l.now, passed)
 	for _, e := range l.endpoints {
 		e.prefillRate.decay(l.now, passed)
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -50,8 +50,8 @@
 	// awaited counts the granted requests that have yet to give a first token.
 	awaited int
 	// relaxed is when estimates were last looked at for their age.
-	relaxed time.Duration
-	blocked bool
+	decayedAt time.Duration
+	blocked   bool
 	// full are the endpoints that refused for lack of room lately.
 	full      []*endpoint
 	activeSum timedSum
