--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -46,7 +46,7 @@
 	// relaxAfter is the time in which an estimate goes back most of the way to
 	// the first one while no sample comes. Without it an engine that was slow for
 	// a while gets no prompts for good.
-	relaxAfter = 4 * time.Second
+	decayTimeConstant = 4 * time.Second
 	// relaxEvery is how often that is looked at.
 	relaxEvery = 500 * time.Millisecond
 )
@@ -57,7 +57,7 @@
 	if a.samples == 0 || now-a.sampled < passed {
 		return
 	}
-	gone := 1 - math.Exp(-float64(passed)/float64(relaxAfter))
+	gone := 1 - math.Exp(-float64(passed)/float64(decayTimeConstant))
 	a.mean += gone * (a.initial - a.mean)
 	a.deviation += gone * (smoothing*a.initial - a.deviation)
 }
