--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -48,7 +48,7 @@
 	// a while gets no prompts for good.
 	decayTimeConstant = 4 * time.Second
 	// relaxEvery is how often that is looked at.
-	relaxEvery = 500 * time.Millisecond
+	decayInterval = 500 * time.Millisecond
 )
 
 // relax lets the average go back to its first estimate for the time that has
@@ -65,7 +65,7 @@
 // relax lets the estimates of the pool and its endpoints grow old.
 func (l *Ledger) decayEstimates() {
 	passed := l.now - l.decayedAt
-	if passed < relaxEvery {
+	if passed < decayInterval {
 		return
 	}
 	l.decayedAt = l.now
