--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -154,7 +154,7 @@
 		e = l.newEndpoint(d)
 		l.endpoints[d.Name] = e
 	}
-	l.fleet.takeOut(e)
+	l.fleet.remove(e)
 	e.domain = d.Domain
 	e.configured = d.Slots
 	if e.configured <= 0 {
@@ -192,7 +192,7 @@
 // dropEndpoint takes an endpoint out of the pool, and out of memory once
 // nothing runs on it.
 func (l *Ledger) dropEndpoint(e *endpoint) {
-	l.fleet.takeOut(e)
+	l.fleet.remove(e)
 	e.inPool = false
 	e.cache.clear()
 	if e.idle() {
--- a/core/sched/fleet.go
+++ b/core/sched/fleet.go
@@ -25,7 +25,7 @@
 }
 
 // takeOut removes an endpoint from its index; call it before any change to it.
-func (f *fleet) takeOut(e *endpoint) {
+func (f *fleet) remove(e *endpoint) {
 	if !e.indexed {
 		return
 	}
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -148,7 +148,7 @@
 
 // change alters an endpoint and keeps the fleet's index in step.
 func (l *Ledger) change(e *endpoint, alter func(e *endpoint)) {
-	l.fleet.takeOut(e)
+	l.fleet.remove(e)
 	alter(e)
 	l.touch(e)
 }
