--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -210,5 +210,5 @@
 	if filters == nil || !keepAll(filters, &l.staticCycle, e) {
 		return
 	}
-	l.fleet.putIn(e, l.now, l.random.Uint64())
+	l.fleet.insert(e, l.now, l.random.Uint64())
 }
--- a/core/sched/fleet.go
+++ b/core/sched/fleet.go
@@ -34,7 +34,7 @@
 }
 
 // putIn adds an endpoint to the index of its role.
-func (f *fleet) putIn(e *endpoint, now time.Duration, tie uint64) {
+func (f *fleet) insert(e *endpoint, now time.Duration, tie uint64) {
 	role := e.role()
 	x := f.roles[role]
 	if x == nil {
