--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -164,7 +164,7 @@
 	e.labelLeaving = live.IsLeaving(d)
 	e.inPool = true
 	e.promote()
-	l.touch(e)
+	l.reindex(e)
 }
 
 // newEndpoint starts from the configuration's estimates.
@@ -202,7 +202,7 @@
 
 // touch puts an endpoint that has changed back into the index, if it may get
 // work at all. Each change is bracketed by fleet.takeOut and touch.
-func (l *Ledger) touch(e *endpoint) {
+func (l *Ledger) reindex(e *endpoint) {
 	l.promoted = append(l.promoted, e.promoted...)
 	e.promoted = e.promoted[:0]
 	l.staticCycle.model = l.model
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -150,7 +150,7 @@
 func (l *Ledger) change(e *endpoint, alter func(e *endpoint)) {
 	l.fleet.remove(e)
 	alter(e)
-	l.touch(e)
+	l.reindex(e)
 }
 
 // scalar is a cost as the part of the pool's capacity that it takes, in
