--- a/core/sched/adopt.go
+++ b/core/sched/adopt.go
@@ -60,7 +60,7 @@
 	}
 	l.predictAdopted(r)
 	if decode.foreign > 0 {
-		l.change(decode, func(e *endpoint) { e.foreign-- })
+		l.updateEndpoint(decode, func(e *endpoint) { e.foreign-- })
 	}
 	return r
 }
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -100,7 +100,7 @@
 	if r.prefill == nil || r.phase >= PhaseTransferring {
 		return
 	}
-	l.change(r.prefill, func(e *endpoint) {
+	l.updateEndpoint(r.prefill, func(e *endpoint) {
 		e.queue = append(e.queue, r)
 		l.fleet.prefillSeconds += r.prefillTime.Seconds()
 		e.busyUntil = max(e.busyUntil, r.prefillEnd)
@@ -112,7 +112,7 @@
 
 // holdSlot takes a slot, or a place behind one that is to be released.
 func (l *Ledger) holdSlot(r *reservation) {
-	l.change(r.decode, func(e *endpoint) {
+	l.updateEndpoint(r.decode, func(e *endpoint) {
 		if e.free(l.now) > 0 || r.holdsSlot() {
 			e.held = append(e.held, r)
 			e.sortHeld()
@@ -147,7 +147,7 @@
 }
 
 // change alters an endpoint and keeps the fleet's index in step.
-func (l *Ledger) change(e *endpoint, alter func(e *endpoint)) {
+func (l *Ledger) updateEndpoint(e *endpoint, alter func(e *endpoint)) {
 	l.fleet.remove(e)
 	alter(e)
 	l.reindex(e)
--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -76,7 +76,7 @@
 	r.start = l.now
 	l.renew(r, l.now+2*r.prefillTime+r.queueWait(l.now)+l.options.ExpiresIn)
 	if r.prefill != nil {
-		l.change(r.prefill, func(e *endpoint) { e.predictQueue(l.now) })
+		l.updateEndpoint(r.prefill, func(e *endpoint) { e.predictQueue(l.now) })
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // predictAgain predicts the slot's release anew.
 func (l *Ledger) predictAgain(r *reservation, decodeStart time.Duration) {
-	l.change(r.decode, func(e *endpoint) {
+	l.updateEndpoint(r.decode, func(e *endpoint) {
 		r.predictRelease(decodeStart)
 		e.sortHeld()
 	})
@@ -191,14 +191,14 @@
 		return
 	}
 	if p.Leaving {
-		l.change(e, func(e *endpoint) {
+		l.updateEndpoint(e, func(e *endpoint) {
 			e.refusedLeaving = true
 			e.refusedAt = l.now
 		})
 	}
 	if p.Full {
 		r.recordOutcome(true)
-		l.change(e, func(e *endpoint) { e.fullUntil = l.now + l.options.FullHold })
+		l.updateEndpoint(e, func(e *endpoint) { e.fullUntil = l.now + l.options.FullHold })
 		l.full = append(l.full, e)
 	}
 }
--- a/core/sched/rebind.go
+++ b/core/sched/rebind.go
@@ -52,9 +52,9 @@
 		return
 	}
 	l.leaveLink(r)
-	l.change(r.decode, func(old *endpoint) { old.drop(r, l.now, l.options.ReportLag) })
+	l.updateEndpoint(r.decode, func(old *endpoint) { old.drop(r, l.now, l.options.ReportLag) })
 	r.decode = e
-	l.change(e, func(e *endpoint) {
+	l.updateEndpoint(e, func(e *endpoint) {
 		e.held = append(e.held, r)
 		e.sortHeld()
 	})
@@ -110,12 +110,12 @@
 // moveSlot moves a reservation that waits to an endpoint with a free slot.
 func (l *Ledger) moveSlot(r *reservation, e *endpoint) {
 	l.leaveLink(r)
-	l.change(r.decode, func(old *endpoint) {
+	l.updateEndpoint(r.decode, func(old *endpoint) {
 		old.pending = without(old.pending, r)
 		old.promote()
 	})
 	r.decode = e
-	l.change(e, func(e *endpoint) {
+	l.updateEndpoint(e, func(e *endpoint) {
 		e.held = append(e.held, r)
 		e.sortHeld()
 		e.promoted = append(e.promoted, r)
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -18,7 +18,7 @@
 		heap.Remove(&l.expiry, r.expiryIndex)
 	}
 	l.leavePrefill(r)
-	l.change(r.decode, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
+	l.updateEndpoint(r.decode, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
 	l.leaveLink(r)
 	l.ended.Add(r.want.Request, outcome{})
 }
@@ -29,7 +29,7 @@
 		return
 	}
 	l.fleet.prefillSeconds -= r.prefillTime.Seconds()
-	l.change(r.prefill, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
+	l.updateEndpoint(r.prefill, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
 }
 
 // leaveLink takes the reservation's transfer off its link.
@@ -88,7 +88,7 @@
 			kept = append(kept, e)
 			continue
 		}
-		l.change(e, func(*endpoint) {})
+		l.updateEndpoint(e, func(*endpoint) {})
 	}
 	l.full = kept
 }
--- a/core/sched/report.go
+++ b/core/sched/report.go
@@ -14,7 +14,7 @@
 	if e == nil || (e.reported && report.Reachable && report.Incarnation < e.report.Incarnation) {
 		return l.finish(nil)
 	}
-	l.change(e, func(e *endpoint) { l.takeReport(e, report) })
+	l.updateEndpoint(e, func(e *endpoint) { l.takeReport(e, report) })
 	return l.finish(nil)
 }
 
