--- a/core/sched/fleet.go
+++ b/core/sched/fleet.go
@@ -52,7 +52,7 @@
 
 // keyOf gives the endpoint's place in the index of its role.
 func keyOf(e *endpoint, now time.Duration, tie uint64) indexKey {
-	key := indexKey{class: roomNow, tie: tie, e: e}
+	key := indexKey{class: capacityNow, tie: tie, e: e}
 	if e.role() == live.RolePrefill {
 		key.at = max(e.busyUntil, e.fullUntil)
 		return key
--- a/core/sched/index.go
+++ b/core/sched/index.go
@@ -16,7 +16,7 @@
 // The classes of index keys.
 const (
 	// roomNow is the class of endpoints with room.
-	roomNow int8 = iota
+	capacityNow int8 = iota
 	// roomSoon is the class of those with a predicted release.
 	roomSoon
 	// noRoom is the class of those without.
