--- a/core/sched/fleet.go
+++ b/core/sched/fleet.go
@@ -67,7 +67,7 @@
 		key.class = noRoom
 		return key
 	}
-	key.class = roomSoon
+	key.class = capacitySoon
 	key.at = at
 	return key
 }
--- a/core/sched/index.go
+++ b/core/sched/index.go
@@ -18,7 +18,7 @@
 	// roomNow is the class of endpoints with room.
 	capacityNow int8 = iota
 	// roomSoon is the class of those with a predicted release.
-	roomSoon
+	capacitySoon
 	// noRoom is the class of those without.
 	noRoom
 )
