--- a/core/sched/fleet.go
+++ b/core/sched/fleet.go
@@ -64,7 +64,7 @@
 	}
 	at, _, ok := e.slotFreeAt(now)
 	if !ok {
-		key.class = noRoom
+		key.class = noCapacity
 		return key
 	}
 	key.class = capacitySoon
@@ -89,7 +89,7 @@
 	x := f.roles[role]
 	for _, d := range x.domains {
 		key, ok := x.trees[d].Min()
-		if !ok || key.class == noRoom {
+		if !ok || key.class == noCapacity {
 			continue
 		}
 		soonest = min(soonest, max(now, key.at))
--- a/core/sched/index.go
+++ b/core/sched/index.go
@@ -20,7 +20,7 @@
 	// roomSoon is the class of those with a predicted release.
 	capacitySoon
 	// noRoom is the class of those without.
-	noRoom
+	noCapacity
 )
 
 // indexKey orders endpoints by how soon they can take work.
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -154,7 +154,7 @@
 func (l *Ledger) findDecodes(c *cycle, w *waiting) {
 	found := l.scratch.decodes[:0]
 	l.fleet.roles[w.service.role()].nearest(perDomain, func(e *endpoint) (bool, bool) {
-		if e.key.class == noRoom {
+		if e.key.class == noCapacity {
 			c.blocked = slotFilter{}.name()
 			return false, false
 		}
