--- a/core/sched/heaps.go
+++ b/core/sched/heaps.go
@@ -6,7 +6,7 @@
 	// before says whether the item comes before another.
 	before(other T) bool
 	// place is where the item keeps its position; -1 when it is in no heap.
-	place() *int
+	heapIndex() *int
 }
 
 // indexedHeap is a heap whose items know their positions, so that one can be
@@ -19,14 +19,14 @@
 
 func (h indexedHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	*h[i].place() = i
-	*h[j].place() = j
+	*h[i].heapIndex() = i
+	*h[j].heapIndex() = j
 }
 
 // Push implements heap.Interface.
 func (h *indexedHeap[T]) Push(x any) {
 	item := x.(T)
-	*item.place() = len(*h)
+	*item.heapIndex() = len(*h)
 	*h = append(*h, item)
 }
 
@@ -38,7 +38,7 @@
 	var none T
 	old[last] = none
 	*h = old[:last]
-	*item.place() = -1
+	*item.heapIndex() = -1
 	return item
 }
 
@@ -55,7 +55,7 @@
 	return t.name < o.name
 }
 
-func (t *team) place() *int { return &t.index }
+func (t *team) heapIndex() *int { return &t.index }
 
 // before orders waiting requests by the last moment of a useful grant.
 func (w *waiting) before(o *waiting) bool {
@@ -65,7 +65,7 @@
 	return w.seq < o.seq
 }
 
-func (w *waiting) place() *int { return &w.index }
+func (w *waiting) heapIndex() *int { return &w.index }
 
 // before orders reservations by their expiry.
 func (r *reservation) before(o *reservation) bool {
@@ -75,4 +75,4 @@
 	return r.number < o.number
 }
 
-func (r *reservation) place() *int { return &r.expiryIndex }
+func (r *reservation) heapIndex() *int { return &r.expiryIndex }
