--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -187,11 +187,11 @@
 		found = append(found, l.prefillChoice(e, w))
 		return true, true
 	})
-	l.scratch.prefills = l.addAffine(c, w, found)
+	l.scratch.prefills = l.addAffinityCandidates(c, w, found)
 }
 
 // addAffine adds the engines that have the prompt's prefix.
-func (l *Ledger) addAffine(c *cycle, w *waiting, found []prefillChoice) []prefillChoice {
+func (l *Ledger) addAffinityCandidates(c *cycle, w *waiting, found []prefillChoice) []prefillChoice {
 	if len(w.want.Prefix) == 0 {
 		return found
 	}
