--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -201,7 +201,7 @@
 			continue
 		}
 		choice := l.prefillChoice(e, w)
-		if choice.start-l.now > l.worthWaiting(&choice) || !keepAll(l.pipeline.perRequest, c, e) {
+		if choice.start-l.now > l.maxAffinityWait(&choice) || !keepAll(l.pipeline.perRequest, c, e) {
 			continue
 		}
 		found = append(found, choice)
@@ -210,7 +210,7 @@
 }
 
 // worthWaiting is how long to wait for an engine that has the prefix.
-func (l *Ledger) worthWaiting(p *prefillChoice) time.Duration {
+func (l *Ledger) maxAffinityWait(p *prefillChoice) time.Duration {
 	saved := seconds(float64(p.cachedTokens) / p.endpoint.prefillRate.mean)
 	return min(saved, l.options.AffinityWait)
 }
