--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -94,7 +94,7 @@
 		if chosen != nil {
 			return l.grant(w, chosen, cause), false
 		}
-		if !ownCause(w, cause) {
+		if !isRequestSpecific(w, cause) {
 			return nil, false
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // ownCause is true for a request that is held up by something of its own.
-func ownCause(w *waiting, cause string) bool {
+func isRequestSpecific(w *waiting, cause string) bool {
 	return w.want.Suspect || len(w.want.Avoid) > 0 || cause == deadlineFilter{}.name()
 }
 
