--- a/core/sched/adopt.go
+++ b/core/sched/adopt.go
@@ -72,7 +72,7 @@
 		r.prefillTime = seconds(float64(r.want.PromptTokens) / r.prefill.prefillRate.mean)
 		r.prefillEnd = max(l.now, r.prefill.busyUntil) + r.prefillTime
 	}
-	if r.awaitsFirst() {
+	if r.awaitsFirstToken() {
 		r.link = l.linkBetween(r.prefill.domain, r.decode.domain)
 	}
 	if r.phase == PhaseDecoding {
--- a/core/sched/check.go
+++ b/core/sched/check.go
@@ -84,7 +84,7 @@
 		if r.prefill != nil && r.phase < PhaseTransferring {
 			prefills[r.prefill]++
 		}
-		if r.awaitsFirst() {
+		if r.awaitsFirstToken() {
 			awaited++
 		}
 		l.require(r.expires > l.now, "expiry", "%v outlived its expiry by %v", r, l.now-r.expires)
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -84,7 +84,7 @@
 func (l *Ledger) hold(r *reservation) {
 	l.granted[r.want.Request] = r
 	r.team.granted++
-	if r.awaitsFirst() {
+	if r.awaitsFirstToken() {
 		l.awaited++
 	}
 	heap.Push(&l.expiry, r)
--- a/core/sched/trial.go
+++ b/core/sched/trial.go
@@ -15,11 +15,11 @@
 }
 
 // awaitsFirst says whether a reservation has yet to give its first token.
-func (r *reservation) awaitsFirst() bool { return r.prefill != nil && r.phase < PhaseDecoding }
+func (r *reservation) awaitsFirstToken() bool { return r.prefill != nil && r.phase < PhaseDecoding }
 
 // endWait notes that a reservation does not await its first token any more.
 func (l *Ledger) endWait(r *reservation) {
-	if r.awaitsFirst() {
+	if r.awaitsFirstToken() {
 		l.awaited--
 	}
 }
