--- a/core/sched/check.go
+++ b/core/sched/check.go
@@ -89,7 +89,7 @@
 		}
 		l.require(r.expires > l.now, "expiry", "%v outlived its expiry by %v", r, l.now-r.expires)
 	}
-	l.require(awaited == l.awaited, "awaited", "%d counted, %d granted await a first token", l.awaited, awaited)
+	l.require(awaited == l.awaitingFirstToken, "awaited", "%d counted, %d granted await a first token", l.awaitingFirstToken, awaited)
 	for _, t := range l.teams {
 		l.require(teams[t] == t.granted, "team_count", "team %s: %d counted, %d granted", t.name, t.granted, teams[t])
 		l.require(t.queued >= 0, "team_count", "team %s: %d queued", t.name, t.queued)
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -85,7 +85,7 @@
 	l.granted[r.want.Request] = r
 	r.team.granted++
 	if r.awaitsFirstToken() {
-		l.awaited++
+		l.awaitingFirstToken++
 	}
 	heap.Push(&l.expiry, r)
 	l.holdPrefill(r)
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -48,7 +48,7 @@
 	pipeline    pipeline
 	pool        poolEstimate
 	// awaited counts the granted requests that have yet to give a first token.
-	awaited int
+	awaitingFirstToken int
 	// relaxed is when estimates were last looked at for their age.
 	decayedAt time.Duration
 	blocked   bool
--- a/core/sched/trial.go
+++ b/core/sched/trial.go
@@ -11,7 +11,7 @@
 // Without it, a few seconds in which engines are slow leave means by which every
 // prompt is refused, and no sample comes that would correct them.
 func (l *Ledger) mayProbe(s *service, atBest time.Duration) bool {
-	return !s.plain && l.awaited == 0 && atBest <= s.patience
+	return !s.plain && l.awaitingFirstToken == 0 && atBest <= s.patience
 }
 
 // awaitsFirst says whether a reservation has yet to give its first token.
@@ -20,6 +20,6 @@
 // endWait notes that a reservation does not await its first token any more.
 func (l *Ledger) endWait(r *reservation) {
 	if r.awaitsFirstToken() {
-		l.awaited--
+		l.awaitingFirstToken--
 	}
 }
