--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -143,7 +143,7 @@
 func (l *Ledger) decoding(r *reservation, p *Progress) {
 	l.correctDecode(r, p.Endpoint)
 	if r.phase < PhaseDecoding {
-		l.endWait(r)
+		l.endFirstTokenWait(r)
 		r.phase = PhaseDecoding
 		r.decodingFrom = l.now
 		r.recordOutcome(r.deadline > 0 && l.now > r.deadline)
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -13,7 +13,7 @@
 	l.correctCharge(r)
 	delete(l.granted, r.want.Request)
 	r.team.granted--
-	l.endWait(r)
+	l.endFirstTokenWait(r)
 	if r.expiryIndex >= 0 {
 		heap.Remove(&l.expiry, r.expiryIndex)
 	}
--- a/core/sched/trial.go
+++ b/core/sched/trial.go
@@ -18,7 +18,7 @@
 func (r *reservation) awaitsFirstToken() bool { return r.prefill != nil && r.phase < PhaseDecoding }
 
 // endWait notes that a reservation does not await its first token any more.
-func (l *Ledger) endWait(r *reservation) {
+func (l *Ledger) endFirstTokenWait(r *reservation) {
 	if r.awaitsFirstToken() {
 		l.awaitingFirstToken--
 	}
