--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -95,7 +95,7 @@
 	}
 	r.phase = PhaseTransferring
 	r.start = min(r.start, l.now)
-	l.leavePrefill(r)
+	l.removePrefill(r)
 	l.learnPrefill(r, p)
 	r.prefillEnd = l.now
 	if r.link != nil {
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -17,14 +17,14 @@
 	if r.expiryIndex >= 0 {
 		heap.Remove(&l.expiry, r.expiryIndex)
 	}
-	l.leavePrefill(r)
+	l.removePrefill(r)
 	l.updateEndpoint(r.decode, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
 	l.leaveLink(r)
 	l.ended.Add(r.want.Request, outcome{})
 }
 
 // leavePrefill takes the reservation off its engine's queue.
-func (l *Ledger) leavePrefill(r *reservation) {
+func (l *Ledger) removePrefill(r *reservation) {
 	if r.prefill == nil || !slices.Contains(r.prefill.queue, r) {
 		return
 	}
