--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -147,7 +147,7 @@
 		r.phase = PhaseDecoding
 		r.decodingFrom = l.now
 		r.recordOutcome(r.deadline > 0 && l.now > r.deadline)
-		l.leaveLink(r)
+		l.removeTransfer(r)
 		if p.TransferTime > 0 {
 			l.pool.transfer.add(l.now, p.TransferTime.Seconds())
 		}
--- a/core/sched/rebind.go
+++ b/core/sched/rebind.go
@@ -51,7 +51,7 @@
 	if e == nil || e == r.decode {
 		return
 	}
-	l.leaveLink(r)
+	l.removeTransfer(r)
 	l.updateEndpoint(r.decode, func(old *endpoint) { old.drop(r, l.now, l.options.ReportLag) })
 	r.decode = e
 	l.updateEndpoint(e, func(e *endpoint) {
@@ -109,7 +109,7 @@
 
 // moveSlot moves a reservation that waits to an endpoint with a free slot.
 func (l *Ledger) moveSlot(r *reservation, e *endpoint) {
-	l.leaveLink(r)
+	l.removeTransfer(r)
 	l.updateEndpoint(r.decode, func(old *endpoint) {
 		old.pending = without(old.pending, r)
 		old.promote()
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -19,7 +19,7 @@
 	}
 	l.removePrefill(r)
 	l.updateEndpoint(r.decode, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
-	l.leaveLink(r)
+	l.removeTransfer(r)
 	l.ended.Add(r.want.Request, outcome{})
 }
 
@@ -33,7 +33,7 @@
 }
 
 // leaveLink takes the reservation's transfer off its link.
-func (l *Ledger) leaveLink(r *reservation) {
+func (l *Ledger) removeTransfer(r *reservation) {
 	if r.link == nil {
 		return
 	}
