--- a/core/sched/link.go
+++ b/core/sched/link.go
@@ -54,7 +54,7 @@
 	if now <= l.at {
 		return
 	}
-	drain(l.transfers, l.rate, l.at, now, nil)
+	simulateTransfers(l.transfers, l.rate, l.at, now, nil)
 	l.at = now
 }
 
@@ -68,7 +68,7 @@
 	inTime := true
 	took := life
 	last := len(l.scratch) - 1
-	drain(l.scratch, l.rate, now, never, func(i int, at time.Duration) bool {
+	simulateTransfers(l.scratch, l.rate, now, never, func(i int, at time.Duration) bool {
 		late := at > l.scratch[i].deadline
 		if i == last {
 			took = at - fresh.start
@@ -111,7 +111,7 @@
 
 // drain shares the rate equally among the started transfers from one time to
 // another; ended is told of each end and stops the run by returning false.
-func drain(list []transfer, rate float64, from, until time.Duration, ended func(int, time.Duration) bool) {
+func simulateTransfers(list []transfer, rate float64, from, until time.Duration, ended func(int, time.Duration) bool) {
 	at := from
 	for at < until {
 		active, least, next := sharing(list, at, until)
