--- a/core/sched/link.go
+++ b/core/sched/link.go
@@ -122,7 +122,7 @@
 		if active > 0 {
 			step = min(step, seconds(least*float64(active)/rate)+1)
 		}
-		if !progress(list, rate, at, step, active, ended) {
+		if !stepTransfers(list, rate, at, step, active, ended) {
 			return
 		}
 		at += step
@@ -151,7 +151,7 @@
 }
 
 // progress takes one step in which the same transfers are active.
-func progress(list []transfer, rate float64, at, step time.Duration, active int, ended func(int, time.Duration) bool) bool {
+func stepTransfers(list []transfer, rate float64, at, step time.Duration, active int, ended func(int, time.Duration) bool) bool {
 	if active == 0 {
 		return true
 	}
