--- a/core/sched/link.go
+++ b/core/sched/link.go
@@ -114,7 +114,7 @@
 func simulateTransfers(list []transfer, rate float64, from, until time.Duration, ended func(int, time.Duration) bool) {
 	at := from
 	for at < until {
-		active, least, next := sharing(list, at, until)
+		active, least, next := activeTransfers(list, at, until)
 		if active == 0 && next >= until {
 			return
 		}
@@ -131,7 +131,7 @@
 
 // sharing counts the active transfers, the least of their remaining bytes, and
 // the next start.
-func sharing(list []transfer, at, until time.Duration) (active int, least float64, next time.Duration) {
+func activeTransfers(list []transfer, at, until time.Duration) (active int, least float64, next time.Duration) {
 	next = until
 	for i := range list {
 		t := &list[i]
