--- a/core/sched/report.go
+++ b/core/sched/report.go
@@ -35,13 +35,13 @@
 	}
 	e.reported = true
 	e.report = report
-	e.noteForeign(l.now - l.options.ReportLag)
+	e.countForeign(l.now - l.options.ReportLag)
 	e.promote()
 }
 
 // noteForeign counts the reported work that the ledger doesn't know. What was
 // released since the report may have been made doesn't count.
-func (e *endpoint) noteForeign(since time.Duration) {
+func (e *endpoint) countForeign(since time.Duration) {
 	if e.role() == live.RolePrefill {
 		return
 	}
