--- a/core/sched/endpoint.go
+++ b/core/sched/endpoint.go
@@ -145,7 +145,7 @@
 	before := len(e.held)
 	e.held = without(e.held, r)
 	if len(e.held) < before {
-		e.noteRelease(now, lag)
+		e.recordRelease(now, lag)
 	}
 	e.pending = without(e.pending, r)
 	if e.suspect == r {
@@ -156,7 +156,7 @@
 }
 
 // noteRelease remembers a release for as long as reports may lag.
-func (e *endpoint) noteRelease(now, lag time.Duration) {
+func (e *endpoint) recordRelease(now, lag time.Duration) {
 	e.released = append(e.released, now)
 	e.forgetReleases(now - lag)
 }
