--- a/core/sched/endpoint.go
+++ b/core/sched/endpoint.go
@@ -158,11 +158,11 @@
 // noteRelease remembers a release for as long as reports may lag.
 func (e *endpoint) recordRelease(now, lag time.Duration) {
 	e.released = append(e.released, now)
-	e.forgetReleases(now - lag)
+	e.pruneReleases(now - lag)
 }
 
 // forgetReleases forgets the releases before a time.
-func (e *endpoint) forgetReleases(before time.Duration) {
+func (e *endpoint) pruneReleases(before time.Duration) {
 	for len(e.released) > 0 && e.released[0] < before {
 		e.released = e.released[1:]
 	}
--- a/core/sched/report.go
+++ b/core/sched/report.go
@@ -45,7 +45,7 @@
 	if e.role() == live.RolePrefill {
 		return
 	}
-	e.forgetReleases(since)
+	e.pruneReleases(since)
 	known := len(e.held) + len(e.pending) + len(e.released)
 	e.foreign = max(0, e.report.Running+e.report.Waiting-known)
 }
