--- a/core/sched/optimistic.go
+++ b/core/sched/optimistic.go
@@ -226,7 +226,7 @@
 	r.begun = true
 	if p.Phase >= PhaseDone {
 		o.release(r)
-		o.noteLeaving(&p)
+		o.recordLeaving(&p)
 		return nil
 	}
 	if p.Phase >= PhaseTransferring {
@@ -238,7 +238,7 @@
 }
 
 // noteLeaving takes an endpoint's own word that it leaves.
-func (o *Optimistic) noteLeaving(p *Progress) {
+func (o *Optimistic) recordLeaving(p *Progress) {
 	e := o.endpoints[p.Endpoint]
 	if e == nil || !p.Leaving {
 		return
