--- a/core/sched/service.go
+++ b/core/sched/service.go
@@ -32,7 +32,7 @@
 		name:        s.Name,
 		plain:       s.Type == live.ServicePlain,
 		patience:    patienceOf(s),
-		timeout:     orMilliseconds(s.TimeoutMS, live.DefaultTimeoutMS),
+		timeout:     millisecondsOr(s.TimeoutMS, live.DefaultTimeoutMS),
 		wasteWeight: min(max(s.WasteWeight, 0), 1),
 		selector:    selector,
 	}
@@ -53,13 +53,13 @@
 		return s.Patience()
 	}
 	if s.Type == live.ServicePlain && s.FirstTokenTargetMS == 0 {
-		return orMilliseconds(s.TimeoutMS, live.DefaultTimeoutMS)
+		return millisecondsOr(s.TimeoutMS, live.DefaultTimeoutMS)
 	}
-	return orMilliseconds(s.FirstTokenTargetMS, live.DefaultFirstTokenMS)
+	return millisecondsOr(s.FirstTokenTargetMS, live.DefaultFirstTokenMS)
 }
 
 // orMilliseconds converts milliseconds, with a default for none.
-func orMilliseconds(ms, otherwise int) time.Duration {
+func millisecondsOr(ms, otherwise int) time.Duration {
 	if ms <= 0 {
 		ms = otherwise
 	}
