--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -53,9 +53,9 @@
 	decayedAt time.Duration
 	blocked   bool
 	// full are the endpoints that refused for lack of room lately.
-	full      []*endpoint
-	activeSum timedSum
-	pressure  pressure
+	fullEndpoints []*endpoint
+	activeSum     timedSum
+	pressure      pressure
 	// borrowers are the reservations that rely on a predicted release.
 	awaitingSlot []*reservation
 	// promoted reservations have got their slots and aren't told yet.
--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -199,6 +199,6 @@
 	if p.Full {
 		r.recordOutcome(true)
 		l.updateEndpoint(e, func(e *endpoint) { e.fullUntil = l.now + l.options.FullHold })
-		l.full = append(l.full, e)
+		l.fullEndpoints = append(l.fullEndpoints, e)
 	}
 }
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -82,15 +82,15 @@
 
 // recheckFull takes endpoints back that refused for lack of room a while ago.
 func (l *Ledger) recheckFull() {
-	kept := l.full[:0]
-	for _, e := range l.full {
+	kept := l.fullEndpoints[:0]
+	for _, e := range l.fullEndpoints {
 		if l.now < e.fullUntil {
 			kept = append(kept, e)
 			continue
 		}
 		l.updateEndpoint(e, func(*endpoint) {})
 	}
-	l.full = kept
+	l.fullEndpoints = kept
 }
 
 // grantedInOrder lists the reservations in the order of their numbers.
