--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -13,7 +13,7 @@
 
 // fairWorld is a world without faults whose engines serve some 120 requests a
 // second, with requests that wait up to two seconds.
-func fairWorld(t *testing.T, seed uint64, weights ...float64) *world {
+func fairWorld(t *testing.T, seed uint64, weights ...float64) *simulation {
 	doc := testDocument(22, len(weights))
 	doc.Services[0].PatienceMS = 2000
 	for i, weight := range weights {
--- a/core/sched/ledger_random_test.go
+++ b/core/sched/ledger_random_test.go
@@ -56,7 +56,7 @@
 }
 
 // shape varies a request.
-func (w *world) shape(want *Want) {
+func (w *simulation) shape(want *Want) {
 	want.PromptTokens = 200 + w.random.IntN(8000)
 	want.OutputTokens = 1 + w.random.IntN(60)
 	want.Priority = w.random.IntN(12)
@@ -70,7 +70,7 @@
 
 // disturb brings reports, cache events, new configurations, dead daemons and
 // new owners.
-func (w *world) disturb(until int) {
+func (w *simulation) disturb(until int) {
 	if w.events >= until {
 		w.settleDown()
 		return
@@ -93,7 +93,7 @@
 }
 
 // sendLoad reports an endpoint's load by the world's record.
-func (w *world) sendLoad() {
+func (w *simulation) sendLoad() {
 	e := w.doc.Endpoints[w.random.IntN(len(w.doc.Endpoints))]
 	load := Load{Endpoint: e.Name, Incarnation: 1, Slots: e.Slots, Reachable: !w.chance(0.05), Model: "m"}
 	load.Leaving = w.chance(0.03)
@@ -106,7 +106,7 @@
 }
 
 // reconfigure changes a label, a slot count or a weight.
-func (w *world) reconfigure() {
+func (w *simulation) reconfigure() {
 	doc := testDocument(22, 5)
 	doc.Revision = w.doc.Revision + 1
 	e := &doc.Endpoints[w.random.IntN(len(doc.Endpoints))]
@@ -118,7 +118,7 @@
 }
 
 // killDaemon ends a daemon; it comes back as a new process.
-func (w *world) killDaemon() {
+func (w *simulation) killDaemon() {
 	i := w.random.IntN(len(w.daemons))
 	gone := w.daemons[i]
 	w.daemons[i].Incarnation++
@@ -132,7 +132,7 @@
 }
 
 // bury tells the ledger that a process is gone.
-func (w *world) bury(gone id.Process) {
+func (w *simulation) bury(gone id.Process) {
 	w.deliver(w.ledger.ProcessGone(w.now, gone))
 	for _, c := range w.calls {
 		if c.want.From == gone {
@@ -142,7 +142,7 @@
 }
 
 // changeOwner starts a new ledger that hears of what is granted and waits.
-func (w *world) changeOwner() {
+func (w *simulation) changeOwner() {
 	o := w.options
 	o.Self.Incarnation = w.ledger.options.Self.Incarnation + 1
 	w.ledger = NewLedger(o).(*Ledger)
@@ -160,12 +160,12 @@
 }
 
 // settleDown ends the disturbances with a sound configuration and reports.
-func (w *world) settleDown() {
+func (w *simulation) settleDown() {
 	w.deliver(w.ledger.Configure(w.now, testDocument(22, 5)))
 }
 
 // assertEnd asserts that nothing is left of any request.
-func (w *world) assertEnd() {
+func (w *simulation) assertEnd() {
 	is := is.New(w.t)
 	s := w.ledger.Snapshot()
 	is.Equal(s.Queued, 0)  // nothing waits
--- a/core/sched/world_test.go
+++ b/core/sched/world_test.go
@@ -14,7 +14,7 @@
 
 // world drives a ledger by seeded random events as from many daemons, loses
 // and repeats messages, and keeps its own record of what was granted.
-type world struct {
+type simulation struct {
 	t       *testing.T
 	random  *rand.Rand
 	options Options
@@ -76,8 +76,8 @@
 }
 
 // newWorld returns a world of 9 daemons.
-func newWorld(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *world {
-	w := &world{
+func newWorld(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *simulation {
+	w := &simulation{
 		t:       t,
 		random:  rand.New(rand.NewPCG(seed, 7)),
 		options: o,
@@ -97,21 +97,21 @@
 }
 
 // after plans an event.
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.due, dueEvent{at: w.now + max(0, d), serial: w.serial, do: do})
 }
 
 // chance is true with a probability, and never in a world without faults.
-func (w *world) chance(p float64) bool { return w.faulty && w.random.Float64() < p }
+func (w *simulation) chance(p float64) bool { return w.faulty && w.random.Float64() < p }
 
 // between draws a duration.
-func (w *world) between(a, b time.Duration) time.Duration {
+func (w *simulation) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.random.Int64N(int64(b-a)))
 }
 
 // run lets all planned events happen, then what is due.
-func (w *world) run() {
+func (w *simulation) run() {
 	for len(w.due) > 0 {
 		w.step()
 	}
@@ -120,7 +120,7 @@
 }
 
 // step lets the next event happen, a Tick that is due before it included.
-func (w *world) step() {
+func (w *simulation) step() {
 	if w.ledger.Next() < w.due[0].at {
 		w.tick()
 		return
@@ -135,7 +135,7 @@
 }
 
 // tick calls Tick when it is due. Nothing that was due may be left.
-func (w *world) tick() {
+func (w *simulation) tick() {
 	w.now = max(w.now, w.ledger.Next())
 	w.deliver(w.ledger.Tick(w.now))
 	if next := w.ledger.Next(); next <= w.now {
@@ -144,14 +144,14 @@
 }
 
 // quiet lets time pass until nothing is due.
-func (w *world) quiet() {
+func (w *simulation) quiet() {
 	for w.ledger.Next() < never {
 		w.tick()
 	}
 }
 
 // arrivals brings a request now and plans the next, until done.
-func (w *world) arrivals(team id.Team, every time.Duration, until int, shape func(*Want)) {
+func (w *simulation) arrivals(team id.Team, every time.Duration, until int, shape func(*Want)) {
 	if w.events >= until {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // send sends a Want, at times twice, and at times withdraws it.
-func (w *world) send(want Want) {
+func (w *simulation) send(want Want) {
 	w.calls[want.Request] = &call{want: want}
 	w.asked[want.Team]++
 	w.deliver(w.ledger.Want(w.now, want))
@@ -177,7 +177,7 @@
 }
 
 // withdraw drops a request that hasn't begun.
-func (w *world) withdraw(r id.Request) {
+func (w *simulation) withdraw(r id.Request) {
 	c := w.calls[r]
 	if c == nil || c.phase != 0 || c.dropped {
 		return
@@ -188,7 +188,7 @@
 }
 
 // deliver takes the ledger's actions to the daemons.
-func (w *world) deliver(actions []Action) {
+func (w *simulation) deliver(actions []Action) {
 	for _, a := range actions {
 		if a.Grant != nil {
 			w.takeGrant(a.Grant)
@@ -203,7 +203,7 @@
 }
 
 // takeGrant begins the work, unless the message is lost.
-func (w *world) takeGrant(g *Grant) {
+func (w *simulation) takeGrant(g *Grant) {
 	w.granted++
 	c := w.calls[g.Request]
 	if c == nil {
@@ -234,7 +234,7 @@
 }
 
 // lose forgets a grant; half of the daemons ask again.
-func (w *world) lose(c *call, g *Grant) {
+func (w *simulation) lose(c *call, g *Grant) {
 	again := w.random.IntN(2) == 0
 	w.after(g.ExpiresIn+200*ms, func() {
 		if c.grant != g || c.dropped {
@@ -251,7 +251,7 @@
 
 // takeBinding checks that a binding is of the call's grant, and that its slot
 // is one that a grant could have named.
-func (w *world) takeBinding(b *Binding) {
+func (w *simulation) takeBinding(b *Binding) {
 	w.bound++
 	c := w.calls[b.Request]
 	if c == nil {
@@ -280,7 +280,7 @@
 }
 
 // checkMove checks a binding to another endpoint than the grant named.
-func (w *world) checkMove(c *call, b *Binding) {
+func (w *simulation) checkMove(c *call, b *Binding) {
 	if c.phase >= PhaseDecoding {
 		w.t.Errorf("request %s is moved to %s while it decodes, and all was told", b.Request, b.Decode)
 	}
@@ -294,7 +294,7 @@
 }
 
 // takeRefusal ends a call.
-func (w *world) takeRefusal(r *Refusal) {
+func (w *simulation) takeRefusal(r *Refusal) {
 	w.refused++
 	c := w.calls[r.Request]
 	if c == nil {
@@ -311,14 +311,14 @@
 }
 
 // end forgets a call but for its having been there.
-func (w *world) end(r id.Request) {
+func (w *simulation) end(r id.Request) {
 	delete(w.calls, r)
 	w.ended[r] = true
 }
 
 // checkSlots compares the live grants of an endpoint with its slots, by the
 // world's own record.
-func (w *world) checkSlots(name id.Endpoint) {
+func (w *simulation) checkSlots(name id.Endpoint) {
 	if w.options.Reservation != Early || w.faulty {
 		return
 	}
@@ -337,7 +337,7 @@
 }
 
 // advance takes a granted request to a phase and plans the next.
-func (w *world) advance(c *call, g *Grant, phase Phase) {
+func (w *simulation) advance(c *call, g *Grant, phase Phase) {
 	if c.dropped || c.grant != g {
 		return
 	}
@@ -370,7 +370,7 @@
 const bindingPoll = 5 * ms
 
 // awaitsBinding is true while a provisional grant has to wait, as a daemon does.
-func (w *world) awaitsBinding(c *call, g *Grant) bool {
+func (w *simulation) awaitsBinding(c *call, g *Grant) bool {
 	if !g.Provisional || c.bound {
 		return false
 	}
@@ -381,7 +381,7 @@
 }
 
 // report makes the Progress of a phase.
-func (w *world) report(c *call, g *Grant, phase Phase) Progress {
+func (w *simulation) report(c *call, g *Grant, phase Phase) Progress {
 	p := progressOf(g, phase)
 	p.PromptTokens = c.want.PromptTokens
 	p.OutputTokens = max(1, c.want.OutputTokens)
@@ -394,7 +394,7 @@
 }
 
 // phaseTime is how long a phase really takes.
-func (w *world) phaseTime(c *call, phase Phase) time.Duration {
+func (w *simulation) phaseTime(c *call, phase Phase) time.Duration {
 	off := 1.0
 	if w.faulty {
 		off = 0.5 + w.random.Float64()
