--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -21,7 +21,7 @@
 	}
 	o := testOptions(t)
 	o.Seed = seed
-	return newWorld(t, seed, o, doc, false)
+	return newSimulation(t, seed, o, doc, false)
 }
 
 // unshaped leaves a request as it is.
--- a/core/sched/ledger_random_test.go
+++ b/core/sched/ledger_random_test.go
@@ -41,7 +41,7 @@
 			o := testOptions(t)
 			o.Seed = seed
 			o.Reservation = Reservation(seed % 2)
-			w := newWorld(t, seed, o, testDocument(22, 5), true)
+			w := newSimulation(t, seed, o, testDocument(22, 5), true)
 			for i := range 5 {
 				w.arrivals(teamName(i), 25*ms, events, w.shape)
 			}
--- a/core/sched/world_test.go
+++ b/core/sched/world_test.go
@@ -76,7 +76,7 @@
 }
 
 // newWorld returns a world of 9 daemons.
-func newWorld(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *simulation {
+func newSimulation(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *simulation {
 	w := &simulation{
 		t:       t,
 		random:  rand.New(rand.NewPCG(seed, 7)),
