--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -13,7 +13,7 @@
 
 // fairWorld is a world without faults whose engines serve some 120 requests a
 // second, with requests that wait up to two seconds.
-func fairWorld(t *testing.T, seed uint64, weights ...float64) *simulation {
+func fairSimulation(t *testing.T, seed uint64, weights ...float64) *simulation {
 	doc := testDocument(22, len(weights))
 	doc.Services[0].PatienceMS = 2000
 	for i, weight := range weights {
@@ -30,7 +30,7 @@
 func TestAFloodCostsOnlyItsTeam(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
-		w := fairWorld(t, seed, 1, 1, 1, 1)
+		w := fairSimulation(t, seed, 1, 1, 1, 1)
 		const events = 15_000
 		w.arrivals(teamName(0), 10*ms/3, events, unshaped) // ten times its share of 30/s
 		for i := 1; i < 4; i++ {
@@ -52,7 +52,7 @@
 
 func TestSharesFollowWeights(t *testing.T) {
 	is := is.New(t)
-	w := fairWorld(t, 1, 1, 2, 3)
+	w := fairSimulation(t, 1, 1, 2, 3)
 	const events = 30_000
 	for i := range 3 {
 		w.arrivals(teamName(i), 8*ms, events, unshaped)
@@ -73,7 +73,7 @@
 
 func TestALongPromptCostsItsTeam(t *testing.T) {
 	is := is.New(t)
-	w := fairWorld(t, 1, 1, 1)
+	w := fairSimulation(t, 1, 1, 1)
 	const events = 30_000
 	w.arrivals(teamName(0), 8*ms, events, func(want *Want) {
 		want.PromptTokens = 8000
@@ -89,10 +89,10 @@
 
 func TestOneTeamGetsTheWholePool(t *testing.T) {
 	is := is.New(t)
-	alone := fairWorld(t, 1, 1)
+	alone := fairSimulation(t, 1, 1)
 	alone.arrivals(teamName(0), 5*ms, 10_000, unshaped)
 	alone.run()
-	one := fairWorld(t, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
+	one := fairSimulation(t, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	one.arrivals(teamName(0), 5*ms, 10_000, unshaped)
 	one.run()
 	is.Equal(one.served, alone.served) // idle teams take nothing
@@ -147,7 +147,7 @@
 // TestGoodputReturnsAfterAnOverload asks that goodput returns by itself once an overload ends.
 func TestGoodputReturnsAfterAnOverload(t *testing.T) {
 	is := is.New(t)
-	w := fairWorld(t, 1, 1, 1)
+	w := fairSimulation(t, 1, 1, 1)
 	w.arrivals(teamName(0), 2*ms, 10_000, unshaped) // six times what can be served
 	w.run()
 	is.True(w.refused > 0)
