--- a/core/sched/ledger_random_test.go
+++ b/core/sched/ledger_random_test.go
@@ -128,11 +128,11 @@
 			c.orphan = true
 		}
 	}
-	w.after(w.between(0, 500*ms), func() { w.bury(gone) })
+	w.after(w.between(0, 500*ms), func() { w.reportGone(gone) })
 }
 
 // bury tells the ledger that a process is gone.
-func (w *simulation) bury(gone id.Process) {
+func (w *simulation) reportGone(gone id.Process) {
 	w.deliver(w.ledger.ProcessGone(w.now, gone))
 	for _, c := range w.calls {
 		if c.want.From == gone {
