--- a/core/sched/ledger_random_test.go
+++ b/core/sched/ledger_random_test.go
@@ -45,7 +45,7 @@
 			for i := range 5 {
 				w.arrivals(teamName(i), 25*ms, events, w.shape)
 			}
-			w.disturb(events)
+			w.injectFaults(events)
 			w.run()
 			w.assertEnd()
 			is.True(w.granted > events/50) // the run got work done
@@ -70,7 +70,7 @@
 
 // disturb brings reports, cache events, new configurations, dead daemons and
 // new owners.
-func (w *simulation) disturb(until int) {
+func (w *simulation) injectFaults(until int) {
 	if w.events >= until {
 		w.settleDown()
 		return
@@ -89,7 +89,7 @@
 	case n < 98:
 		w.changeOwner()
 	}
-	w.after(w.between(ms, 40*ms), func() { w.disturb(until) })
+	w.after(w.between(ms, 40*ms), func() { w.injectFaults(until) })
 }
 
 // sendLoad reports an endpoint's load by the world's record.
