--- a/core/sched/ledger_random_test.go
+++ b/core/sched/ledger_random_test.go
@@ -72,7 +72,7 @@
 // new owners.
 func (w *simulation) injectFaults(until int) {
 	if w.events >= until {
-		w.settleDown()
+		w.endFaults()
 		return
 	}
 	switch n := w.random.IntN(100); {
@@ -160,7 +160,7 @@
 }
 
 // settleDown ends the disturbances with a sound configuration and reports.
-func (w *simulation) settleDown() {
+func (w *simulation) endFaults() {
 	w.deliver(w.ledger.Configure(w.now, testDocument(22, 5)))
 }
 
