--- a/core/sched/ledger_random_test.go
+++ b/core/sched/ledger_random_test.go
@@ -43,7 +43,7 @@
 			o.Reservation = Reservation(seed % 2)
 			w := newSimulation(t, seed, o, testDocument(22, 5), true)
 			for i := range 5 {
-				w.arrivals(teamName(i), 25*ms, events, w.shape)
+				w.arrivals(teamName(i), 25*ms, events, w.randomize)
 			}
 			w.injectFaults(events)
 			w.run()
@@ -56,7 +56,7 @@
 }
 
 // shape varies a request.
-func (w *simulation) shape(want *Want) {
+func (w *simulation) randomize(want *Want) {
 	want.PromptTokens = 200 + w.random.IntN(8000)
 	want.OutputTokens = 1 + w.random.IntN(60)
 	want.Priority = w.random.IntN(12)
