--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -25,16 +25,16 @@
 }
 
 // unshaped leaves a request as it is.
-func unshaped(*Want) {}
+func unchanged(*Want) {}
 
 func TestAFloodCostsOnlyItsTeam(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
 		w := fairSimulation(t, seed, 1, 1, 1, 1)
 		const events = 15_000
-		w.arrivals(teamName(0), 10*ms/3, events, unshaped) // ten times its share of 30/s
+		w.arrivals(teamName(0), 10*ms/3, events, unchanged) // ten times its share of 30/s
 		for i := 1; i < 4; i++ {
-			w.arrivals(teamName(i), 37*ms, events, unshaped) // nine tenths of it
+			w.arrivals(teamName(i), 37*ms, events, unchanged) // nine tenths of it
 		}
 		w.run()
 		for i := 1; i < 4; i++ {
@@ -55,7 +55,7 @@
 	w := fairSimulation(t, 1, 1, 2, 3)
 	const events = 30_000
 	for i := range 3 {
-		w.arrivals(teamName(i), 8*ms, events, unshaped)
+		w.arrivals(teamName(i), 8*ms, events, unchanged)
 	}
 	w.run()
 	total := 0
@@ -79,7 +79,7 @@
 		want.PromptTokens = 8000
 		want.OutputTokens = 80
 	})
-	w.arrivals(teamName(1), 4*ms, events, unshaped)
+	w.arrivals(teamName(1), 4*ms, events, unchanged)
 	w.run()
 	ratio := float64(w.served[teamName(1)]) / float64(w.served[teamName(0)])
 	t.Logf("four times the size, %.2f times fewer served", ratio)
@@ -90,10 +90,10 @@
 func TestOneTeamGetsTheWholePool(t *testing.T) {
 	is := is.New(t)
 	alone := fairSimulation(t, 1, 1)
-	alone.arrivals(teamName(0), 5*ms, 10_000, unshaped)
+	alone.arrivals(teamName(0), 5*ms, 10_000, unchanged)
 	alone.run()
 	one := fairSimulation(t, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-	one.arrivals(teamName(0), 5*ms, 10_000, unshaped)
+	one.arrivals(teamName(0), 5*ms, 10_000, unchanged)
 	one.run()
 	is.Equal(one.served, alone.served) // idle teams take nothing
 }
@@ -148,13 +148,13 @@
 func TestGoodputReturnsAfterAnOverload(t *testing.T) {
 	is := is.New(t)
 	w := fairSimulation(t, 1, 1, 1)
-	w.arrivals(teamName(0), 2*ms, 10_000, unshaped) // six times what can be served
+	w.arrivals(teamName(0), 2*ms, 10_000, unchanged) // six times what can be served
 	w.run()
 	is.True(w.refused > 0)
 	before, refused := w.granted, w.refused
 	until := w.events + 3000
 	start := w.now
-	w.arrivals(teamName(0), 20*ms, until, unshaped) // well within it
+	w.arrivals(teamName(0), 20*ms, until, unchanged) // well within it
 	w.run()
 	is.True(w.granted > before)
 	is.Equal(w.refused, refused) // nothing is refused any more
