--- a/core/sched/world_test.go
+++ b/core/sched/world_test.go
@@ -227,14 +227,14 @@
 	w.served[c.want.Team]++
 	w.checkSlots(g.Decode)
 	if w.chance(0.03) {
-		w.lose(c, g)
+		w.loseGrant(c, g)
 		return
 	}
 	w.after(g.StartIn, func() { w.advance(c, g, PhasePrefilling) })
 }
 
 // lose forgets a grant; half of the daemons ask again.
-func (w *simulation) lose(c *call, g *Grant) {
+func (w *simulation) loseGrant(c *call, g *Grant) {
 	again := w.random.IntN(2) == 0
 	w.after(g.ExpiresIn+200*ms, func() {
 		if c.grant != g || c.dropped {
