--- a/core/sched/world_test.go
+++ b/core/sched/world_test.go
@@ -115,7 +115,7 @@
 	for len(w.due) > 0 {
 		w.step()
 	}
-	w.quiet()
+	w.runUntilIdle()
 	w.ledger.Audit()
 }
 
@@ -144,7 +144,7 @@
 }
 
 // quiet lets time pass until nothing is due.
-func (w *simulation) quiet() {
+func (w *simulation) runUntilIdle() {
 	for w.ledger.Next() < never {
 		w.tick()
 	}
