--- a/core/sched/world_test.go
+++ b/core/sched/world_test.go
@@ -48,9 +48,9 @@
 	orphan bool
 	// bound is set by the Binding of a provisional grant, waitsFrom when the
 	// call began to wait for it, deaf once a Progress of it was lost.
-	bound     bool
-	waitsFrom time.Duration
-	deaf      bool
+	bound        bool
+	waitsFrom    time.Duration
+	progressLost bool
 }
 
 // dueEvent is something to happen.
@@ -271,7 +271,7 @@
 	if c.grant.Decode == b.Decode {
 		return
 	}
-	if c.phase >= PhaseDecoding && c.deaf {
+	if c.phase >= PhaseDecoding && c.progressLost {
 		return // too late: the daemon has ordered the decode where it was granted
 	}
 	w.checkMove(c, b)
@@ -356,7 +356,7 @@
 	if phase >= PhaseDone || !w.chance(0.02) {
 		w.deliver(w.ledger.Progress(w.now, p))
 	} else {
-		c.deaf = true
+		c.progressLost = true
 	}
 	if w.chance(0.02) {
 		w.deliver(w.ledger.Progress(w.now, p))
