--- a/core/sched/want.go
+++ b/core/sched/want.go
@@ -17,7 +17,7 @@
 
 // take queues a Want or answers it at once.
 func (l *Ledger) enqueue(w Want) []Action {
-	if actions, repeated := l.repeated(&w); repeated {
+	if actions, repeated := l.answerRepeated(&w); repeated {
 		return actions
 	}
 	w.PromptTokens = max(1, w.PromptTokens)
@@ -33,7 +33,7 @@
 }
 
 // repeated answers a Want that has come before.
-func (l *Ledger) repeated(w *Want) ([]Action, bool) {
+func (l *Ledger) answerRepeated(w *Want) ([]Action, bool) {
 	if r := l.granted[w.Request]; r != nil {
 		if r.want.From != w.From {
 			return []Action{{To: w.From, Refusal: superseded(w, "the caller came back through another daemon")}}, true
