--- a/core/sched/filter_health_test.go
+++ b/core/sched/filter_health_test.go
@@ -13,8 +13,8 @@
 	c := testCycle()
 	e := testEndpoint("e", live.RoleDecode)
 	keeps(is, healthFilter{}, c, e, true)
-	c.options.Health = allowed{ejected: "e"}
+	c.options.Health = ejectingView{ejected: "e"}
 	keeps(is, healthFilter{}, c, e, false)
-	c.options.Health = allowed{ejected: "f"}
+	c.options.Health = ejectingView{ejected: "f"}
 	keeps(is, healthFilter{}, c, e, true)
 }
--- a/core/sched/plugins_test.go
+++ b/core/sched/plugins_test.go
@@ -53,9 +53,9 @@
 }
 
 // allowed is a health view that ejects one endpoint.
-type allowed struct{ ejected id.Endpoint }
+type ejectingView struct{ ejected id.Endpoint }
 
-func (a allowed) Allowed(e id.Endpoint) bool { return e != a.ejected }
+func (a ejectingView) Allowed(e id.Endpoint) bool { return e != a.ejected }
 
 // keeps asserts what a filter says of an endpoint.
 func keeps(is *is.I, f endpointFilter, c *cycle, e *endpoint, want bool) {
