--- a/core/sched/cache_test.go
+++ b/core/sched/cache_test.go
@@ -17,7 +17,7 @@
 }
 
 // ranOn runs a request to its end and returns its prefill engine.
-func ranOn(t *testing.T, l *Ledger, now time.Duration, w Want) id.Endpoint {
+func serveOn(t *testing.T, l *Ledger, now time.Duration, w Want) id.Endpoint {
 	t.Helper()
 	g := onlyGrant(t, l.Want(now, w))
 	l.Progress(now+ms, progressOf(g, PhaseTransferring))
@@ -43,9 +43,9 @@
 func TestAPrefixIsFoundAgainOnItsEngine(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(16, 1))
-	first := ranOn(t, l, ms, prefixed(1, 7, 8, 9))
+	first := serveOn(t, l, ms, prefixed(1, 7, 8, 9))
 	for n := 2; n < 12; n++ {
-		is.Equal(ranOn(t, l, timeMS(10*n), prefixed(n, 7, 8, 9)), first)
+		is.Equal(serveOn(t, l, timeMS(10*n), prefixed(n, 7, 8, 9)), first)
 	}
 	is.Equal(len(l.caches.owners), 1)
 }
@@ -64,7 +64,7 @@
 			is := is.New(t)
 			l := testLedger(t, testOptions(t), testDocument(4, 1))
 			w := prefixed(1, 7)
-			e := ranOn(t, l, ms, w)
+			e := serveOn(t, l, ms, w)
 			is.Equal(l.bestCached(&w), l.options.BlockTokens)
 			f(l, e)
 			is.Equal(l.bestCached(&w), 0)
@@ -76,7 +76,7 @@
 func TestCacheEventsOfKnownPrefixesCount(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
-	e := ranOn(t, l, ms, prefixed(1, 7))
+	e := serveOn(t, l, ms, prefixed(1, 7))
 	for _, other := range l.endpoints {
 		if other.name != e && other.labelRole == "prefill" {
 			stored := []CacheEvent{{Endpoint: other.name, Block: 7, Stored: true}}
@@ -89,7 +89,7 @@
 func TestAPopularPrefixSpreads(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(16, 1))
-	ranOn(t, l, ms, prefixed(1, 7))
+	serveOn(t, l, ms, prefixed(1, 7))
 	engines := map[id.Endpoint]bool{}
 	for n := 2; n < 8; n++ {
 		engines[onlyGrant(t, l.Want(timeMS(10), prefixed(n, 7))).Prefill] = true
