--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -9,14 +9,14 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Bounds of the advice when to come back.
+// Bounds of RetryAfter in refusals.
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// admit decides whether a request may wait. It is refused at once if a limit
-// is reached or if its patience can't be met given the backlog.
+// admit decides whether a request may be queued. It refuses a request at once
+// if a limit is reached or if the backlog leaves too little of its patience.
 func (l *Ledger) admit(w Want) (*waiting, *Refusal) {
 	s, t, refusal := l.authorize(&w)
 	if refusal != nil {
@@ -54,30 +54,30 @@
 	}, nil
 }
 
-// noTime refuses a request that is predicted to have its first token too late.
-// That passes: a backlog is served, and estimates that rest on slow engines are
-// corrected by the requests that are tried in spite of them.
+// checkPatience refuses a request whose first token is predicted to be late.
+// The condition is temporary: the backlog drains, and probe requests correct
+// estimates that were learned from slow engines.
 func (l *Ledger) checkPatience(w *Want, s *service, wait, first time.Duration) *Refusal {
 	late := w.Age + wait + first - s.patience
 	if late <= 0 {
 		return nil
 	}
 	if w.Age+first > s.patience {
-		// Estimates alone say so, which hold only until the next request is tried.
+		// The estimates alone exceed the patience, and the next probe may correct them.
 		late = min(late, verdict.PassingRetryAfter)
 	}
 	return &Refusal{
 		Request:    w.Request,
 		Code:       verdict.CodeOverloaded,
 		RetryAfter: l.retryAfter(late),
-		Reason: fmt.Sprintf("predicted wait %v and first token %v, patience %v; estimates: %s",
+		Reason: fmt.Sprintf("predicted wait %v plus %v to the first token exceeds the remaining patience of %v; estimates: %s",
 			wait, first, s.patience-w.Age, l.pool.describe(l.now)),
 	}
 }
 
-// hopeless refuses a prompt that can't be read within the service's patience
-// even by an idle pool at its best. Coming back does not help, so there is no
-// such advice.
+// promptTooLarge refuses a prompt that even an idle pool at its best rates
+// can't prefill within the service's patience. A retry does not help, so
+// RetryAfter is not set.
 func promptTooLarge(w *Want, s *service, least time.Duration) *Refusal {
 	return &Refusal{
 		Request: w.Request,
@@ -87,7 +87,7 @@
 	}
 }
 
-// overLimit refuses what exceeds a bound of the team or of the queue.
+// checkLimits refuses a request that exceeds a limit of the team or of the queue.
 func (l *Ledger) checkLimits(w *Want, t *team) *Refusal {
 	refusal := Refusal{Request: w.Request}
 	switch {
@@ -107,7 +107,7 @@
 	return &refusal
 }
 
-// lacking refuses what no endpoint could serve.
+// checkEndpoints refuses a request if the pool has no endpoint of a role that it needs.
 func (l *Ledger) checkEndpoints(w *Want, s *service) *Refusal {
 	missing := live.Role("")
 	if !s.plain && l.fleet.engines() == 0 {
@@ -127,9 +127,9 @@
 	}
 }
 
-// predictWait predicts how long a new request waits for its grant: the lesser
-// of its team's backlog at the team's share, and of the whole backlog. A slot
-// is needed only once the request would be prefilled.
+// predictWait predicts how long a new request waits for its grant: the smaller
+// of its team's backlog at the team's share and the whole backlog. The request
+// needs a slot only after its prefill.
 func (l *Ledger) predictWait(s *service, t *team, priority int, first time.Duration) time.Duration {
 	ahead := t.backlog(priority)
 	share := l.shareOf(t)
@@ -145,7 +145,7 @@
 	return max(0, prefillAt, slotAt-first)
 }
 
-// untilFree is the time until the first endpoint of a role can take work.
+// untilFree predicts the time until the first endpoint of a role can take work.
 func (l *Ledger) untilFree(role live.Role) time.Duration {
 	at := l.fleet.earliest(role, l.now)
 	if at == never {
@@ -154,7 +154,8 @@
 	return at - l.now
 }
 
-// shareOf is the team's share against the teams that have requests waiting.
+// shareOf returns the team's share of the pool, from 0 to 1, relative to the
+// teams that have requests waiting.
 func (l *Ledger) shareOf(t *team) float64 {
 	total := l.queue.weights
 	if t.queued == 0 {
@@ -166,7 +167,8 @@
 	return min(1, t.weight/total)
 }
 
-// drainTime advises when some of the team's work will have ended.
+// drainTime predicts when the team's backlog is served; the result is bounded
+// as a RetryAfter.
 func (l *Ledger) drainTime(t *team) time.Duration {
 	backlog := t.backlog(0)
 	slots := l.fleet.slots[live.RoleDecode] + l.fleet.slots[live.RolePlain]
@@ -174,12 +176,13 @@
 	return boundRetry(seconds(busy / l.shareOf(t)))
 }
 
-// boundRetry bounds the advice when to come back.
+// boundRetry limits a RetryAfter to minRetryAfter and maxRetryAfter.
 func boundRetry(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// bestCached is the most of the prompt that any engine is believed to have.
+// bestCached returns the largest number of prompt tokens that any engine is
+// assumed to have cached.
 func (l *Ledger) bestCached(w *Want) int {
 	if len(w.Prefix) == 0 {
 		return 0
@@ -191,7 +194,8 @@
 	return best
 }
 
-// cachedTokens is how much of the prompt an engine is believed to have.
+// cachedTokens returns the number of prompt tokens that an engine is assumed to
+// have cached.
 func (l *Ledger) cachedTokens(e *endpoint, w *Want) int {
 	if len(w.Prefix) == 0 {
 		return 0
@@ -200,7 +204,7 @@
 	return min(blocks*l.options.BlockTokens, w.PromptTokens-1)
 }
 
-// dropHopeless refuses queued requests whose patience can't be met any more.
+// refuseLate refuses queued requests whose patience can no longer be met.
 func (l *Ledger) refuseLate(actions []Action) []Action {
 	for len(l.queue.latest) > 0 && l.queue.latest[0].latest < l.now {
 		w := l.queue.latest[0]
@@ -210,13 +214,13 @@
 	return actions
 }
 
-// tooLate is the refusal of a request whose patience can't be met any more.
+// lateRefusal returns the refusal of a request whose patience can no longer be met.
 func (l *Ledger) lateRefusal(w *waiting) *Refusal {
 	return &Refusal{
 		Request:    w.want.Request,
 		Code:       verdict.CodeOverloaded,
 		RetryAfter: l.retryAfter(l.drainTime(w.team)),
-		Reason: fmt.Sprintf("waited %v of %v, held up by %s",
-			l.now-w.arrived, w.service.patience, cmp.Or(w.blocked, "requests before it")),
+		Reason: fmt.Sprintf("waited %v with a patience of %v, blocked by %s",
+			l.now-w.arrived, w.service.patience, cmp.Or(w.blocked, "earlier requests")),
 	}
 }
--- a/core/sched/adopt.go
+++ b/core/sched/adopt.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Adopt implements Scheduler. A grant in use goes before whatever this owner
-// has decided about the same request.
+// Adopt implements Scheduler. A grant in use overrides any decision of this
+// owner about the same request.
 func (l *Ledger) Adopt(now time.Duration, a Adopt) []Action {
 	l.begin(now)
 	if a.Phase >= PhaseDone || a.Grant.Request != a.Want.Request {
@@ -25,10 +25,10 @@
 	return l.finish(nil)
 }
 
-// adopted rebuilds the reservation of a former owner's grant; nil if its
-// service, team or endpoints aren't known here. An answer that is being written
-// needs its decode endpoint only: a caller that came back through another
-// daemon brings no more.
+// adopted rebuilds the reservation of a former owner's grant; it returns nil if
+// the service, the team or an endpoint is unknown. A request that is decoding
+// needs its decode endpoint only: a caller that reconnects through another
+// daemon provides no other.
 func (l *Ledger) adopted(a *Adopt) *reservation {
 	s := l.services[a.Want.Service]
 	t := l.teams[a.Want.Team]
@@ -65,7 +65,7 @@
 	return r
 }
 
-// predictAdopted predicts what is left of an adopted reservation.
+// predictAdopted predicts the remaining phases of an adopted reservation.
 func (l *Ledger) predictAdopted(r *reservation) {
 	r.prefillEnd = l.now
 	if r.prefill != nil && r.phase < PhaseTransferring {
@@ -83,7 +83,8 @@
 	r.charge = cost{}
 }
 
-// adoptedExpiry is when an adopted reservation ends without a Progress.
+// adoptedExpiry returns the time at which an adopted reservation expires unless
+// a Progress arrives.
 func (l *Ledger) adoptedExpiry(r *reservation) time.Duration {
 	if r.phase >= PhaseDecoding {
 		return l.now + r.service.timeout + l.options.ExpiresIn
--- a/core/sched/adopt_test.go
+++ b/core/sched/adopt_test.go
@@ -9,9 +9,9 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// TestResumedAnswerHoldsItsSlot: a caller came back through another daemon,
-// which knows the decode endpoint only. The slot counts as held, also when the
-// former daemon's grant is released, until the answer is done.
+// TestResumedAnswerHoldsItsSlot: a caller reconnects through another daemon,
+// which knows the decode endpoint only. The slot stays held until the answer is
+// complete, even after the former daemon's grant is released.
 func TestResumedAnswerHoldsItsSlot(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(2, 1))
@@ -25,11 +25,11 @@
 	want.From = other
 	l.Adopt(6*ms, Adopt{Want: want, Grant: Grant{Request: g.Request, Decode: g.Decode, Owner: other}, Phase: PhaseDecoding})
 	is.Equal(l.Snapshot().Held, 1)
-	l.Progress(7*ms, progressOf(g, PhaseCancelled)) // the former daemon's late word
+	l.Progress(7*ms, progressOf(g, PhaseCancelled)) // late message of the former daemon
 	l.ProcessGone(8*ms, testWant(1, teamName(0)).From)
 	is.Equal(l.Snapshot().Held, 1)
 	l.Audit()
-	late := onlyRefusal(t, l.Want(8*ms, testWant(1, teamName(0)))) // the former daemon's, doubled
+	late := onlyRefusal(t, l.Want(8*ms, testWant(1, teamName(0)))) // duplicate Want of the former daemon
 	is.Equal(late.Code, verdict.CodeSuperseded)
 	is.Equal(l.Snapshot().Held, 1)
 	l.Progress(9*ms, Progress{Request: g.Request, Phase: PhaseDone, OutputTokens: 20})
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// benchmarkDecision measures a request's whole way through the ledger: Want
-// with its grant, and the four Progresses of its phases.
+// benchmarkDecision measures the full life of a request in the ledger: a Want
+// with its grant and the four Progress messages of its phases.
 func benchmarkDecision(b *testing.B, endpoints, teams int) {
 	o := testOptions(b)
 	l := testLedger(b, o, testDocument(endpoints, teams))
@@ -41,14 +41,14 @@
 	l.Progress(now, progressOf(g, PhaseDone))
 }
 
-// benchmarkBlocked measures a decision that finds no slot.
+// benchmarkBlocked measures a scheduling attempt that finds no free slot.
 func benchmarkBlocked(b *testing.B, endpoints, teams int) {
 	l := testLedger(b, testOptions(b), testDocument(endpoints, teams))
 	now := 1000 * ms
 	for i := range endpoints * 4 {
 		l.Want(now, testWant(i, teamName(i%teams)))
 	}
-	is.New(b).True(l.blocked) // the queue waits
+	is.New(b).True(l.blocked) // the queue is blocked
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
@@ -56,10 +56,10 @@
 	}
 }
 
-// sizes are the endpoints and teams that are measured.
+// sizes lists the numbers of endpoints and teams of the benchmarks.
 var sizes = [][2]int{{22, 4}, {22, 900}, {900, 900}}
 
-// BenchmarkDecision gives the cost of a request at the ledger.
+// BenchmarkDecision measures the cost of a request in the ledger.
 func BenchmarkDecision(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("endpoints=%d/teams=%d", s[0], s[1]), func(b *testing.B) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkBlocked gives the cost of a try that finds nothing free.
+// BenchmarkBlocked measures the cost of an attempt that finds no free slot.
 func BenchmarkBlocked(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("endpoints=%d/teams=%d", s[0], s[1]), func(b *testing.B) {
--- a/core/sched/bind.go
+++ b/core/sched/bind.go
@@ -1,6 +1,6 @@
 package sched
 
-// bind tells the daemons of provisional grants that have got their slots.
+// bind appends a Binding for each provisional grant that has received its slot.
 func (l *Ledger) bind(actions []Action) []Action {
 	for _, r := range l.promoted {
 		if r.slotSince == 0 {
--- a/core/sched/cache_test.go
+++ b/core/sched/cache_test.go
@@ -9,14 +9,14 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// prefixed is a request whose prompt is nearly all prefix blocks.
+// prefixed returns a request with the given prefix blocks.
 func prefixed(n int, blocks ...uint64) Want {
 	w := testWant(n, teamName(0))
 	w.Prefix = blocks
 	return w
 }
 
-// ranOn runs a request to its end and returns its prefill engine.
+// serveOn serves a request to completion and returns its prefill engine.
 func serveOn(t *testing.T, l *Ledger, now time.Duration, w Want) id.Endpoint {
 	t.Helper()
 	g := onlyGrant(t, l.Want(now, w))
@@ -94,5 +94,5 @@
 	for n := 2; n < 8; n++ {
 		engines[onlyGrant(t, l.Want(timeMS(10), prefixed(n, 7))).Prefill] = true
 	}
-	is.True(len(engines) > 3) // one short block isn't worth a queue
+	is.True(len(engines) > 3) // one short block doesn't justify a wait
 }
--- a/core/sched/cacheindex.go
+++ b/core/sched/cacheindex.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// cacheIndex finds the prefill endpoints that may have a prompt's first
-// block. Only blocks that began a completed prefill's prompt are in it, and
-// each leaves with its last endpoint's view of it.
+// cacheIndex maps the first block of a prompt to the prefill endpoints that may
+// have it cached. It holds only first blocks of completed prefills; a block is
+// removed once no endpoint's cache view contains it.
 type cacheIndex struct {
 	owners map[uint64][]*endpoint
 }
 
-// affinityCandidates bounds the endpoints remembered for one first block.
+// affinityCandidates bounds the endpoints indexed for one first block.
 const affinityCandidates = 8
 
-// newCacheIndex returns an empty index.
+// newCacheIndex returns an empty cacheIndex.
 func newCacheIndex() *cacheIndex {
 	return &cacheIndex{owners: map[uint64][]*endpoint{}}
 }
 
-// add notes that an endpoint has a block that begins a prompt.
+// add records that an endpoint has cached the first block of a prompt.
 func (x *cacheIndex) add(block uint64, e *endpoint) {
 	list := x.owners[block]
 	if slices.Contains(list, e) {
@@ -29,15 +29,15 @@
 	x.owners[block] = append(list, e)
 }
 
-// stored notes that an endpoint has a block, if the block is known to begin a
-// prompt.
+// stored records that an endpoint has cached a block, if the block is indexed as
+// the first block of a prompt.
 func (x *cacheIndex) stored(block uint64, e *endpoint) {
 	if _, ok := x.owners[block]; ok {
 		x.add(block, e)
 	}
 }
 
-// remove forgets that an endpoint has a block.
+// remove removes an endpoint from the entry of a block.
 func (x *cacheIndex) remove(block uint64, e *endpoint) {
 	list, ok := x.owners[block]
 	if !ok {
@@ -53,5 +53,5 @@
 	x.owners[block] = list
 }
 
-// find returns the endpoints that may have the block.
+// find returns the endpoints that may have cached the block.
 func (x *cacheIndex) find(block uint64) []*endpoint { return x.owners[block] }
--- a/core/sched/cacheview.go
+++ b/core/sched/cacheview.go
@@ -6,15 +6,16 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cacheView guesses which prefix blocks an engine has cached. It is bounded,
-// decays, and is emptied after a gap in the engine's events or a restart.
+// cacheView estimates which prefix blocks an engine has cached. It is bounded,
+// its entries expire, and it is cleared after a gap in the engine's events or a
+// restart of the engine.
 type cacheView struct {
 	blocks *simplelru.LRU[uint64, time.Duration]
 	life   time.Duration
 }
 
-// newCacheView returns an empty view of at most size blocks, each believed for
-// life; forgot is told of each block that leaves the view.
+// newCacheView returns an empty view of at most size blocks, each valid for
+// life; forgot is called for each block that is removed from the view.
 func newCacheView(size int, life time.Duration, forgot func(block uint64)) *cacheView {
 	evicted := func(block uint64, _ time.Duration) { forgot(block) }
 	blocks, err := simplelru.NewLRU(max(1, size), evicted)
@@ -24,17 +25,18 @@
 	return &cacheView{blocks: blocks, life: life}
 }
 
-// store notes that a block is cached.
+// store records that a block is cached.
 func (c *cacheView) store(now time.Duration, block uint64) { c.blocks.Add(block, now) }
 
-// drop notes that a block is gone.
+// drop records that a block is no longer cached.
 func (c *cacheView) drop(block uint64) { c.blocks.Remove(block) }
 
-// clear forgets all.
+// clear removes all blocks.
 func (c *cacheView) clear() { c.blocks.Purge() }
 
-// match counts the leading blocks of a prefix that are believed cached. Since
-// hashes are chained, a block can only be there with those before it.
+// match counts the leading blocks of a prefix that are assumed to be cached.
+// Since hashes are chained, a block is cached only together with its
+// predecessors.
 func (c *cacheView) match(now time.Duration, prefix []uint64) int {
 	for i, block := range prefix {
 		at, ok := c.blocks.Peek(block)
--- a/core/sched/check.go
+++ b/core/sched/check.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// check asserts after each event what costs nothing to assert.
+// check checks the inexpensive invariants after each event.
 func (l *Ledger) check() {
 	if l.queue.virtualTime < l.virtual {
 		l.violate("virtual_time", fmt.Sprintf("went back from %g to %g", l.virtual, l.queue.virtualTime))
@@ -29,11 +29,11 @@
 		l.violate("queue_count", fmt.Sprintf("%d queued, %d known", l.queue.queued, len(l.waiting)))
 	}
 	if len(l.expiry) != len(l.granted) {
-		l.violate("expiry_count", fmt.Sprintf("%d expire, %d granted", len(l.expiry), len(l.granted)))
+		l.violate("expiry_count", fmt.Sprintf("%d in the expiry heap, %d granted", len(l.expiry), len(l.granted)))
 	}
 }
 
-// checkGrant asserts that a grant is one that may be given.
+// checkGrant asserts that the request may be granted on the pair.
 func (l *Ledger) checkGrant(w *waiting, p *pair) {
 	if w.gone || l.granted[w.want.Request] != nil {
 		l.violate("one_grant", fmt.Sprintf("request %s is granted again", w.want.Request))
@@ -48,15 +48,15 @@
 	}
 }
 
-// checkLeaving asserts that an endpoint which gets work isn't leaving.
+// checkLeaving asserts that an endpoint that is granted work isn't leaving.
 func (l *Ledger) checkLeaving(e *endpoint) {
 	if e.leaving() {
 		l.violate("grant_to_leaving", fmt.Sprintf("endpoint %s", e.name))
 	}
 }
 
-// checkSlot asserts that one more request fits: into a free slot, or behind
-// one that is held and that nobody waits for.
+// checkSlot asserts that one more request fits: into a free slot, or into a held
+// slot whose release no other request waits for.
 func (l *Ledger) checkSlot(e *endpoint) {
 	used := len(e.held) + e.foreign
 	fitsNow := used+len(e.pending) < e.slots()
@@ -71,8 +71,8 @@
 	}
 }
 
-// Audit asserts what takes a pass over the whole state: that lists and counts
-// agree and that no reservation is held anywhere but where it belongs.
+// Audit checks the invariants that need a pass over the whole state: lists and
+// counters agree, and each endpoint lists exactly its own reservations.
 func (l *Ledger) Audit() {
 	teams := map[*team]int{}
 	slots := map[*endpoint]int{}
@@ -87,7 +87,7 @@
 		if r.awaitsFirstToken() {
 			awaited++
 		}
-		l.require(r.expires > l.now, "expiry", "%v outlived its expiry by %v", r, l.now-r.expires)
+		l.require(r.expires > l.now, "expiry", "%v is still granted %v after its expiry", r, l.now-r.expires)
 	}
 	l.require(awaited == l.awaitingFirstToken, "awaited", "%d counted, %d granted await a first token", l.awaitingFirstToken, awaited)
 	for _, t := range l.teams {
@@ -99,13 +99,13 @@
 	}
 }
 
-// auditEndpoint asserts what holds for one endpoint.
+// auditEndpoint checks the invariants of one endpoint.
 func (l *Ledger) auditEndpoint(e *endpoint, slots, prefills int) {
 	holding := len(e.held) + len(e.pending)
 	l.require(holding == slots, "slots", "endpoint %s: %d listed, %d granted", e.name, holding, slots)
 	l.require(len(e.queue) == prefills, "prefills", "endpoint %s: %d queued, %d granted", e.name, len(e.queue), prefills)
 	l.require(!e.indexed || !e.leaving(), "leaving_indexed", "endpoint %s", e.name)
 	if e.suspect != nil {
-		l.require(l.granted[e.suspect.want.Request] == e.suspect, "suspect", "endpoint %s: %v has ended", e.name, e.suspect)
+		l.require(l.granted[e.suspect.want.Request] == e.suspect, "suspect", "endpoint %s: suspect %v has ended", e.name, e.suspect)
 	}
 }
--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -7,9 +7,9 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// Configure implements Scheduler. An item that can't be read keeps its former
-// state and is reported as a violation, since accepted configurations are
-// validated before.
+// Configure implements Scheduler. An item that can't be parsed keeps its former
+// state and is reported as a violation, since configurations are validated
+// before they are accepted.
 func (l *Ledger) Configure(now time.Duration, doc *live.Document) []Action {
 	l.begin(now)
 	l.configureServices(doc)
@@ -35,7 +35,7 @@
 	return actions
 }
 
-// configureServices reads the services of the pool.
+// configureServices applies the services of the pool.
 func (l *Ledger) configureServices(doc *live.Document) {
 	services := map[id.Service]*service{}
 	for i := range doc.Services {
@@ -55,7 +55,7 @@
 	l.services = services
 }
 
-// configureTeams reads the teams; one that left keeps its state while it has
+// configureTeams applies the teams; a removed team keeps its state while it has
 // requests in flight.
 func (l *Ledger) configureTeams(doc *live.Document) {
 	for _, t := range l.teams {
@@ -71,7 +71,7 @@
 	}
 }
 
-// configureTeam reads one team.
+// configureTeam applies one team.
 func (l *Ledger) configureTeam(d *live.Team) {
 	t := l.teams[d.Name]
 	if t == nil {
@@ -91,7 +91,8 @@
 	t.known = true
 }
 
-// configureLinks reads the rates; transfers on their way go on.
+// configureLinks applies the link rates; running transfers continue at the new
+// rate.
 func (l *Ledger) configureLinks(doc *live.Document) {
 	l.limits = doc.Links
 	for key, known := range l.links {
@@ -105,7 +106,8 @@
 	}
 }
 
-// linkBetween returns the link between two domains, nil if it has no limit.
+// linkBetween returns the link between two failure domains, nil if it has no
+// limit.
 func (l *Ledger) linkBetween(from, to id.Domain) *link {
 	key := linkKey{from: from, to: to}
 	known, ok := l.links[key]
@@ -121,8 +123,8 @@
 	return known
 }
 
-// configureEndpoints reads the pool's endpoints. One that left the pool stays
-// known, so that its reservations can end.
+// configureEndpoints applies the pool's endpoints. A removed endpoint is kept
+// until its reservations have ended.
 func (l *Ledger) configureEndpoints(doc *live.Document) {
 	pool := FindPool(doc, l.options.Pool)
 	var chosen []*live.Endpoint
@@ -147,7 +149,7 @@
 	}
 }
 
-// configureEndpoint reads one endpoint.
+// configureEndpoint applies one endpoint.
 func (l *Ledger) configureEndpoint(d *live.Endpoint) {
 	e := l.endpoints[d.Name]
 	if e == nil {
@@ -167,7 +169,7 @@
 	l.reindex(e)
 }
 
-// newEndpoint starts from the configuration's estimates.
+// newEndpoint returns an endpoint with the estimates of the configuration.
 func (l *Ledger) newEndpoint(d *live.Endpoint) *endpoint {
 	rate := d.PrefillTokensPerSecond
 	if rate <= 0 {
@@ -189,8 +191,8 @@
 	return e
 }
 
-// dropEndpoint takes an endpoint out of the pool, and out of memory once
-// nothing runs on it.
+// dropEndpoint removes an endpoint from the pool. Its state is deleted if no
+// work runs on it.
 func (l *Ledger) dropEndpoint(e *endpoint) {
 	l.fleet.remove(e)
 	e.inPool = false
@@ -200,8 +202,8 @@
 	}
 }
 
-// touch puts an endpoint that has changed back into the index, if it may get
-// work at all. Each change is bracketed by fleet.takeOut and touch.
+// reindex inserts a changed endpoint into the index again if it passes the static
+// filters. Each change is enclosed by fleet.remove and reindex.
 func (l *Ledger) reindex(e *endpoint) {
 	l.promoted = append(l.promoted, e.promoted...)
 	e.promoted = e.promoted[:0]
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -6,40 +6,42 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// EngineDemand is one engine of a pool as placement sees it.
+// EngineDemand is the load of one engine of a pool, for placement.
 type EngineDemand struct {
 	Endpoint id.Endpoint
-	// Work counts the requests that are at the engine.
+	// Work is the number of requests at the engine.
 	Work int
-	// Drained is set while it gets no new work, or is about to change its role.
+	// Drained is set while the engine gets no new work or is about to change its
+	// role.
 	Drained bool
 }
 
-// Demand is what a pool's roles have to do, for the choice of roles.
+// Demand is the load of a pool by role, for the assignment of roles.
 type Demand struct {
 	Prefills []EngineDemand
 	Decodes  []EngineDemand
-	// PrefillWork is the predicted engine time of all prefills that were granted
-	// since the scheduler began, those that decode engines do themselves included.
+	// PrefillWork is the predicted engine time of all prefills granted since the
+	// scheduler started, including prefills that decode engines run themselves.
 	PrefillWork time.Duration
 	// PrefillBacklog is the predicted time of all granted prefills.
 	PrefillBacklog time.Duration
-	// Memory is that of the decode engines, in tokens; MemoryHeld is in use.
+	// Memory is the memory of the decode engines, in tokens; MemoryHeld is the
+	// part in use.
 	Memory     int
 	MemoryHeld int
-	// Queued requests want MemoryWanted tokens of memory and have PromptWanted
-	// tokens to be read.
+	// Queued is the number of queued requests. MemoryWanted is the memory that they
+	// need and PromptWanted the length of their prompts, both in tokens.
 	Queued       int
 	MemoryWanted int
 	PromptWanted int
-	// Tried counts how often an engine was tried for a request since the
-	// scheduler began, which is most of its work, and Repeated the wants that
-	// came again while they waited.
+	// Tried counts the attempts to place a request on an engine since the
+	// scheduler started, which are most of its work. Repeated counts the Wants
+	// that arrived again while they were queued.
 	Tried    uint64
 	Repeated uint64
 }
 
-// Demander is a scheduler that tells the demand of its pool.
+// Demander is a scheduler that reports the demand of its pool.
 type Demander interface {
 	Demand(now time.Duration) Demand
 }
--- a/core/sched/endpoint.go
+++ b/core/sched/endpoint.go
@@ -12,7 +12,7 @@
 type endpoint struct {
 	name   id.Endpoint
 	domain id.Domain
-	// configured are the slots of the configuration.
+	// configured is the number of slots in the configuration.
 	configured   int
 	labelRole    live.Role
 	labelLeaving bool
@@ -27,35 +27,39 @@
 	prefillRate average
 	tokenTime   average
 
-	// queue holds the granted prefills in their order; busyUntil is the
-	// predicted end of the last.
+	// queue holds the granted prefills in order; busyUntil is the predicted end
+	// of the last one.
 	queue     []*reservation
 	busyUntil time.Duration
 
-	// held are the reservations that hold a slot; pending those that will get
-	// one that is predicted to be released.
+	// held lists the reservations that hold a slot, pending those that wait for
+	// the predicted release of one.
 	held    []*reservation
 	pending []*reservation
-	// promoted have moved from pending to held and aren't told yet.
+	// promoted lists the reservations that have received a slot and whose Binding
+	// is not sent yet.
 	promoted []*reservation
-	// foreign counts slots in use by work that the ledger doesn't know.
+	// foreign counts the slots in use by work that is not in the ledger.
 	foreign   int
 	fullUntil time.Duration
-	// released are the times of late releases, for reports that lag.
+	// released lists the times of recent releases, to correct for the lag of
+	// reports.
 	released []time.Duration
-	// alone is the suspect that runs here alone.
+	// suspect is the suspect request that runs on the endpoint; no other work is
+	// granted beside it.
 	suspect *reservation
 
 	cache *cacheView
 
-	// key, indexedRole and indexedSlots are what the fleet has indexed.
+	// key, indexedRole and indexedSlots are the values under which the fleet has
+	// indexed the endpoint.
 	key          indexKey
 	indexedRole  live.Role
 	indexedSlots int
 	indexed      bool
 }
 
-// role is what the engine says it does, else what its label says.
+// role returns the role that the engine reports, or else the role of its label.
 func (e *endpoint) role() live.Role {
 	if e.reported && e.report.Role != "" {
 		return e.report.Role
@@ -63,12 +67,14 @@
 	return e.labelRole
 }
 
-// leaving is true when any source says so.
+// leaving is true if the label, a report or a refusal marks the endpoint as
+// leaving.
 func (e *endpoint) leaving() bool {
 	return e.labelLeaving || e.refusedLeaving || (e.reported && e.report.Leaving)
 }
 
-// slots is the configured count bounded by the engine's own.
+// slots returns the configured number of slots, bounded by the number that the
+// engine reports.
 func (e *endpoint) slots() int {
 	if e.reported && e.report.Slots > 0 {
 		return min(e.configured, e.report.Slots)
@@ -76,7 +82,8 @@
 	return e.configured
 }
 
-// free counts the slots that nothing holds or waits for.
+// free counts the slots that are neither held nor awaited. It is 0 while the
+// endpoint is considered full.
 func (e *endpoint) free(now time.Duration) int {
 	if now < e.fullUntil {
 		return 0
@@ -84,13 +91,13 @@
 	return e.slots() - e.foreign - len(e.held) - len(e.pending)
 }
 
-// idle is true when the ledger knows of no work here.
+// idle is true if no known or foreign work runs on the endpoint.
 func (e *endpoint) idle() bool {
 	return len(e.queue) == 0 && len(e.held) == 0 && len(e.pending) == 0 && e.foreign == 0
 }
 
-// slotFreeAt predicts when one more request gets a slot, and how far the
-// prediction may be off. ok is false when no slot will be released.
+// slotFreeAt predicts when one more request gets a slot, with the deviation of
+// the prediction. ok is false if no release is predicted.
 func (e *endpoint) slotFreeAt(now time.Duration) (at, deviation time.Duration, ok bool) {
 	if e.free(now) > 0 {
 		return now, 0, true
@@ -106,20 +113,20 @@
 	return r.release, r.deviation, true
 }
 
-// releaseBefore is the place, in the order of predicted releases, of the one
-// that gives room for one more request.
+// releaseBefore returns the index, in the order of predicted releases, of the
+// release that frees a slot for one more request.
 func (e *endpoint) releaseBefore() int {
 	excess := max(0, len(e.held)+e.foreign-e.slots())
 	return len(e.pending) + excess
 }
 
-// overdue is true when the queued prefills ought to have ended: how long they
-// will take is unknown.
+// overdue is true if the predicted end of the queued prefills has passed: their
+// remaining time is unknown.
 func (e *endpoint) overdue(now time.Duration) bool {
 	return len(e.queue) > 0 && e.busyUntil <= now
 }
 
-// sortHeld keeps held in the order of predicted release.
+// sortHeld sorts held by predicted release.
 func (e *endpoint) sortHeld() {
 	slices.SortStableFunc(e.held, func(a, b *reservation) int {
 		if a.release != b.release {
@@ -129,7 +136,7 @@
 	})
 }
 
-// promote gives released slots to the reservations that wait for them.
+// promote assigns free slots to the pending reservations.
 func (e *endpoint) promote() {
 	for len(e.pending) > 0 && len(e.held)+e.foreign < e.slots() {
 		e.held = append(e.held, e.pending[0])
@@ -155,20 +162,20 @@
 	e.predictQueue(now)
 }
 
-// noteRelease remembers a release for as long as reports may lag.
+// recordRelease records a release for as long as reports may lag.
 func (e *endpoint) recordRelease(now, lag time.Duration) {
 	e.released = append(e.released, now)
 	e.pruneReleases(now - lag)
 }
 
-// forgetReleases forgets the releases before a time.
+// pruneReleases removes the releases before a time.
 func (e *endpoint) pruneReleases(before time.Duration) {
 	for len(e.released) > 0 && e.released[0] < before {
 		e.released = e.released[1:]
 	}
 }
 
-// predictQueue predicts anew when the queued prefills end.
+// predictQueue updates the predicted ends of the queued prefills.
 func (e *endpoint) predictQueue(now time.Duration) {
 	at := now
 	for _, r := range e.queue {
@@ -182,7 +189,7 @@
 	e.busyUntil = at
 }
 
-// without returns the list without r, in order.
+// without removes r from the list in place and keeps the order.
 func without(list []*reservation, r *reservation) []*reservation {
 	i := slices.Index(list, r)
 	if i < 0 {
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -11,21 +11,21 @@
 
 // average is an exponentially weighted moving average with its mean deviation.
 type average struct {
-	// first is the first estimate: the configuration's, or a default.
+	// initial is the initial estimate: the configured value or a default.
 	initial   float64
 	mean      float64
 	deviation float64
 	samples   int
-	// sampled is when the last sample was taken.
+	// sampled is the time of the last sample.
 	sampled time.Duration
 }
 
-// newAverage starts from a first estimate, trusted to a fifth of its size.
+// newAverage starts from an initial estimate with a deviation of a fifth of it.
 func newAverage(first float64) average {
 	return average{initial: first, mean: first, deviation: first * smoothing}
 }
 
-// add takes a sample.
+// add adds a sample. Values that are not positive and finite are ignored.
 func (a *average) add(now time.Duration, x float64) {
 	if math.IsNaN(x) || math.IsInf(x, 0) || x <= 0 {
 		return
@@ -36,23 +36,23 @@
 	a.sampled = now
 }
 
-// join takes a further first estimate into the mean of n of them.
+// addInitial adds a further initial estimate to the mean of n initial estimates.
 func (a *average) addInitial(first float64, n int) {
 	a.initial += (first - a.initial) / float64(n)
 	a.mean += (first - a.mean) / float64(n)
 }
 
 const (
-	// relaxAfter is the time in which an estimate goes back most of the way to
-	// the first one while no sample comes. Without it an engine that was slow for
-	// a while gets no prompts for good.
+	// decayTimeConstant is the time constant with which an estimate returns to
+	// its initial value while no samples arrive. Without the decay, an engine that
+	// was slow for a while would never get prompts again.
 	decayTimeConstant = 4 * time.Second
-	// relaxEvery is how often that is looked at.
+	// decayInterval is the least time between two decay steps.
 	decayInterval = 500 * time.Millisecond
 )
 
-// relax lets the average go back to its first estimate for the time that has
-// passed, if no sample came in it.
+// decay moves the average towards its initial estimate for the time passed, if
+// no sample arrived in that time.
 func (a *average) decay(now, passed time.Duration) {
 	if a.samples == 0 || now-a.sampled < passed {
 		return
@@ -62,7 +62,7 @@
 	a.deviation += gone * (smoothing*a.initial - a.deviation)
 }
 
-// relax lets the estimates of the pool and its endpoints grow old.
+// decayEstimates decays the estimates of the pool and of its endpoints.
 func (l *Ledger) decayEstimates() {
 	passed := l.now - l.decayedAt
 	if passed < decayInterval {
@@ -76,7 +76,8 @@
 	}
 }
 
-// origin tells what the average rests on.
+// origin describes the source of the average: the configuration, or the number
+// of samples and the age of the last one.
 func (a *average) origin(now time.Duration) string {
 	if a.samples == 0 {
 		return "configured"
@@ -84,21 +85,21 @@
 	return fmt.Sprintf("%d samples, the last %v ago", a.samples, (now - a.sampled).Round(time.Millisecond))
 }
 
-// serviceEstimate is what is learned about a service's requests.
+// serviceEstimate holds the estimates learned from a service's requests.
 type serviceEstimate struct {
-	// outputRatio is measured output over estimated output.
+	// outputRatio is the ratio of measured to estimated output tokens.
 	outputRatio average
-	// kvPerToken is the KV cache's size per prompt token, in bytes.
+	// kvPerToken is the size of the KV cache per prompt token, in bytes.
 	kvPerToken average
 	// callSeconds is the time that a plain call holds its slot.
 	callSeconds average
 	risk        risk
 }
 
-// firstCallSeconds is the first estimate of a plain call's time, in seconds.
+// firstCallSeconds is the initial estimate of a plain call's time, in seconds.
 const firstCallSeconds = 0.05
 
-// newServiceEstimate starts from the options' defaults.
+// newServiceEstimate returns the initial estimates.
 func newServiceEstimate(o *Options) *serviceEstimate {
 	return &serviceEstimate{
 		outputRatio: newAverage(1),
@@ -107,22 +108,22 @@
 	}
 }
 
-// outputTokens predicts the length of an answer.
+// outputTokens predicts the length of an answer, in tokens.
 func (s *serviceEstimate) outputTokens(w *Want) float64 {
 	return max(1, float64(w.OutputTokens)*s.outputRatio.mean)
 }
 
-// outputDeviation predicts how far the length may be off, in tokens.
+// outputDeviation returns the deviation of the predicted length, in tokens.
 func (s *serviceEstimate) outputDeviation(w *Want) float64 {
 	return float64(w.OutputTokens) * s.outputRatio.deviation
 }
 
-// kvBytes predicts the size of the exported KV cache.
+// kvBytes predicts the size of the exported KV cache, in bytes.
 func (s *serviceEstimate) kvBytes(w *Want) float64 {
 	return float64(w.PromptTokens) * s.kvPerToken.mean
 }
 
-// seconds converts a count of seconds to a duration.
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
--- a/core/sched/failure.go
+++ b/core/sched/failure.go
@@ -5,9 +5,9 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Failure is the Progress of an attempt that failed at an endpoint. A KV cache
-// that died for want of a slot counts as a refusal for lack of room: the slot
-// was predicted too early.
+// Failure returns the Progress of an attempt that failed at an endpoint. A KV
+// cache that expired before it got a slot counts as a refusal for lack of
+// capacity: the predicted release of the slot was too early.
 func Failure(e id.Endpoint, err *verdict.Error) Progress {
 	mayHaveRun := err.Verdict != verdict.NotRun
 	return Progress{
--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -11,8 +11,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// fairWorld is a world without faults whose engines serve some 120 requests a
-// second, with requests that wait up to two seconds.
+// fairSimulation returns a simulation without faults whose engines serve about
+// 120 requests a second, with requests that wait up to two seconds.
 func fairSimulation(t *testing.T, seed uint64, weights ...float64) *simulation {
 	doc := testDocument(22, len(weights))
 	doc.Services[0].PatienceMS = 2000
@@ -24,7 +24,7 @@
 	return newSimulation(t, seed, o, doc, false)
 }
 
-// unshaped leaves a request as it is.
+// unchanged leaves a request as it is.
 func unchanged(*Want) {}
 
 func TestAFloodCostsOnlyItsTeam(t *testing.T) {
@@ -34,18 +34,18 @@
 		const events = 15_000
 		w.arrivals(teamName(0), 10*ms/3, events, unchanged) // ten times its share of 30/s
 		for i := 1; i < 4; i++ {
-			w.arrivals(teamName(i), 37*ms, events, unchanged) // nine tenths of it
+			w.arrivals(teamName(i), 37*ms, events, unchanged) // nine tenths of their share
 		}
 		w.run()
 		for i := 1; i < 4; i++ {
 			team := teamName(i)
 			part := float64(w.served[team]) / float64(w.asked[team])
 			t.Logf("seed %d, %s: %d of %d served", seed, team, w.served[team], w.asked[team])
-			is.True(part > 0.97) // others get what they ask within their share
+			is.True(part > 0.97) // teams within their share are served
 		}
 		flood := teamName(0)
 		t.Logf("seed %d, flood: %d of %d served", seed, w.served[flood], w.asked[flood])
-		is.True(w.served[flood] > w.served[teamName(1)]) // the rest is not left unused
+		is.True(w.served[flood] > w.served[teamName(1)]) // the flooding team gets the unused capacity
 		w.assertEnd()
 	}
 }
@@ -65,7 +65,7 @@
 	for i := range 3 {
 		part := float64(w.served[teamName(i)]) / float64(total)
 		due := float64(i+1) / 6
-		t.Logf("%s: part %.3f, due %.3f", teamName(i), part, due)
+		t.Logf("%s: share %.3f, expected %.3f", teamName(i), part, due)
 		is.True(part > due-0.02)
 		is.True(part < due+0.02)
 	}
@@ -95,7 +95,7 @@
 	one := fairSimulation(t, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	one.arrivals(teamName(0), 5*ms, 10_000, unchanged)
 	one.run()
-	is.Equal(one.served, alone.served) // idle teams take nothing
+	is.Equal(one.served, alone.served) // idle teams reserve no capacity
 }
 
 func TestACancellingTeamPaysForWhatItTook(t *testing.T) {
@@ -148,16 +148,16 @@
 func TestGoodputReturnsAfterAnOverload(t *testing.T) {
 	is := is.New(t)
 	w := fairSimulation(t, 1, 1, 1)
-	w.arrivals(teamName(0), 2*ms, 10_000, unchanged) // six times what can be served
+	w.arrivals(teamName(0), 2*ms, 10_000, unchanged) // 500 a second, several times the capacity
 	w.run()
 	is.True(w.refused > 0)
 	before, refused := w.granted, w.refused
 	until := w.events + 3000
 	start := w.now
-	w.arrivals(teamName(0), 20*ms, until, unchanged) // well within it
+	w.arrivals(teamName(0), 20*ms, until, unchanged) // well within capacity
 	w.run()
 	is.True(w.granted > before)
-	is.Equal(w.refused, refused) // nothing is refused any more
+	is.Equal(w.refused, refused) // no further refusals
 	is.True(w.now-start < time.Hour)
 	w.assertEnd()
 }
@@ -178,9 +178,9 @@
 	first := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
 	second := onlyGrant(t, l.Want(ms, testWant(2, teamName(0))))
 	is.Equal(first.Prefill, id.Endpoint(""))
-	is.True(first.Decode != second.Decode) // the one with room
+	is.True(first.Decode != second.Decode) // the endpoint with a free slot
 	is.Equal(len(l.Want(2*ms, testWant(3, teamName(0)))), 0)
 	is.Equal(len(l.Want(3*ms, testWant(4, teamName(1)))), 0)
 	next := onlyGrant(t, l.Progress(4*ms, progressOf(first, PhaseDone)))
-	is.Equal(next.Request, id.Request("r0000004")) // the other team's turn
+	is.Equal(next.Request, id.Request("r0000004")) // the other team is served next
 }
--- a/core/sched/filter_avoid.go
+++ b/core/sched/filter_avoid.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// avoidFilter leaves out endpoints on which the request has failed.
+// avoidFilter excludes endpoints on which earlier attempts of the request failed.
 type avoidFilter struct{}
 
 func (avoidFilter) name() string { return "avoid" }
--- a/core/sched/filter_deadline.go
+++ b/core/sched/filter_deadline.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// lateMargin is how many deviations of a slot's predicted release are kept to
-// the deadline. An answer that is late has taken a slot for nothing.
+// lateMargin is the safety margin before the deadline, in deviations of a slot's
+// predicted release. A late answer wastes its slot.
 const lateMargin = 1.0
 
-// deadlineFilter keeps pairs that are predicted to give the first token within
-// the request's patience. Where nothing runs that would correct the estimates of
-// slow endpoints, a pair that is free may be tried in spite of them.
+// deadlineFilter keeps pairs whose first token is predicted within the request's
+// patience. If no running request would correct the estimates of slow endpoints,
+// it also keeps a free pair, so that the request runs as a probe.
 type deadlineFilter struct{}
 
 func (deadlineFilter) name() string { return "deadline" }
@@ -21,7 +21,7 @@
 	return first-c.now+c.waited <= c.service.patience || c.probe && p.canStartNow(c.now)
 }
 
-// atOnce says whether both endpoints are free for the request now.
+// canStartNow reports whether both endpoints can take the request now.
 func (p *pair) canStartNow(now time.Duration) bool {
 	return p.prefill.endpoint != nil && p.prefill.start <= now && p.delay == 0 && p.decode.free(now) > 0
 }
--- a/core/sched/filter_health.go
+++ b/core/sched/filter_health.go
@@ -1,6 +1,6 @@
 package sched
 
-// healthFilter leaves out endpoints that the health view has ejected.
+// healthFilter excludes endpoints that the health view has ejected.
 type healthFilter struct{}
 
 func (healthFilter) name() string { return "health" }
--- a/core/sched/filter_leaving.go
+++ b/core/sched/filter_leaving.go
@@ -1,6 +1,7 @@
 package sched
 
-// leavingFilter leaves out endpoints that any source says are leaving.
+// leavingFilter excludes endpoints that a label, a report or a refusal marks as
+// leaving.
 type leavingFilter struct{}
 
 func (leavingFilter) name() string { return "leaving" }
--- a/core/sched/filter_leaving_test.go
+++ b/core/sched/filter_leaving_test.go
@@ -41,6 +41,6 @@
 		is.True(next.Decode != g.Decode)
 		l.Progress(timeMS(n+3), progressOf(next, PhaseDone))
 	}
-	l.Load(3000*ms, stale) // by now the report is a later word
+	l.Load(3000*ms, stale) // after LeavingHold the report outweighs the refusal
 	is.Equal(len(l.Snapshot().Leaving), 0)
 }
--- a/core/sched/filter_link.go
+++ b/core/sched/filter_link.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// linkFilter keeps pairs whose transfer is predicted to end within the KV
-// cache's life without making another one late.
+// linkFilter keeps pairs whose transfer is predicted to end within the lifetime
+// of the KV cache without making another transfer late.
 type linkFilter struct{}
 
 func (linkFilter) name() string { return "link" }
@@ -17,7 +17,8 @@
 	return fits
 }
 
-// predictTransfer asks the link once for each start.
+// predictTransfer predicts a transfer and caches the result for each link and
+// start.
 func (c *cycle) predictTransfer(l *link, start time.Duration) (time.Duration, bool) {
 	for _, m := range c.memo {
 		if m.link == l && m.start == start {
--- a/core/sched/filter_model.go
+++ b/core/sched/filter_model.go
@@ -1,7 +1,7 @@
 package sched
 
-// modelFilter keeps endpoints that are reachable and serve the pool's model.
-// One that hasn't reported is taken at its label's word.
+// modelFilter keeps endpoints that are reachable and serve the pool's model. An
+// endpoint without a report is kept.
 type modelFilter struct{}
 
 func (modelFilter) name() string { return "model" }
--- a/core/sched/filter_role.go
+++ b/core/sched/filter_role.go
@@ -2,7 +2,7 @@
 
 import "github.com/samphirequay/samphirequay/core/live"
 
-// roleFilter keeps endpoints of one role.
+// roleFilter keeps the pool's endpoints of one role.
 type roleFilter struct{ role live.Role }
 
 func (roleFilter) name() string { return "role" }
--- a/core/sched/filter_settle.go
+++ b/core/sched/filter_settle.go
@@ -2,9 +2,9 @@
 
 import "github.com/samphirequay/samphirequay/core/live"
 
-// settleFilter keeps a new owner from granting what a former one may have
-// granted already: until it has settled, only endpoints with a report get
-// work, and a prefill engine only if its report shows none.
+// settleFilter keeps a new owner from granting capacity that a former owner may
+// have granted already: during the settling period only endpoints with a report
+// get work, and a prefill engine only if its report shows no unknown work.
 type settleFilter struct{}
 
 func (settleFilter) name() string { return "settle" }
--- a/core/sched/filter_settle_test.go
+++ b/core/sched/filter_settle_test.go
@@ -18,7 +18,7 @@
 	keeps(is, settleFilter{}, c, e, false)
 	e.reported = true
 	keeps(is, settleFilter{}, c, e, true)
-	e.report.Running = 1 // a former owner's work
+	e.report.Running = 1 // work of a former owner
 	keeps(is, settleFilter{}, c, e, false)
 }
 
@@ -37,7 +37,7 @@
 		return l.Load(3*ms, Load{Endpoint: e, Reachable: true, Model: "m", Running: running})
 	}
 	is.Equal(len(report(former.Prefill, 0)), 0)
-	is.Equal(len(report(former.Decode, 2)), 0) // one of the two is unknown
+	is.Equal(len(report(former.Decode, 2)), 0) // one of the two requests is unknown
 	is.Equal(l.Snapshot().Foreign, 1)
 	g := onlyGrant(t, report(former.Decode, 1)) // one slot is free
 	is.Equal(g.Request, id.Request("r0000001"))
--- a/core/sched/filter_slot.go
+++ b/core/sched/filter_slot.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// slotFilter keeps pairs whose decode slot is free, or predicted to be free,
-// when the prefill ends. The service's risk says how sure the prediction must
-// be; a start that is somewhat early is delayed to meet the slot.
+// slotFilter keeps pairs whose decode slot is free now or predicted to be free
+// when the prefill ends. The service's risk sets the margin added to the
+// prediction; a start that is too early is delayed until the slot is expected.
 type slotFilter struct{}
 
 func (slotFilter) name() string { return "slot" }
@@ -30,7 +30,8 @@
 	return p.prefill.start+p.delay-c.now <= c.options.Horizon+queueAhead(c, p)
 }
 
-// mustBeFree is true where a predicted release isn't enough.
+// mustBeFree is true if the request needs a slot that is free now: a plain call,
+// a new owner's settling period, early reservation or a high waste weight.
 func mustBeFree(c *cycle, p *pair) bool {
 	if p.prefill.endpoint == nil || c.settling {
 		return true
@@ -38,7 +39,7 @@
 	return c.options.Reservation == Early || c.service.wasteWeight >= c.options.CertainWaste
 }
 
-// queueAhead is how long the prefill waits for those before it.
+// queueAhead returns the time that the prefill waits for earlier prefills.
 func queueAhead(c *cycle, p *pair) time.Duration {
 	return max(0, p.prefill.start-c.now)
 }
--- a/core/sched/filter_slot_test.go
+++ b/core/sched/filter_slot_test.go
@@ -8,7 +8,7 @@
 
 func TestSlotFilterWeighsWasteAgainstGoodput(t *testing.T) {
 	// The prefill ends at 100 ms. The slot's release is predicted with a deviation
-	// of 10 ms: a weight of 0.5 asks for 10 ms of margin, 0.8 for 16 ms.
+	// of 10 ms: a weight of 0.5 requires a margin of 10 ms, 0.8 of 16 ms.
 	cases := []struct {
 		name     string
 		release  int
@@ -18,11 +18,11 @@
 		delayed  bool
 		settling bool
 	}{
-		{name: "no weight takes the prediction", release: 90, weight: 0, keep: true},
+		{name: "no weight relies on the prediction", release: 90, weight: 0, keep: true},
 		{name: "some weight adds a margin and starts later", release: 95, weight: 0.5, keep: true, delayed: true},
-		{name: "a long margin waits in the queue", release: 105, weight: 0.8, keep: false},
+		{name: "a long margin keeps the request queued", release: 105, weight: 0.8, keep: false},
 		{name: "full weight needs a free slot", release: 0, weight: 1, keep: false},
-		{name: "a late release waits", release: 200, weight: 0, keep: false},
+		{name: "a late release keeps the request queued", release: 200, weight: 0, keep: false},
 		{name: "early reservation needs a free slot", release: 50, weight: 0, mode: Early, keep: false},
 		{name: "a new owner needs a free slot", release: 50, weight: 0, settling: true, keep: false},
 	}
@@ -53,8 +53,8 @@
 	holdUntil(p.decode, c.now+300*ms)
 	is.True(slotFilter{}.keepPair(c, p))
 	p.decode.pending = append(p.decode.pending, &reservation{})
-	is.True(!slotFilter{}.keepPair(c, p)) // the next release is too late
+	is.True(!slotFilter{}.keepPair(c, p)) // the first release is taken; the next one is too late
 	p.decode.pending = nil
-	p.decode.configured = 1 // the first release only mends the excess
+	p.decode.configured = 1 // the first release only ends the excess over the slots
 	is.True(!slotFilter{}.keepPair(c, p))
 }
--- a/core/sched/filter_suspect.go
+++ b/core/sched/filter_suspect.go
@@ -1,12 +1,12 @@
 package sched
 
-// isolationShare is the part of its patience that a suspect waits for an
+// isolationShare is the fraction of its patience for which a suspect waits for an
 // endpoint without other work.
 const isolationShare = 0.5
 
-// suspectFilter keeps suspects and other requests apart: nothing is paired
-// beside a running suspect, and a suspect goes where nothing else runs for as
-// long as it can wait for that.
+// suspectFilter separates suspects from other requests: an endpoint that runs a
+// suspect gets no other work, and a suspect is placed on an idle endpoint only,
+// until isolationShare of its patience has passed.
 type suspectFilter struct{}
 
 func (suspectFilter) name() string { return "suspect" }
--- a/core/sched/fixture_test.go
+++ b/core/sched/fixture_test.go
@@ -17,11 +17,12 @@
 	ms          = time.Millisecond
 )
 
-// testDomains are the failure domains that endpoints are dealt out to.
+// testDomains are the failure domains over which endpoints are distributed.
 var testDomains = []id.Domain{"aktau-port", "kuryk", "bautino", "aktau-city"}
 
-// testDocument describes a pool of so many endpoints, half of them prefill
-// engines, and so many teams of weight 1.
+// testDocument returns a configuration with a pool of the given number of
+// endpoints, half of them prefill engines, and the given number of teams of
+// weight 1.
 func testDocument(endpoints, teams int) *live.Document {
 	doc := &live.Document{Revision: 1}
 	doc.Pools = []live.Pool{{Name: testPool, EndpointSelector: "pool=packets", Model: "m"}}
@@ -52,10 +53,11 @@
 	return doc
 }
 
-// teamName names the test's teams.
+// teamName returns the name of the i-th team.
 func teamName(i int) id.Team { return id.Team(fmt.Sprintf("team-%03d", i)) }
 
-// testOptions fail the test on a violation and don't settle.
+// testOptions returns options that fail the test on a violation and settle at
+// once.
 func testOptions(t testing.TB) Options {
 	return Options{
 		Pool:   testPool,
@@ -69,7 +71,7 @@
 	}
 }
 
-// testLedger is a ledger with a document, past its settling.
+// testLedger returns a configured ledger after its settling period.
 func testLedger(t testing.TB, o Options, doc *live.Document) *Ledger {
 	l := NewLedger(o).(*Ledger)
 	l.Configure(0, doc)
@@ -77,7 +79,7 @@
 	return l
 }
 
-// testWant is a request of 2000 tokens in, 20 out.
+// testWant returns a request of 2000 prompt tokens and 20 output tokens.
 func testWant(n int, team id.Team) Want {
 	return Want{
 		Request:      id.Request(fmt.Sprintf("r%07d", n)),
@@ -112,7 +114,7 @@
 	return actions[0].Refusal
 }
 
-// progressOf tells of a grant's phase.
+// progressOf returns the Progress of a grant in a phase.
 func progressOf(g *Grant, phase Phase) Progress {
 	p := Progress{Request: g.Request, Reservation: g.Reservation, Phase: phase}
 	if phase == PhaseDone {
@@ -121,5 +123,5 @@
 	return p
 }
 
-// timeMS is so many milliseconds.
+// timeMS converts milliseconds to a duration.
 func timeMS(n int) time.Duration { return time.Duration(n) * ms }
--- a/core/sched/fleet.go
+++ b/core/sched/fleet.go
@@ -6,12 +6,13 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// fleet indexes the endpoints that may get work, by role.
+// fleet indexes by role the endpoints that may get work.
 type fleet struct {
 	roles map[live.Role]*index
-	// slots is the sum of the slots, by role; prefill engines have none.
+	// slots is the number of slots by role; prefill engines have none.
 	slots map[live.Role]int
-	// prefillSeconds is the sum of the granted prefills not yet ended.
+	// prefillSeconds is the predicted time of all granted prefills that have not
+	// ended, in seconds.
 	prefillSeconds float64
 }
 
@@ -24,7 +25,8 @@
 	return f
 }
 
-// takeOut removes an endpoint from its index; call it before any change to it.
+// remove removes an endpoint from its index; it must be called before any change
+// to the endpoint.
 func (f *fleet) remove(e *endpoint) {
 	if !e.indexed {
 		return
@@ -33,7 +35,7 @@
 	f.slots[e.indexedRole] -= e.indexedSlots
 }
 
-// putIn adds an endpoint to the index of its role.
+// insert adds an endpoint to the index of its role.
 func (f *fleet) insert(e *endpoint, now time.Duration, tie uint64) {
 	role := e.role()
 	x := f.roles[role]
@@ -50,7 +52,7 @@
 	f.slots[role] += e.indexedSlots
 }
 
-// keyOf gives the endpoint's place in the index of its role.
+// keyOf returns the endpoint's key in the index of its role.
 func keyOf(e *endpoint, now time.Duration, tie uint64) indexKey {
 	key := indexKey{class: capacityNow, tie: tie, e: e}
 	if e.role() == live.RolePrefill {
@@ -75,7 +77,7 @@
 // engines counts the prefill engines that may get work.
 func (f *fleet) engines() int { return f.roles[live.RolePrefill].size }
 
-// meanQueue is the mean predicted prefill queue.
+// meanQueue returns the mean predicted time of the prefill queues.
 func (f *fleet) meanQueue() time.Duration {
 	if f.engines() == 0 {
 		return 0
@@ -83,7 +85,8 @@
 	return seconds(f.prefillSeconds / float64(f.engines()))
 }
 
-// earliest predicts how soon the first endpoint of a role can take work.
+// earliest predicts when the first endpoint of a role can take work; it returns
+// never if no endpoint can.
 func (f *fleet) earliest(role live.Role, now time.Duration) time.Duration {
 	soonest := never
 	x := f.roles[role]
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// expiryGrace is added to a grant's life for its way to the daemon and back.
+// expiryGrace extends a grant's lifetime by the time of its round trip to the
+// daemon.
 const expiryGrace = 100 * time.Millisecond
 
 // grant reserves the pair for a queued request and charges its team.
@@ -37,7 +38,7 @@
 	return &Action{To: w.want.From, Grant: &grant}
 }
 
-// newReservation fills in what is predicted for a pair.
+// newReservation returns a reservation with the predictions for the pair.
 func (l *Ledger) newReservation(w *waiting, p *pair) *reservation {
 	l.serial++
 	r := &reservation{
@@ -66,7 +67,7 @@
 	return r
 }
 
-// predictRelease predicts the slot's release from the decode's start.
+// predictRelease predicts the slot's release, given the start of the decode.
 func (r *reservation) predictRelease(decodeStart time.Duration) {
 	estimate := r.service.estimate
 	if r.service.plain {
@@ -80,7 +81,7 @@
 	r.deviation = seconds(estimate.outputDeviation(&r.want) * token)
 }
 
-// hold enters a reservation into the ledgers.
+// hold adds a reservation to the ledger, to its endpoints and to its link.
 func (l *Ledger) hold(r *reservation) {
 	l.granted[r.want.Request] = r
 	r.team.granted++
@@ -95,7 +96,7 @@
 	}
 }
 
-// holdPrefill queues the reservation's prefill.
+// holdPrefill adds the reservation to the queue of its prefill endpoint.
 func (l *Ledger) holdPrefill(r *reservation) {
 	if r.prefill == nil || r.phase >= PhaseTransferring {
 		return
@@ -110,7 +111,8 @@
 	})
 }
 
-// holdSlot takes a slot, or a place behind one that is to be released.
+// holdSlot assigns a slot to the reservation or queues it for the next predicted
+// release.
 func (l *Ledger) holdSlot(r *reservation) {
 	l.updateEndpoint(r.decode, func(e *endpoint) {
 		if e.free(l.now) > 0 || r.holdsSlot() {
@@ -128,7 +130,7 @@
 	})
 }
 
-// holdsSlot is true for an adopted reservation that has its slot already.
+// holdsSlot is true for an adopted reservation that already has its slot.
 func (r *reservation) holdsSlot() bool {
 	if r.grant.Provisional {
 		return r.phase >= PhaseDecoding
@@ -136,7 +138,7 @@
 	return r.phase != 0
 }
 
-// addTransfer enters the KV cache's transfer into the link's ledger.
+// addTransfer adds the transfer of the KV cache to the link.
 func (l *Ledger) addTransfer(r *reservation) {
 	r.link.add(l.now, transfer{
 		owner:     r.number,
@@ -146,15 +148,15 @@
 	})
 }
 
-// change alters an endpoint and keeps the fleet's index in step.
+// updateEndpoint changes an endpoint and updates the fleet's index.
 func (l *Ledger) updateEndpoint(e *endpoint, alter func(e *endpoint)) {
 	l.fleet.remove(e)
 	alter(e)
 	l.reindex(e)
 }
 
-// scalar is a cost as the part of the pool's capacity that it takes, in
-// seconds of the whole pool.
+// poolSeconds converts a cost to a share of the pool's capacity, in seconds of
+// the whole pool.
 func (l *Ledger) poolSeconds(c cost) float64 {
 	engines := max(1, float64(l.fleet.engines()))
 	slots := 0
@@ -164,10 +166,10 @@
 	return max(minCharge, c.prefill/engines+c.slot/max(1, float64(slots)))
 }
 
-// leastCharge is charged for any request, in seconds of the whole pool.
+// minCharge is the lowest charge for a request, in seconds of the whole pool.
 const minCharge = 1e-7
 
-// String names the reservation in the details of violations.
+// String identifies the reservation in the details of violations.
 func (r *reservation) String() string {
 	return fmt.Sprintf("reservation %d of request %s", r.number, r.want.Request)
 }
--- a/core/sched/heaps.go
+++ b/core/sched/heaps.go
@@ -1,16 +1,17 @@
 package sched
 
-// heapItem is what an indexedHeap orders.
+// heapItem is an item of an indexedHeap.
 type heapItem[T any] interface {
 	comparable
-	// before says whether the item comes before another.
+	// before reports whether the item sorts before another.
 	before(other T) bool
-	// place is where the item keeps its position; -1 when it is in no heap.
+	// heapIndex returns the address of the item's index in the heap. The index is
+	// -1 after the item is removed.
 	heapIndex() *int
 }
 
-// indexedHeap is a heap whose items know their positions, so that one can be
-// moved or removed in the middle. It implements heap.Interface.
+// indexedHeap is a heap whose items store their indexes, so that any item can be
+// moved or removed. It implements heap.Interface.
 type indexedHeap[T heapItem[T]] []T
 
 func (h indexedHeap[T]) Len() int { return len(h) }
@@ -42,9 +43,9 @@
 	return item
 }
 
-// before orders the teams that have requests waiting by their place in virtual
-// time, heavy ones behind all others: virtual time alone forgets what a team
-// took while nobody else asked.
+// before orders the teams that have requests waiting by start tag, with heavy
+// teams after all others: virtual time alone does not account for the capacity
+// that a team took while no other team had requests.
 func (t *team) before(o *team) bool {
 	if t.heavy != o.heavy {
 		return o.heavy
@@ -57,7 +58,7 @@
 
 func (t *team) heapIndex() *int { return &t.index }
 
-// before orders waiting requests by the last moment of a useful grant.
+// before orders waiting requests by the latest time of a useful grant.
 func (w *waiting) before(o *waiting) bool {
 	if w.latest != o.latest {
 		return w.latest < o.latest
--- a/core/sched/index.go
+++ b/core/sched/index.go
@@ -15,11 +15,11 @@
 
 // The classes of index keys.
 const (
-	// roomNow is the class of endpoints with room.
+	// capacityNow is the class of endpoints that can take work now.
 	capacityNow int8 = iota
-	// roomSoon is the class of those with a predicted release.
+	// capacitySoon is the class of endpoints with a predicted slot release.
 	capacitySoon
-	// noRoom is the class of those without.
+	// noCapacity is the class of endpoints without a predicted slot release.
 	noCapacity
 )
 
@@ -32,8 +32,8 @@
 	e     *endpoint
 }
 
-// less orders keys; the tie numbers are seeded and all but unique, names
-// settle the rest.
+// less orders keys. Equal keys are ordered by seeded random tie numbers and then
+// by name.
 func (k indexKey) less(o indexKey) bool {
 	if k.class != o.class {
 		return k.class < o.class
@@ -50,7 +50,7 @@
 	return cmp.Less(k.e.name, o.e.name)
 }
 
-// index holds the endpoints of one role by failure domain.
+// index holds the endpoints of one role, grouped by failure domain.
 type index struct {
 	domains []id.Domain
 	trees   map[id.Domain]*btree.BTreeG[indexKey]
@@ -76,7 +76,7 @@
 	x.size++
 }
 
-// remove takes an endpoint out.
+// remove removes an endpoint.
 func (x *index) remove(e *endpoint) {
 	if _, ok := x.trees[e.domain].Delete(e.key); ok {
 		x.size--
@@ -84,8 +84,8 @@
 	e.indexed = false
 }
 
-// nearest visits the endpoints of each domain, soonest first, until take has
-// taken count of the domain or says to stop there.
+// nearest visits the endpoints of each domain in key order until take has taken
+// count endpoints of the domain or returns false for more.
 func (x *index) nearest(count int, take func(e *endpoint) (taken, more bool)) {
 	for _, d := range x.domains {
 		left := count
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -12,16 +12,16 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// never is the time of what isn't due.
+// never is the time of an event that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// Ledger is the scheduler of a pool's owner. It knows every grant of the pool
-// and so keeps slots, links and shares exact over all daemons.
+// Ledger is the scheduler of a pool's owner. It records every grant of the pool
+// and thus accounts for slots, links and shares exactly over all daemons.
 type Ledger struct {
 	options Options
 	random  *rand.Rand
 	now     time.Duration
-	// settled is when the settling period ends; it begins with the first event.
+	// settled is the end of the settling period, which begins with the first event.
 	settled time.Duration
 	started bool
 
@@ -43,35 +43,38 @@
 	caches  *cacheIndex
 	scratch candidates
 	cycle   cycle
-	// standing is the cycle in which the standing filters are asked.
+	// staticCycle is the cycle in which the static filters are evaluated.
 	staticCycle cycle
 	pipeline    pipeline
 	pool        poolEstimate
-	// awaited counts the granted requests that have yet to give a first token.
+	// awaitingFirstToken counts the granted requests that have a prefill endpoint
+	// and have not produced their first token.
 	awaitingFirstToken int
-	// relaxed is when estimates were last looked at for their age.
+	// decayedAt is the time of the last decay of the estimates.
 	decayedAt time.Duration
 	blocked   bool
-	// full are the endpoints that refused for lack of room lately.
+	// fullEndpoints lists the endpoints that recently refused for lack of capacity.
 	fullEndpoints []*endpoint
 	activeSum     timedSum
 	pressure      pressure
-	// borrowers are the reservations that rely on a predicted release.
+	// awaitingSlot lists the reservations that wait for a predicted slot release.
 	awaitingSlot []*reservation
-	// promoted reservations have got their slots and aren't told yet.
+	// promoted lists the reservations that have received a slot and whose Binding
+	// is not sent yet.
 	promoted []*reservation
-	// virtual is the last seen virtual time, for the invariant.
+	// virtual is the virtual time at the last check, for the invariant that it
+	// never decreases.
 	virtual float64
 }
 
-// outcome is what is remembered of a request that ended.
+// outcome is the record of a request that has ended.
 type outcome struct {
 	refusal *Refusal
-	// expired is a reservation that ended without a Progress.
+	// expired is the reservation if it ended for lack of a Progress.
 	expired *reservation
 }
 
-// weighed is a sum of weights with its time.
+// timedSum is a sum of weights and the time at which it was computed.
 type timedSum struct {
 	sum float64
 	at  time.Duration
@@ -82,7 +85,7 @@
 	o = o.withDefaults()
 	ended, err := simplelru.NewLRU[id.Request, outcome](max(1, o.Remembered), nil)
 	if err != nil {
-		panic("sched: memory of ended requests: " + err.Error())
+		panic("sched: cache of ended requests: " + err.Error())
 	}
 	return &Ledger{
 		options:   o,
@@ -102,7 +105,7 @@
 	}
 }
 
-// begin takes the time of an event.
+// begin sets the current time at the start of an event.
 func (l *Ledger) begin(now time.Duration) {
 	if !l.started {
 		l.started = true
@@ -116,7 +119,8 @@
 	l.decayEstimates()
 }
 
-// finish does what the event made possible or due and checks the invariants.
+// finish expires, rebinds, refuses and grants as the event allows, and checks the
+// invariants.
 func (l *Ledger) finish(actions []Action) []Action {
 	l.expire()
 	l.recheckFull()
@@ -182,11 +186,12 @@
 	return l.finish(nil)
 }
 
-// unqueue takes a request out of the queue, without a charge.
+// unqueue removes a request from the queue without charging its team.
 func (l *Ledger) unqueue(w *waiting) {
 	l.queue.remove(w)
 	delete(l.waiting, w.want.Request)
 }
 
-// settling is true until a new owner may rely on what it has heard.
+// settling is true during the settling period of a new owner, in which grants of
+// former owners may not have been adopted yet.
 func (l *Ledger) settling() bool { return l.now < l.settled }
--- a/core/sched/ledger_test.go
+++ b/core/sched/ledger_test.go
@@ -11,7 +11,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// smallLedger is one prefill and one decode engine of one slot.
+// smallLedger returns a ledger with one prefill engine and one decode engine with
+// one slot.
 func smallLedger(t *testing.T) *Ledger {
 	doc := testDocument(2, 2)
 	doc.Endpoints[1].Slots = 1
@@ -136,13 +137,13 @@
 	refusal := onlyRefusal(t, l.Want(ms, old))
 	is.Equal(refusal.Code, verdict.CodeOverloaded)
 	is.True(refusal.RetryAfter > 0)
-	is.Equal(onlyRefusal(t, l.Want(2*ms, old)), refusal) // told again
+	is.Equal(onlyRefusal(t, l.Want(2*ms, old)), refusal) // the refusal is repeated
 	for n := 2; n < 40; n++ {
 		l.Want(3*ms, testWant(n, teamName(0)))
 	}
 	s := l.Snapshot()
 	is.True(s.Queued > 0)
-	is.True(s.Queued < 10) // a slot of half a second, a patience of one
+	is.True(s.Queued < 10) // a request holds its slot for half a second; the patience is one second
 }
 
 func TestAQueuedRequestIsRefusedOnceItIsHopeless(t *testing.T) {
@@ -199,8 +200,8 @@
 		}
 	}
 	is.Equal(l.Snapshot().Queued, 5)
-	is.Equal(codes[verdict.CodeTeamLimit], 6)  // of the first team: 1 granted, 3 waiting
-	is.Equal(codes[verdict.CodeOverloaded], 8) // of the second: 2 waiting
+	is.Equal(codes[verdict.CodeTeamLimit], 6)  // first team: 1 granted, 3 waiting
+	is.Equal(codes[verdict.CodeOverloaded], 8) // second team: 2 waiting
 }
 
 func TestAConfigurationTakesQueuedRequestsBack(t *testing.T) {
@@ -211,7 +212,7 @@
 	doc := testDocument(2, 2)
 	doc.Services[0].TeamSelector = "paid=yes"
 	is.Equal(onlyRefusal(t, l.Configure(3*ms, doc)).Code, verdict.CodeForbidden)
-	is.Equal(l.Snapshot().Running, 1) // what runs goes on
+	is.Equal(l.Snapshot().Running, 1) // running requests continue
 }
 
 func TestAWrongSelectorKeepsTheFormerState(t *testing.T) {
--- a/core/sched/link.go
+++ b/core/sched/link.go
@@ -8,24 +8,24 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// linkKey names a link by its ends.
+// linkKey identifies a link by its ends.
 type linkKey struct {
 	from id.Domain
 	to   id.Domain
 }
 
-// transfer is one KV cache on its way, or to come.
+// transfer is a running or future transfer of a KV cache.
 type transfer struct {
 	owner uint64
-	// start is the prefill's predicted end; remaining is in bytes.
+	// start is the predicted end of the prefill; remaining is in bytes.
 	start     time.Duration
 	remaining float64
-	// deadline is when the KV cache dies.
+	// deadline is when the KV cache expires.
 	deadline time.Duration
 }
 
-// link predicts the transfers that share a path, each with an equal part of
-// its rate.
+// link predicts the transfers that share a path; each gets an equal share of its
+// rate.
 type link struct {
 	// rate is in bytes a second.
 	rate      float64
@@ -34,9 +34,9 @@
 	scratch   []transfer
 }
 
-// findLink returns the rate between two domains; the last fitting link of the
-// document applies, and an empty end fits every domain. ok is false for a path
-// without a limit.
+// findLink returns the rate between two domains in bytes a second. The last
+// matching link of the document applies; an empty end matches every domain. ok is
+// false for a path without a limit.
 func findLink(links []live.Link, key linkKey) (rate float64, ok bool) {
 	for i := len(links) - 1; i >= 0; i-- {
 		l := links[i]
@@ -48,8 +48,8 @@
 	return 0, false
 }
 
-// advance moves the transfers on to now; those that ought to have ended stay,
-// with nothing remaining, until they are removed.
+// advance advances the transfers to now; a transfer that is predicted to have
+// ended stays, with nothing remaining, until it is removed.
 func (l *link) advance(now time.Duration) {
 	if now <= l.at {
 		return
@@ -58,8 +58,8 @@
 	l.at = now
 }
 
-// fits predicts whether one more transfer would end within its life without
-// making another late, and how long it would take.
+// fits predicts how long one more transfer would take, and whether it would end
+// within its lifetime without making another transfer late.
 func (l *link) fits(now, start time.Duration, bytes float64, life time.Duration) (time.Duration, bool) {
 	l.advance(now)
 	fresh := transfer{start: max(now, start), remaining: max(1, bytes), deadline: start + life}
@@ -81,25 +81,26 @@
 	return took, inTime
 }
 
-// madeLate is false for a transfer that is late whatever is added: one past
-// its deadline already.
+// madeLate is false for an existing transfer that is past its deadline already:
+// the added transfer is not the cause.
 func (l *link) madeLate(i, last int) bool {
 	return i == last || l.transfers[i].deadline > l.at
 }
 
-// add notes a transfer.
+// add adds a transfer.
 func (l *link) add(now time.Duration, t transfer) {
 	l.advance(now)
 	l.transfers = append(l.transfers, t)
 }
 
-// remove forgets a transfer that ended.
+// remove removes the transfer of an owner.
 func (l *link) remove(now time.Duration, owner uint64) {
 	l.advance(now)
 	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer) bool { return t.owner == owner })
 }
 
-// restart corrects a transfer once its prefill has ended.
+// restart sets the actual start and size of a transfer after its prefill has
+// ended.
 func (l *link) restart(now time.Duration, owner uint64, bytes float64, life time.Duration) {
 	l.advance(now)
 	for i := range l.transfers {
@@ -109,8 +110,9 @@
 	}
 }
 
-// drain shares the rate equally among the started transfers from one time to
-// another; ended is told of each end and stops the run by returning false.
+// simulateTransfers advances the transfers from one time to another, with the
+// rate shared equally among the started ones. It calls ended at each end of a
+// transfer and stops if ended returns false.
 func simulateTransfers(list []transfer, rate float64, from, until time.Duration, ended func(int, time.Duration) bool) {
 	at := from
 	for at < until {
@@ -129,8 +131,8 @@
 	}
 }
 
-// sharing counts the active transfers, the least of their remaining bytes, and
-// the next start.
+// activeTransfers returns the number of active transfers, the smallest number of
+// their remaining bytes, and the next start.
 func activeTransfers(list []transfer, at, until time.Duration) (active int, least float64, next time.Duration) {
 	next = until
 	for i := range list {
@@ -150,7 +152,8 @@
 	return active, least, next
 }
 
-// progress takes one step in which the same transfers are active.
+// stepTransfers advances the transfers by one step in which the set of active
+// transfers does not change. It returns false if ended does.
 func stepTransfers(list []transfer, rate float64, at, step time.Duration, active int, ended func(int, time.Duration) bool) bool {
 	if active == 0 {
 		return true
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -1,7 +1,7 @@
-// Package sched is the deterministic scheduler of a pool: fair queue,
+// Package sched implements the deterministic scheduler of a pool: fair queue,
 // admission, pairing of a prefill and a decode endpoint, slot ledger and link
-// ledger. It has no sockets, clocks or goroutines: typed events and a time go
-// in, typed actions come out.
+// ledger. It has no sockets, clocks or goroutines: it takes typed events with a
+// time and returns typed actions.
 //
 // One daemon, the pool's owner by rendezvous hashing over the live members,
 // runs the scheduler of a pool; every other daemon sends it its Wants.
@@ -15,7 +15,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Want asks for the endpoints that shall serve a request. It is sent once per
+// Want requests the endpoints for one attempt of a request. It is sent once per
 // attempt and again, unchanged, to a pool's new owner.
 type Want struct {
 	Request id.Request `cbor:"1,keyasint"`
@@ -24,13 +24,13 @@
 	Pool    id.Pool    `cbor:"4,keyasint"`
 	// From is the daemon that serves the caller.
 	From id.Process `cbor:"5,keyasint"`
-	// Age is how long ago the caller's request arrived, at sending.
+	// Age is the time since the caller's request arrived, as of sending.
 	Age time.Duration `cbor:"6,keyasint"`
 	// PromptTokens and OutputTokens are estimates.
 	PromptTokens int `cbor:"7,keyasint"`
 	OutputTokens int `cbor:"8,keyasint"`
 	// Prefix holds the chained hashes of the prompt's leading blocks, salted
-	// by team, so that teams never share an entry.
+	// by team, so that teams never share a cache entry.
 	Prefix []uint64 `cbor:"9,keyasint"`
 	// Priority, 0 (lowest) to 9.
 	Priority int `cbor:"10,keyasint"`
@@ -40,57 +40,58 @@
 	Domain id.Domain `cbor:"12,keyasint"`
 	// Attempt counts from 1.
 	Attempt int `cbor:"13,keyasint"`
-	// Suspect is set on a request that has crashed an endpoint before: it is
-	// run alone, never beside other requests' work on a shared engine where
-	// that can be helped.
+	// Suspect is set on a request that has crashed an endpoint before: where
+	// possible it runs alone, not on an engine with work of other requests.
 	Suspect bool `cbor:"14,keyasint"`
-	// Fingerprint identifies team and content; the same under a new request id.
+	// Fingerprint identifies team and content independently of the request id.
 	Fingerprint string `cbor:"15,keyasint"`
-	// Target is when, from the request's arrival, its caller expects the first
-	// output; Patience is when it is refused for want of room; Lifetime is when
-	// its caller is gone for certain. Zero: the service's own figures apply.
+	// Target, Patience and Lifetime are measured from the request's arrival. Target
+	// is when the caller expects the first output, Patience when the request is
+	// refused for lack of capacity, and Lifetime when the caller has certainly
+	// gone. Zero selects the service's own value.
 	Target   time.Duration `cbor:"16,keyasint,omitempty"`
 	Patience time.Duration `cbor:"17,keyasint,omitempty"`
 	Lifetime time.Duration `cbor:"18,keyasint,omitempty"`
-	// Prefilled asks for a decode endpoint alone: the prompt was read before, and
-	// its KV cache lives no longer than Patience.
+	// Prefilled requests only a decode endpoint: the prompt is prefilled already,
+	// and its KV cache lives no longer than Patience.
 	Prefilled bool `cbor:"19,keyasint,omitempty"`
-	// Pause is the longest pause between the events of the answer that its caller
-	// expects; 0 for no bound.
+	// Pause is the longest pause between events of the answer that the caller
+	// expects; 0 means no bound.
 	Pause time.Duration `cbor:"20,keyasint,omitempty"`
 }
 
-// Grant answers a Want: run the prefill on one endpoint, the decode on another.
-// For a plain service Prefill is empty and Decode names the endpoint.
+// Grant answers a Want with the endpoints for the prefill and the decode. For a
+// plain service Prefill is empty and Decode names the endpoint.
 type Grant struct {
 	Request id.Request  `cbor:"1,keyasint"`
 	Prefill id.Endpoint `cbor:"2,keyasint"`
 	Decode  id.Endpoint `cbor:"3,keyasint"`
-	// Reservation numbers the grant within the owner; the owner's process is part of it.
+	// Reservation is the number of the grant, unique within the Owner process.
 	Reservation uint64     `cbor:"4,keyasint"`
 	Owner       id.Process `cbor:"5,keyasint"`
-	// StartIn is how long the daemon waits before it orders the prefill.
+	// StartIn is the delay before the daemon sends the prefill to its endpoint.
 	StartIn time.Duration `cbor:"6,keyasint"`
-	// ExpiresIn is how long the grant holds without a Progress.
+	// ExpiresIn is how long the grant is valid without a Progress.
 	ExpiresIn time.Duration `cbor:"7,keyasint"`
-	// Reason explains the choice for the decision log: candidates left, scores.
+	// Reason explains the choice in the decision log, with the number of candidates
+	// and the score.
 	Reason string `cbor:"8,keyasint"`
-	// Provisional is set when the decode slot is not free yet: before the
-	// decode order the daemon waits for a Binding, no longer than BindWithin
-	// from the prefill's end. Without one it tries Decode: the engine is the
-	// last word.
+	// Provisional is set when the decode slot is not free yet: before the daemon
+	// starts the decode it waits for a Binding, for at most BindWithin from the
+	// end of the prefill. Without a Binding it tries Decode, and the engine
+	// accepts or refuses.
 	Provisional bool          `cbor:"9,keyasint,omitempty"`
 	BindWithin  time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// Binding names the endpoint whose slot a provisional grant has got.
+// Binding assigns a decode slot to a provisional grant.
 type Binding struct {
 	Request     id.Request  `cbor:"1,keyasint"`
 	Reservation uint64      `cbor:"2,keyasint"`
 	Decode      id.Endpoint `cbor:"3,keyasint"`
 }
 
-// Refusal answers a Want that won't be served. Its verdict is always not run.
+// Refusal answers a Want that is not granted. Its verdict is always not run.
 type Refusal struct {
 	Request    id.Request    `cbor:"1,keyasint"`
 	Code       verdict.Code  `cbor:"2,keyasint"`
@@ -98,91 +99,99 @@
 	Reason     string        `cbor:"4,keyasint"`
 }
 
-// Phase is how far a granted request has come.
+// Phase is the phase of a granted request.
 type Phase uint8
 
 // The phases of a granted request.
 const (
-	// PhasePrefilling: the prefill order was sent.
+	// PhasePrefilling: the prefill was sent to its endpoint.
 	PhasePrefilling Phase = iota + 1
-	// PhaseTransferring: prefill ended, the decode engine imports the KV cache.
+	// PhaseTransferring: the prefill has ended and the decode engine imports the KV
+	// cache.
 	PhaseTransferring
-	// PhaseDecoding: the first token has come; for plain calls, the order was sent.
+	// PhaseDecoding: the first token has arrived; for plain calls, the call was sent.
 	PhaseDecoding
-	// PhaseDone: the answer is complete; all is released.
+	// PhaseDone: the answer is complete; the reservation is released.
 	PhaseDone
-	// PhaseFailed: the attempt ended with an error; all is released.
+	// PhaseFailed: the attempt failed; the reservation is released.
 	PhaseFailed
-	// PhaseCancelled: the caller is gone; released once the endpoint confirmed.
+	// PhaseCancelled: the caller is gone and the endpoint has confirmed the
+	// cancellation; the reservation is released.
 	PhaseCancelled
 )
 
-// Progress tells the owner how a granted request fares.
+// Progress reports the progress of a granted request to the owner.
 type Progress struct {
 	Request     id.Request `cbor:"1,keyasint"`
 	Reservation uint64     `cbor:"2,keyasint"`
 	Phase       Phase      `cbor:"3,keyasint"`
-	// Endpoint that failed, with PhaseFailed, or that decodes, with
-	// PhaseDecoding; empty when none is to blame, or it is the granted one.
+	// Endpoint is the one that failed, with PhaseFailed, or the one that decodes,
+	// with PhaseDecoding. It is empty if no endpoint caused the failure or if the
+	// granted endpoint decodes.
 	Endpoint id.Endpoint `cbor:"4,keyasint"`
-	// CachedTokens is how many prompt tokens the prefill found in its cache.
+	// CachedTokens is the number of prompt tokens that the prefill found cached.
 	CachedTokens int `cbor:"5,keyasint"`
 	// PromptTokens is the measured prompt length.
 	PromptTokens int `cbor:"6,keyasint"`
-	// OutputTokens is the output so far.
+	// OutputTokens is the number of output tokens so far.
 	OutputTokens int `cbor:"7,keyasint"`
 	// PrefillTime and TransferTime are measured durations; zero if unknown.
 	PrefillTime  time.Duration `cbor:"8,keyasint"`
 	TransferTime time.Duration `cbor:"9,keyasint"`
 	// KVBytes is the size of the exported KV cache, in bytes.
 	KVBytes int64 `cbor:"10,keyasint"`
-	// Full is set with PhaseFailed when the endpoint refused for lack of room.
+	// Full is set with PhaseFailed when the endpoint refused for lack of capacity.
 	Full bool `cbor:"11,keyasint"`
-	// Leaving is set with PhaseFailed when the endpoint said that it leaves.
+	// Leaving is set with PhaseFailed when the endpoint refused because it is
+	// leaving.
 	Leaving bool `cbor:"12,keyasint"`
-	// Crashed is set with PhaseFailed when the endpoint's process seems to have ended.
+	// Crashed is set with PhaseFailed when the endpoint's process has probably
+	// ended.
 	Crashed bool `cbor:"13,keyasint"`
-	// Unreachable is set with PhaseFailed when the endpoint took no connection.
+	// Unreachable is set with PhaseFailed when no connection to the endpoint could
+	// be made.
 	Unreachable bool `cbor:"14,keyasint"`
 }
 
-// Adopt tells a pool's new owner of a grant that a former owner gave and that
-// is still in use.
+// Adopt reports to a pool's new owner a grant of a former owner that is still in
+// use.
 type Adopt struct {
 	Want  Want  `cbor:"1,keyasint"`
 	Grant Grant `cbor:"2,keyasint"`
 	Phase Phase `cbor:"3,keyasint"`
-	// For is how long the request has been in that phase; 0 if not known.
+	// For is how long the request has been in Phase; 0 if unknown.
 	For time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Load is an endpoint's own report, with a lag.
+// Load is an endpoint's load report. It may be out of date on arrival.
 type Load struct {
 	Endpoint    id.Endpoint    `cbor:"1,keyasint"`
 	Incarnation id.Incarnation `cbor:"2,keyasint"`
-	// Running counts requests in decode slots, or calls; Waiting those behind them.
+	// Running counts the requests in decode slots, or the running calls; Waiting
+	// counts the requests queued at the endpoint.
 	Running int `cbor:"3,keyasint"`
 	Waiting int `cbor:"4,keyasint"`
-	// Slots is the engine's own count of its slots.
+	// Slots is the number of slots that the engine reports.
 	Slots int `cbor:"5,keyasint"`
-	// Leaving is the endpoint's own word that it takes no new work.
+	// Leaving is set when the endpoint reports that it takes no new work.
 	Leaving bool `cbor:"6,keyasint"`
 	// Reachable is false when the report could not be fetched.
 	Reachable bool `cbor:"7,keyasint"`
-	// Model and Role are what the engine serves now; empty if not ready.
+	// Model and Role are what the engine currently serves; empty if it is not
+	// ready.
 	Model string    `cbor:"8,keyasint"`
 	Role  live.Role `cbor:"9,keyasint"`
 }
 
-// CacheEvent says that an engine stored or dropped a prefix block.
+// CacheEvent reports that an engine stored or dropped a prefix block.
 type CacheEvent struct {
 	Endpoint id.Endpoint
 	Block    uint64
 	Stored   bool
 }
 
-// Action is what the scheduler wants done: a Grant, a Refusal or a Binding for
-// the daemon To.
+// Action is a message of the scheduler to the daemon To: a Grant, a Refusal or a
+// Binding.
 type Action struct {
 	To      id.Process
 	Grant   *Grant
@@ -190,27 +199,29 @@
 	Binding *Binding
 }
 
-// Scheduler decides for one pool. The policies and the naive version implement
-// it. Times are durations since an arbitrary start and never go back.
+// Scheduler schedules the requests of one pool. The policies and the naive
+// version implement it. Times are durations since an arbitrary start and never
+// decrease.
 type Scheduler interface {
-	// Configure takes a new configuration; requests in flight go on.
+	// Configure applies a new configuration; requests in flight continue.
 	Configure(now time.Duration, doc *live.Document) []Action
-	// Want takes a request; a repeated one is answered again, not run twice.
+	// Want takes a request; a repeated Want is answered again but not run twice.
 	Want(now time.Duration, w Want) []Action
-	// Withdraw drops a request that waits or was granted and not yet begun.
+	// Withdraw drops a request that is queued or that was granted and has not begun.
 	Withdraw(now time.Duration, r id.Request) []Action
-	// Progress follows a granted request.
+	// Progress takes the progress of a granted request.
 	Progress(now time.Duration, p Progress) []Action
 	// Adopt takes over a former owner's grant.
 	Adopt(now time.Duration, a Adopt) []Action
-	// Load takes an endpoint's report.
+	// Load takes an endpoint's load report.
 	Load(now time.Duration, l Load) []Action
-	// Cache takes cache events; gap says that some were lost.
+	// Cache takes cache events; gap is set if events were lost.
 	Cache(now time.Duration, e id.Endpoint, events []CacheEvent, gap bool)
-	// ProcessGone releases all that a dead daemon held, after its grace.
+	// ProcessGone releases everything that a dead daemon held; it is called after
+	// the grace period.
 	ProcessGone(now time.Duration, p id.Process) []Action
-	// Tick does what is due; call it at Next or earlier.
+	// Tick processes due events; call it no later than Next.
 	Tick(now time.Duration) []Action
-	// Next is when Tick is due.
+	// Next returns the time at which Tick is due.
 	Next() time.Duration
 }
--- a/core/sched/random_run_test.go
+++ b/core/sched/random_run_test.go
@@ -13,10 +13,11 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// eventsVariable sets the number of events of a randomised run.
+// eventsVariable is the environment variable with the number of events of a
+// randomized run.
 const eventsVariable = "SAMPHIREQUAY_SCHED_EVENTS"
 
-// eventCount is the number of events in all seeds of a randomised run.
+// eventCount returns the number of events over all seeds of a randomized run.
 func eventCount(t *testing.T) int {
 	text := os.Getenv(eventsVariable)
 	if text == "" {
@@ -29,8 +30,8 @@
 	return n
 }
 
-// TestRandomRun drives the ledger with faults and asserts that no invariant
-// breaks, that each call is answered and that all is released in the end.
+// TestRandomRun injects faults and asserts that no invariant is violated, that
+// each call is answered and that everything is released at the end.
 func TestRandomRun(t *testing.T) {
 	const seeds = 10
 	events := eventCount(t) / seeds
@@ -48,14 +49,14 @@
 			w.injectFaults(events)
 			w.run()
 			w.assertEnd()
-			is.True(w.granted > events/50) // the run got work done
-			is.True(w.refused > 0)         // and met overload
+			is.True(w.granted > events/50) // requests were granted
+			is.True(w.refused > 0)         // and overload occurred
 			is.Equal(w.bound > 0, o.Reservation == JustInTime)
 		})
 	}
 }
 
-// shape varies a request.
+// randomize sets random properties of a request.
 func (w *simulation) randomize(want *Want) {
 	want.PromptTokens = 200 + w.random.IntN(8000)
 	want.OutputTokens = 1 + w.random.IntN(60)
@@ -68,8 +69,8 @@
 	}
 }
 
-// disturb brings reports, cache events, new configurations, dead daemons and
-// new owners.
+// injectFaults sends reports and cache events, changes the configuration, stops
+// daemons and replaces the owner at random until the given number of events.
 func (w *simulation) injectFaults(until int) {
 	if w.events >= until {
 		w.endFaults()
@@ -92,7 +93,7 @@
 	w.after(w.between(ms, 40*ms), func() { w.injectFaults(until) })
 }
 
-// sendLoad reports an endpoint's load by the world's record.
+// sendLoad sends an endpoint's load report from the simulation's own record.
 func (w *simulation) sendLoad() {
 	e := w.doc.Endpoints[w.random.IntN(len(w.doc.Endpoints))]
 	load := Load{Endpoint: e.Name, Incarnation: 1, Slots: e.Slots, Reachable: !w.chance(0.05), Model: "m"}
@@ -105,7 +106,7 @@
 	w.after(w.between(0, 200*ms), func() { w.deliver(w.ledger.Load(w.now, load)) })
 }
 
-// reconfigure changes a label, a slot count or a weight.
+// reconfigure changes a label, a slot count and a weight.
 func (w *simulation) reconfigure() {
 	doc := testDocument(22, 5)
 	doc.Revision = w.doc.Revision + 1
@@ -117,7 +118,7 @@
 	w.deliver(w.ledger.Configure(w.now, doc))
 }
 
-// killDaemon ends a daemon; it comes back as a new process.
+// killDaemon stops a daemon; it restarts with a new incarnation.
 func (w *simulation) killDaemon() {
 	i := w.random.IntN(len(w.daemons))
 	gone := w.daemons[i]
@@ -131,7 +132,7 @@
 	w.after(w.between(0, 500*ms), func() { w.reportGone(gone) })
 }
 
-// bury tells the ledger that a process is gone.
+// reportGone reports to the ledger that a process is gone.
 func (w *simulation) reportGone(gone id.Process) {
 	w.deliver(w.ledger.ProcessGone(w.now, gone))
 	for _, c := range w.calls {
@@ -141,7 +142,8 @@
 	}
 }
 
-// changeOwner starts a new ledger that hears of what is granted and waits.
+// changeOwner starts a new ledger and sends it the granted and the queued
+// requests.
 func (w *simulation) changeOwner() {
 	o := w.options
 	o.Self.Incarnation = w.ledger.options.Self.Incarnation + 1
@@ -159,16 +161,16 @@
 	}
 }
 
-// settleDown ends the disturbances with a sound configuration and reports.
+// endFaults ends the faults with a valid configuration.
 func (w *simulation) endFaults() {
 	w.deliver(w.ledger.Configure(w.now, testDocument(22, 5)))
 }
 
-// assertEnd asserts that nothing is left of any request.
+// assertEnd asserts that no request is left in the ledger.
 func (w *simulation) assertEnd() {
 	is := is.New(w.t)
 	s := w.ledger.Snapshot()
-	is.Equal(s.Queued, 0)  // nothing waits
+	is.Equal(s.Queued, 0)  // no request is queued
 	is.Equal(s.Running, 0) // every reservation was released or expired
 	is.Equal(s.Held, 0)    // no slot is held
 	is.Equal(len(s.Teams), 0)
@@ -179,7 +181,7 @@
 	}
 }
 
-// sortedCalls lists the requests in order.
+// sortedCalls returns the request ids in order.
 func sortedCalls(calls map[id.Request]*call) []id.Request {
 	list := make([]id.Request, 0, len(calls))
 	for r := range calls {
--- a/core/sched/retry_after.go
+++ b/core/sched/retry_after.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// pressureMemory is the time over which grants and refusals are counted.
+	// pressureTimeConstant is the time constant of the decaying counts of grants
+	// and refusals.
 	pressureTimeConstant = 2 * time.Second
-	// maxPressure bounds how far the advice is stretched.
+	// maxPressure bounds the factor by which RetryAfter grows.
 	maxPressure = 40.0
-	// maxAdvice bounds the advice to one refused for want of room.
+	// maxOverloadRetryAfter bounds RetryAfter in refusals for lack of capacity.
 	maxOverloadRetryAfter = 5 * time.Second
 )
 
-// pressure counts grants and refusals of late. When more is refused than
-// granted, the refused would all come back at the same moment, again and again,
-// and crowd out the new: they are told to come back as much later as there are
-// more of them, and not all at once.
+// pressure counts recent grants and refusals with exponential decay. When
+// refusals outnumber grants, clients that retry at the same moment would crowd
+// out new requests again and again. RetryAfter therefore grows with the ratio of
+// refusals to grants and is randomized.
 type pressure struct {
 	grants   float64
 	refusals float64
@@ -41,13 +42,13 @@
 	p.refusals++
 }
 
-// factor is how many refused requests there are for each granted one, at least 1.
+// factor returns the number of refusals for each grant, from 1 to maxPressure.
 func (p *pressure) factor() float64 {
 	return min(max(1, p.refusals/max(1, p.grants)), maxPressure)
 }
 
-// comeBack advises a request that is refused for want of room, given when it
-// alone could be served.
+// retryAfter returns the RetryAfter of a request that is refused for lack of
+// capacity; alone is the time until it could be served if it were the only one.
 func (l *Ledger) retryAfter(alone time.Duration) time.Duration {
 	l.pressure.refused(l.now)
 	spread := 0.5 + l.random.Float64()
