--- a/core/sched/adopt_test.go
+++ b/core/sched/adopt_test.go
@@ -39,7 +39,7 @@
 
 // TestAdoptedPrefillMustBeKnown: work that is still in its prefill can't be
 // followed without the endpoint.
-func TestAdoptedPrefillMustBeKnown(t *testing.T) {
+func TestAdoptIgnoresUnknownPrefillEndpoint(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(2, 1))
 	l.Adopt(3*ms, Adopt{
--- a/core/sched/bind_test.go
+++ b/core/sched/bind_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAProvisionalGrantIsBoundWhenItsSlotIsFree(t *testing.T) {
+func TestProvisionalGrantIsBoundWhenSlotIsFree(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	first := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
--- a/core/sched/cache_test.go
+++ b/core/sched/cache_test.go
@@ -25,7 +25,7 @@
 	return g.Prefill
 }
 
-func TestCacheViewIsBoundedAndDecays(t *testing.T) {
+func TestCacheViewIsBoundedAndExpires(t *testing.T) {
 	is := is.New(t)
 	var forgotten []uint64
 	c := newCacheView(2, time.Second, func(b uint64) { forgotten = append(forgotten, b) })
@@ -40,7 +40,7 @@
 	is.Equal(len(forgotten), 3)
 }
 
-func TestAPrefixIsFoundAgainOnItsEngine(t *testing.T) {
+func TestPrefixAffinityReusesEngine(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(16, 1))
 	first := serveOn(t, l, ms, prefixed(1, 7, 8, 9))
@@ -50,7 +50,7 @@
 	is.Equal(len(l.caches.owners), 1)
 }
 
-func TestTheCacheViewIsForgotten(t *testing.T) {
+func TestCacheViewIsInvalidated(t *testing.T) {
 	forget := map[string]func(l *Ledger, e id.Endpoint){
 		"gap":  func(l *Ledger, e id.Endpoint) { l.Cache(20*ms, e, nil, true) },
 		"drop": func(l *Ledger, e id.Endpoint) { l.Cache(20*ms, e, []CacheEvent{{Endpoint: e, Block: 7}}, false) },
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestCacheEventsOfKnownPrefixesCount(t *testing.T) {
+func TestCacheEventsOfKnownPrefixesAreIndexed(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
 	e := serveOn(t, l, ms, prefixed(1, 7))
@@ -86,7 +86,7 @@
 	is.Equal(len(l.caches.find(7)), 2)
 }
 
-func TestAPopularPrefixSpreads(t *testing.T) {
+func TestPopularPrefixSpreadsOverEngines(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(16, 1))
 	serveOn(t, l, ms, prefixed(1, 7))
--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -27,43 +27,43 @@
 // unchanged leaves a request as it is.
 func unchanged(*Want) {}
 
-func TestAFloodCostsOnlyItsTeam(t *testing.T) {
+func TestFloodDoesNotStarveOtherTeams(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
-		w := fairSimulation(t, seed, 1, 1, 1, 1)
+		sim := fairSimulation(t, seed, 1, 1, 1, 1)
 		const events = 15_000
-		w.arrivals(teamName(0), 10*ms/3, events, unchanged) // ten times its share of 30/s
+		sim.arrivals(teamName(0), 10*ms/3, events, unchanged) // ten times its share of 30/s
 		for i := 1; i < 4; i++ {
-			w.arrivals(teamName(i), 37*ms, events, unchanged) // nine tenths of their share
+			sim.arrivals(teamName(i), 37*ms, events, unchanged) // nine tenths of their share
 		}
-		w.run()
+		sim.run()
 		for i := 1; i < 4; i++ {
 			team := teamName(i)
-			part := float64(w.served[team]) / float64(w.asked[team])
-			t.Logf("seed %d, %s: %d of %d served", seed, team, w.served[team], w.asked[team])
+			part := float64(sim.served[team]) / float64(sim.asked[team])
+			t.Logf("seed %d, %s: %d of %d served", seed, team, sim.served[team], sim.asked[team])
 			is.True(part > 0.97) // teams within their share are served
 		}
 		flood := teamName(0)
-		t.Logf("seed %d, flood: %d of %d served", seed, w.served[flood], w.asked[flood])
-		is.True(w.served[flood] > w.served[teamName(1)]) // the flooding team gets the unused capacity
-		w.assertEnd()
+		t.Logf("seed %d, flood: %d of %d served", seed, sim.served[flood], sim.asked[flood])
+		is.True(sim.served[flood] > sim.served[teamName(1)]) // the flooding team gets the unused capacity
+		sim.assertEnd()
 	}
 }
 
 func TestSharesFollowWeights(t *testing.T) {
 	is := is.New(t)
-	w := fairSimulation(t, 1, 1, 2, 3)
+	sim := fairSimulation(t, 1, 1, 2, 3)
 	const events = 30_000
 	for i := range 3 {
-		w.arrivals(teamName(i), 8*ms, events, unchanged)
+		sim.arrivals(teamName(i), 8*ms, events, unchanged)
 	}
-	w.run()
+	sim.run()
 	total := 0
 	for i := range 3 {
-		total += w.served[teamName(i)]
+		total += sim.served[teamName(i)]
 	}
 	for i := range 3 {
-		part := float64(w.served[teamName(i)]) / float64(total)
+		part := float64(sim.served[teamName(i)]) / float64(total)
 		due := float64(i+1) / 6
 		t.Logf("%s: share %.3f, expected %.3f", teamName(i), part, due)
 		is.True(part > due-0.02)
@@ -71,23 +71,23 @@
 	}
 }
 
-func TestALongPromptCostsItsTeam(t *testing.T) {
+func TestLongPromptsAreChargedToTheirTeam(t *testing.T) {
 	is := is.New(t)
-	w := fairSimulation(t, 1, 1, 1)
+	sim := fairSimulation(t, 1, 1, 1)
 	const events = 30_000
-	w.arrivals(teamName(0), 8*ms, events, func(want *Want) {
+	sim.arrivals(teamName(0), 8*ms, events, func(want *Want) {
 		want.PromptTokens = 8000
 		want.OutputTokens = 80
 	})
-	w.arrivals(teamName(1), 4*ms, events, unchanged)
-	w.run()
-	ratio := float64(w.served[teamName(1)]) / float64(w.served[teamName(0)])
+	sim.arrivals(teamName(1), 4*ms, events, unchanged)
+	sim.run()
+	ratio := float64(sim.served[teamName(1)]) / float64(sim.served[teamName(0)])
 	t.Logf("four times the size, %.2f times fewer served", ratio)
 	is.True(ratio > 3.4)
 	is.True(ratio < 4.6)
 }
 
-func TestOneTeamGetsTheWholePool(t *testing.T) {
+func TestSingleActiveTeamUsesWholePool(t *testing.T) {
 	is := is.New(t)
 	alone := fairSimulation(t, 1, 1)
 	alone.arrivals(teamName(0), 5*ms, 10_000, unchanged)
@@ -98,7 +98,7 @@
 	is.Equal(one.served, alone.served) // idle teams reserve no capacity
 }
 
-func TestACancellingTeamPaysForWhatItTook(t *testing.T) {
+func TestCancelledRequestIsChargedForTimeUsed(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 2))
 	g := onlyGrant(t, l.Want(0+2, testWant(1, teamName(0))))
@@ -111,7 +111,7 @@
 	onlyGrant(t, l.Want(70*ms, testWant(2, teamName(1))))
 }
 
-func TestTeamLimitIsOverAllDaemons(t *testing.T) {
+func TestTeamLimitSpansDaemons(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(22, 2)
 	doc.Teams[0].MaxInFlight = 3
@@ -145,21 +145,21 @@
 }
 
 // TestGoodputReturnsAfterAnOverload asks that goodput returns by itself once an overload ends.
-func TestGoodputReturnsAfterAnOverload(t *testing.T) {
+func TestGoodputRecoversAfterOverload(t *testing.T) {
 	is := is.New(t)
-	w := fairSimulation(t, 1, 1, 1)
-	w.arrivals(teamName(0), 2*ms, 10_000, unchanged) // 500 a second, several times the capacity
-	w.run()
-	is.True(w.refused > 0)
-	before, refused := w.granted, w.refused
-	until := w.events + 3000
-	start := w.now
-	w.arrivals(teamName(0), 20*ms, until, unchanged) // well within capacity
-	w.run()
-	is.True(w.granted > before)
-	is.Equal(w.refused, refused) // no further refusals
-	is.True(w.now-start < time.Hour)
-	w.assertEnd()
+	sim := fairSimulation(t, 1, 1, 1)
+	sim.arrivals(teamName(0), 2*ms, 10_000, unchanged) // 500 a second, several times the capacity
+	sim.run()
+	is.True(sim.refused > 0)
+	before, refused := sim.granted, sim.refused
+	until := sim.events + 3000
+	start := sim.now
+	sim.arrivals(teamName(0), 20*ms, until, unchanged) // well within capacity
+	sim.run()
+	is.True(sim.granted > before)
+	is.Equal(sim.refused, refused) // no further refusals
+	is.True(sim.now-start < time.Hour)
+	sim.assertEnd()
 }
 
 func TestPlainPoolSharesTheSameQueue(t *testing.T) {
--- a/core/sched/filter_avoid_test.go
+++ b/core/sched/filter_avoid_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-func TestAvoidFilterLeavesOutWhereAttemptsFailed(t *testing.T) {
+func TestAvoidFilterExcludesFailedEndpoints(t *testing.T) {
 	is := is.New(t)
 	c := testCycle()
 	c.want.Avoid = []id.Endpoint{"a", "b"}
--- a/core/sched/filter_deadline_test.go
+++ b/core/sched/filter_deadline_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDeadlineFilterKeepsWhatIsInTime(t *testing.T) {
+func TestDeadlineFilterKeepsTimelyPairs(t *testing.T) {
 	is := is.New(t)
 	c := testCycle()
 	p := testPair(c) // 100 ms of prefill and 20 ms for the first token
--- a/core/sched/filter_health_test.go
+++ b/core/sched/filter_health_test.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-func TestHealthFilterAsksTheView(t *testing.T) {
+func TestHealthFilterUsesHealthView(t *testing.T) {
 	is := is.New(t)
 	c := testCycle()
 	e := testEndpoint("e", live.RoleDecode)
--- a/core/sched/filter_leaving_test.go
+++ b/core/sched/filter_leaving_test.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-func TestLeavingFilterHeedsEachSource(t *testing.T) {
+func TestLeavingFilterHonoursEachSource(t *testing.T) {
 	sources := map[string]func(e *endpoint){
 		"label":   func(e *endpoint) { e.labelLeaving = true },
 		"report":  func(e *endpoint) { e.reported, e.report.Leaving = true, true },
--- a/core/sched/filter_link_test.go
+++ b/core/sched/filter_link_test.go
@@ -25,7 +25,7 @@
 	is.True(near(p.transfer, 400*ms))
 }
 
-func TestLinkPrefersNotToMakeOthersLate(t *testing.T) {
+func TestLinkRejectsTransferThatDelaysOthers(t *testing.T) {
 	is := is.New(t)
 	l := &link{rate: 1e6}
 	l.add(0, transfer{owner: 1, start: 0, remaining: 700_000, deadline: 800 * ms})
--- a/core/sched/filter_role_test.go
+++ b/core/sched/filter_role_test.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-func TestRoleFilterTakesTheEnginesWordBeforeTheLabel(t *testing.T) {
+func TestRoleFilterPrefersReportOverLabel(t *testing.T) {
 	is := is.New(t)
 	f := roleFilter{role: live.RoleDecode}
 	e := testEndpoint("e", live.RoleDecode)
--- a/core/sched/filter_settle_test.go
+++ b/core/sched/filter_settle_test.go
@@ -22,7 +22,7 @@
 	keeps(is, settleFilter{}, c, e, false)
 }
 
-func TestNewOwnerHeedsAdoptedGrantsAndReports(t *testing.T) {
+func TestNewOwnerRespectsAdoptedGrantsAndReports(t *testing.T) {
 	is := is.New(t)
 	o := testOptions(t)
 	o.Settle = 300 * ms
--- a/core/sched/filter_suspect_test.go
+++ b/core/sched/filter_suspect_test.go
@@ -24,7 +24,7 @@
 	keeps(is, suspectFilter{}, c, e, false)
 }
 
-func TestNothingIsPairedBesideASuspect(t *testing.T) {
+func TestSuspectSharesNoEndpoint(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
 	suspect := testWant(1, teamName(0))
--- a/core/sched/ledger_test.go
+++ b/core/sched/ledger_test.go
@@ -19,7 +19,7 @@
 	return testLedger(t, testOptions(t), doc)
 }
 
-func TestARepeatedWantIsAnsweredAgainAndRunOnce(t *testing.T) {
+func TestRepeatedWantIsAnsweredAgainAndRunOnce(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	w := testWant(1, teamName(0))
@@ -36,7 +36,7 @@
 	is.Equal(l.Snapshot().Running, 0)
 }
 
-func TestAWithdrawalMayOvertakeItsWant(t *testing.T) {
+func TestWithdrawMayOvertakeItsWant(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	w := testWant(1, teamName(0))
@@ -44,7 +44,7 @@
 	is.Equal(onlyRefusal(t, l.Want(2*ms, w)).Code, verdict.CodeSuperseded)
 }
 
-func TestAReservationWithoutProgressExpires(t *testing.T) {
+func TestReservationWithoutProgressExpires(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	first := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -55,7 +55,7 @@
 	is.Equal(l.Snapshot().Running, 1)
 }
 
-func TestWorkThatGoesOnAfterItsExpiryIsTakenBack(t *testing.T) {
+func TestProgressAfterExpiryRevivesReservation(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	g := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -79,7 +79,7 @@
 	is.Equal(l.Snapshot().Running, 1)
 }
 
-func TestEveryEndReleasesAll(t *testing.T) {
+func TestEveryOutcomeReleasesReservation(t *testing.T) {
 	ends := map[string]func(l *Ledger, g *Grant){
 		"done":      func(l *Ledger, g *Grant) { l.Progress(5*ms, progressOf(g, PhaseDone)) },
 		"failed":    func(l *Ledger, g *Grant) { l.Progress(5*ms, progressOf(g, PhaseFailed)) },
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestAFullEndpointIsBelieved(t *testing.T) {
+func TestFullEndpointGetsNoWorkDuringHold(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	g := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -117,7 +117,7 @@
 	onlyGrant(t, l.Tick(110*ms))
 }
 
-func TestAnEnginesOwnCountBoundsItsSlots(t *testing.T) {
+func TestReportedSlotsBoundConfiguredSlots(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(2, 1)
 	l := testLedger(t, testOptions(t), doc)
@@ -129,7 +129,7 @@
 	is.Equal(l.Snapshot().Slots, doc.Endpoints[1].Slots)
 }
 
-func TestAdmissionRefusesWhatCantBeInTime(t *testing.T) {
+func TestAdmissionRefusesLateRequests(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	old := testWant(1, teamName(0))
@@ -146,7 +146,7 @@
 	is.True(s.Queued < 10) // a request holds its slot for half a second; the patience is one second
 }
 
-func TestAQueuedRequestIsRefusedOnceItIsHopeless(t *testing.T) {
+func TestQueuedRequestIsRefusedOnceLate(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	g := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -159,7 +159,7 @@
 	is.Equal(l.Snapshot().Queued, 0)
 }
 
-func TestRefusalsNameTheirCause(t *testing.T) {
+func TestRefusalCodes(t *testing.T) {
 	cases := []struct {
 		code   verdict.Code
 		change func(doc *live.Document, w *Want)
@@ -204,7 +204,7 @@
 	is.Equal(codes[verdict.CodeOverloaded], 8) // second team: 2 waiting
 }
 
-func TestAConfigurationTakesQueuedRequestsBack(t *testing.T) {
+func TestConfigurationRefusesQueuedRequests(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -215,7 +215,7 @@
 	is.Equal(l.Snapshot().Running, 1) // running requests continue
 }
 
-func TestAWrongSelectorKeepsTheFormerState(t *testing.T) {
+func TestInvalidSelectorKeepsFormerState(t *testing.T) {
 	is := is.New(t)
 	var violations []string
 	o := testOptions(t)
--- a/core/sched/optimistic_test.go
+++ b/core/sched/optimistic_test.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-func TestOptimisticTakesTheLessLoaded(t *testing.T) {
+func TestOptimisticPrefersLessLoaded(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(4, 1)
 	o := NewOptimistic(testOptions(t)).(*Optimistic)
@@ -27,7 +27,7 @@
 	is.Equal(o.inFlight[idle], 0) // grants without progress expire
 }
 
-func TestOptimisticHeedsLeavingEndpoints(t *testing.T) {
+func TestOptimisticAvoidsLeavingEndpoints(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(2, 1)
 	o := NewOptimistic(testOptions(t))
--- a/core/sched/probe_test.go
+++ b/core/sched/probe_test.go
@@ -33,7 +33,7 @@
 // TestAnEngineThatWasSlowIsTriedAgain: its estimate is corrected only by work
 // that it gets, and it gets none while others are estimated to be faster. In ten
 // seconds it must be forgotten.
-func TestAnEngineThatWasSlowIsTriedAgain(t *testing.T) {
+func TestSlowEngineIsUsedAgain(t *testing.T) {
 	is := is.New(t)
 	const slow = id.Endpoint("prefill-000")
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
@@ -58,7 +58,7 @@
 
 // TestOneAtATimeIsTriedAgainstTheEstimates: where the means rule every request
 // out, one runs, and those that come meanwhile are told when to come back.
-func TestOneAtATimeIsTriedAgainstTheEstimates(t *testing.T) {
+func TestOneProbeAtATimeRunsAgainstEstimates(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
 	for _, e := range l.endpoints {
@@ -79,7 +79,7 @@
 
 // TestNoTrialOfWhatIsTooLateAlready: a request whose time is over is refused,
 // idle as the pool may be.
-func TestNoTrialOfWhatIsTooLateAlready(t *testing.T) {
+func TestNoProbeForLateRequest(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
 	want := testWant(1, teamName(0))
@@ -91,7 +91,7 @@
 
 // TestSlowCallsRefuseNobodyBehindThem: the time that plain calls hold their slots
 // is learnt from them, too. It must keep nobody from a slot that is free.
-func TestSlowCallsRefuseNobodyBehindThem(t *testing.T) {
+func TestSlowPlainCallsDoNotBlockAdmission(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(0, 1)
 	doc.Services[0].Type = live.ServicePlain
--- a/core/sched/random_run_test.go
+++ b/core/sched/random_run_test.go
@@ -42,100 +42,100 @@
 			o := testOptions(t)
 			o.Seed = seed
 			o.Reservation = Reservation(seed % 2)
-			w := newSimulation(t, seed, o, testDocument(22, 5), true)
+			sim := newSimulation(t, seed, o, testDocument(22, 5), true)
 			for i := range 5 {
-				w.arrivals(teamName(i), 25*ms, events, w.randomize)
+				sim.arrivals(teamName(i), 25*ms, events, sim.randomize)
 			}
-			w.injectFaults(events)
-			w.run()
-			w.assertEnd()
-			is.True(w.granted > events/50) // requests were granted
-			is.True(w.refused > 0)         // and overload occurred
-			is.Equal(w.bound > 0, o.Reservation == JustInTime)
+			sim.injectFaults(events)
+			sim.run()
+			sim.assertEnd()
+			is.True(sim.granted > events/50) // requests were granted
+			is.True(sim.refused > 0)         // and overload occurred
+			is.Equal(sim.bound > 0, o.Reservation == JustInTime)
 		})
 	}
 }
 
 // randomize sets random properties of a request.
-func (w *simulation) randomize(want *Want) {
-	want.PromptTokens = 200 + w.random.IntN(8000)
-	want.OutputTokens = 1 + w.random.IntN(60)
-	want.Priority = w.random.IntN(12)
-	want.Suspect = w.chance(0.01)
-	block := uint64(w.random.IntN(20)) + 100
+func (sim *simulation) randomize(want *Want) {
+	want.PromptTokens = 200 + sim.random.IntN(8000)
+	want.OutputTokens = 1 + sim.random.IntN(60)
+	want.Priority = sim.random.IntN(12)
+	want.Suspect = sim.chance(0.01)
+	block := uint64(sim.random.IntN(20)) + 100
 	want.Prefix = []uint64{block, block * 31, block * 37}
-	if w.chance(0.03) {
-		want.Avoid = []id.Endpoint{w.doc.Endpoints[w.random.IntN(len(w.doc.Endpoints))].Name}
+	if sim.chance(0.03) {
+		want.Avoid = []id.Endpoint{sim.doc.Endpoints[sim.random.IntN(len(sim.doc.Endpoints))].Name}
 	}
 }
 
 // injectFaults sends reports and cache events, changes the configuration, stops
 // daemons and replaces the owner at random until the given number of events.
-func (w *simulation) injectFaults(until int) {
-	if w.events >= until {
-		w.endFaults()
+func (sim *simulation) injectFaults(until int) {
+	if sim.events >= until {
+		sim.endFaults()
 		return
 	}
-	switch n := w.random.IntN(100); {
+	switch n := sim.random.IntN(100); {
 	case n < 70:
-		w.sendLoad()
+		sim.sendLoad()
 	case n < 85:
-		e := w.doc.Endpoints[w.random.IntN(len(w.doc.Endpoints))].Name
-		event := CacheEvent{Endpoint: e, Block: uint64(w.random.IntN(20)) + 100, Stored: w.random.IntN(2) == 0}
-		w.ledger.Cache(w.now, e, []CacheEvent{event}, w.chance(0.1))
+		e := sim.doc.Endpoints[sim.random.IntN(len(sim.doc.Endpoints))].Name
+		event := CacheEvent{Endpoint: e, Block: uint64(sim.random.IntN(20)) + 100, Stored: sim.random.IntN(2) == 0}
+		sim.ledger.Cache(sim.now, e, []CacheEvent{event}, sim.chance(0.1))
 	case n < 95:
-		w.reconfigure()
+		sim.reconfigure()
 	case n < 97:
-		w.killDaemon()
+		sim.killDaemon()
 	case n < 98:
-		w.changeOwner()
+		sim.changeOwner()
 	}
-	w.after(w.between(ms, 40*ms), func() { w.injectFaults(until) })
+	sim.after(sim.between(ms, 40*ms), func() { sim.injectFaults(until) })
 }
 
 // sendLoad sends an endpoint's load report from the simulation's own record.
-func (w *simulation) sendLoad() {
-	e := w.doc.Endpoints[w.random.IntN(len(w.doc.Endpoints))]
-	load := Load{Endpoint: e.Name, Incarnation: 1, Slots: e.Slots, Reachable: !w.chance(0.05), Model: "m"}
-	load.Leaving = w.chance(0.03)
-	for _, c := range w.calls {
+func (sim *simulation) sendLoad() {
+	e := sim.doc.Endpoints[sim.random.IntN(len(sim.doc.Endpoints))]
+	load := Load{Endpoint: e.Name, Incarnation: 1, Slots: e.Slots, Reachable: !sim.chance(0.05), Model: "m"}
+	load.Leaving = sim.chance(0.03)
+	for _, c := range sim.calls {
 		if c.grant != nil && c.grant.Decode == e.Name && c.phase >= PhaseTransferring {
 			load.Running++
 		}
 	}
-	w.after(w.between(0, 200*ms), func() { w.deliver(w.ledger.Load(w.now, load)) })
+	sim.after(sim.between(0, 200*ms), func() { sim.deliver(sim.ledger.Load(sim.now, load)) })
 }
 
 // reconfigure changes a label, a slot count and a weight.
-func (w *simulation) reconfigure() {
+func (sim *simulation) reconfigure() {
 	doc := testDocument(22, 5)
-	doc.Revision = w.doc.Revision + 1
-	e := &doc.Endpoints[w.random.IntN(len(doc.Endpoints))]
+	doc.Revision = sim.doc.Revision + 1
+	e := &doc.Endpoints[sim.random.IntN(len(doc.Endpoints))]
 	e.Labels[live.LabelLeaving] = "true"
-	doc.Endpoints[w.random.IntN(len(doc.Endpoints))].Slots = 1 + w.random.IntN(6)
-	doc.Teams[w.random.IntN(len(doc.Teams))].Weight = 1 + w.random.Float64()
-	w.doc = doc
-	w.deliver(w.ledger.Configure(w.now, doc))
+	doc.Endpoints[sim.random.IntN(len(doc.Endpoints))].Slots = 1 + sim.random.IntN(6)
+	doc.Teams[sim.random.IntN(len(doc.Teams))].Weight = 1 + sim.random.Float64()
+	sim.doc = doc
+	sim.deliver(sim.ledger.Configure(sim.now, doc))
 }
 
 // killDaemon stops a daemon; it restarts with a new incarnation.
-func (w *simulation) killDaemon() {
-	i := w.random.IntN(len(w.daemons))
-	gone := w.daemons[i]
-	w.daemons[i].Incarnation++
-	for _, c := range w.calls {
+func (sim *simulation) killDaemon() {
+	i := sim.random.IntN(len(sim.daemons))
+	gone := sim.daemons[i]
+	sim.daemons[i].Incarnation++
+	for _, c := range sim.calls {
 		if c.want.From == gone {
 			c.dropped = true
 			c.orphan = true
 		}
 	}
-	w.after(w.between(0, 500*ms), func() { w.reportGone(gone) })
+	sim.after(sim.between(0, 500*ms), func() { sim.reportGone(gone) })
 }
 
 // reportGone reports to the ledger that a process is gone.
-func (w *simulation) reportGone(gone id.Process) {
-	w.deliver(w.ledger.ProcessGone(w.now, gone))
-	for _, c := range w.calls {
+func (sim *simulation) reportGone(gone id.Process) {
+	sim.deliver(sim.ledger.ProcessGone(sim.now, gone))
+	for _, c := range sim.calls {
 		if c.want.From == gone {
 			c.orphan = false
 		}
@@ -144,39 +144,39 @@
 
 // changeOwner starts a new ledger and sends it the granted and the queued
 // requests.
-func (w *simulation) changeOwner() {
-	o := w.options
-	o.Self.Incarnation = w.ledger.options.Self.Incarnation + 1
-	w.ledger = NewLedger(o).(*Ledger)
-	w.deliver(w.ledger.Configure(w.now, w.doc))
-	for _, r := range sortedCalls(w.calls) {
-		c := w.calls[r]
+func (sim *simulation) changeOwner() {
+	o := sim.options
+	o.Self.Incarnation = sim.ledger.options.Self.Incarnation + 1
+	sim.ledger = NewLedger(o).(*Ledger)
+	sim.deliver(sim.ledger.Configure(sim.now, sim.doc))
+	for _, r := range sortedCalls(sim.calls) {
+		c := sim.calls[r]
 		switch {
 		case c.dropped:
 		case c.grant != nil:
-			w.deliver(w.ledger.Adopt(w.now, Adopt{Want: c.want, Grant: *c.grant, Phase: c.phase}))
+			sim.deliver(sim.ledger.Adopt(sim.now, Adopt{Want: c.want, Grant: *c.grant, Phase: c.phase}))
 		default:
-			w.deliver(w.ledger.Want(w.now, c.want))
+			sim.deliver(sim.ledger.Want(sim.now, c.want))
 		}
 	}
 }
 
 // endFaults ends the faults with a valid configuration.
-func (w *simulation) endFaults() {
-	w.deliver(w.ledger.Configure(w.now, testDocument(22, 5)))
+func (sim *simulation) endFaults() {
+	sim.deliver(sim.ledger.Configure(sim.now, testDocument(22, 5)))
 }
 
 // assertEnd asserts that no request is left in the ledger.
-func (w *simulation) assertEnd() {
-	is := is.New(w.t)
-	s := w.ledger.Snapshot()
+func (sim *simulation) assertEnd() {
+	is := is.New(sim.t)
+	s := sim.ledger.Snapshot()
 	is.Equal(s.Queued, 0)  // no request is queued
 	is.Equal(s.Running, 0) // every reservation was released or expired
 	is.Equal(s.Held, 0)    // no slot is held
 	is.Equal(len(s.Teams), 0)
-	for r, c := range w.calls {
+	for r, c := range sim.calls {
 		if !c.answered && !c.dropped {
-			w.t.Errorf("request %s was never answered", r)
+			sim.t.Errorf("request %s was never answered", r)
 		}
 	}
 }
--- a/core/sched/rebind_slow_test.go
+++ b/core/sched/rebind_slow_test.go
@@ -10,7 +10,7 @@
 
 // TestASlowPathIsNoReasonToMove: a free slot behind a slow link is left alone
 // when the own engine's slot comes sooner.
-func TestASlowPathIsNoReasonToMove(t *testing.T) {
+func TestRebindIgnoresFreeSlotOverSlowLink(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(4, 2)
 	doc.Links = []live.Link{
--- a/core/sched/rebind_test.go
+++ b/core/sched/rebind_test.go
@@ -8,7 +8,7 @@
 
 // TestAWaitingCacheGetsTheFirstFreeSlotOfThePool fills all slots, lets one
 // request wait for a predicted release and then frees a slot elsewhere.
-func TestAWaitingCacheGetsTheFirstFreeSlotOfThePool(t *testing.T) {
+func TestRebindUsesFirstFreeSlotInPool(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 2))
 	now := ms
--- a/core/sched/risk_test.go
+++ b/core/sched/risk_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRiskMeetsTheToleratedWaste(t *testing.T) {
+func TestRiskConvergesToToleratedWaste(t *testing.T) {
 	is := is.New(t)
 	o := Options{}.withDefaults()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -46,7 +46,7 @@
 	is.Equal(k.margin(time.Second, 800*ms), -600*ms) // of a life of 800 ms
 }
 
-func TestABorrowedSlotIsJudgedOnce(t *testing.T) {
+func TestSpeculativePrefillIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	s := &service{estimate: &serviceEstimate{risk: risk{deviations: 1, tolerated: 0.1}}}
 	r := &reservation{service: s, speculative: true}
--- a/core/sched/selector_test.go
+++ b/core/sched/selector_test.go
@@ -13,7 +13,7 @@
 // TestSelectorsSeeWhatTheIndexSees: a selector on the failure domain chooses
 // the same endpoints for the scheduler as for reports and placement, also where
 // the domain stands in the endpoint's field and not in its labels.
-func TestSelectorsSeeWhatTheIndexSees(t *testing.T) {
+func TestSelectorsMatchLiveIndex(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(4, 1)
 	doc.Pools[0].EndpointSelector = live.LabelDomain + "=" + string(doc.Endpoints[0].Domain)
--- a/core/sched/simulation_test.go
+++ b/core/sched/simulation_test.go
@@ -77,7 +77,7 @@
 
 // newWorld returns a world of 9 daemons.
 func newSimulation(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t:       t,
 		random:  rand.New(rand.NewPCG(seed, 7)),
 		options: o,
@@ -90,159 +90,159 @@
 		faulty:  faulty,
 	}
 	for i := range 9 {
-		w.daemons = append(w.daemons, id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1})
+		sim.daemons = append(sim.daemons, id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1})
 	}
-	w.ledger = testLedger(t, o, doc)
-	return w
+	sim.ledger = testLedger(t, o, doc)
+	return sim
 }
 
 // after plans an event.
-func (w *simulation) after(d time.Duration, do func()) {
-	w.serial++
-	heap.Push(&w.due, dueEvent{at: w.now + max(0, d), serial: w.serial, do: do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.serial++
+	heap.Push(&sim.due, dueEvent{at: sim.now + max(0, d), serial: sim.serial, do: do})
 }
 
 // chance is true with a probability, and never in a world without faults.
-func (w *simulation) chance(p float64) bool { return w.faulty && w.random.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.faulty && sim.random.Float64() < p }
 
 // between draws a duration.
-func (w *simulation) between(a, b time.Duration) time.Duration {
-	return a + time.Duration(w.random.Int64N(int64(b-a)))
+func (sim *simulation) between(a, b time.Duration) time.Duration {
+	return a + time.Duration(sim.random.Int64N(int64(b-a)))
 }
 
 // run lets all planned events happen, then what is due.
-func (w *simulation) run() {
-	for len(w.due) > 0 {
-		w.step()
+func (sim *simulation) run() {
+	for len(sim.due) > 0 {
+		sim.step()
 	}
-	w.runUntilIdle()
-	w.ledger.Audit()
+	sim.runUntilIdle()
+	sim.ledger.Audit()
 }
 
 // step lets the next event happen, a Tick that is due before it included.
-func (w *simulation) step() {
-	if w.ledger.Next() < w.due[0].at {
-		w.tick()
+func (sim *simulation) step() {
+	if sim.ledger.Next() < sim.due[0].at {
+		sim.tick()
 		return
 	}
-	e := heap.Pop(&w.due).(dueEvent)
-	w.now = e.at
+	e := heap.Pop(&sim.due).(dueEvent)
+	sim.now = e.at
 	e.do()
-	w.events++
-	if w.events%1000 == 0 {
-		w.ledger.Audit()
+	sim.events++
+	if sim.events%1000 == 0 {
+		sim.ledger.Audit()
 	}
 }
 
 // tick calls Tick when it is due. Nothing that was due may be left.
-func (w *simulation) tick() {
-	w.now = max(w.now, w.ledger.Next())
-	w.deliver(w.ledger.Tick(w.now))
-	if next := w.ledger.Next(); next <= w.now {
-		w.t.Fatalf("the Tick at %v left what was due at %v", w.now, next)
+func (sim *simulation) tick() {
+	sim.now = max(sim.now, sim.ledger.Next())
+	sim.deliver(sim.ledger.Tick(sim.now))
+	if next := sim.ledger.Next(); next <= sim.now {
+		sim.t.Fatalf("the Tick at %v left what was due at %v", sim.now, next)
 	}
 }
 
 // quiet lets time pass until nothing is due.
-func (w *simulation) runUntilIdle() {
-	for w.ledger.Next() < never {
-		w.tick()
+func (sim *simulation) runUntilIdle() {
+	for sim.ledger.Next() < never {
+		sim.tick()
 	}
 }
 
 // arrivals brings a request now and plans the next, until done.
-func (w *simulation) arrivals(team id.Team, every time.Duration, until int, shape func(*Want)) {
-	if w.events >= until {
+func (sim *simulation) arrivals(team id.Team, every time.Duration, until int, shape func(*Want)) {
+	if sim.events >= until {
 		return
 	}
-	w.serial++
-	want := testWant(w.serial, team)
-	want.From = w.daemons[w.random.IntN(len(w.daemons))]
+	sim.serial++
+	want := testWant(sim.serial, team)
+	want.From = sim.daemons[sim.random.IntN(len(sim.daemons))]
 	shape(&want)
-	w.send(want)
-	w.after(seconds(every.Seconds()*w.random.ExpFloat64()), func() { w.arrivals(team, every, until, shape) })
+	sim.send(want)
+	sim.after(seconds(every.Seconds()*sim.random.ExpFloat64()), func() { sim.arrivals(team, every, until, shape) })
 }
 
 // send sends a Want, at times twice, and at times withdraws it.
-func (w *simulation) send(want Want) {
-	w.calls[want.Request] = &call{want: want}
-	w.asked[want.Team]++
-	w.deliver(w.ledger.Want(w.now, want))
-	if w.chance(0.02) {
-		w.deliver(w.ledger.Want(w.now, want))
+func (sim *simulation) send(want Want) {
+	sim.calls[want.Request] = &call{want: want}
+	sim.asked[want.Team]++
+	sim.deliver(sim.ledger.Want(sim.now, want))
+	if sim.chance(0.02) {
+		sim.deliver(sim.ledger.Want(sim.now, want))
 	}
-	if w.chance(0.02) {
-		w.after(w.between(0, 300*ms), func() { w.withdraw(want.Request) })
+	if sim.chance(0.02) {
+		sim.after(sim.between(0, 300*ms), func() { sim.withdraw(want.Request) })
 	}
 }
 
 // withdraw drops a request that hasn't begun.
-func (w *simulation) withdraw(r id.Request) {
-	c := w.calls[r]
+func (sim *simulation) withdraw(r id.Request) {
+	c := sim.calls[r]
 	if c == nil || c.phase != 0 || c.dropped {
 		return
 	}
 	c.dropped = true
 	c.grant = nil
-	w.deliver(w.ledger.Withdraw(w.now, r))
+	sim.deliver(sim.ledger.Withdraw(sim.now, r))
 }
 
 // deliver takes the ledger's actions to the daemons.
-func (w *simulation) deliver(actions []Action) {
+func (sim *simulation) deliver(actions []Action) {
 	for _, a := range actions {
 		if a.Grant != nil {
-			w.takeGrant(a.Grant)
+			sim.takeGrant(a.Grant)
 		}
 		if a.Refusal != nil {
-			w.takeRefusal(a.Refusal)
+			sim.takeRefusal(a.Refusal)
 		}
 		if a.Binding != nil {
-			w.takeBinding(a.Binding)
+			sim.takeBinding(a.Binding)
 		}
 	}
 }
 
 // takeGrant begins the work, unless the message is lost.
-func (w *simulation) takeGrant(g *Grant) {
-	w.granted++
-	c := w.calls[g.Request]
+func (sim *simulation) takeGrant(g *Grant) {
+	sim.granted++
+	c := sim.calls[g.Request]
 	if c == nil {
-		w.t.Errorf("grant of unknown or ended request %s", g.Request)
+		sim.t.Errorf("grant of unknown or ended request %s", g.Request)
 		return
 	}
 	if c.orphan {
 		return
 	}
 	if c.dropped {
-		w.t.Errorf("grant of dropped request %s", g.Request)
+		sim.t.Errorf("grant of dropped request %s", g.Request)
 	}
 	if c.phase != 0 && c.grant != nil && c.grant.Reservation != g.Reservation {
-		w.t.Errorf("request %s begun under %d is granted again as %d", g.Request, c.grant.Reservation, g.Reservation)
+		sim.t.Errorf("request %s begun under %d is granted again as %d", g.Request, c.grant.Reservation, g.Reservation)
 	}
 	if c.grant != nil && c.grant.Reservation == g.Reservation {
 		return
 	}
 	c.grant = g
 	c.answered = true
-	w.served[c.want.Team]++
-	w.checkSlots(g.Decode)
-	if w.chance(0.03) {
-		w.loseGrant(c, g)
+	sim.served[c.want.Team]++
+	sim.checkSlots(g.Decode)
+	if sim.chance(0.03) {
+		sim.loseGrant(c, g)
 		return
 	}
-	w.after(g.StartIn, func() { w.advance(c, g, PhasePrefilling) })
+	sim.after(g.StartIn, func() { sim.advance(c, g, PhasePrefilling) })
 }
 
 // lose forgets a grant; half of the daemons ask again.
-func (w *simulation) loseGrant(c *call, g *Grant) {
-	again := w.random.IntN(2) == 0
-	w.after(g.ExpiresIn+200*ms, func() {
+func (sim *simulation) loseGrant(c *call, g *Grant) {
+	again := sim.random.IntN(2) == 0
+	sim.after(g.ExpiresIn+200*ms, func() {
 		if c.grant != g || c.dropped {
 			return
 		}
 		c.grant = nil
 		if again && c.want.Age == 0 {
-			w.deliver(w.ledger.Want(w.now, c.want))
+			sim.deliver(sim.ledger.Want(sim.now, c.want))
 			return
 		}
 		c.dropped = true
@@ -251,12 +251,12 @@
 
 // takeBinding checks that a binding is of the call's grant, and that its slot
 // is one that a grant could have named.
-func (w *simulation) takeBinding(b *Binding) {
-	w.bound++
-	c := w.calls[b.Request]
+func (sim *simulation) takeBinding(b *Binding) {
+	sim.bound++
+	c := sim.calls[b.Request]
 	if c == nil {
-		if !w.ended[b.Request] {
-			w.t.Errorf("binding of unknown request %s", b.Request)
+		if !sim.ended[b.Request] {
+			sim.t.Errorf("binding of unknown request %s", b.Request)
 		}
 		return
 	}
@@ -264,7 +264,7 @@
 		return
 	}
 	if c.grant.Reservation != b.Reservation {
-		w.t.Errorf("request %s is bound to %d against its grant %d", b.Request, b.Reservation, c.grant.Reservation)
+		sim.t.Errorf("request %s is bound to %d against its grant %d", b.Request, b.Reservation, c.grant.Reservation)
 		return
 	}
 	c.bound = true
@@ -274,95 +274,95 @@
 	if c.phase >= PhaseDecoding && c.progressLost {
 		return // too late: the daemon has ordered the decode where it was granted
 	}
-	w.checkMove(c, b)
+	sim.checkMove(c, b)
 	c.grant.Decode = b.Decode
-	w.checkSlots(b.Decode)
+	sim.checkSlots(b.Decode)
 }
 
 // checkMove checks a binding to another endpoint than the grant named.
-func (w *simulation) checkMove(c *call, b *Binding) {
+func (sim *simulation) checkMove(c *call, b *Binding) {
 	if c.phase >= PhaseDecoding {
-		w.t.Errorf("request %s is moved to %s while it decodes, and all was told", b.Request, b.Decode)
+		sim.t.Errorf("request %s is moved to %s while it decodes, and all was told", b.Request, b.Decode)
 	}
 	if slices.Contains(c.want.Avoid, b.Decode) {
-		w.t.Errorf("request %s is moved to %s, which it avoids", b.Request, b.Decode)
+		sim.t.Errorf("request %s is moved to %s, which it avoids", b.Request, b.Decode)
 	}
-	e := w.ledger.endpoints[b.Decode]
+	e := sim.ledger.endpoints[b.Decode]
 	if e == nil || e.role() != live.RoleDecode || e.leaving() {
-		w.t.Errorf("request %s is moved to %s, which takes no decodes", b.Request, b.Decode)
+		sim.t.Errorf("request %s is moved to %s, which takes no decodes", b.Request, b.Decode)
 	}
 }
 
 // takeRefusal ends a call.
-func (w *simulation) takeRefusal(r *Refusal) {
-	w.refused++
-	c := w.calls[r.Request]
+func (sim *simulation) takeRefusal(r *Refusal) {
+	sim.refused++
+	c := sim.calls[r.Request]
 	if c == nil {
-		if !w.ended[r.Request] {
-			w.t.Errorf("refusal of unknown request %s", r.Request)
+		if !sim.ended[r.Request] {
+			sim.t.Errorf("refusal of unknown request %s", r.Request)
 		}
 		return
 	}
 	if c.grant != nil && c.phase != 0 {
-		w.t.Errorf("request %s is refused (%s) after its work began", r.Request, r.Code)
+		sim.t.Errorf("request %s is refused (%s) after its work began", r.Request, r.Code)
 	}
 	c.answered = true
-	w.end(r.Request)
+	sim.end(r.Request)
 }
 
 // end forgets a call but for its having been there.
-func (w *simulation) end(r id.Request) {
-	delete(w.calls, r)
-	w.ended[r] = true
+func (sim *simulation) end(r id.Request) {
+	delete(sim.calls, r)
+	sim.ended[r] = true
 }
 
 // checkSlots compares the live grants of an endpoint with its slots, by the
 // world's own record.
-func (w *simulation) checkSlots(name id.Endpoint) {
-	if w.options.Reservation != Early || w.faulty {
+func (sim *simulation) checkSlots(name id.Endpoint) {
+	if sim.options.Reservation != Early || sim.faulty {
 		return
 	}
 	inUse := 0
-	for _, c := range w.calls {
+	for _, c := range sim.calls {
 		if c.grant != nil && c.grant.Decode == name {
 			inUse++
 		}
 	}
-	for i := range w.doc.Endpoints {
-		e := &w.doc.Endpoints[i]
+	for i := range sim.doc.Endpoints {
+		e := &sim.doc.Endpoints[i]
 		if e.Name == name && inUse > e.Slots {
-			w.t.Errorf("endpoint %s: %d grants on %d slots", name, inUse, e.Slots)
+			sim.t.Errorf("endpoint %s: %d grants on %d slots", name, inUse, e.Slots)
 		}
 	}
 }
 
 // advance takes a granted request to a phase and plans the next.
-func (w *simulation) advance(c *call, g *Grant, phase Phase) {
+func (sim *simulation) advance(c *call, g *Grant, phase Phase) {
 	if c.dropped || c.grant != g {
 		return
 	}
-	if phase == PhaseDecoding && w.awaitsBinding(c, g) {
-		w.after(bindingPoll, func() { w.advance(c, g, phase) })
+	if phase == PhaseDecoding && sim.awaitsBinding(c, g) {
+		sim.after(bindingPoll, func() { sim.advance(c, g, phase) })
 		return
 	}
-	if phase < PhaseDone && w.chance(0.02) {
-		phase = PhaseFailed + Phase(w.random.IntN(2))
+	if phase < PhaseDone && sim.chance(0.02) {
+		phase = PhaseFailed + Phase(sim.random.IntN(2))
 	}
 	c.phase = phase
-	p := w.report(c, g, phase)
+	p := sim.report(c, g, phase)
 	if phase >= PhaseDone {
-		w.end(g.Request)
+		sim.end(g.Request)
 	}
-	if phase >= PhaseDone || !w.chance(0.02) {
-		w.deliver(w.ledger.Progress(w.now, p))
+	if phase >= PhaseDone || !sim.chance(0.02) {
+		sim.deliver(sim.ledger.Progress(sim.now, p))
 	} else {
 		c.progressLost = true
 	}
-	if w.chance(0.02) {
-		w.deliver(w.ledger.Progress(w.now, p))
+	if sim.chance(0.02) {
+		sim.deliver(sim.ledger.Progress(sim.now, p))
 	}
 	if phase < PhaseDone {
-		w.after(w.phaseTime(c, phase), func() { w.advance(c, g, phase+1) })
+		sim.after(sim.phaseTime(c, phase), func() { sim.advance(c, g, phase+1) })
 	}
 }
 
@@ -370,34 +370,34 @@
 const bindingPoll = 5 * ms
 
 // awaitsBinding is true while a provisional grant has to wait, as a daemon does.
-func (w *simulation) awaitsBinding(c *call, g *Grant) bool {
+func (sim *simulation) awaitsBinding(c *call, g *Grant) bool {
 	if !g.Provisional || c.bound {
 		return false
 	}
 	if c.waitsFrom == 0 {
-		c.waitsFrom = w.now
+		c.waitsFrom = sim.now
 	}
-	return w.now-c.waitsFrom < g.BindWithin
+	return sim.now-c.waitsFrom < g.BindWithin
 }
 
 // report makes the Progress of a phase.
-func (w *simulation) report(c *call, g *Grant, phase Phase) Progress {
+func (sim *simulation) report(c *call, g *Grant, phase Phase) Progress {
 	p := progressOf(g, phase)
 	p.PromptTokens = c.want.PromptTokens
 	p.OutputTokens = max(1, c.want.OutputTokens)
 	if phase == PhaseFailed {
 		p.Endpoint = g.Decode
-		p.Full = w.random.IntN(3) == 0
-		p.Leaving = !p.Full && w.random.IntN(4) == 0
+		p.Full = sim.random.IntN(3) == 0
+		p.Leaving = !p.Full && sim.random.IntN(4) == 0
 	}
 	return p
 }
 
 // phaseTime is how long a phase really takes.
-func (w *simulation) phaseTime(c *call, phase Phase) time.Duration {
+func (sim *simulation) phaseTime(c *call, phase Phase) time.Duration {
 	off := 1.0
-	if w.faulty {
-		off = 0.5 + w.random.Float64()
+	if sim.faulty {
+		off = 0.5 + sim.random.Float64()
 	}
 	switch phase {
 	case PhasePrefilling:
--- a/core/sched/too_large_test.go
+++ b/core/sched/too_large_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-func TestAPromptBeyondThePatienceIsToldSo(t *testing.T) {
+func TestPromptTooLongForPatienceIsRefused(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
 	want := testWant(1, teamName(0))
