--- a/core/sched/adopt_test.go
+++ b/core/sched/adopt_test.go
@@ -37,8 +37,8 @@
 	l.Audit()
 }
 
-// TestAdoptedPrefillMustBeKnown: work that is still in its prefill can't be
-// followed without the endpoint.
+// TestAdoptIgnoresUnknownPrefillEndpoint: a grant before its first token can't be
+// adopted if its prefill endpoint is unknown.
 func TestAdoptIgnoresUnknownPrefillEndpoint(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(2, 1))
--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -144,7 +144,8 @@
 	is.Equal(g.Request, high.Request)
 }
 
-// TestGoodputReturnsAfterAnOverload asks that goodput returns by itself once an overload ends.
+// TestGoodputRecoversAfterOverload guards against an overload that outlasts its
+// cause: once the arrivals are within capacity, no request is refused.
 func TestGoodputRecoversAfterOverload(t *testing.T) {
 	is := is.New(t)
 	sim := fairSimulation(t, 1, 1, 1)
--- a/core/sched/optimistic.go
+++ b/core/sched/optimistic.go
@@ -11,12 +11,12 @@
 )
 
 // optimisticLife is how long an optimistic grant counts as in flight after
-// the last Progress.
+// its last Progress.
 const optimisticLife = 30 * time.Second
 
-// Optimistic is a policy that each daemon runs on its own: of two random
-// endpoints it takes the one with less load, by the last report and the
-// daemon's own grants. It grants at once, queues nothing and reserves nothing.
+// Optimistic is a scheduler that each daemon runs on its own: of two random
+// endpoints it chooses the less loaded one, by the last report and the daemon's
+// own grants. It grants at once, without a queue or reservations.
 type Optimistic struct {
 	options   Options
 	random    *rand.Rand
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// configureEndpoints reads the pool's endpoints; reports are kept.
+// configureEndpoints applies the pool's endpoints; reports are kept.
 func (o *Optimistic) configureEndpoints(doc *live.Document) {
 	endpoints := map[id.Endpoint]*endpoint{}
 	o.roles = map[live.Role][]*endpoint{}
@@ -89,7 +89,7 @@
 	o.endpoints = endpoints
 }
 
-// Want implements Scheduler: it answers at once.
+// Want implements Scheduler; it always answers at once.
 func (o *Optimistic) Want(now time.Duration, w Want) []Action {
 	o.Tick(now)
 	if r := o.granted[w.Request]; r != nil {
@@ -102,7 +102,7 @@
 			Request:    w.Request,
 			Code:       verdict.CodeNoEndpoint,
 			RetryAfter: boundRetry(o.options.ReportLag),
-			Reason:     "no ready endpoint of a role that the service needs",
+			Reason:     "no ready endpoint for a role that the service needs",
 		}}}
 	}
 	o.hold(r)
@@ -110,7 +110,8 @@
 	return []Action{{To: w.From, Grant: &grant}}
 }
 
-// choose makes a grant; nil for lack of an endpoint.
+// choose returns a reservation with a grant, or nil if there is no endpoint for a
+// role.
 func (o *Optimistic) choose(w *Want) *reservation {
 	r := &reservation{want: *w}
 	role := live.RolePlain
@@ -138,7 +139,7 @@
 	return r
 }
 
-// pick takes the less loaded of two random endpoints that may be used.
+// pick returns the less loaded of two random eligible endpoints.
 func (o *Optimistic) pick(role live.Role, w *Want) *endpoint {
 	a := o.draw(role, w)
 	b := o.draw(role, w)
@@ -148,8 +149,8 @@
 	return a
 }
 
-// draw takes a random endpoint that may be used: the first one from a random
-// place on; nil if there is none.
+// draw returns the first eligible endpoint after a random position, or nil if
+// there is none.
 func (o *Optimistic) draw(role live.Role, w *Want) *endpoint {
 	list := o.roles[role]
 	if len(list) == 0 {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// optimisticFilters are the filters that need no ledger, by role.
+// optimisticFilters returns by role the filters that need no ledger.
 func optimisticFilters() map[live.Role][]endpointFilter {
 	filters := map[live.Role][]endpointFilter{}
 	for _, role := range []live.Role{live.RolePrefill, live.RoleDecode, live.RolePlain} {
@@ -175,12 +176,12 @@
 	return filters
 }
 
-// load is the last report and the daemon's own grants.
+// load returns the load of the last report plus the daemon's own grants.
 func (o *Optimistic) load(e *endpoint) int {
 	return e.report.Running + e.report.Waiting + o.inFlight[e.name]
 }
 
-// hold counts a grant as in flight.
+// hold records a grant as in flight.
 func (o *Optimistic) hold(r *reservation) {
 	o.granted[r.want.Request] = r
 	heap.Push(&o.expiry, r)
@@ -190,7 +191,7 @@
 	}
 }
 
-// release counts a grant as ended.
+// release records a grant as ended.
 func (o *Optimistic) release(r *reservation) {
 	delete(o.granted, r.want.Request)
 	heap.Remove(&o.expiry, r.expiryIndex)
@@ -198,7 +199,7 @@
 	o.endPrefill(r)
 }
 
-// endPrefill counts a prefill as ended.
+// endPrefill records a prefill as ended.
 func (o *Optimistic) endPrefill(r *reservation) {
 	if r.prefill == nil {
 		return
@@ -237,7 +238,7 @@
 	return nil
 }
 
-// noteLeaving takes an endpoint's own word that it leaves.
+// recordLeaving marks the endpoint as leaving if it refused for that reason.
 func (o *Optimistic) recordLeaving(p *Progress) {
 	e := o.endpoints[p.Endpoint]
 	if e == nil || !p.Leaving {
@@ -247,7 +248,8 @@
 	e.refusedAt = o.now
 }
 
-// Adopt implements Scheduler: grants of others aren't known here.
+// Adopt implements Scheduler; it has no effect, since other daemons' grants are
+// not recorded.
 func (o *Optimistic) Adopt(time.Duration, Adopt) []Action { return nil }
 
 // Load implements Scheduler.
@@ -273,7 +275,8 @@
 	return nil
 }
 
-// regroup lists the endpoints by role anew, each role in its former order.
+// regroup groups the endpoints by role again and keeps their order within each
+// former role.
 func (o *Optimistic) regroup() {
 	old := o.roles
 	o.roles = map[live.Role][]*endpoint{}
@@ -284,10 +287,11 @@
 	}
 }
 
-// Cache implements Scheduler: the cache is not used.
+// Cache implements Scheduler; cache events are not used.
 func (o *Optimistic) Cache(time.Duration, id.Endpoint, []CacheEvent, bool) {}
 
-// ProcessGone implements Scheduler: a daemon holds only its own grants.
+// ProcessGone implements Scheduler; it has no effect, since only the daemon's own
+// grants are recorded.
 func (o *Optimistic) ProcessGone(time.Duration, id.Process) []Action { return nil }
 
 // Tick implements Scheduler.
--- a/core/sched/optimistic_test.go
+++ b/core/sched/optimistic_test.go
@@ -21,7 +21,7 @@
 			counts++
 		}
 	}
-	is.True(counts > 20) // but for the draws of the busy one twice
+	is.True(counts > 20) // except where both draws return the busy one
 	is.Equal(o.inFlight[idle], counts)
 	o.Tick(o.Next())
 	is.Equal(o.inFlight[idle], 0) // grants without progress expire
--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -8,57 +8,58 @@
 	"github.com/samphirequay/samphirequay/core/prefixhash"
 )
 
-// HealthView says which endpoints may get new work; core/health satisfies it.
+// HealthView reports which endpoints may get new work; core/health implements it.
 type HealthView interface {
 	Allowed(e id.Endpoint) bool
 }
 
-// Reservation says when a decode slot is reserved.
+// Reservation selects when a decode slot is reserved.
 type Reservation uint8
 
 const (
-	// JustInTime starts a prefill so that its end and transfer meet a slot
-	// that is predicted to be free by then.
+	// JustInTime starts a prefill so that its slot is predicted to be free when
+	// the prefill ends.
 	JustInTime Reservation = iota
-	// Early reserves a slot that is free at the start of the prefill's wait.
+	// Early reserves a slot that is free when the request is granted.
 	Early
 )
 
-// Options are the tunables of the policies. A zero field takes its default.
+// Options are the settings of the schedulers. A zero field selects its default.
 type Options struct {
-	// Pool that the scheduler decides for.
+	// Pool is the pool that is scheduled.
 	Pool id.Pool
-	// Self is the daemon that runs it.
+	// Self is the daemon that runs the scheduler.
 	Self id.Process
-	// Seed of the tie-breaks.
+	// Seed is the seed of the random numbers.
 	Seed uint64
-	// FirstReservation is the number behind which grants are numbered. Default 0.
+	// FirstReservation is the number after which the numbers of grants start.
+	// Default 0.
 	FirstReservation uint64
 	// Reservation is when a decode slot is reserved. Default JustInTime.
 	Reservation Reservation
 	// KVLife is how long an exported KV cache lives. Default 800 ms.
 	KVLife time.Duration
-	// Horizon is how far ahead a prefill is granted, so that the order is at
-	// the engine when it gets idle. Default 15 ms.
+	// Horizon is how far ahead a prefill is granted, so that it is at the engine
+	// when the engine becomes idle. Default 15 ms.
 	Horizon time.Duration
 	// AffinityWait is the longest wait for a prefill engine that has the
-	// prompt's prefix. Default 100 ms.
+	// prompt's prefix cached. Default 100 ms.
 	AffinityWait time.Duration
-	// ExpiresIn is how long a grant holds without a Progress, beyond its
-	// predicted phase. Default 500 ms.
+	// ExpiresIn is how long a grant is valid without a Progress after the
+	// predicted end of its phase. Default 500 ms.
 	ExpiresIn time.Duration
-	// Settle is the time after start in which only endpoints that have
+	// Settle is the period after the start in which only endpoints that have
 	// reported get work, as far as their reports allow. Default 300 ms.
 	Settle time.Duration
 	// ReportLag is how old a load report may be on arrival. Default 500 ms.
 	ReportLag time.Duration
-	// FullHold is how long an endpoint that refused for lack of room gets
-	// nothing new. Default 100 ms.
+	// FullHold is how long an endpoint that refused for lack of capacity gets
+	// no new work. Default 100 ms.
 	FullHold time.Duration
-	// LeavingHold is how long an engine's refusal because it leaves outweighs
-	// reports to the contrary. Default 2 s.
+	// LeavingHold is how long an engine's refusal because it is leaving
+	// overrides reports to the contrary. Default 2 s.
 	LeavingHold time.Duration
-	// Poll is how soon a blocked queue is tried again. Default 2 ms.
+	// Poll is the interval at which a blocked queue is retried. Default 2 ms.
 	Poll time.Duration
 	// MaxQueue bounds the waiting requests. Default 8192.
 	MaxQueue int
@@ -66,37 +67,38 @@
 	MaxTeamQueue int
 	// CacheBlocks bounds the cache view of one endpoint, in blocks. Default 4096.
 	CacheBlocks int
-	// CacheLife is how long a block is believed to be cached. Default 5 min.
+	// CacheLife is how long a block is assumed to be cached. Default 5 min.
 	CacheLife time.Duration
 	// BlockTokens is the number of prompt tokens in one prefix block. Default
 	// prefixhash.BlockTokens.
 	BlockTokens int
-	// KVBytesPerToken is the first estimate of the KV cache's size per prompt
-	// token, in bytes; progress corrects it. Default 64 KiB.
+	// KVBytesPerToken is the initial estimate of the KV cache's size per prompt
+	// token, in bytes; Progress messages correct it. Default 64 KiB.
 	KVBytesPerToken float64
-	// LoadBound is the factor over the mean predicted queue past which an
-	// endpoint gets no affinity bonus. Default 1.25.
+	// LoadBound is the ratio of an endpoint's predicted queue to the mean above
+	// which the endpoint gets no affinity bonus. Default 1.25.
 	LoadBound float64
-	// AffinityWeight weighs engine time saved by a cached prefix. Default 1.
+	// AffinityWeight is the weight of the engine time that a cached prefix
+	// saves. Default 1.
 	AffinityWeight float64
-	// DomainBonus is what staying in a failure domain is worth. Default 5 ms.
+	// DomainBonus is the score for staying within a failure domain. Default 5 ms.
 	DomainBonus time.Duration
-	// RiskDeviations is how many deviations of a slot's predicted release a
-	// service with WasteWeight 1 adds at first before it relies on it; what
-	// becomes of the prefills corrects it. Default 2.
+	// RiskDeviations is the initial margin, in deviations, that a service with
+	// WasteWeight 1 adds to a slot's predicted release. The outcomes of
+	// prefills correct it. Default 2.
 	RiskDeviations float64
-	// WasteTolerance is the part of the prefills begun on a predicted slot
+	// WasteTolerance is the fraction of the prefills begun on a predicted slot
 	// that a service with WasteWeight 0 accepts as wasted. Default 0.1.
 	WasteTolerance float64
-	// CertainWaste is the WasteWeight from which only slots that are free now
-	// are relied on. Default 0.95.
+	// CertainWaste is the WasteWeight from which a service uses only slots that
+	// are free now. Default 0.95.
 	CertainWaste float64
-	// Remembered bounds the finished requests that are remembered, so that a
-	// late repeat of a Want isn't run again. Default 16384.
+	// Remembered bounds the records of ended requests, which keep a late
+	// duplicate of a Want from running again. Default 16384.
 	Remembered int
-	// Health may be nil: every endpoint is allowed.
+	// Health may be nil; then every endpoint is allowed.
 	Health HealthView
-	// Violation hears of broken invariants; may be nil.
+	// Violation is called for each violated invariant; it may be nil.
 	Violation func(name, detail string)
 }
 
--- a/core/sched/picker_best.go
+++ b/core/sched/picker_best.go
@@ -1,7 +1,7 @@
 package sched
 
-// bestPicker picks the pair of the highest score; ties go by the pairs'
-// seeded tie numbers.
+// bestPicker picks the pair with the highest score; ties are broken by the
+// pairs' seeded random tie numbers.
 type bestPicker struct{}
 
 func (bestPicker) pick(_ *cycle, pairs []pair) int {
@@ -14,7 +14,7 @@
 	return best
 }
 
-// better orders pairs by score and tie.
+// better reports whether a ranks before b, by score and then by tie.
 func better(a, b *pair) bool {
 	if a.score != b.score {
 		return a.score > b.score
--- a/core/sched/pipeline.go
+++ b/core/sched/pipeline.go
@@ -2,18 +2,19 @@
 
 import "github.com/samphirequay/samphirequay/core/live"
 
-// row is the fixed row of plugins that a decision goes through.
+// pipeline is the fixed sequence of plugins that make a decision.
 type pipeline struct {
-	// standing filters depend on the endpoint alone; they decide what is indexed.
+	// static filters depend on the endpoint only; they decide which endpoints are
+	// indexed.
 	static map[live.Role][]endpointFilter
-	// perRequest filters are asked for each request.
+	// perRequest filters are applied for each request.
 	perRequest []endpointFilter
 	pairs      []pairFilter
 	scorers    []scorer
 	picker     picker
 }
 
-// newRow returns the row of the ledger.
+// newPipeline returns the pipeline of the ledger.
 func newPipeline() pipeline {
 	return pipeline{
 		static: map[live.Role][]endpointFilter{
@@ -33,7 +34,7 @@
 	}
 }
 
-// standingFilters are the filters that every endpoint of a role must pass.
+// staticFilters returns the filters that every endpoint of a role must pass.
 func staticFilters(role live.Role) []endpointFilter {
 	return []endpointFilter{roleFilter{role: role}, modelFilter{}, leavingFilter{}}
 }
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// perDomain is how many endpoints of a role and domain a decision weighs.
+	// perDomain bounds the endpoints of each role and failure domain that a
+	// decision considers.
 	perDomain = 3
-	// bypassTeams bounds the teams looked at past a blocked one, bypassDepth
-	// the requests of one team.
+	// bypassTeams bounds the blocked teams that a decision bypasses, bypassDepth
+	// the requests that it tries of one team.
 	bypassTeams = 8
 	bypassDepth = 4
 )
 
-// candidates is the scratch space of decisions.
+// candidates holds buffers that decisions reuse.
 type candidates struct {
 	prefills []prefillChoice
 	decodes  []*endpoint
@@ -26,7 +27,8 @@
 	memo     []linkMemo
 }
 
-// pump grants what can be granted, in the order of the fair queue.
+// dispatch grants queued requests in the order of the fair queue until none can
+// be granted.
 func (l *Ledger) dispatch(actions []Action) []Action {
 	l.blocked = false
 	for l.queue.queued > 0 {
@@ -41,11 +43,11 @@
 	return actions
 }
 
-// weighEvery is how often the weights of the teams at work are summed up.
+// activeWeightsInterval is how long a sum of the active teams' weights is reused.
 const activeWeightsInterval = 5 * time.Millisecond
 
-// activeWeights is the sum of the weights of the teams that have requests in
-// the pool, as of a moment ago.
+// activeWeights returns the sum of the weights of the teams that have requests in
+// the pool. The sum may be out of date by activeWeightsInterval.
 func (l *Ledger) activeWeights() float64 {
 	if l.now-l.activeSum.at < activeWeightsInterval && l.activeSum.sum > 0 {
 		return l.activeSum.sum
@@ -59,9 +61,9 @@
 	return l.activeSum.sum
 }
 
-// grantNext grants the next request that can be. Only a request that is held
-// up by something of its own is passed by: were it passed by for lack of a
-// slot, requests that take more risk would starve it.
+// grantNext grants the first request in order that can be granted. It bypasses
+// only requests that are blocked for a cause of their own: if requests that lack
+// a slot were bypassed, requests that accept more risk would starve them.
 func (l *Ledger) grantNext() *Action {
 	var granted *Action
 	aside := l.scratch.aside[:0]
@@ -82,7 +84,8 @@
 	return granted
 }
 
-// grantFrom tries a team's next requests.
+// grantFrom tries to grant one of a team's next requests. passable is true if the
+// team may be bypassed.
 func (l *Ledger) grantFrom(t *team) (granted *Action, passable bool) {
 	for n := range bypassDepth {
 		w := t.nth(n)
@@ -101,13 +104,13 @@
 	return nil, true
 }
 
-// ownCause is true for a request that is held up by something of its own.
+// isRequestSpecific is true if a request is blocked for a cause of its own.
 func isRequestSpecific(w *waiting, cause string) bool {
 	return w.want.Suspect || len(w.want.Avoid) > 0 || cause == deadlineFilter{}.name()
 }
 
-// choose runs the row of plugins for a request. The text is the reason of a
-// choice, or the name of the filter that left out the last candidate.
+// choose runs the pipeline for a request. The string is the reason for the
+// choice, or the name of the filter that rejected the last candidate.
 func (l *Ledger) choose(w *waiting) (*pair, string) {
 	c := l.newCycle(w)
 	l.findDecodes(c, w)
@@ -130,7 +133,7 @@
 	return chosen, reason
 }
 
-// newCycle begins a decision.
+// newCycle returns the state of a new decision.
 func (l *Ledger) newCycle(w *waiting) *cycle {
 	l.cycle = cycle{
 		now:       l.now,
@@ -149,8 +152,8 @@
 	return &l.cycle
 }
 
-// findDecodes collects, domain by domain, the endpoints with the most room or
-// the earliest predicted release.
+// findDecodes collects from each failure domain the endpoints with the most free
+// slots or the earliest predicted release.
 func (l *Ledger) findDecodes(c *cycle, w *waiting) {
 	found := l.scratch.decodes[:0]
 	l.fleet.roles[w.service.role()].nearest(perDomain, func(e *endpoint) (bool, bool) {
@@ -167,8 +170,8 @@
 	l.scratch.decodes = found
 }
 
-// findPrefills collects the engines that are idle soon, and those that have
-// the prompt's prefix if waiting for them is worth it.
+// findPrefills collects the engines that are idle within the horizon, and those
+// that have the prompt's prefix cached if this justifies the wait for them.
 func (l *Ledger) findPrefills(c *cycle, w *waiting) {
 	found := l.scratch.prefills[:0]
 	if w.service.plain {
@@ -190,7 +193,7 @@
 	l.scratch.prefills = l.addAffinityCandidates(c, w, found)
 }
 
-// addAffine adds the engines that have the prompt's prefix.
+// addAffinityCandidates adds the engines that have the prompt's prefix cached.
 func (l *Ledger) addAffinityCandidates(c *cycle, w *waiting, found []prefillChoice) []prefillChoice {
 	if len(w.want.Prefix) == 0 {
 		return found
@@ -209,7 +212,8 @@
 	return found
 }
 
-// worthWaiting is how long to wait for an engine that has the prefix.
+// maxAffinityWait returns how long to wait for an engine that has the prefix
+// cached: the time that the prefix saves, up to AffinityWait.
 func (l *Ledger) maxAffinityWait(p *prefillChoice) time.Duration {
 	saved := seconds(float64(p.cachedTokens) / p.endpoint.prefillRate.mean)
 	return min(saved, l.options.AffinityWait)
@@ -250,7 +254,7 @@
 	l.scratch.pairs = pairs
 }
 
-// keepPair applies the row of pair filters.
+// keepPair applies the pair filters.
 func (l *Ledger) keepPair(c *cycle, p *pair) bool {
 	for _, f := range l.pipeline.pairs {
 		if !f.keepPair(c, p) {
--- a/core/sched/plugin.go
+++ b/core/sched/plugin.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// endpointFilter is a step of the row of plugins that leaves out endpoints.
+// endpointFilter is a plugin that excludes endpoints.
 type endpointFilter interface {
-	// name stands in the reason of a decision.
+	// name identifies the filter in the reason of a refusal.
 	name() string
-	// keep says whether the endpoint may serve the request.
+	// keep reports whether the endpoint may serve the request.
 	keep(c *cycle, e *endpoint) bool
 }
 
-// pairFilter leaves out pairs of endpoints. It may delay the pair's start and
-// fill in what it predicts.
+// pairFilter is a plugin that excludes pairs of endpoints. It may delay the
+// pair's start and set the pair's predictions.
 type pairFilter interface {
 	name() string
 	keepPair(c *cycle, p *pair) bool
 }
 
-// scorer rates a pair, in seconds gained or, below zero, lost.
+// scorer rates a pair in seconds: positive scores are time gained, negative
+// scores time lost.
 type scorer interface {
 	name() string
 	score(c *cycle, p *pair) float64
 }
 
-// picker chooses among the scored pairs; -1 for none.
+// picker returns the index of the chosen pair, or -1 if there is none.
 type picker interface {
 	pick(c *cycle, pairs []pair) int
 }
 
-// prefillChoice is a prefill endpoint with what is predicted for it.
+// prefillChoice is a prefill endpoint with the predictions for its prefill.
 type prefillChoice struct {
 	endpoint *endpoint
-	// cachedTokens of the prompt are believed to be cached there.
+	// cachedTokens is the number of prompt tokens assumed to be cached there.
 	cachedTokens int
 	start        time.Duration
 	took         time.Duration
 }
 
-// pair is a choice of endpoints with what is predicted for it. For a plain
-// service the prefill's endpoint is nil.
+// pair is a choice of endpoints with its predictions. For a plain service the
+// prefill's endpoint is nil.
 type pair struct {
 	prefill prefillChoice
 	decode  *endpoint
 	link    *link
 	// delay is added to the prefill's start to meet a free slot.
 	delay time.Duration
-	// wait is how long the KV cache is predicted to wait for its slot.
+	// wait is the predicted time that the KV cache waits for its slot.
 	wait time.Duration
-	// deviation is that of the slot's predicted release.
+	// deviation is the deviation of the slot's predicted release.
 	deviation time.Duration
 	transfer  time.Duration
 	score     float64
@@ -60,10 +61,11 @@
 	return p.prefill.start + p.delay + p.prefill.took
 }
 
-// finish predicts the first token, but for the decode's own first step.
+// finish predicts when the decode can start; the first token follows one decode
+// step later.
 func (p *pair) finish() time.Duration { return p.prefillEnd() + p.wait + p.transfer }
 
-// cycle is the state that one decision passes along the row of plugins.
+// cycle is the state of one decision, which is passed to all plugins.
 type cycle struct {
 	now      time.Duration
 	options  *Options
@@ -71,20 +73,20 @@
 	service  *service
 	settling bool
 	model    string
-	// waited is the request's age.
+	// waited is the time since the request arrived.
 	waited time.Duration
 	// meanQueue is the mean predicted prefill queue of the pool.
 	meanQueue time.Duration
 	kvBytes   float64
-	// untaught is set while the request may run against the estimates.
+	// probe is set if the request may run although the estimates rule it out.
 	probe bool
-	// memo keeps the link predictions of this decision.
+	// memo caches the link predictions of this decision.
 	memo []linkMemo
-	// blocked names the filter that left out the last pair.
+	// blocked names the filter that rejected the last candidate.
 	blocked string
 }
 
-// linkMemo is one link prediction.
+// linkMemo is a cached link prediction.
 type linkMemo struct {
 	link  *link
 	start time.Duration
@@ -92,7 +94,7 @@
 	fits  bool
 }
 
-// keepAll applies a row of endpoint filters.
+// keepAll reports whether an endpoint passes all filters.
 func keepAll(filters []endpointFilter, c *cycle, e *endpoint) bool {
 	for _, f := range filters {
 		if !f.keep(c, e) {
--- a/core/sched/plugins_test.go
+++ b/core/sched/plugins_test.go
@@ -9,8 +9,8 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// testCycle is a decision at one second about a request of a service that
-// waits up to one second.
+// testCycle returns a decision at a time of one second for a request whose
+// service has a patience of one second.
 func testCycle() *cycle {
 	o := Options{}.withDefaults()
 	w := testWant(1, teamName(0))
@@ -24,7 +24,7 @@
 	}
 }
 
-// testEndpoint is an idle endpoint in the pool.
+// testEndpoint returns an idle endpoint of the pool.
 func testEndpoint(name id.Endpoint, role live.Role) *endpoint {
 	return &endpoint{
 		name:        name,
@@ -37,7 +37,8 @@
 	}
 }
 
-// testPair is a prefill from now on for 100 ms, and an idle decode endpoint.
+// testPair returns a prefill that starts now and takes 100 ms, and an idle decode
+// endpoint.
 func testPair(c *cycle) *pair {
 	return &pair{
 		prefill: prefillChoice{endpoint: testEndpoint("p", live.RolePrefill), start: c.now, took: 100 * ms},
@@ -45,19 +46,19 @@
 	}
 }
 
-// holdUntil fills a slot until a predicted time, give or take 10 ms.
+// holdUntil holds a slot until a predicted time with a deviation of 10 ms.
 func holdUntil(e *endpoint, at time.Duration) {
 	r := &reservation{number: uint64(len(e.held)), release: at, deviation: 10 * ms}
 	e.held = append(e.held, r)
 	e.sortHeld()
 }
 
-// allowed is a health view that ejects one endpoint.
+// ejectingView is a health view that ejects one endpoint.
 type ejectingView struct{ ejected id.Endpoint }
 
 func (a ejectingView) Allowed(e id.Endpoint) bool { return e != a.ejected }
 
-// keeps asserts what a filter says of an endpoint.
+// keeps asserts whether a filter keeps an endpoint.
 func keeps(is *is.I, f endpointFilter, c *cycle, e *endpoint, want bool) {
 	is.Helper()
 	is.Equal(f.keep(c, e), want) // kept by the filter
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -33,7 +33,7 @@
 	return found, nil
 }
 
-// LabelledRole returns the role that the endpoint's label gives.
+// LabelledRole returns the role in the endpoint's label.
 func LabelledRole(e *live.Endpoint) live.Role {
 	return live.Role(e.Labels[live.LabelRole])
 }
--- a/core/sched/probe_test.go
+++ b/core/sched/probe_test.go
@@ -11,8 +11,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// serve runs one request to its end on whatever it is granted and returns where
-// its prompt was read. A slow engine takes factor times as long for that.
+// serve serves one request to completion and returns its prefill engine. The slow
+// engine takes factor times as long for a prefill.
 func serve(t *testing.T, l *Ledger, n int, slow id.Endpoint, factor float64) id.Endpoint {
 	t.Helper()
 	want := testWant(n, teamName(0))
@@ -30,9 +30,9 @@
 	return g.Prefill
 }
 
-// TestAnEngineThatWasSlowIsTriedAgain: its estimate is corrected only by work
-// that it gets, and it gets none while others are estimated to be faster. In ten
-// seconds it must be forgotten.
+// TestSlowEngineIsUsedAgain: only samples correct the estimate of an engine that
+// was slow, and it gets no work while others are estimated to be faster. The
+// estimate must have decayed after ten seconds.
 func TestSlowEngineIsUsedAgain(t *testing.T) {
 	is := is.New(t)
 	const slow = id.Endpoint("prefill-000")
@@ -42,7 +42,7 @@
 		n++
 		serve(t, l, n, slow, 10)
 	}
-	is.True(l.endpoints[slow].prefillRate.mean < 20_000) // it was seen to be slow
+	is.True(l.endpoints[slow].prefillRate.mean < 20_000) // the estimate shows the slow rate
 
 	l.Tick(l.now + 10*time.Second)
 	got := 0
@@ -56,8 +56,9 @@
 	is.True(got >= 5) // half of its even share
 }
 
-// TestOneAtATimeIsTriedAgainstTheEstimates: where the means rule every request
-// out, one runs, and those that come meanwhile are told when to come back.
+// TestOneProbeAtATimeRunsAgainstEstimates: if the means rule out every request,
+// one runs as a probe, and requests that arrive in the meantime are refused with a
+// RetryAfter.
 func TestOneProbeAtATimeRunsAgainstEstimates(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
@@ -66,7 +67,7 @@
 		e.prefillRate.mean = 500
 	}
 	l.pool.learnRate(l.now, 1)
-	l.pool.rate.mean = 500 // 4 s for the prompt, of 1 s
+	l.pool.rate.mean = 500 // 4 s for the prompt; the patience is 1 s
 	first := onlyGrant(t, l.Want(l.now+ms, testWant(1, teamName(0))))
 	refusal := onlyRefusal(t, l.Want(l.now+ms, testWant(2, teamName(0))))
 	is.Equal(refusal.Code, verdict.CodeOverloaded)
@@ -77,20 +78,20 @@
 	l.Audit()
 }
 
-// TestNoTrialOfWhatIsTooLateAlready: a request whose time is over is refused,
-// idle as the pool may be.
+// TestNoProbeForLateRequest: a request that can't be in time even at the pool's
+// best rates is refused, although the pool is idle.
 func TestNoProbeForLateRequest(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
 	want := testWant(1, teamName(0))
-	want.Age = 950 * ms // of 1 s; at best it takes 120 ms
+	want.Age = 950 * ms // the patience is 1 s; at best the first token takes 120 ms
 	refusal := onlyRefusal(t, l.Want(l.now+ms, want))
 	is.Equal(refusal.Code, verdict.CodeOverloaded)
 	is.True(refusal.RetryAfter > 0)
 }
 
-// TestSlowCallsRefuseNobodyBehindThem: the time that plain calls hold their slots
-// is learnt from them, too. It must keep nobody from a slot that is free.
+// TestSlowPlainCallsDoNotBlockAdmission: the ledger learns how long plain calls
+// hold their slots. A high estimate must not keep later requests from a free slot.
 func TestSlowPlainCallsDoNotBlockAdmission(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(0, 1)
--- a/core/sched/progress.go
+++ b/core/sched/progress.go
@@ -31,8 +31,8 @@
 	return l.finish(nil)
 }
 
-// find returns the reservation that the progress is about. One that expired
-// and yet goes on is taken back: the engine is the last word.
+// find returns the reservation of a Progress. An expired reservation that still
+// makes progress is restored, since the engine's state takes precedence.
 func (l *Ledger) find(p *Progress) *reservation {
 	r := l.granted[p.Request]
 	if r != nil {
@@ -54,7 +54,7 @@
 	return r
 }
 
-// revive takes an expired reservation back into the ledgers.
+// revive adds an expired reservation to the ledger again.
 func (l *Ledger) revive(r *reservation) {
 	r.grantedAt = l.now
 	r.slotSince = 0
@@ -67,7 +67,7 @@
 	l.hold(r)
 }
 
-// prefilling notes that the order for the prefill, or for a plain call, is out.
+// prefilling records that the prefill, or the plain call, was sent.
 func (l *Ledger) prefilling(r *reservation) {
 	if r.phase >= PhasePrefilling {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// queueWait is how long the engine's other prefills may hold this one up.
+// queueWait returns how long the prefill may wait for others on its engine.
 func (r *reservation) queueWait(now time.Duration) time.Duration {
 	if r.prefill == nil {
 		return 0
@@ -88,7 +88,7 @@
 	return max(0, r.prefill.busyUntil-now)
 }
 
-// prefilled notes that the prefill has ended and the transfer goes on.
+// prefilled records that the prefill has ended and the transfer has begun.
 func (l *Ledger) prefilled(r *reservation, p *Progress) {
 	if r.phase >= PhaseTransferring {
 		return
@@ -105,7 +105,8 @@
 	l.predictAgain(r, l.now+r.transferTime)
 }
 
-// learnPrefill corrects the engine's rate and the view of its cache.
+// learnPrefill updates the rate estimates, the KV cache size and the cache view
+// of the engine.
 func (l *Ledger) learnPrefill(r *reservation, p *Progress) {
 	if r.prefill == nil {
 		return
@@ -127,7 +128,7 @@
 	l.storePrefix(r)
 }
 
-// storePrefix notes that the engine now has the prompt's blocks.
+// storePrefix records that the engine has cached the prompt's blocks.
 func (l *Ledger) storePrefix(r *reservation) {
 	prefix := r.want.Prefix
 	if len(prefix) == 0 || !r.prefill.inPool {
@@ -139,7 +140,7 @@
 	}
 }
 
-// decoding notes the first token, or how far the answer has come.
+// decoding records the first token or the progress of the answer.
 func (l *Ledger) decoding(r *reservation, p *Progress) {
 	l.correctDecode(r, p.Endpoint)
 	if r.phase < PhaseDecoding {
@@ -156,7 +157,7 @@
 	l.predictAgain(r, l.now)
 }
 
-// predictAgain predicts the slot's release anew.
+// predictAgain updates the predicted release of the slot.
 func (l *Ledger) predictAgain(r *reservation, decodeStart time.Duration) {
 	l.updateEndpoint(r.decode, func(e *endpoint) {
 		r.predictRelease(decodeStart)
@@ -164,7 +165,7 @@
 	})
 }
 
-// done learns from a complete answer and releases all.
+// done updates the estimates from a complete answer and releases the reservation.
 func (l *Ledger) done(r *reservation, p *Progress) {
 	estimate := r.service.estimate
 	if r.service.plain {
@@ -183,7 +184,8 @@
 	l.release(r)
 }
 
-// failed releases all and corrects the view that made the choice.
+// failed releases the reservation and marks the endpoint as leaving or full if it
+// refused for that reason.
 func (l *Ledger) failed(r *reservation, p *Progress) {
 	e := l.endpoints[p.Endpoint]
 	l.release(r)
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -11,36 +11,38 @@
 	service *service
 	team    *team
 	arrived time.Duration
-	// latest is the last moment at which a grant could still be in time.
+	// latest is the latest time at which a grant can still be in time.
 	latest time.Duration
 	cost   cost
-	// least is the shortest time to the first output at the pool's best.
+	// minFirstToken is the shortest time to the first output at the pool's best
+	// rates.
 	minFirstToken time.Duration
 	index         int
 	seq           uint64
-	// blocked names what held the request up when it was last tried; empty if
-	// it stood behind others.
+	// blocked is the cause that blocked the request at the last attempt; empty
+	// if it was not attempted.
 	blocked string
-	// gone is set once it left the queue.
+	// gone is set once the request has left the queue.
 	gone bool
 }
 
 // level returns the request's priority within its team.
 func (w *waiting) level() int { return clampPriority(w.want.Priority) }
 
-// clampPriority bounds a caller's priority to those that exist.
+// clampPriority limits a caller's priority to the valid range.
 func clampPriority(p int) int { return min(max(p, 0), priorities-1) }
 
-// fairQueue is a start-time fair queue over teams: the team that is furthest
-// behind its share is served first, by priority and age within the team.
+// fairQueue is a start-time fair queue over teams: the team with the smallest
+// start tag is served first. Within a team, requests are ordered by priority and
+// then by the latest time of a grant.
 type fairQueue struct {
 	teams  indexedHeap[*team]
 	latest indexedHeap[*waiting]
-	// virtual is the place in virtual time of the last team served.
+	// virtualTime is the start tag of the last team served.
 	virtualTime float64
 	queued      int
 	backlog     cost
-	// weights is the sum over the teams that have requests waiting.
+	// weights is the sum of the weights of the teams that have requests waiting.
 	weights float64
 	seq     uint64
 }
@@ -61,7 +63,7 @@
 	}
 }
 
-// remove takes a request out, without a charge.
+// remove removes a request without charging its team.
 func (q *fairQueue) remove(w *waiting) {
 	t := w.team
 	t.drop(w)
@@ -78,7 +80,7 @@
 	}
 }
 
-// serve takes a request out and charges its team.
+// serve removes a request and charges its team.
 func (q *fairQueue) serve(w *waiting, charge float64) {
 	t := w.team
 	q.virtualTime = max(q.virtualTime, t.startTag)
@@ -87,12 +89,12 @@
 	q.reposition(t)
 }
 
-// heavyFactor is how far over the mean a team's holdings must be for the team
-// to count as heavy.
+// heavyFactor is the ratio of a team's grants per weight to the mean above which
+// the team counts as heavy.
 const heavyFactor = 1.25
 
-// weigh finds out which teams are heavy, given the grants in use and the
-// weights of all teams at work.
+// markHeavy marks the heavy teams, given the number of grants in use and the sum
+// of the weights of all active teams.
 func (q *fairQueue) markHeavy(granted int, weights float64) {
 	bound := heavyFactor * float64(granted) / max(weights, minCharge)
 	changed := false
@@ -106,13 +108,13 @@
 	}
 }
 
-// correct changes what a team was charged, once its request has ended.
+// correct adjusts a team's charge after its request has ended.
 func (q *fairQueue) correct(t *team, difference float64) {
 	t.finishTag += difference / t.weight
 	q.reposition(t)
 }
 
-// settle moves a backlogged team to the place that its charges give it.
+// reposition updates the start tag and the position of a backlogged team.
 func (q *fairQueue) reposition(t *team) {
 	if t.queued == 0 {
 		return
@@ -129,8 +131,8 @@
 	t.weight = weight
 }
 
-// setAside takes a team out of the order until restore.
+// setAside removes a team from the order until restore.
 func (q *fairQueue) setAside(t *team) { heap.Remove(&q.teams, t.index) }
 
-// restore puts a team that was set aside back into the order.
+// restore adds a team that was set aside to the order again.
 func (q *fairQueue) restore(t *team) { heap.Push(&q.teams, t) }
--- a/core/sched/rebind.go
+++ b/core/sched/rebind.go
@@ -9,10 +9,10 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// rebind gives slots that are free now to reservations that wait for another
-// endpoint's: the one whose prefill ends first goes first, and all go before
-// new requests. A KV cache then waits for the slot of the pool at which it is
-// soonest: a slow path to a free slot can be worse than a wait.
+// rebind assigns slots that are free now to reservations that wait for a slot of
+// another endpoint, in the order of their prefills' ends and before any new
+// request. A reservation moves only if its KV cache is predicted to arrive sooner
+// there: a slow path to a free slot can take longer than the wait.
 func (l *Ledger) rebind() {
 	l.awaitingSlot = slices.DeleteFunc(l.awaitingSlot, func(r *reservation) bool { return !l.waitsForSlot(r) })
 	slices.SortStableFunc(l.awaitingSlot, func(a, b *reservation) int {
@@ -30,22 +30,22 @@
 	}
 }
 
-// waitsForSlot is true while a reservation relies on a predicted release.
+// waitsForSlot is true while a reservation waits for a predicted slot release.
 func (l *Ledger) waitsForSlot(r *reservation) bool {
 	return l.granted[r.want.Request] == r && slices.Contains(r.decode.pending, r)
 }
 
-// moveMargin is the time that a Binding may need to its daemon.
+// moveMargin is the time that a Binding may need to reach its daemon.
 const moveMargin = 50 * time.Millisecond
 
-// tooLateToMove is true when the daemon may have stopped waiting for its
-// Binding, and so may have ordered the decode where the grant named it.
+// tooLateToMove is true if the daemon may have stopped waiting for its Binding
+// and started the decode on the granted endpoint.
 func (l *Ledger) tooLateToMove(r *reservation) bool {
 	return l.now > r.prefillEnd+r.grant.BindWithin-moveMargin
 }
 
-// follow corrects the ledger where a request decodes elsewhere than thought:
-// its Binding was lost or came too late.
+// correctDecode moves a reservation to the endpoint that actually decodes its
+// request. The endpoints differ if a Binding was lost or arrived too late.
 func (l *Ledger) correctDecode(r *reservation, actual id.Endpoint) {
 	e := l.endpoints[actual]
 	if e == nil || e == r.decode {
@@ -60,8 +60,9 @@
 	})
 }
 
-// freeElsewhere finds the endpoint with a free slot where a reservation's first
-// token is predicted soonest, if that is sooner than where it waits; else nil.
+// freeElsewhere returns the endpoint with a free slot where the reservation's KV
+// cache is predicted to arrive soonest, or nil if none is sooner than the endpoint
+// for which it waits.
 func (l *Ledger) freeElsewhere(r *reservation) *endpoint {
 	c := l.newCycle(&waiting{want: r.want, service: r.service, team: r.team, arrived: l.now})
 	var found *endpoint
@@ -81,8 +82,8 @@
 	return found
 }
 
-// importEnd predicts when the KV cache is at the endpoint that the reservation
-// waits for: behind the release that gives it a slot.
+// importEnd predicts when the KV cache arrives at the endpoint for which the
+// reservation waits: after the release of its slot and the transfer.
 func (l *Ledger) importEnd(r *reservation) time.Duration {
 	e := r.decode
 	place := slices.Index(e.pending, r) + max(0, len(e.held)+e.foreign-e.slots())
@@ -96,7 +97,7 @@
 	return begin + seconds(r.kvBytes/r.link.rate)
 }
 
-// importEndAt predicts the same at an endpoint with a free slot.
+// importEndAt predicts when the KV cache arrives at an endpoint with a free slot.
 func (l *Ledger) importEndAt(r *reservation, e *endpoint) time.Duration {
 	begin := max(l.now, r.prefillEnd)
 	path := l.linkBetween(r.prefill.domain, e.domain)
@@ -107,7 +108,7 @@
 	return begin + took
 }
 
-// moveSlot moves a reservation that waits to an endpoint with a free slot.
+// moveSlot moves a waiting reservation to an endpoint with a free slot.
 func (l *Ledger) moveSlot(r *reservation, e *endpoint) {
 	l.removeTransfer(r)
 	l.updateEndpoint(r.decode, func(old *endpoint) {
--- a/core/sched/rebind_slow_test.go
+++ b/core/sched/rebind_slow_test.go
@@ -8,8 +8,8 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// TestASlowPathIsNoReasonToMove: a free slot behind a slow link is left alone
-// when the own engine's slot comes sooner.
+// TestRebindIgnoresFreeSlotOverSlowLink: a free slot over a slow link is not used
+// if the slot of the reservation's own engine is released sooner.
 func TestRebindIgnoresFreeSlotOverSlowLink(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(4, 2)
--- a/core/sched/rebind_test.go
+++ b/core/sched/rebind_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestAWaitingCacheGetsTheFirstFreeSlotOfThePool fills all slots, lets one
-// request wait for a predicted release and then frees a slot elsewhere.
+// TestRebindUsesFirstFreeSlotInPool fills all slots, lets one request wait for a
+// predicted release and then frees a slot of another endpoint.
 func TestRebindUsesFirstFreeSlotInPool(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 2))
@@ -21,7 +21,7 @@
 	}
 	for _, g := range running {
 		p := progressOf(g, PhaseDecoding)
-		p.OutputTokens = 18 // of 20: its end is near
+		p.OutputTokens = 18 // of 20: its release is predicted soon
 		now += ms
 		l.Progress(now, p)
 	}
@@ -37,7 +37,7 @@
 	is.True(other != nil)
 	actions := l.Progress(now+2*ms, progressOf(other, PhaseDone))
 	is.Equal(len(actions), 1)
-	is.Equal(actions[0].Binding.Decode, other.Decode) // not the one it waited for
+	is.Equal(actions[0].Binding.Decode, other.Decode) // not the endpoint for which it waited
 	l.Audit()
 }
 
--- a/core/sched/release.go
+++ b/core/sched/release.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// release ends a reservation: its place in the prefill queue, its slot and its
-// part of the link are free, and its team pays for what it really took.
+// release ends a reservation: it frees the place in the prefill queue, the slot
+// and the share of the link, and charges the team for the actual usage.
 func (l *Ledger) release(r *reservation) {
 	l.correctCharge(r)
 	delete(l.granted, r.want.Request)
@@ -23,7 +23,7 @@
 	l.ended.Add(r.want.Request, outcome{})
 }
 
-// leavePrefill takes the reservation off its engine's queue.
+// removePrefill removes the reservation from the queue of its prefill endpoint.
 func (l *Ledger) removePrefill(r *reservation) {
 	if r.prefill == nil || !slices.Contains(r.prefill.queue, r) {
 		return
@@ -32,7 +32,7 @@
 	l.updateEndpoint(r.prefill, func(e *endpoint) { e.drop(r, l.now, l.options.ReportLag) })
 }
 
-// leaveLink takes the reservation's transfer off its link.
+// removeTransfer removes the reservation's transfer from its link.
 func (l *Ledger) removeTransfer(r *reservation) {
 	if r.link == nil {
 		return
@@ -41,14 +41,14 @@
 	r.link = nil
 }
 
-// pay corrects the team's charge from the estimate to what was taken.
+// correctCharge adjusts the team's charge from the estimate to the actual usage.
 func (l *Ledger) correctCharge(r *reservation) {
 	took := r.usage(l.now)
 	l.queue.correct(r.team, l.poolSeconds(took)-l.poolSeconds(r.charge))
 }
 
-// taken is the engine time that the reservation has taken by now. The slot
-// counts from when it was got, since nobody else could have it from then on.
+// usage returns the engine time that the reservation has used by now. The slot
+// counts from its assignment, since no other request can use it from then on.
 func (r *reservation) usage(now time.Duration) cost {
 	took := cost{}
 	if r.slotSince > 0 {
@@ -65,7 +65,7 @@
 	return took
 }
 
-// expire ends the reservations that nobody uses.
+// expire ends the reservations that have expired without a Progress.
 func (l *Ledger) expire() {
 	for len(l.expiry) > 0 && l.expiry[0].expires <= l.now {
 		r := l.expiry[0]
@@ -80,7 +80,8 @@
 	heap.Fix(&l.expiry, r.expiryIndex)
 }
 
-// recheckFull takes endpoints back that refused for lack of room a while ago.
+// recheckFull indexes endpoints again whose FullHold after a refusal for lack of
+// capacity is over.
 func (l *Ledger) recheckFull() {
 	kept := l.fullEndpoints[:0]
 	for _, e := range l.fullEndpoints {
@@ -93,7 +94,7 @@
 	l.fullEndpoints = kept
 }
 
-// grantedInOrder lists the reservations in the order of their numbers.
+// grantedInOrder returns the reservations in the order of their numbers.
 func (l *Ledger) grantedInOrder() []*reservation {
 	list := make([]*reservation, 0, len(l.granted))
 	for _, r := range l.granted {
@@ -103,7 +104,7 @@
 	return list
 }
 
-// waitingInOrder lists the queued requests in the order of their arrival.
+// waitingInOrder returns the queued requests in the order of their arrival.
 func (l *Ledger) waitingInOrder() []*waiting {
 	list := make([]*waiting, 0, len(l.waiting))
 	for _, w := range l.waiting {
--- a/core/sched/report.go
+++ b/core/sched/report.go
@@ -18,8 +18,8 @@
 	return l.finish(nil)
 }
 
-// takeReport corrects the view of an endpoint. One that can't be reached says
-// nothing about itself.
+// takeReport updates the state of an endpoint. The report of an unreachable
+// endpoint has no other information.
 func (l *Ledger) takeReport(e *endpoint, report Load) {
 	if !report.Reachable {
 		e.reported = true
@@ -39,8 +39,9 @@
 	e.promote()
 }
 
-// noteForeign counts the reported work that the ledger doesn't know. What was
-// released since the report may have been made doesn't count.
+// countForeign counts the reported work that is not in the ledger. Work released
+// since the given time is not counted, since the report may be older than the
+// release.
 func (e *endpoint) countForeign(since time.Duration) {
 	if e.role() == live.RolePrefill {
 		return
--- a/core/sched/risk_test.go
+++ b/core/sched/risk_test.go
@@ -16,7 +16,7 @@
 		k := newRisk(&o, weight)
 		wasted, n := 0, 40_000
 		for range n {
-			// Releases are exponentially late, in deviations.
+			// The delay of a release is exponentially distributed, in deviations.
 			late := random.ExpFloat64() > k.deviations
 			k.add(late)
 			if late {
@@ -43,7 +43,7 @@
 	}
 	is.Equal(k.deviations, -maxRisk)
 	is.Equal(k.margin(10*ms, 800*ms), -80*ms)
-	is.Equal(k.margin(time.Second, 800*ms), -600*ms) // of a life of 800 ms
+	is.Equal(k.margin(time.Second, 800*ms), -600*ms) // 0.75 of the lifetime of 800 ms
 }
 
 func TestSpeculativePrefillIsRecordedOnce(t *testing.T) {
--- a/core/sched/scorer_affinity.go
+++ b/core/sched/scorer_affinity.go
@@ -1,8 +1,8 @@
 package sched
 
 // affinityScorer prefers engines that have the prompt's prefix cached, by the
-// engine time that it saves. An engine whose predicted queue is far over the
-// mean gets no bonus, so that a popular prefix doesn't pile up on one.
+// engine time that this saves. An engine whose predicted queue exceeds the load
+// bound gets no bonus, so that a popular prefix doesn't overload one engine.
 type affinityScorer struct{}
 
 func (affinityScorer) name() string { return "affinity" }
@@ -16,8 +16,8 @@
 	return c.options.AffinityWeight * saved
 }
 
-// overBound is true when an endpoint's queue, with this request on it, is
-// longer than the load bound allows.
+// overBound is true if an endpoint's predicted queue is longer than the load
+// bound allows.
 func overBound(c *cycle, e *endpoint) bool {
 	queue := max(0, e.busyUntil-c.now)
 	floor := c.options.Horizon
--- a/core/sched/scorer_domain.go
+++ b/core/sched/scorer_domain.go
@@ -1,10 +1,10 @@
 package sched
 
-// domainScorer prefers to stay within a failure domain: most of all for the
-// transfer, and a little for the way to the caller.
+// domainScorer prefers to stay within a failure domain, primarily for the
+// transfer and to a lesser degree for the path to the caller.
 type domainScorer struct{}
 
-// callerShare is what the way to the caller counts against the transfer.
+// callerShare is the weight of the path to the caller relative to the transfer.
 const callerShare = 0.2
 
 func (domainScorer) name() string { return "domain" }
--- a/core/sched/scorer_finish.go
+++ b/core/sched/scorer_finish.go
@@ -1,6 +1,6 @@
 package sched
 
-// finishScorer prefers the least predicted finish.
+// finishScorer prefers the earliest predicted finish.
 type finishScorer struct{}
 
 func (finishScorer) name() string { return "finish" }
--- a/core/sched/scorer_room.go
+++ b/core/sched/scorer_room.go
@@ -1,6 +1,6 @@
 package sched
 
-// roomWeight is what a wholly empty decode endpoint is worth, in seconds.
+// roomWeight is the score of an empty decode endpoint, in seconds.
 const roomWeight = 0.002
 
 // roomScorer spreads work over the decode endpoints by their free slots.
--- a/core/sched/scorers_test.go
+++ b/core/sched/scorers_test.go
@@ -28,7 +28,7 @@
 	c.meanQueue = 40 * ms
 	p.prefill.endpoint.busyUntil = c.now + 49*ms
 	is.Equal(affinityScorer{}.score(c, p), 0.05)
-	p.prefill.endpoint.busyUntil = c.now + 51*ms // over 1.25 of the mean
+	p.prefill.endpoint.busyUntil = c.now + 51*ms // over 1.25 times the mean
 	is.Equal(affinityScorer{}.score(c, p), 0.0)
 }
 
@@ -78,9 +78,9 @@
 		return counts
 	}
 	counts := choices()
-	is.Equal(counts, choices()) // the same seed, the same choices
+	is.Equal(counts, choices()) // the same seed gives the same choices
 	for _, n := range counts {
-		is.True(n > 20) // of 50 each
+		is.True(n > 20) // 50 each on average
 	}
 	is.Equal(len(counts), 4)
 }
--- a/core/sched/selector_test.go
+++ b/core/sched/selector_test.go
@@ -10,16 +10,16 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// TestSelectorsSeeWhatTheIndexSees: a selector on the failure domain chooses
-// the same endpoints for the scheduler as for reports and placement, also where
-// the domain stands in the endpoint's field and not in its labels.
+// TestSelectorsMatchLiveIndex: a selector on the failure domain must select the
+// same endpoints for the scheduler as for reports and placement, even if the
+// domain is set in the endpoint's field and not in its labels.
 func TestSelectorsMatchLiveIndex(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(4, 1)
 	doc.Pools[0].EndpointSelector = live.LabelDomain + "=" + string(doc.Endpoints[0].Domain)
 	found, err := PoolEndpoints(doc, &doc.Pools[0])
 	is.NoErr(err)
-	slices.SortFunc(found, func(a, b *live.Endpoint) int { return cmp.Compare(a.Name, b.Name) }) // as the index does
+	slices.SortFunc(found, func(a, b *live.Endpoint) int { return cmp.Compare(a.Name, b.Name) }) // the order of the index
 	is.Equal(found, live.NewIndex(doc).Endpoints(testPool))
 	is.True(len(found) > 0)
 }
--- a/core/sched/service.go
+++ b/core/sched/service.go
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// service is the ledger's view of a service.
+// service is the ledger's state of a service.
 type service struct {
 	name        id.Service
 	plain       bool
@@ -21,8 +21,8 @@
 	estimate    *serviceEstimate
 }
 
-// newService reads a service of the configuration; old, if there was one,
-// hands on what was learned.
+// newService returns the state of a configured service with the estimates of old,
+// if old is not nil.
 func newService(s *live.Service, old *service, o *Options) (*service, error) {
 	selector, err := labels.Parse(s.TeamSelector)
 	if err != nil {
@@ -46,8 +46,9 @@
 	return made, nil
 }
 
-// patienceOf is how long a request may wait for its first output. A plain
-// call without a stated patience may wait as long as the whole call.
+// patienceOf returns how long a request may wait for its first output. For a
+// plain call without a configured patience or target this is the timeout of the
+// call.
 func patienceOf(s *live.Service) time.Duration {
 	if s.PatienceMS > 0 {
 		return s.Patience()
@@ -58,7 +59,8 @@
 	return millisecondsOr(s.FirstTokenTargetMS, live.DefaultFirstTokenMS)
 }
 
-// orMilliseconds converts milliseconds, with a default for none.
+// millisecondsOr converts milliseconds to a duration; a default replaces values
+// that are not positive.
 func millisecondsOr(ms, otherwise int) time.Duration {
 	if ms <= 0 {
 		ms = otherwise
@@ -66,7 +68,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// role is that of the endpoints which answer for the service.
+// role returns the role of the endpoints that produce the service's answers.
 func (s *service) role() live.Role {
 	if s.plain {
 		return live.RolePlain
--- a/core/sched/simulation_test.go
+++ b/core/sched/simulation_test.go
@@ -12,8 +12,8 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// world drives a ledger by seeded random events as from many daemons, loses
-// and repeats messages, and keeps its own record of what was granted.
+// simulation drives a ledger with seeded random events of many daemons, loses
+// and repeats messages, and keeps its own record of the grants.
 type simulation struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -31,29 +31,30 @@
 	granted int
 	refused int
 	bound   int
-	// asked and served count by team.
+	// asked and served count the requests and the grants by team.
 	asked  map[id.Team]int
 	served map[id.Team]int
 }
 
-// call is what a daemon knows of one request.
+// call is a daemon's state of one request.
 type call struct {
 	want     Want
 	grant    *Grant
 	phase    Phase
 	answered bool
-	// dropped calls need no answer: withdrawn, or their daemon is gone.
+	// dropped is set on calls that need no answer: they were withdrawn, or their
+	// daemon is gone.
 	dropped bool
-	// orphan is set while the ledger may not know that the daemon is gone.
+	// orphan is set until the ledger is notified that the daemon is gone.
 	orphan bool
-	// bound is set by the Binding of a provisional grant, waitsFrom when the
-	// call began to wait for it, deaf once a Progress of it was lost.
+	// bound is set by the Binding of a provisional grant; waitsFrom is when the
+	// call began to wait for it; progressLost is set once a Progress was lost.
 	bound        bool
 	waitsFrom    time.Duration
 	progressLost bool
 }
 
-// dueEvent is something to happen.
+// dueEvent is a scheduled event.
 type dueEvent struct {
 	at     time.Duration
 	serial int
@@ -75,7 +76,7 @@
 	return e
 }
 
-// newWorld returns a world of 9 daemons.
+// newSimulation returns a simulation with 9 daemons.
 func newSimulation(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *simulation {
 	sim := &simulation{
 		t:       t,
@@ -96,21 +97,21 @@
 	return sim
 }
 
-// after plans an event.
+// after schedules an event.
 func (sim *simulation) after(d time.Duration, do func()) {
 	sim.serial++
 	heap.Push(&sim.due, dueEvent{at: sim.now + max(0, d), serial: sim.serial, do: do})
 }
 
-// chance is true with a probability, and never in a world without faults.
+// chance is true with probability p, and never in a simulation without faults.
 func (sim *simulation) chance(p float64) bool { return sim.faulty && sim.random.Float64() < p }
 
-// between draws a duration.
+// between returns a random duration.
 func (sim *simulation) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(sim.random.Int64N(int64(b-a)))
 }
 
-// run lets all planned events happen, then what is due.
+// run executes all scheduled events and then all ticks that are due.
 func (sim *simulation) run() {
 	for len(sim.due) > 0 {
 		sim.step()
@@ -119,7 +120,7 @@
 	sim.ledger.Audit()
 }
 
-// step lets the next event happen, a Tick that is due before it included.
+// step executes the next event, or a Tick that is due before it.
 func (sim *simulation) step() {
 	if sim.ledger.Next() < sim.due[0].at {
 		sim.tick()
@@ -134,23 +135,24 @@
 	}
 }
 
-// tick calls Tick when it is due. Nothing that was due may be left.
+// tick calls Tick when it is due and asserts that no due work is left.
 func (sim *simulation) tick() {
 	sim.now = max(sim.now, sim.ledger.Next())
 	sim.deliver(sim.ledger.Tick(sim.now))
 	if next := sim.ledger.Next(); next <= sim.now {
-		sim.t.Fatalf("the Tick at %v left what was due at %v", sim.now, next)
+		sim.t.Fatalf("the Tick at %v left work that was due at %v", sim.now, next)
 	}
 }
 
-// quiet lets time pass until nothing is due.
+// runUntilIdle advances time until nothing is due.
 func (sim *simulation) runUntilIdle() {
 	for sim.ledger.Next() < never {
 		sim.tick()
 	}
 }
 
-// arrivals brings a request now and plans the next, until done.
+// arrivals sends a request now and schedules the next one, until the given number
+// of events.
 func (sim *simulation) arrivals(team id.Team, every time.Duration, until int, shape func(*Want)) {
 	if sim.events >= until {
 		return
@@ -163,7 +165,7 @@
 	sim.after(seconds(every.Seconds()*sim.random.ExpFloat64()), func() { sim.arrivals(team, every, until, shape) })
 }
 
-// send sends a Want, at times twice, and at times withdraws it.
+// send sends a Want, sometimes twice, and sometimes withdraws it.
 func (sim *simulation) send(want Want) {
 	sim.calls[want.Request] = &call{want: want}
 	sim.asked[want.Team]++
@@ -176,7 +178,7 @@
 	}
 }
 
-// withdraw drops a request that hasn't begun.
+// withdraw withdraws a request that has not begun.
 func (sim *simulation) withdraw(r id.Request) {
 	c := sim.calls[r]
 	if c == nil || c.phase != 0 || c.dropped {
@@ -187,7 +189,7 @@
 	sim.deliver(sim.ledger.Withdraw(sim.now, r))
 }
 
-// deliver takes the ledger's actions to the daemons.
+// deliver delivers the ledger's actions to the daemons.
 func (sim *simulation) deliver(actions []Action) {
 	for _, a := range actions {
 		if a.Grant != nil {
@@ -202,7 +204,7 @@
 	}
 }
 
-// takeGrant begins the work, unless the message is lost.
+// takeGrant starts the request, unless the message is lost.
 func (sim *simulation) takeGrant(g *Grant) {
 	sim.granted++
 	c := sim.calls[g.Request]
@@ -233,7 +235,7 @@
 	sim.after(g.StartIn, func() { sim.advance(c, g, PhasePrefilling) })
 }
 
-// lose forgets a grant; half of the daemons ask again.
+// loseGrant discards a grant; half of the daemons send the Want again.
 func (sim *simulation) loseGrant(c *call, g *Grant) {
 	again := sim.random.IntN(2) == 0
 	sim.after(g.ExpiresIn+200*ms, func() {
@@ -249,8 +251,8 @@
 	})
 }
 
-// takeBinding checks that a binding is of the call's grant, and that its slot
-// is one that a grant could have named.
+// takeBinding checks that a Binding belongs to the call's grant, and that a grant
+// could have named its endpoint.
 func (sim *simulation) takeBinding(b *Binding) {
 	sim.bound++
 	c := sim.calls[b.Request]
@@ -272,24 +274,24 @@
 		return
 	}
 	if c.phase >= PhaseDecoding && c.progressLost {
-		return // too late: the daemon has ordered the decode where it was granted
+		return // too late: the daemon has started the decode on the granted endpoint
 	}
 	sim.checkMove(c, b)
 	c.grant.Decode = b.Decode
 	sim.checkSlots(b.Decode)
 }
 
-// checkMove checks a binding to another endpoint than the grant named.
+// checkMove checks a Binding to another endpoint than the granted one.
 func (sim *simulation) checkMove(c *call, b *Binding) {
 	if c.phase >= PhaseDecoding {
-		sim.t.Errorf("request %s is moved to %s while it decodes, and all was told", b.Request, b.Decode)
+		sim.t.Errorf("request %s is moved to %s while it decodes, although no Progress was lost", b.Request, b.Decode)
 	}
 	if slices.Contains(c.want.Avoid, b.Decode) {
 		sim.t.Errorf("request %s is moved to %s, which it avoids", b.Request, b.Decode)
 	}
 	e := sim.ledger.endpoints[b.Decode]
 	if e == nil || e.role() != live.RoleDecode || e.leaving() {
-		sim.t.Errorf("request %s is moved to %s, which takes no decodes", b.Request, b.Decode)
+		sim.t.Errorf("request %s is moved to %s, which accepts no decodes", b.Request, b.Decode)
 	}
 }
 
@@ -310,14 +312,14 @@
 	sim.end(r.Request)
 }
 
-// end forgets a call but for its having been there.
+// end deletes a call and records that it has ended.
 func (sim *simulation) end(r id.Request) {
 	delete(sim.calls, r)
 	sim.ended[r] = true
 }
 
-// checkSlots compares the live grants of an endpoint with its slots, by the
-// world's own record.
+// checkSlots checks from the simulation's own record that the live grants of an
+// endpoint do not exceed its slots.
 func (sim *simulation) checkSlots(name id.Endpoint) {
 	if sim.options.Reservation != Early || sim.faulty {
 		return
@@ -336,7 +338,7 @@
 	}
 }
 
-// advance takes a granted request to a phase and plans the next.
+// advance moves a granted request to a phase and schedules the next one.
 func (sim *simulation) advance(c *call, g *Grant, phase Phase) {
 	if c.dropped || c.grant != g {
 		return
@@ -366,10 +368,11 @@
 	}
 }
 
-// bindingPoll is how often a call looks whether it was bound.
+// bindingPoll is the interval at which a call checks whether it is bound.
 const bindingPoll = 5 * ms
 
-// awaitsBinding is true while a provisional grant has to wait, as a daemon does.
+// awaitsBinding is true while a provisional grant waits for its Binding, as a
+// daemon does.
 func (sim *simulation) awaitsBinding(c *call, g *Grant) bool {
 	if !g.Provisional || c.bound {
 		return false
@@ -380,7 +383,7 @@
 	return sim.now-c.waitsFrom < g.BindWithin
 }
 
-// report makes the Progress of a phase.
+// report returns the Progress of a phase.
 func (sim *simulation) report(c *call, g *Grant, phase Phase) Progress {
 	p := progressOf(g, phase)
 	p.PromptTokens = c.want.PromptTokens
@@ -393,7 +396,7 @@
 	return p
 }
 
-// phaseTime is how long a phase really takes.
+// phaseTime returns the actual duration of a phase.
 func (sim *simulation) phaseTime(c *call, phase Phase) time.Duration {
 	off := 1.0
 	if sim.faulty {
--- a/core/sched/snapshot.go
+++ b/core/sched/snapshot.go
@@ -10,19 +10,20 @@
 // Snapshot is the state of a pool for status pages.
 type Snapshot struct {
 	Pool id.Pool `json:"pool"`
-	// Queued requests wait for a grant; Running have one.
+	// Queued counts the requests without a grant, Running those with one.
 	Queued  int `json:"queued"`
 	Running int `json:"running"`
-	// Slots counts the slots of endpoints that may get work, Held those that
-	// the ledger knows in use, Foreign those in use by unknown work.
+	// Slots counts the slots of endpoints that may get work, Held those in use by
+	// the ledger's reservations, Foreign those in use by work that is not in the
+	// ledger.
 	Slots   int `json:"slots"`
 	Held    int `json:"held"`
 	Foreign int `json:"foreign"`
-	// Settling is true while a new owner relies on reports only.
+	// Settling is true during the settling period of a new owner.
 	Settling bool           `json:"settling"`
 	Teams    []TeamSnapshot `json:"teams"`
-	// Ejected endpoints are kept out by the health view, Leaving ones by any
-	// source that says so.
+	// Ejected lists the endpoints ejected by the health view, Leaving those that a
+	// label, a report or a refusal marks as leaving.
 	Ejected []id.Endpoint `json:"ejected,omitempty"`
 	Leaving []id.Endpoint `json:"leaving,omitempty"`
 }
@@ -34,12 +35,12 @@
 	Running int     `json:"running"`
 }
 
-// Snapshotter is a scheduler that shows its state.
+// Snapshotter is a scheduler that reports its state.
 type Snapshotter interface {
 	Snapshot() Snapshot
 }
 
-// Snapshot returns the ledger's state, lists in the order of names.
+// Snapshot returns the ledger's state; its lists are sorted by name.
 func (l *Ledger) Snapshot() Snapshot {
 	s := Snapshot{
 		Pool:     l.options.Pool,
@@ -64,7 +65,7 @@
 	return s
 }
 
-// addEndpoint counts one endpoint.
+// addEndpoint adds one endpoint to the snapshot.
 func (s *Snapshot) addEndpoint(e *endpoint, health HealthView) {
 	s.Held += len(e.held)
 	s.Foreign += e.foreign
--- a/core/sched/team.go
+++ b/core/sched/team.go
@@ -10,45 +10,46 @@
 // priorities is the number of priorities within a team.
 const priorities = 10
 
-// team is one team's part of the fair queue.
+// team is the state of one team in the fair queue.
 type team struct {
 	name        id.Team
 	labels      live.Labels
 	weight      float64
 	maxInFlight int
-	// known is false once the team is out of the configuration.
+	// known is false after the team is removed from the configuration.
 	known bool
 
 	levels  [priorities]level
 	queued  int
 	granted int
 	index   int
-	// position is the team's place in virtual time while it has requests
-	// waiting; finish is the virtual time up to which it has had its share.
+	// startTag is the team's start tag in virtual time while it has requests
+	// waiting; finishTag is its finish tag, the virtual time up to which its
+	// charges have used its share.
 	startTag float64
-	// heavy is set while the team holds clearly more for its weight than the
-	// teams at work do in the mean; see fairQueue.weigh.
+	// heavy is set while the team holds clearly more grants per weight than the
+	// mean of the active teams; see fairQueue.markHeavy.
 	heavy     bool
 	finishTag float64
 }
 
-// level holds the waiting requests of one priority, in the order of the last
-// moment at which each could be granted in time.
+// level holds the waiting requests of one priority, in the order of the latest
+// time at which each can be granted in time.
 type level struct {
 	list    []*waiting
 	gone    int
 	backlog cost
 }
 
-// holding is what the team has in use, in grants for each unit of weight.
+// holding returns the team's grants in use per unit of weight.
 func (t *team) holding() float64 { return float64(t.granted) / t.weight }
 
 // inFlight counts the team's requests in the pool.
 func (t *team) inFlight() int { return t.queued + t.granted }
 
-// add puts a request into its level: the one that must be granted first goes
-// first, so that a long prompt, which has little time to wait, does not wait
-// behind short ones that have more.
+// add inserts a request into its level by the latest time of its grant, so that a
+// long prompt, which has little time to wait, does not wait behind short prompts
+// that have more.
 func (t *team) add(w *waiting) {
 	l := &t.levels[w.level()]
 	at := len(l.list)
@@ -60,7 +61,7 @@
 	t.queued++
 }
 
-// drop marks a request as gone and clears what has gathered.
+// drop marks a request as gone and compacts its level.
 func (t *team) drop(w *waiting) {
 	l := &t.levels[w.level()]
 	w.gone = true
@@ -70,8 +71,8 @@
 	l.compact()
 }
 
-// compact takes gone requests off the front, and all of them once they are
-// more than half.
+// compact removes gone requests from the front, and all gone requests once they
+// are more than half of the list.
 func (l *level) compact() {
 	for len(l.list) > 0 && l.list[0].gone {
 		l.list[0] = nil
@@ -94,8 +95,8 @@
 	}
 }
 
-// nth returns the request that is n places behind the team's next one; nil if
-// there is none.
+// nth returns the request n places after the team's next one, or nil if there is
+// none.
 func (t *team) nth(n int) *waiting {
 	for p := priorities - 1; p >= 0; p-- {
 		for _, w := range t.levels[p].list {
@@ -111,7 +112,8 @@
 	return nil
 }
 
-// backlog is the cost of what goes before a new request of the priority.
+// backlog returns the cost of the requests that are served before a new request
+// of the given priority.
 func (t *team) backlog(priority int) cost {
 	var sum cost
 	for p := priority; p < priorities; p++ {
--- a/core/sched/too_large_test.go
+++ b/core/sched/too_large_test.go
@@ -16,6 +16,6 @@
 	want.PromptTokens = 100_000 // five seconds of prefill
 	refusal := onlyRefusal(t, l.Want(ms, want))
 	is.Equal(refusal.Code, verdict.CodeTooLarge)
-	is.Equal(int64(refusal.RetryAfter), int64(0)) // coming back does not help
+	is.Equal(int64(refusal.RetryAfter), int64(0)) // a retry does not help
 	is.True(strings.Contains(refusal.Reason, "patience_ms"))
 }
--- a/core/sched/want.go
+++ b/core/sched/want.go
@@ -15,7 +15,7 @@
 	return l.finish(l.enqueue(w))
 }
 
-// take queues a Want or answers it at once.
+// enqueue queues a Want or answers it at once.
 func (l *Ledger) enqueue(w Want) []Action {
 	if actions, repeated := l.answerRepeated(&w); repeated {
 		return actions
@@ -32,11 +32,12 @@
 	return nil
 }
 
-// repeated answers a Want that has come before.
+// answerRepeated answers a Want that was received before. It returns false if the
+// Want is new.
 func (l *Ledger) answerRepeated(w *Want) ([]Action, bool) {
 	if r := l.granted[w.Request]; r != nil {
 		if r.want.From != w.From {
-			return []Action{{To: w.From, Refusal: superseded(w, "the caller came back through another daemon")}}, true
+			return []Action{{To: w.From, Refusal: superseded(w, "the caller reconnected through another daemon")}}, true
 		}
 		grant := r.grant
 		return []Action{{To: w.From, Grant: &grant}}, true
@@ -59,12 +60,13 @@
 	return []Action{{To: w.From, Refusal: refusal}}, true
 }
 
-// superseded refuses a Want that came too late.
+// superseded returns the refusal of a Want for a request that has ended or is
+// served through another daemon.
 func superseded(w *Want, why string) *Refusal {
 	return &Refusal{Request: w.Request, Code: verdict.CodeSuperseded, Reason: why}
 }
 
-// refuse remembers and sends a refusal.
+// refuse records a refusal and returns the action that sends it.
 func (l *Ledger) refuse(to id.Process, refusal *Refusal) []Action {
 	if l.granted[refusal.Request] != nil {
 		l.violate("refusal_after_grant", string(refusal.Request))
@@ -74,7 +76,8 @@
 	return []Action{{To: to, Refusal: refusal}}
 }
 
-// permitted says whether the team may use the service; a refusal tells why not.
+// authorize returns the service and the team of a Want, or a refusal if the team
+// may not use the service.
 func (l *Ledger) authorize(w *Want) (*service, *team, *Refusal) {
 	s := l.services[w.Service]
 	if s == nil {
