--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -29,14 +29,14 @@
 		return nil, refusal
 	}
 	cached := l.bestCached(&w)
-	least := l.pool.minFirstToken(s, &w, cached)
-	if least > s.patience {
-		return nil, promptTooLarge(&w, s, least)
+	minFirstToken := l.pool.minFirstToken(s, &w, cached)
+	if minFirstToken > s.patience {
+		return nil, promptTooLarge(&w, s, minFirstToken)
 	}
 	estimate := l.pool.cost(s, &w, cached)
 	first := l.pool.firstToken(s, estimate)
-	if l.queue.queued == 0 && l.mayProbe(s, w.Age+least) {
-		first = min(first, least)
+	if l.queue.queued == 0 && l.mayProbe(s, w.Age+minFirstToken) {
+		first = min(first, minFirstToken)
 	}
 	wait := l.predictWait(s, t, clampPriority(w.Priority), first)
 	if refusal := l.checkPatience(&w, s, wait, first); refusal != nil {
@@ -50,7 +50,7 @@
 		arrived:       arrived,
 		latest:        arrived + s.patience - first,
 		cost:          estimate,
-		minFirstToken: least,
+		minFirstToken: minFirstToken,
 	}, nil
 }
 
@@ -78,12 +78,12 @@
 // promptTooLarge refuses a prompt that even an idle pool at its best rates
 // can't prefill within the service's patience. A retry does not help, so
 // RetryAfter is not set.
-func promptTooLarge(w *Want, s *service, least time.Duration) *Refusal {
+func promptTooLarge(w *Want, s *service, minFirstToken time.Duration) *Refusal {
 	return &Refusal{
 		Request: w.Request,
 		Code:    verdict.CodeTooLarge,
 		Reason: fmt.Sprintf("the prompt of about %d tokens needs %v to its first token, the service's patience_ms is %d",
-			w.PromptTokens, least.Round(time.Millisecond), s.patience.Milliseconds()),
+			w.PromptTokens, minFirstToken.Round(time.Millisecond), s.patience.Milliseconds()),
 	}
 }
 
--- a/core/sched/cacheview.go
+++ b/core/sched/cacheview.go
@@ -15,10 +15,10 @@
 }
 
 // newCacheView returns an empty view of at most size blocks, each valid for
-// life; forgot is called for each block that is removed from the view.
-func newCacheView(size int, life time.Duration, forgot func(block uint64)) *cacheView {
-	evicted := func(block uint64, _ time.Duration) { forgot(block) }
-	blocks, err := simplelru.NewLRU(max(1, size), evicted)
+// life; onRemove is called for each block that is removed from the view.
+func newCacheView(size int, life time.Duration, onRemove func(block uint64)) *cacheView {
+	onEvict := func(block uint64, _ time.Duration) { onRemove(block) }
+	blocks, err := simplelru.NewLRU(max(1, size), onEvict)
 	if err != nil {
 		panic("sched: cache view: " + err.Error())
 	}
--- a/core/sched/check.go
+++ b/core/sched/check.go
@@ -18,10 +18,10 @@
 
 // check checks the inexpensive invariants after each event.
 func (l *Ledger) check() {
-	if l.queue.virtualTime < l.virtual {
-		l.violate("virtual_time", fmt.Sprintf("went back from %g to %g", l.virtual, l.queue.virtualTime))
+	if l.queue.virtualTime < l.virtualTime {
+		l.violate("virtual_time", fmt.Sprintf("went back from %g to %g", l.virtualTime, l.queue.virtualTime))
 	}
-	l.virtual = l.queue.virtualTime
+	l.virtualTime = l.queue.virtualTime
 	if l.queue.queued > l.options.MaxQueue {
 		l.violate("queue_bound", fmt.Sprintf("%d requests waiting", l.queue.queued))
 	}
@@ -77,7 +77,7 @@
 	teams := map[*team]int{}
 	slots := map[*endpoint]int{}
 	prefills := map[*endpoint]int{}
-	awaited := 0
+	awaitingFirstToken := 0
 	for _, r := range l.granted {
 		teams[r.team]++
 		slots[r.decode]++
@@ -85,11 +85,11 @@
 			prefills[r.prefill]++
 		}
 		if r.awaitsFirstToken() {
-			awaited++
+			awaitingFirstToken++
 		}
 		l.require(r.expires > l.now, "expiry", "%v is still granted %v after its expiry", r, l.now-r.expires)
 	}
-	l.require(awaited == l.awaitingFirstToken, "awaited", "%d counted, %d granted await a first token", l.awaitingFirstToken, awaited)
+	l.require(awaitingFirstToken == l.awaitingFirstToken, "awaited", "%d counted, %d granted await a first token", l.awaitingFirstToken, awaitingFirstToken)
 	for _, t := range l.teams {
 		l.require(teams[t] == t.granted, "team_count", "team %s: %d counted, %d granted", t.name, t.granted, teams[t])
 		l.require(t.queued >= 0, "team_count", "team %s: %d queued", t.name, t.queued)
--- a/core/sched/estimate.go
+++ b/core/sched/estimate.go
@@ -21,8 +21,8 @@
 }
 
 // newAverage starts from an initial estimate with a deviation of a fifth of it.
-func newAverage(first float64) average {
-	return average{initial: first, mean: first, deviation: first * smoothing}
+func newAverage(initial float64) average {
+	return average{initial: initial, mean: initial, deviation: initial * smoothing}
 }
 
 // add adds a sample. Values that are not positive and finite are ignored.
@@ -37,9 +37,9 @@
 }
 
 // addInitial adds a further initial estimate to the mean of n initial estimates.
-func (a *average) addInitial(first float64, n int) {
-	a.initial += (first - a.initial) / float64(n)
-	a.mean += (first - a.mean) / float64(n)
+func (a *average) addInitial(initial float64, n int) {
+	a.initial += (initial - a.initial) / float64(n)
+	a.mean += (initial - a.mean) / float64(n)
 }
 
 const (
@@ -96,15 +96,15 @@
 	risk        risk
 }
 
-// firstCallSeconds is the initial estimate of a plain call's time, in seconds.
-const firstCallSeconds = 0.05
+// initialCallSeconds is the initial estimate of a plain call's time, in seconds.
+const initialCallSeconds = 0.05
 
 // newServiceEstimate returns the initial estimates.
 func newServiceEstimate(o *Options) *serviceEstimate {
 	return &serviceEstimate{
 		outputRatio: newAverage(1),
 		kvPerToken:  newAverage(o.KVBytesPerToken),
-		callSeconds: newAverage(firstCallSeconds),
+		callSeconds: newAverage(initialCallSeconds),
 	}
 }
 
--- a/core/sched/fairness_test.go
+++ b/core/sched/fairness_test.go
@@ -39,12 +39,12 @@
 		sim.run()
 		for i := 1; i < 4; i++ {
 			team := teamName(i)
-			part := float64(sim.served[team]) / float64(sim.asked[team])
-			t.Logf("seed %d, %s: %d of %d served", seed, team, sim.served[team], sim.asked[team])
-			is.True(part > 0.97) // teams within their share are served
+			share := float64(sim.served[team]) / float64(sim.requested[team])
+			t.Logf("seed %d, %s: %d of %d served", seed, team, sim.served[team], sim.requested[team])
+			is.True(share > 0.97) // teams within their share are served
 		}
 		flood := teamName(0)
-		t.Logf("seed %d, flood: %d of %d served", seed, sim.served[flood], sim.asked[flood])
+		t.Logf("seed %d, flood: %d of %d served", seed, sim.served[flood], sim.requested[flood])
 		is.True(sim.served[flood] > sim.served[teamName(1)]) // the flooding team gets the unused capacity
 		sim.assertEnd()
 	}
@@ -63,11 +63,11 @@
 		total += sim.served[teamName(i)]
 	}
 	for i := range 3 {
-		part := float64(sim.served[teamName(i)]) / float64(total)
-		due := float64(i+1) / 6
-		t.Logf("%s: share %.3f, expected %.3f", teamName(i), part, due)
-		is.True(part > due-0.02)
-		is.True(part < due+0.02)
+		share := float64(sim.served[teamName(i)]) / float64(total)
+		expected := float64(i+1) / 6
+		t.Logf("%s: share %.3f, expected %.3f", teamName(i), share, expected)
+		is.True(share > expected-0.02)
+		is.True(share < expected+0.02)
 	}
 }
 
--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -62,9 +62,9 @@
 	// promoted lists the reservations that have received a slot and whose Binding
 	// is not sent yet.
 	promoted []*reservation
-	// virtual is the virtual time at the last check, for the invariant that it
+	// virtualTime is the virtual time at the last check, for the invariant that it
 	// never decreases.
-	virtual float64
+	virtualTime float64
 }
 
 // outcome is the record of a request that has ended.
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -69,9 +69,9 @@
 	aside := l.scratch.aside[:0]
 	for len(l.queue.teams) > 0 && len(aside) < bypassTeams {
 		t := l.queue.teams[0]
-		action, passable := l.grantFrom(t)
+		action, mayBypass := l.grantFrom(t)
 		granted = action
-		if granted != nil || !passable {
+		if granted != nil || !mayBypass {
 			break
 		}
 		l.queue.setAside(t)
@@ -84,9 +84,9 @@
 	return granted
 }
 
-// grantFrom tries to grant one of a team's next requests. passable is true if the
-// team may be bypassed.
-func (l *Ledger) grantFrom(t *team) (granted *Action, passable bool) {
+// grantFrom tries to grant one of a team's next requests. mayBypass is true if
+// the team may be bypassed.
+func (l *Ledger) grantFrom(t *team) (granted *Action, mayBypass bool) {
 	for n := range bypassDepth {
 		w := t.nth(n)
 		if w == nil {
--- a/core/sched/risk_test.go
+++ b/core/sched/risk_test.go
@@ -23,10 +23,10 @@
 				wasted++
 			}
 		}
-		part := float64(wasted) / float64(n)
-		t.Logf("weight %.1f: wasted %.4f, tolerated %.4f", weight, part, k.tolerated)
-		is.True(part < 1.1*k.tolerated)
-		is.True(part > 0.9*k.tolerated)
+		fraction := float64(wasted) / float64(n)
+		t.Logf("weight %.1f: wasted %.4f, tolerated %.4f", weight, fraction, k.tolerated)
+		is.True(fraction < 1.1*k.tolerated)
+		is.True(fraction > 0.9*k.tolerated)
 	}
 }
 
--- a/core/sched/service.go
+++ b/core/sched/service.go
@@ -61,9 +61,9 @@
 
 // millisecondsOr converts milliseconds to a duration; a default replaces values
 // that are not positive.
-func millisecondsOr(ms, otherwise int) time.Duration {
+func millisecondsOr(ms, fallback int) time.Duration {
 	if ms <= 0 {
-		ms = otherwise
+		ms = fallback
 	}
 	return time.Duration(ms) * time.Millisecond
 }
--- a/core/sched/simulation_test.go
+++ b/core/sched/simulation_test.go
@@ -31,9 +31,9 @@
 	granted int
 	refused int
 	bound   int
-	// asked and served count the requests and the grants by team.
-	asked  map[id.Team]int
-	served map[id.Team]int
+	// requested and served count the requests and the grants by team.
+	requested map[id.Team]int
+	served    map[id.Team]int
 }
 
 // call is a daemon's state of one request.
@@ -79,16 +79,16 @@
 // newSimulation returns a simulation with 9 daemons.
 func newSimulation(t *testing.T, seed uint64, o Options, doc *live.Document, faulty bool) *simulation {
 	sim := &simulation{
-		t:       t,
-		random:  rand.New(rand.NewPCG(seed, 7)),
-		options: o,
-		doc:     doc,
-		calls:   map[id.Request]*call{},
-		ended:   map[id.Request]bool{},
-		asked:   map[id.Team]int{},
-		served:  map[id.Team]int{},
-		now:     2,
-		faulty:  faulty,
+		t:         t,
+		random:    rand.New(rand.NewPCG(seed, 7)),
+		options:   o,
+		doc:       doc,
+		calls:     map[id.Request]*call{},
+		ended:     map[id.Request]bool{},
+		requested: map[id.Team]int{},
+		served:    map[id.Team]int{},
+		now:       2,
+		faulty:    faulty,
 	}
 	for i := range 9 {
 		sim.daemons = append(sim.daemons, id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1})
@@ -168,7 +168,7 @@
 // send sends a Want, sometimes twice, and sometimes withdraws it.
 func (sim *simulation) send(want Want) {
 	sim.calls[want.Request] = &call{want: want}
-	sim.asked[want.Team]++
+	sim.requested[want.Team]++
 	sim.deliver(sim.ledger.Want(sim.now, want))
 	if sim.chance(0.02) {
 		sim.deliver(sim.ledger.Want(sim.now, want))
