--- a/core/sched/endpoint.go
+++ b/core/sched/endpoint.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// endpoint is the ledger's view of one endpoint.
+// endpoint is the ledger's state of one endpoint.
 type endpoint struct {
 	name   id.Endpoint
 	domain id.Domain
--- a/core/sched/fixture_test.go
+++ b/core/sched/fixture_test.go
@@ -94,23 +94,23 @@
 	}
 }
 
-// onlyGrant returns the grant of a single action.
+// onlyGrant asserts that there is one action, a Grant, and returns it.
 func onlyGrant(t testing.TB, actions []Action) *Grant {
 	t.Helper()
 	is := is.New(t)
 	is.Helper()
 	is.Equal(len(actions), 1)
-	is.True(actions[0].Grant != nil) // a grant
+	is.True(actions[0].Grant != nil) // the action is a grant
 	return actions[0].Grant
 }
 
-// onlyRefusal returns the refusal of a single action.
+// onlyRefusal asserts that there is one action, a Refusal, and returns it.
 func onlyRefusal(t testing.TB, actions []Action) *Refusal {
 	t.Helper()
 	is := is.New(t)
 	is.Helper()
 	is.Equal(len(actions), 1)
-	is.True(actions[0].Refusal != nil) // a refusal
+	is.True(actions[0].Refusal != nil) // the action is a refusal
 	return actions[0].Refusal
 }
 
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -32,11 +32,11 @@
 	// Prefix holds the chained hashes of the prompt's leading blocks, salted
 	// by team, so that teams never share a cache entry.
 	Prefix []uint64 `cbor:"9,keyasint"`
-	// Priority, 0 (lowest) to 9.
+	// Priority is from 0 (lowest) to 9.
 	Priority int `cbor:"10,keyasint"`
 	// Avoid lists endpoints on which earlier attempts failed.
 	Avoid []id.Endpoint `cbor:"11,keyasint"`
-	// Domain of the daemon that serves the caller.
+	// Domain is the failure domain of the daemon that serves the caller.
 	Domain id.Domain `cbor:"12,keyasint"`
 	// Attempt counts from 1.
 	Attempt int `cbor:"13,keyasint"`
--- a/core/sched/poolestimate.go
+++ b/core/sched/poolestimate.go
@@ -98,7 +98,7 @@
 	return seconds(float64(max(1, w.PromptTokens-cachedTokens))/p.bestRate + p.bestToken)
 }
 
-// firstToken predicts the time from a start to the first output.
+// firstToken predicts the time from the start of a request to its first output.
 func (p *poolEstimate) firstToken(s *service, c cost) time.Duration {
 	if s.plain {
 		return 0
