--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -33,8 +33,8 @@
 func clampPriority(p int) int { return min(max(p, 0), priorities-1) }
 
 // fairQueue is a start-time fair queue over teams: the team with the smallest
-// start tag is served first. Within a team, requests are ordered by priority and
-// then by the latest time of a grant.
+// start tag is served first, and heavy teams last. Within a team, requests are
+// ordered by priority and then by the latest time of a grant.
 type fairQueue struct {
 	teams  indexedHeap[*team]
 	latest indexedHeap[*waiting]
