--- a/core/sched/filter_slot.go
+++ b/core/sched/filter_slot.go
@@ -36,7 +36,7 @@
 	if p.prefill.endpoint == nil || c.settling {
 		return true
 	}
-	return c.options.Reservation == Early || c.service.wasteWeight >= c.options.CertainWaste
+	return c.options.Reservation == Early || c.service.wasteWeight >= c.options.FreeSlotWaste
 }
 
 // queueAhead returns the time that the prefill waits for earlier prefills.
--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -92,7 +92,7 @@
 	WasteTolerance float64
 	// CertainWaste is the WasteWeight from which a service uses only slots that
 	// are free now. Default 0.95.
-	CertainWaste float64
+	FreeSlotWaste float64
 	// Remembered bounds the records of ended requests, which keep a late
 	// duplicate of a Want from running again. Default 16384.
 	Remembered int
@@ -150,7 +150,7 @@
 	defaults.Set(&o.DomainBonus, DefaultDomainBonus)
 	defaults.Set(&o.RiskDeviations, DefaultRiskDeviations)
 	defaults.Set(&o.WasteTolerance, DefaultWasteTolerance)
-	defaults.Set(&o.CertainWaste, DefaultCertainWaste)
+	defaults.Set(&o.FreeSlotWaste, DefaultCertainWaste)
 	defaults.Set(&o.Remembered, DefaultRemembered)
 	return o
 }
