--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -124,7 +124,7 @@
 	DefaultDomainBonus     = 5 * time.Millisecond
 	DefaultRiskDeviations  = 2.0
 	DefaultWasteTolerance  = 0.1
-	DefaultCertainWaste    = 0.95
+	DefaultFreeSlotWaste   = 0.95
 	DefaultRemembered      = 16384
 )
 
@@ -150,7 +150,7 @@
 	defaults.Set(&o.DomainBonus, DefaultDomainBonus)
 	defaults.Set(&o.RiskDeviations, DefaultRiskDeviations)
 	defaults.Set(&o.WasteTolerance, DefaultWasteTolerance)
-	defaults.Set(&o.FreeSlotWaste, DefaultCertainWaste)
+	defaults.Set(&o.FreeSlotWaste, DefaultFreeSlotWaste)
 	defaults.Set(&o.Remembered, DefaultRemembered)
 	return o
 }
