--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -90,7 +90,7 @@
 	// WasteTolerance is the fraction of the prefills begun on a predicted slot
 	// that a service with WasteWeight 0 accepts as wasted. Default 0.1.
 	WasteTolerance float64
-	// CertainWaste is the WasteWeight from which a service uses only slots that
+	// FreeSlotWaste is the WasteWeight from which a service uses only slots that
 	// are free now. Default 0.95.
 	FreeSlotWaste float64
 	// Remembered bounds the records of ended requests, which keep a late
