--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -115,8 +115,9 @@
 	PhaseDone
 	// PhaseFailed: the attempt failed; the reservation is released.
 	PhaseFailed
-	// PhaseCancelled: the caller is gone and the endpoint has confirmed the
-	// cancellation; the reservation is released.
+	// PhaseCancelled: the caller is gone and the attempt was cancelled; a decode is
+	// reported as cancelled only after its endpoint has confirmed. The reservation
+	// is released.
 	PhaseCancelled
 )
 
