--- a/core/sched/heaps.go
+++ b/core/sched/heaps.go
@@ -1,16 +1,17 @@
 package sched
 
-// heapItem is what an indexedHeap orders.
+// heapItem is an item of an indexedHeap.
 type heapItem[T any] interface {
 	comparable
-	// before says whether the item comes before another.
+	// before reports whether the item sorts before another.
 	before(other T) bool
-	// place is where the item keeps its position; -1 when it is in no heap.
-	place() *int
+	// heapIndex returns the address of the item's index in the heap. The index is
+	// -1 after the item is removed.
+	heapIndex() *int
 }
 
-// indexedHeap is a heap whose items know their positions, so that one can be
-// moved or removed in the middle. It implements heap.Interface.
+// indexedHeap is a heap whose items store their indexes, so that any item can be
+// moved or removed. It implements heap.Interface.
 type indexedHeap[T heapItem[T]] []T
 
 func (h indexedHeap[T]) Len() int { return len(h) }
@@ -19,14 +20,14 @@
 
 func (h indexedHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	*h[i].place() = i
-	*h[j].place() = j
+	*h[i].heapIndex() = i
+	*h[j].heapIndex() = j
 }
 
 // Push implements heap.Interface.
 func (h *indexedHeap[T]) Push(x any) {
 	item := x.(T)
-	*item.place() = len(*h)
+	*item.heapIndex() = len(*h)
 	*h = append(*h, item)
 }
 
@@ -38,26 +39,26 @@
 	var none T
 	old[last] = none
 	*h = old[:last]
-	*item.place() = -1
+	*item.heapIndex() = -1
 	return item
 }
 
-// before orders the teams that have requests waiting by their place in virtual
-// time, heavy ones behind all others: virtual time alone forgets what a team
-// took while nobody else asked.
+// before orders the teams that have requests waiting by start tag, with heavy
+// teams after all others: virtual time alone does not account for the capacity
+// that a team took while no other team had requests.
 func (t *team) before(o *team) bool {
 	if t.heavy != o.heavy {
 		return o.heavy
 	}
-	if t.position != o.position {
-		return t.position < o.position
+	if t.startTag != o.startTag {
+		return t.startTag < o.startTag
 	}
 	return t.name < o.name
 }
 
-func (t *team) place() *int { return &t.index }
+func (t *team) heapIndex() *int { return &t.index }
 
-// before orders waiting requests by the last moment of a useful grant.
+// before orders waiting requests by the latest time of a useful grant.
 func (w *waiting) before(o *waiting) bool {
 	if w.latest != o.latest {
 		return w.latest < o.latest
@@ -65,7 +66,7 @@
 	return w.seq < o.seq
 }
 
-func (w *waiting) place() *int { return &w.index }
+func (w *waiting) heapIndex() *int { return &w.index }
 
 // before orders reservations by their expiry.
 func (r *reservation) before(o *reservation) bool {
@@ -75,4 +76,4 @@
 	return r.number < o.number
 }
 
-func (r *reservation) place() *int { return &r.expiryIndex }
+func (r *reservation) heapIndex() *int { return &r.expiryIndex }
--- a/core/sched/ledger_test.go
+++ b/core/sched/ledger_test.go
@@ -11,14 +11,15 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// smallLedger is one prefill and one decode engine of one slot.
+// smallLedger returns a ledger with one prefill engine and one decode engine with
+// one slot.
 func smallLedger(t *testing.T) *Ledger {
 	doc := testDocument(2, 2)
 	doc.Endpoints[1].Slots = 1
 	return testLedger(t, testOptions(t), doc)
 }
 
-func TestARepeatedWantIsAnsweredAgainAndRunOnce(t *testing.T) {
+func TestRepeatedWantIsAnsweredAgainAndRunOnce(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	w := testWant(1, teamName(0))
@@ -35,7 +36,7 @@
 	is.Equal(l.Snapshot().Running, 0)
 }
 
-func TestAWithdrawalMayOvertakeItsWant(t *testing.T) {
+func TestWithdrawMayOvertakeItsWant(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	w := testWant(1, teamName(0))
@@ -43,7 +44,7 @@
 	is.Equal(onlyRefusal(t, l.Want(2*ms, w)).Code, verdict.CodeSuperseded)
 }
 
-func TestAReservationWithoutProgressExpires(t *testing.T) {
+func TestReservationWithoutProgressExpires(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	first := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -54,7 +55,7 @@
 	is.Equal(l.Snapshot().Running, 1)
 }
 
-func TestWorkThatGoesOnAfterItsExpiryIsTakenBack(t *testing.T) {
+func TestProgressAfterExpiryRevivesReservation(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	g := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -78,7 +79,7 @@
 	is.Equal(l.Snapshot().Running, 1)
 }
 
-func TestEveryEndReleasesAll(t *testing.T) {
+func TestEveryOutcomeReleasesReservation(t *testing.T) {
 	ends := map[string]func(l *Ledger, g *Grant){
 		"done":      func(l *Ledger, g *Grant) { l.Progress(5*ms, progressOf(g, PhaseDone)) },
 		"failed":    func(l *Ledger, g *Grant) { l.Progress(5*ms, progressOf(g, PhaseFailed)) },
@@ -103,7 +104,7 @@
 	}
 }
 
-func TestAFullEndpointIsBelieved(t *testing.T) {
+func TestFullEndpointGetsNoWorkDuringHold(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	g := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -116,7 +117,7 @@
 	onlyGrant(t, l.Tick(110*ms))
 }
 
-func TestAnEnginesOwnCountBoundsItsSlots(t *testing.T) {
+func TestReportedSlotsBoundConfiguredSlots(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(2, 1)
 	l := testLedger(t, testOptions(t), doc)
@@ -128,7 +129,7 @@
 	is.Equal(l.Snapshot().Slots, doc.Endpoints[1].Slots)
 }
 
-func TestAdmissionRefusesWhatCantBeInTime(t *testing.T) {
+func TestAdmissionRefusesLateRequests(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	old := testWant(1, teamName(0))
@@ -136,16 +137,16 @@
 	refusal := onlyRefusal(t, l.Want(ms, old))
 	is.Equal(refusal.Code, verdict.CodeOverloaded)
 	is.True(refusal.RetryAfter > 0)
-	is.Equal(onlyRefusal(t, l.Want(2*ms, old)), refusal) // told again
+	is.Equal(onlyRefusal(t, l.Want(2*ms, old)), refusal) // the refusal is repeated
 	for n := 2; n < 40; n++ {
 		l.Want(3*ms, testWant(n, teamName(0)))
 	}
 	s := l.Snapshot()
 	is.True(s.Queued > 0)
-	is.True(s.Queued < 10) // a slot of half a second, a patience of one
+	is.True(s.Queued < 10) // a request holds its slot for half a second; the patience is one second
 }
 
-func TestAQueuedRequestIsRefusedOnceItIsHopeless(t *testing.T) {
+func TestQueuedRequestIsRefusedOnceLate(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	g := onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -158,7 +159,7 @@
 	is.Equal(l.Snapshot().Queued, 0)
 }
 
-func TestRefusalsNameTheirCause(t *testing.T) {
+func TestRefusalCodes(t *testing.T) {
 	cases := []struct {
 		code   verdict.Code
 		change func(doc *live.Document, w *Want)
@@ -199,11 +200,11 @@
 		}
 	}
 	is.Equal(l.Snapshot().Queued, 5)
-	is.Equal(codes[verdict.CodeTeamLimit], 6)  // of the first team: 1 granted, 3 waiting
-	is.Equal(codes[verdict.CodeOverloaded], 8) // of the second: 2 waiting
+	is.Equal(codes[verdict.CodeTeamLimit], 6)  // first team: 1 granted, 3 waiting
+	is.Equal(codes[verdict.CodeOverloaded], 8) // second team: 2 waiting
 }
 
-func TestAConfigurationTakesQueuedRequestsBack(t *testing.T) {
+func TestConfigurationRefusesQueuedRequests(t *testing.T) {
 	is := is.New(t)
 	l := smallLedger(t)
 	onlyGrant(t, l.Want(ms, testWant(1, teamName(0))))
@@ -211,10 +212,10 @@
 	doc := testDocument(2, 2)
 	doc.Services[0].TeamSelector = "paid=yes"
 	is.Equal(onlyRefusal(t, l.Configure(3*ms, doc)).Code, verdict.CodeForbidden)
-	is.Equal(l.Snapshot().Running, 1) // what runs goes on
+	is.Equal(l.Snapshot().Running, 1) // running requests continue
 }
 
-func TestAWrongSelectorKeepsTheFormerState(t *testing.T) {
+func TestInvalidSelectorKeepsFormerState(t *testing.T) {
 	is := is.New(t)
 	var violations []string
 	o := testOptions(t)
--- a/core/sched/optimistic_test.go
+++ b/core/sched/optimistic_test.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-func TestOptimisticTakesTheLessLoaded(t *testing.T) {
+func TestOptimisticPrefersLessLoaded(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(4, 1)
 	o := NewOptimistic(testOptions(t)).(*Optimistic)
@@ -21,13 +21,13 @@
 			counts++
 		}
 	}
-	is.True(counts > 20) // but for the draws of the busy one twice
+	is.True(counts > 20) // except where both draws return the busy one
 	is.Equal(o.inFlight[idle], counts)
 	o.Tick(o.Next())
 	is.Equal(o.inFlight[idle], 0) // grants without progress expire
 }
 
-func TestOptimisticHeedsLeavingEndpoints(t *testing.T) {
+func TestOptimisticAvoidsLeavingEndpoints(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument(2, 1)
 	o := NewOptimistic(testOptions(t))
--- a/core/sched/place.go
+++ b/core/sched/place.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// perDomain is how many endpoints of a role and domain a decision weighs.
+	// perDomain bounds the endpoints of each role and failure domain that a
+	// decision considers.
 	perDomain = 3
-	// bypassTeams bounds the teams looked at past a blocked one, bypassDepth
-	// the requests of one team.
+	// bypassTeams bounds the blocked teams that a decision bypasses, bypassDepth
+	// the requests that it tries of one team.
 	bypassTeams = 8
 	bypassDepth = 4
 )
 
-// candidates is the scratch space of decisions.
+// candidates holds buffers that decisions reuse.
 type candidates struct {
 	prefills []prefillChoice
 	decodes  []*endpoint
@@ -26,11 +27,12 @@
 	memo     []linkMemo
 }
 
-// pump grants what can be granted, in the order of the fair queue.
-func (l *Ledger) pump(actions []Action) []Action {
+// dispatch grants queued requests in the order of the fair queue until none can
+// be granted.
+func (l *Ledger) dispatch(actions []Action) []Action {
 	l.blocked = false
 	for l.queue.queued > 0 {
-		l.queue.weigh(len(l.granted), l.activeWeights())
+		l.queue.markHeavy(len(l.granted), l.activeWeights())
 		granted := l.grantNext()
 		if granted == nil {
 			l.blocked = true
@@ -41,35 +43,35 @@
 	return actions
 }
 
-// weighEvery is how often the weights of the teams at work are summed up.
-const weighEvery = 5 * time.Millisecond
+// activeWeightsInterval is how long a sum of the active teams' weights is reused.
+const activeWeightsInterval = 5 * time.Millisecond
 
-// activeWeights is the sum of the weights of the teams that have requests in
-// the pool, as of a moment ago.
+// activeWeights returns the sum of the weights of the teams that have requests in
+// the pool. The sum may be out of date by activeWeightsInterval.
 func (l *Ledger) activeWeights() float64 {
-	if l.now-l.weighed.at < weighEvery && l.weighed.sum > 0 {
-		return l.weighed.sum
+	if l.now-l.activeSum.at < activeWeightsInterval && l.activeSum.sum > 0 {
+		return l.activeSum.sum
 	}
-	l.weighed = weighed{at: l.now}
+	l.activeSum = timedSum{at: l.now}
 	for _, t := range l.teams {
 		if t.inFlight() > 0 {
-			l.weighed.sum += t.weight
+			l.activeSum.sum += t.weight
 		}
 	}
-	return l.weighed.sum
+	return l.activeSum.sum
 }
 
-// grantNext grants the next request that can be. Only a request that is held
-// up by something of its own is passed by: were it passed by for lack of a
-// slot, requests that take more risk would starve it.
+// grantNext grants the first request in order that can be granted. It bypasses
+// only requests that are blocked for a cause of their own: if requests that lack
+// a slot were bypassed, requests that accept more risk would starve them.
 func (l *Ledger) grantNext() *Action {
 	var granted *Action
 	aside := l.scratch.aside[:0]
 	for len(l.queue.teams) > 0 && len(aside) < bypassTeams {
 		t := l.queue.teams[0]
-		action, passable := l.grantFrom(t)
+		action, mayBypass := l.grantFrom(t)
 		granted = action
-		if granted != nil || !passable {
+		if granted != nil || !mayBypass {
 			break
 		}
 		l.queue.setAside(t)
@@ -82,8 +84,9 @@
 	return granted
 }
 
-// grantFrom tries a team's next requests.
-func (l *Ledger) grantFrom(t *team) (granted *Action, passable bool) {
+// grantFrom tries to grant one of a team's next requests. mayBypass is true if
+// the team may be bypassed.
+func (l *Ledger) grantFrom(t *team) (granted *Action, mayBypass bool) {
 	for n := range bypassDepth {
 		w := t.nth(n)
 		if w == nil {
@@ -94,20 +97,20 @@
 		if chosen != nil {
 			return l.grant(w, chosen, cause), false
 		}
-		if !ownCause(w, cause) {
+		if !isRequestSpecific(w, cause) {
 			return nil, false
 		}
 	}
 	return nil, true
 }
 
-// ownCause is true for a request that is held up by something of its own.
-func ownCause(w *waiting, cause string) bool {
+// isRequestSpecific is true if a request is blocked for a cause of its own.
+func isRequestSpecific(w *waiting, cause string) bool {
 	return w.want.Suspect || len(w.want.Avoid) > 0 || cause == deadlineFilter{}.name()
 }
 
-// choose runs the row of plugins for a request. The text is the reason of a
-// choice, or the name of the filter that left out the last candidate.
+// choose runs the pipeline for a request. The string is the reason for the
+// choice, or the name of the filter that rejected the last candidate.
 func (l *Ledger) choose(w *waiting) (*pair, string) {
 	c := l.newCycle(w)
 	l.findDecodes(c, w)
@@ -120,7 +123,7 @@
 	}
 	l.findPairs(c)
 	l.scratch.memo = c.memo[:0]
-	best := l.row.picker.pick(c, l.scratch.pairs)
+	best := l.pipeline.picker.pick(c, l.scratch.pairs)
 	if best < 0 {
 		return nil, c.blocked
 	}
@@ -130,7 +133,7 @@
 	return chosen, reason
 }
 
-// newCycle begins a decision.
+// newCycle returns the state of a new decision.
 func (l *Ledger) newCycle(w *waiting) *cycle {
 	l.cycle = cycle{
 		now:       l.now,
@@ -142,23 +145,23 @@
 		waited:    l.now - w.arrived,
 		meanQueue: l.fleet.meanQueue(),
 		kvBytes:   w.service.estimate.kvBytes(&w.want),
-		untaught:  l.tries(w.service, l.now-w.arrived+w.least),
+		probe:     l.mayProbe(w.service, l.now-w.arrived+w.minFirstToken),
 		memo:      l.scratch.memo[:0],
 		blocked:   "none",
 	}
 	return &l.cycle
 }
 
-// findDecodes collects, domain by domain, the endpoints with the most room or
-// the earliest predicted release.
+// findDecodes collects from each failure domain the endpoints with the most free
+// slots or the earliest predicted release.
 func (l *Ledger) findDecodes(c *cycle, w *waiting) {
 	found := l.scratch.decodes[:0]
 	l.fleet.roles[w.service.role()].nearest(perDomain, func(e *endpoint) (bool, bool) {
-		if e.key.class == noRoom {
+		if e.key.class == noCapacity {
 			c.blocked = slotFilter{}.name()
 			return false, false
 		}
-		if !keepAll(l.row.perRequest, c, e) {
+		if !keepAll(l.pipeline.perRequest, c, e) {
 			return false, true
 		}
 		found = append(found, e)
@@ -167,8 +170,8 @@
 	l.scratch.decodes = found
 }
 
-// findPrefills collects the engines that are idle soon, and those that have
-// the prompt's prefix if waiting for them is worth it.
+// findPrefills collects the engines that are idle within the horizon, and those
+// that have the prompt's prefix cached if this justifies the wait for them.
 func (l *Ledger) findPrefills(c *cycle, w *waiting) {
 	found := l.scratch.prefills[:0]
 	if w.service.plain {
@@ -181,17 +184,17 @@
 			c.blocked = "prefill"
 			return false, false
 		}
-		if e.overdue(l.now) || !keepAll(l.row.perRequest, c, e) {
+		if e.overdue(l.now) || !keepAll(l.pipeline.perRequest, c, e) {
 			return false, true
 		}
 		found = append(found, l.prefillChoice(e, w))
 		return true, true
 	})
-	l.scratch.prefills = l.addAffine(c, w, found)
+	l.scratch.prefills = l.addAffinityCandidates(c, w, found)
 }
 
-// addAffine adds the engines that have the prompt's prefix.
-func (l *Ledger) addAffine(c *cycle, w *waiting, found []prefillChoice) []prefillChoice {
+// addAffinityCandidates adds the engines that have the prompt's prefix cached.
+func (l *Ledger) addAffinityCandidates(c *cycle, w *waiting, found []prefillChoice) []prefillChoice {
 	if len(w.want.Prefix) == 0 {
 		return found
 	}
@@ -201,7 +204,7 @@
 			continue
 		}
 		choice := l.prefillChoice(e, w)
-		if choice.start-l.now > l.worthWaiting(&choice) || !keepAll(l.row.perRequest, c, e) {
+		if choice.start-l.now > l.maxAffinityWait(&choice) || !keepAll(l.pipeline.perRequest, c, e) {
 			continue
 		}
 		found = append(found, choice)
@@ -209,8 +212,9 @@
 	return found
 }
 
-// worthWaiting is how long to wait for an engine that has the prefix.
-func (l *Ledger) worthWaiting(p *prefillChoice) time.Duration {
+// maxAffinityWait returns how long to wait for an engine that has the prefix
+// cached: the time that the prefix saves, up to AffinityWait.
+func (l *Ledger) maxAffinityWait(p *prefillChoice) time.Duration {
 	saved := seconds(float64(p.cachedTokens) / p.endpoint.prefillRate.mean)
 	return min(saved, l.options.AffinityWait)
 }
@@ -241,7 +245,7 @@
 				pairs = pairs[:len(pairs)-1]
 				continue
 			}
-			for _, s := range l.row.scorers {
+			for _, s := range l.pipeline.scorers {
 				candidate.score += s.score(c, candidate)
 			}
 			candidate.tie = l.random.Uint64()
@@ -250,9 +254,9 @@
 	l.scratch.pairs = pairs
 }
 
-// keepPair applies the row of pair filters.
+// keepPair applies the pair filters.
 func (l *Ledger) keepPair(c *cycle, p *pair) bool {
-	for _, f := range l.row.pairs {
+	for _, f := range l.pipeline.pairs {
 		if !f.keepPair(c, p) {
 			c.blocked = f.name()
 			return false
--- a/core/sched/report.go
+++ b/core/sched/report.go
@@ -14,12 +14,12 @@
 	if e == nil || (e.reported && report.Reachable && report.Incarnation < e.report.Incarnation) {
 		return l.finish(nil)
 	}
-	l.change(e, func(e *endpoint) { l.takeReport(e, report) })
+	l.updateEndpoint(e, func(e *endpoint) { l.takeReport(e, report) })
 	return l.finish(nil)
 }
 
-// takeReport corrects the view of an endpoint. One that can't be reached says
-// nothing about itself.
+// takeReport updates the state of an endpoint. The report of an unreachable
+// endpoint has no other information.
 func (l *Ledger) takeReport(e *endpoint, report Load) {
 	if !report.Reachable {
 		e.reported = true
@@ -35,17 +35,18 @@
 	}
 	e.reported = true
 	e.report = report
-	e.noteForeign(l.now - l.options.ReportLag)
+	e.countForeign(l.now - l.options.ReportLag)
 	e.promote()
 }
 
-// noteForeign counts the reported work that the ledger doesn't know. What was
-// released since the report may have been made doesn't count.
-func (e *endpoint) noteForeign(since time.Duration) {
+// countForeign counts the reported work that is not in the ledger. Work released
+// since the given time is not counted, since the report may be older than the
+// release.
+func (e *endpoint) countForeign(since time.Duration) {
 	if e.role() == live.RolePrefill {
 		return
 	}
-	e.forgetReleases(since)
+	e.pruneReleases(since)
 	known := len(e.held) + len(e.pending) + len(e.released)
 	e.foreign = max(0, e.report.Running+e.report.Waiting-known)
 }
