--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -8,14 +8,14 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// StoreReply takes the store's reply to a transaction.
+// StoreReply handles the store's reply to a transaction.
 func (c *Claims) StoreReply(now time.Duration, id CallID, r table.Reply) []Action {
 	c.advance(now)
-	k := c.endCall(id)
+	k := c.endStoreCall(id)
 	if k == nil {
 		return c.flush()
 	}
-	c.storeWorks()
+	c.resetBackoff()
 	if r.Applied {
 		c.applied(k.ops, r.Versions)
 	} else {
@@ -30,25 +30,25 @@
 			continue
 		}
 		if i >= len(versions) {
-			o.unsure = true
-			c.wantRead(o)
+			o.writeUncertain = true
+			c.queueRead(o)
 			continue
 		}
-		c.written(o, versions[i])
+		c.writeApplied(o, versions[i])
 	}
 }
 
-// written handles a write that took effect.
-func (c *Claims) written(o *op, version uint64) {
+// writeApplied handles a write that took effect.
+func (c *Claims) writeApplied(o *op, version uint64) {
 	switch {
 	case o.kind == opBegin:
 		c.proceed(o, version)
-	case o.sent == StateClaimed:
-		// The Begin was given up while its write was in flight.
-		o.cond = version
-		c.wantWrite(o)
+	case o.sentState == StateClaimed:
+		// The Begin was abandoned while its write was in flight.
+		o.expectedVersion = version
+		c.queueWrite(o)
 	default:
-		c.finished(o)
+		c.complete(o)
 	}
 }
 
@@ -59,8 +59,8 @@
 	c.done(o)
 }
 
-// finished ends a Finish or Release whose row is as it wants it.
-func (c *Claims) finished(o *op) {
+// complete ends a Finish or Release whose row has the state that it writes.
+func (c *Claims) complete(o *op) {
 	if o.kind == opRelease {
 		c.stats.Releases++
 		c.recent.Remove(o.row)
@@ -69,7 +69,7 @@
 	c.done(o)
 }
 
-// notApplied reads the rows whose condition failed and sends the rest again.
+// notApplied reads the rows whose condition failed and requeues the other writes.
 func (c *Claims) notApplied(ops []*op, failed []string) {
 	var rest []*op
 	for _, o := range ops {
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(rest) == len(ops) {
-		// The store did not say whose condition failed.
+		// The reply does not name the rows whose condition failed.
 		for _, o := range rest {
 			c.conditionFailed(o)
 		}
@@ -92,43 +92,45 @@
 }
 
 func (c *Claims) conditionFailed(o *op) {
-	o.seen = max(o.seen, o.cond)
-	c.wantRead(o)
+	o.staleVersion = max(o.staleVersion, o.expectedVersion)
+	c.queueRead(o)
 }
 
-// ReadReply takes the rows of a read. Rows that it lacks do not exist.
+// ReadReply handles the rows of a read. A key without a row counts as
+// absent.
 func (c *Claims) ReadReply(now time.Duration, id CallID, rows []table.Row) []Action {
 	c.advance(now)
-	k := c.endCall(id)
+	k := c.endStoreCall(id)
 	if k == nil {
 		return c.flush()
 	}
-	c.storeWorks()
+	c.resetBackoff()
 	byKey := make(map[string]table.Row, len(rows))
 	for _, r := range rows {
 		byKey[r.Key] = r
 	}
 	for _, o := range k.ops {
 		if o.phase == phaseReading {
-			c.read(o, byKey[o.row])
+			c.handleRow(o, byKey[o.row])
 		}
 	}
 	return c.flush()
 }
 
-// read decides on a row as read; the read may be stale.
-func (c *Claims) read(o *op, stored table.Row) {
+// handleRow decides how an op goes on after its row was read; the read may be
+// stale.
+func (c *Claims) handleRow(o *op, stored table.Row) {
 	if stored.Version == 0 {
-		c.absent(o)
+		c.rowAbsent(o)
 		return
 	}
 	if o.stale(stored.Version) {
-		c.readLater(o)
+		c.delayRead(o)
 		return
 	}
 	row, err := DecodeRow(stored.Value)
 	if err != nil {
-		c.unreadable(o, err)
+		c.rowUnreadable(o, err)
 		return
 	}
 	switch o.kind {
@@ -141,20 +143,20 @@
 	}
 }
 
-// absent handles a read without a row. Only a write that expects no row can
-// tell whether the read was stale.
-func (c *Claims) absent(o *op) {
+// rowAbsent handles a read that found no row. Only a write that expects no row
+// can show whether the read was stale.
+func (c *Claims) rowAbsent(o *op) {
 	if o.kind == opFinish {
-		c.readLater(o)
+		c.delayRead(o)
 		return
 	}
-	o.cond = 0
-	c.wantWrite(o)
+	o.expectedVersion = 0
+	c.queueWrite(o)
 }
 
-func (c *Claims) unreadable(o *op, err error) {
+func (c *Claims) rowUnreadable(o *op, err error) {
 	if o.kind == opBegin {
-		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be read").WithCause(err))
+		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be decoded").WithCause(err))
 	} else {
 		c.settle(o, false)
 	}
@@ -166,11 +168,11 @@
 	case row.Token == o.token && row.State == StateClaimed:
 		c.proceed(o, version)
 	case row.Token == o.token && row.State == StateReleased:
-		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the owner has given this claim up"))
+		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the claim was released by its owner"))
 		c.done(o)
-	case c.free(row):
-		o.cond = version
-		c.wantWrite(o)
+	case c.claimable(row):
+		o.expectedVersion = version
+		c.queueWrite(o)
 	case row.RequestHash != o.hash || row.State == StateClaimed:
 		c.recent.Add(o.row, struct{}{})
 		c.refuse(o, refusal(row.RequestHash == o.hash, c.cfg.OwnerAlive(row.Owner)))
@@ -182,8 +184,8 @@
 	}
 }
 
-// free says whether a row may be overwritten by a new claim.
-func (c *Claims) free(row Row) bool {
+// claimable reports whether a new claim may overwrite the row.
+func (c *Claims) claimable(row Row) bool {
 	if row.State == StateReleased {
 		return true
 	}
@@ -203,39 +205,40 @@
 	if f == nil {
 		f = &Failure{Verdict: verdict.MayHaveRun, Code: verdict.CodeInternal, Message: "the stored outcome is empty"}
 	}
-	c.refuse(o, verdict.New(f.Verdict, f.Code, "an earlier call under this key failed: %s", f.Message))
+	c.refuse(o, verdict.New(f.Verdict, f.Code, "an earlier call with this idempotency key failed: %s", f.Message))
 }
 
 func (c *Claims) decideFinish(o *op, row Row, version uint64) {
 	switch {
 	case row.Token == o.token && row.State == StateFinished:
-		c.finished(o)
+		c.complete(o)
 	case row.Token == o.token && row.State == StateClaimed:
-		o.cond = version
-		c.wantWrite(o)
+		o.expectedVersion = version
+		c.queueWrite(o)
 	default:
 		c.settle(o, false)
 		c.done(o)
 	}
 }
 
-// decideRelease frees a row of its own. It also overwrites a free row, so that
-// a claim write of its own which is still under way can't take effect later.
+// decideRelease releases the op's own row. It also overwrites a claimable row of
+// another attempt, so that the op's own claim write fails if it is still in
+// flight.
 func (c *Claims) decideRelease(o *op, row Row, version uint64) {
 	own := row.Token == o.token
 	switch {
 	case own && row.State == StateReleased:
-		c.finished(o)
-	case own && row.State == StateClaimed, !own && c.free(row):
-		o.cond = version
-		c.wantWrite(o)
+		c.complete(o)
+	case own && row.State == StateClaimed, !own && c.claimable(row):
+		o.expectedVersion = version
+		c.queueWrite(o)
 	default:
 		c.settle(o, true)
 		c.done(o)
 	}
 }
 
-// refusal tells why a call does not run while another holds its key.
+// refusal returns the error for a call whose key is held by another call.
 func refusal(sameRequest, ownerAlive bool) *verdict.Error {
 	if !sameRequest {
 		return verdict.New(verdict.NotRun, verdict.CodeConflict,
@@ -243,8 +246,8 @@
 	}
 	if !ownerAlive {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-			"an earlier call under this key was lost with its daemon and may have run")
+			"an earlier call with this idempotency key may have run; its daemon has failed")
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-		"a call under this key is running").WithRetryAfter(retryAfterLive)
+		"a call with this idempotency key is running").WithRetryAfter(defaultRetryAfter)
 }
--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// memTable models the platform's table with all its faults.
+// memTable models the platform's table, including stale reads.
 type memTable struct {
 	rows    map[string]table.Row
 	history map[string][]table.Row
@@ -39,7 +39,7 @@
 	return r
 }
 
-// read gives a row, or a stale copy of it.
+// read returns a row, or a stale version of it.
 func (t *memTable) read(key string, stale bool, rng *rand.Rand) table.Row {
 	if old := t.history[key]; stale && len(old) > 0 {
 		if at := rng.IntN(len(old) + 1); at < len(old) {
@@ -51,16 +51,16 @@
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	run   func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -72,7 +72,7 @@
 }
 
 type faults struct {
-	lost, stale, slow, down, silent, dropped, death float64
+	lostStoreReply, staleRead, slowStore, storeDown, noReply, lostReply, restart float64
 }
 
 // daemon is one process: it serves callers and writes claims.
@@ -81,34 +81,34 @@
 	claims  *Claims
 }
 
-// attempt is one call as its caller sees it.
+// attempt is one call from the point of view of its caller.
 type attempt struct {
-	key      string
-	owner    *daemon
-	awaited  bool
-	replies  []string
-	dispatch int
-	told     verdict.Verdict
+	key           string
+	owner         *daemon
+	callerWaiting bool
+	replies       []string
+	dispatches    int
+	refusedWith   verdict.Verdict
 }
 
 type simulation struct {
-	rng      *rand.Rand
-	faults   faults
-	now      time.Duration
-	queue    events
-	order    int
-	table    *memTable
-	daemons  []*daemon
-	attempts map[Token]*attempt
-	tokens   []Token
-	runs     map[string]int
-	answers  map[string]string
-	ended    map[string]verdict.Verdict
-	deaths   int
-	dropped  int
-	downTill time.Duration
-	gap      time.Duration
-	broken   []string
+	rng            *rand.Rand
+	faults         faults
+	now            time.Duration
+	queue          events
+	seq            int
+	table          *memTable
+	daemons        []*daemon
+	attempts       map[Token]*attempt
+	tokens         []Token
+	runs           map[string]int
+	answers        map[string]string
+	failedWith     map[string]verdict.Verdict
+	restarts       int
+	lostReplies    int
+	storeDownUntil time.Duration
+	gap            time.Duration
+	violations     []string
 }
 
 func newSimulation(seed uint64, f faults) *simulation {
@@ -116,7 +116,7 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), faults: f,
 		table:    &memTable{rows: map[string]table.Row{}, history: map[string][]table.Row{}},
 		attempts: map[Token]*attempt{}, runs: map[string]int{},
-		answers: map[string]string{}, ended: map[string]verdict.Verdict{},
+		answers: map[string]string{}, failedWith: map[string]verdict.Verdict{},
 		gap: []time.Duration{time.Nanosecond, DefaultGap, 4 * DefaultGap}[seed%3],
 	}
 	for i := range 3 {
@@ -142,13 +142,14 @@
 
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *simulation) in(d time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.queue, event{at: s.now + d, order: s.order, run: run})
+func (s *simulation) schedule(d time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, run: run})
 }
 
-// to runs an event at a daemon unless its process has died, and does the actions.
-func (s *simulation) to(d *daemon, run func(c *Claims) []Action) {
+// runAt runs an event at a daemon unless its process has ended, and performs the
+// resulting actions.
+func (s *simulation) runAt(d *daemon, run func(c *Claims) []Action) {
 	if !s.alive(d.process) {
 		return
 	}
@@ -156,16 +157,16 @@
 		s.act(d, a)
 	}
 	if at := d.claims.Next(); at != Never {
-		s.in(max(at-s.now, 0)+time.Microsecond, func() {
+		s.schedule(max(at-s.now, 0)+time.Microsecond, func() {
 			if d.claims.Next() <= s.now {
-				s.to(d, func(c *Claims) []Action { return c.Tick(s.now, s.wall()) })
+				s.runAt(d, func(c *Claims) []Action { return c.Tick(s.now, s.wall()) })
 			}
 		})
 	}
 }
 
 func (s *simulation) latency() time.Duration {
-	if s.chance(s.faults.slow) {
+	if s.chance(s.faults.slowStore) {
 		return time.Duration(s.rng.IntN(1500)) * time.Millisecond
 	}
 	return time.Duration(s.rng.IntN(5000)) * time.Microsecond
@@ -178,13 +179,15 @@
 	case a.Read != nil:
 		s.read(d, a.Read)
 	case a.StoreObject != nil:
-		s.in(s.latency(), func() {
-			s.to(d, func(c *Claims) []Action { return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lost)) })
+		s.schedule(s.latency(), func() {
+			s.runAt(d, func(c *Claims) []Action {
+				return c.ObjectReply(s.now, a.StoreObject.Row, !s.chance(s.faults.lostStoreReply))
+			})
 		})
 	case a.Proceed != nil:
 		s.reply(a.Proceed.Claim.Token, "proceed", func(at *attempt) { s.dispatch(at, a.Proceed.Claim) })
 	case a.Refuse != nil:
-		s.reply(a.Refuse.Token, "refuse", func(at *attempt) { at.told = a.Refuse.Err.Verdict })
+		s.reply(a.Refuse.Token, "refuse", func(at *attempt) { at.refusedWith = a.Refuse.Err.Verdict })
 	case a.Replay != nil:
 		s.reply(a.Replay.Token, "replay", func(at *attempt) { s.checkReplay(at, a.Replay.Answer) })
 	}
@@ -192,53 +195,53 @@
 
 func (s *simulation) transact(d *daemon, t *Transact) {
 	fail := func(after time.Duration, f StoreFailure) {
-		s.in(after, func() { s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
+		s.schedule(after, func() { s.runAt(d, func(c *Claims) []Action { return c.StoreFailed(s.now, t.ID, f) }) })
 	}
-	if s.now < s.downTill {
-		if !s.chance(s.faults.silent) {
+	if s.now < s.storeDownUntil {
+		if !s.chance(s.faults.noReply) {
 			fail(time.Millisecond, CertainlyNotRun)
 		}
 		return
 	}
-	lost := s.chance(s.faults.lost)
+	lost := s.chance(s.faults.lostStoreReply)
 	if lost {
-		fail(s.latency(), OutcomeUnknown) // perhaps before the write takes effect
+		fail(s.latency(), OutcomeUnknown) // possibly before the write takes effect
 	}
-	s.in(s.latency(), func() {
+	s.schedule(s.latency(), func() {
 		r := s.table.transact(t.Transaction)
 		if !lost {
-			s.to(d, func(c *Claims) []Action { return c.StoreReply(s.now, t.ID, r) })
+			s.runAt(d, func(c *Claims) []Action { return c.StoreReply(s.now, t.ID, r) })
 		}
 	})
 }
 
 func (s *simulation) read(d *daemon, r *Read) {
-	if s.now < s.downTill {
-		s.in(time.Millisecond, func() {
-			s.to(d, func(c *Claims) []Action { return c.StoreFailed(s.now, r.ID, OutcomeUnknown) })
+	if s.now < s.storeDownUntil {
+		s.schedule(time.Millisecond, func() {
+			s.runAt(d, func(c *Claims) []Action { return c.StoreFailed(s.now, r.ID, OutcomeUnknown) })
 		})
 		return
 	}
-	s.in(s.latency(), func() {
+	s.schedule(s.latency(), func() {
 		var rows []table.Row
 		for _, key := range r.Keys {
-			rows = append(rows, s.table.read(key, s.chance(s.faults.stale), s.rng))
+			rows = append(rows, s.table.read(key, s.chance(s.faults.staleRead), s.rng))
 		}
-		s.to(d, func(c *Claims) []Action { return c.ReadReply(s.now, r.ID, rows) })
+		s.runAt(d, func(c *Claims) []Action { return c.ReadReply(s.now, r.ID, rows) })
 	})
 }
 
-// reply carries a decision from the writer to the owner, or loses it.
+// reply sends a decision from the writer to the owner, or loses it.
 func (s *simulation) reply(t Token, what string, then func(*attempt)) {
 	at := s.attempts[t]
 	at.replies = append(at.replies, what)
-	if s.chance(s.faults.dropped) {
-		s.dropped++
+	if s.chance(s.faults.lostReply) {
+		s.lostReplies++
 		return
 	}
-	s.in(time.Millisecond, func() {
-		if s.alive(at.owner.process) && at.awaited {
-			at.awaited = false
+	s.schedule(time.Millisecond, func() {
+		if s.alive(at.owner.process) && at.callerWaiting {
+			at.callerWaiting = false
 			then(at)
 		} else if what == "proceed" {
 			s.release(at, t)
@@ -251,29 +254,29 @@
 		return
 	}
 	writer := s.daemons[s.rng.IntN(len(s.daemons))]
-	s.to(writer, func(c *Claims) []Action {
+	s.runAt(writer, func(c *Claims) []Action {
 		return c.Release(s.now, Claim{Row: RowKey("team", "seats", at.key), Token: t, Owner: at.owner.process})
 	})
 }
 
-// call is one call through an owner and a writer, which may be the same.
+// call starts one call through an owner and a writer, which may be the same.
 func (s *simulation) call(key string) Token {
 	owner := s.daemons[s.rng.IntN(len(s.daemons))]
 	writer := s.daemons[s.rng.IntN(len(s.daemons))]
 	t := Token(fmt.Sprint("t", len(s.tokens)))
-	at := &attempt{key: key, owner: owner, awaited: true}
+	at := &attempt{key: key, owner: owner, callerWaiting: true}
 	s.attempts[t] = at
 	s.tokens = append(s.tokens, t)
-	s.to(writer, func(c *Claims) []Action {
+	s.runAt(writer, func(c *Claims) []Action {
 		return c.Begin(s.now, s.wall(), Begin{
 			Team: "team", Service: "seats", Key: key, Token: t, Owner: owner.process,
 			RequestHash: HashRequest("POST", "/hold", []byte(key)),
 		})
 	})
-	s.in(400*time.Millisecond, func() {
-		if at.awaited {
-			at.awaited = false
-			at.told = verdict.NotRun
+	s.schedule(400*time.Millisecond, func() {
+		if at.callerWaiting {
+			at.callerWaiting = false
+			at.refusedWith = verdict.NotRun
 			s.release(at, t)
 		}
 	})
@@ -281,29 +284,29 @@
 }
 
 func (s *simulation) dispatch(at *attempt, claim Claim) {
-	at.dispatch++
+	at.dispatches++
 	refused := s.chance(0.3)
 	if !refused {
 		s.runs[at.key]++
 	}
-	s.in(time.Duration(s.rng.IntN(50))*time.Millisecond, func() {
+	s.schedule(time.Duration(s.rng.IntN(50))*time.Millisecond, func() {
 		out := Outcome{Answer: &Answer{Status: 200, Body: []byte(fmt.Sprint(at.key, " by ", claim.Token))}}
 		switch {
 		case refused:
 			out = Outcome{Failure: &Failure{Verdict: verdict.NotRun}}
 		case s.chance(0.1):
 			out = Outcome{Failure: &Failure{Verdict: verdict.MayHaveRun, Code: verdict.CodeEndpointFailed}}
-			s.ended[at.key] = verdict.MayHaveRun
+			s.failedWith[at.key] = verdict.MayHaveRun
 		case s.alive(at.owner.process):
 			s.answers[at.key] = string(out.Answer.Body)
 		}
-		s.to(at.owner, func(c *Claims) []Action { return c.Finish(s.now, claim, out) })
+		s.runAt(at.owner, func(c *Claims) []Action { return c.Finish(s.now, claim, out) })
 	})
 }
 
 func (s *simulation) checkReplay(at *attempt, a Answer) {
 	if string(a.Body) != s.answers[at.key] {
-		s.broken = append(s.broken, fmt.Sprintf("replay of %s gives %q, want %q", at.key, a.Body, s.answers[at.key]))
+		s.violations = append(s.violations, fmt.Sprintf("replay of %s: got %q, want %q", at.key, a.Body, s.answers[at.key]))
 	}
 }
 
@@ -316,9 +319,9 @@
 	s.now = until
 }
 
-// kill ends a process; another one of the same daemon starts.
-func (s *simulation) kill(i int) {
-	s.deaths++
+// restart ends the process of a daemon and starts another one.
+func (s *simulation) restart(i int) {
+	s.restarts++
 	p := s.daemons[i].process
 	p.Incarnation++
 	s.daemons[i] = s.start(p)
--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -10,36 +10,36 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// refuseAtArrival refuses a request at once that would miss its target behind
-// those before it, at the rate at which the queue has been served. Its caller
-// knows so within milliseconds and can come back when the burst is over, and no
-// engine stands idle for it, since others wait.
+// refuseAtArrival refuses a request on arrival if, at the rate at which the
+// queue has been served, the requests before it would take it past its target.
+// The caller learns of the refusal within milliseconds and can retry after the
+// burst. No engine is left idle by it, since other requests wait.
 func (l *Ledger) refuseAtArrival(w *waiting) []sched.Action {
-	if !l.on(ArrivalRefusal) || l.roomForLate() {
+	if !l.enabled(ArrivalRefusal) || l.memoryForLate() {
 		return nil
 	}
-	wait, ok := l.drain.wait(l.now, l.ahead(w))
-	wait = time.Duration(float64(wait) / doubt)
-	if !ok || l.now+wait+l.lead.expected(w.want.PromptTokens) <= w.target {
+	wait, ok := l.serviceRate.predictWait(l.now, l.tokensAhead(w))
+	wait = time.Duration(float64(wait) / forecastMargin)
+	if !ok || l.now+wait+l.firstToken.expected(w.want.PromptTokens) <= w.target {
 		return nil
 	}
-	after := max(l.flow.comeBack(l.now, l.backlog()), crowdedRetryAfter)
-	return l.refuse(w.want, verdict.CodeOverloaded, spread(after, w.want.Request), lacksTime)
+	after := max(l.releaseRate.retryAfter(l.now, l.backlog()), minOverloadRetryAfter)
+	return l.refuse(w.want, verdict.CodeOverloaded, jitter(after, w.want.Request), causePastTarget)
 }
 
-// ahead is what a request that has just come has before it, with itself, in
-// tokens.
-func (l *Ledger) ahead(w *waiting) int {
+// tokensAhead returns the tokens of the requests that are served before a new
+// one, plus its own.
+func (l *Ledger) tokensAhead(w *waiting) int {
 	shared := l.sharesByTeam()
 	if shared {
 		queue := append(slices.Clone(l.queue), w)
 		byAge(queue)
-		l.shares.place(queue)
+		l.fairQueue.assignStartTags(queue)
 	}
 	ahead := w.tokens
 	for _, other := range l.queue {
 		before := other.want.Priority > w.want.Priority ||
-			other.want.Priority == w.want.Priority && (!shared || other.place <= w.place)
+			other.want.Priority == w.want.Priority && (!shared || other.startTag <= w.startTag)
 		if !other.tooLate && before {
 			ahead += other.tokens
 		}
@@ -47,27 +47,29 @@
 	return ahead
 }
 
-// doubt is the factor by which the forecast must miss the target: some of those
-// before are larger than they say, or leave, and one that is refused for them could
-// have been in time.
-const doubt = 1.6
+// forecastMargin is the factor by which the predicted wait must exceed the time
+// left. The prediction is uncertain: requests ahead may be larger than their
+// guess, or leave, and a request refused because of them could have been in
+// time.
+const forecastMargin = 1.6
 
-// lacksTime is why a request is refused at its arrival.
-const lacksTime = "those before it take the engines past its target"
+// causePastTarget is the reason for a refusal on arrival.
+const causePastTarget = "the requests before it occupy the engines past its target"
 
 const (
-	// crowdedRetryAfter is the least advice to one that finds no room in time: a
-	// burst lasts some seconds.
-	crowdedRetryAfter = 4 * time.Second
-	// spreadRetryAfter is the share by which the advice is spread, so that those
-	// who come back don't come together.
-	spreadRetryAfter = 0.2
-	// spreadSteps is how many different advices there are.
-	spreadSteps = 1000
+	// minOverloadRetryAfter is the shortest retry delay for a request that
+	// cannot be served in time: a burst lasts several seconds.
+	minOverloadRetryAfter = 4 * time.Second
+	// retryJitter is the largest relative change of a retry delay. It keeps
+	// refused callers from retrying at the same moment.
+	retryJitter = 0.2
+	// retryJitterSteps is the number of distinct jitter values.
+	retryJitterSteps = 1000
 )
 
-// spread puts a time up or down by a share that depends on the request alone.
-func spread[T ~string](d time.Duration, request T) time.Duration {
-	part := 2*float64(xxhash.Sum64String(string(request))%spreadSteps)/spreadSteps - 1
-	return d + time.Duration(spreadRetryAfter*part*float64(d))
+// jitter lengthens or shortens a delay by a share that depends only on the
+// request.
+func jitter[T ~string](d time.Duration, request T) time.Duration {
+	part := 2*float64(xxhash.Sum64String(string(request))%retryJitterSteps)/retryJitterSteps - 1
+	return d + time.Duration(retryJitter*part*float64(d))
 }
--- a/core/kvsched/demand.go
+++ b/core/kvsched/demand.go
@@ -39,8 +39,8 @@
 	return d
 }
 
-// Tried is how often an engine was tried for a request since the start: most of
-// the scheduler's work.
+// Tried returns how many times an engine was evaluated for a request since the
+// start. These evaluations are most of the scheduler's work.
 func (l *Ledger) Tried() uint64 { return l.tried }
 
 // Snapshot implements sched.Snapshotter.
@@ -52,7 +52,7 @@
 		Settling: l.now < l.settled,
 	}
 	for _, e := range l.order {
-		if e.writes() {
+		if e.decodesHere() {
 			s.Slots += e.slots
 			s.Held += len(e.decodes)
 		}
--- a/core/kvsched/ledger_test.go
+++ b/core/kvsched/ledger_test.go
@@ -13,11 +13,12 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-var asker = id.Process{Daemon: "d1", Incarnation: 1}
+var requester = id.Process{Daemon: "d1", Incarnation: 1}
 
 const start = time.Minute
 
-// document is a pool of prefill and decode engines, two to a failure domain.
+// document returns the configuration of a pool of prefill and decode engines,
+// spread over two failure domains.
 func document(prefills, decodes, memory int) *live.Document {
 	doc := &live.Document{
 		Services: []live.Service{{Name: "s", Pool: "p", TimeoutMS: 14000, FirstTokenTargetMS: 900, PatienceMS: 3000}},
@@ -39,10 +40,10 @@
 	return doc
 }
 
-// newLedger is a ledger that has settled.
+// newLedger returns a ledger whose settle time has passed.
 func newLedger(t *testing.T, doc *live.Document) *Ledger {
 	t.Helper()
-	l := New(Options{Pool: "p", Self: asker, MemoryShare: 1, Violation: func(name, detail string) {
+	l := New(Options{Pool: "p", Self: requester, MemoryShare: 1, Violation: func(name, detail string) {
 		t.Errorf("%s: %s", name, detail)
 	}})
 	l.Configure(start-time.Second, doc)
@@ -52,12 +53,12 @@
 
 func want(name string, prompt, output int) sched.Want {
 	return sched.Want{
-		Request: id.Request(name), Service: "s", Pool: "p", From: asker, PromptTokens: prompt, OutputTokens: output,
+		Request: id.Request(name), Service: "s", Pool: "p", From: requester, PromptTokens: prompt, OutputTokens: output,
 		Priority: 5, Target: 900 * time.Millisecond, Patience: 3 * time.Second, Lifetime: 14 * time.Second,
 	}
 }
 
-// grants picks the grants out of actions.
+// grants returns the grants among actions.
 func grants(actions []sched.Action) []*sched.Grant {
 	var out []*sched.Grant
 	for _, a := range actions {
@@ -82,22 +83,23 @@
 	return sched.Progress{Request: g.Request, Reservation: g.Reservation, Phase: phase, Endpoint: g.Decode}
 }
 
-func TestAPrefillIsGrantedOnlyWithMemoryForItsDecode(t *testing.T) {
+func TestPrefillRequiresMemoryForDecode(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	first := grants(l.Want(start, want("a", 6000, 1000)))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Decode, id.Endpoint("decode-0"))
-	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // three prefill engines are idle
+	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // no memory, though three prefill engines are idle
 	next := grants(l.Progress(start+time.Second, done(first[0], sched.PhaseDone)))
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Request, id.Request("b"))
 }
 
-func TestMemoryIsReckonedAsItIsUsed(t *testing.T) {
+func TestMemoryIsCountedAsItIsUsed(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
-	// Five requests of 1000 and 1500 would not fit if each held 2500 from its start.
+	// Five requests of 1000 prompt and 1500 output tokens would not fit if each
+	// held 2500 tokens from its start.
 	now := start
 	granted := 0
 	for i := range 5 {
@@ -110,20 +112,20 @@
 	is.Equal(granted, 5)
 }
 
-func TestSmallRequestsPassALargeOneOnlyForAWhile(t *testing.T) {
+func TestSmallRequestsBypassLargeOneForLimitedTime(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	l.Want(start, want("running", 5000, 10))
 	is.Equal(len(l.Want(start, want("large", 8000, 10))), 0)
 	is.Equal(len(grants(l.Want(start+50*time.Millisecond, want("small", 1000, 10)))), 1)
 	later := start + DefaultBypassAfter + time.Millisecond
-	is.Equal(len(grants(l.Want(later, want("small-2", 1000, 10)))), 0) // the large one is next
+	is.Equal(len(grants(l.Want(later, want("small-2", 1000, 10)))), 0) // the large request goes first now
 }
 
-// TestALargeRequestKeepsOneEngineForItself: once it is not to be passed any
-// longer, smaller ones get the room of the other engines, and not of the one
-// that will have room for it first.
-func TestALargeRequestKeepsOneEngineForItself(t *testing.T) {
+// TestEngineIsSetAsideForLargeRequest: after the bypass time of a large
+// request, smaller ones are granted on the other engines but not on the engine
+// that will have enough memory for the large one first.
+func TestEngineIsSetAsideForLargeRequest(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(8, 3, 10000))
 	var running []*sched.Grant
@@ -138,17 +140,17 @@
 	second := grants(l.Want(later, want("small-2", 2500, 10)))
 	is.Equal(len(first), 1)
 	is.Equal(len(second), 1)
-	is.Equal(len(grants(l.Want(later, want("small-3", 2500, 10)))), 0) // only the kept engine has room
-	kept := running[0].Decode
-	is.True(first[0].Decode != kept)
-	is.True(second[0].Decode != kept)
+	is.Equal(len(grants(l.Want(later, want("small-3", 2500, 10)))), 0) // only the engine set aside has enough memory
+	setAside := running[0].Decode
+	is.True(first[0].Decode != setAside)
+	is.True(second[0].Decode != setAside)
 	got := grants(l.Progress(later, done(running[0], sched.PhaseDone)))
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Request, id.Request("large"))
-	is.Equal(got[0].Decode, kept)
+	is.Equal(got[0].Decode, setAside)
 }
 
-func TestLateRequestsWaitForRoomToSpare(t *testing.T) {
+func TestLateRequestsWaitForSpareMemory(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(4, 1, 10000))
 	l.Want(start, want("running", 8700, 10))
@@ -158,7 +160,7 @@
 	is.Equal(len(grants(l.Want(start, want("in time", 1000, 10)))), 1)
 }
 
-func TestOnesPatienceEndsWithARefusalThatTellsWhenToComeBack(t *testing.T) {
+func TestPatienceExpiryRefusesWithRetryAfter(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 1, 10000))
 	running := grants(l.Want(start, want("running", 9000, 10)))[0]
@@ -169,11 +171,11 @@
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Code, verdict.CodeOverloaded)
 	is.True(refused[0].RetryAfter > 0)
-	// The same Want again, as when the refusal was lost, is refused again.
+	// A Want repeated because its refusal was lost is refused again.
 	is.Equal(len(refusals(l.Want(start+3100*time.Millisecond, want("waits", 9000, 10)))), 1)
 }
 
-func TestARequestLargerThanAnyEngineIsRefused(t *testing.T) {
+func TestRequestLargerThanAnyEngineIsRefused(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 10000))
 	refused := refusals(l.Want(start, want("huge", 10100, 10)))
@@ -181,7 +183,7 @@
 	is.Equal(refused[0].Code, verdict.CodeTooLarge)
 }
 
-func TestAPromptThatWasReadGetsADecodeEngineAtOnceOrNone(t *testing.T) {
+func TestPrefilledRequestIsGrantedOrRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 10000))
 	w := want("a", 3000, 10)
@@ -196,7 +198,7 @@
 	is.Equal(len(refusals(l.Want(start, w))), 1)
 }
 
-func TestEnginesThatLeaveRefuseOrAreGoneGetNothing(t *testing.T) {
+func TestUnavailableEnginesGetNoWork(t *testing.T) {
 	is := is.New(t)
 	doc := document(1, 3, 10000)
 	doc.Endpoints[1].Labels[live.LabelLeaving] = "true"
@@ -208,33 +210,33 @@
 	p.Full = true
 	l.Progress(start, p)
 	is.Equal(len(l.Want(start, want("b", 1000, 10))), 0)
-	is.Equal(len(grants(l.Tick(start+DefaultFullHold))), 1) // it may have room again
+	is.Equal(len(grants(l.Tick(start+DefaultFullHold))), 1) // the engine may have free memory again
 }
 
-func TestANewOwnerSettlesAndTakesOverWhatIsInUse(t *testing.T) {
+func TestNewOwnerSettlesAndAdoptsGrants(t *testing.T) {
 	is := is.New(t)
 	old := newLedger(t, document(2, 1, 10000))
 	g := grants(old.Want(start, want("a", 6000, 1000)))[0]
 
 	l := New(Options{Pool: "p", Self: id.Process{Daemon: "d2", Incarnation: 1}, MemoryShare: 1})
 	l.Configure(start, document(2, 1, 10000))
-	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // it may not know all yet
+	is.Equal(len(l.Want(start, want("b", 6000, 1000))), 0) // adoptions may still be missing
 	l.Adopt(start, sched.Adopt{Want: want("a", 6000, 1000), Grant: *g, Phase: sched.PhaseDecoding})
 	is.Equal(len(l.Tick(start+DefaultSettle)), 0) // the memory is in use
 	is.Equal(len(grants(l.Progress(start+time.Second, done(g, sched.PhaseDone)))), 1)
 }
 
-func TestWhatNobodySpeaksForIsFree(t *testing.T) {
+func TestExpiredReservationsAreReleased(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(2, 1, 10000))
 	l.Want(start, want("a", 8000, 10))
 	is.Equal(len(l.Want(start, want("b", 8000, 10))), 0)
 	is.Equal(len(grants(l.Tick(start+DefaultExpiresIn))), 1)
-	l.ProcessGone(start+DefaultExpiresIn, asker)
+	l.ProcessGone(start+DefaultExpiresIn, requester)
 	is.Equal(l.Snapshot().Held, 0)
 }
 
-func TestEnginesThatDoBothGetWholeRequests(t *testing.T) {
+func TestWholeRoleEnginesGetWholeRequests(t *testing.T) {
 	is := is.New(t)
 	doc := document(0, 2, 10000)
 	for i := range doc.Endpoints {
@@ -245,32 +247,29 @@
 	is.Equal(len(g), 1)
 	is.Equal(g[0].Prefill, id.Endpoint(""))
 	d := l.Demand(start)
-	is.Equal(len(d.Prefills)+len(d.Decodes), 0) // they have no role to change
+	is.Equal(len(d.Prefills)+len(d.Decodes), 0) // engines of role whole have no role to change
 }
 
-func TestWhenPrefillWouldBeLateADecodeEngineReadsThePrompt(t *testing.T) {
+func TestLocalPrefillWhenPrefillEnginesWouldBeLate(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
-	whole := 0
+	localPrefills := 0
 	for i := range 12 {
 		l.Want(start, want(fmt.Sprint(i), 3000, 100))
 	}
 	for now := start; now < start+900*time.Millisecond; now += 5 * time.Millisecond {
 		for _, g := range grants(l.Tick(now)) {
 			if g.Prefill == "" {
-				whole++
+				localPrefills++
 			}
 		}
 	}
-	is.True(whole > 0 && whole <= 6)
+	is.True(localPrefills > 0 && localPrefills <= 6)
 }
 
-// TestAdoptedWorkTeachesNoPace: a new owner does not know when it began. One
-// that ended right after the takeover made every answer look finished, and the
-// pool full.
-// TestAPromptThatADecodeEngineReadsIsPrefillWork: else a pool that is short of
-// prefill engines would look as if it had too many.
-func TestAPromptThatADecodeEngineReadsIsPrefillWork(t *testing.T) {
+// TestLocalPrefillCountsAsPrefillWork: without it, a pool that is short of
+// prefill engines would appear to have too many.
+func TestLocalPrefillCountsAsPrefillWork(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
 	for i := range 12 {
@@ -282,14 +281,17 @@
 				continue
 			}
 			before := l.Demand(now - 1).PrefillWork
-			is.True(before >= time.Duration(len(l.granted))*100*time.Millisecond) // 3000 tokens at 25 a millisecond, each
+			is.True(before >= time.Duration(len(l.granted))*100*time.Millisecond) // each prompt has 3000 tokens, at 25 tokens a millisecond
 			return
 		}
 	}
-	t.Fatal("no decode engine read a prompt")
+	t.Fatal("no decode engine prefilled a prompt")
 }
 
-func TestAdoptedWorkTeachesNoPace(t *testing.T) {
+// TestAdoptedWorkDoesNotChangeDecodeRate: a new owner has no start time of
+// adopted work. A decode that ended right after the takeover once raised the
+// estimated decode rate so far that every answer appeared finished and the pool full.
+func TestAdoptedWorkDoesNotChangeDecodeRate(t *testing.T) {
 	is := is.New(t)
 	old := newLedger(t, document(4, 2, 10000))
 	l := newLedger(t, document(4, 2, 10000))
--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -18,66 +18,67 @@
 		r.phase = p.Phase
 		r.expires = max(r.expires, r.lifetime)
 	case sched.PhaseTransferring:
-		l.read(r)
+		l.prefillDone(r)
 	case sched.PhaseDecoding:
-		l.read(r)
-		l.moveTo(r, p)
+		l.prefillDone(r)
+		l.moveDecode(r, p)
 		if r.decodingAt == 0 {
 			r.decodingAt = l.now
-			r.decode.claimsOld = true
-			if !r.adopted && l.on(LearnedLead) {
-				l.lead.saw(r.want.PromptTokens, l.now-r.grantedAt)
+			r.decode.footprintsStale = true
+			if !r.adopted && l.enabled(LearnedLead) {
+				l.firstToken.add(r.want.PromptTokens, l.now-r.grantedAt)
 			}
 		}
 		r.phase = p.Phase
 	default:
-		l.end(r, p)
+		l.endReservation(r, p)
 	}
 	return l.finish(nil)
 }
 
-// read notes that the prompt was read.
-func (l *Ledger) read(r *reservation) {
+// prefillDone records that the prefill is complete.
+func (l *Ledger) prefillDone(r *reservation) {
 	if r.prefill != nil {
 		r.prefill.endPrefill(l.now, r, true)
 		r.prefill = nil
-		l.stirred = true
+		l.scanDue = true
 	}
 	r.phase = sched.PhaseTransferring
 	r.expires = max(r.expires, r.lifetime)
 }
 
-// moveTo follows a request that decodes at another engine than was granted.
-func (l *Ledger) moveTo(r *reservation, p sched.Progress) {
+// moveDecode moves a reservation to the engine that decodes it, if that is not
+// the granted one.
+func (l *Ledger) moveDecode(r *reservation, p sched.Progress) {
 	e := l.endpoints[p.Endpoint]
 	if e == nil || e == r.decode {
 		return
 	}
-	r.decode.give(r)
+	r.decode.removeDecode(r)
 	r.decode = e
 	r.grant.Decode = e.name
-	e.take(r)
-	l.stirred = true
+	e.addDecode(r)
+	l.scanDue = true
 }
 
-// end releases a request that has ended and takes what its end tells of an
-// endpoint.
-func (l *Ledger) end(r *reservation, p sched.Progress) {
+// endReservation releases the reservation of an ended request and updates the
+// estimates and the endpoint's state from the outcome.
+func (l *Ledger) endReservation(r *reservation, p sched.Progress) {
 	if p.Phase == sched.PhaseFailed {
-		l.blame(p)
+		l.markRefusal(p)
 	}
 	if p.Phase == sched.PhaseDone {
-		l.flow.released(l.now, r.tokens)
+		l.releaseRate.add(l.now, r.tokens)
 		if r.decodingAt > 0 && !r.adopted {
-			l.pace.ended(max(1, r.want.OutputTokens), l.now-r.decodingAt)
+			l.decodeRate.add(max(1, r.want.OutputTokens), l.now-r.decodingAt)
 		}
 	}
 	l.release(r)
 	l.ended.Add(p.Request, nil)
 }
 
-// blame keeps work off an endpoint that refused.
-func (l *Ledger) blame(p sched.Progress) {
+// markRefusal keeps new work off an endpoint that refused a request.
+func (l *Ledger) markRefusal(p sched.Progress) {
 	e := l.endpoints[p.Endpoint]
 	if e == nil {
 		return
@@ -107,8 +108,8 @@
 	r := &reservation{
 		want:      a.Want,
 		grant:     a.Grant,
-		tokens:    l.size(&a.Want),
-		output:    l.output(&a.Want),
+		tokens:    l.finalTokens(&a.Want),
+		output:    l.expectedOutput(&a.Want),
 		phase:     a.Phase,
 		decode:    decode,
 		adopted:   true,
@@ -119,8 +120,8 @@
 	if a.Phase >= sched.PhaseDecoding {
 		r.decodingAt = max(1, l.now-a.For)
 	}
-	decode.take(r)
-	l.hold(r)
+	decode.addDecode(r)
+	l.addReservation(r)
 	if prefill := l.endpoints[a.Grant.Prefill]; prefill != nil && a.Phase < sched.PhaseTransferring {
 		r.prefill = prefill
 		prefill.addPrefill(l.now, r)
--- a/core/overload/world.go
+++ b/core/overload/simulation.go
@@ -13,13 +13,13 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Replay is one load against one scheduler.
+// Replay is the replay of one load against one scheduler.
 type Replay struct {
 	Load    Load
 	Callers Callers
 	Engines Engines
 	Owner   Owner
-	// New makes the scheduler of the pool.
+	// New returns the scheduler of the pool.
 	New func(pool id.Pool, self id.Process) sched.Scheduler
 }
 
@@ -27,32 +27,35 @@
 	poolName    id.Pool    = "p"
 	serviceName id.Service = "s"
 	teamName    id.Team    = "t"
-	// settling is how long before the first arrival the scheduler begins.
-	settling = time.Second
-	// hop is the time of a message between a daemon and the pool's owner.
-	hop = time.Millisecond
+	// warmup is how long before the first arrival the scheduler starts.
+	warmup = time.Second
+	// messageDelay is the delay of a message between a daemon and the pool's
+	// owner.
+	messageDelay = time.Millisecond
 )
 
-var asker = id.Process{Daemon: "d1", Incarnation: 1}
+var process = id.Process{Daemon: "d1", Incarnation: 1}
 
 // caller is one caller's request over all its attempts.
 type caller struct {
 	arrival
 	number   int
 	arrived  time.Duration
-	returns  int
+	retries  int
 	refusals int
 	outcome  outcome
-	// attempt names the present want; at is when it arrived.
-	attempt id.Request
-	at      time.Duration
-	run     *run
-	// asker sends the present want.
-	asker *pairing.Asker
+	// attempt is the request ID of the current attempt, attemptAt when it was
+	// sent.
+	attempt   id.Request
+	attemptAt time.Duration
+	run       *run
+	// requester sends the Want of the current attempt and repeats it if
+	// unanswered.
+	requester *pairing.Asker
 }
 
-// world is the state of a replay.
-type world struct {
+// simulation is the state of a replay.
+type simulation struct {
 	Replay
 	rng       *rand.Rand
 	now       time.Duration
@@ -65,44 +68,45 @@
 	prefills  map[id.Endpoint]*prefillEngine
 	decodes   map[id.Endpoint]*decodeEngine
 
-	// slow is the factor that the engines' times are multiplied by now.
-	slow float64
+	// slowdown is the current factor on the engines' times.
+	slowdown float64
 
 	refusalWaits []time.Duration
-	// forGood counts the callers that were told not to come back.
-	forGood   int
-	vain      int
-	preempted int
+	// refusedPermanently counts the callers that were refused with a code that
+	// rules out a retry.
+	refusedPermanently int
+	wastedTokens       int
+	preempted          int
 }
 
-// Run replays the load with a seed.
+// Run replays the load with the given seed.
 func (r Replay) Run(seed uint64) *Result {
-	w := &world{
+	w := &simulation{
 		Replay:    r,
 		rng:       rand.New(rand.NewPCG(seed, seed)),
-		now:       settling,
-		scheduler: r.New(poolName, asker),
+		now:       warmup,
+		scheduler: r.New(poolName, process),
 		wants:     map[id.Request]*caller{},
 		prefills:  map[id.Endpoint]*prefillEngine{},
 		decodes:   map[id.Endpoint]*decodeEngine{},
-		slow:      1,
+		slowdown:  1,
 	}
 	w.owner.w = w
 	w.configure()
-	for _, s := range r.Engines.Slow {
-		w.at(settling+s.At, func() { w.slowDown(s.Factor) })
-		w.at(settling+s.At+s.For, func() { w.slowDown(1) })
+	for _, s := range r.Engines.Slowdowns {
+		w.schedule(warmup+s.At, func() { w.setSlowdown(s.Factor) })
+		w.schedule(warmup+s.At+s.For, func() { w.setSlowdown(1) })
 	}
 	for i, a := range r.Load.arrivals(w.rng) {
 		c := &caller{arrival: a, number: i, arrived: a.at}
 		w.callers = append(w.callers, c)
-		w.at(settling+a.at, func() { w.arrive(c) })
+		w.schedule(warmup+a.at, func() { w.sendRequest(c) })
 	}
-	w.play()
+	w.run()
 	return w.result()
 }
 
-func (w *world) configure() {
+func (w *simulation) configure() {
 	doc := &live.Document{
 		Teams: []live.Team{{Name: teamName}},
 		Services: []live.Service{{
@@ -128,15 +132,14 @@
 	}
 	add(live.RolePrefill, w.Engines.Prefills)
 	add(live.RoleDecode, w.Engines.Decodes)
-	w.take(w.scheduler.Configure(0, doc))
+	w.apply(w.scheduler.Configure(0, doc))
 }
 
-// play carries out the events in order, and looks at the scheduler when it
-// wants to be looked at.
-func (w *world) play() {
-	end := settling + w.Load.Length + w.Callers.Deadline
+// run processes the events in order and ticks the scheduler when it is due.
+func (w *simulation) run() {
+	end := warmup + w.Load.Length + w.Callers.Deadline
 	for w.events.Len() > 0 {
-		next := w.owner.next()
+		next := w.owner.nextTick()
 		if due := w.events[0].at; next > due {
 			e := heap.Pop(&w.events).(event)
 			w.now = max(w.now, e.at)
@@ -147,64 +150,65 @@
 		if w.now > end {
 			return
 		}
-		w.owner.tell(func() []sched.Action { return w.scheduler.Tick(w.now) })
+		w.owner.handle(func() []sched.Action { return w.scheduler.Tick(w.now) })
 	}
 }
 
-// arrive has a caller send its request.
-func (w *world) arrive(c *caller) {
-	c.at = w.now
-	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.returns))
+// sendRequest sends a caller's request, as a new attempt.
+func (w *simulation) sendRequest(c *caller) {
+	c.attemptAt = w.now
+	c.attempt = id.Request(fmt.Sprintf("%d.%d", c.number, c.retries))
 	w.wants[c.attempt] = c
 	attempt := c.attempt
-	w.at(w.now+w.Callers.Patience, func() { w.leave(c, attempt) })
+	w.schedule(w.now+w.Callers.Patience, func() { w.abandon(c, attempt) })
 	want := sched.Want{
-		Request: c.attempt, Team: teamName, Service: serviceName, Pool: poolName, From: asker,
+		Request: c.attempt, Team: teamName, Service: serviceName, Pool: poolName, From: process,
 		PromptTokens: c.prompt, OutputTokens: c.guess, Priority: 5, Attempt: 1,
 		Target: w.Callers.Target, Patience: w.Callers.Patience - 500*time.Millisecond, Lifetime: w.Callers.Deadline,
 		Pause: w.Callers.Pause,
 	}
-	c.asker = pairing.New(asker, pairing.Options{Local: true})
-	w.send(c, c.asker.Ask(w.now, want, want.Patience))
+	c.requester = pairing.New(process, pairing.Options{Local: true})
+	w.send(c, c.requester.Ask(w.now, want, want.Patience))
 }
 
-// send passes on what a caller's asker wants sent, and has it look again when
-// it wants to: an answer that does not come is asked for again.
-func (w *world) send(c *caller, out pairing.Output) {
+// send delivers the output of a caller's requester and schedules the
+// requester's next tick, so that an unanswered Want is repeated.
+func (w *simulation) send(c *caller, out pairing.Output) {
 	for _, m := range out.Messages {
 		if m.Want != nil {
-			w.owner.tell(func() []sched.Action { return w.scheduler.Want(w.now, *m.Want) })
+			w.owner.handle(func() []sched.Action { return w.scheduler.Want(w.now, *m.Want) })
 		}
 	}
 	for _, a := range out.Answers {
 		w.refused(&sched.Refusal{Request: a.Request, RetryAfter: a.Err.RetryAfter})
 	}
 	attempt := c.attempt
-	w.at(max(w.now, c.asker.Next()), func() {
+	w.schedule(max(w.now, c.requester.Next()), func() {
 		if c.attempt == attempt && c.run == nil && c.outcome == unserved {
-			w.send(c, c.asker.Tick(w.now))
+			w.send(c, c.requester.Tick(w.now))
 		}
 	})
 }
 
-// leave ends a caller that has no first event yet.
-func (w *world) leave(c *caller, attempt id.Request) {
-	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.begun) {
+// abandon ends the request of a caller whose patience has expired before the
+// first event.
+func (w *simulation) abandon(c *caller, attempt id.Request) {
+	if c.attempt != attempt || c.outcome != unserved || (c.run != nil && c.run.started) {
 		return
 	}
-	c.outcome = left
+	c.outcome = abandoned
 	if c.run != nil {
-		w.vain += c.prompt
+		w.wastedTokens += c.prompt
 		if p := w.prefills[c.run.grant.Prefill]; p != nil {
 			p.drop(c.run)
 		}
 		c.run.engine.drop(c.run)
 	}
-	w.owner.tell(func() []sched.Action { return w.scheduler.Withdraw(w.now, attempt) })
+	w.owner.handle(func() []sched.Action { return w.scheduler.Withdraw(w.now, attempt) })
 }
 
-// take carries out what the scheduler decided.
-func (w *world) take(actions []sched.Action) {
+// apply carries out the scheduler's actions.
+func (w *simulation) apply(actions []sched.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Grant != nil:
@@ -215,7 +219,7 @@
 	}
 }
 
-func (w *world) granted(g *sched.Grant) {
+func (w *simulation) granted(g *sched.Grant) {
 	c := w.wants[g.Request]
 	if c == nil || c.attempt != g.Request || c.outcome != unserved {
 		return
@@ -223,87 +227,90 @@
 	r := &run{caller: c, grant: g, engine: w.decodes[g.Decode]}
 	c.run = r
 	if g.Prefill == "" {
-		r.engine.read(r)
+		r.engine.prefillLocally(r)
 		return
 	}
 	if g.StartIn > 0 {
-		w.at(w.now+g.StartIn, func() { w.prefills[g.Prefill].read(r) })
+		w.schedule(w.now+g.StartIn, func() { w.prefills[g.Prefill].prefill(r) })
 		return
 	}
-	w.prefills[g.Prefill].read(r)
+	w.prefills[g.Prefill].prefill(r)
 }
 
-// slowDown changes the speed of all engines.
-func (w *world) slowDown(factor float64) {
+// setSlowdown changes the speed of all engines.
+func (w *simulation) setSlowdown(factor float64) {
 	for _, e := range w.decodes {
-		e.settle()
+		e.countTokens()
 	}
-	w.slow = factor
+	w.slowdown = factor
 	for _, e := range w.decodes {
-		e.plan()
+		e.scheduleNext()
 	}
 }
 
-func (w *world) readingTime(tokens int, speed float64) time.Duration {
-	return time.Duration(w.slow * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
+func (w *simulation) prefillTime(tokens int, speed float64) time.Duration {
+	return time.Duration(w.slowdown * float64(tokens) / (speed * w.Engines.PrefillRate) * float64(time.Second))
 }
 
-// refused has a caller come back, as it was told or at once.
-func (w *world) refused(r *sched.Refusal) {
+// refused handles a refusal: the caller retries after the advised delay or at
+// once, or ends.
+func (w *simulation) refused(r *sched.Refusal) {
 	c := w.wants[r.Request]
 	if c == nil || c.attempt != r.Request || c.outcome != unserved {
 		return
 	}
-	w.refusalWaits = append(w.refusalWaits, w.now-c.at)
+	w.refusalWaits = append(w.refusalWaits, w.now-c.attemptAt)
 	c.refusals++
 	if r.Code == verdict.CodeTooLarge {
-		w.forGood++
+		w.refusedPermanently++
 		c.outcome = refused
 		return
 	}
-	if c.returns >= w.Callers.Returns {
+	if c.retries >= w.Callers.Retries {
 		c.outcome = refused
 		return
 	}
-	c.returns++
-	leftTime := c.arrived + settling + w.Callers.Deadline - w.now
-	wait := min(r.RetryAfter, time.Duration(w.Callers.WaitShare*float64(leftTime)))
+	c.retries++
+	remaining := c.arrived + warmup + w.Callers.Deadline - w.now
+	wait := min(r.RetryAfter, time.Duration(w.Callers.WaitShare*float64(remaining)))
 	if w.rng.Float64() < w.Callers.AtOnce {
 		wait = 0
 	}
 	c.attempt = ""
-	w.at(w.now+wait+hop, func() { w.arrive(c) })
+	w.schedule(w.now+wait+messageDelay, func() { w.sendRequest(c) })
 }
 
-// first notes the first event of a caller's answer.
-func (w *world) first(c *caller) {
+// firstEvent records the first event of a caller's answer.
+func (w *simulation) firstEvent(c *caller) {
 	c.outcome = late
-	if w.now-settling-c.arrived <= w.Callers.Target {
+	if w.now-warmup-c.arrived <= w.Callers.Target {
 		c.outcome = inTime
 	}
 }
 
-// progress tells the scheduler how a request fares.
-func (w *world) progress(r *run, phase sched.Phase) { w.report(r, sched.Progress{Phase: phase}) }
+// progress reports the phase of a request to the scheduler.
+func (w *simulation) progress(r *run, phase sched.Phase) { w.report(r, sched.Progress{Phase: phase}) }
 
-// report tells the scheduler how a request fares, with what was measured.
-func (w *world) report(r *run, p sched.Progress) {
+// report reports the progress of a request to the scheduler, with its measured
+// times.
+func (w *simulation) report(r *run, p sched.Progress) {
 	p.Request, p.Reservation, p.Endpoint = r.grant.Request, r.grant.Reservation, r.grant.Decode
 	p.PromptTokens, p.OutputTokens = r.caller.prompt, r.caller.output
-	w.at(w.now+hop, func() {
-		w.owner.tell(func() []sched.Action { return w.scheduler.Progress(w.now, p) })
+	w.schedule(w.now+messageDelay, func() {
+		w.owner.handle(func() []sched.Action { return w.scheduler.Progress(w.now, p) })
 	})
 }
 
-// event is something that happens at a time.
+// event is a function to run at a simulated time.
 type event struct {
 	at     time.Duration
 	serial int
 	do     func()
 }
 
-// at has something done at a time, in the order in which it was asked for.
-func (w *world) at(t time.Duration, do func()) {
+// schedule runs a function at a simulated time; functions for the same time run
+// in the order in which they were scheduled.
+func (w *simulation) schedule(t time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{at: t, serial: w.serial, do: do})
 }
--- a/core/placement/decide.go
+++ b/core/placement/decide.go
@@ -7,22 +7,23 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// leaving tells whether an endpoint is skipped.
+// leaving reports whether the endpoint is leaving and must not be changed.
 func (e *engine) leaving() bool { return live.IsLeaving(e.config) || e.observed.Leaving }
 
-// usable tells whether the endpoint's state is known well enough to act on.
-func (p *Placement) usable(now time.Duration, e *engine) bool {
-	return e.seen && e.observed.Reachable && now-e.at <= p.cfg.Fresh
+// stateKnown reports whether the endpoint is reachable and its last observation
+// recent enough to act on.
+func (p *Placement) stateKnown(now time.Duration, e *engine) bool {
+	return e.everObserved && e.observed.Reachable && now-e.observedAt <= p.cfg.Fresh
 }
 
-// warm tells whether the endpoint serves its pool's model in a role now, and
-// will go on doing so.
+// warm reports whether the endpoint serves its pool's model in a role and no
+// change is under way.
 func (p *Placement) warm(now time.Duration, e *engine, role live.Role) bool {
-	return p.usable(now, e) && !e.leaving() && e.step == stepSettled &&
+	return p.stateKnown(now, e) && !e.leaving() && e.step == stepIdle &&
 		e.observed.Ready && e.observed.Setup.Role == role && e.observed.Setup.Model == e.pool.Model
 }
 
-func (p *Placement) warmCount(now time.Duration, g *group, role live.Role) int {
+func (p *Placement) warmCount(now time.Duration, g *poolState, role live.Role) int {
 	n := 0
 	for _, e := range g.members {
 		if p.warm(now, e, role) {
@@ -32,59 +33,61 @@
 	return n
 }
 
-// least is the fewest warm endpoints of a role that must stay; never none.
-func least(pool *live.Pool, role live.Role) int {
+// minWarm returns the number of warm endpoints of a role that must remain; at
+// least one.
+func minWarm(pool *live.Pool, role live.Role) int {
 	if role == live.RolePrefill {
 		return max(1, pool.MinPrefill)
 	}
 	return max(1, pool.MinDecode)
 }
 
-// decide sets the desired setup of each endpoint of a pool.
-func (p *Placement) decide(now time.Duration, g *group) {
+// setDesired updates the desired setup of each endpoint of a pool.
+func (p *Placement) setDesired(now time.Duration, g *poolState) {
 	for _, e := range g.members {
-		if e.leaving() || !e.seen {
+		if e.leaving() || !e.everObserved {
 			continue
 		}
 		role := p.decideRole(g, e)
-		setup := wanted(g.pool, e.config, role)
-		if e.decided && setup == e.desired {
+		setup := desiredSetup(g.pool, e.config, role)
+		if e.hasDesired && setup == e.desired {
 			continue
 		}
 		before := e.desired
-		first := !e.decided
-		e.desired, e.decided = setup, true
+		first := !e.hasDesired
+		e.desired, e.hasDesired = setup, true
 		if !first {
-			p.say(e, "desired", fmt.Sprintf("from %s to %s", before, setup))
+			p.recordDecision(e, "desired", fmt.Sprintf("from %s to %s", before, setup))
 		}
 	}
 }
 
-// wanted is what the pool wants of an endpoint: its fields, over them its
-// labels, over them the endpoint's labels.
-func wanted(pool *live.Pool, e *live.Endpoint, role live.Role) Setup {
+// desiredSetup returns the setup that a pool requires of an endpoint: the
+// pool's fields, overridden by the pool's labels, overridden by the endpoint's
+// labels.
+func desiredSetup(pool *live.Pool, e *live.Endpoint, role live.Role) Setup {
 	setup := Setup{Model: pool.Model, Adapter: pool.Adapter, Version: pool.Version, Role: role}
 	for _, labels := range []live.Labels{pool.Labels, e.Labels} {
-		override(&setup.Model, labels[live.LabelModel])
-		override(&setup.Adapter, labels[live.LabelAdapter])
-		override(&setup.Version, labels[live.LabelVersion])
+		overrideIfSet(&setup.Model, labels[live.LabelModel])
+		overrideIfSet(&setup.Adapter, labels[live.LabelAdapter])
+		overrideIfSet(&setup.Version, labels[live.LabelVersion])
 	}
 	return setup
 }
 
-func override(field *string, label string) {
+func overrideIfSet(field *string, label string) {
 	if label != "" {
 		*field = label
 	}
 }
 
-// decideRole keeps the role unless a label says otherwise: a label that is
-// new, or any label in a pool of fixed roles.
-func (p *Placement) decideRole(g *group, e *engine) live.Role {
+// decideRole keeps the current role unless a label requires another one: a
+// label that has changed, or any label in a pool of fixed roles.
+func (p *Placement) decideRole(g *poolState, e *engine) live.Role {
 	label := e.config.Labels[live.LabelRole]
-	relabelled := e.decided && label != e.label && label != ""
-	first := !e.decided
-	e.label = label
+	relabelled := e.hasDesired && label != e.roleLabel && label != ""
+	first := !e.hasDesired
+	e.roleLabel = label
 	if label != "" && (g.pool.FixedRoles || relabelled) {
 		return live.Role(label)
 	}
@@ -97,58 +100,60 @@
 	if label != "" {
 		return live.Role(label)
 	}
-	return firstRole(g)
+	return initialRole(g)
 }
 
-// firstRole gives a new endpoint the role that the pool lacks most.
-func firstRole(g *group) live.Role {
+// initialRole returns the role for a new endpoint: the one that the pool lacks
+// most.
+func initialRole(g *poolState) live.Role {
 	prefill, decode := 0, 0
 	for _, e := range g.members {
 		switch {
-		case !e.decided || e.leaving():
+		case !e.hasDesired || e.leaving():
 		case e.desired.Role == live.RolePrefill:
 			prefill++
 		default:
 			decode++
 		}
 	}
-	lackPrefill := least(g.pool, live.RolePrefill) - prefill
-	lackDecode := least(g.pool, live.RoleDecode) - decode
+	lackPrefill := minWarm(g.pool, live.RolePrefill) - prefill
+	lackDecode := minWarm(g.pool, live.RoleDecode) - decode
 	if lackPrefill > lackDecode || (lackPrefill == lackDecode && prefill < decode) {
 		return live.RolePrefill
 	}
 	return live.RoleDecode
 }
 
-// String gives the setup as it stands in reasons.
+// String returns the form used in reasons: model/adapter/version/role.
 func (s Setup) String() string {
 	return fmt.Sprintf("%s/%s/%s/%s", s.Model, s.Adapter, s.Version, s.Role)
 }
 
 // rebalance moves at most one endpoint of a pool to the role that is short,
-// once demand has asked for it long enough.
-func (p *Placement) rebalance(now time.Duration, g *group) {
-	wish := p.wish(g)
-	if wish != g.wish {
-		g.wish, g.wishFrom = wish, now
+// once the shortage has lasted for Sustain.
+func (p *Placement) rebalance(now time.Duration, g *poolState) {
+	wish := p.roleInDemand(g)
+	if wish != g.shortRole {
+		g.shortRole, g.shortSince = wish, now
 	}
-	if wish == "" || now-g.wishFrom < p.cfg.Sustain || (g.moved && now-g.changed < p.cfg.MinDwell) {
+	if wish == "" || now-g.shortSince < p.cfg.Sustain || (g.everMoved && now-g.lastMoveAt < p.cfg.MinDwell) {
 		return
 	}
-	e := p.donor(now, g, other(wish))
+	e := p.chooseDonor(now, g, otherRole(wish))
 	if e == nil {
 		return
 	}
 	e.desired.Role = wish
-	e.changed, e.everChanged = now, true
-	g.changed, g.moved = now, true
-	g.wishFrom = now
-	p.say(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
+	e.roleChangedAt, e.roleChanged = now, true
+	g.lastMoveAt, g.everMoved = now, true
+	g.shortSince = now
+	p.recordDecision(e, "role", fmt.Sprintf("to %s: prefill utilisation %.2f, decode utilisation %.2f for %s", wish, g.demand.Prefill, g.demand.Decode, p.cfg.Sustain))
 }
 
-// wish is the role that demand asks for more of; empty for none.
-func (p *Placement) wish(g *group) live.Role {
-	if !g.known || g.pool.FixedRoles {
+// roleInDemand returns the role that is short according to demand; empty for
+// none.
+func (p *Placement) roleInDemand(g *poolState) live.Role {
+	if !g.demandKnown || g.pool.FixedRoles {
 		return ""
 	}
 	switch d := g.demand; {
@@ -161,21 +166,22 @@
 	}
 }
 
-func other(r live.Role) live.Role {
+func otherRole(r live.Role) live.Role {
 	if r == live.RolePrefill {
 		return live.RoleDecode
 	}
 	return live.RolePrefill
 }
 
-// donor chooses the least busy warm endpoint of a role that may change it.
-func (p *Placement) donor(now time.Duration, g *group, role live.Role) *engine {
-	if p.changing(g) || p.warmCount(now, g, role) <= least(g.pool, role) {
+// chooseDonor returns the least busy warm endpoint of a role that may change
+// its role; nil if there is none.
+func (p *Placement) chooseDonor(now time.Duration, g *poolState, role live.Role) *engine {
+	if p.changing(g) || p.warmCount(now, g, role) <= minWarm(g.pool, role) {
 		return nil
 	}
 	var best *engine
 	for _, e := range g.members {
-		dwelt := !e.everChanged || now-e.changed >= p.cfg.MinDwell
+		dwelt := !e.roleChanged || now-e.roleChangedAt >= p.cfg.MinDwell
 		if !dwelt || !p.warm(now, e, role) || e.desired != e.observed.Setup {
 			continue
 		}
@@ -186,10 +192,10 @@
 	return best
 }
 
-// changing tells whether an endpoint of the pool is on its way to another setup.
-func (p *Placement) changing(g *group) bool {
+// changing reports whether a change is under way on an endpoint of the pool.
+func (p *Placement) changing(g *poolState) bool {
 	for _, e := range g.members {
-		if e.step != stepSettled {
+		if e.step != stepIdle {
 			return true
 		}
 	}
--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	step        = 10 * time.Millisecond
-	fleetSize   = 12
-	gossipDelay = 50 * time.Millisecond
+	stepInterval = 10 * time.Millisecond
+	fleetSize    = 12
+	gossipDelay  = 50 * time.Millisecond
 )
 
-// request is what a caller wants; it sends again until it is done or refused.
+// request is one request of a caller, who repeats it until it is finished or refused.
 type request struct {
 	suspect  Suspect
 	poison   bool
 	sendAt   time.Duration
 	daemon   int
-	server   *server
+	endpoint *testEndpoint
 	endsAt   time.Duration
 	finished bool
 	refused  bool
 }
 
-// server is an endpoint; it runs requests of all daemons.
-type server struct {
+// testEndpoint is an endpoint; it runs requests of all daemons.
+type testEndpoint struct {
 	id      CrashID
 	running []*request
 	upAt    time.Duration
@@ -44,23 +44,23 @@
 }
 
 type simulation struct {
-	rng      *rand.Rand
-	now      time.Duration
-	ledgers  []*Ledger
-	sent     []uint64
-	mail     []message
-	servers  []*server
-	requests []*request
-	crashes  int
+	rng       *rand.Rand
+	now       time.Duration
+	ledgers   []*Ledger
+	sentUpTo  []uint64
+	inFlight  []message
+	endpoints []*testEndpoint
+	requests  []*request
+	crashes   int
 }
 
 func newSimulation(seed uint64) *simulation {
-	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), sent: make([]uint64, 3)}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 3)), sentUpTo: make([]uint64, 3)}
 	for range 3 {
 		s.ledgers = append(s.ledgers, New(Config{}))
 	}
 	for i := range fleetSize {
-		s.servers = append(s.servers, &server{id: CrashID{Endpoint: id.Endpoint(fmt.Sprint("e", i)), Incarnation: 1}})
+		s.endpoints = append(s.endpoints, &testEndpoint{id: CrashID{Endpoint: id.Endpoint(fmt.Sprint("e", i)), Incarnation: 1}})
 	}
 	return s
 }
@@ -74,10 +74,10 @@
 	})
 }
 
-// send runs a request as its standing asks, or waits for room.
+// send runs a request as its standing requires, or waits for capacity.
 func (s *simulation) send(r *request) {
-	r.daemon = s.rng.IntN(len(s.ledgers)) // callers come through any host
-	room := 3
+	r.daemon = s.rng.IntN(len(s.ledgers)) // callers use any host
+	maxOthers := 3
 	switch finding := s.ledgers[r.daemon].Check(s.wall(), r.suspect.Fingerprint); finding.Standing {
 	case Quarantined:
 		r.refused = true
@@ -86,29 +86,29 @@
 		r.sendAt = s.now + gossipDelay
 		return
 	case Suspected, Isolated:
-		room = 0
+		maxOthers = 0
 	}
-	var fit []*server
-	for _, e := range s.servers {
-		if s.now >= e.upAt && len(e.running) <= room && !slices.ContainsFunc(e.running, s.alone) {
+	var fit []*testEndpoint
+	for _, e := range s.endpoints {
+		if s.now >= e.upAt && len(e.running) <= maxOthers && !slices.ContainsFunc(e.running, s.alone) {
 			fit = append(fit, e)
 		}
 	}
 	if len(fit) == 0 {
-		r.sendAt = s.now + step
+		r.sendAt = s.now + stepInterval
 		return
 	}
-	r.server = fit[s.rng.IntN(len(fit))]
-	r.server.running = append(r.server.running, r)
+	r.endpoint = fit[s.rng.IntN(len(fit))]
+	r.endpoint.running = append(r.endpoint.running, r)
 	r.endsAt = s.now + time.Duration(50+s.rng.IntN(400))*time.Millisecond
 }
 
-// alone says whether a running request must have its endpoint for itself.
+// alone reports whether a running request must not share its endpoint.
 func (s *simulation) alone(r *request) bool {
 	return s.ledgers[r.daemon].Check(s.wall(), r.suspect.Fingerprint).Standing != Clear
 }
 
-func (s *simulation) crash(e *server) {
+func (s *simulation) crash(e *testEndpoint) {
 	s.crashes++
 	for d, ledger := range s.ledgers {
 		var mine []Suspect
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, r := range e.running {
-		r.server = nil
+		r.endpoint = nil
 		r.sendAt = s.now + 2*gossipDelay + time.Duration(s.rng.IntN(1000))*time.Millisecond
 	}
 	e.running = nil
@@ -130,28 +130,28 @@
 	e.upAt = s.now + time.Second
 }
 
-func (s *simulation) end(r *request) {
+func (s *simulation) finish(r *request) {
 	if r.poison {
-		s.crash(r.server)
+		s.crash(r.endpoint)
 		return
 	}
 	r.finished = true
 	s.ledgers[r.daemon].Finished(s.wall(), r.suspect.Fingerprint)
-	r.server.running = slices.DeleteFunc(r.server.running, func(o *request) bool { return o == r })
+	r.endpoint.running = slices.DeleteFunc(r.endpoint.running, func(o *request) bool { return o == r })
 }
 
 func (s *simulation) gossip() {
 	for d, ledger := range s.ledgers {
-		state, next := ledger.Delta(s.sent[d])
-		if next == s.sent[d] {
+		state, next := ledger.Delta(s.sentUpTo[d])
+		if next == s.sentUpTo[d] {
 			continue
 		}
-		s.sent[d] = next
+		s.sentUpTo[d] = next
 		for to := range s.ledgers {
-			s.mail = append(s.mail, message{at: s.now + gossipDelay, to: to, state: state})
+			s.inFlight = append(s.inFlight, message{at: s.now + gossipDelay, to: to, state: state})
 		}
 	}
-	s.mail = slices.DeleteFunc(s.mail, func(m message) bool {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(m message) bool {
 		if m.at <= s.now {
 			s.ledgers[m.to].Merge(s.wall(), m.state)
 		}
@@ -160,24 +160,24 @@
 }
 
 func (s *simulation) step() {
-	s.now += step
+	s.now += stepInterval
 	s.gossip()
 	for _, r := range s.requests {
 		switch {
 		case r.finished || r.refused:
-		case r.server != nil && s.now >= r.endsAt:
-			s.end(r)
-		case r.server == nil && s.now >= r.sendAt:
+		case r.endpoint != nil && s.now >= r.endsAt:
+			s.finish(r)
+		case r.endpoint == nil && s.now >= r.sendAt:
 			s.send(r)
 		}
 	}
 }
 
-// TestPoisonCostsFewAndConvictsNobodyElse mixes poisons with innocent requests
-// and, in half of the runs, a crash by chance.
-func TestPoisonCostsFewAndConvictsNobodyElse(t *testing.T) {
+// TestPoisonIsQuarantinedWithFewCrashesAndNoFalsePositives mixes poisonous with
+// harmless requests and, in half of the runs, a random crash.
+func TestPoisonIsQuarantinedWithFewCrashesAndNoFalsePositives(t *testing.T) {
 	is := is.New(t)
-	most, company := 0, 0
+	mostCrashes, shared := 0, 0
 	for seed := range uint64(200) {
 		s := newSimulation(seed)
 		poisons := 1 + int(seed%2)
@@ -188,11 +188,11 @@
 			s.add(fmt.Sprint("innocent", i), false)
 		}
 		chance := int(seed/2) % 2
-		at := time.Duration(s.rng.IntN(100)) * step
+		at := time.Duration(s.rng.IntN(100)) * stepInterval
 		for s.now < 15*time.Second {
 			s.step()
 			if chance == 1 && s.now == at {
-				s.crash(s.servers[s.rng.IntN(fleetSize)])
+				s.crash(s.endpoints[s.rng.IntN(fleetSize)])
 			}
 		}
 		for _, r := range s.requests {
@@ -200,18 +200,18 @@
 				t.Fatalf("seed %d: %v: poison %v, refused %v, finished %v", seed, r.suspect, r.poison, r.refused, r.finished)
 			}
 		}
-		cost := s.crashes - chance
-		if cost > 3*poisons {
-			t.Fatalf("seed %d: %d endpoints crashed for %d poisons", seed, cost, poisons)
+		crashes := s.crashes - chance
+		if crashes > 3*poisons {
+			t.Fatalf("seed %d: %d endpoints crashed for %d poisons", seed, crashes, poisons)
 		}
-		most = max(most, cost)
-		if len(s.ledgers[0].crashes) > 0 && len(s.ledgers[0].byPrint) > poisons {
-			company++
+		mostCrashes = max(mostCrashes, crashes)
+		if len(s.ledgers[0].crashes) > 0 && len(s.ledgers[0].byFingerprint) > poisons {
+			shared++
 		}
 		for _, l := range s.ledgers {
-			is.Equal(len(l.List(s.wall())), poisons) // every daemon knows
+			is.Equal(len(l.List(s.wall())), poisons) // every daemon lists them
 		}
 	}
-	is.True(company > 100) // innocents did stand beside the crashes
-	t.Logf("at most %d crashes for two poisons", most)
+	is.True(shared > 100) // harmless requests did run on crashed endpoints
+	t.Logf("at most %d crashes for two poisons", mostCrashes)
 }
--- a/core/poison/judge.go
+++ b/core/poison/standing.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Check tells how a request of that fingerprint shall be treated.
+// Check returns how a request with the fingerprint is to be treated.
 //
-// One crash makes it suspected. It is convicted by AloneCrashes crashes at
-// which nothing else ran, by CompanyCrashes crashes of which it was alone at
-// one, or by CompanyCrashes crashes if all that ran beside it have since been
-// cleared. A crash alone counts once it has settled: until then another daemon
-// may still report a neighbour.
+// One crash makes it suspected. It is quarantined after AloneCrashes crashes at
+// which nothing else ran, after SharedCrashes crashes of which it was alone at
+// one, or after SharedCrashes crashes if all other requests at them have since been
+// cleared. A crash with a single request counts as alone once Settle has passed:
+// until then another daemon may still report a second request.
 func (l *Ledger) Check(wall time.Time, f Fingerprint) Finding {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -19,15 +19,15 @@
 }
 
 func (l *Ledger) check(wall time.Time, f Fingerprint) Finding {
-	evidence := l.evidence(wall, f)
-	n := len(evidence)
+	crashes := l.countedCrashes(wall, f)
+	n := len(crashes)
 	switch {
 	case n == 0:
 		return Finding{Standing: Clear}
-	case l.convicted(wall, f, evidence):
-		return Finding{Standing: Quarantined, Crashes: n, Until: last(evidence).Add(l.cfg.Quarantine)}
-	case l.convicted(wall.Add(l.cfg.Settle), f, evidence):
-		return Finding{Standing: Held, Crashes: n, Until: last(evidence).Add(l.cfg.Settle)}
+	case l.quarantined(wall, f, crashes):
+		return Finding{Standing: Quarantined, Crashes: n, Until: latestCrash(crashes).Add(l.cfg.Quarantine)}
+	case l.quarantined(wall.Add(l.cfg.Settle), f, crashes):
+		return Finding{Standing: Held, Crashes: n, Until: latestCrash(crashes).Add(l.cfg.Settle)}
 	case n == 1:
 		return Finding{Standing: Suspected, Crashes: n}
 	default:
@@ -35,11 +35,11 @@
 	}
 }
 
-// evidence lists the crashes that count against a fingerprint.
-func (l *Ledger) evidence(wall time.Time, f Fingerprint) []Crash {
+// countedCrashes returns the crashes that count against a fingerprint.
+func (l *Ledger) countedCrashes(wall time.Time, f Fingerprint) []Crash {
 	since := max(l.clearedAt(f), wall.Add(-l.cfg.Quarantine).UnixMilli())
 	var out []Crash
-	for _, id := range l.byPrint[f] {
+	for _, id := range l.byFingerprint[f] {
 		if c := l.crashes[id].crash; c.AtUnixMS > since {
 			out = append(out, c)
 		}
@@ -55,9 +55,9 @@
 	return at
 }
 
-func (l *Ledger) convicted(wall time.Time, f Fingerprint, evidence []Crash) bool {
+func (l *Ledger) quarantined(wall time.Time, f Fingerprint, crashes []Crash) bool {
 	alone := 0
-	for _, c := range evidence {
+	for _, c := range crashes {
 		if len(c.Running) == 1 && l.settled(wall, c) {
 			alone++
 		}
@@ -65,16 +65,17 @@
 	if alone >= l.cfg.AloneCrashes {
 		return true
 	}
-	return len(evidence) >= l.cfg.CompanyCrashes && (alone > 0 || l.companyCleared(f, evidence))
+	return len(crashes) >= l.cfg.SharedCrashes && (alone > 0 || l.othersCleared(f, crashes))
 }
 
 func (l *Ledger) settled(wall time.Time, c Crash) bool {
 	return !wall.Before(time.UnixMilli(c.AtUnixMS).Add(l.cfg.Settle))
 }
 
-// companyCleared says whether all others at those crashes finished later.
-func (l *Ledger) companyCleared(f Fingerprint, evidence []Crash) bool {
-	for _, c := range evidence {
+// othersCleared reports whether all other requests at those crashes were cleared
+// later.
+func (l *Ledger) othersCleared(f Fingerprint, crashes []Crash) bool {
+	for _, c := range crashes {
 		for _, s := range c.Running {
 			if s.Fingerprint != f && l.clearedAt(s.Fingerprint) <= c.AtUnixMS {
 				return false
@@ -84,21 +85,21 @@
 	return true
 }
 
-// last returns the time of the latest crash.
-func last(evidence []Crash) time.Time {
+// latestCrash returns the time of the latest crash.
+func latestCrash(crashes []Crash) time.Time {
 	var at int64
-	for _, c := range evidence {
+	for _, c := range crashes {
 		at = max(at, c.AtUnixMS)
 	}
 	return time.UnixMilli(at)
 }
 
-// List returns the quarantined fingerprints in order.
+// List returns the quarantined requests, ordered by fingerprint.
 func (l *Ledger) List(wall time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Entry
-	for f, ids := range l.byPrint {
+	for f, ids := range l.byFingerprint {
 		finding := l.check(wall, f)
 		if finding.Standing == Quarantined {
 			out = append(out, Entry{Fingerprint: f, Team: l.suspect(f, ids[0]).Team, Crashes: finding.Crashes, Until: finding.Until})
--- a/core/sched/bind.go
+++ b/core/sched/bind.go
@@ -1,10 +1,10 @@
 package sched
 
-// bind tells the daemons of provisional grants that have got their slots.
+// bind appends a Binding for each provisional grant that has received its slot.
 func (l *Ledger) bind(actions []Action) []Action {
 	for _, r := range l.promoted {
-		if r.slotFrom == 0 {
-			r.slotFrom = l.now
+		if r.slotSince == 0 {
+			r.slotSince = l.now
 		}
 		if !r.grant.Provisional || r.phase >= PhaseDecoding || l.granted[r.want.Request] != r {
 			continue
--- a/core/sched/cache_test.go
+++ b/core/sched/cache_test.go
@@ -9,15 +9,15 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// prefixed is a request whose prompt is nearly all prefix blocks.
+// prefixed returns a request with the given prefix blocks.
 func prefixed(n int, blocks ...uint64) Want {
 	w := testWant(n, teamName(0))
 	w.Prefix = blocks
 	return w
 }
 
-// ranOn runs a request to its end and returns its prefill engine.
-func ranOn(t *testing.T, l *Ledger, now time.Duration, w Want) id.Endpoint {
+// serveOn serves a request to completion and returns its prefill engine.
+func serveOn(t *testing.T, l *Ledger, now time.Duration, w Want) id.Endpoint {
 	t.Helper()
 	g := onlyGrant(t, l.Want(now, w))
 	l.Progress(now+ms, progressOf(g, PhaseTransferring))
@@ -25,7 +25,7 @@
 	return g.Prefill
 }
 
-func TestCacheViewIsBoundedAndDecays(t *testing.T) {
+func TestCacheViewIsBoundedAndExpires(t *testing.T) {
 	is := is.New(t)
 	var forgotten []uint64
 	c := newCacheView(2, time.Second, func(b uint64) { forgotten = append(forgotten, b) })
@@ -40,17 +40,17 @@
 	is.Equal(len(forgotten), 3)
 }
 
-func TestAPrefixIsFoundAgainOnItsEngine(t *testing.T) {
+func TestPrefixAffinityReusesEngine(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(16, 1))
-	first := ranOn(t, l, ms, prefixed(1, 7, 8, 9))
+	first := serveOn(t, l, ms, prefixed(1, 7, 8, 9))
 	for n := 2; n < 12; n++ {
-		is.Equal(ranOn(t, l, timeMS(10*n), prefixed(n, 7, 8, 9)), first)
+		is.Equal(serveOn(t, l, timeMS(10*n), prefixed(n, 7, 8, 9)), first)
 	}
 	is.Equal(len(l.caches.owners), 1)
 }
 
-func TestTheCacheViewIsForgotten(t *testing.T) {
+func TestCacheViewIsInvalidated(t *testing.T) {
 	forget := map[string]func(l *Ledger, e id.Endpoint){
 		"gap":  func(l *Ledger, e id.Endpoint) { l.Cache(20*ms, e, nil, true) },
 		"drop": func(l *Ledger, e id.Endpoint) { l.Cache(20*ms, e, []CacheEvent{{Endpoint: e, Block: 7}}, false) },
@@ -64,7 +64,7 @@
 			is := is.New(t)
 			l := testLedger(t, testOptions(t), testDocument(4, 1))
 			w := prefixed(1, 7)
-			e := ranOn(t, l, ms, w)
+			e := serveOn(t, l, ms, w)
 			is.Equal(l.bestCached(&w), l.options.BlockTokens)
 			f(l, e)
 			is.Equal(l.bestCached(&w), 0)
@@ -73,10 +73,10 @@
 	}
 }
 
-func TestCacheEventsOfKnownPrefixesCount(t *testing.T) {
+func TestCacheEventsOfKnownPrefixesAreIndexed(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(4, 1))
-	e := ranOn(t, l, ms, prefixed(1, 7))
+	e := serveOn(t, l, ms, prefixed(1, 7))
 	for _, other := range l.endpoints {
 		if other.name != e && other.labelRole == "prefill" {
 			stored := []CacheEvent{{Endpoint: other.name, Block: 7, Stored: true}}
@@ -86,13 +86,13 @@
 	is.Equal(len(l.caches.find(7)), 2)
 }
 
-func TestAPopularPrefixSpreads(t *testing.T) {
+func TestPopularPrefixSpreadsOverEngines(t *testing.T) {
 	is := is.New(t)
 	l := testLedger(t, testOptions(t), testDocument(16, 1))
-	ranOn(t, l, ms, prefixed(1, 7))
+	serveOn(t, l, ms, prefixed(1, 7))
 	engines := map[id.Endpoint]bool{}
 	for n := 2; n < 8; n++ {
 		engines[onlyGrant(t, l.Want(timeMS(10), prefixed(n, 7))).Prefill] = true
 	}
-	is.True(len(engines) > 3) // one short block isn't worth a queue
+	is.True(len(engines) > 3) // one short block doesn't justify a wait
 }
--- a/core/sched/configure.go
+++ b/core/sched/configure.go
@@ -7,9 +7,9 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// Configure implements Scheduler. An item that can't be read keeps its former
-// state and is reported as a violation, since accepted configurations are
-// validated before.
+// Configure implements Scheduler. An item that can't be parsed keeps its former
+// state and is reported as a violation, since configurations are validated
+// before they are accepted.
 func (l *Ledger) Configure(now time.Duration, doc *live.Document) []Action {
 	l.begin(now)
 	l.configureServices(doc)
@@ -24,7 +24,7 @@
 func (l *Ledger) recheckWaiting() []Action {
 	var actions []Action
 	for _, w := range l.waitingInOrder() {
-		s, _, refusal := l.permitted(&w.want)
+		s, _, refusal := l.authorize(&w.want)
 		if refusal == nil {
 			w.service = s
 			continue
@@ -35,7 +35,7 @@
 	return actions
 }
 
-// configureServices reads the services of the pool.
+// configureServices applies the services of the pool.
 func (l *Ledger) configureServices(doc *live.Document) {
 	services := map[id.Service]*service{}
 	for i := range doc.Services {
@@ -55,7 +55,7 @@
 	l.services = services
 }
 
-// configureTeams reads the teams; one that left keeps its state while it has
+// configureTeams applies the teams; a removed team keeps its state while it has
 // requests in flight.
 func (l *Ledger) configureTeams(doc *live.Document) {
 	for _, t := range l.teams {
@@ -71,7 +71,7 @@
 	}
 }
 
-// configureTeam reads one team.
+// configureTeam applies one team.
 func (l *Ledger) configureTeam(d *live.Team) {
 	t := l.teams[d.Name]
 	if t == nil {
@@ -91,7 +91,8 @@
 	t.known = true
 }
 
-// configureLinks reads the rates; transfers on their way go on.
+// configureLinks applies the link rates; running transfers continue at the new
+// rate.
 func (l *Ledger) configureLinks(doc *live.Document) {
 	l.limits = doc.Links
 	for key, known := range l.links {
@@ -105,7 +106,8 @@
 	}
 }
 
-// linkBetween returns the link between two domains, nil if it has no limit.
+// linkBetween returns the link between two failure domains, nil if it has no
+// limit.
 func (l *Ledger) linkBetween(from, to id.Domain) *link {
 	key := linkKey{from: from, to: to}
 	known, ok := l.links[key]
@@ -121,8 +123,8 @@
 	return known
 }
 
-// configureEndpoints reads the pool's endpoints. One that left the pool stays
-// known, so that its reservations can end.
+// configureEndpoints applies the pool's endpoints. A removed endpoint is kept
+// until its reservations have ended.
 func (l *Ledger) configureEndpoints(doc *live.Document) {
 	pool := FindPool(doc, l.options.Pool)
 	var chosen []*live.Endpoint
@@ -147,14 +149,14 @@
 	}
 }
 
-// configureEndpoint reads one endpoint.
+// configureEndpoint applies one endpoint.
 func (l *Ledger) configureEndpoint(d *live.Endpoint) {
 	e := l.endpoints[d.Name]
 	if e == nil {
 		e = l.newEndpoint(d)
 		l.endpoints[d.Name] = e
 	}
-	l.fleet.takeOut(e)
+	l.fleet.remove(e)
 	e.domain = d.Domain
 	e.configured = d.Slots
 	if e.configured <= 0 {
@@ -164,10 +166,10 @@
 	e.labelLeaving = live.IsLeaving(d)
 	e.inPool = true
 	e.promote()
-	l.touch(e)
+	l.reindex(e)
 }
 
-// newEndpoint starts from the configuration's estimates.
+// newEndpoint returns an endpoint with the estimates of the configuration.
 func (l *Ledger) newEndpoint(d *live.Endpoint) *endpoint {
 	rate := d.PrefillTokensPerSecond
 	if rate <= 0 {
@@ -185,14 +187,14 @@
 	e.cache = newCacheView(l.options.CacheBlocks, l.options.CacheLife, func(block uint64) {
 		l.caches.remove(block, e)
 	})
-	l.pool.start(LabelledRole(d), rate, token/1000)
+	l.pool.addConfigured(LabelledRole(d), rate, token/1000)
 	return e
 }
 
-// dropEndpoint takes an endpoint out of the pool, and out of memory once
-// nothing runs on it.
+// dropEndpoint removes an endpoint from the pool. Its state is deleted if no
+// work runs on it.
 func (l *Ledger) dropEndpoint(e *endpoint) {
-	l.fleet.takeOut(e)
+	l.fleet.remove(e)
 	e.inPool = false
 	e.cache.clear()
 	if e.idle() {
@@ -200,15 +202,15 @@
 	}
 }
 
-// touch puts an endpoint that has changed back into the index, if it may get
-// work at all. Each change is bracketed by fleet.takeOut and touch.
-func (l *Ledger) touch(e *endpoint) {
+// reindex inserts a changed endpoint into the index again if it passes the static
+// filters. Each change is enclosed by fleet.remove and reindex.
+func (l *Ledger) reindex(e *endpoint) {
 	l.promoted = append(l.promoted, e.promoted...)
 	e.promoted = e.promoted[:0]
-	l.standing.model = l.model
-	filters := l.row.standing[e.role()]
-	if filters == nil || !keepAll(filters, &l.standing, e) {
+	l.staticCycle.model = l.model
+	filters := l.pipeline.static[e.role()]
+	if filters == nil || !keepAll(filters, &l.staticCycle, e) {
 		return
 	}
-	l.fleet.putIn(e, l.now, l.random.Uint64())
+	l.fleet.insert(e, l.now, l.random.Uint64())
 }
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// expiryGrace is added to a grant's life for its way to the daemon and back.
+// expiryGrace extends a grant's lifetime by the time of its round trip to the
+// daemon.
 const expiryGrace = 100 * time.Millisecond
 
 // grant reserves the pair for a queued request and charges its team.
@@ -26,18 +27,18 @@
 	if r.prefill != nil {
 		r.grant.Prefill = r.prefill.name
 	}
-	l.queue.serve(w, l.scalar(r.charge))
+	l.queue.serve(w, l.poolSeconds(r.charge))
 	delete(l.waiting, w.want.Request)
 	l.hold(r)
-	if r.borrowed {
+	if r.speculative {
 		r.grant.Provisional = true
-		r.grant.BindWithin = seconds(waitShare * l.options.KVLife.Seconds())
+		r.grant.BindWithin = seconds(maxSlotWaitShare * l.options.KVLife.Seconds())
 	}
 	grant := r.grant
 	return &Action{To: w.want.From, Grant: &grant}
 }
 
-// newReservation fills in what is predicted for a pair.
+// newReservation returns a reservation with the predictions for the pair.
 func (l *Ledger) newReservation(w *waiting, p *pair) *reservation {
 	l.serial++
 	r := &reservation{
@@ -66,7 +67,7 @@
 	return r
 }
 
-// predictRelease predicts the slot's release from the decode's start.
+// predictRelease predicts the slot's release, given the start of the decode.
 func (r *reservation) predictRelease(decodeStart time.Duration) {
 	estimate := r.service.estimate
 	if r.service.plain {
@@ -80,12 +81,12 @@
 	r.deviation = seconds(estimate.outputDeviation(&r.want) * token)
 }
 
-// hold enters a reservation into the ledgers.
+// hold adds a reservation to the ledger, to its endpoints and to its link.
 func (l *Ledger) hold(r *reservation) {
 	l.granted[r.want.Request] = r
 	r.team.granted++
-	if r.awaitsFirst() {
-		l.awaited++
+	if r.awaitsFirstToken() {
+		l.awaitingFirstToken++
 	}
 	heap.Push(&l.expiry, r)
 	l.holdPrefill(r)
@@ -95,40 +96,41 @@
 	}
 }
 
-// holdPrefill queues the reservation's prefill.
+// holdPrefill adds the reservation to the queue of its prefill endpoint.
 func (l *Ledger) holdPrefill(r *reservation) {
 	if r.prefill == nil || r.phase >= PhaseTransferring {
 		return
 	}
-	l.change(r.prefill, func(e *endpoint) {
+	l.updateEndpoint(r.prefill, func(e *endpoint) {
 		e.queue = append(e.queue, r)
 		l.fleet.prefillSeconds += r.prefillTime.Seconds()
 		e.busyUntil = max(e.busyUntil, r.prefillEnd)
 		if r.want.Suspect {
-			e.alone = r
+			e.suspect = r
 		}
 	})
 }
 
-// holdSlot takes a slot, or a place behind one that is to be released.
+// holdSlot assigns a slot to the reservation or queues it for the next predicted
+// release.
 func (l *Ledger) holdSlot(r *reservation) {
-	l.change(r.decode, func(e *endpoint) {
+	l.updateEndpoint(r.decode, func(e *endpoint) {
 		if e.free(l.now) > 0 || r.holdsSlot() {
 			e.held = append(e.held, r)
 			e.sortHeld()
 			e.promoted = append(e.promoted, r)
 		} else {
 			e.pending = append(e.pending, r)
-			r.borrowed = true
-			l.borrowers = append(l.borrowers, r)
+			r.speculative = true
+			l.awaitingSlot = append(l.awaitingSlot, r)
 		}
 		if r.want.Suspect {
-			e.alone = r
+			e.suspect = r
 		}
 	})
 }
 
-// holdsSlot is true for an adopted reservation that has its slot already.
+// holdsSlot is true for an adopted reservation that already has its slot.
 func (r *reservation) holdsSlot() bool {
 	if r.grant.Provisional {
 		return r.phase >= PhaseDecoding
@@ -136,7 +138,7 @@
 	return r.phase != 0
 }
 
-// addTransfer enters the KV cache's transfer into the link's ledger.
+// addTransfer adds the transfer of the KV cache to the link.
 func (l *Ledger) addTransfer(r *reservation) {
 	r.link.add(l.now, transfer{
 		owner:     r.number,
@@ -146,28 +148,28 @@
 	})
 }
 
-// change alters an endpoint and keeps the fleet's index in step.
-func (l *Ledger) change(e *endpoint, alter func(e *endpoint)) {
-	l.fleet.takeOut(e)
+// updateEndpoint changes an endpoint and updates the fleet's index.
+func (l *Ledger) updateEndpoint(e *endpoint, alter func(e *endpoint)) {
+	l.fleet.remove(e)
 	alter(e)
-	l.touch(e)
+	l.reindex(e)
 }
 
-// scalar is a cost as the part of the pool's capacity that it takes, in
-// seconds of the whole pool.
-func (l *Ledger) scalar(c cost) float64 {
+// poolSeconds converts a cost to a share of the pool's capacity, in seconds of
+// the whole pool.
+func (l *Ledger) poolSeconds(c cost) float64 {
 	engines := max(1, float64(l.fleet.engines()))
 	slots := 0
 	for _, x := range l.fleet.slots {
 		slots += x
 	}
-	return max(leastCharge, c.prefill/engines+c.slot/max(1, float64(slots)))
+	return max(minCharge, c.prefill/engines+c.slot/max(1, float64(slots)))
 }
 
-// leastCharge is charged for any request, in seconds of the whole pool.
-const leastCharge = 1e-7
+// minCharge is the lowest charge for a request, in seconds of the whole pool.
+const minCharge = 1e-7
 
-// String names the reservation in the details of violations.
+// String identifies the reservation in the details of violations.
 func (r *reservation) String() string {
 	return fmt.Sprintf("reservation %d of request %s", r.number, r.want.Request)
 }
--- a/core/sched/risk_test.go
+++ b/core/sched/risk_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRiskMeetsTheToleratedWaste(t *testing.T) {
+func TestRiskConvergesToToleratedWaste(t *testing.T) {
 	is := is.New(t)
 	o := Options{}.withDefaults()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -16,17 +16,17 @@
 		k := newRisk(&o, weight)
 		wasted, n := 0, 40_000
 		for range n {
-			// Releases are exponentially late, in deviations.
+			// The delay of a release is exponentially distributed, in deviations.
 			late := random.ExpFloat64() > k.deviations
 			k.add(late)
 			if late {
 				wasted++
 			}
 		}
-		part := float64(wasted) / float64(n)
-		t.Logf("weight %.1f: wasted %.4f, tolerated %.4f", weight, part, k.tolerated)
-		is.True(part < 1.1*k.tolerated)
-		is.True(part > 0.9*k.tolerated)
+		fraction := float64(wasted) / float64(n)
+		t.Logf("weight %.1f: wasted %.4f, tolerated %.4f", weight, fraction, k.tolerated)
+		is.True(fraction < 1.1*k.tolerated)
+		is.True(fraction > 0.9*k.tolerated)
 	}
 }
 
@@ -43,16 +43,16 @@
 	}
 	is.Equal(k.deviations, -maxRisk)
 	is.Equal(k.margin(10*ms, 800*ms), -80*ms)
-	is.Equal(k.margin(time.Second, 800*ms), -600*ms) // of a life of 800 ms
+	is.Equal(k.margin(time.Second, 800*ms), -600*ms) // 0.75 of the lifetime of 800 ms
 }
 
-func TestABorrowedSlotIsJudgedOnce(t *testing.T) {
+func TestSpeculativePrefillIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	s := &service{estimate: &serviceEstimate{risk: risk{deviations: 1, tolerated: 0.1}}}
-	r := &reservation{service: s, borrowed: true}
-	r.judgeRisk(true)
+	r := &reservation{service: s, speculative: true}
+	r.recordOutcome(true)
 	after := s.estimate.risk.deviations
 	is.True(after > 1)
-	r.judgeRisk(true)
+	r.recordOutcome(true)
 	is.Equal(s.estimate.risk.deviations, after)
 }
--- a/daemon/gateway/freshness_test.go
+++ b/daemon/gateway/freshness_test.go
@@ -9,8 +9,9 @@
 	"github.com/samphirequay/samphirequay/core/freshness"
 )
 
-// TestAFloodOfUnknownKeysBecomesFewReads, however many requests bring one.
-func TestAFloodOfUnknownKeysBecomesFewReads(t *testing.T) {
+// TestReadsForUnknownKeysAreRateLimited checks that many requests with unknown keys
+// cause only one read of the configuration per refreshInterval.
+func TestReadsForUnknownKeysAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	var c configFreshness
 	reads := 0
@@ -19,16 +20,17 @@
 			reads++
 		}
 	}
-	is.Equal(reads, int(time.Minute/refreshPause))
+	is.Equal(reads, int(time.Minute/refreshInterval))
 }
 
-// TestAProofIsHandedOnAsItCame, with the version that it is about.
-func TestAProofIsHandedOnAsItCame(t *testing.T) {
+// TestProofIsForwardedUnchanged checks that a proof is forwarded with the version and
+// time with which it was received, and only if its version is in force here.
+func TestProofIsForwardedUnchanged(t *testing.T) {
 	is := is.New(t)
 	var c configFreshness
 	is.Equal(c.proof(), nil)
 	c.sample(0, time.Millisecond, time.Hour)
-	c.inForce(9)
+	c.setVersion(9)
 	c.learn(2*time.Second, freshness.Proof{Version: 7, At: time.Hour + time.Second})
 	is.Equal(*c.proof(), freshness.Proof{Version: 7, At: time.Hour + time.Second})
 	age, ok := c.age(3 * time.Second)
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -8,83 +8,84 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-// inspectTimeout bounds the questions to an endpoint: what is silent for that
-// long is dealt with as unreachable.
+// inspectTimeout bounds the queries to an endpoint. If it does not answer in that
+// time, its identity is unknown.
 const inspectTimeout = 300 * time.Millisecond
 
-// inspectDisputed asks at the addresses that two endpoints claim: an endpoint
-// that has ended and started again may have the entry of its former process
-// written once more by a late heartbeat. Sent to by its former name, it refused
-// 518 requests, and 260 prompts were read in vain, while 16 engines started
-// again within 34 s.
+// inspectDisputed inspects the endpoints whose address two entries claim. After a
+// restart, a late heartbeat may write the entry of the former process again.
+// Requests sent under the former name are refused: when 16 engines restarted within
+// 34 s, 518 requests were refused and 260 prefills were wasted.
 func (d *Daemon) inspectDisputed() {
-	for _, e := range d.knowledge.list.Disputed() {
+	for _, e := range d.tables.list.Disputed() {
 		d.inspect(e)
 	}
 }
 
-// inspect asks an endpoint who it is, and takes its own word for it. It doesn't
-// wait, and an endpoint that is being asked is not asked again.
+// inspect queries an endpoint for its identity in the background, and updates the
+// registry by its response. It does nothing if the endpoint is being inspected.
 func (d *Daemon) inspect(e registry.Endpoint) {
 	if d.ctx.Err() != nil || !d.inspected.begin(e.Name) {
 		return
 	}
 	go func() {
 		defer d.inspected.end(e.Name)
-		d.inspectNow(e)
+		d.inspectSync(e)
 	}()
 }
 
-// finding is what an endpoint said of itself.
-type finding uint8
+// identityResult is the result of comparing an endpoint with its registry entry.
+type identityResult uint8
 
-// The findings.
+// The results of an inspection.
 const (
-	// unknown: it did not say.
-	unknown finding = iota
-	// asListed: it is what its entry says.
-	asListed
-	// changed: it has another role than its entry says, or started again.
-	changed
-	// displaced: another process has its address.
-	displaced
+	// identityUnknown: the endpoint did not report its identity.
+	identityUnknown identityResult = iota
+	// identityMatches: the endpoint matches its entry.
+	identityMatches
+	// identityChanged: the engine has restarted, or has another role than its entry
+	// states.
+	identityChanged
+	// identityDisplaced: another process listens at its address.
+	identityDisplaced
 )
 
-// inspectNow asks an endpoint who it is, and waits for the answer.
-func (d *Daemon) inspectNow(e registry.Endpoint) finding {
+// inspectSync queries an endpoint for its identity and waits for the result. It
+// updates the registry if the endpoint was displaced or has restarted.
+func (d *Daemon) inspectSync(e registry.Endpoint) identityResult {
 	path := d.healthPath(e.Service)
 	if path == "" {
-		return unknown
+		return identityUnknown
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, inspectTimeout)
 	defer cancel()
 	who, err := d.platform.Inspector.Instance(ctx, e, path)
 	if err != nil {
-		return unknown
+		return identityUnknown
 	}
 	if who != e.Instance {
 		d.displace(e, who)
-		return displaced
+		return identityDisplaced
 	}
 	if e.Role == "" {
-		return asListed
+		return identityMatches
 	}
 	state, err := d.platform.Engines.State(ctx, e)
 	switch {
 	case err != nil:
-		return unknown
+		return identityUnknown
 	case state.Born > e.Born:
-		d.restarted(e, state)
-		return changed
+		d.markRestarted(e, state)
+		return identityChanged
 	case state.Role != e.Role:
-		return changed
+		return identityChanged
 	default:
-		return asListed
+		return identityMatches
 	}
 }
 
 func (d *Daemon) healthPath(service id.Service) string {
-	routes := d.knowledge.current().Routes
+	routes := d.tables.current().Routes
 	if routes == nil {
 		return ""
 	}
@@ -94,22 +95,24 @@
 	return ""
 }
 
-// displace drops an endpoint at whose address another process answers.
+// displace drops an endpoint from the registry because another process answers at
+// its address.
 func (d *Daemon) displace(e registry.Endpoint, by id.Instance) {
-	d.knowledge.mu.Lock()
-	defer d.knowledge.mu.Unlock()
-	if !d.knowledge.list.Displace(e) {
+	d.tables.mu.Lock()
+	defer d.tables.mu.Unlock()
+	if !d.tables.list.Displace(e) {
 		return
 	}
 	d.logger.Event("endpoint_displaced", "endpoint", e.Name, "address", e.Address, "by", by)
 	d.publish()
 }
 
-// restarted takes an engine's own word that it has started again.
-func (d *Daemon) restarted(e registry.Endpoint, state EngineState) {
-	d.knowledge.mu.Lock()
-	defer d.knowledge.mu.Unlock()
-	if !d.knowledge.list.Restarted(e.Instance, state.Born, state.Role) {
+// markRestarted updates the registry after an engine reported that it has
+// restarted.
+func (d *Daemon) markRestarted(e registry.Endpoint, state EngineState) {
+	d.tables.mu.Lock()
+	defer d.tables.mu.Unlock()
+	if !d.tables.list.Restarted(e.Instance, state.Born, state.Role) {
 		return
 	}
 	d.logger.Event("endpoint_restarted", "endpoint", e.Name, "born", state.Born, "role", state.Role)
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -12,8 +12,9 @@
 	"github.com/samphirequay/samphirequay/daemon/quotas"
 )
 
-// keeperKey is what the keeper of teams' accounts is chosen by: it owns the
-// first of the pools, so that daemons are connected to it anyway.
+// keeperKey returns the key by which the keeper of the teams' accounts is chosen: the
+// name of the first pool, so that the keeper is the owner of that pool, to which the
+// daemons are connected anyway.
 func keeperKey(routes *route.Table) string {
 	names := poolNames(routes)
 	if len(names) == 0 {
@@ -22,12 +23,12 @@
 	return string(slices.Min(names))
 }
 
-// newQuotas starts the duty that holds teams to their limits.
-func (d *Daemon) newQuotas(f *fleet, wired <-chan struct{}) *quotas.Quotas {
+// newQuotas starts the component that enforces the teams' limits.
+func (d *Daemon) newQuotas(f *fleet, ready <-chan struct{}) *quotas.Quotas {
 	return quotas.New(quotas.Config{
 		Self:  f.self.Daemon,
 		Send:  f.links().SendQuota,
-		Limit: d.limitOf,
+		Limit: d.teamLimit,
 		Tolerance: quota.Tolerance{
 			Window:    Seconds(d.set.Bounds.QuotaWindowS),
 			Overshoot: d.set.Bounds.QuotaOvershoot,
@@ -37,13 +38,14 @@
 		Log:     d.logger.Event,
 		Metrics: d.metrics,
 		Now:     d.now,
-		Ready:   wired,
+		Ready:   ready,
 	})
 }
 
-// limitOf is a team's by the configuration in force.
-func (d *Daemon) limitOf(name id.Team) (quota.Limit, bool) {
-	routes := d.knowledge.current().Routes
+// teamLimit returns a team's limit in the configuration in force; false if the team
+// is not configured.
+func (d *Daemon) teamLimit(name id.Team) (quota.Limit, bool) {
+	routes := d.tables.current().Routes
 	if routes == nil {
 		return quota.Limit{}, false
 	}
