--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -15,7 +15,7 @@
 const (
 	// attemptShare of the time left is given to an attempt of a call that can
 	// still be repeated afterwards.
-	attemptShare = 0.4
+	attemptFraction = 0.4
 	// leastAttempt is the shortest time for an attempt: well above what a
 	// sound endpoint takes.
 	leastAttempt = 150 * time.Millisecond
@@ -102,7 +102,7 @@
 	limit := f.limit(r, t.route)
 	until := limit
 	if repeatable {
-		share := time.Duration(attemptShare * float64(limit-begun))
+		share := time.Duration(attemptFraction * float64(limit-begun))
 		until = min(limit, begun+max(share, leastAttempt))
 	}
 	t.attempts++
