--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -18,7 +18,7 @@
 	attemptFraction = 0.4
 	// leastAttempt is the shortest time for an attempt: well above what a
 	// sound endpoint takes.
-	leastAttempt = 150 * time.Millisecond
+	minAttemptTime = 150 * time.Millisecond
 	// maxRefusals bounds how often one request is refused by endpoints before
 	// its caller is refused.
 	maxRefusals = 3
@@ -103,7 +103,7 @@
 	until := limit
 	if repeatable {
 		share := time.Duration(attemptFraction * float64(limit-begun))
-		until = min(limit, begun+max(share, leastAttempt))
+		until = min(limit, begun+max(share, minAttemptTime))
 	}
 	t.attempts++
 	t.endpoint = e.Name
