--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -158,7 +158,7 @@
 // again says whether a failed attempt is followed by another. Only arrivals at
 // endpoints are paid for: a connection that was refused is none.
 func (f *Forwarder) again(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
-	if ctx.Err() != nil || f.left(r, t.route) < leastLeft {
+	if ctx.Err() != nil || f.left(r, t.route) < minTimeForRetry {
 		t.reason = "no time is left"
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 // leastLeft is the least time that another attempt needs to be of use.
-const leastLeft = 25 * time.Millisecond
+const minTimeForRetry = 25 * time.Millisecond
 
 // arrivedAnyway says whether a request that has not run reached an endpoint,
 // which refused it.
