--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -61,7 +61,7 @@
 // stillAllowed looks at a request's key again right before the request goes to an
 // endpoint: it may have waited while the key was revoked. Work that has begun is
 // finished.
-func (f *Forwarder) stillAllowed(r *Request, t *trace) *verdict.Error {
+func (f *Forwarder) recheckKey(r *Request, t *trace) *verdict.Error {
 	if t.team == nil || t.begun {
 		return nil
 	}
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -34,7 +34,7 @@
 	var last *Reply
 	var failure *verdict.Error
 	for {
-		if err := f.stillAllowed(r, t); err != nil {
+		if err := f.recheckKey(r, t); err != nil {
 			return orEarlier(last, failure, err)
 		}
 		endpoint, err := f.pick(s.Name, avoid)
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -19,7 +19,7 @@
 func (f *Forwarder) plainStream(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
 	var avoid []id.Endpoint
 	for refused := 1; ; refused++ {
-		if err := f.stillAllowed(r, t); err != nil {
+		if err := f.recheckKey(r, t); err != nil {
 			cancel()
 			return nil, err
 		}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -268,7 +268,7 @@
 
 // allowed gives a grant back where the request's key is no longer good.
 func (g *generation) allowed() *verdict.Error {
-	err := g.f.stillAllowed(g.request, g.trace)
+	err := g.f.recheckKey(g.request, g.trace)
 	if err != nil {
 		g.progress(sched.Progress{Phase: sched.PhaseCancelled})
 	}
