--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -35,11 +35,11 @@
 	var failure *verdict.Error
 	for {
 		if err := f.recheckKey(r, t); err != nil {
-			return orEarlier(last, failure, err)
+			return finalResult(last, failure, err)
 		}
 		endpoint, err := f.pick(s.Name, avoid)
 		if err != nil {
-			return orEarlier(last, failure, err)
+			return finalResult(last, failure, err)
 		}
 		repeatable := t.route.Repeatable() && ran+1 < t.route.MaxAttempts
 		reply, err := f.try(ctx, r, t, s, endpoint, repeatable)
@@ -56,14 +56,14 @@
 		}
 		avoid = append(avoid, endpoint.Name)
 		if !f.again(ctx, r, t, s, err, ran, refused) {
-			return orEarlier(last, failure, nil)
+			return finalResult(last, failure, nil)
 		}
 	}
 }
 
 // orEarlier gives what the earlier attempts came to: an endpoint's own error
 // answer goes before an error of this daemon.
-func orEarlier(last *Reply, failure, now *verdict.Error) (*Reply, *verdict.Error) {
+func finalResult(last *Reply, failure, now *verdict.Error) (*Reply, *verdict.Error) {
 	switch {
 	case last != nil:
 		return last, nil
