--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -52,7 +52,7 @@
 			last, failure = reply, err
 		} else {
 			refused++
-			failure = worse(failure, err)
+			failure = worseError(failure, err)
 		}
 		avoid = append(avoid, endpoint.Name)
 		if !f.again(ctx, r, t, s, err, ran, refused) {
@@ -75,7 +75,7 @@
 }
 
 // worse keeps the error that promises less.
-func worse(a, b *verdict.Error) *verdict.Error {
+func worseError(a, b *verdict.Error) *verdict.Error {
 	if a == nil || verdict.Worse(a.Verdict, b.Verdict) == b.Verdict {
 		return b
 	}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -87,7 +87,7 @@
 				return opened, nil
 			}
 		}
-		g.failure = worse(g.failure, err)
+		g.failure = worseError(g.failure, err)
 		if !g.mayBeginAgain(ctx, err) {
 			return nil, g.failure
 		}
