--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -107,7 +107,7 @@
 	}
 	t.attempts++
 	t.endpoint = e.Name
-	f.noteSent(t, e)
+	f.countUnlisted(t, e)
 	reply, err := f.Endpoints.Call(ctx, &Attempt{
 		Request:     r,
 		Endpoint:    e,
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -54,7 +54,7 @@
 	begun := f.Now()
 	g.trace.attempts++
 	g.trace.endpoint = engine.Name
-	f.noteSent(g.trace, engine)
+	f.countUnlisted(g.trace, engine)
 	attempt := g.attempt(engine)
 	attempt.Once = !g.trace.route.Resumable
 	if g.trace.route.Resumable {
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -31,7 +31,7 @@
 		begun := f.Now()
 		t.attempts++
 		t.endpoint = endpoint.Name
-		f.noteSent(t, endpoint)
+		f.countUnlisted(t, endpoint)
 		limit := f.limit(r, t.route)
 		opened, err := f.Endpoints.Decode(ctx, &Attempt{
 			Request: r, Endpoint: endpoint, Left: limit - begun, Until: limit, MaxConns: f.connections(s), Once: true, LastEvent: r.LastEvent,
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -51,7 +51,7 @@
 }
 
 // noteSent counts what is sent to an endpoint that the store no longer lists.
-func (f *Forwarder) noteSent(t *trace, e registry.Endpoint) {
+func (f *Forwarder) countUnlisted(t *trace, e registry.Endpoint) {
 	if e.Unlisted() {
 		t.unlisted++
 		f.stats.unlisted.Inc()
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -210,7 +210,7 @@
 		return KV{}, 0, err
 	}
 	g.trace.prefill = engine.Name
-	f.noteSent(g.trace, engine)
+	f.countUnlisted(g.trace, engine)
 	g.progress(sched.Progress{Phase: sched.PhasePrefilling})
 	begun := f.Now()
 	attempt := g.attempt(engine)
