--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -122,7 +122,7 @@
 	took := f.Now() - begun
 	f.done(e, begun, outcomeOf(reply, err))
 	if err != nil {
-		f.broke(r, t, e, err)
+		f.recordFailure(r, t, e, err)
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", e.Name, "took", took,
 			"verdict", err.Verdict, "code", err.Code, "why", err.Error())
 		return nil, err
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -41,7 +41,7 @@
 			return f.openedPlain(ctx, cancel, r, t, endpoint, begun, opened), nil
 		}
 		f.done(endpoint, begun, outcomeOf(nil, err))
-		f.broke(r, t, endpoint, err)
+		f.recordFailure(r, t, endpoint, err)
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", endpoint.Name,
 			"verdict", err.Verdict, "code", err.Code, "why", err.Error())
 		avoid = append(avoid, endpoint.Name)
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -55,7 +55,7 @@
 
 // broke notes an attempt at whose endpoint the connection broke while the
 // request may have run, and one that reached another endpoint than was meant.
-func (f *Forwarder) broke(r *Request, t *trace, e registry.Endpoint, err *verdict.Error) {
+func (f *Forwarder) recordFailure(r *Request, t *trace, e registry.Endpoint, err *verdict.Error) {
 	if err.Code == verdict.CodeSuperseded {
 		f.Misdirected(e)
 	}
