--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -103,7 +103,7 @@
 	case errors.Is(b.ended, io.EOF):
 		b.f.survived(b.request, b.trace)
 	case broken:
-		b.f.brokeOff(b.request, b.trace, b.trace.endpoint)
+		b.f.recordCrash(b.request, b.trace, b.trace.endpoint)
 	}
 	b.f.record(b.request, b.trace, &Reply{Status: b.status}, endingOf(b.ctx, errors.Is(b.ended, io.EOF), b.ended))
 	return err
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -60,13 +60,13 @@
 		f.Misdirected(e)
 	}
 	if err.Code == verdict.CodeEndpointFailed && err.Verdict != verdict.NotRun {
-		f.brokeOff(r, t, e.Name)
+		f.recordCrash(r, t, e.Name)
 	}
 }
 
 // brokeOff holds a break against a request. Endpoints come back under other
 // names, so that one counts once.
-func (f *Forwarder) brokeOff(r *Request, t *trace, e id.Endpoint) {
+func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: printOf(r, t), Team: id.Team(t.route.Name)}
 	f.Suspicion.Ledger.Crash(f.Suspicion.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
 	f.Suspicion.Spread()
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -212,7 +212,7 @@
 	}
 	s.avoid = append(s.avoid, s.trace.endpoint)
 	if !errors.Is(cause, os.ErrDeadlineExceeded) {
-		s.f.brokeOff(s.request, s.trace, s.trace.endpoint)
+		s.f.recordCrash(s.request, s.trace, s.trace.endpoint)
 	}
 	s.f.Log.Event("stream_broke", "request", s.request.ID, "endpoint", s.trace.endpoint, "behind", s.last, "why", cause)
 	s.progress(sched.Progress{Phase: sched.PhaseFailed, Endpoint: s.trace.endpoint})
