--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -73,7 +73,7 @@
 }
 
 // survived clears a request that an endpoint ran to its end.
-func (f *Forwarder) survived(r *Request, t *trace) {
+func (f *Forwarder) clearSuspicion(r *Request, t *trace) {
 	if f.Suspicion.Ledger.Len() == 0 {
 		return
 	}
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -197,7 +197,7 @@
 // complete notes the proper end.
 func (s *relay) complete() {
 	s.ended = true
-	s.f.survived(s.request, s.trace)
+	s.f.clearSuspicion(s.request, s.trace)
 	_ = s.opened.Events.Close()
 	s.finish(sched.PhaseDone)
 }
