--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -171,7 +171,7 @@
 		t.reason = "too many endpoints refused"
 		return false
 	}
-	if f.judge(r, t) != nil {
+	if f.checkQuarantine(r, t) != nil {
 		return false
 	}
 	if notRun && !arrivedAnyway(err) {
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -128,7 +128,7 @@
 	if t.route.Kind == route.Stream && f.TooLate() {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeLeaving, "this daemon is stopping")
 	}
-	if err := f.judge(r, t); err != nil {
+	if err := f.checkQuarantine(r, t); err != nil {
 		return nil, err
 	}
 	f.counted(t.service)
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -35,7 +35,7 @@
 // judge refuses a request that has broken the endpoints which ran it. Where it
 // may run only once the refusal doesn't promise that it has not: an earlier
 // sending has.
-func (f *Forwarder) judge(r *Request, t *trace) *verdict.Error {
+func (f *Forwarder) checkQuarantine(r *Request, t *trace) *verdict.Error {
 	if f.Suspicion.Ledger.Len() == 0 {
 		return nil
 	}
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -122,7 +122,7 @@
 	if !s.resumable() || s.f.left(s.request, s.trace.route) < leastForPrefill {
 		return false
 	}
-	if s.f.judge(s.request, s.trace) != nil {
+	if s.f.checkQuarantine(s.request, s.trace) != nil {
 		return false
 	}
 	return s.f.repeat(s.service.Name)
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -102,7 +102,7 @@
 		g.trace.reason = "no time is left"
 	case err.Verdict != verdict.NotRun && !g.resumable():
 		g.trace.reason = "it may not run again"
-	case f.judge(g.request, g.trace) != nil:
+	case f.checkQuarantine(g.request, g.trace) != nil:
 		// judge has set the reason.
 	case notAllowed(err):
 		g.trace.reason = "its key is no longer good"
