--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -55,7 +55,7 @@
 			failure = worseError(failure, err)
 		}
 		avoid = append(avoid, endpoint.Name)
-		if !f.again(ctx, r, t, s, err, ran, refused) {
+		if !f.mayRetry(ctx, r, t, s, err, ran, refused) {
 			return finalResult(last, failure, nil)
 		}
 	}
@@ -157,7 +157,7 @@
 
 // again says whether a failed attempt is followed by another. Only arrivals at
 // endpoints are paid for: a connection that was refused is none.
-func (f *Forwarder) again(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
+func (f *Forwarder) mayRetry(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
 	if ctx.Err() != nil || f.left(r, t.route) < minTimeForRetry {
 		t.reason = "no time is left"
 		return false
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -45,7 +45,7 @@
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", endpoint.Name,
 			"verdict", err.Verdict, "code", err.Code, "why", err.Error())
 		avoid = append(avoid, endpoint.Name)
-		if err.Verdict != verdict.NotRun || !f.again(ctx, r, t, s, err, 0, refused) {
+		if err.Verdict != verdict.NotRun || !f.mayRetry(ctx, r, t, s, err, 0, refused) {
 			cancel()
 			return nil, err
 		}
