--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -174,7 +174,7 @@
 	if f.checkQuarantine(r, t) != nil {
 		return false
 	}
-	if notRun && !arrivedAnyway(err) {
+	if notRun && !refusedOnArrival(err) {
 		return true
 	}
 	if !f.repeat(s.Name) {
@@ -189,6 +189,6 @@
 
 // arrivedAnyway says whether a request that has not run reached an endpoint,
 // which refused it.
-func arrivedAnyway(err *verdict.Error) bool {
+func refusedOnArrival(err *verdict.Error) bool {
 	return slices.Contains([]verdict.Code{verdict.CodeOverloaded, verdict.CodeSuperseded, verdict.CodeKVGone}, err.Code)
 }
