--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -131,7 +131,7 @@
 	if err := f.checkQuarantine(r, t); err != nil {
 		return nil, err
 	}
-	f.counted(t.service)
+	f.countRequest(t.service)
 	ctx, cancel := context.WithTimeout(ctx, f.limit(r, t.route)-f.Now())
 	if err := f.pay(ctx, r, t); err != nil {
 		cancel()
@@ -168,7 +168,7 @@
 }
 
 // counted counts a caller's request for the bound on repeats.
-func (f *Forwarder) counted(service id.Service) {
+func (f *Forwarder) countRequest(service id.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.window(service).Request(f.Now())
