--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -177,7 +177,7 @@
 	if notRun && !refusedOnArrival(err) {
 		return true
 	}
-	if !f.repeat(s.Name) {
+	if !f.takeRetry(s.Name) {
 		t.reason = "the service's bound on repeats is reached"
 		return false
 	}
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -35,7 +35,7 @@
 	if ctx.Err() != nil || notAllowed(err) || g.grant.Prefill == "" || err.Code == verdict.CodeKVGone || g.kvLeft(readAt) <= 0 {
 		return false
 	}
-	return err.Code == verdict.CodeUnavailable || g.f.repeat(g.service.Name)
+	return err.Code == verdict.CodeUnavailable || g.f.takeRetry(g.service.Name)
 }
 
 // kvLeft is how long a KV cache that was made at readAt may still wait for an
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -184,7 +184,7 @@
 }
 
 // repeat pays for one more arrival of a request at an endpoint.
-func (f *Forwarder) repeat(service id.Service) bool {
+func (f *Forwarder) takeRetry(service id.Service) bool {
 	daemons := f.Daemons()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -125,7 +125,7 @@
 	if s.f.checkQuarantine(s.request, s.trace) != nil {
 		return false
 	}
-	return s.f.repeat(s.service.Name)
+	return s.f.takeRetry(s.service.Name)
 }
 
 // fill reads until at least one more event is whole. io.EOF is the stream's
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -110,7 +110,7 @@
 		g.trace.reason = "the pool's owner refused"
 	case g.pairings >= maxPairings:
 		g.trace.reason = "too many engines failed"
-	case err.Code != verdict.CodeUnavailable && !f.repeat(g.service.Name):
+	case err.Code != verdict.CodeUnavailable && !f.takeRetry(g.service.Name):
 		g.trace.reason = "the service's bound on repeats is reached"
 	default:
 		return true
