--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -82,7 +82,7 @@
 func notAllowed(err *verdict.Error) bool { return errors.Is(err.Cause, errNotAllowed) }
 
 // pay charges a request to its team.
-func (f *Forwarder) pay(ctx context.Context, r *Request, t *trace) *verdict.Error {
+func (f *Forwarder) chargeTeam(ctx context.Context, r *Request, t *trace) *verdict.Error {
 	if t.team == nil || !t.team.Limit.Limited() {
 		return nil
 	}
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -133,7 +133,7 @@
 	}
 	f.countRequest(t.service)
 	ctx, cancel := context.WithTimeout(ctx, f.limit(r, t.route)-f.Now())
-	if err := f.pay(ctx, r, t); err != nil {
+	if err := f.chargeTeam(ctx, r, t); err != nil {
 		cancel()
 		return nil, err
 	}
