--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -17,7 +17,7 @@
 	staleRetryAfter = 300 * time.Millisecond
 	// payShare of the time that is left may pass until the keeper of a team's
 	// account has answered.
-	payShare = 0.3
+	chargeTimeFraction = 0.3
 )
 
 // authenticate finds the team that a request's key belongs to. On a public route
@@ -88,7 +88,7 @@
 	}
 	limit := t.team.Limit
 	cost := limit.Cost(quota.Size{Known: r.Sized, Prompt: r.PromptTokens, Output: r.OutputTokens})
-	patience := time.Duration(payShare * float64(f.left(r, t.route)))
+	patience := time.Duration(chargeTimeFraction * float64(f.left(r, t.route)))
 	if err := f.Payer.Pay(ctx, t.team.Name, limit, cost, patience); err != nil {
 		return err
 	}
