--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -92,14 +92,14 @@
 	if err := f.Payer.Pay(ctx, t.team.Name, limit, cost, patience); err != nil {
 		return err
 	}
-	t.paid = cost
+	t.charged = cost
 	return nil
 }
 
 // refund gives back what a request has paid that has not run.
 func (f *Forwarder) refund(t *trace, err *verdict.Error) {
-	if t.paid > 0 && err != nil && err.Verdict == verdict.NotRun {
-		f.Payer.Return(t.team.Name, t.paid)
+	if t.charged > 0 && err != nil && err.Verdict == verdict.NotRun {
+		f.Payer.Return(t.team.Name, t.charged)
 	}
 }
 
