--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -32,7 +32,7 @@
 	}
 	switch {
 	case t.team != nil:
-		return f.fresh(t)
+		return f.checkFreshness(t)
 	case f.Freshness.Behind():
 		f.Freshness.Refresh()
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the key is not known, and the configuration may be out of date").
@@ -46,7 +46,7 @@
 
 // fresh refuses a request with a key while the key may have been revoked longer
 // ago than is allowed.
-func (f *Forwarder) fresh(t *trace) *verdict.Error {
+func (f *Forwarder) checkFreshness(t *trace) *verdict.Error {
 	ok, age := f.Freshness.Fresh()
 	t.configAge = age
 	if ok {
@@ -69,7 +69,7 @@
 	if owner == nil || owner.Name != t.team.Name {
 		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the key was taken away").WithCause(errNotAllowed)
 	}
-	if err := f.fresh(t); err != nil {
+	if err := f.checkFreshness(t); err != nil {
 		return err.WithCause(errNotAllowed)
 	}
 	return nil
