--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -113,7 +113,7 @@
 
 // share is whom the pools' owners count a request for: its team, or its route
 // where there are no teams.
-func (t *trace) share() id.Team {
+func (t *trace) fairShareTeam() id.Team {
 	if t.team == nil {
 		return id.Team(t.route.Name)
 	}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -141,7 +141,7 @@
 	}
 	want := sched.Want{
 		Request:      id.Request(fmt.Sprintf("%s.%d", r.ID, g.pairings)),
-		Team:         g.trace.share(),
+		Team:         g.trace.fairShareTeam(),
 		Service:      g.service.Name,
 		Pool:         id.Pool(g.service.Name),
 		From:         f.Self(),
