--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -23,8 +23,8 @@
 // authenticate finds the team that a request's key belongs to. On a public route
 // a key says nothing.
 func (f *Forwarder) authenticate(r *Request, t *trace, routes *route.Table) *verdict.Error {
-	t.walled = routes.Walled()
-	if !t.walled || t.route.Public {
+	t.hasTeams = routes.Walled()
+	if !t.hasTeams || t.route.Public {
 		return nil
 	}
 	if r.HasKey {
@@ -132,7 +132,7 @@
 
 // credentials of the caller are an endpoint's only where there are no teams.
 func (t *trace) credentials(r *Request) []Field {
-	if t.walled {
+	if t.hasTeams {
 		return nil
 	}
 	return r.Credentials
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -68,9 +68,9 @@
 	service id.Service
 	config  uint64
 	// team is nil for a request without a key.
-	team    *route.Team
-	walled  bool
-	charged float64
+	team     *route.Team
+	hasTeams bool
+	charged  float64
 	// configAge is how old the configuration may have been when the key was last
 	// looked at.
 	configAge time.Duration
