--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -62,7 +62,7 @@
 // endpoint: it may have waited while the key was revoked. Work that has begun is
 // finished.
 func (f *Forwarder) recheckKey(r *Request, t *trace) *verdict.Error {
-	if t.team == nil || t.begun {
+	if t.team == nil || t.mayHaveRun {
 		return nil
 	}
 	owner := f.View().Routes.Owner(r.Key)
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -118,7 +118,7 @@
 		Team:        t.teamName(),
 		Credentials: t.credentials(r),
 	})
-	t.begun = t.begun || err == nil || err.Verdict != verdict.NotRun
+	t.mayHaveRun = t.mayHaveRun || err == nil || err.Verdict != verdict.NotRun
 	took := f.Now() - begun
 	f.done(e, begun, outcomeOf(reply, err))
 	if err != nil {
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -64,13 +64,13 @@
 	if err != nil {
 		if err.Verdict != verdict.NotRun {
 			g.ran++
-			g.trace.begun = true
+			g.trace.mayHaveRun = true
 		}
 		g.failed(engine, err, stepDecode, f.Now()-begun)
 		return nil, err
 	}
 	g.ran++
-	g.trace.begun = true
+	g.trace.mayHaveRun = true
 	g.progress(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: engine.Name})
 	return opened, nil
 }
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -75,9 +75,9 @@
 	// looked at.
 	configAge time.Duration
 	// begun is set once an endpoint may run the request.
-	begun    bool
-	registry uint64
-	attempts int
+	mayHaveRun bool
+	registry   uint64
+	attempts   int
 	// unlisted counts the sendings to endpoints that the store no longer lists.
 	unlisted int
 	endpoint id.Endpoint
