--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -221,7 +221,7 @@
 		g.failed(engine, err, stepPrefill, now-begun)
 		return KV{}, 0, prefillFailed(err)
 	}
-	g.trace.read += now - begun
+	g.trace.prefillTime += now - begun
 	g.progress(sched.Progress{
 		Phase:        sched.PhaseTransferring,
 		PromptTokens: g.request.PromptTokens,
