--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -79,12 +79,12 @@
 	registry   uint64
 	attempts   int
 	// unlisted counts the sendings to endpoints that the store no longer lists.
-	unlisted    int
-	endpoint    id.Endpoint
-	prefill     id.Endpoint
-	waited      time.Duration
-	prefillTime time.Duration
-	first       time.Duration
+	unlisted       int
+	endpoint       id.Endpoint
+	prefill        id.Endpoint
+	waited         time.Duration
+	prefillTime    time.Duration
+	firstEventTime time.Duration
 	// gap is the longest pause between a stream's events.
 	gap    time.Duration
 	reason string
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -66,7 +66,7 @@
 		f.done(e, begun, balance.Failed)
 		return &Reply{Status: opened.Status, Header: opened.Header, Body: opened.Body}
 	}
-	t.first = f.Now() - r.Arrived
+	t.firstEventTime = f.Now() - r.Arrived
 	f.done(e, begun, balance.OK)
 	body := &plainBody{EventStream: opened.Events, f: f, ctx: ctx, cancel: cancel, request: r, trace: t, status: opened.Status}
 	return &Reply{Status: opened.Status, Header: opened.Header, Events: body}
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -23,7 +23,7 @@
 	}
 	kv = append(kv, "config", t.config, "registry", t.registry, "attempts", t.attempts, "endpoint", t.endpoint)
 	if t.prefill != "" {
-		kv = append(kv, "prefill", t.prefill, "waited", t.waited, "read", t.prefillTime, "first", t.first)
+		kv = append(kv, "prefill", t.prefill, "waited", t.waited, "read", t.prefillTime, "first", t.firstEventTime)
 	}
 	if t.unlisted > 0 {
 		kv = append(kv, "unlisted", t.unlisted)
@@ -73,7 +73,7 @@
 func inTime(t *trace, took time.Duration) bool {
 	answered := took
 	if t.route.Kind == route.Stream {
-		answered = t.first
+		answered = t.firstEventTime
 	}
 	return answered <= t.route.TargetLatency && (t.route.TargetGap == 0 || t.gap <= t.route.TargetGap)
 }
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -50,8 +50,8 @@
 		cause := s.fill()
 		if cause == nil || errors.Is(cause, io.EOF) {
 			now := s.f.Now()
-			s.trace.first = now - s.request.Arrived
-			s.f.stats.first.Record(s.trace.first)
+			s.trace.firstEventTime = now - s.request.Arrived
+			s.f.stats.first.Record(s.trace.firstEventTime)
 			return nil
 		}
 		s.drop(cause)
