--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -86,7 +86,7 @@
 	prefillTime    time.Duration
 	firstEventTime time.Duration
 	// gap is the longest pause between a stream's events.
-	gap    time.Duration
+	maxGap time.Duration
 	reason string
 	// print is the request's fingerprint, once it was asked for.
 	print poison.Fingerprint
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -75,5 +75,5 @@
 	if t.route.Kind == route.Stream {
 		answered = t.firstEventTime
 	}
-	return answered <= t.route.TargetLatency && (t.route.TargetGap == 0 || t.gap <= t.route.TargetGap)
+	return answered <= t.route.TargetLatency && (t.route.TargetGap == 0 || t.maxGap <= t.route.TargetGap)
 }
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -189,7 +189,7 @@
 	}
 	now := s.f.Now()
 	if s.eventAt > 0 {
-		s.trace.gap = max(s.trace.gap, now-s.eventAt)
+		s.trace.maxGap = max(s.trace.maxGap, now-s.eventAt)
 	}
 	s.eventAt = now
 }
