--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -89,7 +89,7 @@
 	maxGap time.Duration
 	reason string
 	// print is the request's fingerprint, once it was asked for.
-	print poison.Fingerprint
+	fingerprint poison.Fingerprint
 }
 
 // Run serves one request. Either a reply is passed on, or the error says what
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -25,11 +25,11 @@
 // prompt the streams of one target were one request, and three breaks of
 // different ones refused them all. It is made once a request.
 func printOf(r *Request, t *trace) poison.Fingerprint {
-	if t.print == (poison.Fingerprint{}) {
-		t.print = poison.Print(id.Team(t.route.Name), t.service,
+	if t.fingerprint == (poison.Fingerprint{}) {
+		t.fingerprint = poison.Print(id.Team(t.route.Name), t.service,
 			[]byte(r.Caller), []byte(r.Method), []byte(r.Target), []byte(r.Prompt), r.Body)
 	}
-	return t.print
+	return t.fingerprint
 }
 
 // judge refuses a request that has broken the endpoints which ran it. Where it
