--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -24,7 +24,7 @@
 // whatever its id: a caller sends it again under another one. Without caller and
 // prompt the streams of one target were one request, and three breaks of
 // different ones refused them all. It is made once a request.
-func printOf(r *Request, t *trace) poison.Fingerprint {
+func fingerprintOf(r *Request, t *trace) poison.Fingerprint {
 	if t.fingerprint == (poison.Fingerprint{}) {
 		t.fingerprint = poison.Print(id.Team(t.route.Name), t.service,
 			[]byte(r.Caller), []byte(r.Method), []byte(r.Target), []byte(r.Prompt), r.Body)
@@ -40,7 +40,7 @@
 		return nil
 	}
 	now := f.Suspicion.Wall()
-	finding := f.Suspicion.Ledger.Check(now, printOf(r, t))
+	finding := f.Suspicion.Ledger.Check(now, fingerprintOf(r, t))
 	if finding.Standing != poison.Held && finding.Standing != poison.Quarantined {
 		return nil
 	}
@@ -67,7 +67,7 @@
 // brokeOff holds a break against a request. Endpoints come back under other
 // names, so that one counts once.
 func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
-	suspect := poison.Suspect{Fingerprint: printOf(r, t), Team: id.Team(t.route.Name)}
+	suspect := poison.Suspect{Fingerprint: fingerprintOf(r, t), Team: id.Team(t.route.Name)}
 	f.Suspicion.Ledger.Crash(f.Suspicion.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
 	f.Suspicion.Spread()
 }
@@ -77,7 +77,7 @@
 	if f.Suspicion.Ledger.Len() == 0 {
 		return
 	}
-	if f.Suspicion.Ledger.Finished(f.Suspicion.Wall(), printOf(r, t)) {
+	if f.Suspicion.Ledger.Finished(f.Suspicion.Wall(), fingerprintOf(r, t)) {
 		f.Suspicion.Spread()
 	}
 }
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -65,7 +65,7 @@
 // shortPrint is the beginning of a request's fingerprint: its caller's next
 // attempt has another id and the same fingerprint.
 func shortPrint(r *Request, t *trace) string {
-	print := printOf(r, t)
+	print := fingerprintOf(r, t)
 	return hex.EncodeToString(print[:printBytes])
 }
 
