--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -60,13 +60,13 @@
 
 // printBytes of a fingerprint tell the requests of a day apart: among a million,
 // two are alike with a chance of 3 in 100 million.
-const printBytes = 8
+const loggedFingerprintBytes = 8
 
 // shortPrint is the beginning of a request's fingerprint: its caller's next
 // attempt has another id and the same fingerprint.
 func shortPrint(r *Request, t *trace) string {
 	print := fingerprintOf(r, t)
-	return hex.EncodeToString(print[:printBytes])
+	return hex.EncodeToString(print[:loggedFingerprintBytes])
 }
 
 // inTime says whether an answer came as its route's callers expect it.
