--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -16,7 +16,7 @@
 	kv := []any{"request", r.ID}
 	if t.route != nil {
 		kv = append(kv, "route", t.route.Name, "service", t.service, "kind", t.route.Kind,
-			"target", t.route.TargetLatency, "print", shortPrint(r, t))
+			"target", t.route.TargetLatency, "print", shortFingerprint(r, t))
 	}
 	if t.team != nil {
 		kv = append(kv, "team", t.team.Name, "config_age", t.configAge)
@@ -64,7 +64,7 @@
 
 // shortPrint is the beginning of a request's fingerprint: its caller's next
 // attempt has another id and the same fingerprint.
-func shortPrint(r *Request, t *trace) string {
+func shortFingerprint(r *Request, t *trace) string {
 	print := fingerprintOf(r, t)
 	return hex.EncodeToString(print[:loggedFingerprintBytes])
 }
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -166,7 +166,7 @@
 	now := f.Now()
 	f.stats.waited.Record(now - r.Arrived - age)
 	g.trace.waited += now - r.Arrived - age
-	f.Log.Routine("granted", "request", r.ID, "route", rt.Name, "print", shortPrint(r, g.trace), "pairing", g.pairings, "prefill", grant.Prefill, "decode", grant.Decode,
+	f.Log.Routine("granted", "request", r.ID, "route", rt.Name, "print", shortFingerprint(r, g.trace), "pairing", g.pairings, "prefill", grant.Prefill, "decode", grant.Decode,
 		"owner", grant.Owner, "reservation", grant.Reservation, "reason", grant.Reason)
 	return nil
 }
