--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -67,19 +67,19 @@
 	}
 	owner := f.View().Routes.Owner(r.Key)
 	if owner == nil || owner.Name != t.team.Name {
-		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the key was taken away").WithCause(errNotAllowed)
+		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the key was taken away").WithCause(errKeyRejected)
 	}
 	if err := f.checkFreshness(t); err != nil {
-		return err.WithCause(errNotAllowed)
+		return err.WithCause(errKeyRejected)
 	}
 	return nil
 }
 
 // errNotAllowed is the cause of refusals for a request's key: other endpoints
 // would make no difference.
-var errNotAllowed = errors.New("the request's key is not known to be good")
+var errKeyRejected = errors.New("the request's key is not known to be good")
 
-func notAllowed(err *verdict.Error) bool { return errors.Is(err.Cause, errNotAllowed) }
+func notAllowed(err *verdict.Error) bool { return errors.Is(err.Cause, errKeyRejected) }
 
 // pay charges a request to its team.
 func (f *Forwarder) chargeTeam(ctx context.Context, r *Request, t *trace) *verdict.Error {
