--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -79,7 +79,7 @@
 // would make no difference.
 var errKeyRejected = errors.New("the request's key is not known to be good")
 
-func notAllowed(err *verdict.Error) bool { return errors.Is(err.Cause, errKeyRejected) }
+func keyRejected(err *verdict.Error) bool { return errors.Is(err.Cause, errKeyRejected) }
 
 // pay charges a request to its team.
 func (f *Forwarder) chargeTeam(ctx context.Context, r *Request, t *trace) *verdict.Error {
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -32,7 +32,7 @@
 
 // mayDecodeElsewhere says whether the same KV cache may go to another engine.
 func (g *generation) mayDecodeElsewhere(ctx context.Context, err *verdict.Error, readAt time.Duration) bool {
-	if ctx.Err() != nil || notAllowed(err) || g.grant.Prefill == "" || err.Code == verdict.CodeKVGone || g.kvLeft(readAt) <= 0 {
+	if ctx.Err() != nil || keyRejected(err) || g.grant.Prefill == "" || err.Code == verdict.CodeKVGone || g.kvLeft(readAt) <= 0 {
 		return false
 	}
 	return err.Code == verdict.CodeUnavailable || g.f.takeRetry(g.service.Name)
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -104,7 +104,7 @@
 		g.trace.reason = "it may not run again"
 	case f.checkQuarantine(g.request, g.trace) != nil:
 		// judge has set the reason.
-	case notAllowed(err):
+	case keyRejected(err):
 		g.trace.reason = "its key is no longer good"
 	case refusedByOwner(err):
 		g.trace.reason = "the pool's owner refused"
