--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -105,6 +105,6 @@
 	case broken:
 		b.f.recordCrash(b.request, b.trace, b.trace.endpoint)
 	}
-	b.f.record(b.request, b.trace, &Reply{Status: b.status}, endingOf(b.ctx, errors.Is(b.ended, io.EOF), b.ended))
+	b.f.record(b.request, b.trace, &Reply{Status: b.status}, streamError(b.ctx, errors.Is(b.ended, io.EOF), b.ended))
 	return err
 }
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -236,12 +236,12 @@
 	}
 	s.finish(sched.PhaseCancelled)
 	s.cancel()
-	s.f.record(s.request, s.trace, &Reply{Status: s.opened.Status}, endingOf(s.ctx, s.ended, s.broken))
+	s.f.record(s.request, s.trace, &Reply{Status: s.opened.Status}, streamError(s.ctx, s.ended, s.broken))
 	return nil
 }
 
 // endingOf is the error that a stream ended with; nil if it is complete.
-func endingOf(ctx context.Context, complete bool, broken error) *verdict.Error {
+func streamError(ctx context.Context, complete bool, broken error) *verdict.Error {
 	switch {
 	case complete:
 		return nil
