--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -36,7 +36,7 @@
 
 // begin opens the stream and waits for its first event: until then a failure
 // can still be told to the caller.
-func (s *relay) begin() *verdict.Error {
+func (s *relay) start() *verdict.Error {
 	for {
 		opened, err := s.open(s.ctx)
 		if err != nil {
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -59,7 +59,7 @@
 func (f *Forwarder) stream(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
 	g := &generation{f: f, request: r, trace: t, service: s, last: r.LastEvent}
 	rel := &relay{generation: g, ctx: ctx, cancel: cancel}
-	if err := rel.begin(); err != nil {
+	if err := rel.start(); err != nil {
 		cancel()
 		return nil, err
 	}
