--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -80,7 +80,7 @@
 // as that is allowed.
 func (g *generation) open(ctx context.Context) (*Opened, *verdict.Error) {
 	for {
-		kv, readAt, err := g.begin(ctx)
+		kv, readAt, err := g.pairAndPrefill(ctx)
 		if err == nil {
 			var opened *Opened
 			if opened, err = g.decode(ctx, kv, readAt); err == nil {
@@ -187,7 +187,7 @@
 
 // begin gets engines and has the prompt read, unless the decode engine is to
 // read it.
-func (g *generation) begin(ctx context.Context) (KV, time.Duration, *verdict.Error) {
+func (g *generation) pairAndPrefill(ctx context.Context) (KV, time.Duration, *verdict.Error) {
 	if err := g.pair(ctx, 0); err != nil {
 		return KV{}, 0, err
 	}
