--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -140,12 +140,12 @@
 		n, err := s.opened.Events.Read(block[:])
 		s.pending = append(s.pending, block[:n]...)
 		if errors.Is(err, io.EOF) {
-			s.take(len(s.pending))
+			s.moveToReady(len(s.pending))
 			s.complete()
 			return io.EOF
 		}
 		if end := wholeEvents(s.pending); end > 0 {
-			s.take(end)
+			s.moveToReady(end)
 			if err == nil {
 				return nil
 			}
@@ -157,7 +157,7 @@
 }
 
 // take moves bytes from pending to ready.
-func (s *relay) take(n int) {
+func (s *relay) moveToReady(n int) {
 	whole := s.pending[:n]
 	s.note(whole)
 	s.ready = append(s.ready, whole...)
