--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -159,7 +159,7 @@
 // take moves bytes from pending to ready.
 func (s *relay) moveToReady(n int) {
 	whole := s.pending[:n]
-	s.note(whole)
+	s.trackEvents(whole)
 	s.ready = append(s.ready, whole...)
 	s.pending = append(s.pending[:0], s.pending[n:]...)
 }
@@ -180,7 +180,7 @@
 }
 
 // note remembers the last id of whole events.
-func (s *relay) note(whole []byte) {
+func (s *relay) trackEvents(whole []byte) {
 	for line := range bytes.Lines(whole) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
 			s.last = string(bytes.TrimSpace(value))
