--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -54,7 +54,7 @@
 			s.f.stats.first.Record(s.trace.firstEventTime)
 			return nil
 		}
-		s.drop(cause)
+		s.dropEngine(cause)
 		if s.ctx.Err() != nil || !s.mayGoOn() {
 			return s.brokenBeforeFirst(cause)
 		}
@@ -98,7 +98,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return nil
 	}
-	s.drop(err)
+	s.dropEngine(err)
 	if s.ctx.Err() != nil || !s.mayGoOn() {
 		return err
 	}
@@ -203,7 +203,7 @@
 }
 
 // drop ends the work at an engine that broke off, or is given up.
-func (s *relay) drop(cause error) {
+func (s *relay) dropEngine(cause error) {
 	_ = s.opened.Events.Close()
 	s.pending = s.pending[:0]
 	if s.ctx.Err() != nil {
