--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -55,7 +55,7 @@
 			return nil
 		}
 		s.dropEngine(cause)
-		if s.ctx.Err() != nil || !s.mayGoOn() {
+		if s.ctx.Err() != nil || !s.mayResume() {
 			return s.brokenBeforeFirst(cause)
 		}
 	}
@@ -99,7 +99,7 @@
 		return nil
 	}
 	s.dropEngine(err)
-	if s.ctx.Err() != nil || !s.mayGoOn() {
+	if s.ctx.Err() != nil || !s.mayResume() {
 		return err
 	}
 	opened, failure := s.open(s.ctx)
@@ -118,7 +118,7 @@
 }
 
 // mayGoOn says whether a broken stream may be resumed, and pays for it.
-func (s *relay) mayGoOn() bool {
+func (s *relay) mayResume() bool {
 	if !s.resumable() || s.f.left(s.request, s.trace.route) < leastForPrefill {
 		return false
 	}
