--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -31,7 +31,7 @@
 	// eventAt is when the last event came; 0 before the first.
 	eventAt time.Duration
 	ended   bool
-	broken  error
+	readErr error
 }
 
 // begin opens the stream and waits for its first event: until then a failure
@@ -77,14 +77,14 @@
 // complete.
 func (s *relay) Read(p []byte) (int, error) {
 	for len(s.ready) == 0 {
-		if s.broken != nil {
-			return 0, s.broken
+		if s.readErr != nil {
+			return 0, s.readErr
 		}
 		if s.ended {
 			return 0, io.EOF
 		}
 		if err := s.next(); err != nil {
-			s.broken = err
+			s.readErr = err
 		}
 	}
 	n := copy(p, s.ready)
@@ -236,7 +236,7 @@
 	}
 	s.finish(sched.PhaseCancelled)
 	s.cancel()
-	s.f.record(s.request, s.trace, &Reply{Status: s.opened.Status}, streamError(s.ctx, s.ended, s.broken))
+	s.f.record(s.request, s.trace, &Reply{Status: s.opened.Status}, streamError(s.ctx, s.ended, s.readErr))
 	return nil
 }
 
