--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -56,13 +56,13 @@
 		}
 		s.dropEngine(cause)
 		if s.ctx.Err() != nil || !s.mayResume() {
-			return s.brokenBeforeFirst(cause)
+			return s.failedBeforeFirstEvent(cause)
 		}
 	}
 }
 
 // brokenBeforeFirst tells of a stream that broke before its first event.
-func (s *relay) brokenBeforeFirst(cause error) *verdict.Error {
+func (s *relay) failedBeforeFirstEvent(cause error) *verdict.Error {
 	code := verdict.CodeEndpointFailed
 	switch {
 	case errors.Is(s.ctx.Err(), context.DeadlineExceeded):
