--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -144,7 +144,7 @@
 			s.complete()
 			return io.EOF
 		}
-		if end := wholeEvents(s.pending); end > 0 {
+		if end := completeEventsLen(s.pending); end > 0 {
 			s.moveToReady(end)
 			if err == nil {
 				return nil
@@ -171,7 +171,7 @@
 )
 
 // wholeEvents is the length of the whole events that the bytes begin with.
-func wholeEvents(b []byte) int {
+func completeEventsLen(b []byte) int {
 	i := bytes.LastIndex(b, eventEnd)
 	if i < 0 {
 		return 0
