--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -66,7 +66,7 @@
 			g.ran++
 			g.trace.mayHaveRun = true
 		}
-		g.failed(engine, err, stepDecode, f.Now()-begun)
+		g.reportEngineFailure(engine, err, stepDecode, f.Now()-begun)
 		return nil, err
 	}
 	g.ran++
--- a/daemon/forward/outcome.go
+++ b/daemon/forward/outcome.go
@@ -22,7 +22,7 @@
 )
 
 // failed tells the pool's owner, and the log, that an engine failed.
-func (g *generation) failed(e registry.Endpoint, err *verdict.Error, what string, took time.Duration) {
+func (g *generation) reportEngineFailure(e registry.Endpoint, err *verdict.Error, what string, took time.Duration) {
 	g.avoid = append(g.avoid, e.Name)
 	g.f.recordFailure(g.request, g.trace, e, err)
 	g.f.Log.Event("attempt_failed", "request", g.request.ID, "pairing", g.pairings, "step", what, "endpoint", e.Name,
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -218,7 +218,7 @@
 	kv, err := f.Endpoints.Prefill(ctx, attempt)
 	now := f.Now()
 	if err != nil {
-		g.failed(engine, err, stepPrefill, now-begun)
+		g.reportEngineFailure(engine, err, stepPrefill, now-begun)
 		return KV{}, 0, prefillFailed(err)
 	}
 	g.trace.prefillTime += now - begun
