--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -20,11 +20,11 @@
 			return nil, err
 		}
 		if !g.mayDecodeElsewhere(ctx, err, readAt) {
-			g.waste(kv, err)
+			g.discardPrefill(kv, err)
 			return nil, err
 		}
 		if pairErr := g.pair(ctx, g.kvLeft(readAt)); pairErr != nil {
-			g.waste(kv, pairErr)
+			g.discardPrefill(kv, pairErr)
 			return nil, pairErr
 		}
 	}
--- a/daemon/forward/outcome.go
+++ b/daemon/forward/outcome.go
@@ -46,7 +46,7 @@
 }
 
 // waste notes a prompt that was read in vain, and why, and frees its KV cache.
-func (g *generation) waste(kv KV, why *verdict.Error) {
+func (g *generation) discardPrefill(kv KV, why *verdict.Error) {
 	f := g.f
 	f.stats.wasted.Inc()
 	engine, ok := f.View().Endpoints[g.grant.Prefill]
