--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -191,7 +191,7 @@
 	if err := g.pair(ctx, 0); err != nil {
 		return KV{}, 0, err
 	}
-	if _, err := g.granted(g.grant.Decode); err != nil {
+	if _, err := g.grantedEngine(g.grant.Decode); err != nil {
 		// Before its prompt is read for nothing.
 		return KV{}, 0, err
 	}
@@ -241,7 +241,7 @@
 // leaves, by this daemon's own knowledge, the grant is given back: an owner that
 // was not run for a while, or is cut off from the news, grants engines that must
 // get no new work.
-func (g *generation) granted(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
+func (g *generation) grantedEngine(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	engine, known := g.f.View().Endpoints[name]
 	if known && !engine.Leaving {
 		return engine, nil
@@ -259,7 +259,7 @@
 
 // mayUse looks up an engine for a request whose key is still good.
 func (g *generation) mayUse(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
-	engine, err := g.granted(name)
+	engine, err := g.grantedEngine(name)
 	if err == nil {
 		err = g.allowed()
 	}
