--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -47,7 +47,7 @@
 
 func (g *generation) decodeOnce(ctx context.Context, kv KV) (*Opened, *verdict.Error) {
 	f := g.f
-	engine, err := g.mayUse(g.grant.Decode)
+	engine, err := g.usableEngine(g.grant.Decode)
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -205,7 +205,7 @@
 // prefill has the prompt read.
 func (g *generation) prefill(ctx context.Context) (KV, time.Duration, *verdict.Error) {
 	f := g.f
-	engine, err := g.mayUse(g.grant.Prefill)
+	engine, err := g.usableEngine(g.grant.Prefill)
 	if err != nil {
 		return KV{}, 0, err
 	}
@@ -258,7 +258,7 @@
 }
 
 // mayUse looks up an engine for a request whose key is still good.
-func (g *generation) mayUse(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
+func (g *generation) usableEngine(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	engine, err := g.grantedEngine(name)
 	if err == nil {
 		err = g.allowed()
