--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -261,13 +261,13 @@
 func (g *generation) usableEngine(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	engine, err := g.grantedEngine(name)
 	if err == nil {
-		err = g.allowed()
+		err = g.checkKey()
 	}
 	return engine, err
 }
 
 // allowed gives a grant back where the request's key is no longer good.
-func (g *generation) allowed() *verdict.Error {
+func (g *generation) checkKey() *verdict.Error {
 	err := g.f.recheckKey(g.request, g.trace)
 	if err != nil {
 		g.progress(sched.Progress{Phase: sched.PhaseCancelled})
