--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -88,14 +88,14 @@
 			}
 		}
 		g.failure = worseError(g.failure, err)
-		if !g.mayBeginAgain(ctx, err) {
+		if !g.mayRetry(ctx, err) {
 			return nil, g.failure
 		}
 	}
 }
 
 // mayBeginAgain says whether a new pair of engines may be tried.
-func (g *generation) mayBeginAgain(ctx context.Context, err *verdict.Error) bool {
+func (g *generation) mayRetry(ctx context.Context, err *verdict.Error) bool {
 	f := g.f
 	switch {
 	case ctx.Err() != nil || f.left(g.request, g.trace.route) < leastForPrefill:
