--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -63,13 +63,13 @@
 	opened, err := f.Endpoints.Decode(ctx, attempt, kv)
 	if err != nil {
 		if err.Verdict != verdict.NotRun {
-			g.ran++
+			g.runs++
 			g.trace.mayHaveRun = true
 		}
 		g.reportEngineFailure(engine, err, stepDecode, f.Now()-begun)
 		return nil, err
 	}
-	g.ran++
+	g.runs++
 	g.trace.mayHaveRun = true
 	g.progress(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: engine.Name})
 	return opened, nil
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -133,7 +133,7 @@
 func (s *relay) fill() error {
 	var block [readSize]byte
 	for {
-		if s.trace.route.Resumable && s.ran < s.trace.route.MaxAttempts {
+		if s.trace.route.Resumable && s.runs < s.trace.route.MaxAttempts {
 			// A failed deadline shows in the read.
 			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallAfter))
 		}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -47,7 +47,7 @@
 	last string
 	// pairings counts the wants, ran the engines that may have run it.
 	pairings int
-	ran      int
+	runs     int
 	avoid    []id.Endpoint
 	// grant in use, and the Want's id.
 	grant sched.Grant
@@ -73,7 +73,7 @@
 
 // resumable says whether the stream may go on at another engine.
 func (g *generation) resumable() bool {
-	return g.trace.route.Resumable && g.ran < g.trace.route.MaxAttempts
+	return g.trace.route.Resumable && g.runs < g.trace.route.MaxAttempts
 }
 
 // open gets the engines, has the prompt read and starts the decode, as often
