--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -112,7 +112,7 @@
 	}
 	s.opened.Events = opened.Events
 	s.f.stats.resumed.Inc()
-	s.f.Log.Event("stream_resumed", "request", s.request.ID, "behind", s.last, "endpoint", s.trace.endpoint,
+	s.f.Log.Event("stream_resumed", "request", s.request.ID, "behind", s.lastEvent, "endpoint", s.trace.endpoint,
 		"tokens", s.request.PromptTokens)
 	return nil
 }
@@ -183,7 +183,7 @@
 func (s *relay) trackEvents(whole []byte) {
 	for line := range bytes.Lines(whole) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
-			s.last = string(bytes.TrimSpace(value))
+			s.lastEvent = string(bytes.TrimSpace(value))
 			s.events++
 		}
 	}
@@ -214,7 +214,7 @@
 	if !errors.Is(cause, os.ErrDeadlineExceeded) {
 		s.f.recordCrash(s.request, s.trace, s.trace.endpoint)
 	}
-	s.f.Log.Event("stream_broke", "request", s.request.ID, "endpoint", s.trace.endpoint, "behind", s.last, "why", cause)
+	s.f.Log.Event("stream_broke", "request", s.request.ID, "endpoint", s.trace.endpoint, "behind", s.lastEvent, "why", cause)
 	s.progress(sched.Progress{Phase: sched.PhaseFailed, Endpoint: s.trace.endpoint})
 	s.grant = sched.Grant{}
 }
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -44,7 +44,7 @@
 	trace   *trace
 	service *route.Service
 	// last is the last event that the caller has got.
-	last string
+	lastEvent string
 	// pairings counts the wants, ran the engines that may have run it.
 	pairings int
 	runs     int
@@ -57,7 +57,7 @@
 
 // stream serves a stream. It returns once the first event is there.
 func (f *Forwarder) stream(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
-	g := &generation{f: f, request: r, trace: t, service: s, last: r.LastEvent}
+	g := &generation{f: f, request: r, trace: t, service: s, lastEvent: r.LastEvent}
 	rel := &relay{generation: g, ctx: ctx, cancel: cancel}
 	if err := rel.start(); err != nil {
 		cancel()
@@ -131,7 +131,7 @@
 	age := f.Now() - r.Arrived
 	patience := max(rt.Patience-firstEventTime, rt.TargetLatency)
 	patience = min(patience, f.limit(r, rt)-r.Arrived-firstEventTime)
-	if g.last != r.LastEvent {
+	if g.lastEvent != r.LastEvent {
 		// A stream that goes on: its caller has waited since the last event.
 		patience = age + rt.Patience/2
 	}
@@ -284,7 +284,7 @@
 		Left:        limit - f.Now(),
 		Until:       limit,
 		MaxConns:    f.connections(g.service),
-		LastEvent:   g.last,
+		LastEvent:   g.lastEvent,
 		Urgency:     g.trace.urgency(),
 		Team:        g.trace.teamName(),
 		Credentials: g.trace.credentials(g.request),
