--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -52,7 +52,7 @@
 	// grant in use, and the Want's id.
 	grant sched.Grant
 	// failure is the worst one so far.
-	failure *verdict.Error
+	worstErr *verdict.Error
 }
 
 // stream serves a stream. It returns once the first event is there.
@@ -87,9 +87,9 @@
 				return opened, nil
 			}
 		}
-		g.failure = worseError(g.failure, err)
+		g.worstErr = worseError(g.worstErr, err)
 		if !g.mayRetry(ctx, err) {
-			return nil, g.failure
+			return nil, g.worstErr
 		}
 	}
 }
