--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -55,7 +55,7 @@
 	g.trace.attempts++
 	g.trace.endpoint = engine.Name
 	f.countUnlisted(g.trace, engine)
-	attempt := g.attempt(engine)
+	attempt := g.newAttempt(engine)
 	attempt.Once = !g.trace.route.Resumable
 	if g.trace.route.Resumable {
 		attempt.Until = min(attempt.Until, begun+headLimit)
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -213,7 +213,7 @@
 	f.countUnlisted(g.trace, engine)
 	g.progress(sched.Progress{Phase: sched.PhasePrefilling})
 	begun := f.Now()
-	attempt := g.attempt(engine)
+	attempt := g.newAttempt(engine)
 	attempt.Until = min(attempt.Until, begun+prefillLeast+time.Duration(g.request.PromptTokens)*prefillPerToken)
 	kv, err := f.Endpoints.Prefill(ctx, attempt)
 	now := f.Now()
@@ -275,7 +275,7 @@
 	return err
 }
 
-func (g *generation) attempt(e registry.Endpoint) *Attempt {
+func (g *generation) newAttempt(e registry.Endpoint) *Attempt {
 	f := g.f
 	limit := f.limit(g.request, g.trace.route)
 	return &Attempt{
