--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -16,7 +16,7 @@
 const (
 	// firstEventTime is kept free of a stream's patience for the prefill, the
 	// transfer and the first event, which follow the wait for engines.
-	firstEventTime = 500 * time.Millisecond
+	firstEventReserve = 500 * time.Millisecond
 	// prefillLeast and prefillPerToken bound a prefill: some times what a sound
 	// engine takes, and short enough to have the prompt read elsewhere in time.
 	prefillLeast    = 350 * time.Millisecond
@@ -129,8 +129,8 @@
 	f, r, rt := g.f, g.request, g.trace.route
 	g.pairings++
 	age := f.Now() - r.Arrived
-	patience := max(rt.Patience-firstEventTime, rt.TargetLatency)
-	patience = min(patience, f.limit(r, rt)-r.Arrived-firstEventTime)
+	patience := max(rt.Patience-firstEventReserve, rt.TargetLatency)
+	patience = min(patience, f.limit(r, rt)-r.Arrived-firstEventReserve)
 	if g.lastEvent != r.LastEvent {
 		// A stream that goes on: its caller has waited since the last event.
 		patience = age + rt.Patience/2
