--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -19,8 +19,8 @@
 	firstEventReserve = 500 * time.Millisecond
 	// prefillLeast and prefillPerToken bound a prefill: some times what a sound
 	// engine takes, and short enough to have the prompt read elsewhere in time.
-	minPrefillTimeout = 350 * time.Millisecond
-	prefillPerToken   = 100 * time.Microsecond
+	minPrefillTimeout      = 350 * time.Millisecond
+	prefillTimeoutPerToken = 100 * time.Microsecond
 	// kvShare of a KV cache's life may pass before it is sent to another
 	// decode engine: the transfer must begin before it ends.
 	kvShare = 0.7
@@ -214,7 +214,7 @@
 	g.progress(sched.Progress{Phase: sched.PhasePrefilling})
 	begun := f.Now()
 	attempt := g.newAttempt(engine)
-	attempt.Until = min(attempt.Until, begun+minPrefillTimeout+time.Duration(g.request.PromptTokens)*prefillPerToken)
+	attempt.Until = min(attempt.Until, begun+minPrefillTimeout+time.Duration(g.request.PromptTokens)*prefillTimeoutPerToken)
 	kv, err := f.Endpoints.Prefill(ctx, attempt)
 	now := f.Now()
 	if err != nil {
