--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -41,7 +41,7 @@
 // kvLeft is how long a KV cache that was made at readAt may still wait for an
 // engine.
 func (g *generation) kvLeft(readAt time.Duration) time.Duration {
-	life := time.Duration(kvShare * float64(g.service.Engine.HandleLife))
+	life := time.Duration(kvLifeFraction * float64(g.service.Engine.HandleLife))
 	return readAt + life - g.f.Now()
 }
 
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -23,7 +23,7 @@
 	prefillTimeoutPerToken = 100 * time.Microsecond
 	// kvShare of a KV cache's life may pass before it is sent to another
 	// decode engine: the transfer must begin before it ends.
-	kvShare = 0.7
+	kvLifeFraction = 0.7
 	// stallAfter is the pause after which a stream that may be resumed is taken
 	// from its engine.
 	stallAfter = 1500 * time.Millisecond
