--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -135,7 +135,7 @@
 	for {
 		if s.trace.route.Resumable && s.runs < s.trace.route.MaxAttempts {
 			// A failed deadline shows in the read.
-			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallAfter))
+			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallTimeout))
 		}
 		n, err := s.opened.Events.Read(block[:])
 		s.pending = append(s.pending, block[:n]...)
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -26,7 +26,7 @@
 	kvLifeFraction = 0.7
 	// stallAfter is the pause after which a stream that may be resumed is taken
 	// from its engine.
-	stallAfter = 1500 * time.Millisecond
+	stallTimeout = 1500 * time.Millisecond
 	// headLimit bounds the wait for the head of a stream that may be resumed.
 	headLimit = 2 * time.Second
 	// freeLimit bounds the freeing of a KV cache.
