--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -58,7 +58,7 @@
 	attempt := g.newAttempt(engine)
 	attempt.Once = !g.trace.route.Resumable
 	if g.trace.route.Resumable {
-		attempt.Until = min(attempt.Until, begun+headLimit)
+		attempt.Until = min(attempt.Until, begun+headerTimeout)
 	}
 	opened, err := f.Endpoints.Decode(ctx, attempt, kv)
 	if err != nil {
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -28,7 +28,7 @@
 	// from its engine.
 	stallTimeout = 1500 * time.Millisecond
 	// headLimit bounds the wait for the head of a stream that may be resumed.
-	headLimit = 2 * time.Second
+	headerTimeout = 2 * time.Second
 	// freeLimit bounds the freeing of a KV cache.
 	freeLimit = 500 * time.Millisecond
 	// leastForPrefill is the time that must be left to begin a prompt again.
