--- a/daemon/forward/outcome.go
+++ b/daemon/forward/outcome.go
@@ -55,7 +55,7 @@
 	}
 	f.Log.Event("prefill_wasted", "request", g.request.ID, "endpoint", engine.Name, "tokens", kv.Tokens, "code", why.Code, "why", why.Error())
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), freeLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
 		f.Endpoints.Free(ctx, engine, kv)
 	}()
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -30,7 +30,7 @@
 	// headLimit bounds the wait for the head of a stream that may be resumed.
 	headerTimeout = 2 * time.Second
 	// freeLimit bounds the freeing of a KV cache.
-	freeLimit = 500 * time.Millisecond
+	freeTimeout = 500 * time.Millisecond
 	// leastForPrefill is the time that must be left to begin a prompt again.
 	leastForPrefill = 400 * time.Millisecond
 	// maxPairings bounds the pairs of engines that one request is given.
