--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -32,7 +32,7 @@
 	// freeLimit bounds the freeing of a KV cache.
 	freeTimeout = 500 * time.Millisecond
 	// leastForPrefill is the time that must be left to begin a prompt again.
-	leastForPrefill = 400 * time.Millisecond
+	minTimeForPrefill = 400 * time.Millisecond
 	// maxPairings bounds the pairs of engines that one request is given.
 	maxPairings = 4
 )
@@ -98,7 +98,7 @@
 func (g *generation) mayRetry(ctx context.Context, err *verdict.Error) bool {
 	f := g.f
 	switch {
-	case ctx.Err() != nil || f.left(g.request, g.trace.route) < leastForPrefill:
+	case ctx.Err() != nil || f.left(g.request, g.trace.route) < minTimeForPrefill:
 		g.trace.reason = "no time is left"
 	case err.Verdict != verdict.NotRun && !g.resumable():
 		g.trace.reason = "it may not run again"
