--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -207,8 +207,8 @@
 	if s.MaxConnections <= 0 {
 		return 0
 	}
-	return max(leastConnections, s.MaxConnections/max(1, f.Daemons()))
+	return max(minConnections, s.MaxConnections/max(1, f.Daemons()))
 }
 
 // leastConnections is this daemon's part however many daemons there are.
-const leastConnections = 4
+const minConnections = 4
