--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -99,7 +99,7 @@
 // try makes one attempt.
 func (f *Forwarder) try(ctx context.Context, r *Request, t *trace, s *route.Service, e registry.Endpoint, repeatable bool) (*Reply, *verdict.Error) {
 	begun := f.Now()
-	limit := f.limit(r, t.route)
+	limit := f.deadline(r, t.route)
 	until := limit
 	if repeatable {
 		share := time.Duration(attemptFraction * float64(limit-begun))
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	f.countRequest(t.service)
-	ctx, cancel := context.WithTimeout(ctx, f.limit(r, t.route)-f.Now())
+	ctx, cancel := context.WithTimeout(ctx, f.deadline(r, t.route)-f.Now())
 	if err := f.chargeTeam(ctx, r, t); err != nil {
 		cancel()
 		return nil, err
@@ -148,7 +148,7 @@
 }
 
 // limit is when the final answer is due, in the daemon's time.
-func (f *Forwarder) limit(r *Request, rt *route.Route) time.Duration {
+func (f *Forwarder) deadline(r *Request, rt *route.Route) time.Duration {
 	limit := r.Arrived + defaultTimeout
 	if rt.Timeout > 0 {
 		limit = r.Arrived + rt.Timeout
@@ -164,7 +164,7 @@
 
 // left is how long an endpoint may still work on a request.
 func (f *Forwarder) left(r *Request, rt *route.Route) time.Duration {
-	return f.limit(r, rt) - f.Now()
+	return f.deadline(r, rt) - f.Now()
 }
 
 // counted counts a caller's request for the bound on repeats.
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -32,7 +32,7 @@
 		t.attempts++
 		t.endpoint = endpoint.Name
 		f.countUnlisted(t, endpoint)
-		limit := f.limit(r, t.route)
+		limit := f.deadline(r, t.route)
 		opened, err := f.Endpoints.Decode(ctx, &Attempt{
 			Request: r, Endpoint: endpoint, Left: limit - begun, Until: limit, MaxConns: f.connections(s), Once: true, LastEvent: r.LastEvent,
 			Team: t.teamName(), Credentials: t.credentials(r),
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -130,7 +130,7 @@
 	g.pairings++
 	age := f.Now() - r.Arrived
 	patience := max(rt.Patience-firstEventReserve, rt.TargetLatency)
-	patience = min(patience, f.limit(r, rt)-r.Arrived-firstEventReserve)
+	patience = min(patience, f.deadline(r, rt)-r.Arrived-firstEventReserve)
 	if g.lastEvent != r.LastEvent {
 		// A stream that goes on: its caller has waited since the last event.
 		patience = age + rt.Patience/2
@@ -154,7 +154,7 @@
 		Attempt:      g.pairings,
 		Target:       rt.TargetLatency,
 		Patience:     patience,
-		Lifetime:     f.limit(r, rt) - r.Arrived,
+		Lifetime:     f.deadline(r, rt) - r.Arrived,
 		Prefilled:    prefilled,
 		Pause:        rt.TargetGap,
 	}
@@ -277,7 +277,7 @@
 
 func (g *generation) newAttempt(e registry.Endpoint) *Attempt {
 	f := g.f
-	limit := f.limit(g.request, g.trace.route)
+	limit := f.deadline(g.request, g.trace.route)
 	return &Attempt{
 		Request:     g.request,
 		Endpoint:    e,
