--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -158,7 +158,7 @@
 // again says whether a failed attempt is followed by another. Only arrivals at
 // endpoints are paid for: a connection that was refused is none.
 func (f *Forwarder) mayRetry(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
-	if ctx.Err() != nil || f.left(r, t.route) < minTimeForRetry {
+	if ctx.Err() != nil || f.timeLeft(r, t.route) < minTimeForRetry {
 		t.reason = "no time is left"
 		return false
 	}
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -163,7 +163,7 @@
 const defaultTimeout = 30 * time.Second
 
 // left is how long an endpoint may still work on a request.
-func (f *Forwarder) left(r *Request, rt *route.Route) time.Duration {
+func (f *Forwarder) timeLeft(r *Request, rt *route.Route) time.Duration {
 	return f.deadline(r, rt) - f.Now()
 }
 
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -119,7 +119,7 @@
 
 // mayGoOn says whether a broken stream may be resumed, and pays for it.
 func (s *relay) mayResume() bool {
-	if !s.resumable() || s.f.left(s.request, s.trace.route) < minTimeForPrefill {
+	if !s.resumable() || s.f.timeLeft(s.request, s.trace.route) < minTimeForPrefill {
 		return false
 	}
 	if s.f.checkQuarantine(s.request, s.trace) != nil {
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -98,7 +98,7 @@
 func (g *generation) mayRetry(ctx context.Context, err *verdict.Error) bool {
 	f := g.f
 	switch {
-	case ctx.Err() != nil || f.left(g.request, g.trace.route) < minTimeForPrefill:
+	case ctx.Err() != nil || f.timeLeft(g.request, g.trace.route) < minTimeForPrefill:
 		g.trace.reason = "no time is left"
 	case err.Verdict != verdict.NotRun && !g.resumable():
 		g.trace.reason = "it may not run again"
