--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -113,7 +113,7 @@
 		Endpoint:    e,
 		Left:        limit - begun,
 		Until:       until,
-		MaxConns:    f.connections(s),
+		MaxConns:    f.maxConns(s),
 		Once:        !t.route.Repeatable(),
 		Team:        t.teamName(),
 		Credentials: t.credentials(r),
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -203,7 +203,7 @@
 }
 
 // connections is this daemon's part of the connections that an endpoint takes.
-func (f *Forwarder) connections(s *route.Service) int {
+func (f *Forwarder) maxConns(s *route.Service) int {
 	if s.MaxConnections <= 0 {
 		return 0
 	}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -283,7 +283,7 @@
 		Endpoint:    e,
 		Left:        limit - f.Now(),
 		Until:       limit,
-		MaxConns:    f.connections(g.service),
+		MaxConns:    f.maxConns(g.service),
 		LastEvent:   g.lastEvent,
 		Urgency:     g.trace.urgency(),
 		Team:        g.trace.teamName(),
