--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -190,7 +190,7 @@
 	defer f.mu.Unlock()
 	paid := f.window(service).Repeat(f.Now(), daemons)
 	if !paid {
-		f.stats.unpaid.Inc()
+		f.stats.deniedRetries.Inc()
 	}
 	return paid
 }
