--- a/daemon/forward/outcome.go
+++ b/daemon/forward/outcome.go
@@ -48,7 +48,7 @@
 // waste notes a prompt that was read in vain, and why, and frees its KV cache.
 func (g *generation) discardPrefill(kv KV, why *verdict.Error) {
 	f := g.f
-	f.stats.wasted.Inc()
+	f.stats.wastedPrefills.Inc()
 	engine, ok := f.View().Endpoints[g.grant.Prefill]
 	if !ok {
 		return
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -8,28 +8,28 @@
 
 // stats are the pipeline's metrics.
 type stats struct {
-	outcomes      *metrics.CounterMap
-	deniedRetries *metrics.Counter
-	wasted        *metrics.Counter
-	stale         *metrics.Counter
-	unlisted      *metrics.Counter
-	resumed       *metrics.Counter
-	took          *metrics.Latency
-	first         *metrics.Latency
-	waited        *metrics.Latency
+	outcomes       *metrics.CounterMap
+	deniedRetries  *metrics.Counter
+	wastedPrefills *metrics.Counter
+	stale          *metrics.Counter
+	unlisted       *metrics.Counter
+	resumed        *metrics.Counter
+	took           *metrics.Latency
+	first          *metrics.Latency
+	waited         *metrics.Latency
 }
 
 func newStats(r *metrics.Registry) stats {
 	return stats{
-		outcomes:      r.CounterMap("forward_outcomes", metrics.UnitCount, "Ended requests, by outcome."),
-		deniedRetries: r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
-		wasted:        r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
-		stale:         r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
-		unlisted:      r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
-		resumed:       r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
-		took:          r.Latency("forward_request_time", "Time from a request's arrival to its end."),
-		first:         r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
-		waited:        r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
+		outcomes:       r.CounterMap("forward_outcomes", metrics.UnitCount, "Ended requests, by outcome."),
+		deniedRetries:  r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
+		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
+		stale:          r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
+		unlisted:       r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
+		resumed:        r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
+		took:           r.Latency("forward_request_time", "Time from a request's arrival to its end."),
+		first:          r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
+		waited:         r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
 	}
 }
 
