--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -52,7 +52,7 @@
 	if ok {
 		return nil
 	}
-	f.stats.stale.Inc()
+	f.stats.refusedStale.Inc()
 	t.reason = "the configuration may be too old"
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "whether the key is still good is not known: the configuration is %s old", age.Round(time.Millisecond)).
 		WithRetryAfter(staleRetryAfter)
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -11,7 +11,7 @@
 	outcomes       *metrics.CounterMap
 	deniedRetries  *metrics.Counter
 	wastedPrefills *metrics.Counter
-	stale          *metrics.Counter
+	refusedStale   *metrics.Counter
 	unlisted       *metrics.Counter
 	resumed        *metrics.Counter
 	took           *metrics.Latency
@@ -24,7 +24,7 @@
 		outcomes:       r.CounterMap("forward_outcomes", metrics.UnitCount, "Ended requests, by outcome."),
 		deniedRetries:  r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
 		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
-		stale:          r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
+		refusedStale:   r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
 		unlisted:       r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
 		resumed:        r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
 		took:           r.Latency("forward_request_time", "Time from a request's arrival to its end."),
