--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -54,7 +54,7 @@
 func (f *Forwarder) countUnlisted(t *trace, e registry.Endpoint) {
 	if e.Unlisted() {
 		t.unlisted++
-		f.stats.unlisted.Inc()
+		f.stats.sentUnlisted.Inc()
 	}
 }
 
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -12,7 +12,7 @@
 	deniedRetries  *metrics.Counter
 	wastedPrefills *metrics.Counter
 	refusedStale   *metrics.Counter
-	unlisted       *metrics.Counter
+	sentUnlisted   *metrics.Counter
 	resumed        *metrics.Counter
 	took           *metrics.Latency
 	first          *metrics.Latency
@@ -25,7 +25,7 @@
 		deniedRetries:  r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
 		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
 		refusedStale:   r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
-		unlisted:       r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
+		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
 		resumed:        r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
 		took:           r.Latency("forward_request_time", "Time from a request's arrival to its end."),
 		first:          r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
