--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -111,7 +111,7 @@
 		return errors.New("the engine that was to go on answered with an error")
 	}
 	s.opened.Events = opened.Events
-	s.f.stats.resumed.Inc()
+	s.f.stats.resumedStreams.Inc()
 	s.f.Log.Event("stream_resumed", "request", s.request.ID, "behind", s.lastEvent, "endpoint", s.trace.endpoint,
 		"tokens", s.request.PromptTokens)
 	return nil
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -13,7 +13,7 @@
 	wastedPrefills *metrics.Counter
 	refusedStale   *metrics.Counter
 	sentUnlisted   *metrics.Counter
-	resumed        *metrics.Counter
+	resumedStreams *metrics.Counter
 	took           *metrics.Latency
 	first          *metrics.Latency
 	waited         *metrics.Latency
@@ -26,7 +26,7 @@
 		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
 		refusedStale:   r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
 		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
-		resumed:        r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
+		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
 		took:           r.Latency("forward_request_time", "Time from a request's arrival to its end."),
 		first:          r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
 		waited:         r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
