--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -14,7 +14,7 @@
 	refusedStale   *metrics.Counter
 	sentUnlisted   *metrics.Counter
 	resumedStreams *metrics.Counter
-	took           *metrics.Latency
+	requestTime    *metrics.Latency
 	first          *metrics.Latency
 	waited         *metrics.Latency
 }
@@ -27,7 +27,7 @@
 		refusedStale:   r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
 		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
 		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
-		took:           r.Latency("forward_request_time", "Time from a request's arrival to its end."),
+		requestTime:    r.Latency("forward_request_time", "Time from a request's arrival to its end."),
 		first:          r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
 		waited:         r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
 	}
@@ -35,5 +35,5 @@
 
 func (s *stats) ended(outcome string, took time.Duration) {
 	s.outcomes.Add(outcome, 1)
-	s.took.Record(took)
+	s.requestTime.Record(took)
 }
