--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -51,7 +51,7 @@
 		if cause == nil || errors.Is(cause, io.EOF) {
 			now := s.f.Now()
 			s.trace.firstEventTime = now - s.request.Arrived
-			s.f.stats.first.Record(s.trace.firstEventTime)
+			s.f.stats.firstEvent.Record(s.trace.firstEventTime)
 			return nil
 		}
 		s.dropEngine(cause)
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -15,7 +15,7 @@
 	sentUnlisted   *metrics.Counter
 	resumedStreams *metrics.Counter
 	requestTime    *metrics.Latency
-	first          *metrics.Latency
+	firstEvent     *metrics.Latency
 	waited         *metrics.Latency
 }
 
@@ -28,7 +28,7 @@
 		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
 		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
 		requestTime:    r.Latency("forward_request_time", "Time from a request's arrival to its end."),
-		first:          r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
+		firstEvent:     r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
 		waited:         r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
 	}
 }
