--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -16,7 +16,7 @@
 	resumedStreams *metrics.Counter
 	requestTime    *metrics.Latency
 	firstEvent     *metrics.Latency
-	waited         *metrics.Latency
+	engineWait     *metrics.Latency
 }
 
 func newStats(r *metrics.Registry) stats {
@@ -29,7 +29,7 @@
 		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
 		requestTime:    r.Latency("forward_request_time", "Time from a request's arrival to its end."),
 		firstEvent:     r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
-		waited:         r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
+		engineWait:     r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
 	}
 }
 
