--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -42,7 +42,7 @@
 		kv = append(kv, "in_time", inTime(t, took))
 	}
 	kv = append(kv, "outcome", outcome, "status", status, "took", took, "reason", t.reason)
-	f.stats.ended(outcome, took)
+	f.stats.recordOutcome(outcome, took)
 	if err == nil && !reply.Failed() {
 		f.Log.Routine("request", kv...)
 		return
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func (s *stats) ended(outcome string, took time.Duration) {
+func (s *stats) recordOutcome(outcome string, took time.Duration) {
 	s.outcomes.Add(outcome, 1)
 	s.requestTime.Record(took)
 }
