--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -18,7 +18,7 @@
 
 // BenchmarkOneCall takes a plain call through the pipeline, without sockets.
 func BenchmarkOneCall(b *testing.B) {
-	f, r := newTest(b, &scripted{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }})
+	f, r := newTest(b, &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }})
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Arrived = f.Now()
@@ -29,14 +29,14 @@
 }
 
 // scripted answers calls as a test says.
-type scripted struct {
+type fakeEndpoints struct {
 	Endpoints
 	answer func(a *Attempt) (*Reply, *verdict.Error)
 	sent   []*Attempt
 }
 
 // Call implements Endpoints.
-func (s *scripted) Call(_ context.Context, a *Attempt) (*Reply, *verdict.Error) {
+func (s *fakeEndpoints) Call(_ context.Context, a *Attempt) (*Reply, *verdict.Error) {
 	s.sent = append(s.sent, a)
 	return s.answer(a)
 }
--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -25,7 +25,7 @@
 			if code == verdict.CodeOverloaded {
 				v = verdict.NotRun
 			}
-			s := &scripted{answer: failWith(v, code)}
+			s := &fakeEndpoints{answer: failWith(v, code)}
 			f, r := newTest(t, s)
 			const requests = 100
 			for n := range requests {
@@ -44,7 +44,7 @@
 // TestAnEndpointThatIsNotReachedCostsNoRepeat: nothing arrived there.
 func TestAnEndpointThatIsNotReachedCostsNoRepeat(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{answer: failWith(verdict.NotRun, verdict.CodeUnavailable)}
+	s := &fakeEndpoints{answer: failWith(verdict.NotRun, verdict.CodeUnavailable)}
 	f, r := newTest(t, s)
 	for range 100 {
 		_, err := f.Run(context.Background(), r)
@@ -55,7 +55,7 @@
 
 func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{answer: failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)}
+	s := &fakeEndpoints{answer: failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)}
 	f, r := newTest(t, s)
 	r.Path = "/once/x"
 	_, err := f.Run(context.Background(), r)
@@ -68,7 +68,7 @@
 // later one that certainly has not.
 func TestTheErrorThatPromisesLessIsTold(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{}
+	s := &fakeEndpoints{}
 	s.answer = func(a *Attempt) (*Reply, *verdict.Error) {
 		if len(s.sent) == 1 {
 			return failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)(a)
@@ -82,7 +82,7 @@
 
 func TestAnAttemptThatCanBeRepeatedLeavesTimeForIt(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }}
+	s := &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }}
 	f, r := newTest(t, s)
 	_, err := f.Run(context.Background(), r)
 	is.Equal(err, nil)
@@ -96,11 +96,11 @@
 
 func TestBeforeThereIsAConfigurationNothingIsKnownNotToExist(t *testing.T) {
 	is := is.New(t)
-	f, r := newTest(t, &scripted{})
+	f, r := newTest(t, &fakeEndpoints{})
 	f.Deps.View = func() *View { return &View{} }
 	_, err := f.Run(context.Background(), r)
 	is.Equal(err.Code, verdict.CodeUnavailable)
-	f, r = newTest(t, &scripted{})
+	f, r = newTest(t, &fakeEndpoints{})
 	r.Path = "/nowhere/"
 	_, err = f.Run(context.Background(), r)
 	is.Equal(err.Code, verdict.CodeUnknownService)
--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -10,8 +10,8 @@
 )
 
 // deadly breaks the endpoints that get the given target.
-func deadly(target string) *scripted {
-	return &scripted{answer: func(a *Attempt) (*Reply, *verdict.Error) {
+func deadly(target string) *fakeEndpoints {
+	return &fakeEndpoints{answer: func(a *Attempt) (*Reply, *verdict.Error) {
 		if a.Request.Target == target {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the connection broke")
 		}
@@ -54,7 +54,7 @@
 // TestARequestThatAnEndpointFinishedIsCleared: endpoints break for other reasons.
 func TestARequestThatAnEndpointFinishedIsCleared(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{}
+	s := &fakeEndpoints{}
 	s.answer = func(a *Attempt) (*Reply, *verdict.Error) {
 		if len(s.sent)%2 == 1 {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the connection broke")
