--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -42,13 +42,13 @@
 }
 
 // noLog drops all lines.
-type noLog struct{}
+type discardLog struct{}
 
 // Event implements Log.
-func (noLog) Event(string, ...any) {}
+func (discardLog) Event(string, ...any) {}
 
 // Routine implements Log.
-func (noLog) Routine(string, ...any) {}
+func (discardLog) Routine(string, ...any) {}
 
 // newTest gives a pipeline with four endpoints of a plain service, at a clock
 // that stands still, and a request for it.
@@ -82,7 +82,7 @@
 		Daemons:   func() int { return 2 },
 		Stale:     func() bool { return false },
 		TooLate:   func() bool { return false },
-		Log:       noLog{},
+		Log:       discardLog{},
 		Metrics:   metrics.New("d"),
 		Now:       func() time.Duration { return time.Hour },
 	})
