--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -10,7 +10,7 @@
 )
 
 // deadly breaks the endpoints that get the given target.
-func deadly(target string) *fakeEndpoints {
+func crashingOn(target string) *fakeEndpoints {
 	return &fakeEndpoints{answer: func(a *Attempt) (*Reply, *verdict.Error) {
 		if a.Request.Target == target {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the connection broke")
@@ -22,7 +22,7 @@
 // TestARequestThatBreaksThreeEndpointsIsRefused under any id; others are not.
 func TestARequestThatBreaksThreeEndpointsIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := deadly("/again/x")
+	s := crashingOn("/again/x")
 	f, r := newTest(t, s)
 	for range 5 {
 		_, err := f.Run(context.Background(), r)
@@ -41,7 +41,7 @@
 // TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot: an earlier sending has.
 func TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot(t *testing.T) {
 	is := is.New(t)
-	s := deadly("/once/x")
+	s := crashingOn("/once/x")
 	f, r := newTest(t, s)
 	r.Path, r.Target = "/once/x", "/once/x"
 	for range 4 {
@@ -74,7 +74,7 @@
 // in no more than that.
 func TestAnotherCallersOrPromptsRequestIsNotRefused(t *testing.T) {
 	is := is.New(t)
-	s := deadly("/again/x")
+	s := crashingOn("/again/x")
 	f, r := newTest(t, s)
 	for _, change := range []func(){
 		func() { r.Caller = "10.0.0.1" },
