--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -48,7 +48,7 @@
 }
 
 // recorded are engines that note which of them were sent what.
-type recorded struct {
+type recordingEngines struct {
 	Endpoints
 	prefilled, decoded []id.Endpoint
 	// afterPrefill runs when a prompt has been read.
@@ -58,7 +58,7 @@
 }
 
 // Prefill implements Endpoints.
-func (r *recorded) Prefill(_ context.Context, a *Attempt) (KV, *verdict.Error) {
+func (r *recordingEngines) Prefill(_ context.Context, a *Attempt) (KV, *verdict.Error) {
 	r.prefilled = append(r.prefilled, a.Endpoint.Name)
 	if r.afterPrefill != nil {
 		r.afterPrefill()
@@ -67,13 +67,13 @@
 }
 
 // Decode implements Endpoints.
-func (r *recorded) Decode(_ context.Context, a *Attempt, _ KV) (*Opened, *verdict.Error) {
+func (r *recordingEngines) Decode(_ context.Context, a *Attempt, _ KV) (*Opened, *verdict.Error) {
 	r.decoded = append(r.decoded, a.Endpoint.Name)
 	return &Opened{Status: 200, Events: noEvents{}}, nil
 }
 
 // Free implements Endpoints.
-func (r *recorded) Free(context.Context, registry.Endpoint, KV) { r.freed <- struct{}{} }
+func (r *recordingEngines) Free(context.Context, registry.Endpoint, KV) { r.freed <- struct{}{} }
 
 // noEvents is a stream without events.
 type noEvents struct{}
@@ -89,7 +89,7 @@
 
 // streamTest gives a pipeline before two prefill and two decode engines, and
 // what marks one of them as leaving.
-func streamTest(t *testing.T, engines *recorded, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
+func streamTest(t *testing.T, engines *recordingEngines, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
 	t.Helper()
 	f, r = newTest(t, engines)
 	routes, err := route.NewTable(route.Config{
@@ -130,7 +130,7 @@
 func TestAnOwnerThatKnowsLessSendsNothingToALeavingEngine(t *testing.T) {
 	t.Run("decode", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
 		f, r, leave := streamTest(t, engines, owner)
 		leave("d1")
@@ -142,7 +142,7 @@
 	})
 	t.Run("prefill", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1", "p2"}, decodes: []id.Endpoint{"d1"}}
 		f, r, leave := streamTest(t, engines, owner)
 		leave("p1")
@@ -152,7 +152,7 @@
 	})
 	t.Run("leaving while the prompt is read", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
 		f, r, leave := streamTest(t, engines, owner)
 		engines.afterPrefill = func() { leave("d1") }
@@ -162,7 +162,7 @@
 	})
 	t.Run("no other engine", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
 		f, r, leave := streamTest(t, engines, owner)
 		leave("d1")
@@ -174,7 +174,7 @@
 	})
 	t.Run("none is left when the prompt was read", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{freed: make(chan struct{}, 1)}
+		engines := &recordingEngines{freed: make(chan struct{}, 1)}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
 		f, r, leave := streamTest(t, engines, owner)
 		engines.afterPrefill = func() { leave("d1") }
