--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -25,9 +25,9 @@
 
 // Pair implements Pairer.
 func (o *staleOwner) Pair(_ context.Context, w sched.Want, _ time.Duration) (sched.Grant, *verdict.Error) {
-	g := sched.Grant{Request: w.Request, Decode: firstNot(w.Avoid, o.decodes), Reservation: 1}
+	g := sched.Grant{Request: w.Request, Decode: firstNotIn(w.Avoid, o.decodes), Reservation: 1}
 	if !w.Prefilled {
-		g.Prefill = firstNot(w.Avoid, o.prefills)
+		g.Prefill = firstNotIn(w.Avoid, o.prefills)
 	}
 	if g.Decode == "" {
 		return g, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "no engine is left")
@@ -38,7 +38,7 @@
 // Progress implements Pairer.
 func (o *staleOwner) Progress(p sched.Progress) { o.ended = append(o.ended, p) }
 
-func firstNot(avoid, all []id.Endpoint) id.Endpoint {
+func firstNotIn(avoid, all []id.Endpoint) id.Endpoint {
 	for _, e := range all {
 		if !slices.Contains(avoid, e) {
 			return e
