--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -69,23 +69,23 @@
 // Decode implements Endpoints.
 func (r *recordingEngines) Decode(_ context.Context, a *Attempt, _ KV) (*Opened, *verdict.Error) {
 	r.decoded = append(r.decoded, a.Endpoint.Name)
-	return &Opened{Status: 200, Events: noEvents{}}, nil
+	return &Opened{Status: 200, Events: emptyStream{}}, nil
 }
 
 // Free implements Endpoints.
 func (r *recordingEngines) Free(context.Context, registry.Endpoint, KV) { r.freed <- struct{}{} }
 
 // noEvents is a stream without events.
-type noEvents struct{}
+type emptyStream struct{}
 
 // Read implements io.Reader.
-func (noEvents) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyStream) Read([]byte) (int, error) { return 0, io.EOF }
 
 // Close implements io.Closer.
-func (noEvents) Close() error { return nil }
+func (emptyStream) Close() error { return nil }
 
 // SetReadDeadline implements EventStream.
-func (noEvents) SetReadDeadline(time.Time) error { return nil }
+func (emptyStream) SetReadDeadline(time.Time) error { return nil }
 
 // streamTest gives a pipeline before two prefill and two decode engines, and
 // what marks one of them as leaving.
