--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -89,7 +89,7 @@
 
 // streamTest gives a pipeline before two prefill and two decode engines, and
 // what marks one of them as leaving.
-func streamTest(t *testing.T, engines *recordingEngines, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
+func newStreamTest(t *testing.T, engines *recordingEngines, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
 	t.Helper()
 	f, r = newTest(t, engines)
 	routes, err := route.NewTable(route.Config{
@@ -132,7 +132,7 @@
 		is := is.New(t)
 		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		leave("d1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
@@ -144,7 +144,7 @@
 		is := is.New(t)
 		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1", "p2"}, decodes: []id.Endpoint{"d1"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		leave("p1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
@@ -154,7 +154,7 @@
 		is := is.New(t)
 		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		engines.afterPrefill = func() { leave("d1") }
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
@@ -164,7 +164,7 @@
 		is := is.New(t)
 		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		leave("d1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err != nil)
@@ -176,7 +176,7 @@
 		is := is.New(t)
 		engines := &recordingEngines{freed: make(chan struct{}, 1)}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		engines.afterPrefill = func() { leave("d1") }
 		_, err := f.Run(context.Background(), r)
 		is.True(err != nil)
