--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -20,7 +20,7 @@
 // that have begun to leave meanwhile, unless it is told to avoid them.
 type staleOwner struct {
 	prefills, decodes []id.Endpoint
-	ended             []sched.Progress
+	progress          []sched.Progress
 }
 
 // Pair implements Pairer.
@@ -36,7 +36,7 @@
 }
 
 // Progress implements Pairer.
-func (o *staleOwner) Progress(p sched.Progress) { o.ended = append(o.ended, p) }
+func (o *staleOwner) Progress(p sched.Progress) { o.progress = append(o.progress, p) }
 
 func firstNotIn(avoid, all []id.Endpoint) id.Endpoint {
 	for _, e := range all {
@@ -137,8 +137,8 @@
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
 		is.Equal(engines.decoded, []id.Endpoint{"d2"})
-		is.Equal(engines.prefilled, []id.Endpoint{"p1"})     // the prompt is read once
-		is.Equal(owner.ended[0].Phase, sched.PhaseCancelled) // the owner has its grant back
+		is.Equal(engines.prefilled, []id.Endpoint{"p1"})        // the prompt is read once
+		is.Equal(owner.progress[0].Phase, sched.PhaseCancelled) // the owner has its grant back
 	})
 	t.Run("prefill", func(t *testing.T) {
 		is := is.New(t)
