--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -17,7 +17,7 @@
 )
 
 // BenchmarkOneCall takes a plain call through the pipeline, without sockets.
-func BenchmarkOneCall(b *testing.B) {
+func BenchmarkCall(b *testing.B) {
 	f, r := newTest(b, &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }})
 	b.ReportAllocs()
 	for b.Loop() {
