--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -17,7 +17,7 @@
 
 // TestRepeatsStayWithinTheServicesBound: the slack is shared by two daemons;
 // refusals by endpoints are arrivals and count.
-func TestRepeatsStayWithinTheServicesBound(t *testing.T) {
+func TestRetriesStayWithinTheServiceLimit(t *testing.T) {
 	for name, code := range map[string]verdict.Code{"broken off": verdict.CodeEndpointFailed, "refused": verdict.CodeOverloaded} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
