--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -42,7 +42,7 @@
 }
 
 // TestAnEndpointThatIsNotReachedCostsNoRepeat: nothing arrived there.
-func TestAnEndpointThatIsNotReachedCostsNoRepeat(t *testing.T) {
+func TestUnreachableEndpointConsumesNoRetry(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{answer: failWith(verdict.NotRun, verdict.CodeUnavailable)}
 	f, r := newTest(t, s)
