--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -53,7 +53,7 @@
 	is.Equal(len(s.sent), 100*maxRefusals)
 }
 
-func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{answer: failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)}
 	f, r := newTest(t, s)
