--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -66,7 +66,7 @@
 
 // TestTheErrorThatPromisesLessIsTold: an attempt that may have run goes before a
 // later one that certainly has not.
-func TestTheErrorThatPromisesLessIsTold(t *testing.T) {
+func TestWeakestVerdictIsReturned(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{}
 	s.answer = func(a *Attempt) (*Reply, *verdict.Error) {
