--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -80,7 +80,7 @@
 	is.Equal(err.Verdict, verdict.MayHaveRun)
 }
 
-func TestAnAttemptThatCanBeRepeatedLeavesTimeForIt(t *testing.T) {
+func TestRepeatableAttemptLeavesTimeForRetry(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }}
 	f, r := newTest(t, s)
