--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -94,7 +94,7 @@
 	is.Equal(s.sent[0].Left, time.Second)
 }
 
-func TestBeforeThereIsAConfigurationNothingIsKnownNotToExist(t *testing.T) {
+func TestUnknownRouteIsUnavailableWithoutCurrentConfig(t *testing.T) {
 	is := is.New(t)
 	f, r := newTest(t, &fakeEndpoints{})
 	f.Deps.View = func() *View { return &View{} }
