--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -127,7 +127,7 @@
 //
 //	member_stalled late=6.797878117s
 //	endpoint_changed endpoint=... leaving=true   (3.18 s after the others)
-func TestAnOwnerThatKnowsLessSendsNothingToALeavingEngine(t *testing.T) {
+func TestGrantOfLeavingEngineIsReturned(t *testing.T) {
 	t.Run("decode", func(t *testing.T) {
 		is := is.New(t)
 		engines := &recordingEngines{}
