--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot: an earlier sending has.
-func TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot(t *testing.T) {
+func TestQuarantinedNonIdempotentRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/once/x")
 	f, r := newTest(t, s)
