--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -72,7 +72,7 @@
 
 // TestAnotherCallersOrPromptsRequestIsNotRefused: streams of one target differ
 // in no more than that.
-func TestAnotherCallersOrPromptsRequestIsNotRefused(t *testing.T) {
+func TestFingerprintIncludesCallerAndPrompt(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/again/x")
 	f, r := newTest(t, s)
