--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -22,8 +22,8 @@
 	resp    *fasthttp.Response
 	stop    func() bool
 	// whole is set once the answer was read to its end.
-	whole bool
-	once  sync.Once
+	complete bool
+	once     sync.Once
 }
 
 // Status is the answer's status code.
@@ -63,7 +63,7 @@
 		if err := a.resp.ReadLimitBody(a.conn.reader, a.pool.opts.MaxBodyBytes); err != nil {
 			return err
 		}
-		a.whole = !c.Stream || a.resp.SkipBody
+		a.complete = !c.Stream || a.resp.SkipBody
 		if !a.foreign(c) {
 			return nil
 		}
@@ -102,7 +102,7 @@
 	}
 	n, err := body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
@@ -141,7 +141,7 @@
 func (a *Answer) keepFor() (time.Duration, bool) {
 	h := &a.resp.Header
 	unframed := h.ContentLength() == -2
-	if !a.whole || unframed || h.ConnectionClose() || a.conn.reader.Buffered() > 0 {
+	if !a.complete || unframed || h.ConnectionClose() || a.conn.reader.Buffered() > 0 {
 		return 0, false
 	}
 	said, ok := keepAliveTimeout(string(h.Peek("Keep-Alive")))
