--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -64,7 +64,7 @@
 			return err
 		}
 		a.complete = !c.Stream || a.resp.SkipBody
-		if !a.foreign(c) {
+		if !a.isForeign(c) {
 			return nil
 		}
 		a.pool.foreign.Inc()
@@ -76,7 +76,7 @@
 }
 
 // foreign says whether the answer bears another request's id.
-func (a *Answer) foreign(c *Call) bool {
+func (a *Answer) isForeign(c *Call) bool {
 	if c.ID == "" || a.pool.opts.IDHeader == "" {
 		return false
 	}
