--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -68,7 +68,7 @@
 			return nil
 		}
 		a.pool.foreign.Inc()
-		if err := a.skip(); err != nil {
+		if err := a.discardBody(); err != nil {
 			return err
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // skip reads an answer to its end.
-func (a *Answer) skip() error {
+func (a *Answer) discardBody() error {
 	if a.resp.BodyStream() == nil {
 		return nil
 	}
