--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -123,7 +123,7 @@
 // to its end, nothing came behind it, and its endpoint keeps it as well.
 func (a *Answer) Close() {
 	a.once.Do(func() {
-		life, reusable := a.keepFor()
+		life, reusable := a.idleLife()
 		stopped := a.stop()
 		if reusable && stopped && a.conn.SetDeadline(time.Time{}) == nil {
 			fasthttp.ReleaseResponse(a.resp)
@@ -138,7 +138,7 @@
 }
 
 // keepFor is how long the connection may be kept, if it may.
-func (a *Answer) keepFor() (time.Duration, bool) {
+func (a *Answer) idleLife() (time.Duration, bool) {
 	h := &a.resp.Header
 	unframed := h.ContentLength() == -2
 	if !a.complete || unframed || h.ConnectionClose() || a.conn.reader.Buffered() > 0 {
