--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -16,11 +16,11 @@
 
 // Answer is an endpoint's answer. It must be closed.
 type Answer struct {
-	pool    *Pool
-	address string
-	conn    *conn
-	resp    *fasthttp.Response
-	stop    func() bool
+	pool         *Pool
+	address      string
+	conn         *conn
+	resp         *fasthttp.Response
+	stopWatching func() bool
 	// whole is set once the answer was read to its end.
 	complete bool
 	once     sync.Once
@@ -124,7 +124,7 @@
 func (a *Answer) Close() {
 	a.once.Do(func() {
 		life, reusable := a.idleLife()
-		stopped := a.stop()
+		stopped := a.stopWatching()
 		if reusable && stopped && a.conn.SetDeadline(time.Time{}) == nil {
 			fasthttp.ReleaseResponse(a.resp)
 			a.pool.keep(a.address, a.conn, life)
