--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -56,7 +56,7 @@
 // read reads answers until the one that belongs to the request: a late answer
 // to an earlier request may come before it.
 func (a *Answer) read(c *Call) error {
-	for range maxForeign + 1 {
+	for range maxForeignAnswers + 1 {
 		a.resp.Reset()
 		a.resp.SkipBody = c.Request.Header.IsHead()
 		a.resp.StreamBody = c.Stream
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -117,7 +117,7 @@
 }
 
 // maxForeign is how many answers to other requests are skipped on a connection.
-const maxForeign = 2
+const maxForeignAnswers = 2
 
 // Do sends the request and reads the answer, which must be closed. A caller's
 // leaving closes the connection at once; the deadline of ctx leaves what has
