--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -62,7 +62,7 @@
 	dialer netconn.Dialer
 
 	mu    sync.Mutex
-	hosts map[string]*host
+	hosts map[string]*addressConns
 
 	dialled *metrics.Counter
 	kept    *metrics.Counter
@@ -70,7 +70,7 @@
 }
 
 // host holds the connections to one address.
-type host struct {
+type addressConns struct {
 	open int
 	idle []*conn
 }
@@ -90,7 +90,7 @@
 	return &Pool{
 		opts:    o,
 		dialer:  dialer(o.DialTimeout),
-		hosts:   map[string]*host{},
+		hosts:   map[string]*addressConns{},
 		dialled: o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
 		kept:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
 		foreign: o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
@@ -177,10 +177,10 @@
 	return true
 }
 
-func (p *Pool) host(address string) *host {
+func (p *Pool) host(address string) *addressConns {
 	h := p.hosts[address]
 	if h == nil {
-		h = &host{}
+		h = &addressConns{}
 		p.hosts[address] = h
 	}
 	return h
@@ -297,7 +297,7 @@
 			_ = k.Close()
 		}
 	}
-	p.hosts = map[string]*host{}
+	p.hosts = map[string]*addressConns{}
 }
 
 func notRun(c *Call, code verdict.Code, cause error) *verdict.Error {
