--- a/daemon/upstream/forget_test.go
+++ b/daemon/upstream/forget_test.go
@@ -37,7 +37,7 @@
 	call()
 	is.Equal(p.dialled.Value(), int64(1))
 	p.Forget(ln.Addr().String())
-	is.Equal(len(p.hosts), 0)
+	is.Equal(len(p.addresses), 0)
 	call()
 	is.Equal(p.dialled.Value(), int64(2))
 	p.Close()
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -61,8 +61,8 @@
 	opts   Options
 	dialer netconn.Dialer
 
-	mu    sync.Mutex
-	hosts map[string]*addressConns
+	mu        sync.Mutex
+	addresses map[string]*addressConns
 
 	dialled *metrics.Counter
 	kept    *metrics.Counter
@@ -88,12 +88,12 @@
 func New(o Options) *Pool {
 	o = o.withDefaults()
 	return &Pool{
-		opts:    o,
-		dialer:  dialer(o.DialTimeout),
-		hosts:   map[string]*addressConns{},
-		dialled: o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
-		kept:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
-		foreign: o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
+		opts:      o,
+		dialer:    dialer(o.DialTimeout),
+		addresses: map[string]*addressConns{},
+		dialled:   o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
+		kept:      o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
+		foreign:   o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
 	}
 }
 
@@ -178,10 +178,10 @@
 }
 
 func (p *Pool) host(address string) *addressConns {
-	h := p.hosts[address]
+	h := p.addresses[address]
 	if h == nil {
 		h = &addressConns{}
-		p.hosts[address] = h
+		p.addresses[address] = h
 	}
 	return h
 }
@@ -190,13 +190,13 @@
 func (p *Pool) forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.addresses[address]
 	if h == nil {
 		return
 	}
 	h.open--
 	if h.open <= 0 && len(h.idle) == 0 {
-		delete(p.hosts, address)
+		delete(p.addresses, address)
 	}
 }
 
@@ -228,7 +228,7 @@
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.addresses[address]
 	if h == nil || len(h.idle) == 0 {
 		return nil
 	}
@@ -266,7 +266,7 @@
 	now := time.Now()
 	var old []*conn
 	p.mu.Lock()
-	for address, h := range p.hosts {
+	for address, h := range p.addresses {
 		fresh := h.idle[:0]
 		for _, k := range h.idle {
 			if now.After(k.until) {
@@ -279,7 +279,7 @@
 		clear(h.idle[len(fresh):])
 		h.idle = fresh
 		if h.open <= 0 && len(h.idle) == 0 {
-			delete(p.hosts, address)
+			delete(p.addresses, address)
 		}
 	}
 	p.mu.Unlock()
@@ -292,12 +292,12 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range p.hosts {
+	for _, h := range p.addresses {
 		for _, k := range h.idle {
 			_ = k.Close()
 		}
 	}
-	p.hosts = map[string]*addressConns{}
+	p.addresses = map[string]*addressConns{}
 }
 
 func notRun(c *Call, code verdict.Code, cause error) *verdict.Error {
