--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -169,7 +169,7 @@
 func (p *Pool) reserve(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.host(c.Address)
+	h := p.connsTo(c.Address)
 	if c.MaxConns > 0 && h.open >= c.MaxConns {
 		return false
 	}
@@ -177,7 +177,7 @@
 	return true
 }
 
-func (p *Pool) host(address string) *addressConns {
+func (p *Pool) connsTo(address string) *addressConns {
 	h := p.addresses[address]
 	if h == nil {
 		h = &addressConns{}
@@ -245,7 +245,7 @@
 	k.until = k.idleSince.Add(life)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.host(address)
+	h := p.connsTo(address)
 	h.idle = append(h.idle, k)
 }
 
