--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -132,7 +132,7 @@
 		}
 		// Closed first, since releasing a stream reads what is left of it.
 		_ = a.conn.Close()
-		a.pool.forget(a.address)
+		a.pool.releaseSlot(a.address)
 		fasthttp.ReleaseResponse(a.resp)
 	})
 }
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -149,7 +149,7 @@
 	}
 	made, err := p.dialer.Dial(ctx, c.Address)
 	if err != nil {
-		p.forget(c.Address)
+		p.releaseSlot(c.Address)
 		return nil, notRun(c, dialCode(ctx), err)
 	}
 	p.dialled.Inc()
@@ -187,7 +187,7 @@
 }
 
 // forget counts a connection as gone.
-func (p *Pool) forget(address string) {
+func (p *Pool) releaseSlot(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.addresses[address]
@@ -218,7 +218,7 @@
 		}
 		if old || !quiet(k) {
 			_ = k.Close()
-			p.forget(c.Address)
+			p.releaseSlot(c.Address)
 			continue
 		}
 		return k
@@ -257,7 +257,7 @@
 			return
 		}
 		_ = k.Close()
-		p.forget(address)
+		p.releaseSlot(address)
 	}
 }
 
