--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -144,7 +144,7 @@
 		p.kept.Inc()
 		return kept, nil
 	}
-	if !p.reserve(c) {
+	if !p.reserveSlot(c) {
 		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to it are in use"))
 	}
 	made, err := p.dialer.Dial(ctx, c.Address)
@@ -166,7 +166,7 @@
 }
 
 // reserve counts a new connection, if the bound allows it.
-func (p *Pool) reserve(c *Call) bool {
+func (p *Pool) reserveSlot(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.connsTo(c.Address)
