--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -65,7 +65,7 @@
 	addresses map[string]*addressConns
 
 	dialled *metrics.Counter
-	kept    *metrics.Counter
+	reused  *metrics.Counter
 	foreign *metrics.Counter
 }
 
@@ -92,7 +92,7 @@
 		dialer:    dialer(o.DialTimeout),
 		addresses: map[string]*addressConns{},
 		dialled:   o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
-		kept:      o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
+		reused:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
 		foreign:   o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
 	}
 }
@@ -141,7 +141,7 @@
 
 func (p *Pool) connect(ctx context.Context, c *Call) (*conn, *verdict.Error) {
 	if kept := p.takeIdle(c); kept != nil {
-		p.kept.Inc()
+		p.reused.Inc()
 		return kept, nil
 	}
 	if !p.reserveSlot(c) {
