--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -127,7 +127,7 @@
 		stopped := a.stopWatching()
 		if reusable && stopped && a.conn.SetDeadline(time.Time{}) == nil {
 			fasthttp.ReleaseResponse(a.resp)
-			a.pool.keep(a.address, a.conn, life)
+			a.pool.putIdle(a.address, a.conn, life)
 			return
 		}
 		// Closed first, since releasing a stream reads what is left of it.
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -240,7 +240,7 @@
 }
 
 // keep puts a connection aside for the next request.
-func (p *Pool) keep(address string, k *conn, life time.Duration) {
+func (p *Pool) putIdle(address string, k *conn, life time.Duration) {
 	k.idleSince = time.Now()
 	k.until = k.idleSince.Add(life)
 	p.mu.Lock()
