--- a/daemon/upstream/socket.go
+++ b/daemon/upstream/socket.go
@@ -50,7 +50,7 @@
 
 // quiet says whether an unused connection has neither been closed nor got
 // bytes that nobody asked for.
-func quiet(c syscall.Conn) bool {
+func isQuiet(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -216,7 +216,7 @@
 		if c.Careful {
 			old = old || now.Sub(k.idleSince) > k.until.Sub(k.idleSince)/carefulShare
 		}
-		if old || !quiet(k) {
+		if old || !isQuiet(k) {
 			_ = k.Close()
 			p.releaseSlot(c.Address)
 			continue
