--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -202,7 +202,7 @@
 
 // carefulShare of a kept connection's life is used for requests that can't be
 // repeated: its endpoint may close it right when they are sent.
-const carefulShare = 2
+const carefulLifeDivisor = 2
 
 // takeIdle takes the connection that was used last and is certainly still good.
 func (p *Pool) takeIdle(c *Call) *conn {
@@ -214,7 +214,7 @@
 		now := time.Now()
 		old := now.After(k.until)
 		if c.Careful {
-			old = old || now.Sub(k.idleSince) > k.until.Sub(k.idleSince)/carefulShare
+			old = old || now.Sub(k.idleSince) > k.until.Sub(k.idleSince)/carefulLifeDivisor
 		}
 		if old || !isQuiet(k) {
 			_ = k.Close()
