--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -124,7 +124,7 @@
 // arrived.
 func (p *Pool) Do(ctx context.Context, c *Call) (*Answer, *verdict.Error) {
 	if err := ctx.Err(); err != nil {
-		return nil, notRun(c, endedCode(err), err)
+		return nil, notRun(c, contextErrorCode(err), err)
 	}
 	used, err := p.connect(ctx, c)
 	if err != nil {
@@ -305,7 +305,7 @@
 }
 
 // endedCode tells a time limit from a caller that left.
-func endedCode(err error) verdict.Code {
+func contextErrorCode(err error) verdict.Code {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return verdict.CodeDeadline
 	}
@@ -317,7 +317,7 @@
 	code := verdict.CodeEndpointFailed
 	switch {
 	case ctx.Err() != nil:
-		code = endedCode(ctx.Err())
+		code = contextErrorCode(ctx.Err())
 	case errors.Is(cause, os.ErrDeadlineExceeded), errors.Is(cause, fasthttp.ErrTimeout):
 		code = verdict.CodeDeadline
 	}
