--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -150,7 +150,7 @@
 	made, err := p.dialer.Dial(ctx, c.Address)
 	if err != nil {
 		p.releaseSlot(c.Address)
-		return nil, notRun(c, dialCode(ctx), err)
+		return nil, notRun(c, dialErrorCode(ctx), err)
 	}
 	p.dialled.Inc()
 	return &conn{Conn: made, reader: bufio.NewReader(made)}, nil
@@ -158,7 +158,7 @@
 
 // dialCode names the cause of a failed dial: a caller who left tells nothing
 // about the endpoint.
-func dialCode(ctx context.Context) verdict.Code {
+func dialErrorCode(ctx context.Context) verdict.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return verdict.CodeCallerGone
 	}
