--- a/daemon/upstream/socket.go
+++ b/daemon/upstream/socket.go
@@ -22,7 +22,7 @@
 )
 
 // dialer returns one whose connections notice a silent other side.
-func dialer(timeout time.Duration) netconn.Dialer {
+func newDialer(timeout time.Duration) netconn.Dialer {
 	return netconn.Dialer{Dialer: net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/daemon/upstream/socket_test.go
+++ b/daemon/upstream/socket_test.go
@@ -18,7 +18,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer ln.Close()
-	d := dialer(time.Second)
+	d := newDialer(time.Second)
 	conn, err := d.DialContext(context.Background(), "tcp", ln.Addr().String())
 	is.NoErr(err)
 	defer conn.Close()
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -89,7 +89,7 @@
 	o = o.withDefaults()
 	return &Pool{
 		opts:      o,
-		dialer:    dialer(o.DialTimeout),
+		dialer:    newDialer(o.DialTimeout),
 		addresses: map[string]*addressConns{},
 		dialled:   o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
 		reused:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
