--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -80,7 +80,7 @@
 	*netconn.Conn
 	reader *bufio.Reader
 	// until is when it is too old to be used again; unused since idleSince.
-	until     time.Time
+	expires   time.Time
 	idleSince time.Time
 }
 
@@ -212,9 +212,9 @@
 			return nil
 		}
 		now := time.Now()
-		old := now.After(k.until)
+		old := now.After(k.expires)
 		if c.Careful {
-			old = old || now.Sub(k.idleSince) > k.until.Sub(k.idleSince)/carefulLifeDivisor
+			old = old || now.Sub(k.idleSince) > k.expires.Sub(k.idleSince)/carefulLifeDivisor
 		}
 		if old || !isQuiet(k) {
 			_ = k.Close()
@@ -242,7 +242,7 @@
 // keep puts a connection aside for the next request.
 func (p *Pool) putIdle(address string, k *conn, life time.Duration) {
 	k.idleSince = time.Now()
-	k.until = k.idleSince.Add(life)
+	k.expires = k.idleSince.Add(life)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.connsTo(address)
@@ -269,7 +269,7 @@
 	for address, h := range p.addresses {
 		fresh := h.idle[:0]
 		for _, k := range h.idle {
-			if now.After(k.until) {
+			if now.After(k.expires) {
 				old = append(old, k)
 				h.open--
 				continue
