--- a/daemon/upstream/connect_test.go
+++ b/daemon/upstream/connect_test.go
@@ -16,7 +16,7 @@
 
 // dialSilent sends a request to an address that answers no attempt to connect;
 // during is called once the dial has begun.
-func dialSilent(t *testing.T, ctx context.Context, during func()) *verdict.Error {
+func dialUnresponsive(t *testing.T, ctx context.Context, during func()) *verdict.Error {
 	t.Helper()
 	is := is.New(t)
 	full, err := standin.NewFullBacklog("127.0.0.1:0")
@@ -41,6 +41,6 @@
 func TestACallerWhoLeavesBlamesNoEndpoint(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(context.Background())
-	is.Equal(dialSilent(t, ctx, leave).Code, verdict.CodeCallerGone)
-	is.Equal(dialSilent(t, context.Background(), func() {}).Code, verdict.CodeUnavailable)
+	is.Equal(dialUnresponsive(t, ctx, leave).Code, verdict.CodeCallerGone)
+	is.Equal(dialUnresponsive(t, context.Background(), func() {}).Code, verdict.CodeUnavailable)
 }
