--- a/daemon/upstream/socket_test.go
+++ b/daemon/upstream/socket_test.go
@@ -24,14 +24,14 @@
 	defer conn.Close()
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	is.NoErr(err)
-	is.Equal(option(t, raw, unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
-	is.Equal(option(t, raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(userTimeout/time.Millisecond))
-	is.Equal(option(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(probeIdle/time.Second))
-	is.Equal(option(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(probeEvery/time.Second))
-	is.Equal(option(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPCNT), probeCount)
+	is.Equal(sockoptInt(t, raw, unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
+	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(userTimeout/time.Millisecond))
+	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(probeIdle/time.Second))
+	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(probeEvery/time.Second))
+	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPCNT), probeCount)
 }
 
-func option(t *testing.T, raw syscall.RawConn, level, name int) int {
+func sockoptInt(t *testing.T, raw syscall.RawConn, level, name int) int {
 	t.Helper()
 	value, failed := 0, error(nil)
 	if err := raw.Control(func(fd uintptr) { value, failed = unix.GetsockoptInt(int(fd), level, name) }); err != nil {
