--- a/daemon/upstream/socket.go
+++ b/daemon/upstream/socket.go
@@ -16,9 +16,9 @@
 	userTimeout = 2 * time.Second
 	// probeIdle, probeEvery and probeCount find out within three seconds that
 	// a connection on which only an answer is due has gone silent.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probeCount = 2
+	probeIdle     = time.Second
+	probeInterval = time.Second
+	probeCount    = 2
 )
 
 // dialer returns one whose connections notice a silent other side.
@@ -28,7 +28,7 @@
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     probeIdle,
-			Interval: probeEvery,
+			Interval: probeInterval,
 			Count:    probeCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error { return SetUserTimeout(raw) },
--- a/daemon/upstream/socket_test.go
+++ b/daemon/upstream/socket_test.go
@@ -27,7 +27,7 @@
 	is.Equal(sockoptInt(t, raw, unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
 	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(userTimeout/time.Millisecond))
 	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(probeIdle/time.Second))
-	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(probeEvery/time.Second))
+	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(probeInterval/time.Second))
 	is.Equal(sockoptInt(t, raw, unix.IPPROTO_TCP, unix.TCP_KEEPCNT), probeCount)
 }
 
