--- a/daemon/upstream/connect_test.go
+++ b/daemon/upstream/connect_test.go
@@ -38,7 +38,7 @@
 
 // TestACallerWhoLeavesBlamesNoEndpoint: the endpoint had not failed to take the
 // connection when its caller left; blamed for it, it would get no work.
-func TestACallerWhoLeavesBlamesNoEndpoint(t *testing.T) {
+func TestCancelledDialIsNotAnEndpointFailure(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(context.Background())
 	is.Equal(dialUnresponsive(t, ctx, leave).Code, verdict.CodeCallerGone)
