--- a/daemon/upstream/socket_test.go
+++ b/daemon/upstream/socket_test.go
@@ -13,7 +13,7 @@
 
 // TestConnectionsNoticeASilentOtherSide: behind a cut nothing is reset, so that
 // only the kernel's own limits end a connection.
-func TestConnectionsNoticeASilentOtherSide(t *testing.T) {
+func TestConnectionsDetectUnresponsivePeer(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
