--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -34,7 +34,7 @@
 	fullFor = 50 * time.Millisecond
 	// spread is how much of an estimate is left to chance, so that the daemons
 	// don't all choose the same endpoint.
-	spread = 0.3
+	jitter = 0.3
 	// relaxAfter is the time in which an estimate goes back most of the way to
 	// the first one while the endpoint gets no calls: else one that was slow
 	// once would never be tried again.
@@ -138,7 +138,7 @@
 	if e.Domain != b.domain {
 		cost += farCost.Seconds()
 	}
-	cost *= 1 + spread*b.rng.Float64()
+	cost *= 1 + jitter*b.rng.Float64()
 	if now < e.outUntil {
 		cost += outCost + (e.outUntil - now).Seconds()
 	}
