--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -58,12 +58,12 @@
 		b.Done(0, "a", time.Millisecond, Failed)
 	}
 	is.Equal(b.Available(0, "s"), 2)
-	is.Equal(b.Available(ejectFirst, "s"), 3)
-	b.Done(ejectFirst, "a", time.Millisecond, OK)
+	is.Equal(b.Available(ejectMin, "s"), 3)
+	b.Done(ejectMin, "a", time.Millisecond, OK)
 	for range 50 {
-		b.Done(ejectFirst, "a", 10*time.Millisecond, OK)
+		b.Done(ejectMin, "a", 10*time.Millisecond, OK)
 	}
-	is.True(serve(b, ejectFirst, 300, fine)["a"] > 50)
+	is.True(serve(b, ejectMin, 300, fine)["a"] > 50)
 }
 
 func TestLeavingAndAvoidedEndpointsGetNothing(t *testing.T) {
