--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -26,8 +26,8 @@
 	// ejectAfter failures in a row keep an endpoint out.
 	ejectAfter = 3
 	// ejectFirst and ejectMost bound how long; it doubles.
-	ejectMin  = time.Second
-	ejectMost = 8 * time.Second
+	ejectMin = time.Second
+	ejectMax = 8 * time.Second
 	// unreachableFor keeps an endpoint out that took no connection.
 	unreachableFor = 500 * time.Millisecond
 	// fullFor keeps an endpoint out that refused for lack of room.
@@ -191,7 +191,7 @@
 }
 
 func (e *endpoint) eject(now time.Duration) {
-	e.ejection = min(max(2*e.ejection, ejectMin), ejectMost)
+	e.ejection = min(max(2*e.ejection, ejectMin), ejectMax)
 	e.outUntil = now + e.ejection
 	e.failures = ejectAfter - 1
 }
