--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -40,7 +40,7 @@
 	// once would never be tried again.
 	relaxAfter = 4 * time.Second
 	// farCost is what another failure domain costs.
-	farCost = 3 * time.Millisecond
+	crossDomainCost = 3 * time.Millisecond
 )
 
 // Outcome is how a call ended, as far as it tells of its endpoint.
@@ -136,7 +136,7 @@
 	share := float64(e.inFlight+1) / float64(max(1, e.Slots))
 	cost := e.estimate(now).Seconds() * (1 + share)
 	if e.Domain != b.domain {
-		cost += farCost.Seconds()
+		cost += crossDomainCost.Seconds()
 	}
 	cost *= 1 + jitter*b.rng.Float64()
 	if now < e.outUntil {
