--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -38,7 +38,7 @@
 	// relaxAfter is the time in which an estimate goes back most of the way to
 	// the first one while the endpoint gets no calls: else one that was slow
 	// once would never be tried again.
-	relaxAfter = 4 * time.Second
+	estimateDecay = 4 * time.Second
 	// farCost is what another failure domain costs.
 	crossDomainCost = 3 * time.Millisecond
 )
@@ -180,7 +180,7 @@
 // estimate is the average latency, gone back to the first estimate the longer
 // no sample came.
 func (e *endpoint) estimate(now time.Duration) time.Duration {
-	keep := math.Exp(-float64(now-e.learnt) / float64(relaxAfter))
+	keep := math.Exp(-float64(now-e.learnt) / float64(estimateDecay))
 	return firstLatency + time.Duration(keep*float64(e.latency-firstLatency))
 }
 
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -99,7 +99,7 @@
 	}
 	is.Equal(b.Slowest()[0], id.Endpoint("a"))
 	is.Equal(serve(b, 0, 30, fine)["a"], 0)
-	is.True(serve(b, 6*relaxAfter, 300, fine)["a"] > 50) // it is tried again
+	is.True(serve(b, 6*estimateDecay, 300, fine)["a"] > 50) // it is tried again
 }
 
 func TestAllEndpointsOutIsBetterThanNone(t *testing.T) {
