--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -129,7 +129,7 @@
 
 // outCost is added for endpoints that are kept out: they are chosen only where
 // all are.
-const outCost = 1e6
+const ejectedCost = 1e6
 
 // cost estimates how long a call would take, in seconds.
 func (b *Balancer) cost(now time.Duration, e *endpoint) float64 {
@@ -140,7 +140,7 @@
 	}
 	cost *= 1 + jitter*b.rng.Float64()
 	if now < e.outUntil {
-		cost += outCost + (e.outUntil - now).Seconds()
+		cost += ejectedCost + (e.outUntil - now).Seconds()
 	}
 	return cost
 }
