--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -29,7 +29,7 @@
 	ejectMin = time.Second
 	ejectMax = 8 * time.Second
 	// unreachableFor keeps an endpoint out that took no connection.
-	unreachableFor = 500 * time.Millisecond
+	unreachableEjection = 500 * time.Millisecond
 	// fullFor keeps an endpoint out that refused for lack of room.
 	fullFor = 50 * time.Millisecond
 	// spread is how much of an estimate is left to chance, so that the daemons
@@ -170,7 +170,7 @@
 	case Unreachable:
 		e.failures++
 		e.learn(now, took+failurePenalty)
-		e.outUntil = max(e.outUntil, now+unreachableFor)
+		e.outUntil = max(e.outUntil, now+unreachableEjection)
 		if e.failures >= ejectAfter {
 			e.eject(now)
 		}
