--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -31,7 +31,7 @@
 	// unreachableFor keeps an endpoint out that took no connection.
 	unreachableEjection = 500 * time.Millisecond
 	// fullFor keeps an endpoint out that refused for lack of room.
-	fullFor = 50 * time.Millisecond
+	fullEjection = 50 * time.Millisecond
 	// spread is how much of an estimate is left to chance, so that the daemons
 	// don't all choose the same endpoint.
 	jitter = 0.3
@@ -166,7 +166,7 @@
 			e.eject(now)
 		}
 	case Full:
-		e.outUntil = max(e.outUntil, now+fullFor)
+		e.outUntil = max(e.outUntil, now+fullEjection)
 	case Unreachable:
 		e.failures++
 		e.learn(now, took+failurePenalty)
