--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -19,7 +19,7 @@
 	smoothing = 0.2
 	// firstLatency is the first estimate of a call, so that new endpoints are
 	// neither shunned nor flooded.
-	firstLatency = 20 * time.Millisecond
+	initialLatency = 20 * time.Millisecond
 	// failurePenalty is what a failure adds to an endpoint's average latency:
 	// after two in a row it is the last choice.
 	failurePenalty = 500 * time.Millisecond
@@ -97,7 +97,7 @@
 	for _, entry := range entries {
 		e := old[entry.Name]
 		if e == nil {
-			e = &endpoint{latency: firstLatency}
+			e = &endpoint{latency: initialLatency}
 		}
 		e.Endpoint = entry
 		b.endpoints[entry.Name] = e
@@ -181,7 +181,7 @@
 // no sample came.
 func (e *endpoint) estimate(now time.Duration) time.Duration {
 	keep := math.Exp(-float64(now-e.learnt) / float64(estimateDecay))
-	return firstLatency + time.Duration(keep*float64(e.latency-firstLatency))
+	return initialLatency + time.Duration(keep*float64(e.latency-initialLatency))
 }
 
 func (e *endpoint) learn(now, sample time.Duration) {
--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -34,7 +34,7 @@
 	is.Equal(b.Available(0, "s"), 1)
 	present := b.endpoints[registry.Incarnation("a", 200)]
 	is.Equal(present.inFlight, 0)
-	is.Equal(present.latency, firstLatency)
+	is.Equal(present.latency, initialLatency)
 	b.Done(0, former, time.Second, Unreachable)
 	is.Equal(b.Available(0, "s"), 1)
 }
