--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -77,10 +77,10 @@
 	inFlight int
 	latency  time.Duration
 	// learnt is when latency got its last sample.
-	learnt   time.Duration
-	failures int
-	ejection time.Duration
-	outUntil time.Duration
+	sampledAt time.Duration
+	failures  int
+	ejection  time.Duration
+	outUntil  time.Duration
 }
 
 // New returns a Balancer for a daemon in the given failure domain.
@@ -180,14 +180,14 @@
 // estimate is the average latency, gone back to the first estimate the longer
 // no sample came.
 func (e *endpoint) estimate(now time.Duration) time.Duration {
-	keep := math.Exp(-float64(now-e.learnt) / float64(estimateDecay))
+	keep := math.Exp(-float64(now-e.sampledAt) / float64(estimateDecay))
 	return initialLatency + time.Duration(keep*float64(e.latency-initialLatency))
 }
 
 func (e *endpoint) learn(now, sample time.Duration) {
 	e.latency = e.estimate(now)
 	e.latency += time.Duration(smoothing * float64(sample-e.latency))
-	e.learnt = now
+	e.sampledAt = now
 }
 
 func (e *endpoint) eject(now time.Duration) {
