--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -77,10 +77,10 @@
 	inFlight int
 	latency  time.Duration
 	// learnt is when latency got its last sample.
-	sampledAt time.Duration
-	failures  int
-	ejection  time.Duration
-	outUntil  time.Duration
+	sampledAt    time.Duration
+	failures     int
+	ejection     time.Duration
+	ejectedUntil time.Duration
 }
 
 // New returns a Balancer for a daemon in the given failure domain.
@@ -139,8 +139,8 @@
 		cost += crossDomainCost.Seconds()
 	}
 	cost *= 1 + jitter*b.rng.Float64()
-	if now < e.outUntil {
-		cost += ejectedCost + (e.outUntil - now).Seconds()
+	if now < e.ejectedUntil {
+		cost += ejectedCost + (e.ejectedUntil - now).Seconds()
 	}
 	return cost
 }
@@ -166,11 +166,11 @@
 			e.eject(now)
 		}
 	case Full:
-		e.outUntil = max(e.outUntil, now+fullEjection)
+		e.ejectedUntil = max(e.ejectedUntil, now+fullEjection)
 	case Unreachable:
 		e.failures++
 		e.learn(now, took+failurePenalty)
-		e.outUntil = max(e.outUntil, now+unreachableEjection)
+		e.ejectedUntil = max(e.ejectedUntil, now+unreachableEjection)
 		if e.failures >= ejectAfter {
 			e.eject(now)
 		}
@@ -192,7 +192,7 @@
 
 func (e *endpoint) eject(now time.Duration) {
 	e.ejection = min(max(2*e.ejection, ejectMin), ejectMax)
-	e.outUntil = now + e.ejection
+	e.ejectedUntil = now + e.ejection
 	e.failures = ejectAfter - 1
 }
 
@@ -200,7 +200,7 @@
 func (b *Balancer) Available(now time.Duration, service id.Service) int {
 	n := 0
 	for _, e := range b.services[service] {
-		if !e.Leaving && now >= e.outUntil {
+		if !e.Leaving && now >= e.ejectedUntil {
 			n++
 		}
 	}
