--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -156,12 +156,12 @@
 	case OK:
 		e.failures = 0
 		e.ejection = 0
-		e.learn(now, took)
+		e.addSample(now, took)
 	case Slow:
-		e.learn(now, took)
+		e.addSample(now, took)
 	case Failed:
 		e.failures++
-		e.learn(now, took+failurePenalty)
+		e.addSample(now, took+failurePenalty)
 		if e.failures >= ejectAfter {
 			e.eject(now)
 		}
@@ -169,7 +169,7 @@
 		e.ejectedUntil = max(e.ejectedUntil, now+fullEjection)
 	case Unreachable:
 		e.failures++
-		e.learn(now, took+failurePenalty)
+		e.addSample(now, took+failurePenalty)
 		e.ejectedUntil = max(e.ejectedUntil, now+unreachableEjection)
 		if e.failures >= ejectAfter {
 			e.eject(now)
@@ -184,7 +184,7 @@
 	return initialLatency + time.Duration(keep*float64(e.latency-initialLatency))
 }
 
-func (e *endpoint) learn(now, sample time.Duration) {
+func (e *endpoint) addSample(now, sample time.Duration) {
 	e.latency = e.estimate(now)
 	e.latency += time.Duration(smoothing * float64(sample-e.latency))
 	e.sampledAt = now
