--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-func three() *Balancer {
+func newTestBalancer() *Balancer {
 	b := New("d1", rand.New(rand.NewPCG(1, 2)))
 	b.Configure([]registry.Endpoint{
 		{Name: "a", Service: "s", Domain: "d1", Slots: 4},
@@ -40,7 +40,7 @@
 
 func TestAFailingEndpointLosesItsShare(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	got := serve(b, 0, 300, func(e id.Endpoint) (time.Duration, Outcome) {
 		if e == "a" {
 			return time.Millisecond, Failed
@@ -53,7 +53,7 @@
 
 func TestAnEjectedEndpointGetsWorkAgain(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	for range ejectAfter {
 		b.Done(0, "a", time.Millisecond, Failed)
 	}
@@ -68,7 +68,7 @@
 
 func TestLeavingAndAvoidedEndpointsGetNothing(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	b.Configure([]registry.Endpoint{{Name: "a", Service: "s", Leaving: true}, {Name: "b", Service: "s"}})
 	e, ok := b.Pick(0, "s", nil)
 	is.True(ok)
@@ -81,7 +81,7 @@
 
 func TestASlowEndpointGetsLess(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	got := serve(b, 0, 300, func(e id.Endpoint) (time.Duration, Outcome) {
 		if e == "b" {
 			return 300 * time.Millisecond, OK
@@ -93,7 +93,7 @@
 
 func TestASlowEndpointIsTriedAgainAfterAWhile(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	for range 5 {
 		b.Done(0, "a", 400*time.Millisecond, Slow)
 	}
@@ -104,7 +104,7 @@
 
 func TestAllEndpointsOutIsBetterThanNone(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	for _, e := range []id.Endpoint{"a", "b", "c"} {
 		b.Done(0, e, 0, Unreachable)
 	}
