--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -36,7 +36,7 @@
 	return got
 }
 
-func fine(id.Endpoint) (time.Duration, Outcome) { return 15 * time.Millisecond, OK }
+func answerOK(id.Endpoint) (time.Duration, Outcome) { return 15 * time.Millisecond, OK }
 
 func TestAFailingEndpointLosesItsShare(t *testing.T) {
 	is := is.New(t)
@@ -63,7 +63,7 @@
 	for range 50 {
 		b.Done(ejectMin, "a", 10*time.Millisecond, OK)
 	}
-	is.True(serve(b, ejectMin, 300, fine)["a"] > 50)
+	is.True(serve(b, ejectMin, 300, answerOK)["a"] > 50)
 }
 
 func TestLeavingAndAvoidedEndpointsGetNothing(t *testing.T) {
@@ -98,8 +98,8 @@
 		b.Done(0, "a", 400*time.Millisecond, Slow)
 	}
 	is.Equal(b.Slowest()[0], id.Endpoint("a"))
-	is.Equal(serve(b, 0, 30, fine)["a"], 0)
-	is.True(serve(b, 6*estimateDecay, 300, fine)["a"] > 50) // it is tried again
+	is.Equal(serve(b, 0, 30, answerOK)["a"], 0)
+	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50) // it is tried again
 }
 
 func TestAllEndpointsOutIsBetterThanNone(t *testing.T) {
