--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -102,7 +102,7 @@
 	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50) // it is tried again
 }
 
-func TestAllEndpointsOutIsBetterThanNone(t *testing.T) {
+func TestEjectedEndpointIsPickedIfNoOtherIsLeft(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer()
 	for _, e := range []id.Endpoint{"a", "b", "c"} {
