--- a/core/route/table.go
+++ b/core/route/table.go
@@ -45,7 +45,7 @@
 		if err := t.check(r); err != nil {
 			return nil, err
 		}
-		r.Host = normalHost(r.Host)
+		r.Host = normalizeHost(r.Host)
 		t.hosts[r.Host] = append(t.hosts[r.Host], r)
 	}
 	for _, routes := range t.hosts {
@@ -108,7 +108,7 @@
 
 // Match returns the route for a host and a path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.hosts[normalHost(host)] {
+	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -141,7 +141,7 @@
 }
 
 // normalHost drops a port and the letter case, which don't matter.
-func normalHost(host string) string {
+func normalizeHost(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(name)
 }
