--- a/core/route/table.go
+++ b/core/route/table.go
@@ -42,7 +42,7 @@
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if err := t.check(r); err != nil {
+		if err := t.validate(r); err != nil {
 			return nil, err
 		}
 		r.Host = normalizeHost(r.Host)
@@ -54,7 +54,7 @@
 	return t, nil
 }
 
-func (t *Table) check(r *Route) error {
+func (t *Table) validate(r *Route) error {
 	if len(r.Targets) == 0 {
 		return fmt.Errorf("route %q sends its requests nowhere", r.Name)
 	}
