--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-func table(t *testing.T, routes ...Route) *Table {
+func newTestTable(t *testing.T, routes ...Route) *Table {
 	t.Helper()
 	made, err := NewTable(Config{Routes: routes, Services: []Service{{Name: "a"}, {Name: "b"}}})
 	if err != nil {
@@ -20,7 +20,7 @@
 
 func TestTheLongestPrefixOfTheHostApplies(t *testing.T) {
 	is := is.New(t)
-	x := table(t,
+	x := newTestTable(t,
 		Route{Name: "short", Host: "Desk.example", Prefix: "/a/", Targets: []Target{{Service: "a"}}},
 		Route{Name: "long", Host: "desk.example", Prefix: "/a/b/", Targets: []Target{{Service: "b"}}},
 		Route{Name: "other", Host: "other.example", Prefix: "/", Targets: []Target{{Service: "a"}}},
--- a/core/route/team_test.go
+++ b/core/route/team_test.go
@@ -29,7 +29,7 @@
 	is.Equal(x.Owner(apikey.Of([]byte("b"))).Name, id.Team("desk"))
 	is.Equal(x.Owner(apikey.Of([]byte("d"))), nil)
 	is.Equal(x.Team("trek").Name, id.Team("trek"))
-	is.True(!table(t).Walled())
+	is.True(!newTestTable(t).Walled())
 }
 
 func TestTeamsThatCanNotWorkAreNamed(t *testing.T) {
