--- a/core/route/team_test.go
+++ b/core/route/team_test.go
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/core/quota"
 )
 
-func keysOf(names ...string) []apikey.Hash {
+func hashKeys(names ...string) []apikey.Hash {
 	var out []apikey.Hash
 	for _, n := range names {
 		out = append(out, apikey.Of([]byte(n)))
@@ -21,8 +21,8 @@
 func TestAKeyNamesItsTeam(t *testing.T) {
 	is := is.New(t)
 	x, err := NewTable(Config{Teams: []Team{
-		{Name: "desk", Keys: keysOf("a", "b")},
-		{Name: "trek", Keys: keysOf("c")},
+		{Name: "desk", Keys: hashKeys("a", "b")},
+		{Name: "trek", Keys: hashKeys("c")},
 	}})
 	is.NoErr(err)
 	is.True(x.Walled())
@@ -40,10 +40,10 @@
 		"two of a name": {[]Team{{Name: "a"}, {Name: "a"}}, `there are two teams named "a"`},
 		"no name":       {[]Team{{}}, `a team has no name`},
 		"one key twice": {
-			[]Team{{Name: "a", Keys: keysOf("k")}, {Name: "b", Keys: keysOf("l", "k")}},
+			[]Team{{Name: "a", Keys: hashKeys("k")}, {Name: "b", Keys: hashKeys("l", "k")}},
 			`team "b": key 1 belongs to another team already`,
 		},
-		"an empty key":    {[]Team{{Name: "a", Keys: keysOf("")}}, `team "a": key 0 is empty`},
+		"an empty key":    {[]Team{{Name: "a", Keys: hashKeys("")}}, `team "a": key 0 is empty`},
 		"a negative rate": {[]Team{{Name: "a", Limit: quota.Limit{Rate: -2}}}, `team "a": the limit's rate is -2`},
 	}
 	for name, c := range cases {
