--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -46,7 +46,7 @@
 	is.Equal(none.Choose("x"), id.Service("a"))
 }
 
-func TestARouteThatCanNotWorkIsNamed(t *testing.T) {
+func TestInvalidRouteIsNamedInTheError(t *testing.T) {
 	is := is.New(t)
 	_, err := NewTable(Config{Routes: []Route{{Name: "r1", Prefix: "/", Targets: []Target{{Service: "gone"}}}}})
 	is.True(err != nil)
