--- a/core/route/team_test.go
+++ b/core/route/team_test.go
@@ -32,7 +32,7 @@
 	is.True(!newTestTable(t).Walled())
 }
 
-func TestTeamsThatCanNotWorkAreNamed(t *testing.T) {
+func TestInvalidTeamIsNamedInTheError(t *testing.T) {
 	cases := map[string]struct {
 		teams []Team
 		want  string
