--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -8,34 +8,34 @@
 	// rate is the floor, in tokens a second.
 	rate float64
 	// most bounds tokens.
-	most float64
-	at   time.Duration
+	capacity float64
+	at       time.Duration
 }
 
 func newBudget(rate, burst float64) *budget {
 	b := &budget{}
 	b.setFloor(rate, burst)
-	b.tokens = b.most
+	b.tokens = b.capacity
 	return b
 }
 
 func (b *budget) setFloor(rate, burst float64) {
 	b.rate = rate
-	b.most = max(1, rate*burst)
-	b.tokens = min(b.tokens, b.most)
+	b.capacity = max(1, rate*burst)
+	b.tokens = min(b.tokens, b.capacity)
 }
 
 func (b *budget) refill(now time.Duration) {
 	if now <= b.at {
 		return
 	}
-	b.tokens = min(b.most, b.tokens+b.rate*(now-b.at).Seconds())
+	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.at).Seconds())
 	b.at = now
 }
 
 func (b *budget) earn(now time.Duration, tokens float64) {
 	b.refill(now)
-	b.tokens = min(b.most, b.tokens+tokens)
+	b.tokens = min(b.capacity, b.tokens+tokens)
 }
 
 func (b *budget) has(now time.Duration) bool {
