--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -8,8 +8,8 @@
 	// rate is the floor, in tokens a second.
 	rate float64
 	// most bounds tokens.
-	capacity float64
-	at       time.Duration
+	capacity   float64
+	refilledAt time.Duration
 }
 
 func newBudget(rate, burst float64) *budget {
@@ -26,11 +26,11 @@
 }
 
 func (b *budget) refill(now time.Duration) {
-	if now <= b.at {
+	if now <= b.refilledAt {
 		return
 	}
-	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
 func (b *budget) earn(now time.Duration, tokens float64) {
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -202,7 +202,7 @@
 		return b
 	}
 	b := newBudget(r.cfg.TeamFloor, r.cfg.Burst)
-	b.at = now
+	b.refilledAt = now
 	r.teams.Add(team, b)
 	return b
 }
