--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -33,7 +33,7 @@
 	b.refilledAt = now
 }
 
-func (b *budget) earn(now time.Duration, tokens float64) {
+func (b *budget) add(now time.Duration, tokens float64) {
 	b.refill(now)
 	b.tokens = min(b.capacity, b.tokens+tokens)
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -129,8 +129,8 @@
 
 // Success earns a share of a retry for the team and for all.
 func (r *Retrier) Success(now time.Duration, team id.Team) {
-	r.global.earn(now, r.cfg.Ratio)
-	r.team(now, team).earn(now, r.cfg.Ratio)
+	r.global.add(now, r.cfg.Ratio)
+	r.team(now, team).add(now, r.cfg.Ratio)
 }
 
 // Decide says whether the failed attempt is followed by another. An allowed
