--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -38,7 +38,7 @@
 	b.tokens = min(b.capacity, b.tokens+tokens)
 }
 
-func (b *budget) has(now time.Duration) bool {
+func (b *budget) available(now time.Duration) bool {
 	b.refill(now)
 	return b.tokens >= 1
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -179,10 +179,10 @@
 // pay takes a retry from both budgets or from none.
 func (r *Retrier) pay(now time.Duration, team id.Team) Reason {
 	own := r.team(now, team)
-	if !own.has(now) {
+	if !own.available(now) {
 		return ReasonTeamBudget
 	}
-	if !r.global.has(now) {
+	if !r.global.available(now) {
 		return ReasonGlobalBudget
 	}
 	own.tokens--
