--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -136,7 +136,7 @@
 // Decide says whether the failed attempt is followed by another. An allowed
 // retry is paid from both budgets.
 func (r *Retrier) Decide(now time.Duration, f Failure) Decision {
-	if reason := r.forbidden(f); reason != ReasonAllowed {
+	if reason := r.checkRules(f); reason != ReasonAllowed {
 		return Decision{Reason: reason}
 	}
 	after := r.wait(f)
@@ -150,7 +150,7 @@
 }
 
 // forbidden applies the rules that no budget can lift.
-func (r *Retrier) forbidden(f Failure) Reason {
+func (r *Retrier) checkRules(f Failure) Reason {
 	switch {
 	case f.Err == nil || f.Err.Verdict == verdict.Ran:
 		return ReasonNotRetryable
