--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -143,7 +143,7 @@
 	if after+f.Cost > f.Remaining {
 		return Decision{Reason: ReasonTime}
 	}
-	if reason := r.pay(now, f.Team); reason != ReasonAllowed {
+	if reason := r.spend(now, f.Team); reason != ReasonAllowed {
 		return Decision{Reason: reason}
 	}
 	return Decision{Retry: true, After: after, Reason: ReasonAllowed}
@@ -177,7 +177,7 @@
 }
 
 // pay takes a retry from both budgets or from none.
-func (r *Retrier) pay(now time.Duration, team id.Team) Reason {
+func (r *Retrier) spend(now time.Duration, team id.Team) Reason {
 	own := r.team(now, team)
 	if !own.available(now) {
 		return ReasonTeamBudget
