--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -139,7 +139,7 @@
 	if reason := r.checkRules(f); reason != ReasonAllowed {
 		return Decision{Reason: reason}
 	}
-	after := r.wait(f)
+	after := r.backoff(f)
 	if after+f.Cost > f.Remaining {
 		return Decision{Reason: ReasonTime}
 	}
@@ -191,7 +191,7 @@
 }
 
 // wait draws a full-jitter exponential backoff, at least what the error asks for.
-func (r *Retrier) wait(f Failure) time.Duration {
+func (r *Retrier) backoff(f Failure) time.Duration {
 	bound := float64(r.cfg.BackoffBase) * math.Pow(2, float64(max(f.Attempt-1, 0)))
 	bound = min(bound, float64(r.cfg.BackoffMax))
 	return f.Err.RetryAfter + time.Duration(r.rng.Float64()*bound)
