--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// staleRetryAfter is advised by a daemon whose configuration may be too old:
-	// proofs come several times a second, and other daemons may have one.
+	// staleRetryAfter is the Retry-After of a daemon whose configuration may be
+	// too old: proofs of freshness arrive several times a second, and other
+	// daemons may have one.
 	staleRetryAfter = 300 * time.Millisecond
-	// payShare of the time that is left may pass until the keeper of a team's
-	// account has answered.
+	// chargeTimeFraction is the fraction of the remaining time that the daemon
+	// that keeps a team's account has to answer.
 	chargeTimeFraction = 0.3
 )
 
-// authenticate finds the team that a request's key belongs to. On a public route
-// a key says nothing.
+// authenticate finds the team that a request's key belongs to. On a public
+// route the key is ignored.
 func (f *Forwarder) authenticate(r *Request, t *trace, routes *route.Table) *verdict.Error {
 	t.hasTeams = routes.Walled()
 	if !t.hasTeams || t.route.Public {
@@ -38,14 +39,14 @@
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the key is not known, and the configuration may be out of date").
 			WithRetryAfter(staleRetryAfter)
 	case !r.HasKey:
-		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the request has no key of a team")
+		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the request has no team key")
 	default:
 		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the key belongs to no team")
 	}
 }
 
-// fresh refuses a request with a key while the key may have been revoked longer
-// ago than is allowed.
+// checkFreshness refuses a request with a key if the key may have been revoked
+// longer ago than is allowed.
 func (f *Forwarder) checkFreshness(t *trace) *verdict.Error {
 	ok, age := f.Freshness.Fresh()
 	t.configAge = age
@@ -58,9 +59,9 @@
 		WithRetryAfter(staleRetryAfter)
 }
 
-// stillAllowed looks at a request's key again right before the request goes to an
-// endpoint: it may have waited while the key was revoked. Work that has begun is
-// finished.
+// recheckKey checks a request's key again right before the request is sent to an
+// endpoint: the key may have been revoked while the request waited. A request
+// that may already have run is not checked again: work that has begun is finished.
 func (f *Forwarder) recheckKey(r *Request, t *trace) *verdict.Error {
 	if t.team == nil || t.mayHaveRun {
 		return nil
@@ -75,13 +76,13 @@
 	return nil
 }
 
-// errNotAllowed is the cause of refusals for a request's key: other endpoints
-// would make no difference.
-var errKeyRejected = errors.New("the request's key is not known to be good")
+// errKeyRejected is the cause of refusals on account of a request's key: a retry
+// at another endpoint would not help.
+var errKeyRejected = errors.New("the request's key is not known to be valid")
 
 func keyRejected(err *verdict.Error) bool { return errors.Is(err.Cause, errKeyRejected) }
 
-// pay charges a request to its team.
+// chargeTeam charges a request to its team.
 func (f *Forwarder) chargeTeam(ctx context.Context, r *Request, t *trace) *verdict.Error {
 	if t.team == nil || !t.team.Limit.Limited() {
 		return nil
@@ -96,14 +97,14 @@
 	return nil
 }
 
-// refund gives back what a request has paid that has not run.
+// refund returns the charge of a request that has not run.
 func (f *Forwarder) refund(t *trace, err *verdict.Error) {
 	if t.charged > 0 && err != nil && err.Verdict == verdict.NotRun {
 		f.Payer.Return(t.team.Name, t.charged)
 	}
 }
 
-// teamName is the name of the request's team; empty without one.
+// teamName is the name of the request's team; empty if it has none.
 func (t *trace) teamName() id.Team {
 	if t.team == nil {
 		return ""
@@ -111,8 +112,8 @@
 	return t.team.Name
 }
 
-// share is whom the pools' owners count a request for: its team, or its route
-// where there are no teams.
+// fairShareTeam is the team to which the pools' owners account a request: its
+// own, or the name of its route if it has no team.
 func (t *trace) fairShareTeam() id.Team {
 	if t.team == nil {
 		return id.Team(t.route.Name)
@@ -120,8 +121,8 @@
 	return t.team.Name
 }
 
-// urgency is the rank of the request, 0 (first) to highestPriority: a team's own
-// goes before that of the route.
+// urgency is the rank of the request, 0 (most urgent) to highestPriority. The
+// team's own priority overrides that of the route.
 func (t *trace) urgency() int {
 	rank := t.route.Priority
 	if t.team != nil && t.team.OwnPriority {
@@ -130,7 +131,8 @@
 	return min(max(0, rank), highestPriority)
 }
 
-// credentials of the caller are an endpoint's only where there are no teams.
+// credentials returns the caller's credentials, which are passed to endpoints
+// only if the configuration has no teams.
 func (t *trace) credentials(r *Request) []Field {
 	if t.hasTeams {
 		return nil
--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// BenchmarkOneCall takes a plain call through the pipeline, without sockets.
+// BenchmarkCall measures a plain call through the Forwarder, without sockets.
 func BenchmarkCall(b *testing.B) {
 	f, r := newTest(b, &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }})
 	b.ReportAllocs()
@@ -28,7 +28,7 @@
 	}
 }
 
-// scripted answers calls as a test says.
+// fakeEndpoints answers calls with a function and records the attempts.
 type fakeEndpoints struct {
 	Endpoints
 	answer func(a *Attempt) (*Reply, *verdict.Error)
@@ -41,7 +41,7 @@
 	return s.answer(a)
 }
 
-// noLog drops all lines.
+// discardLog drops all lines.
 type discardLog struct{}
 
 // Event implements Log.
@@ -50,8 +50,8 @@
 // Routine implements Log.
 func (discardLog) Routine(string, ...any) {}
 
-// newTest gives a pipeline with four endpoints of a plain service, at a clock
-// that stands still, and a request for it.
+// newTest returns a Forwarder with four endpoints of a plain service and a
+// stopped clock, and a request for that service.
 func newTest(tb testing.TB, endpoints Endpoints) (*Forwarder, *Request) {
 	tb.Helper()
 	routes, err := route.NewTable(route.Config{
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// attemptShare of the time left is given to an attempt of a call that can
-	// still be repeated afterwards.
+	// attemptFraction is the fraction of the remaining time that an attempt gets
+	// if the call can still be retried afterwards.
 	attemptFraction = 0.4
-	// leastAttempt is the shortest time for an attempt: well above what a
-	// sound endpoint takes.
+	// minAttemptTime is the shortest time for an attempt: well above the time
+	// that a healthy endpoint takes.
 	minAttemptTime = 150 * time.Millisecond
-	// maxRefusals bounds how often one request is refused by endpoints before
-	// its caller is refused.
+	// maxRefusals is how many refusals by endpoints end a request with an error.
 	maxRefusals = 3
-	// callRetryAfter is advised where a service has no endpoint that takes work.
+	// callRetryAfter is the Retry-After of errors for a service that has no
+	// endpoint that takes work.
 	callRetryAfter = 200 * time.Millisecond
 )
 
-// call serves a plain call: endpoints are tried one after another for as long
-// as the request certainly has not run, or may run twice.
+// call serves a plain call: it tries endpoints one after another for as long as
+// the request has certainly not run, or may run more than once.
 func (f *Forwarder) call(ctx context.Context, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
 	var avoid []id.Endpoint
 	ran, refused := 0, 0
@@ -61,8 +61,9 @@
 	}
 }
 
-// orEarlier gives what the earlier attempts came to: an endpoint's own error
-// answer goes before an error of this daemon.
+// finalResult returns the result of the earlier attempts, or now if there is
+// none. An endpoint's own error answer takes precedence over an error of this
+// daemon.
 func finalResult(last *Reply, failure, now *verdict.Error) (*Reply, *verdict.Error) {
 	switch {
 	case last != nil:
@@ -74,7 +75,8 @@
 	}
 }
 
-// worse keeps the error that promises less.
+// worseError returns the error whose verdict guarantees less about whether the
+// request has run; b if they are equal.
 func worseError(a, b *verdict.Error) *verdict.Error {
 	if a == nil || verdict.Worse(a.Verdict, b.Verdict) == b.Verdict {
 		return b
@@ -82,7 +84,7 @@
 	return a
 }
 
-// pick chooses an endpoint; the caller must end it with done.
+// pick chooses an endpoint; the caller must call done after the attempt.
 func (f *Forwarder) pick(service id.Service, avoid []id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,14 +98,15 @@
 	return e, nil
 }
 
-// try makes one attempt.
+// try sends the request to e once and reports the result to the balancer and
+// the log.
 func (f *Forwarder) try(ctx context.Context, r *Request, t *trace, s *route.Service, e registry.Endpoint, repeatable bool) (*Reply, *verdict.Error) {
-	begun := f.Now()
+	startedAt := f.Now()
 	limit := f.deadline(r, t.route)
 	until := limit
 	if repeatable {
-		share := time.Duration(attemptFraction * float64(limit-begun))
-		until = min(limit, begun+max(share, minAttemptTime))
+		share := time.Duration(attemptFraction * float64(limit-startedAt))
+		until = min(limit, startedAt+max(share, minAttemptTime))
 	}
 	t.attempts++
 	t.endpoint = e.Name
@@ -111,7 +114,7 @@
 	reply, err := f.Endpoints.Call(ctx, &Attempt{
 		Request:     r,
 		Endpoint:    e,
-		Left:        limit - begun,
+		Left:        limit - startedAt,
 		Until:       until,
 		MaxConns:    f.maxConns(s),
 		Once:        !t.route.Repeatable(),
@@ -119,8 +122,8 @@
 		Credentials: t.credentials(r),
 	})
 	t.mayHaveRun = t.mayHaveRun || err == nil || err.Verdict != verdict.NotRun
-	took := f.Now() - begun
-	f.done(e, begun, outcomeOf(reply, err))
+	took := f.Now() - startedAt
+	f.done(e, startedAt, outcomeOf(reply, err))
 	if err != nil {
 		f.recordFailure(r, t, e, err)
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", e.Name, "took", took,
@@ -135,7 +138,8 @@
 	return reply, nil
 }
 
-// outcomeOf is what an attempt tells of its endpoint.
+// outcomeOf maps the result of an attempt to the balancer's outcome for its
+// endpoint.
 func outcomeOf(reply *Reply, err *verdict.Error) balance.Outcome {
 	switch {
 	case err == nil && reply.Failed():
@@ -155,8 +159,9 @@
 	}
 }
 
-// again says whether a failed attempt is followed by another. Only arrivals at
-// endpoints are paid for: a connection that was refused is none.
+// mayRetry reports whether a failed attempt is followed by another. Only
+// attempts that reached an endpoint count against the retry limit: a refused
+// connection doesn't.
 func (f *Forwarder) mayRetry(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
 	if ctx.Err() != nil || f.timeLeft(r, t.route) < minTimeForRetry {
 		t.reason = "no time is left"
@@ -184,11 +189,12 @@
 	return true
 }
 
-// leastLeft is the least time that another attempt needs to be of use.
+// minTimeForRetry is the shortest remaining time in which another attempt is
+// useful.
 const minTimeForRetry = 25 * time.Millisecond
 
-// arrivedAnyway says whether a request that has not run reached an endpoint,
-// which refused it.
+// refusedOnArrival reports whether a request that has not run reached an
+// endpoint, which refused it.
 func refusedOnArrival(err *verdict.Error) bool {
 	return slices.Contains([]verdict.Code{verdict.CodeOverloaded, verdict.CodeSuperseded, verdict.CodeKVGone}, err.Code)
 }
--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -15,8 +15,8 @@
 	return func(*Attempt) (*Reply, *verdict.Error) { return nil, verdict.New(v, code, "it failed") }
 }
 
-// TestRepeatsStayWithinTheServicesBound: the slack is shared by two daemons;
-// refusals by endpoints are arrivals and count.
+// TestRetriesStayWithinTheServiceLimit checks the retry limit of a service whose
+// slack two daemons share. Attempts that endpoints refuse count too.
 func TestRetriesStayWithinTheServiceLimit(t *testing.T) {
 	for name, code := range map[string]verdict.Code{"broken off": verdict.CodeEndpointFailed, "refused": verdict.CodeOverloaded} {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			f, r := newTest(t, s)
 			const requests = 100
 			for n := range requests {
-				// One that breaks endpoints again and again would be refused.
+				// A request that crashes endpoints repeatedly would be quarantined.
 				r.Target = fmt.Sprintf("/again/%d", n)
 				_, err := f.Run(context.Background(), r)
 				is.True(err != nil)
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestAnEndpointThatIsNotReachedCostsNoRepeat: nothing arrived there.
+// TestUnreachableEndpointConsumesNoRetry checks that an attempt that reached no
+// endpoint doesn't count against the retry limit.
 func TestUnreachableEndpointConsumesNoRetry(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{answer: failWith(verdict.NotRun, verdict.CodeUnavailable)}
@@ -64,8 +65,8 @@
 	is.True(s.sent[0].Once)
 }
 
-// TestTheErrorThatPromisesLessIsTold: an attempt that may have run goes before a
-// later one that certainly has not.
+// TestWeakestVerdictIsReturned checks that the error of an attempt that may have
+// run takes precedence over that of a later one that has certainly not.
 func TestWeakestVerdictIsReturned(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{}
@@ -106,5 +107,5 @@
 	is.Equal(err.Code, verdict.CodeUnknownService)
 	f.Deps.Stale = func() bool { return true }
 	_, err = f.Run(context.Background(), r)
-	is.Equal(err.Code, verdict.CodeUnavailable) // it may be there by now
+	is.Equal(err.Code, verdict.CodeUnavailable) // the route may exist by now
 }
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -8,8 +8,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// decode starts the decode. Where the engine refuses, others are asked for as
-// long as the KV cache lives.
+// decode starts the decode. If the engine refuses, it asks the pool's owner for
+// other engines for as long as the KV cache is kept.
 func (g *generation) decode(ctx context.Context, kv KV, readAt time.Duration) (*Opened, *verdict.Error) {
 	for {
 		opened, err := g.decodeOnce(ctx, kv)
@@ -30,7 +30,8 @@
 	}
 }
 
-// mayDecodeElsewhere says whether the same KV cache may go to another engine.
+// mayDecodeElsewhere reports whether another engine may decode from the same KV
+// cache.
 func (g *generation) mayDecodeElsewhere(ctx context.Context, err *verdict.Error, readAt time.Duration) bool {
 	if ctx.Err() != nil || keyRejected(err) || g.grant.Prefill == "" || err.Code == verdict.CodeKVGone || g.kvLeft(readAt) <= 0 {
 		return false
@@ -38,8 +39,8 @@
 	return err.Code == verdict.CodeUnavailable || g.f.takeRetry(g.service.Name)
 }
 
-// kvLeft is how long a KV cache that was made at readAt may still wait for an
-// engine.
+// kvLeft is how long a KV cache that was created at readAt may still wait for a
+// decode engine.
 func (g *generation) kvLeft(readAt time.Duration) time.Duration {
 	life := time.Duration(kvLifeFraction * float64(g.service.Engine.HandleLife))
 	return readAt + life - g.f.Now()
@@ -51,14 +52,14 @@
 	if err != nil {
 		return nil, err
 	}
-	begun := f.Now()
+	startedAt := f.Now()
 	g.trace.attempts++
 	g.trace.endpoint = engine.Name
 	f.countUnlisted(g.trace, engine)
 	attempt := g.newAttempt(engine)
 	attempt.Once = !g.trace.route.Resumable
 	if g.trace.route.Resumable {
-		attempt.Until = min(attempt.Until, begun+headerTimeout)
+		attempt.Until = min(attempt.Until, startedAt+headerTimeout)
 	}
 	opened, err := f.Endpoints.Decode(ctx, attempt, kv)
 	if err != nil {
@@ -66,7 +67,7 @@
 			g.runs++
 			g.trace.mayHaveRun = true
 		}
-		g.reportEngineFailure(engine, err, stepDecode, f.Now()-begun)
+		g.reportEngineFailure(engine, err, stepDecode, f.Now()-startedAt)
 		return nil, err
 	}
 	g.runs++
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -15,33 +15,34 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// Deps are what the pipeline works with.
+// Deps are the dependencies and settings of a Forwarder.
 type Deps struct {
 	// Self is this daemon's process.
 	Self   func() id.Process
 	Domain id.Domain
-	// View is what the daemon knows now.
+	// View returns the current configuration and endpoints.
 	View      func() *View
 	Endpoints Endpoints
 	Pairer    Pairer
 	Balancer  *balance.Balancer
-	// Suspicion is shared with the other daemons.
+	// Suspicion is the crash evidence shared with the other daemons.
 	Suspicion Suspicion
-	// Repeats bounds the repeats of each service.
+	// Repeats bounds the retries of each service.
 	Repeats retry.WindowConfig
-	// Misdirected hears of an endpoint that is not what its entry says: it, or
-	// another process at its address, refused a request as not meant for it. It
-	// doesn't wait.
+	// Misdirected is called with an endpoint whose registry entry doesn't match
+	// the process at its address: that process refused a request as meant for
+	// another endpoint. It doesn't block.
 	Misdirected func(e registry.Endpoint)
-	// Stale says whether the configuration may be out of date.
+	// Stale reports whether the configuration may be out of date.
 	Stale func() bool
-	// Freshness and Payer matter only where the configuration has teams.
+	// Freshness and Payer are used only if the configuration has teams.
 	Freshness Freshness
 	Payer     Payer
-	// TooLate says whether the daemon stops so soon that a stream may not end
-	// before.
+	// TooLate reports whether the daemon stops so soon that a new stream may not
+	// end before.
 	TooLate func() bool
-	// Daemons is how many daemons are alive and share that bound.
+	// Daemons returns how many daemons are alive; they share the slack of Repeats
+	// and the connections that an endpoint takes.
 	Daemons func() int
 	Log     Log
 	Metrics *metrics.Registry
@@ -51,7 +52,7 @@
 // Forwarder serves requests. It is safe for concurrent use.
 type Forwarder struct {
 	Deps
-	// mu guards the balancer and the windows.
+	// mu guards the balancer and windows.
 	mu      sync.Mutex
 	windows map[id.Service]*retry.Window
 	stats   stats
@@ -62,7 +63,7 @@
 	return &Forwarder{Deps: d, windows: map[id.Service]*retry.Window{}, stats: newStats(d.Metrics)}
 }
 
-// trace is what the line of a request tells.
+// trace is the state of one request that its log line reports.
 type trace struct {
 	route   *route.Route
 	service id.Service
@@ -72,34 +73,36 @@
 	hasTeams bool
 	charged  float64
 	// configAge is how old the configuration may have been when the key was last
-	// looked at.
+	// checked.
 	configAge time.Duration
-	// begun is set once an endpoint may run the request.
+	// mayHaveRun is set once an endpoint may have run the request.
 	mayHaveRun bool
 	registry   uint64
 	attempts   int
-	// unlisted counts the sendings to endpoints that the store no longer lists.
+	// unlisted counts the attempts at endpoints that the store no longer lists.
 	unlisted       int
 	endpoint       id.Endpoint
 	prefill        id.Endpoint
 	waited         time.Duration
 	prefillTime    time.Duration
 	firstEventTime time.Duration
-	// gap is the longest pause between a stream's events.
+	// maxGap is the longest pause between a stream's events.
 	maxGap time.Duration
 	reason string
-	// print is the request's fingerprint, once it was asked for.
+	// fingerprint is the request's fingerprint; zero until fingerprintOf computes
+	// it.
 	fingerprint poison.Fingerprint
 }
 
-// Run serves one request. Either a reply is passed on, or the error says what
-// may have happened. ctx ends when the caller is gone.
+// Run serves one request. It returns either an endpoint's reply or an error
+// whose verdict states whether the request may have run. ctx ends when the
+// caller disconnects.
 func (f *Forwarder) Run(ctx context.Context, r *Request) (*Reply, *verdict.Error) {
 	t := &trace{}
 	reply, err := f.dispatch(ctx, r, t)
 	f.refund(t, err)
 	if reply != nil && reply.Events != nil {
-		// The stream writes its line when it ends.
+		// The stream writes its log line when it ends.
 		return reply, nil
 	}
 	f.record(r, t, reply, err)
@@ -115,7 +118,7 @@
 	t.registry = view.Registry
 	t.route = view.Routes.Match(r.Host, r.Path)
 	if t.route == nil && f.Stale() {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no route is known, and the configuration may be out of date")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no route matches, and the configuration may be out of date")
 	}
 	if t.route == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no route for this host and path")
@@ -147,7 +150,7 @@
 	return f.call(ctx, r, t, service)
 }
 
-// limit is when the final answer is due, in the daemon's time.
+// deadline is when the final answer is due, in the daemon's time.
 func (f *Forwarder) deadline(r *Request, rt *route.Route) time.Duration {
 	limit := r.Arrived + defaultTimeout
 	if rt.Timeout > 0 {
@@ -159,15 +162,15 @@
 	return limit
 }
 
-// defaultTimeout applies to a route that names none.
+// defaultTimeout applies to a route without a timeout.
 const defaultTimeout = 30 * time.Second
 
-// left is how long an endpoint may still work on a request.
+// timeLeft is how long an endpoint may still work on a request.
 func (f *Forwarder) timeLeft(r *Request, rt *route.Route) time.Duration {
 	return f.deadline(r, rt) - f.Now()
 }
 
-// counted counts a caller's request for the bound on repeats.
+// countRequest counts a caller's request for the service's retry limit.
 func (f *Forwarder) countRequest(service id.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,7 +186,8 @@
 	return w
 }
 
-// repeat pays for one more arrival of a request at an endpoint.
+// takeRetry counts one more arrival of a request at an endpoint against the
+// service's retry limit; false if the limit is reached.
 func (f *Forwarder) takeRetry(service id.Service) bool {
 	daemons := f.Daemons()
 	f.mu.Lock()
@@ -195,14 +199,15 @@
 	return paid
 }
 
-// Configure takes the registered endpoints.
+// Configure sets the registered endpoints.
 func (f *Forwarder) Configure(entries []registry.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Balancer.Configure(entries)
 }
 
-// connections is this daemon's part of the connections that an endpoint takes.
+// maxConns is this daemon's share of the connections that an endpoint takes; 0
+// for no bound.
 func (f *Forwarder) maxConns(s *route.Service) int {
 	if s.MaxConnections <= 0 {
 		return 0
@@ -210,5 +215,6 @@
 	return max(minConnections, s.MaxConnections/max(1, f.Daemons()))
 }
 
-// leastConnections is this daemon's part however many daemons there are.
+// minConnections is the smallest share of a daemon, however many daemons there
+// are.
 const minConnections = 4
--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -16,8 +16,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// staleOwner is a pool's owner that was not run for a while: it grants engines
-// that have begun to leave meanwhile, unless it is told to avoid them.
+// staleOwner is a pool's owner that was frozen for a while: it grants engines
+// that have started leaving in the meantime, unless the request avoids them.
 type staleOwner struct {
 	prefills, decodes []id.Endpoint
 	progress          []sched.Progress
@@ -47,13 +47,13 @@
 	return ""
 }
 
-// recorded are engines that note which of them were sent what.
+// recordingEngines records the engines that got a prefill or a decode.
 type recordingEngines struct {
 	Endpoints
 	prefilled, decoded []id.Endpoint
-	// afterPrefill runs when a prompt has been read.
+	// afterPrefill runs after each prefill.
 	afterPrefill func()
-	// freed takes a token for each KV cache that is freed.
+	// freed receives a value for each KV cache that is freed.
 	freed chan struct{}
 }
 
@@ -75,7 +75,7 @@
 // Free implements Endpoints.
 func (r *recordingEngines) Free(context.Context, registry.Endpoint, KV) { r.freed <- struct{}{} }
 
-// noEvents is a stream without events.
+// emptyStream is a stream without events.
 type emptyStream struct{}
 
 // Read implements io.Reader.
@@ -87,8 +87,8 @@
 // SetReadDeadline implements EventStream.
 func (emptyStream) SetReadDeadline(time.Time) error { return nil }
 
-// streamTest gives a pipeline before two prefill and two decode engines, and
-// what marks one of them as leaving.
+// newStreamTest returns a Forwarder with two prefill and two decode engines, a
+// request, and a function that marks an engine as leaving.
 func newStreamTest(t *testing.T, engines *recordingEngines, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
 	t.Helper()
 	f, r = newTest(t, engines)
@@ -119,11 +119,11 @@
 	return f, r, leave
 }
 
-// TestAnOwnerThatKnowsLessSendsNothingToALeavingEngine: the daemon of a pool's
-// owner was frozen for seven seconds. When it woke, it granted engines whose
-// leaving the store had accepted 3.07 s before, which all other daemons had
-// known of since 13 ms after that; they sent the requests there all the same,
-// which engines that leave do not have to serve. Lines of the owner:
+// TestGrantOfLeavingEngineIsReturned guards against requests to leaving engines,
+// which do not have to serve them. The daemon of a pool's owner was frozen for
+// seven seconds. When it resumed, it granted engines that the store had listed as
+// leaving for 3.07 s. All other daemons had received that change within 13 ms,
+// but still sent the requests to these engines. Log lines of the owner:
 //
 //	member_stalled late=6.797878117s
 //	endpoint_changed endpoint=... leaving=true   (3.18 s after the others)
@@ -137,8 +137,8 @@
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
 		is.Equal(engines.decoded, []id.Endpoint{"d2"})
-		is.Equal(engines.prefilled, []id.Endpoint{"p1"})        // the prompt is read once
-		is.Equal(owner.progress[0].Phase, sched.PhaseCancelled) // the owner has its grant back
+		is.Equal(engines.prefilled, []id.Endpoint{"p1"})        // one prefill only
+		is.Equal(owner.progress[0].Phase, sched.PhaseCancelled) // the grant is returned to the owner
 	})
 	t.Run("prefill", func(t *testing.T) {
 		is := is.New(t)
@@ -150,7 +150,7 @@
 		is.True(err == nil)
 		is.Equal(engines.prefilled, []id.Endpoint{"p2"})
 	})
-	t.Run("leaving while the prompt is read", func(t *testing.T) {
+	t.Run("leaving during the prefill", func(t *testing.T) {
 		is := is.New(t)
 		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
@@ -168,11 +168,11 @@
 		leave("d1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err != nil)
-		is.Equal(err.Verdict, verdict.NotRun) // and the caller is told so
+		is.Equal(err.Verdict, verdict.NotRun) // as returned to the caller
 		is.Equal(len(engines.decoded), 0)
-		is.Equal(len(engines.prefilled), 0) // nor is its prompt read
+		is.Equal(len(engines.prefilled), 0) // no prefill either
 	})
-	t.Run("none is left when the prompt was read", func(t *testing.T) {
+	t.Run("no engine left after the prefill", func(t *testing.T) {
 		is := is.New(t)
 		engines := &recordingEngines{freed: make(chan struct{}, 1)}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
@@ -182,6 +182,6 @@
 		is.True(err != nil)
 		is.Equal(err.Verdict, verdict.NotRun)
 		is.Equal(len(engines.decoded), 0)
-		<-engines.freed // no memory is held for it
+		<-engines.freed // the KV cache is freed
 	})
 }
--- a/daemon/forward/outcome.go
+++ b/daemon/forward/outcome.go
@@ -9,23 +9,24 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// progress tells the pool's owner how the granted pair fares.
+// progress reports the state of the granted pair of engines to the pool's owner.
 func (g *generation) progress(p sched.Progress) {
 	p.Request = g.grant.Request
 	g.f.Pairer.Progress(p)
 }
 
-// The steps of a generation, for logs.
+// Steps of a generation, as logged.
 const (
 	stepPrefill = "prefill"
 	stepDecode  = "decode"
 )
 
-// failed tells the pool's owner, and the log, that an engine failed.
-func (g *generation) reportEngineFailure(e registry.Endpoint, err *verdict.Error, what string, took time.Duration) {
+// reportEngineFailure reports the failure of an engine to the pool's owner and
+// the log, and excludes the engine from further pairs.
+func (g *generation) reportEngineFailure(e registry.Endpoint, err *verdict.Error, step string, took time.Duration) {
 	g.avoid = append(g.avoid, e.Name)
 	g.f.recordFailure(g.request, g.trace, e, err)
-	g.f.Log.Event("attempt_failed", "request", g.request.ID, "pairing", g.pairings, "step", what, "endpoint", e.Name,
+	g.f.Log.Event("attempt_failed", "request", g.request.ID, "pairing", g.pairings, "step", step, "endpoint", e.Name,
 		"took", took, "tokens", g.request.PromptTokens, "verdict", err.Verdict, "code", err.Code, "why", err.Error())
 	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: e.Name}
 	switch err.Code {
@@ -36,16 +37,18 @@
 	case verdict.CodeUnavailable, verdict.CodeSuperseded:
 		p.Unreachable = true
 	case verdict.CodeDeadline:
-		// Nothing gets work on a silent engine until it was seen to answer.
-		p.Unreachable = what == stepPrefill
+		// An engine that doesn't answer gets no work until it answers again.
+		p.Unreachable = step == stepPrefill
 	case verdict.CodeKVGone:
-		// The KV cache's engine is to blame, not the one that was to fetch it.
+		// The fault is at the engine that holds the KV cache, not at the decode
+		// engine that failed to fetch it.
 		p.Endpoint = ""
 	}
 	g.progress(p)
 }
 
-// waste notes a prompt that was read in vain, and why, and frees its KV cache.
+// discardPrefill counts and logs a prefill that no decode will use, and frees
+// its KV cache.
 func (g *generation) discardPrefill(kv KV, why *verdict.Error) {
 	f := g.f
 	f.stats.wastedPrefills.Inc()
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -13,9 +13,9 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// plainStream serves a stream of a service without engines. Endpoints are tried
-// one after another for as long as the request certainly has not run; a stream
-// that has begun is passed on as it comes.
+// plainStream serves a stream of a service without engines. It tries endpoints
+// one after another for as long as the request has certainly not run; a stream
+// that has begun is passed on as it arrives.
 func (f *Forwarder) plainStream(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
 	var avoid []id.Endpoint
 	for refused := 1; ; refused++ {
@@ -28,19 +28,19 @@
 			cancel()
 			return nil, err
 		}
-		begun := f.Now()
+		startedAt := f.Now()
 		t.attempts++
 		t.endpoint = endpoint.Name
 		f.countUnlisted(t, endpoint)
 		limit := f.deadline(r, t.route)
 		opened, err := f.Endpoints.Decode(ctx, &Attempt{
-			Request: r, Endpoint: endpoint, Left: limit - begun, Until: limit, MaxConns: f.maxConns(s), Once: true, LastEvent: r.LastEvent,
+			Request: r, Endpoint: endpoint, Left: limit - startedAt, Until: limit, MaxConns: f.maxConns(s), Once: true, LastEvent: r.LastEvent,
 			Team: t.teamName(), Credentials: t.credentials(r),
 		}, KV{})
 		if err == nil {
-			return f.openedPlain(ctx, cancel, r, t, endpoint, begun, opened), nil
+			return f.openedPlain(ctx, cancel, r, t, endpoint, startedAt, opened), nil
 		}
-		f.done(endpoint, begun, outcomeOf(nil, err))
+		f.done(endpoint, startedAt, outcomeOf(nil, err))
 		f.recordFailure(r, t, endpoint, err)
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", endpoint.Name,
 			"verdict", err.Verdict, "code", err.Code, "why", err.Error())
@@ -52,28 +52,28 @@
 	}
 }
 
-// done ends a call at an endpoint for the balancer.
-func (f *Forwarder) done(e registry.Endpoint, begun time.Duration, outcome balance.Outcome) {
+// done reports the end of a call at an endpoint to the balancer.
+func (f *Forwarder) done(e registry.Endpoint, startedAt time.Duration, outcome balance.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Balancer.Done(f.Now(), e.Name, f.Now()-begun, outcome)
+	f.Balancer.Done(f.Now(), e.Name, f.Now()-startedAt, outcome)
 }
 
-// openedPlain passes on what an endpoint opened.
-func (f *Forwarder) openedPlain(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, e registry.Endpoint, begun time.Duration, opened *Opened) *Reply {
+// openedPlain returns the reply for a stream that an endpoint has opened.
+func (f *Forwarder) openedPlain(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, e registry.Endpoint, startedAt time.Duration, opened *Opened) *Reply {
 	if opened.Events == nil {
 		cancel()
-		f.done(e, begun, balance.Failed)
+		f.done(e, startedAt, balance.Failed)
 		return &Reply{Status: opened.Status, Header: opened.Header, Body: opened.Body}
 	}
 	t.firstEventTime = f.Now() - r.Arrived
-	f.done(e, begun, balance.OK)
+	f.done(e, startedAt, balance.OK)
 	body := &plainBody{EventStream: opened.Events, f: f, ctx: ctx, cancel: cancel, request: r, trace: t, status: opened.Status}
 	return &Reply{Status: opened.Status, Header: opened.Header, Events: body}
 }
 
-// plainBody passes a stream on byte by byte and writes the request's line at
-// its end.
+// plainBody passes a stream on unchanged and writes the request's log line when
+// it is closed.
 type plainBody struct {
 	EventStream
 	f       *Forwarder
@@ -94,7 +94,7 @@
 	return n, err
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It records the outcome of the request.
 func (b *plainBody) Close() error {
 	err := b.EventStream.Close()
 	broken := b.ended != nil && !errors.Is(b.ended, io.EOF) && b.ctx.Err() == nil
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -10,20 +10,22 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Suspicion is the evidence against requests that break endpoints, shared by
+// Suspicion is the evidence against requests that crash endpoints, shared by
 // all daemons.
 type Suspicion struct {
 	Ledger *poison.Ledger
-	// Wall is the time of day by which evidence is dated.
+	// Wall returns the wall-clock time for dating evidence.
 	Wall func() time.Time
-	// Spread has new evidence sent to the other daemons. It doesn't wait.
+	// Spread triggers the sending of new evidence to the other daemons. It
+	// doesn't block.
 	Spread func()
 }
 
-// printOf fingerprints a request by its caller, route, target, prompt and body,
-// whatever its id: a caller sends it again under another one. Without caller and
-// prompt the streams of one target were one request, and three breaks of
-// different ones refused them all. It is made once a request.
+// fingerprintOf returns the fingerprint of a request: a hash of its caller,
+// route, service, method, target, prompt and body. The id is left out, since a
+// caller retries under another id. Without caller and prompt all streams of one
+// target had the same fingerprint, and three crashes of different streams
+// quarantined all of them. The fingerprint is computed once per request.
 func fingerprintOf(r *Request, t *trace) poison.Fingerprint {
 	if t.fingerprint == (poison.Fingerprint{}) {
 		t.fingerprint = poison.Print(id.Team(t.route.Name), t.service,
@@ -32,9 +34,9 @@
 	return t.fingerprint
 }
 
-// judge refuses a request that has broken the endpoints which ran it. Where it
-// may run only once the refusal doesn't promise that it has not: an earlier
-// sending has.
+// checkQuarantine refuses a request that has crashed the endpoints that ran it.
+// For a non-idempotent request the verdict is MayHaveRun, since an earlier
+// attempt has run.
 func (f *Forwarder) checkQuarantine(r *Request, t *trace) *verdict.Error {
 	if f.Suspicion.Ledger.Len() == 0 {
 		return nil
@@ -53,8 +55,9 @@
 		WithRetryAfter(finding.Until.Sub(now))
 }
 
-// broke notes an attempt at whose endpoint the connection broke while the
-// request may have run, and one that reached another endpoint than was meant.
+// recordFailure handles a failed attempt: it records a crash if the connection
+// broke while the request may have run, and reports the endpoint as misdirected
+// if another endpoint has its address.
 func (f *Forwarder) recordFailure(r *Request, t *trace, e registry.Endpoint, err *verdict.Error) {
 	if err.Code == verdict.CodeSuperseded {
 		f.Misdirected(e)
@@ -64,15 +67,16 @@
 	}
 }
 
-// brokeOff holds a break against a request. Endpoints come back under other
-// names, so that one counts once.
+// recordCrash records a crash of an endpoint as evidence against a request. An
+// endpoint has a new name after a restart, so each crash counts once.
 func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: fingerprintOf(r, t), Team: id.Team(t.route.Name)}
 	f.Suspicion.Ledger.Crash(f.Suspicion.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
 	f.Suspicion.Spread()
 }
 
-// survived clears a request that an endpoint ran to its end.
+// clearSuspicion clears the evidence against a request that an endpoint has
+// finished.
 func (f *Forwarder) clearSuspicion(r *Request, t *trace) {
 	if f.Suspicion.Ledger.Len() == 0 {
 		return
--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// deadly breaks the endpoints that get the given target.
+// crashingOn returns endpoints that crash on requests for the given target.
 func crashingOn(target string) *fakeEndpoints {
 	return &fakeEndpoints{answer: func(a *Attempt) (*Reply, *verdict.Error) {
 		if a.Request.Target == target {
@@ -19,7 +19,8 @@
 	}}
 }
 
-// TestARequestThatBreaksThreeEndpointsIsRefused under any id; others are not.
+// TestARequestThatBreaksThreeEndpointsIsRefused checks that a request that
+// crashes three endpoints is refused under any id, and other requests are not.
 func TestARequestThatBreaksThreeEndpointsIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/again/x")
@@ -38,7 +39,8 @@
 	is.Equal(err, nil)
 }
 
-// TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot: an earlier sending has.
+// TestQuarantinedNonIdempotentRequestMayHaveRun checks that the refusal of a
+// non-idempotent request has the verdict MayHaveRun: an earlier attempt has run.
 func TestQuarantinedNonIdempotentRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/once/x")
@@ -51,7 +53,8 @@
 	is.Equal(len(s.sent), 3)
 }
 
-// TestARequestThatAnEndpointFinishedIsCleared: endpoints break for other reasons.
+// TestARequestThatAnEndpointFinishedIsCleared checks that a finished request
+// clears the evidence against it: endpoints also crash for other reasons.
 func TestARequestThatAnEndpointFinishedIsCleared(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{}
@@ -62,7 +65,7 @@
 		return &Reply{Status: 200}, nil
 	}
 	f, r := newTest(t, s)
-	const calls = 5 // within the service's bound on repeats
+	const calls = 5 // within the service's retry limit
 	for range calls {
 		_, err := f.Run(context.Background(), r)
 		is.Equal(err, nil)
@@ -70,8 +73,9 @@
 	is.Equal(len(s.sent), 2*calls)
 }
 
-// TestAnotherCallersOrPromptsRequestIsNotRefused: streams of one target differ
-// in no more than that.
+// TestFingerprintIncludesCallerAndPrompt checks that requests of another caller
+// or with another prompt are not refused: streams of one target differ in nothing
+// else.
 func TestFingerprintIncludesCallerAndPrompt(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/again/x")
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// record writes a request's line and counts it.
+// record logs the end of a request and updates the metrics.
 func (f *Forwarder) record(r *Request, t *trace, reply *Reply, err *verdict.Error) {
 	took := f.Now() - r.Arrived
 	outcome, status := "answered", 0
@@ -50,7 +50,7 @@
 	f.Log.Event("request", kv...)
 }
 
-// noteSent counts what is sent to an endpoint that the store no longer lists.
+// countUnlisted counts an attempt if the store no longer lists its endpoint.
 func (f *Forwarder) countUnlisted(t *trace, e registry.Endpoint) {
 	if e.Unlisted() {
 		t.unlisted++
@@ -58,18 +58,20 @@
 	}
 }
 
-// printBytes of a fingerprint tell the requests of a day apart: among a million,
-// two are alike with a chance of 3 in 100 million.
+// loggedFingerprintBytes is how many bytes of a fingerprint are logged. They
+// distinguish the requests of a day: among a million, the chance that two
+// collide is 3 in 100 million.
 const loggedFingerprintBytes = 8
 
-// shortPrint is the beginning of a request's fingerprint: its caller's next
-// attempt has another id and the same fingerprint.
+// shortFingerprint is the start of a request's fingerprint, in hex. It is logged
+// since the caller's next attempt has another id but the same fingerprint.
 func shortFingerprint(r *Request, t *trace) string {
-	print := fingerprintOf(r, t)
-	return hex.EncodeToString(print[:loggedFingerprintBytes])
+	full := fingerprintOf(r, t)
+	return hex.EncodeToString(full[:loggedFingerprintBytes])
 }
 
-// inTime says whether an answer came as its route's callers expect it.
+// inTime reports whether an answer met the target latency and the target gap of
+// its route.
 func inTime(t *trace, took time.Duration) bool {
 	answered := took
 	if t.route.Kind == route.Stream {
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -13,29 +13,30 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// readSize is how many bytes of a stream are read at once.
+// readSize is the size of the read buffer of a stream, in bytes.
 const readSize = 2048
 
-// relay passes a stream's whole events on as they come. Where the stream may be
-// resumed, it goes on at another engine behind the last whole event.
+// relay passes on the complete events of a stream as they arrive. A resumable
+// stream that breaks is continued at another engine after the last complete
+// event.
 type relay struct {
 	*generation
 	ctx    context.Context
 	cancel context.CancelFunc
 	opened *Opened
-	// pending are the bytes of an event that is not whole yet, ready the whole
-	// events that were not passed on yet.
+	// pending holds the bytes of an incomplete event, ready the complete events
+	// that were not passed on yet.
 	pending []byte
 	ready   []byte
 	events  int
-	// eventAt is when the last event came; 0 before the first.
+	// eventAt is when the last event arrived; 0 before the first.
 	eventAt time.Duration
 	ended   bool
 	readErr error
 }
 
-// begin opens the stream and waits for its first event: until then a failure
-// can still be told to the caller.
+// start opens the stream and waits for its first event: until then a failure can
+// still be returned to the caller as an error.
 func (s *relay) start() *verdict.Error {
 	for {
 		opened, err := s.open(s.ctx)
@@ -61,7 +62,8 @@
 	}
 }
 
-// brokenBeforeFirst tells of a stream that broke before its first event.
+// failedBeforeFirstEvent returns the error for a stream that broke before its
+// first event.
 func (s *relay) failedBeforeFirstEvent(cause error) *verdict.Error {
 	code := verdict.CodeEndpointFailed
 	switch {
@@ -92,7 +94,8 @@
 	return n, nil
 }
 
-// next reads on, at another engine if this one broke off.
+// next reads more events, from another engine if the current one failed and the
+// stream may be resumed.
 func (s *relay) next() error {
 	err := s.fill()
 	if err == nil || errors.Is(err, io.EOF) {
@@ -108,7 +111,7 @@
 	}
 	if opened.Events == nil {
 		s.finish(sched.PhaseFailed)
-		return errors.New("the engine that was to go on answered with an error")
+		return errors.New("the engine for resuming the stream answered with an error")
 	}
 	s.opened.Events = opened.Events
 	s.f.stats.resumedStreams.Inc()
@@ -117,7 +120,8 @@
 	return nil
 }
 
-// mayGoOn says whether a broken stream may be resumed, and pays for it.
+// mayResume reports whether a broken stream may be resumed, and counts the retry
+// if so.
 func (s *relay) mayResume() bool {
 	if !s.resumable() || s.f.timeLeft(s.request, s.trace.route) < minTimeForPrefill {
 		return false
@@ -128,13 +132,13 @@
 	return s.f.takeRetry(s.service.Name)
 }
 
-// fill reads until at least one more event is whole. io.EOF is the stream's
-// proper end.
+// fill reads until at least one more event is complete. It returns io.EOF at the
+// regular end of the stream.
 func (s *relay) fill() error {
 	var block [readSize]byte
 	for {
 		if s.trace.route.Resumable && s.runs < s.trace.route.MaxAttempts {
-			// A failed deadline shows in the read.
+			// If setting the deadline fails, so does the read.
 			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallTimeout))
 		}
 		n, err := s.opened.Events.Read(block[:])
@@ -156,21 +160,22 @@
 	}
 }
 
-// take moves bytes from pending to ready.
+// moveToReady moves n bytes from pending to ready.
 func (s *relay) moveToReady(n int) {
-	whole := s.pending[:n]
-	s.trackEvents(whole)
-	s.ready = append(s.ready, whole...)
+	events := s.pending[:n]
+	s.trackEvents(events)
+	s.ready = append(s.ready, events...)
 	s.pending = append(s.pending[:0], s.pending[n:]...)
 }
 
-// eventEnd is the empty line behind an event, idField begins the line with its id.
+// eventEnd is the empty line after an event; idField starts the line with the
+// event's id.
 var (
 	eventEnd = []byte("\n\n")
 	idField  = []byte("id:")
 )
 
-// wholeEvents is the length of the whole events that the bytes begin with.
+// completeEventsLen is the length of the complete events at the start of b.
 func completeEventsLen(b []byte) int {
 	i := bytes.LastIndex(b, eventEnd)
 	if i < 0 {
@@ -179,9 +184,10 @@
 	return i + len(eventEnd)
 }
 
-// note remembers the last id of whole events.
-func (s *relay) trackEvents(whole []byte) {
-	for line := range bytes.Lines(whole) {
+// trackEvents counts the events, and stores the last event id and the longest
+// pause between events.
+func (s *relay) trackEvents(events []byte) {
+	for line := range bytes.Lines(events) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
 			s.lastEvent = string(bytes.TrimSpace(value))
 			s.events++
@@ -194,7 +200,7 @@
 	s.eventAt = now
 }
 
-// complete notes the proper end.
+// complete handles the regular end of the stream.
 func (s *relay) complete() {
 	s.ended = true
 	s.f.clearSuspicion(s.request, s.trace)
@@ -202,7 +208,8 @@
 	s.finish(sched.PhaseDone)
 }
 
-// drop ends the work at an engine that broke off, or is given up.
+// dropEngine ends the work at an engine whose stream broke or stalled, or whose
+// request has ended.
 func (s *relay) dropEngine(cause error) {
 	_ = s.opened.Events.Close()
 	s.pending = s.pending[:0]
@@ -219,7 +226,7 @@
 	s.grant = sched.Grant{}
 }
 
-// finish tells the pool's owner that the granted pair is free.
+// finish reports to the pool's owner that the granted pair is free.
 func (s *relay) finish(phase sched.Phase) {
 	if s.grant.Request == id.Request("") {
 		return
@@ -228,8 +235,8 @@
 	s.grant = sched.Grant{}
 }
 
-// Close implements io.Closer: the stream has been passed on, or its caller is
-// gone.
+// Close implements io.Closer. It is called once the stream has been passed on or
+// its caller has disconnected.
 func (s *relay) Close() error {
 	if s.opened != nil && s.opened.Events != nil {
 		_ = s.opened.Events.Close()
@@ -240,16 +247,16 @@
 	return nil
 }
 
-// endingOf is the error that a stream ended with; nil if it is complete.
-func streamError(ctx context.Context, complete bool, broken error) *verdict.Error {
+// streamError is the error that a stream ended with; nil if it is complete.
+func streamError(ctx context.Context, complete bool, readErr error) *verdict.Error {
 	switch {
 	case complete:
 		return nil
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdict.New(verdict.Ran, verdict.CodeDeadline, "the stream was cut at its time limit")
-	case broken != nil && ctx.Err() == nil:
-		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream broke").WithCause(broken)
+		return verdict.New(verdict.Ran, verdict.CodeDeadline, "the stream reached its time limit")
+	case readErr != nil && ctx.Err() == nil:
+		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream broke").WithCause(readErr)
 	default:
-		return verdict.New(verdict.Ran, verdict.CodeCallerGone, "the caller left")
+		return verdict.New(verdict.Ran, verdict.CodeCallerGone, "the caller disconnected")
 	}
 }
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -6,7 +6,7 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// stats are the pipeline's metrics.
+// stats holds the metrics of a Forwarder.
 type stats struct {
 	outcomes       *metrics.CounterMap
 	deniedRetries  *metrics.Counter
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -14,48 +14,53 @@
 )
 
 const (
-	// firstEventTime is kept free of a stream's patience for the prefill, the
-	// transfer and the first event, which follow the wait for engines.
+	// firstEventReserve is the part of a stream's patience that is reserved for
+	// the prefill, the transfer and the first event, which follow the wait for
+	// engines.
 	firstEventReserve = 500 * time.Millisecond
-	// prefillLeast and prefillPerToken bound a prefill: some times what a sound
-	// engine takes, and short enough to have the prompt read elsewhere in time.
+	// minPrefillTimeout and prefillTimeoutPerToken bound a prefill. Their sum is a
+	// few times what a healthy engine takes, and short enough to repeat the
+	// prefill at another engine in time.
 	minPrefillTimeout      = 350 * time.Millisecond
 	prefillTimeoutPerToken = 100 * time.Microsecond
-	// kvShare of a KV cache's life may pass before it is sent to another
-	// decode engine: the transfer must begin before it ends.
+	// kvLifeFraction is the fraction of a KV cache's lifetime in which it may be
+	// sent to another decode engine: the transfer must begin before the lifetime
+	// ends.
 	kvLifeFraction = 0.7
-	// stallAfter is the pause after which a stream that may be resumed is taken
-	// from its engine.
+	// stallTimeout is the pause after which a resumable stream is moved to another
+	// engine.
 	stallTimeout = 1500 * time.Millisecond
-	// headLimit bounds the wait for the head of a stream that may be resumed.
+	// headerTimeout bounds the wait for the response header of a resumable stream.
 	headerTimeout = 2 * time.Second
-	// freeLimit bounds the freeing of a KV cache.
+	// freeTimeout bounds the call that frees a KV cache.
 	freeTimeout = 500 * time.Millisecond
-	// leastForPrefill is the time that must be left to begin a prompt again.
+	// minTimeForPrefill is the remaining time that another prefill needs.
 	minTimeForPrefill = 400 * time.Millisecond
-	// maxPairings bounds the pairs of engines that one request is given.
+	// maxPairings bounds the pairs of engines that one request gets.
 	maxPairings = 4
 )
 
-// generation is one request for a stream on its way through the engines.
+// generation is the state of one streaming request that prefill and decode
+// engines serve.
 type generation struct {
 	f       *Forwarder
 	request *Request
 	trace   *trace
 	service *route.Service
-	// last is the last event that the caller has got.
+	// lastEvent is the id of the last event that was passed on to the caller.
 	lastEvent string
-	// pairings counts the wants, ran the engines that may have run it.
+	// pairings counts the requests for a pair of engines, runs the engines that
+	// may have run the request.
 	pairings int
 	runs     int
 	avoid    []id.Endpoint
-	// grant in use, and the Want's id.
+	// grant is the grant in use; its Request is the id of the Want.
 	grant sched.Grant
-	// failure is the worst one so far.
+	// worstErr is the error so far whose verdict guarantees least.
 	worstErr *verdict.Error
 }
 
-// stream serves a stream. It returns once the first event is there.
+// stream serves a stream. It returns once the first event has arrived.
 func (f *Forwarder) stream(ctx context.Context, cancel context.CancelFunc, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
 	g := &generation{f: f, request: r, trace: t, service: s, lastEvent: r.LastEvent}
 	rel := &relay{generation: g, ctx: ctx, cancel: cancel}
@@ -71,13 +76,13 @@
 	return &Reply{Status: opened.Status, Header: opened.Header, Events: rel}, nil
 }
 
-// resumable says whether the stream may go on at another engine.
+// resumable reports whether the stream may be continued at another engine.
 func (g *generation) resumable() bool {
 	return g.trace.route.Resumable && g.runs < g.trace.route.MaxAttempts
 }
 
-// open gets the engines, has the prompt read and starts the decode, as often
-// as that is allowed.
+// open gets a pair of engines, runs the prefill and starts the decode. On failure
+// it starts again with a new pair for as long as mayRetry allows.
 func (g *generation) open(ctx context.Context) (*Opened, *verdict.Error) {
 	for {
 		kv, readAt, err := g.pairAndPrefill(ctx)
@@ -94,7 +99,8 @@
 	}
 }
 
-// mayBeginAgain says whether a new pair of engines may be tried.
+// mayRetry reports whether a new pair of engines may be tried, and sets the
+// reason if not.
 func (g *generation) mayRetry(ctx context.Context, err *verdict.Error) bool {
 	f := g.f
 	switch {
@@ -103,9 +109,9 @@
 	case err.Verdict != verdict.NotRun && !g.resumable():
 		g.trace.reason = "it may not run again"
 	case f.checkQuarantine(g.request, g.trace) != nil:
-		// judge has set the reason.
+		// checkQuarantine has set the reason.
 	case keyRejected(err):
-		g.trace.reason = "its key is no longer good"
+		g.trace.reason = "its key is no longer valid"
 	case refusedByOwner(err):
 		g.trace.reason = "the pool's owner refused"
 	case g.pairings >= maxPairings:
@@ -118,13 +124,13 @@
 	return false
 }
 
-// errOwner is the cause of the refusals of a pool's owner.
+// errOwner is the cause of refusals by a pool's owner.
 var errOwner = errors.New("the pool's owner refused")
 
 func refusedByOwner(err *verdict.Error) bool { return errors.Is(err.Cause, errOwner) }
 
-// pair asks the pool's owner for engines; for a decode engine alone where there
-// is a KV cache, which lives for kvLeft.
+// pair requests engines from the pool's owner; only a decode engine if there is a
+// KV cache, which is kept for kvLeft. kvLeft is 0 without one.
 func (g *generation) pair(ctx context.Context, kvLeft time.Duration) *verdict.Error {
 	f, r, rt := g.f, g.request, g.trace.route
 	g.pairings++
@@ -132,7 +138,7 @@
 	patience := max(rt.Patience-firstEventReserve, rt.TargetLatency)
 	patience = min(patience, f.deadline(r, rt)-r.Arrived-firstEventReserve)
 	if g.lastEvent != r.LastEvent {
-		// A stream that goes on: its caller has waited since the last event.
+		// The stream is being resumed: its caller has waited since the last event.
 		patience = age + rt.Patience/2
 	}
 	prefilled := kvLeft > 0
@@ -171,7 +177,8 @@
 	return nil
 }
 
-// expectedOutput is the caller's guess, within its bound.
+// expectedOutput is the caller's estimate of the output, in tokens, at most the
+// caller's limit.
 func expectedOutput(r *Request) int {
 	if r.ExpectedOutput > 0 && r.OutputTokens > 0 {
 		return min(r.ExpectedOutput, r.OutputTokens)
@@ -179,20 +186,20 @@
 	return max(r.ExpectedOutput, r.OutputTokens)
 }
 
-// Bounds of the scheduler's priority, where the highest goes first; routes
-// count from 0, the most urgent.
+// highestPriority is the scheduler's highest priority, which goes first. Routes
+// count the other way: 0 is the most urgent.
 const highestPriority = 9
 
 func (g *generation) priority() int { return highestPriority - g.trace.urgency() }
 
-// begin gets engines and has the prompt read, unless the decode engine is to
-// read it.
+// pairAndPrefill gets engines and runs the prefill, unless the decode engine is
+// to prefill the prompt itself.
 func (g *generation) pairAndPrefill(ctx context.Context) (KV, time.Duration, *verdict.Error) {
 	if err := g.pair(ctx, 0); err != nil {
 		return KV{}, 0, err
 	}
 	if _, err := g.grantedEngine(g.grant.Decode); err != nil {
-		// Before its prompt is read for nothing.
+		// Checked before the prefill, which would be wasted.
 		return KV{}, 0, err
 	}
 	if g.grant.Prefill == "" {
@@ -202,7 +209,8 @@
 	return g.prefill(ctx)
 }
 
-// prefill has the prompt read.
+// prefill runs the prefill at the granted engine. It returns the KV cache and
+// the time at which it was created.
 func (g *generation) prefill(ctx context.Context) (KV, time.Duration, *verdict.Error) {
 	f := g.f
 	engine, err := g.usableEngine(g.grant.Prefill)
@@ -212,35 +220,36 @@
 	g.trace.prefill = engine.Name
 	f.countUnlisted(g.trace, engine)
 	g.progress(sched.Progress{Phase: sched.PhasePrefilling})
-	begun := f.Now()
+	startedAt := f.Now()
 	attempt := g.newAttempt(engine)
-	attempt.Until = min(attempt.Until, begun+minPrefillTimeout+time.Duration(g.request.PromptTokens)*prefillTimeoutPerToken)
+	attempt.Until = min(attempt.Until, startedAt+minPrefillTimeout+time.Duration(g.request.PromptTokens)*prefillTimeoutPerToken)
 	kv, err := f.Endpoints.Prefill(ctx, attempt)
 	now := f.Now()
 	if err != nil {
-		g.reportEngineFailure(engine, err, stepPrefill, now-begun)
+		g.reportEngineFailure(engine, err, stepPrefill, now-startedAt)
 		return KV{}, 0, prefillFailed(err)
 	}
-	g.trace.prefillTime += now - begun
+	g.trace.prefillTime += now - startedAt
 	g.progress(sched.Progress{
 		Phase:        sched.PhaseTransferring,
 		PromptTokens: g.request.PromptTokens,
-		PrefillTime:  now - begun,
+		PrefillTime:  now - startedAt,
 	})
 	return kv, now, nil
 }
 
-// prefillFailed tells what a failed prefill means for the request: it has not run.
+// prefillFailed returns err with the verdict NotRun: a prefill never runs the
+// request.
 func prefillFailed(err *verdict.Error) *verdict.Error {
 	out := *err
 	out.Verdict = verdict.NotRun
 	return &out
 }
 
-// granted looks up an engine that the pool's owner granted. Where it is gone or
-// leaves, by this daemon's own knowledge, the grant is given back: an owner that
-// was not run for a while, or is cut off from the news, grants engines that must
-// get no new work.
+// grantedEngine looks up an engine that the pool's owner granted. If this
+// daemon's own registry has no such engine, or lists it as leaving, the grant is
+// returned: an owner that was frozen for a while, or has missed registry updates,
+// grants engines that must get no new work.
 func (g *generation) grantedEngine(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	engine, known := g.f.View().Endpoints[name]
 	if known && !engine.Leaving {
@@ -257,7 +266,7 @@
 	return engine, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "engine %s %s", name, why)
 }
 
-// mayUse looks up an engine for a request whose key is still good.
+// usableEngine looks up a granted engine and checks the request's key again.
 func (g *generation) usableEngine(name id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	engine, err := g.grantedEngine(name)
 	if err == nil {
@@ -266,7 +275,8 @@
 	return engine, err
 }
 
-// allowed gives a grant back where the request's key is no longer good.
+// checkKey checks the request's key again and returns the grant if the key is no
+// longer valid.
 func (g *generation) checkKey() *verdict.Error {
 	err := g.f.recheckKey(g.request, g.trace)
 	if err != nil {
@@ -275,6 +285,7 @@
 	return err
 }
 
+// newAttempt returns the attempt to send to the engine e.
 func (g *generation) newAttempt(e registry.Endpoint) *Attempt {
 	f := g.f
 	limit := f.deadline(g.request, g.trace.route)
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -1,8 +1,8 @@
-// Package forward is the pipeline of requests that are passed on as they are:
-// plain calls to the least loaded endpoint, streams through a prefill and a
-// decode engine. It decides on attempts, retries, deadlines and what a failure
-// means; the Endpoints port speaks to the endpoints, the Pairer to the pools'
-// owners.
+// Package forward passes requests on to endpoints unchanged: plain calls to the
+// least loaded endpoint, streams to a pair of prefill and decode engines. It
+// decides on attempts, retries, deadlines and the verdict of a failure. The
+// Endpoints interface connects it to the endpoints, the Pairer interface to the
+// owners of pools.
 package forward
 
 import (
@@ -24,151 +24,150 @@
 
 // Request is a caller's request.
 type Request struct {
-	// ID is the caller's own, one for each of its attempts.
+	// ID is set by the caller, a new one for each of its attempts.
 	ID     id.Request
 	Method string
-	// Host and Path choose the route. Target is the path with its query, byte
+	// Host and Path select the route. Target is the path with its query, byte
 	// for byte as the caller sent it.
 	Host, Path, Target string
-	// Header holds the fields to pass on, Credentials those to pass on only where
+	// Header holds the fields to pass on, Credentials those to pass on only if
 	// the configuration has no teams.
 	Header, Credentials []Field
 	Body                []byte
-	// Key is the hash of the key that the caller sent, where HasKey says that it
-	// sent one.
+	// Key is the hash of the key that the caller sent; valid only if HasKey is
+	// set.
 	Key    apikey.Hash
 	HasKey bool
-	// Arrived is the daemon's time at the arrival.
+	// Arrived is when the request arrived, in the daemon's time.
 	Arrived time.Duration
-	// CallerWaits is how long from then on the caller waits; 0 if not said.
+	// CallerWaits is how long the caller waits from Arrived on; 0 if not stated.
 	CallerWaits time.Duration
-	// PromptTokens and OutputTokens are the size of a generation, where Sized says
-	// that the caller named it, and ExpectedOutput the caller's guess of what will
-	// be used; 0 if not said.
+	// PromptTokens and OutputTokens are the size of a generation; Sized is set if
+	// the caller stated it. ExpectedOutput is the caller's estimate of the output
+	// tokens that will be used; 0 if not stated.
 	PromptTokens, OutputTokens, ExpectedOutput int
 	Sized                                      bool
-	// Caller is the address of the caller's host, and Prompt names the parts of
-	// a generation's prompt; empty if not said.
+	// Caller is the address of the caller's host, and Prompt identifies the parts
+	// of a generation's prompt; empty if not stated.
 	Caller, Prompt string
-	// LastEvent is the id of the event behind which a stream goes on; empty
-	// for its beginning.
+	// LastEvent is the id of the event after which a stream is to continue; empty
+	// to start at the beginning.
 	LastEvent string
 }
 
-// Reply is an endpoint's answer that is passed on as it is.
+// Reply is an endpoint's answer, which is passed on unchanged.
 type Reply struct {
 	Status int
 	Header []Field
-	// Body is the whole body; unused where Events is set.
+	// Body is the whole body; unused if Events is set.
 	Body []byte
-	// Events is the body of a stream. It gives io.EOF only at the proper end,
-	// and must be closed.
+	// Events is the body of a stream. It returns io.EOF only at the regular end of
+	// the stream, and must be closed.
 	Events io.ReadCloser
 }
 
-// Failed says whether the endpoint answered with an error of its own.
+// Failed reports whether the endpoint answered with an error of its own.
 func (r *Reply) Failed() bool { return r.Status >= 500 }
 
-// KV names a prompt's KV cache at the prefill engine that read it.
+// KV identifies a prompt's KV cache at the prefill engine that created it.
 type KV struct {
-	// Source is that engine's address.
+	// Source is the address of the prefill engine.
 	Source string
-	// Handle names the KV cache there.
+	// Handle identifies the KV cache at that engine.
 	Handle string
-	// Tokens that were read.
+	// Tokens is the number of tokens in the KV cache.
 	Tokens int
 }
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt is one attempt to serve a request at an endpoint.
 type Attempt struct {
 	Request *Request
-	// Endpoint must be the one that answers; another one at its address
-	// refuses.
+	// Endpoint is the endpoint that must answer; another endpoint at its address
+	// refuses the request.
 	Endpoint registry.Endpoint
-	// Left is how long the endpoint may work on it.
+	// Left is how long the endpoint may work on the request.
 	Left time.Duration
-	// Until is when the answer (the head of a stream) must be there, in the
-	// daemon's time.
+	// Until is when the answer (for a stream, its header) must have arrived, in
+	// the daemon's time.
 	Until time.Duration
 	// MaxConns bounds this daemon's connections to the endpoint.
 	MaxConns int
-	// Once is set for a request that can't be repeated.
+	// Once is set for a request that must not run more than once.
 	Once bool
-	// LastEvent is the last event that the caller has got, for a stream that
-	// goes on; empty for its beginning.
+	// LastEvent is the id of the last event that the caller has received, for a
+	// stream that is resumed; empty to start at the beginning.
 	LastEvent string
-	// Urgency of a generation, 0 (first) to 9.
+	// Urgency of a generation, 0 (most urgent) to 9.
 	Urgency int
-	// Team is told to the endpoint; empty where there is none.
+	// Team is sent to the endpoint; empty if the request has none.
 	Team id.Team
-	// Credentials of the caller are passed on where there are no teams.
+	// Credentials are the caller's, passed on only if there are no teams.
 	Credentials []Field
 }
 
-// EventStream is the body of a stream at an endpoint.
+// EventStream is the body of a stream from an endpoint.
 type EventStream interface {
 	io.ReadCloser
 	// SetReadDeadline bounds the next reads.
 	SetReadDeadline(t time.Time) error
 }
 
-// Opened is a stream whose head has come.
+// Opened is an endpoint's answer to Decode, whose header has arrived.
 type Opened struct {
 	Status int
 	Header []Field
-	// Body is set instead of Events where the endpoint answered with an error.
+	// Body is set instead of Events if the endpoint answered with an error.
 	Body   []byte
 	Events EventStream
 }
 
-// Endpoints is the port to the endpoints. Errors say whether the request may
-// have run; with verdict.NotRun the code tells why:
-// CodeOverloaded (no room), CodeUnavailable (not reached), CodeSuperseded
-// (another endpoint has the address), CodeKVGone (the KV cache can't be had).
+// Endpoints sends requests to endpoints. The verdict of an error states whether
+// the request may have run. With verdict.NotRun the code is the reason:
+// CodeOverloaded (no capacity), CodeUnavailable (not reached), CodeSuperseded
+// (another endpoint has the address), CodeKVGone (the KV cache is not available).
 type Endpoints interface {
 	// Call sends a plain call.
 	Call(ctx context.Context, a *Attempt) (*Reply, *verdict.Error)
-	// Prefill has the prompt read. It never runs the request.
+	// Prefill creates the KV cache of the prompt. It never runs the request.
 	Prefill(ctx context.Context, a *Attempt) (KV, *verdict.Error)
-	// Decode runs a generation. Without a KV cache the engine reads the prompt
+	// Decode runs a generation. Without a KV cache the engine prefills the prompt
 	// itself.
 	Decode(ctx context.Context, a *Attempt, kv KV) (*Opened, *verdict.Error)
-	// Free drops a KV cache that nobody will use.
+	// Free releases a KV cache that no decode will use.
 	Free(ctx context.Context, e registry.Endpoint, kv KV)
 }
 
-// Pairer asks the owners of pools for endpoints; daemon/broker implements it.
+// Pairer requests engines from the owners of pools; daemon/broker implements it.
 type Pairer interface {
 	Pair(ctx context.Context, w sched.Want, patience time.Duration) (sched.Grant, *verdict.Error)
 	Progress(p sched.Progress)
 }
 
-// Payer holds teams to their limits over all daemons; daemon/quotas implements
+// Payer enforces the limits of teams over all daemons; daemon/quotas implements
 // it.
 type Payer interface {
-	// Pay has a request charged to its team, or refuses it. patience bounds the
-	// wait for the daemon that keeps the team's account.
+	// Pay charges a request to its team, or refuses it. patience bounds the wait
+	// for the daemon that keeps the team's account.
 	Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
-	// Return gives back what was paid for a request that has not run. It doesn't
-	// wait.
+	// Return refunds the charge of a request that has not run. It doesn't block.
 	Return(team id.Team, cost float64)
 }
 
-// Freshness says how old the configuration may be.
+// Freshness reports how old the configuration may be.
 type Freshness interface {
-	// Fresh says whether no key that this daemon still takes was revoked longer
-	// ago than allowed, and how old the configuration may be.
+	// Fresh reports whether no key that this daemon still accepts was revoked
+	// longer ago than allowed, and how old the configuration may be.
 	Fresh() (fresh bool, age time.Duration)
-	// Behind says whether a newer configuration may be known elsewhere.
+	// Behind reports whether other daemons may have a newer configuration.
 	Behind() bool
-	// Refresh has the configuration read soon. It doesn't wait, and however often
-	// it is called, reads are few.
+	// Refresh schedules a read of the configuration. It doesn't block, and reads
+	// are rate-limited however often it is called.
 	Refresh()
 }
 
-// View is what the daemon knows when a request arrives.
+// View is a snapshot of the configuration and the endpoints.
 type View struct {
-	// Routes is the configuration in force; nil before there is one.
+	// Routes is the active configuration; nil before there is one.
 	Routes *route.Table
 	// Endpoints by name, as registered now.
 	Endpoints map[id.Endpoint]registry.Endpoint
@@ -179,8 +178,8 @@
 	Lapsed int
 }
 
-// Log takes one line an event. Routine lines tell of what went as it should:
-// they are the first to go when the log falls behind.
+// Log writes one line per event. Routine lines report normal operation and are
+// dropped first when the log can't keep up.
 type Log interface {
 	Event(event string, kv ...any)
 	Routine(event string, kv ...any)
