--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -21,7 +21,7 @@
 	conn         *conn
 	resp         *fasthttp.Response
 	stopWatching func() bool
-	// whole is set once the answer was read to its end.
+	// complete is set once the answer was read to its end.
 	complete bool
 	once     sync.Once
 }
@@ -32,7 +32,7 @@
 // Header is the answer's header, valid until Close.
 func (a *Answer) Header() *fasthttp.ResponseHeader { return &a.resp.Header }
 
-// Body is the whole body of an answer that is no stream, valid until Close.
+// Body is the whole body of an answer that is not streamed, valid until Close.
 func (a *Answer) Body() []byte { return a.resp.Body() }
 
 // exchange writes the request and reads the answer that belongs to it.
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// read reads answers until the one that belongs to the request: a late answer
-// to an earlier request may come before it.
+// read reads answers up to the one that belongs to the request: a late answer to
+// an earlier request may precede it.
 func (a *Answer) read(c *Call) error {
 	for range maxForeignAnswers + 1 {
 		a.resp.Reset()
@@ -72,19 +72,19 @@
 			return err
 		}
 	}
-	return errors.New("only answers to other requests came")
+	return errors.New("received only answers to other requests")
 }
 
-// foreign says whether the answer bears another request's id.
+// isForeign reports whether the answer has another request's id.
 func (a *Answer) isForeign(c *Call) bool {
 	if c.ID == "" || a.pool.opts.IDHeader == "" {
 		return false
 	}
-	repeated := a.resp.Header.Peek(a.pool.opts.IDHeader)
-	return len(repeated) > 0 && string(repeated) != c.ID
+	returned := a.resp.Header.Peek(a.pool.opts.IDHeader)
+	return len(returned) > 0 && string(returned) != c.ID
 }
 
-// skip reads an answer to its end.
+// discardBody reads a streamed body to its end and discards it.
 func (a *Answer) discardBody() error {
 	if a.resp.BodyStream() == nil {
 		return nil
@@ -93,8 +93,8 @@
 	return err
 }
 
-// Read reads the body of a stream as it comes. It gives io.EOF only at the
-// body's proper end.
+// Read reads the body of a stream as it arrives. It returns io.EOF only at the
+// regular end of the body.
 func (a *Answer) Read(b []byte) (int, error) {
 	body := a.resp.BodyStream()
 	if body == nil {
@@ -107,10 +107,11 @@
 	return n, err
 }
 
-// Rest reads what is left of a stream that is short, up to max bytes.
-func (a *Answer) Rest(most int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, most+1))
-	if err == nil && int64(len(body)) > most {
+// Rest reads the remaining body of a short stream, at most limit bytes. It
+// returns an error if the body is longer.
+func (a *Answer) Rest(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(a, limit+1))
+	if err == nil && int64(len(body)) > limit {
 		err = errors.New("the body is too large")
 	}
 	return body, err
@@ -119,8 +120,9 @@
 // SetReadDeadline bounds the next reads of a stream.
 func (a *Answer) SetReadDeadline(t time.Time) error { return a.conn.SetReadDeadline(t) }
 
-// Close ends the exchange. The connection is kept only if the answer was read
-// to its end, nothing came behind it, and its endpoint keeps it as well.
+// Close ends the exchange. The connection is kept for reuse only if the answer
+// was read to its end, no bytes follow it, and the endpoint keeps the connection
+// open as well.
 func (a *Answer) Close() {
 	a.once.Do(func() {
 		life, reusable := a.idleLife()
@@ -130,29 +132,30 @@
 			a.pool.putIdle(a.address, a.conn, life)
 			return
 		}
-		// Closed first, since releasing a stream reads what is left of it.
+		// Close the connection first, since releasing a streamed response reads
+		// its remaining body.
 		_ = a.conn.Close()
 		a.pool.releaseSlot(a.address)
 		fasthttp.ReleaseResponse(a.resp)
 	})
 }
 
-// keepFor is how long the connection may be kept, if it may.
+// idleLife is how long the connection may stay idle; false if it must be closed.
 func (a *Answer) idleLife() (time.Duration, bool) {
 	h := &a.resp.Header
 	unframed := h.ContentLength() == -2
 	if !a.complete || unframed || h.ConnectionClose() || a.conn.reader.Buffered() > 0 {
 		return 0, false
 	}
-	said, ok := keepAliveTimeout(string(h.Peek("Keep-Alive")))
+	timeout, ok := keepAliveTimeout(string(h.Peek("Keep-Alive")))
 	if !ok {
 		return a.pool.opts.IdleLife, true
 	}
-	life := said - a.pool.opts.IdleMargin
+	life := timeout - a.pool.opts.IdleMargin
 	return life, life > 0
 }
 
-// keepAliveTimeout reads "timeout=5" out of a Keep-Alive header.
+// keepAliveTimeout parses the timeout of a Keep-Alive header, as in "timeout=5".
 func keepAliveTimeout(header string) (time.Duration, bool) {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/daemon/upstream/connect_test.go
+++ b/daemon/upstream/connect_test.go
@@ -14,8 +14,8 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// dialSilent sends a request to an address that answers no attempt to connect;
-// during is called once the dial has begun.
+// dialUnresponsive sends a request to an address that doesn't answer attempts to
+// connect, and returns the error; during is called once the dial has begun.
 func dialUnresponsive(t *testing.T, ctx context.Context, during func()) *verdict.Error {
 	t.Helper()
 	is := is.New(t)
@@ -36,8 +36,9 @@
 	return failure
 }
 
-// TestACallerWhoLeavesBlamesNoEndpoint: the endpoint had not failed to take the
-// connection when its caller left; blamed for it, it would get no work.
+// TestCancelledDialIsNotAnEndpointFailure checks that a dial ended by the caller's
+// cancellation isn't reported as an unavailable endpoint: such an endpoint would
+// get no work although it has not failed.
 func TestCancelledDialIsNotAnEndpointFailure(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(context.Background())
--- a/daemon/upstream/forget_test.go
+++ b/daemon/upstream/forget_test.go
@@ -12,8 +12,8 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// TestForgottenConnectionsAreNotUsedAgain: the next process at the address gets
-// connections of its own.
+// TestForgottenConnectionsAreNotUsedAgain checks that requests to the next process
+// at an address use new connections.
 func TestForgottenConnectionsAreNotUsedAgain(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/daemon/upstream/socket.go
+++ b/daemon/upstream/socket.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// userTimeout is how long sent bytes may stay unacknowledged before the
-	// connection is given up: behind a cut nothing else tells.
+	// userTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection. In a network partition nothing else reports the
+	// failure.
 	userTimeout = 2 * time.Second
-	// probeIdle, probeEvery and probeCount find out within three seconds that
-	// a connection on which only an answer is due has gone silent.
+	// probeIdle, probeInterval and probeCount are the TCP keepalive settings. They
+	// detect within three seconds that the peer of a connection that only waits
+	// for an answer has become unreachable.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
 )
 
-// dialer returns one whose connections notice a silent other side.
+// newDialer returns a dialer whose connections detect an unresponsive peer.
 func newDialer(timeout time.Duration) netconn.Dialer {
 	return netconn.Dialer{Dialer: net.Dialer{
 		Timeout: timeout,
@@ -38,28 +40,28 @@
 // SetUserTimeout bounds how long bytes sent on a connection may stay
 // unacknowledged.
 func SetUserTimeout(raw syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
-// quiet says whether an unused connection has neither been closed nor got
-// bytes that nobody asked for.
+// isQuiet reports whether an idle connection has neither been closed by its peer
+// nor received unexpected bytes.
 func isQuiet(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
-	still := false
+	quiet := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		still = err == unix.EAGAIN
+		quiet = err == unix.EAGAIN
 	})
-	return err == nil && still
+	return err == nil && quiet
 }
--- a/daemon/upstream/socket_test.go
+++ b/daemon/upstream/socket_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConnectionsNoticeASilentOtherSide: behind a cut nothing is reset, so that
-// only the kernel's own limits end a connection.
+// TestConnectionsDetectUnresponsivePeer checks the socket options: in a network
+// partition no reset arrives, so only the kernel's timeouts end a connection.
 func TestConnectionsDetectUnresponsivePeer(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -1,7 +1,8 @@
-// Package upstream exchanges requests with endpoints on kept connections. Each
-// request is written once and never repeated in here, and every error says
-// whether the request may have run. It knows no endpoint's interface: headers
-// and bodies are the caller's.
+// Package upstream sends requests to endpoints over a pool of HTTP/1.1 keep-alive
+// connections. Each request is written once and never retried by this package,
+// and the verdict of every error states whether the request may have run. The
+// package doesn't interpret bodies, nor headers other than Options.IDHeader and
+// those that concern the connection.
 package upstream
 
 import (
@@ -21,27 +22,27 @@
 	"github.com/samphirequay/samphirequay/endpoint/netconn"
 )
 
-// Options of a Pool; zero fields take the defaults.
+// Options configures a Pool; zero fields take the defaults.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
-	// IdleLife is how long a connection is kept unused where its endpoint does
-	// not say how long it keeps it.
+	// IdleLife is how long an idle connection is kept if its endpoint sends no
+	// Keep-Alive timeout.
 	IdleLife time.Duration
-	// IdleMargin is taken off the time that an endpoint says.
+	// IdleMargin is subtracted from the Keep-Alive timeout that an endpoint sends.
 	IdleMargin time.Duration
-	// MaxBodyBytes bounds the body of an answer that is read whole.
+	// MaxBodyBytes bounds the body of an answer that is not streamed.
 	MaxBodyBytes int
-	// IDHeader is the header in which endpoints repeat a request's id.
+	// IDHeader is the header in which endpoints return a request's id.
 	IDHeader string
-	// Metrics takes the counters.
+	// Metrics is the registry for the pool's counters.
 	Metrics *metrics.Registry
 }
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout is some round trips between failure domains, and more
-	// than a busy endpoint takes to accept.
+	// DefaultDialTimeout is several round trips between failure domains, and longer
+	// than a busy endpoint takes to accept a connection.
 	DefaultDialTimeout  = 250 * time.Millisecond
 	DefaultIdleLife     = 900 * time.Millisecond
 	DefaultIdleMargin   = 600 * time.Millisecond
@@ -69,7 +70,8 @@
 	foreign *metrics.Counter
 }
 
-// host holds the connections to one address.
+// addressConns holds the connections to one address: the number that is open, and
+// the idle ones, the last used at the end.
 type addressConns struct {
 	open int
 	idle []*conn
@@ -79,7 +81,8 @@
 type conn struct {
 	*netconn.Conn
 	reader *bufio.Reader
-	// until is when it is too old to be used again; unused since idleSince.
+	// expires is when the connection is too old to be reused; it is idle since
+	// idleSince.
 	expires   time.Time
 	idleSince time.Time
 }
@@ -97,31 +100,33 @@
 	}
 }
 
-// Call is one exchange.
+// Call describes one exchange with an endpoint.
 type Call struct {
 	// Address is IP:port.
 	Address string
-	// Request is written once; Do does not keep it.
+	// Request is written once; Do does not retain it.
 	Request *fasthttp.Request
-	// ID is the request's id, which the endpoint repeats; empty for none.
+	// ID is the request's id, which the endpoint returns in IDHeader; empty for
+	// none.
 	ID string
-	// Until is when the answer, or the head of a stream, must be there.
+	// Until is when the answer, or the header of a stream, must have arrived.
 	Until time.Time
 	// MaxConns bounds the connections to the address; 0 for no bound.
 	MaxConns int
-	// Careful prefers a new connection to one that its endpoint may be closing
-	// right now: for requests that can't be repeated.
+	// Careful prefers a new connection to an idle one that its endpoint may be
+	// closing right now. It is set for requests that must not run more than once.
 	Careful bool
-	// Stream leaves the body to be read as it comes.
+	// Stream leaves the body to be read with Answer.Read as it arrives.
 	Stream bool
 }
 
-// maxForeign is how many answers to other requests are skipped on a connection.
+// maxForeignAnswers is how many answers to other requests are skipped on a
+// connection.
 const maxForeignAnswers = 2
 
-// Do sends the request and reads the answer, which must be closed. A caller's
-// leaving closes the connection at once; the deadline of ctx leaves what has
-// arrived.
+// Do sends the request and reads the answer, which must be closed. If the caller
+// cancels ctx, the connection is closed at once; at the deadline of ctx, bytes
+// that have arrived can still be read.
 func (p *Pool) Do(ctx context.Context, c *Call) (*Answer, *verdict.Error) {
 	if err := ctx.Err(); err != nil {
 		return nil, notRun(c, contextErrorCode(err), err)
@@ -145,7 +150,7 @@
 		return kept, nil
 	}
 	if !p.reserveSlot(c) {
-		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to it are in use"))
+		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to the endpoint are in use"))
 	}
 	made, err := p.dialer.Dial(ctx, c.Address)
 	if err != nil {
@@ -156,8 +161,8 @@
 	return &conn{Conn: made, reader: bufio.NewReader(made)}, nil
 }
 
-// dialCode names the cause of a failed dial: a caller who left tells nothing
-// about the endpoint.
+// dialErrorCode is the code of a failed dial. A cancellation by the caller doesn't
+// count as a failure of the endpoint.
 func dialErrorCode(ctx context.Context) verdict.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return verdict.CodeCallerGone
@@ -165,7 +170,8 @@
 	return verdict.CodeUnavailable
 }
 
-// reserve counts a new connection, if the bound allows it.
+// reserveSlot counts a new connection to the call's address; false if MaxConns is
+// reached.
 func (p *Pool) reserveSlot(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +192,7 @@
 	return h
 }
 
-// forget counts a connection as gone.
+// releaseSlot counts a connection to the address as closed.
 func (p *Pool) releaseSlot(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,11 +206,13 @@
 	}
 }
 
-// carefulShare of a kept connection's life is used for requests that can't be
-// repeated: its endpoint may close it right when they are sent.
+// carefulLifeDivisor divides the lifetime in which an idle connection is reused
+// for requests that must not run more than once: near its end the endpoint may
+// close the connection just as the request is sent.
 const carefulLifeDivisor = 2
 
-// takeIdle takes the connection that was used last and is certainly still good.
+// takeIdle returns the most recently used idle connection that is neither too old
+// nor closed, or nil. It closes the others that it finds.
 func (p *Pool) takeIdle(c *Call) *conn {
 	for {
 		k := p.popIdle(c.Address)
@@ -239,7 +247,7 @@
 	return k
 }
 
-// keep puts a connection aside for the next request.
+// putIdle keeps a connection for reuse by a later request.
 func (p *Pool) putIdle(address string, k *conn, life time.Duration) {
 	k.idleSince = time.Now()
 	k.expires = k.idleSince.Add(life)
@@ -249,7 +257,7 @@
 	h.idle = append(h.idle, k)
 }
 
-// Forget closes the unused connections to an address: its endpoint is gone.
+// Forget closes the idle connections to an address whose endpoint is gone.
 func (p *Pool) Forget(address string) {
 	for {
 		k := p.popIdle(address)
@@ -261,7 +269,7 @@
 	}
 }
 
-// Sweep closes the connections that are too old to be used again.
+// Sweep closes the idle connections that are too old to be reused.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	var old []*conn
@@ -288,7 +296,7 @@
 	}
 }
 
-// Close closes the kept connections.
+// Close closes the idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -304,7 +312,8 @@
 	return verdict.New(verdict.NotRun, code, "the request was not sent to %s", c.Address).WithCause(cause)
 }
 
-// endedCode tells a time limit from a caller that left.
+// contextErrorCode is the code for the error of an ended context: CodeDeadline or
+// CodeCallerGone.
 func contextErrorCode(err error) verdict.Code {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return verdict.CodeDeadline
@@ -312,7 +321,7 @@
 	return verdict.CodeCallerGone
 }
 
-// mayHaveRun names the cause of a failure after bytes were sent.
+// mayHaveRun returns the error for a failure after bytes were sent.
 func mayHaveRun(ctx context.Context, c *Call, cause error) *verdict.Error {
 	code := verdict.CodeEndpointFailed
 	switch {
@@ -322,7 +331,7 @@
 		code = verdict.CodeDeadline
 	}
 	if cause == io.EOF {
-		cause = errors.New("it closed the connection without an answer")
+		cause = errors.New("the endpoint closed the connection without an answer")
 	}
-	return verdict.New(verdict.MayHaveRun, code, "the exchange with %s broke", c.Address).WithCause(cause)
+	return verdict.New(verdict.MayHaveRun, code, "the exchange with %s failed", c.Address).WithCause(cause)
 }
