--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,6 +1,8 @@
-// Package balance chooses the endpoint of a plain call. Each daemon decides for
-// itself, from its own calls: the least loaded of a few, away from endpoints
-// that fail or are slow. It is deterministic.
+// Package balance chooses the endpoint of a plain call: the one with the lowest
+// estimated latency, which grows with its calls in flight. Endpoints that fail
+// repeatedly, are unreachable or are full are ejected for a while. Each daemon
+// decides from its own calls alone. The package is deterministic for a given
+// random source.
 package balance
 
 import (
@@ -17,49 +19,52 @@
 const (
 	// smoothing is the weight of a new sample in the moving averages.
 	smoothing = 0.2
-	// firstLatency is the first estimate of a call, so that new endpoints are
-	// neither shunned nor flooded.
+	// initialLatency is the first latency estimate of an endpoint, so that new
+	// endpoints are neither avoided nor flooded.
 	initialLatency = 20 * time.Millisecond
-	// failurePenalty is what a failure adds to an endpoint's average latency:
-	// after two in a row it is the last choice.
+	// failurePenalty is added to the latency sample of a failed call: after two
+	// failures in a row an endpoint is the last choice.
 	failurePenalty = 500 * time.Millisecond
-	// ejectAfter failures in a row keep an endpoint out.
+	// ejectAfter is the number of failures in a row that eject an endpoint.
 	ejectAfter = 3
-	// ejectFirst and ejectMost bound how long; it doubles.
+	// ejectMin is the first ejection time; it doubles with each further ejection,
+	// up to ejectMax.
 	ejectMin = time.Second
 	ejectMax = 8 * time.Second
-	// unreachableFor keeps an endpoint out that took no connection.
+	// unreachableEjection is how long an endpoint that could not be reached is
+	// ejected.
 	unreachableEjection = 500 * time.Millisecond
-	// fullFor keeps an endpoint out that refused for lack of room.
+	// fullEjection is how long an endpoint that refused a call for lack of capacity
+	// is ejected.
 	fullEjection = 50 * time.Millisecond
-	// spread is how much of an estimate is left to chance, so that the daemons
-	// don't all choose the same endpoint.
+	// jitter is the largest random addition to an estimate, as a fraction of it, so
+	// that the daemons don't all choose the same endpoint.
 	jitter = 0.3
-	// relaxAfter is the time in which an estimate goes back most of the way to
-	// the first one while the endpoint gets no calls: else one that was slow
-	// once would never be tried again.
+	// estimateDecay is the time constant with which an estimate returns to
+	// initialLatency while the endpoint gets no calls. Without it, an endpoint that
+	// was slow once would never be tried again.
 	estimateDecay = 4 * time.Second
-	// farCost is what another failure domain costs.
+	// crossDomainCost is added for an endpoint in another failure domain.
 	crossDomainCost = 3 * time.Millisecond
 )
 
-// Outcome is how a call ended, as far as it tells of its endpoint.
+// Outcome is the result of a call as far as it concerns its endpoint.
 type Outcome uint8
 
 // The outcomes.
 const (
 	// OK: the endpoint answered.
 	OK Outcome = iota + 1
-	// Failed: it answered with an error of its own, or broke off.
+	// Failed: it answered with an error of its own, or broke the connection.
 	Failed
-	// Full: it refused for lack of room.
+	// Full: it refused the call for lack of capacity.
 	Full
-	// Unreachable: it took no connection, or went silent.
+	// Unreachable: no connection to it could be opened or used, or another endpoint
+	// has its address.
 	Unreachable
-	// Slow: it gave no answer within the call's own time limit, which may be
-	// short.
+	// Slow: it didn't answer within the call's own time limit, which may be short.
 	Slow
-	// Withdrawn: the call ended for another reason and tells nothing.
+	// Withdrawn: the call ended for a reason that doesn't concern the endpoint.
 	Withdrawn
 )
 
@@ -76,7 +81,7 @@
 	registry.Endpoint
 	inFlight int
 	latency  time.Duration
-	// learnt is when latency got its last sample.
+	// sampledAt is when latency got its last sample.
 	sampledAt    time.Duration
 	failures     int
 	ejection     time.Duration
@@ -88,8 +93,8 @@
 	return &Balancer{domain: domain, rng: rng, endpoints: map[id.Endpoint]*endpoint{}, services: map[id.Service][]*endpoint{}}
 }
 
-// Configure takes the registered endpoints; what is known of those that stay
-// is kept.
+// Configure sets the registered endpoints. The state of endpoints that are still
+// registered is kept.
 func (b *Balancer) Configure(entries []registry.Endpoint) {
 	old := b.endpoints
 	b.endpoints = make(map[id.Endpoint]*endpoint, len(entries))
@@ -105,9 +110,9 @@
 	}
 }
 
-// Pick chooses an endpoint for a call of a service and counts it as at work
-// there, until Done. Endpoints to avoid are never taken, those that are kept out
-// only if there is no other. ok is false when the service has no endpoint that takes work.
+// Pick chooses an endpoint for a call of a service and counts the call as in
+// flight until Done. Endpoints to avoid are never chosen, ejected ones only if
+// there is no other. ok is false if the service has no endpoint that takes work.
 func (b *Balancer) Pick(now time.Duration, service id.Service, avoid []id.Endpoint) (chosen registry.Endpoint, ok bool) {
 	var best *endpoint
 	bestCost := 0.0
@@ -127,8 +132,8 @@
 	return best.Endpoint, true
 }
 
-// outCost is added for endpoints that are kept out: they are chosen only where
-// all are.
+// ejectedCost is added for ejected endpoints: they are chosen only if all are
+// ejected.
 const ejectedCost = 1e6
 
 // cost estimates how long a call would take, in seconds.
@@ -145,7 +150,7 @@
 	return cost
 }
 
-// Done ends a call.
+// Done records the end of a call that Pick counted.
 func (b *Balancer) Done(now time.Duration, name id.Endpoint, took time.Duration, outcome Outcome) {
 	e := b.endpoints[name]
 	if e == nil {
@@ -177,8 +182,8 @@
 	}
 }
 
-// estimate is the average latency, gone back to the first estimate the longer
-// no sample came.
+// estimate is the average latency, decayed towards initialLatency by the time
+// since the last sample.
 func (e *endpoint) estimate(now time.Duration) time.Duration {
 	keep := math.Exp(-float64(now-e.sampledAt) / float64(estimateDecay))
 	return initialLatency + time.Duration(keep*float64(e.latency-initialLatency))
@@ -207,8 +212,7 @@
 	return n
 }
 
-// Slowest returns the services' endpoints by average latency, the worst first,
-// for status pages.
+// Slowest returns all endpoints by average latency, the slowest first.
 func (b *Balancer) Slowest() []id.Endpoint {
 	all := make([]*endpoint, 0, len(b.endpoints))
 	for _, e := range b.endpoints {
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -21,7 +21,7 @@
 	return b
 }
 
-// serve sends n calls one after another and counts where they went.
+// serve sends n calls one after another and counts them by endpoint.
 func serve(b *Balancer, now time.Duration, n int, outcome func(id.Endpoint) (time.Duration, Outcome)) map[id.Endpoint]int {
 	got := map[id.Endpoint]int{}
 	for range n {
@@ -30,8 +30,8 @@
 			continue
 		}
 		got[e.Name]++
-		took, how := outcome(e.Name)
-		b.Done(now, e.Name, took, how)
+		took, result := outcome(e.Name)
+		b.Done(now, e.Name, took, result)
 	}
 	return got
 }
@@ -99,7 +99,7 @@
 	}
 	is.Equal(b.Slowest()[0], id.Endpoint("a"))
 	is.Equal(serve(b, 0, 30, answerOK)["a"], 0)
-	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50) // it is tried again
+	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50)
 }
 
 func TestEjectedEndpointIsPickedIfNoOtherIsLeft(t *testing.T) {
--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -10,8 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-// TestARestartedEndpointIsNew: neither the calls in flight at its former start,
-// nor its latency, failures and ejection are its own.
+// TestARestartedEndpointIsNew checks that a restarted endpoint doesn't inherit the
+// calls in flight, latency, failures and ejection of its previous incarnation.
 func TestARestartedEndpointIsNew(t *testing.T) {
 	is := is.New(t)
 	b := New("d", rand.New(rand.NewPCG(1, 2)))
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// budget is a token bucket that fills by time, up to its floor, and by successes.
+// budget is a token bucket of retries. It is refilled at a constant rate, the
+// floor, and by successes.
 type budget struct {
 	tokens float64
-	// rate is the floor, in tokens a second.
+	// rate is the floor, in tokens per second.
 	rate float64
-	// most bounds tokens.
+	// capacity bounds tokens.
 	capacity   float64
 	refilledAt time.Duration
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry decides whether a failed attempt is repeated. Budgets by team
-// and over all teams keep retries a small share of the successes, so that an
-// overload does not feed itself; a call that may have run and is not
-// idempotent is never repeated.
+// Package retry decides whether a failed attempt is retried. Budgets per team and
+// over all teams keep retries a small fraction of the successes, so that retries
+// don't amplify an overload. A call that may have run and is not idempotent is
+// never retried.
 package retry
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Reason tells why a retry is allowed or not.
+// Reason is why a retry is allowed or not.
 type Reason string
 
-// The reasons of a Decision.
+// Reasons of a Decision.
 const (
 	ReasonAllowed      Reason = "allowed"
 	ReasonMayHaveRun   Reason = "may_have_run"
@@ -30,13 +30,13 @@
 	ReasonGlobalBudget Reason = "global_budget"
 )
 
-// Decision is the answer to a failed attempt.
+// Decision states whether and when a failed attempt is retried.
 type Decision struct {
-	// Retry says whether to try again.
+	// Retry is set if another attempt is allowed.
 	Retry bool
-	// After is the wait before the next attempt.
+	// After is the delay before the next attempt.
 	After time.Duration
-	// Reason tells why.
+	// Reason is why the retry is allowed or not.
 	Reason Reason
 }
 
@@ -49,31 +49,32 @@
 	Attempt int
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Cost is the estimated time that another attempt needs until it is of use.
+	// Cost is the estimated time that another attempt needs to produce a
+	// result.
 	Cost time.Duration
-	// Idempotent says that running the request twice does no harm.
+	// Idempotent is set if the request may run more than once.
 	Idempotent bool
 }
 
-// Config sets the bounds; zero fields take the defaults.
+// Config holds the limits of a Retrier; zero fields take the defaults.
 type Config struct {
 	// Ratio of retries to successes that the budgets allow. Default 0.1.
 	Ratio float64
-	// TeamFloor is each team's allowance without any success, in retries a
-	// second, where none is set by SetTeamFloor. Default 5.
+	// TeamFloor is the retry rate that each team has without any success, in
+	// retries per second, unless SetTeamFloor sets another. Default 5.
 	TeamFloor float64
-	// GlobalFloor is the allowance of all teams together, in retries a
-	// second. Default 20.
+	// GlobalFloor is the retry rate that all teams together have without any
+	// success, in retries per second. Default 20.
 	GlobalFloor float64
-	// Burst bounds a saved-up budget, in seconds of its floor. Default 10.
+	// Burst is the capacity of a budget, in seconds of its floor. Default 10.
 	Burst float64
 	// MaxAttempts bounds the attempts of one request. Default 3.
 	MaxAttempts int
-	// BackoffBase is the mean upper bound of the first wait. Default 10 ms.
+	// BackoffBase is the upper bound of the first backoff. Default 10 ms.
 	BackoffBase time.Duration
-	// BackoffMax bounds every wait. Default 1 s.
+	// BackoffMax is the upper bound of every backoff. Default 1 s.
 	BackoffMax time.Duration
-	// MaxTeams bounds the teams that are remembered. Default 4096.
+	// MaxTeams bounds the teams whose budgets are kept. Default 4096.
 	MaxTeams int
 }
 
@@ -114,27 +115,27 @@
 	cfg = cfg.withDefaults()
 	teams, err := simplelru.NewLRU[id.Team, *budget](cfg.MaxTeams, nil)
 	if err != nil {
-		panic(err) // MaxTeams below 1 is a fault of the settings' check
+		panic(err) // the validation of settings must reject MaxTeams below 1
 	}
 	return &Retrier{cfg: cfg, rng: rng, global: newBudget(cfg.GlobalFloor, cfg.Burst), teams: teams}
 }
 
-// SetTeamFloor sets a team's allowance, in retries a second. Without it the
-// team has Config.TeamFloor.
+// SetTeamFloor sets a team's floor, in retries per second, in place of
+// Config.TeamFloor.
 func (r *Retrier) SetTeamFloor(now time.Duration, team id.Team, perSecond float64) {
 	b := r.team(now, team)
 	b.refill(now)
 	b.setFloor(perSecond, r.cfg.Burst)
 }
 
-// Success earns a share of a retry for the team and for all.
+// Success adds Config.Ratio of a retry to the team's and the global budget.
 func (r *Retrier) Success(now time.Duration, team id.Team) {
 	r.global.add(now, r.cfg.Ratio)
 	r.team(now, team).add(now, r.cfg.Ratio)
 }
 
-// Decide says whether the failed attempt is followed by another. An allowed
-// retry is paid from both budgets.
+// Decide decides whether the failed attempt is followed by another. An allowed
+// retry takes a token from both budgets.
 func (r *Retrier) Decide(now time.Duration, f Failure) Decision {
 	if reason := r.checkRules(f); reason != ReasonAllowed {
 		return Decision{Reason: reason}
@@ -149,7 +150,7 @@
 	return Decision{Retry: true, After: after, Reason: ReasonAllowed}
 }
 
-// forbidden applies the rules that no budget can lift.
+// checkRules applies the rules that don't depend on the budgets.
 func (r *Retrier) checkRules(f Failure) Reason {
 	switch {
 	case f.Err == nil || f.Err.Verdict == verdict.Ran:
@@ -165,8 +166,8 @@
 	}
 }
 
-// retryable lists the causes that another attempt may cure. All others are the
-// caller's fault or are meant to slow callers down.
+// retryable reports whether another attempt may succeed after an error with the
+// code. All other codes are the caller's fault or are meant to slow callers down.
 func retryable(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeEndpointFailed, verdict.CodeLeaving, verdict.CodeUnavailable, verdict.CodeNoEndpoint:
@@ -176,7 +177,7 @@
 	}
 }
 
-// pay takes a retry from both budgets or from none.
+// spend takes a token from both budgets or from none.
 func (r *Retrier) spend(now time.Duration, team id.Team) Reason {
 	own := r.team(now, team)
 	if !own.available(now) {
@@ -190,7 +191,8 @@
 	return ReasonAllowed
 }
 
-// wait draws a full-jitter exponential backoff, at least what the error asks for.
+// backoff is the delay before the next attempt: the error's RetryAfter plus an
+// exponential backoff with full jitter.
 func (r *Retrier) backoff(f Failure) time.Duration {
 	bound := float64(r.cfg.BackoffBase) * math.Pow(2, float64(max(f.Attempt-1, 0)))
 	bound = min(bound, float64(r.cfg.BackoffMax))
@@ -207,7 +209,7 @@
 	return b
 }
 
-// Remaining returns the retries that the team and all teams could make now.
+// Remaining returns the retries left in the team's and in the global budget.
 func (r *Retrier) Remaining(now time.Duration, team id.Team) (own, global float64) {
 	b := r.team(now, team)
 	b.refill(now)
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -54,9 +54,8 @@
 	}
 }
 
-// TestOutageDoesNotMultiplyLoad: everything fails for a minute at 100 requests
-// a second; the retries stay within the floor. Then a share of the successes
-// is allowed again.
+// TestOutageDoesNotMultiplyLoad checks that the retries stay within the floor when
+// all requests fail for a minute at 100 requests per second.
 func TestOutageDoesNotMultiplyLoad(t *testing.T) {
 	is := is.New(t)
 	r := newRetrier(Config{})
@@ -66,9 +65,9 @@
 			retries++
 		}
 	}
-	most := int(DefaultTeamFloor * (DefaultBurst + 60))
-	is.True(retries > most*9/10)
-	is.True(retries <= most)
+	limit := int(DefaultTeamFloor * (DefaultBurst + 60))
+	is.True(retries > limit*9/10)
+	is.True(retries <= limit)
 }
 
 func TestTeamsDoNotShareABudget(t *testing.T) {
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// WindowConfig bounds the repeats of a service over all daemons.
+// WindowConfig bounds the retries of a service over all daemons.
 type WindowConfig struct {
-	// Span is the sliding window.
+	// Span is the length of the sliding window.
 	Span time.Duration
-	// Ratio of repeats to requests that a window allows.
+	// Ratio is the ratio of retries to requests that a window allows.
 	Ratio float64
-	// Slack is allowed on top by all daemons together, in repeats a window.
+	// Slack is the number of additional retries per window, for all daemons
+	// together.
 	Slack float64
-	// Safety is the share of the bound that is used: what other daemons do at
-	// the window's edge is not seen.
+	// Safety is the fraction of the limit that is used, since the retries of other
+	// daemons at the edge of the window are unknown.
 	Safety float64
 }
 
-// windowSlots is into how many slots a span is divided.
+// windowSlots is the number of slots that a span is divided into.
 const windowSlots = 20
 
-// Window bounds one daemon's repeats of a service within a sliding window: a
-// ratio of its own requests, and its part of the fleet's slack. Any span that
-// the window covers keeps the bound, since the oldest slot counts as whole. It
-// is not safe for concurrent use.
+// Window bounds one daemon's retries of a service within a sliding window: a
+// ratio of the daemon's own requests plus its share of the slack. The limit holds
+// for every span of the window's length, since the oldest slot is counted in
+// full. It is not safe for concurrent use.
 type Window struct {
 	cfg      WindowConfig
 	requests [windowSlots + 1]int
@@ -32,7 +33,7 @@
 // NewWindow returns an empty Window.
 func NewWindow(cfg WindowConfig) *Window { return &Window{cfg: cfg} }
 
-// advance forgets the slots that have left the window.
+// advance clears the slots that have left the window.
 func (w *Window) advance(now time.Duration) {
 	slot := int64(now / (w.cfg.Span / windowSlots))
 	if slot-w.slot > windowSlots {
@@ -47,14 +48,14 @@
 	}
 }
 
-// Request counts a caller's request.
+// Request counts a request of a caller.
 func (w *Window) Request(now time.Duration) {
 	w.advance(now)
 	w.requests[w.slot%int64(len(w.requests))]++
 }
 
-// Repeat pays for one more arrival of a request at an endpoint, if the window
-// allows it; daemons is how many share the slack.
+// Repeat counts one more arrival of a request at an endpoint and returns true if
+// the window allows it; daemons is the number of daemons that share the slack.
 func (w *Window) Repeat(now time.Duration, daemons int) bool {
 	w.advance(now)
 	if float64(w.used()+1) > w.allowed(daemons) {
@@ -64,7 +65,7 @@
 	return true
 }
 
-// Left is how many repeats the window still allows.
+// Left returns how many retries the window still allows.
 func (w *Window) Left(now time.Duration, daemons int) float64 {
 	w.advance(now)
 	return max(0, w.allowed(daemons)-float64(w.used()))
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -27,13 +27,13 @@
 		}
 	}
 	is.Equal(allowed, 16)
-	is.True(!w.Repeat(10*time.Second, 9)) // the first ones still count
+	is.True(!w.Repeat(10*time.Second, 9)) // the first retries still count
 	is.True(w.Repeat(11*time.Second, 9))
 }
 
-// TestNoSpanHoldsMoreThanItsBound: whatever the order of events, no span of the
-// window's length that ends with a repeat holds more repeats than the slack and the ratio of the
-// requests in it and in the slot before it.
+// TestNoSpanHoldsMoreThanItsBound checks that in any order of events, a span of
+// the window's length that ends with a retry contains at most as many retries as
+// the slack plus the ratio of the requests in the span and in the slot before it.
 func TestNoSpanHoldsMoreThanItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 10 * time.Second
@@ -60,9 +60,9 @@
 				}
 				return n
 			}
-			bound := 6 + 0.2*float64(count(requests, now-span-slot))
-			if got := count(repeats, now-span+1); float64(got) > bound {
-				t.Fatalf("%d repeats, the bound is %v", got, bound)
+			limit := 6 + 0.2*float64(count(requests, now-span-slot))
+			if got := count(repeats, now-span+1); float64(got) > limit {
+				t.Fatalf("%d retries, the limit is %v", got, limit)
 			}
 		}
 	})
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,6 +1,6 @@
 // Package route holds the routing configuration: which service answers a
-// request, what may be repeated, and how long it may take. A configuration is
-// a whole snapshot that never changes; a newer one replaces it at once.
+// request, whether the request may run more than once, and how long it may take.
+// A configuration is an immutable snapshot; a newer one replaces it atomically.
 package route
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/samphirequay/samphirequay/core/quota"
 )
 
-// Kind says what may be done with a request of a route.
+// Kind determines how often a route's requests may run and how they are
+// answered.
 type Kind uint8
 
 // The kinds of routes.
@@ -20,8 +21,8 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests run at most once for each attempt of the caller.
 	NonIdempotent
-	// Stream requests are answered by a series of events. They run at most
-	// once, unless the route is resumable.
+	// Stream requests are answered with a stream of events. They run at most once
+	// unless the route is resumable.
 	Stream
 )
 
@@ -42,11 +43,12 @@
 // Target is one service that a route sends requests to.
 type Target struct {
 	Service id.Service
-	// Weight is its share against the route's other targets.
+	// Weight is the target's share relative to the route's other targets.
 	Weight int
 }
 
-// Limits bound what a caller may send; 0 for no bound by the configuration.
+// Limits bounds the size of requests, in bytes; 0 if the configuration sets no
+// bound.
 type Limits struct {
 	// HeadBytes bounds the header fields of a request.
 	HeadBytes int
@@ -59,9 +61,9 @@
 type Route struct {
 	// Name of the route, unique.
 	Name string
-	// Host that callers name, in lower case.
+	// Host that requests are sent to, in lower case.
 	Host string
-	// Prefix of the path; the longest one that fits applies.
+	// Prefix of the path; the longest matching one applies.
 	Prefix string
 	Kind   Kind
 	// Targets share the route's requests by weight; at least one.
@@ -73,28 +75,29 @@
 	// TargetGap is the longest pause between the events of a stream that callers
 	// expect; 0 for no bound.
 	TargetGap time.Duration
-	// Patience is how long callers of a stream wait for its first event.
+	// Patience is how long callers of a stream wait for the first event.
 	Patience time.Duration
 	// Priority of its requests: 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds the endpoints that may run one request; at least 1.
 	MaxAttempts int
-	// Resumable streams may go on at another endpoint.
+	// Resumable streams may be continued at another endpoint.
 	Resumable bool
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
 }
 
-// Repeatable says whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	// Slots is how many requests an engine runs at once.
 	Slots int
-	// KVTokens is an engine's memory, in tokens.
+	// KVTokens is an engine's KV cache memory, in tokens.
 	KVTokens int
-	// HandleLife is how long a prompt's KV cache is kept for its decode.
+	// HandleLife is how long a prefill engine keeps a prompt's KV cache for the
+	// decode.
 	HandleLife time.Duration
 	// SwitchTime is how long an engine takes to change its role.
 	SwitchTime time.Duration
@@ -103,8 +106,8 @@
 // Service is what routes send requests to.
 type Service struct {
 	Name id.Service
-	// HealthPath is where its endpoints tell whether they are healthy, and who
-	// they are; empty if they don't.
+	// HealthPath is the path at which its endpoints report their health and
+	// identity; empty if they don't.
 	HealthPath string
 	// MaxConnections is how many connections one endpoint takes from all
 	// daemons together.
@@ -113,27 +116,27 @@
 	Engine *Engine
 }
 
-// Team is a party that sends requests with keys of its own.
+// Team is a group of callers that send requests with the team's keys.
 type Team struct {
 	Name id.Team
-	// Keys are hashes of the keys that its callers send.
+	// Keys holds the hashes of the keys that its callers send.
 	Keys []apikey.Hash
-	// Priority of its requests, where OwnPriority says that it has one: it goes
-	// before that of the route.
+	// Priority of its requests, used only if OwnPriority is set: it overrides that
+	// of the route.
 	Priority    int
 	OwnPriority bool
-	// Limit is how much of its requests may run, over all daemons together.
+	// Limit bounds the team's requests over all daemons together.
 	Limit quota.Limit
 }
 
 // Config is one whole routing configuration.
 type Config struct {
-	// Version grows with each accepted change, in uneven steps.
+	// Version increases with each accepted change, not always by 1.
 	Version  uint64
 	Routes   []Route
 	Services []Service
-	// Teams whose keys requests need on routes that are not public. Without any,
-	// no request needs a key.
+	// Teams lists the teams. Requests on routes that are not public need a key of
+	// one of them; without teams no request needs a key.
 	Teams  []Team
 	Limits Limits
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -50,9 +50,9 @@
 	is := is.New(t)
 	_, err := NewTable(Config{Routes: []Route{{Name: "r1", Prefix: "/", Targets: []Target{{Service: "gone"}}}}})
 	is.True(err != nil)
-	is.Equal(err.Error(), `route "r1" names service "gone", which is not there`)
+	is.Equal(err.Error(), `route "r1" refers to service "gone", which does not exist`)
 	_, err = NewTable(Config{Routes: []Route{{Name: "r2", Prefix: "/"}}})
-	is.Equal(err.Error(), `route "r2" sends its requests nowhere`)
+	is.Equal(err.Error(), `route "r2" has no targets`)
 	_, err = NewTable(Config{
 		Services: []Service{{Name: "a"}},
 		Routes:   []Route{{Name: "r3", Prefix: "x", Targets: []Target{{Service: "a"}}}},
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -12,8 +12,8 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Table answers, for one configuration, which route and service a request
-// belongs to. It is safe for concurrent use.
+// Table is an index of one configuration: it looks up routes, services and teams.
+// It is safe for concurrent use.
 type Table struct {
 	config   Config
 	hosts    map[string][]*Route
@@ -22,8 +22,8 @@
 	keys     *apikey.Ring[*Team]
 }
 
-// NewTable indexes a configuration; it must not be changed afterwards. An error
-// names the first item that can't work.
+// NewTable indexes a configuration; it must not be changed afterwards. The error
+// names the first invalid item.
 func NewTable(c Config) (*Table, error) {
 	t := &Table{
 		config:   c,
@@ -56,11 +56,11 @@
 
 func (t *Table) validate(r *Route) error {
 	if len(r.Targets) == 0 {
-		return fmt.Errorf("route %q sends its requests nowhere", r.Name)
+		return fmt.Errorf("route %q has no targets", r.Name)
 	}
 	for _, target := range r.Targets {
 		if t.services[target.Service] == nil {
-			return fmt.Errorf("route %q names service %q, which is not there", r.Name, target.Service)
+			return fmt.Errorf("route %q refers to service %q, which does not exist", r.Name, target.Service)
 		}
 	}
 	if !strings.HasPrefix(r.Prefix, "/") {
@@ -71,10 +71,10 @@
 
 func (t *Table) addTeam(team *Team) error {
 	if team.Name == "" {
-		return fmt.Errorf("a team has no name")
+		return fmt.Errorf("team without a name")
 	}
 	if t.teams[team.Name] != nil {
-		return fmt.Errorf("there are two teams named %q", team.Name)
+		return fmt.Errorf("duplicate team name %q", team.Name)
 	}
 	t.teams[team.Name] = team
 	if err := team.Limit.Check(); err != nil {
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// Walled says whether requests need a key: there are teams.
+// Walled reports whether the configuration has teams, so that requests need a
+// key.
 func (t *Table) Walled() bool { return len(t.teams) > 0 }
 
 // Team returns a team by name, or nil.
@@ -100,7 +101,7 @@
 	return team
 }
 
-// Config is the configuration that the table was made of.
+// Config returns the configuration that the table indexes.
 func (t *Table) Config() *Config { return &t.config }
 
 // Service returns a service by name, or nil.
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// Choose picks one of the route's targets by weight. The same request always
-// gets the same one.
+// Choose returns the service of one of the route's targets, by weight. The choice
+// is the same for every call with the same request id.
 func (r *Route) Choose(request id.Request) id.Service {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
@@ -140,7 +141,8 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// normalHost drops a port and the letter case, which don't matter.
+// normalizeHost removes the port and converts the name to lower case: neither
+// matters for routing.
 func normalizeHost(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(name)
--- a/core/route/team_test.go
+++ b/core/route/team_test.go
@@ -37,8 +37,8 @@
 		teams []Team
 		want  string
 	}{
-		"two of a name": {[]Team{{Name: "a"}, {Name: "a"}}, `there are two teams named "a"`},
-		"no name":       {[]Team{{}}, `a team has no name`},
+		"same name twice": {[]Team{{Name: "a"}, {Name: "a"}}, `duplicate team name "a"`},
+		"no name":         {[]Team{{}}, `team without a name`},
 		"one key twice": {
 			[]Team{{Name: "a", Keys: hashKeys("k")}, {Name: "b", Keys: hashKeys("l", "k")}},
 			`team "b": key 1 belongs to another team already`,
