--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// errKeyRejected is the cause of refusals on account of a request's key: a retry
+// errKeyRejected is the cause of refusals because of a request's key: a retry
 // at another endpoint would not help.
 var errKeyRejected = errors.New("the request's key is not known to be valid")
 
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -46,8 +46,8 @@
 		if err == nil && !reply.Failed() {
 			return reply, nil
 		}
-		arrived := err == nil || err.Verdict != verdict.NotRun
-		if arrived {
+		mayHaveRun := err == nil || err.Verdict != verdict.NotRun
+		if mayHaveRun {
 			ran++
 			last, failure = reply, err
 		} else {
--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -18,7 +18,7 @@
 // TestRetriesStayWithinTheServiceLimit checks the retry limit of a service whose
 // slack two daemons share. Attempts that endpoints refuse count too.
 func TestRetriesStayWithinTheServiceLimit(t *testing.T) {
-	for name, code := range map[string]verdict.Code{"broken off": verdict.CodeEndpointFailed, "refused": verdict.CodeOverloaded} {
+	for name, code := range map[string]verdict.Code{"connection broken": verdict.CodeEndpointFailed, "refused": verdict.CodeOverloaded} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			v := verdict.MayHaveRun
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -10,7 +10,7 @@
 
 // decode starts the decode. If the engine refuses, it asks the pool's owner for
 // other engines for as long as the KV cache is kept.
-func (g *generation) decode(ctx context.Context, kv KV, readAt time.Duration) (*Opened, *verdict.Error) {
+func (g *generation) decode(ctx context.Context, kv KV, prefilledAt time.Duration) (*Opened, *verdict.Error) {
 	for {
 		opened, err := g.decodeOnce(ctx, kv)
 		if err == nil {
@@ -19,11 +19,11 @@
 		if err.Verdict != verdict.NotRun {
 			return nil, err
 		}
-		if !g.mayDecodeElsewhere(ctx, err, readAt) {
+		if !g.mayDecodeElsewhere(ctx, err, prefilledAt) {
 			g.discardPrefill(kv, err)
 			return nil, err
 		}
-		if pairErr := g.pair(ctx, g.kvLeft(readAt)); pairErr != nil {
+		if pairErr := g.pair(ctx, g.kvLeft(prefilledAt)); pairErr != nil {
 			g.discardPrefill(kv, pairErr)
 			return nil, pairErr
 		}
@@ -32,18 +32,18 @@
 
 // mayDecodeElsewhere reports whether another engine may decode from the same KV
 // cache.
-func (g *generation) mayDecodeElsewhere(ctx context.Context, err *verdict.Error, readAt time.Duration) bool {
-	if ctx.Err() != nil || keyRejected(err) || g.grant.Prefill == "" || err.Code == verdict.CodeKVGone || g.kvLeft(readAt) <= 0 {
+func (g *generation) mayDecodeElsewhere(ctx context.Context, err *verdict.Error, prefilledAt time.Duration) bool {
+	if ctx.Err() != nil || keyRejected(err) || g.grant.Prefill == "" || err.Code == verdict.CodeKVGone || g.kvLeft(prefilledAt) <= 0 {
 		return false
 	}
 	return err.Code == verdict.CodeUnavailable || g.f.takeRetry(g.service.Name)
 }
 
-// kvLeft is how long a KV cache that was created at readAt may still wait for a
+// kvLeft is how long a KV cache created at prefilledAt may still wait for a
 // decode engine.
-func (g *generation) kvLeft(readAt time.Duration) time.Duration {
+func (g *generation) kvLeft(prefilledAt time.Duration) time.Duration {
 	life := time.Duration(kvLifeFraction * float64(g.service.Engine.HandleLife))
-	return readAt + life - g.f.Now()
+	return prefilledAt + life - g.f.Now()
 }
 
 func (g *generation) decodeOnce(ctx context.Context, kv KV) (*Opened, *verdict.Error) {
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -192,11 +192,11 @@
 	daemons := f.Daemons()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	paid := f.window(service).Repeat(f.Now(), daemons)
-	if !paid {
+	allowed := f.window(service).Repeat(f.Now(), daemons)
+	if !allowed {
 		f.stats.deniedRetries.Inc()
 	}
-	return paid
+	return allowed
 }
 
 // Configure sets the registered endpoints.
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -24,8 +24,8 @@
 // fingerprintOf returns the fingerprint of a request: a hash of its caller,
 // route, service, method, target, prompt and body. The id is left out, since a
 // caller retries under another id. Without caller and prompt all streams of one
-// target had the same fingerprint, and three crashes of different streams
-// quarantined all of them. The fingerprint is computed once per request.
+// target would have the same fingerprint, and three crashes caused by different
+// streams would quarantine them all. The fingerprint is computed once per request.
 func fingerprintOf(r *Request, t *trace) poison.Fingerprint {
 	if t.fingerprint == (poison.Fingerprint{}) {
 		t.fingerprint = poison.Print(id.Team(t.route.Name), t.service,
@@ -36,7 +36,7 @@
 
 // checkQuarantine refuses a request that has crashed the endpoints that ran it.
 // For a non-idempotent request the verdict is MayHaveRun, since an earlier
-// attempt has run.
+// attempt may have run.
 func (f *Forwarder) checkQuarantine(r *Request, t *trace) *verdict.Error {
 	if f.Suspicion.Ledger.Len() == 0 {
 		return nil
--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -40,7 +40,8 @@
 }
 
 // TestQuarantinedNonIdempotentRequestMayHaveRun checks that the refusal of a
-// non-idempotent request has the verdict MayHaveRun: an earlier attempt has run.
+// non-idempotent request has the verdict MayHaveRun: an earlier attempt may have
+// run.
 func TestQuarantinedNonIdempotentRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/once/x")
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -135,14 +135,14 @@
 // fill reads until at least one more event is complete. It returns io.EOF at the
 // regular end of the stream.
 func (s *relay) fill() error {
-	var block [readSize]byte
+	var buf [readSize]byte
 	for {
 		if s.trace.route.Resumable && s.runs < s.trace.route.MaxAttempts {
 			// If setting the deadline fails, so does the read.
 			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallTimeout))
 		}
-		n, err := s.opened.Events.Read(block[:])
-		s.pending = append(s.pending, block[:n]...)
+		n, err := s.opened.Events.Read(buf[:])
+		s.pending = append(s.pending, buf[:n]...)
 		if errors.Is(err, io.EOF) {
 			s.moveToReady(len(s.pending))
 			s.complete()
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -85,10 +85,10 @@
 // it starts again with a new pair for as long as mayRetry allows.
 func (g *generation) open(ctx context.Context) (*Opened, *verdict.Error) {
 	for {
-		kv, readAt, err := g.pairAndPrefill(ctx)
+		kv, prefilledAt, err := g.pairAndPrefill(ctx)
 		if err == nil {
 			var opened *Opened
-			if opened, err = g.decode(ctx, kv, readAt); err == nil {
+			if opened, err = g.decode(ctx, kv, prefilledAt); err == nil {
 				return opened, nil
 			}
 		}
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -152,13 +152,13 @@
 	if !p.reserveSlot(c) {
 		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to the endpoint are in use"))
 	}
-	made, err := p.dialer.Dial(ctx, c.Address)
+	dialed, err := p.dialer.Dial(ctx, c.Address)
 	if err != nil {
 		p.releaseSlot(c.Address)
 		return nil, notRun(c, dialErrorCode(ctx), err)
 	}
 	p.dialled.Inc()
-	return &conn{Conn: made, reader: bufio.NewReader(made)}, nil
+	return &conn{Conn: dialed, reader: bufio.NewReader(dialed)}, nil
 }
 
 // dialErrorCode is the code of a failed dial. A cancellation by the caller doesn't
@@ -175,33 +175,33 @@
 func (p *Pool) reserveSlot(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.connsTo(c.Address)
-	if c.MaxConns > 0 && h.open >= c.MaxConns {
+	conns := p.connsTo(c.Address)
+	if c.MaxConns > 0 && conns.open >= c.MaxConns {
 		return false
 	}
-	h.open++
+	conns.open++
 	return true
 }
 
 func (p *Pool) connsTo(address string) *addressConns {
-	h := p.addresses[address]
-	if h == nil {
-		h = &addressConns{}
-		p.addresses[address] = h
+	conns := p.addresses[address]
+	if conns == nil {
+		conns = &addressConns{}
+		p.addresses[address] = conns
 	}
-	return h
+	return conns
 }
 
 // releaseSlot counts a connection to the address as closed.
 func (p *Pool) releaseSlot(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.addresses[address]
-	if h == nil {
+	conns := p.addresses[address]
+	if conns == nil {
 		return
 	}
-	h.open--
-	if h.open <= 0 && len(h.idle) == 0 {
+	conns.open--
+	if conns.open <= 0 && len(conns.idle) == 0 {
 		delete(p.addresses, address)
 	}
 }
@@ -215,56 +215,56 @@
 // nor closed, or nil. It closes the others that it finds.
 func (p *Pool) takeIdle(c *Call) *conn {
 	for {
-		k := p.popIdle(c.Address)
-		if k == nil {
+		cn := p.popIdle(c.Address)
+		if cn == nil {
 			return nil
 		}
 		now := time.Now()
-		old := now.After(k.expires)
+		old := now.After(cn.expires)
 		if c.Careful {
-			old = old || now.Sub(k.idleSince) > k.expires.Sub(k.idleSince)/carefulLifeDivisor
+			old = old || now.Sub(cn.idleSince) > cn.expires.Sub(cn.idleSince)/carefulLifeDivisor
 		}
-		if old || !isQuiet(k) {
-			_ = k.Close()
+		if old || !isQuiet(cn) {
+			_ = cn.Close()
 			p.releaseSlot(c.Address)
 			continue
 		}
-		return k
+		return cn
 	}
 }
 
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.addresses[address]
-	if h == nil || len(h.idle) == 0 {
+	conns := p.addresses[address]
+	if conns == nil || len(conns.idle) == 0 {
 		return nil
 	}
-	last := len(h.idle) - 1
-	k := h.idle[last]
-	h.idle[last] = nil
-	h.idle = h.idle[:last]
-	return k
+	last := len(conns.idle) - 1
+	cn := conns.idle[last]
+	conns.idle[last] = nil
+	conns.idle = conns.idle[:last]
+	return cn
 }
 
 // putIdle keeps a connection for reuse by a later request.
-func (p *Pool) putIdle(address string, k *conn, life time.Duration) {
-	k.idleSince = time.Now()
-	k.expires = k.idleSince.Add(life)
+func (p *Pool) putIdle(address string, cn *conn, life time.Duration) {
+	cn.idleSince = time.Now()
+	cn.expires = cn.idleSince.Add(life)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.connsTo(address)
-	h.idle = append(h.idle, k)
+	conns := p.connsTo(address)
+	conns.idle = append(conns.idle, cn)
 }
 
 // Forget closes the idle connections to an address whose endpoint is gone.
 func (p *Pool) Forget(address string) {
 	for {
-		k := p.popIdle(address)
-		if k == nil {
+		cn := p.popIdle(address)
+		if cn == nil {
 			return
 		}
-		_ = k.Close()
+		_ = cn.Close()
 		p.releaseSlot(address)
 	}
 }
@@ -274,25 +274,25 @@
 	now := time.Now()
 	var old []*conn
 	p.mu.Lock()
-	for address, h := range p.addresses {
-		fresh := h.idle[:0]
-		for _, k := range h.idle {
-			if now.After(k.expires) {
-				old = append(old, k)
-				h.open--
+	for address, conns := range p.addresses {
+		remaining := conns.idle[:0]
+		for _, cn := range conns.idle {
+			if now.After(cn.expires) {
+				old = append(old, cn)
+				conns.open--
 				continue
 			}
-			fresh = append(fresh, k)
+			remaining = append(remaining, cn)
 		}
-		clear(h.idle[len(fresh):])
-		h.idle = fresh
-		if h.open <= 0 && len(h.idle) == 0 {
+		clear(conns.idle[len(remaining):])
+		conns.idle = remaining
+		if conns.open <= 0 && len(conns.idle) == 0 {
 			delete(p.addresses, address)
 		}
 	}
 	p.mu.Unlock()
-	for _, k := range old {
-		_ = k.Close()
+	for _, cn := range old {
+		_ = cn.Close()
 	}
 }
 
@@ -300,9 +300,9 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range p.addresses {
-		for _, k := range h.idle {
-			_ = k.Close()
+	for _, conns := range p.addresses {
+		for _, cn := range conns.idle {
+			_ = cn.Close()
 		}
 	}
 	p.addresses = map[string]*addressConns{}
