--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -125,9 +125,9 @@
 }
 
 // errOwner is the cause of refusals by a pool's owner.
-var errOwner = errors.New("the pool's owner refused")
+var errRefusedByOwner = errors.New("the pool's owner refused")
 
-func refusedByOwner(err *verdict.Error) bool { return errors.Is(err.Cause, errOwner) }
+func refusedByOwner(err *verdict.Error) bool { return errors.Is(err.Cause, errRefusedByOwner) }
 
 // pair requests engines from the pool's owner; only a decode engine if there is a
 // KV cache, which is kept for kvLeft. kvLeft is 0 without one.
@@ -166,7 +166,7 @@
 	}
 	grant, err := f.Pairer.Pair(ctx, want, max(patience-age, 0))
 	if err != nil {
-		return err.WithCause(errOwner)
+		return err.WithCause(errRefusedByOwner)
 	}
 	g.grant = grant
 	now := f.Now()
