--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -83,7 +83,7 @@
 	unlisted       int
 	endpoint       id.Endpoint
 	prefill        id.Endpoint
-	waited         time.Duration
+	engineWait     time.Duration
 	prefillTime    time.Duration
 	firstEventTime time.Duration
 	// maxGap is the longest pause between a stream's events.
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -23,7 +23,7 @@
 	}
 	kv = append(kv, "config", t.config, "registry", t.registry, "attempts", t.attempts, "endpoint", t.endpoint)
 	if t.prefill != "" {
-		kv = append(kv, "prefill", t.prefill, "waited", t.waited, "read", t.prefillTime, "first", t.firstEventTime)
+		kv = append(kv, "prefill", t.prefill, "waited", t.engineWait, "read", t.prefillTime, "first", t.firstEventTime)
 	}
 	if t.unlisted > 0 {
 		kv = append(kv, "unlisted", t.unlisted)
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -171,7 +171,7 @@
 	g.grant = grant
 	now := f.Now()
 	f.stats.engineWait.Record(now - r.Arrived - age)
-	g.trace.waited += now - r.Arrived - age
+	g.trace.engineWait += now - r.Arrived - age
 	f.Log.Routine("granted", "request", r.ID, "route", rt.Name, "print", shortFingerprint(r, g.trace), "pairing", g.pairings, "prefill", grant.Prefill, "decode", grant.Decode,
 		"owner", grant.Owner, "reservation", grant.Reservation, "reason", grant.Reason)
 	return nil
