--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -21,7 +21,7 @@
 
 // TestARequestThatBreaksThreeEndpointsIsRefused checks that a request that
 // crashes three endpoints is refused under any id, and other requests are not.
-func TestARequestThatBreaksThreeEndpointsIsRefused(t *testing.T) {
+func TestRequestThatCrashesThreeEndpointsIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/again/x")
 	f, r := newTest(t, s)
