--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -56,7 +56,7 @@
 
 // TestARequestThatAnEndpointFinishedIsCleared checks that a finished request
 // clears the evidence against it: endpoints also crash for other reasons.
-func TestARequestThatAnEndpointFinishedIsCleared(t *testing.T) {
+func TestFinishedRequestIsCleared(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{}
 	s.answer = func(a *Attempt) (*Reply, *verdict.Error) {
