--- a/daemon/upstream/forget_test.go
+++ b/daemon/upstream/forget_test.go
@@ -14,7 +14,7 @@
 
 // TestForgottenConnectionsAreNotUsedAgain checks that requests to the next process
 // at an address use new connections.
-func TestForgottenConnectionsAreNotUsedAgain(t *testing.T) {
+func TestForgottenConnectionsAreNotReused(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
