--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -38,7 +38,7 @@
 
 func answerOK(id.Endpoint) (time.Duration, Outcome) { return 15 * time.Millisecond, OK }
 
-func TestAFailingEndpointLosesItsShare(t *testing.T) {
+func TestFailingEndpointIsEjected(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer()
 	got := serve(b, 0, 300, func(e id.Endpoint) (time.Duration, Outcome) {
