--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -79,7 +79,7 @@
 	is.True(!ok)
 }
 
-func TestASlowEndpointGetsLess(t *testing.T) {
+func TestSlowEndpointGetsFewerCalls(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer()
 	got := serve(b, 0, 300, func(e id.Endpoint) (time.Duration, Outcome) {
