--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -66,7 +66,7 @@
 	is.True(serve(b, ejectMin, 300, answerOK)["a"] > 50)
 }
 
-func TestLeavingAndAvoidedEndpointsGetNothing(t *testing.T) {
+func TestLeavingAndAvoidedEndpointsGetNoCalls(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer()
 	b.Configure([]registry.Endpoint{{Name: "a", Service: "s", Leaving: true}, {Name: "b", Service: "s"}})
