--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -12,7 +12,7 @@
 
 // TestARestartedEndpointIsNew checks that a restarted endpoint doesn't inherit the
 // calls in flight, latency, failures and ejection of its previous incarnation.
-func TestARestartedEndpointIsNew(t *testing.T) {
+func TestRestartedEndpointStartsWithNewState(t *testing.T) {
 	is := is.New(t)
 	b := New("d", rand.New(rand.NewPCG(1, 2)))
 	start := func(born int64) {
