--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -31,7 +31,7 @@
 	is.Equal(x.Match("nobody.example", "/a/b/"), nil)
 }
 
-func TestASplitFollowsTheWeightsAndTheRequest(t *testing.T) {
+func TestChooseFollowsWeightsAndRequestID(t *testing.T) {
 	is := is.New(t)
 	r := &Route{Targets: []Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	got := map[id.Service]int{}
