--- a/core/route/team_test.go
+++ b/core/route/team_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func TestAKeyNamesItsTeam(t *testing.T) {
+func TestOwnerReturnsTheTeamOfAKey(t *testing.T) {
 	is := is.New(t)
 	x, err := NewTable(Config{Teams: []Team{
 		{Name: "desk", Keys: hashKeys("a", "b")},
