--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAWindowAllowsItsPartOfTheSlack(t *testing.T) {
+func TestWindowAllowsItsShareOfTheSlack(t *testing.T) {
 	is := is.New(t)
 	w := NewWindow(WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 58, Safety: 1})
 	allowed := 0
