--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -34,7 +34,7 @@
 // TestNoSpanHoldsMoreThanItsBound checks that in any order of events, a span of
 // the window's length that ends with a retry contains at most as many retries as
 // the slack plus the ratio of the requests in the span and in the slot before it.
-func TestNoSpanHoldsMoreThanItsBound(t *testing.T) {
+func TestNoSpanExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 10 * time.Second
 		w := NewWindow(WindowConfig{Span: span, Ratio: 0.2, Slack: 6, Safety: 1})
