--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -10,8 +10,9 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-// TestARestartedEndpointIsNew checks that a restarted endpoint doesn't inherit the
-// calls in flight, latency, failures and ejection of its previous incarnation.
+// TestRestartedEndpointStartsWithNewState checks that a restarted endpoint doesn't
+// inherit the calls in flight, latency, failures and ejection of its previous
+// incarnation.
 func TestRestartedEndpointStartsWithNewState(t *testing.T) {
 	is := is.New(t)
 	b := New("d", rand.New(rand.NewPCG(1, 2)))
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -31,7 +31,7 @@
 	is.True(w.Repeat(11*time.Second, 9))
 }
 
-// TestNoSpanHoldsMoreThanItsBound checks that in any order of events, a span of
+// TestNoSpanExceedsTheLimit checks that in any order of events, a span of
 // the window's length that ends with a retry contains at most as many retries as
 // the slack plus the ratio of the requests in the span and in the slot before it.
 func TestNoSpanExceedsTheLimit(t *testing.T) {
--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -19,8 +19,8 @@
 	}}
 }
 
-// TestARequestThatBreaksThreeEndpointsIsRefused checks that a request that
-// crashes three endpoints is refused under any id, and other requests are not.
+// TestRequestThatCrashesThreeEndpointsIsQuarantined checks that such a request is
+// refused under any id, and that other requests are not.
 func TestRequestThatCrashesThreeEndpointsIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	s := crashingOn("/again/x")
@@ -54,8 +54,8 @@
 	is.Equal(len(s.sent), 3)
 }
 
-// TestARequestThatAnEndpointFinishedIsCleared checks that a finished request
-// clears the evidence against it: endpoints also crash for other reasons.
+// TestFinishedRequestIsCleared checks that the evidence against a request is
+// cleared when an endpoint finishes it: endpoints also crash for other reasons.
 func TestFinishedRequestIsCleared(t *testing.T) {
 	is := is.New(t)
 	s := &fakeEndpoints{}
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -124,7 +124,7 @@
 	return false
 }
 
-// errOwner is the cause of refusals by a pool's owner.
+// errRefusedByOwner is the cause of refusals by a pool's owner.
 var errRefusedByOwner = errors.New("the pool's owner refused")
 
 func refusedByOwner(err *verdict.Error) bool { return errors.Is(err.Cause, errRefusedByOwner) }
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -158,7 +158,7 @@
 	// Fresh reports whether no key that this daemon still accepts was revoked
 	// longer ago than allowed, and how old the configuration may be.
 	Fresh() (fresh bool, age time.Duration)
-	// Behind reports whether other daemons may have a newer configuration.
+	// Behind reports whether a newer configuration may exist elsewhere.
 	Behind() bool
 	// Refresh schedules a read of the configuration. It doesn't block, and reads
 	// are rate-limited however often it is called.
--- a/daemon/upstream/forget_test.go
+++ b/daemon/upstream/forget_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// TestForgottenConnectionsAreNotUsedAgain checks that requests to the next process
+// TestForgottenConnectionsAreNotReused checks that requests to the next process
 // at an address use new connections.
 func TestForgottenConnectionsAreNotReused(t *testing.T) {
 	is := is.New(t)
