--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-func table(t *testing.T, routes ...Route) *Table {
+func newTestTable(t *testing.T, routes ...Route) *Table {
 	t.Helper()
 	made, err := NewTable(Config{Routes: routes, Services: []Service{{Name: "a"}, {Name: "b"}}})
 	if err != nil {
@@ -20,7 +20,7 @@
 
 func TestTheLongestPrefixOfTheHostApplies(t *testing.T) {
 	is := is.New(t)
-	x := table(t,
+	x := newTestTable(t,
 		Route{Name: "short", Host: "Desk.example", Prefix: "/a/", Targets: []Target{{Service: "a"}}},
 		Route{Name: "long", Host: "desk.example", Prefix: "/a/b/", Targets: []Target{{Service: "b"}}},
 		Route{Name: "other", Host: "other.example", Prefix: "/", Targets: []Target{{Service: "a"}}},
@@ -31,7 +31,7 @@
 	is.Equal(x.Match("nobody.example", "/a/b/"), nil)
 }
 
-func TestASplitFollowsTheWeightsAndTheRequest(t *testing.T) {
+func TestChooseFollowsWeightsAndRequestID(t *testing.T) {
 	is := is.New(t)
 	r := &Route{Targets: []Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	got := map[id.Service]int{}
@@ -46,13 +46,13 @@
 	is.Equal(none.Choose("x"), id.Service("a"))
 }
 
-func TestARouteThatCanNotWorkIsNamed(t *testing.T) {
+func TestInvalidRouteIsNamedInTheError(t *testing.T) {
 	is := is.New(t)
 	_, err := NewTable(Config{Routes: []Route{{Name: "r1", Prefix: "/", Targets: []Target{{Service: "gone"}}}}})
 	is.True(err != nil)
-	is.Equal(err.Error(), `route "r1" names service "gone", which is not there`)
+	is.Equal(err.Error(), `route "r1" refers to service "gone", which does not exist`)
 	_, err = NewTable(Config{Routes: []Route{{Name: "r2", Prefix: "/"}}})
-	is.Equal(err.Error(), `route "r2" sends its requests nowhere`)
+	is.Equal(err.Error(), `route "r2" has no targets`)
 	_, err = NewTable(Config{
 		Services: []Service{{Name: "a"}},
 		Routes:   []Route{{Name: "r3", Prefix: "x", Targets: []Target{{Service: "a"}}}},
--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// BenchmarkOneCall takes a plain call through the pipeline, without sockets.
-func BenchmarkOneCall(b *testing.B) {
-	f, r := newTest(b, &scripted{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }})
+// BenchmarkCall measures a plain call through the Forwarder, without sockets.
+func BenchmarkCall(b *testing.B) {
+	f, r := newTest(b, &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }})
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Arrived = f.Now()
@@ -28,30 +28,30 @@
 	}
 }
 
-// scripted answers calls as a test says.
-type scripted struct {
+// fakeEndpoints answers calls with a function and records the attempts.
+type fakeEndpoints struct {
 	Endpoints
 	answer func(a *Attempt) (*Reply, *verdict.Error)
 	sent   []*Attempt
 }
 
 // Call implements Endpoints.
-func (s *scripted) Call(_ context.Context, a *Attempt) (*Reply, *verdict.Error) {
+func (s *fakeEndpoints) Call(_ context.Context, a *Attempt) (*Reply, *verdict.Error) {
 	s.sent = append(s.sent, a)
 	return s.answer(a)
 }
 
-// noLog drops all lines.
-type noLog struct{}
+// discardLog drops all lines.
+type discardLog struct{}
 
 // Event implements Log.
-func (noLog) Event(string, ...any) {}
+func (discardLog) Event(string, ...any) {}
 
 // Routine implements Log.
-func (noLog) Routine(string, ...any) {}
+func (discardLog) Routine(string, ...any) {}
 
-// newTest gives a pipeline with four endpoints of a plain service, at a clock
-// that stands still, and a request for it.
+// newTest returns a Forwarder with four endpoints of a plain service and a
+// stopped clock, and a request for that service.
 func newTest(tb testing.TB, endpoints Endpoints) (*Forwarder, *Request) {
 	tb.Helper()
 	routes, err := route.NewTable(route.Config{
@@ -82,7 +82,7 @@
 		Daemons:   func() int { return 2 },
 		Stale:     func() bool { return false },
 		TooLate:   func() bool { return false },
-		Log:       noLog{},
+		Log:       discardLog{},
 		Metrics:   metrics.New("d"),
 		Now:       func() time.Duration { return time.Hour },
 	})
--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -15,21 +15,21 @@
 	return func(*Attempt) (*Reply, *verdict.Error) { return nil, verdict.New(v, code, "it failed") }
 }
 
-// TestRepeatsStayWithinTheServicesBound: the slack is shared by two daemons;
-// refusals by endpoints are arrivals and count.
-func TestRepeatsStayWithinTheServicesBound(t *testing.T) {
-	for name, code := range map[string]verdict.Code{"broken off": verdict.CodeEndpointFailed, "refused": verdict.CodeOverloaded} {
+// TestRetriesStayWithinTheServiceLimit checks the retry limit of a service whose
+// slack two daemons share. Attempts that endpoints refuse count too.
+func TestRetriesStayWithinTheServiceLimit(t *testing.T) {
+	for name, code := range map[string]verdict.Code{"connection broken": verdict.CodeEndpointFailed, "refused": verdict.CodeOverloaded} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			v := verdict.MayHaveRun
 			if code == verdict.CodeOverloaded {
 				v = verdict.NotRun
 			}
-			s := &scripted{answer: failWith(v, code)}
+			s := &fakeEndpoints{answer: failWith(v, code)}
 			f, r := newTest(t, s)
 			const requests = 100
 			for n := range requests {
-				// One that breaks endpoints again and again would be refused.
+				// A request that crashes endpoints repeatedly would be quarantined.
 				r.Target = fmt.Sprintf("/again/%d", n)
 				_, err := f.Run(context.Background(), r)
 				is.True(err != nil)
@@ -41,10 +41,11 @@
 	}
 }
 
-// TestAnEndpointThatIsNotReachedCostsNoRepeat: nothing arrived there.
-func TestAnEndpointThatIsNotReachedCostsNoRepeat(t *testing.T) {
+// TestUnreachableEndpointConsumesNoRetry checks that an attempt that reached no
+// endpoint doesn't count against the retry limit.
+func TestUnreachableEndpointConsumesNoRetry(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{answer: failWith(verdict.NotRun, verdict.CodeUnavailable)}
+	s := &fakeEndpoints{answer: failWith(verdict.NotRun, verdict.CodeUnavailable)}
 	f, r := newTest(t, s)
 	for range 100 {
 		_, err := f.Run(context.Background(), r)
@@ -53,9 +54,9 @@
 	is.Equal(len(s.sent), 100*maxRefusals)
 }
 
-func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{answer: failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)}
+	s := &fakeEndpoints{answer: failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)}
 	f, r := newTest(t, s)
 	r.Path = "/once/x"
 	_, err := f.Run(context.Background(), r)
@@ -64,11 +65,11 @@
 	is.True(s.sent[0].Once)
 }
 
-// TestTheErrorThatPromisesLessIsTold: an attempt that may have run goes before a
-// later one that certainly has not.
-func TestTheErrorThatPromisesLessIsTold(t *testing.T) {
+// TestWeakestVerdictIsReturned checks that the error of an attempt that may have
+// run takes precedence over that of a later one that has certainly not.
+func TestWeakestVerdictIsReturned(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{}
+	s := &fakeEndpoints{}
 	s.answer = func(a *Attempt) (*Reply, *verdict.Error) {
 		if len(s.sent) == 1 {
 			return failWith(verdict.MayHaveRun, verdict.CodeEndpointFailed)(a)
@@ -80,9 +81,9 @@
 	is.Equal(err.Verdict, verdict.MayHaveRun)
 }
 
-func TestAnAttemptThatCanBeRepeatedLeavesTimeForIt(t *testing.T) {
+func TestRepeatableAttemptLeavesTimeForRetry(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }}
+	s := &fakeEndpoints{answer: func(*Attempt) (*Reply, *verdict.Error) { return &Reply{Status: 200}, nil }}
 	f, r := newTest(t, s)
 	_, err := f.Run(context.Background(), r)
 	is.Equal(err, nil)
@@ -94,17 +95,17 @@
 	is.Equal(s.sent[0].Left, time.Second)
 }
 
-func TestBeforeThereIsAConfigurationNothingIsKnownNotToExist(t *testing.T) {
+func TestUnknownRouteIsUnavailableWithoutCurrentConfig(t *testing.T) {
 	is := is.New(t)
-	f, r := newTest(t, &scripted{})
+	f, r := newTest(t, &fakeEndpoints{})
 	f.Deps.View = func() *View { return &View{} }
 	_, err := f.Run(context.Background(), r)
 	is.Equal(err.Code, verdict.CodeUnavailable)
-	f, r = newTest(t, &scripted{})
+	f, r = newTest(t, &fakeEndpoints{})
 	r.Path = "/nowhere/"
 	_, err = f.Run(context.Background(), r)
 	is.Equal(err.Code, verdict.CodeUnknownService)
 	f.Deps.Stale = func() bool { return true }
 	_, err = f.Run(context.Background(), r)
-	is.Equal(err.Code, verdict.CodeUnavailable) // it may be there by now
+	is.Equal(err.Code, verdict.CodeUnavailable) // the route may exist by now
 }
--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -16,18 +16,18 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// staleOwner is a pool's owner that was not run for a while: it grants engines
-// that have begun to leave meanwhile, unless it is told to avoid them.
+// staleOwner is a pool's owner that was frozen for a while: it grants engines
+// that have started leaving in the meantime, unless the request avoids them.
 type staleOwner struct {
 	prefills, decodes []id.Endpoint
-	ended             []sched.Progress
+	progress          []sched.Progress
 }
 
 // Pair implements Pairer.
 func (o *staleOwner) Pair(_ context.Context, w sched.Want, _ time.Duration) (sched.Grant, *verdict.Error) {
-	g := sched.Grant{Request: w.Request, Decode: firstNot(w.Avoid, o.decodes), Reservation: 1}
+	g := sched.Grant{Request: w.Request, Decode: firstNotIn(w.Avoid, o.decodes), Reservation: 1}
 	if !w.Prefilled {
-		g.Prefill = firstNot(w.Avoid, o.prefills)
+		g.Prefill = firstNotIn(w.Avoid, o.prefills)
 	}
 	if g.Decode == "" {
 		return g, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "no engine is left")
@@ -36,9 +36,9 @@
 }
 
 // Progress implements Pairer.
-func (o *staleOwner) Progress(p sched.Progress) { o.ended = append(o.ended, p) }
+func (o *staleOwner) Progress(p sched.Progress) { o.progress = append(o.progress, p) }
 
-func firstNot(avoid, all []id.Endpoint) id.Endpoint {
+func firstNotIn(avoid, all []id.Endpoint) id.Endpoint {
 	for _, e := range all {
 		if !slices.Contains(avoid, e) {
 			return e
@@ -47,18 +47,18 @@
 	return ""
 }
 
-// recorded are engines that note which of them were sent what.
-type recorded struct {
+// recordingEngines records the engines that got a prefill or a decode.
+type recordingEngines struct {
 	Endpoints
 	prefilled, decoded []id.Endpoint
-	// afterPrefill runs when a prompt has been read.
+	// afterPrefill runs after each prefill.
 	afterPrefill func()
-	// freed takes a token for each KV cache that is freed.
+	// freed receives a value for each KV cache that is freed.
 	freed chan struct{}
 }
 
 // Prefill implements Endpoints.
-func (r *recorded) Prefill(_ context.Context, a *Attempt) (KV, *verdict.Error) {
+func (r *recordingEngines) Prefill(_ context.Context, a *Attempt) (KV, *verdict.Error) {
 	r.prefilled = append(r.prefilled, a.Endpoint.Name)
 	if r.afterPrefill != nil {
 		r.afterPrefill()
@@ -67,29 +67,29 @@
 }
 
 // Decode implements Endpoints.
-func (r *recorded) Decode(_ context.Context, a *Attempt, _ KV) (*Opened, *verdict.Error) {
+func (r *recordingEngines) Decode(_ context.Context, a *Attempt, _ KV) (*Opened, *verdict.Error) {
 	r.decoded = append(r.decoded, a.Endpoint.Name)
-	return &Opened{Status: 200, Events: noEvents{}}, nil
+	return &Opened{Status: 200, Events: emptyStream{}}, nil
 }
 
 // Free implements Endpoints.
-func (r *recorded) Free(context.Context, registry.Endpoint, KV) { r.freed <- struct{}{} }
+func (r *recordingEngines) Free(context.Context, registry.Endpoint, KV) { r.freed <- struct{}{} }
 
-// noEvents is a stream without events.
-type noEvents struct{}
+// emptyStream is a stream without events.
+type emptyStream struct{}
 
 // Read implements io.Reader.
-func (noEvents) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyStream) Read([]byte) (int, error) { return 0, io.EOF }
 
 // Close implements io.Closer.
-func (noEvents) Close() error { return nil }
+func (emptyStream) Close() error { return nil }
 
 // SetReadDeadline implements EventStream.
-func (noEvents) SetReadDeadline(time.Time) error { return nil }
+func (emptyStream) SetReadDeadline(time.Time) error { return nil }
 
-// streamTest gives a pipeline before two prefill and two decode engines, and
-// what marks one of them as leaving.
-func streamTest(t *testing.T, engines *recorded, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
+// newStreamTest returns a Forwarder with two prefill and two decode engines, a
+// request, and a function that marks an engine as leaving.
+func newStreamTest(t *testing.T, engines *recordingEngines, owner Pairer) (f *Forwarder, r *Request, leave func(id.Endpoint)) {
 	t.Helper()
 	f, r = newTest(t, engines)
 	routes, err := route.NewTable(route.Config{
@@ -119,42 +119,42 @@
 	return f, r, leave
 }
 
-// TestAnOwnerThatKnowsLessSendsNothingToALeavingEngine: the daemon of a pool's
-// owner was frozen for seven seconds. When it woke, it granted engines whose
-// leaving the store had accepted 3.07 s before, which all other daemons had
-// known of since 13 ms after that; they sent the requests there all the same,
-// which engines that leave do not have to serve. Lines of the owner:
+// TestGrantOfLeavingEngineIsReturned guards against requests to leaving engines,
+// which do not have to serve them. The daemon of a pool's owner was frozen for
+// seven seconds. When it resumed, it granted engines that the store had listed as
+// leaving for 3.07 s. All other daemons had received that change within 13 ms,
+// but still sent the requests to these engines. Log lines of the owner:
 //
 //	member_stalled late=6.797878117s
 //	endpoint_changed endpoint=... leaving=true   (3.18 s after the others)
-func TestAnOwnerThatKnowsLessSendsNothingToALeavingEngine(t *testing.T) {
+func TestGrantOfLeavingEngineIsReturned(t *testing.T) {
 	t.Run("decode", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		leave("d1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
 		is.Equal(engines.decoded, []id.Endpoint{"d2"})
-		is.Equal(engines.prefilled, []id.Endpoint{"p1"})     // the prompt is read once
-		is.Equal(owner.ended[0].Phase, sched.PhaseCancelled) // the owner has its grant back
+		is.Equal(engines.prefilled, []id.Endpoint{"p1"})        // one prefill only
+		is.Equal(owner.progress[0].Phase, sched.PhaseCancelled) // the grant is returned to the owner
 	})
 	t.Run("prefill", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1", "p2"}, decodes: []id.Endpoint{"d1"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		leave("p1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
 		is.Equal(engines.prefilled, []id.Endpoint{"p2"})
 	})
-	t.Run("leaving while the prompt is read", func(t *testing.T) {
+	t.Run("leaving during the prefill", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1", "d2"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		engines.afterPrefill = func() { leave("d1") }
 		_, err := f.Run(context.Background(), r)
 		is.True(err == nil)
@@ -162,26 +162,26 @@
 	})
 	t.Run("no other engine", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{}
+		engines := &recordingEngines{}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		leave("d1")
 		_, err := f.Run(context.Background(), r)
 		is.True(err != nil)
-		is.Equal(err.Verdict, verdict.NotRun) // and the caller is told so
+		is.Equal(err.Verdict, verdict.NotRun) // as returned to the caller
 		is.Equal(len(engines.decoded), 0)
-		is.Equal(len(engines.prefilled), 0) // nor is its prompt read
+		is.Equal(len(engines.prefilled), 0) // no prefill either
 	})
-	t.Run("none is left when the prompt was read", func(t *testing.T) {
+	t.Run("no engine left after the prefill", func(t *testing.T) {
 		is := is.New(t)
-		engines := &recorded{freed: make(chan struct{}, 1)}
+		engines := &recordingEngines{freed: make(chan struct{}, 1)}
 		owner := &staleOwner{prefills: []id.Endpoint{"p1"}, decodes: []id.Endpoint{"d1"}}
-		f, r, leave := streamTest(t, engines, owner)
+		f, r, leave := newStreamTest(t, engines, owner)
 		engines.afterPrefill = func() { leave("d1") }
 		_, err := f.Run(context.Background(), r)
 		is.True(err != nil)
 		is.Equal(err.Verdict, verdict.NotRun)
 		is.Equal(len(engines.decoded), 0)
-		<-engines.freed // no memory is held for it
+		<-engines.freed // the KV cache is freed
 	})
 }
--- a/daemon/forward/poison_test.go
+++ b/daemon/forward/poison_test.go
@@ -9,9 +9,9 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// deadly breaks the endpoints that get the given target.
-func deadly(target string) *scripted {
-	return &scripted{answer: func(a *Attempt) (*Reply, *verdict.Error) {
+// crashingOn returns endpoints that crash on requests for the given target.
+func crashingOn(target string) *fakeEndpoints {
+	return &fakeEndpoints{answer: func(a *Attempt) (*Reply, *verdict.Error) {
 		if a.Request.Target == target {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the connection broke")
 		}
@@ -19,10 +19,11 @@
 	}}
 }
 
-// TestARequestThatBreaksThreeEndpointsIsRefused under any id; others are not.
-func TestARequestThatBreaksThreeEndpointsIsRefused(t *testing.T) {
+// TestRequestThatCrashesThreeEndpointsIsQuarantined checks that such a request is
+// refused under any id, and that other requests are not.
+func TestRequestThatCrashesThreeEndpointsIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	s := deadly("/again/x")
+	s := crashingOn("/again/x")
 	f, r := newTest(t, s)
 	for range 5 {
 		_, err := f.Run(context.Background(), r)
@@ -38,10 +39,12 @@
 	is.Equal(err, nil)
 }
 
-// TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot: an earlier sending has.
-func TestARefusalOfWhatMayRunOnceDoesNotPromiseThatItHasNot(t *testing.T) {
+// TestQuarantinedNonIdempotentRequestMayHaveRun checks that the refusal of a
+// non-idempotent request has the verdict MayHaveRun: an earlier attempt may have
+// run.
+func TestQuarantinedNonIdempotentRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	s := deadly("/once/x")
+	s := crashingOn("/once/x")
 	f, r := newTest(t, s)
 	r.Path, r.Target = "/once/x", "/once/x"
 	for range 4 {
@@ -51,10 +54,11 @@
 	is.Equal(len(s.sent), 3)
 }
 
-// TestARequestThatAnEndpointFinishedIsCleared: endpoints break for other reasons.
-func TestARequestThatAnEndpointFinishedIsCleared(t *testing.T) {
+// TestFinishedRequestIsCleared checks that the evidence against a request is
+// cleared when an endpoint finishes it: endpoints also crash for other reasons.
+func TestFinishedRequestIsCleared(t *testing.T) {
 	is := is.New(t)
-	s := &scripted{}
+	s := &fakeEndpoints{}
 	s.answer = func(a *Attempt) (*Reply, *verdict.Error) {
 		if len(s.sent)%2 == 1 {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the connection broke")
@@ -62,7 +66,7 @@
 		return &Reply{Status: 200}, nil
 	}
 	f, r := newTest(t, s)
-	const calls = 5 // within the service's bound on repeats
+	const calls = 5 // within the service's retry limit
 	for range calls {
 		_, err := f.Run(context.Background(), r)
 		is.Equal(err, nil)
@@ -70,11 +74,12 @@
 	is.Equal(len(s.sent), 2*calls)
 }
 
-// TestAnotherCallersOrPromptsRequestIsNotRefused: streams of one target differ
-// in no more than that.
-func TestAnotherCallersOrPromptsRequestIsNotRefused(t *testing.T) {
+// TestFingerprintIncludesCallerAndPrompt checks that requests of another caller
+// or with another prompt are not refused: streams of one target differ in nothing
+// else.
+func TestFingerprintIncludesCallerAndPrompt(t *testing.T) {
 	is := is.New(t)
-	s := deadly("/again/x")
+	s := crashingOn("/again/x")
 	f, r := newTest(t, s)
 	for _, change := range []func(){
 		func() { r.Caller = "10.0.0.1" },
--- a/daemon/forward/record.go
+++ b/daemon/forward/record.go
@@ -9,21 +9,21 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// record writes a request's line and counts it.
+// record logs the end of a request and updates the metrics.
 func (f *Forwarder) record(r *Request, t *trace, reply *Reply, err *verdict.Error) {
 	took := f.Now() - r.Arrived
 	outcome, status := "answered", 0
 	kv := []any{"request", r.ID}
 	if t.route != nil {
 		kv = append(kv, "route", t.route.Name, "service", t.service, "kind", t.route.Kind,
-			"target", t.route.TargetLatency, "print", shortPrint(r, t))
+			"target", t.route.TargetLatency, "print", shortFingerprint(r, t))
 	}
 	if t.team != nil {
 		kv = append(kv, "team", t.team.Name, "config_age", t.configAge)
 	}
 	kv = append(kv, "config", t.config, "registry", t.registry, "attempts", t.attempts, "endpoint", t.endpoint)
 	if t.prefill != "" {
-		kv = append(kv, "prefill", t.prefill, "waited", t.waited, "read", t.read, "first", t.first)
+		kv = append(kv, "prefill", t.prefill, "waited", t.engineWait, "read", t.prefillTime, "first", t.firstEventTime)
 	}
 	if t.unlisted > 0 {
 		kv = append(kv, "unlisted", t.unlisted)
@@ -42,7 +42,7 @@
 		kv = append(kv, "in_time", inTime(t, took))
 	}
 	kv = append(kv, "outcome", outcome, "status", status, "took", took, "reason", t.reason)
-	f.stats.ended(outcome, took)
+	f.stats.recordOutcome(outcome, took)
 	if err == nil && !reply.Failed() {
 		f.Log.Routine("request", kv...)
 		return
@@ -50,30 +50,32 @@
 	f.Log.Event("request", kv...)
 }
 
-// noteSent counts what is sent to an endpoint that the store no longer lists.
-func (f *Forwarder) noteSent(t *trace, e registry.Endpoint) {
+// countUnlisted counts an attempt if the store no longer lists its endpoint.
+func (f *Forwarder) countUnlisted(t *trace, e registry.Endpoint) {
 	if e.Unlisted() {
 		t.unlisted++
-		f.stats.unlisted.Inc()
+		f.stats.sentUnlisted.Inc()
 	}
 }
 
-// printBytes of a fingerprint tell the requests of a day apart: among a million,
-// two are alike with a chance of 3 in 100 million.
-const printBytes = 8
+// loggedFingerprintBytes is how many bytes of a fingerprint are logged. They
+// distinguish the requests of a day: among a million, the chance that two
+// collide is 3 in 100 million.
+const loggedFingerprintBytes = 8
 
-// shortPrint is the beginning of a request's fingerprint: its caller's next
-// attempt has another id and the same fingerprint.
-func shortPrint(r *Request, t *trace) string {
-	print := printOf(r, t)
-	return hex.EncodeToString(print[:printBytes])
+// shortFingerprint is the start of a request's fingerprint, in hex. It is logged
+// since the caller's next attempt has another id but the same fingerprint.
+func shortFingerprint(r *Request, t *trace) string {
+	full := fingerprintOf(r, t)
+	return hex.EncodeToString(full[:loggedFingerprintBytes])
 }
 
-// inTime says whether an answer came as its route's callers expect it.
+// inTime reports whether an answer met the target latency and the target gap of
+// its route.
 func inTime(t *trace, took time.Duration) bool {
 	answered := took
 	if t.route.Kind == route.Stream {
-		answered = t.first
+		answered = t.firstEventTime
 	}
-	return answered <= t.route.TargetLatency && (t.route.TargetGap == 0 || t.gap <= t.route.TargetGap)
+	return answered <= t.route.TargetLatency && (t.route.TargetGap == 0 || t.maxGap <= t.route.TargetGap)
 }
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -6,34 +6,34 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// stats are the pipeline's metrics.
+// stats holds the metrics of a Forwarder.
 type stats struct {
-	outcomes *metrics.CounterMap
-	unpaid   *metrics.Counter
-	wasted   *metrics.Counter
-	stale    *metrics.Counter
-	unlisted *metrics.Counter
-	resumed  *metrics.Counter
-	took     *metrics.Latency
-	first    *metrics.Latency
-	waited   *metrics.Latency
+	outcomes       *metrics.CounterMap
+	deniedRetries  *metrics.Counter
+	wastedPrefills *metrics.Counter
+	refusedStale   *metrics.Counter
+	sentUnlisted   *metrics.Counter
+	resumedStreams *metrics.Counter
+	requestTime    *metrics.Latency
+	firstEvent     *metrics.Latency
+	engineWait     *metrics.Latency
 }
 
 func newStats(r *metrics.Registry) stats {
 	return stats{
-		outcomes: r.CounterMap("forward_outcomes", metrics.UnitCount, "Ended requests, by outcome."),
-		unpaid:   r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
-		wasted:   r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
-		stale:    r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
-		unlisted: r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
-		resumed:  r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
-		took:     r.Latency("forward_request_time", "Time from a request's arrival to its end."),
-		first:    r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
-		waited:   r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
+		outcomes:       r.CounterMap("forward_outcomes", metrics.UnitCount, "Ended requests, by outcome."),
+		deniedRetries:  r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
+		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
+		refusedStale:   r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
+		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
+		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
+		requestTime:    r.Latency("forward_request_time", "Time from a request's arrival to its end."),
+		firstEvent:     r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
+		engineWait:     r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
 	}
 }
 
-func (s *stats) ended(outcome string, took time.Duration) {
+func (s *stats) recordOutcome(outcome string, took time.Duration) {
 	s.outcomes.Add(outcome, 1)
-	s.took.Record(took)
+	s.requestTime.Record(took)
 }
--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -16,14 +16,14 @@
 
 // Answer is an endpoint's answer. It must be closed.
 type Answer struct {
-	pool    *Pool
-	address string
-	conn    *conn
-	resp    *fasthttp.Response
-	stop    func() bool
-	// whole is set once the answer was read to its end.
-	whole bool
-	once  sync.Once
+	pool         *Pool
+	address      string
+	conn         *conn
+	resp         *fasthttp.Response
+	stopWatching func() bool
+	// complete is set once the answer was read to its end.
+	complete bool
+	once     sync.Once
 }
 
 // Status is the answer's status code.
@@ -32,7 +32,7 @@
 // Header is the answer's header, valid until Close.
 func (a *Answer) Header() *fasthttp.ResponseHeader { return &a.resp.Header }
 
-// Body is the whole body of an answer that is no stream, valid until Close.
+// Body is the whole body of an answer that is not streamed, valid until Close.
 func (a *Answer) Body() []byte { return a.resp.Body() }
 
 // exchange writes the request and reads the answer that belongs to it.
@@ -53,39 +53,39 @@
 	return nil
 }
 
-// read reads answers until the one that belongs to the request: a late answer
-// to an earlier request may come before it.
+// read reads answers up to the one that belongs to the request: a late answer to
+// an earlier request may precede it.
 func (a *Answer) read(c *Call) error {
-	for range maxForeign + 1 {
+	for range maxForeignAnswers + 1 {
 		a.resp.Reset()
 		a.resp.SkipBody = c.Request.Header.IsHead()
 		a.resp.StreamBody = c.Stream
 		if err := a.resp.ReadLimitBody(a.conn.reader, a.pool.opts.MaxBodyBytes); err != nil {
 			return err
 		}
-		a.whole = !c.Stream || a.resp.SkipBody
-		if !a.foreign(c) {
+		a.complete = !c.Stream || a.resp.SkipBody
+		if !a.isForeign(c) {
 			return nil
 		}
 		a.pool.foreign.Inc()
-		if err := a.skip(); err != nil {
+		if err := a.discardBody(); err != nil {
 			return err
 		}
 	}
-	return errors.New("only answers to other requests came")
+	return errors.New("received only answers to other requests")
 }
 
-// foreign says whether the answer bears another request's id.
-func (a *Answer) foreign(c *Call) bool {
+// isForeign reports whether the answer has another request's id.
+func (a *Answer) isForeign(c *Call) bool {
 	if c.ID == "" || a.pool.opts.IDHeader == "" {
 		return false
 	}
-	repeated := a.resp.Header.Peek(a.pool.opts.IDHeader)
-	return len(repeated) > 0 && string(repeated) != c.ID
+	returned := a.resp.Header.Peek(a.pool.opts.IDHeader)
+	return len(returned) > 0 && string(returned) != c.ID
 }
 
-// skip reads an answer to its end.
-func (a *Answer) skip() error {
+// discardBody reads a streamed body to its end and discards it.
+func (a *Answer) discardBody() error {
 	if a.resp.BodyStream() == nil {
 		return nil
 	}
@@ -93,8 +93,8 @@
 	return err
 }
 
-// Read reads the body of a stream as it comes. It gives io.EOF only at the
-// body's proper end.
+// Read reads the body of a stream as it arrives. It returns io.EOF only at the
+// regular end of the body.
 func (a *Answer) Read(b []byte) (int, error) {
 	body := a.resp.BodyStream()
 	if body == nil {
@@ -102,15 +102,16 @@
 	}
 	n, err := body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// Rest reads what is left of a stream that is short, up to max bytes.
-func (a *Answer) Rest(most int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, most+1))
-	if err == nil && int64(len(body)) > most {
+// Rest reads the remaining body of a short stream, at most limit bytes. It
+// returns an error if the body is longer.
+func (a *Answer) Rest(limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(a, limit+1))
+	if err == nil && int64(len(body)) > limit {
 		err = errors.New("the body is too large")
 	}
 	return body, err
@@ -119,40 +120,42 @@
 // SetReadDeadline bounds the next reads of a stream.
 func (a *Answer) SetReadDeadline(t time.Time) error { return a.conn.SetReadDeadline(t) }
 
-// Close ends the exchange. The connection is kept only if the answer was read
-// to its end, nothing came behind it, and its endpoint keeps it as well.
+// Close ends the exchange. The connection is kept for reuse only if the answer
+// was read to its end, no bytes follow it, and the endpoint keeps the connection
+// open as well.
 func (a *Answer) Close() {
 	a.once.Do(func() {
-		life, reusable := a.keepFor()
-		stopped := a.stop()
+		life, reusable := a.idleLife()
+		stopped := a.stopWatching()
 		if reusable && stopped && a.conn.SetDeadline(time.Time{}) == nil {
 			fasthttp.ReleaseResponse(a.resp)
-			a.pool.keep(a.address, a.conn, life)
+			a.pool.putIdle(a.address, a.conn, life)
 			return
 		}
-		// Closed first, since releasing a stream reads what is left of it.
+		// Close the connection first, since releasing a streamed response reads
+		// its remaining body.
 		_ = a.conn.Close()
-		a.pool.forget(a.address)
+		a.pool.releaseSlot(a.address)
 		fasthttp.ReleaseResponse(a.resp)
 	})
 }
 
-// keepFor is how long the connection may be kept, if it may.
-func (a *Answer) keepFor() (time.Duration, bool) {
+// idleLife is how long the connection may stay idle; false if it must be closed.
+func (a *Answer) idleLife() (time.Duration, bool) {
 	h := &a.resp.Header
 	unframed := h.ContentLength() == -2
-	if !a.whole || unframed || h.ConnectionClose() || a.conn.reader.Buffered() > 0 {
+	if !a.complete || unframed || h.ConnectionClose() || a.conn.reader.Buffered() > 0 {
 		return 0, false
 	}
-	said, ok := keepAliveTimeout(string(h.Peek("Keep-Alive")))
+	timeout, ok := keepAliveTimeout(string(h.Peek("Keep-Alive")))
 	if !ok {
 		return a.pool.opts.IdleLife, true
 	}
-	life := said - a.pool.opts.IdleMargin
+	life := timeout - a.pool.opts.IdleMargin
 	return life, life > 0
 }
 
-// keepAliveTimeout reads "timeout=5" out of a Keep-Alive header.
+// keepAliveTimeout parses the timeout of a Keep-Alive header, as in "timeout=5".
 func keepAliveTimeout(header string) (time.Duration, bool) {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -1,7 +1,8 @@
-// Package upstream exchanges requests with endpoints on kept connections. Each
-// request is written once and never repeated in here, and every error says
-// whether the request may have run. It knows no endpoint's interface: headers
-// and bodies are the caller's.
+// Package upstream sends requests to endpoints over a pool of HTTP/1.1 keep-alive
+// connections. Each request is written once and never retried by this package,
+// and the verdict of every error states whether the request may have run. The
+// package doesn't interpret bodies, nor headers other than Options.IDHeader and
+// those that concern the connection.
 package upstream
 
 import (
@@ -21,27 +22,27 @@
 	"github.com/samphirequay/samphirequay/endpoint/netconn"
 )
 
-// Options of a Pool; zero fields take the defaults.
+// Options configures a Pool; zero fields take the defaults.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
-	// IdleLife is how long a connection is kept unused where its endpoint does
-	// not say how long it keeps it.
+	// IdleLife is how long an idle connection is kept if its endpoint sends no
+	// Keep-Alive timeout.
 	IdleLife time.Duration
-	// IdleMargin is taken off the time that an endpoint says.
+	// IdleMargin is subtracted from the Keep-Alive timeout that an endpoint sends.
 	IdleMargin time.Duration
-	// MaxBodyBytes bounds the body of an answer that is read whole.
+	// MaxBodyBytes bounds the body of an answer that is not streamed.
 	MaxBodyBytes int
-	// IDHeader is the header in which endpoints repeat a request's id.
+	// IDHeader is the header in which endpoints return a request's id.
 	IDHeader string
-	// Metrics takes the counters.
+	// Metrics is the registry for the pool's counters.
 	Metrics *metrics.Registry
 }
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout is some round trips between failure domains, and more
-	// than a busy endpoint takes to accept.
+	// DefaultDialTimeout is several round trips between failure domains, and longer
+	// than a busy endpoint takes to accept a connection.
 	DefaultDialTimeout  = 250 * time.Millisecond
 	DefaultIdleLife     = 900 * time.Millisecond
 	DefaultIdleMargin   = 600 * time.Millisecond
@@ -61,16 +62,17 @@
 	opts   Options
 	dialer netconn.Dialer
 
-	mu    sync.Mutex
-	hosts map[string]*host
+	mu        sync.Mutex
+	addresses map[string]*addressConns
 
 	dialled *metrics.Counter
-	kept    *metrics.Counter
+	reused  *metrics.Counter
 	foreign *metrics.Counter
 }
 
-// host holds the connections to one address.
-type host struct {
+// addressConns holds the connections to one address: the number that is open, and
+// the idle ones, the last used at the end.
+type addressConns struct {
 	open int
 	idle []*conn
 }
@@ -79,8 +81,9 @@
 type conn struct {
 	*netconn.Conn
 	reader *bufio.Reader
-	// until is when it is too old to be used again; unused since idleSince.
-	until     time.Time
+	// expires is when the connection is too old to be reused; it is idle since
+	// idleSince.
+	expires   time.Time
 	idleSince time.Time
 }
 
@@ -88,50 +91,52 @@
 func New(o Options) *Pool {
 	o = o.withDefaults()
 	return &Pool{
-		opts:    o,
-		dialer:  dialer(o.DialTimeout),
-		hosts:   map[string]*host{},
-		dialled: o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
-		kept:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
-		foreign: o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
+		opts:      o,
+		dialer:    newDialer(o.DialTimeout),
+		addresses: map[string]*addressConns{},
+		dialled:   o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
+		reused:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
+		foreign:   o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
 	}
 }
 
-// Call is one exchange.
+// Call describes one exchange with an endpoint.
 type Call struct {
 	// Address is IP:port.
 	Address string
-	// Request is written once; Do does not keep it.
+	// Request is written once; Do does not retain it.
 	Request *fasthttp.Request
-	// ID is the request's id, which the endpoint repeats; empty for none.
+	// ID is the request's id, which the endpoint returns in IDHeader; empty for
+	// none.
 	ID string
-	// Until is when the answer, or the head of a stream, must be there.
+	// Until is when the answer, or the header of a stream, must have arrived.
 	Until time.Time
 	// MaxConns bounds the connections to the address; 0 for no bound.
 	MaxConns int
-	// Careful prefers a new connection to one that its endpoint may be closing
-	// right now: for requests that can't be repeated.
+	// Careful prefers a new connection to an idle one that its endpoint may be
+	// closing right now. It is set for requests that must not run more than once.
 	Careful bool
-	// Stream leaves the body to be read as it comes.
+	// Stream leaves the body to be read with Answer.Read as it arrives.
 	Stream bool
 }
 
-// maxForeign is how many answers to other requests are skipped on a connection.
-const maxForeign = 2
+// maxForeignAnswers is how many answers to other requests are skipped on a
+// connection.
+const maxForeignAnswers = 2
 
-// Do sends the request and reads the answer, which must be closed. A caller's
-// leaving closes the connection at once; the deadline of ctx leaves what has
-// arrived.
+// Do sends the request and reads the answer, which must be closed. If the caller
+// cancels ctx, the connection is closed at once; at the deadline of ctx, bytes
+// that have arrived can still be read.
 func (p *Pool) Do(ctx context.Context, c *Call) (*Answer, *verdict.Error) {
 	if err := ctx.Err(); err != nil {
-		return nil, notRun(c, endedCode(err), err)
+		return nil, notRun(c, contextErrorCode(err), err)
 	}
 	used, err := p.connect(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	a := &Answer{pool: p, address: c.Address, conn: used, resp: fasthttp.AcquireResponse()}
-	a.stop = used.EndWith(ctx)
+	a.stopWatching = used.EndWith(ctx)
 	if err := a.exchange(ctx, c); err != nil {
 		a.Close()
 		return nil, err
@@ -141,188 +146,192 @@
 
 func (p *Pool) connect(ctx context.Context, c *Call) (*conn, *verdict.Error) {
 	if kept := p.takeIdle(c); kept != nil {
-		p.kept.Inc()
+		p.reused.Inc()
 		return kept, nil
 	}
-	if !p.reserve(c) {
-		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to it are in use"))
+	if !p.reserveSlot(c) {
+		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to the endpoint are in use"))
 	}
-	made, err := p.dialer.Dial(ctx, c.Address)
+	dialed, err := p.dialer.Dial(ctx, c.Address)
 	if err != nil {
-		p.forget(c.Address)
-		return nil, notRun(c, dialCode(ctx), err)
+		p.releaseSlot(c.Address)
+		return nil, notRun(c, dialErrorCode(ctx), err)
 	}
 	p.dialled.Inc()
-	return &conn{Conn: made, reader: bufio.NewReader(made)}, nil
+	return &conn{Conn: dialed, reader: bufio.NewReader(dialed)}, nil
 }
 
-// dialCode names the cause of a failed dial: a caller who left tells nothing
-// about the endpoint.
-func dialCode(ctx context.Context) verdict.Code {
+// dialErrorCode is the code of a failed dial. A cancellation by the caller doesn't
+// count as a failure of the endpoint.
+func dialErrorCode(ctx context.Context) verdict.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return verdict.CodeCallerGone
 	}
 	return verdict.CodeUnavailable
 }
 
-// reserve counts a new connection, if the bound allows it.
-func (p *Pool) reserve(c *Call) bool {
+// reserveSlot counts a new connection to the call's address; false if MaxConns is
+// reached.
+func (p *Pool) reserveSlot(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.host(c.Address)
-	if c.MaxConns > 0 && h.open >= c.MaxConns {
+	conns := p.connsTo(c.Address)
+	if c.MaxConns > 0 && conns.open >= c.MaxConns {
 		return false
 	}
-	h.open++
+	conns.open++
 	return true
 }
 
-func (p *Pool) host(address string) *host {
-	h := p.hosts[address]
-	if h == nil {
-		h = &host{}
-		p.hosts[address] = h
+func (p *Pool) connsTo(address string) *addressConns {
+	conns := p.addresses[address]
+	if conns == nil {
+		conns = &addressConns{}
+		p.addresses[address] = conns
 	}
-	return h
+	return conns
 }
 
-// forget counts a connection as gone.
-func (p *Pool) forget(address string) {
+// releaseSlot counts a connection to the address as closed.
+func (p *Pool) releaseSlot(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
-	if h == nil {
+	conns := p.addresses[address]
+	if conns == nil {
 		return
 	}
-	h.open--
-	if h.open <= 0 && len(h.idle) == 0 {
-		delete(p.hosts, address)
+	conns.open--
+	if conns.open <= 0 && len(conns.idle) == 0 {
+		delete(p.addresses, address)
 	}
 }
 
-// carefulShare of a kept connection's life is used for requests that can't be
-// repeated: its endpoint may close it right when they are sent.
-const carefulShare = 2
+// carefulLifeDivisor divides the lifetime in which an idle connection is reused
+// for requests that must not run more than once: near its end the endpoint may
+// close the connection just as the request is sent.
+const carefulLifeDivisor = 2
 
-// takeIdle takes the connection that was used last and is certainly still good.
+// takeIdle returns the most recently used idle connection that is neither too old
+// nor closed, or nil. It closes the others that it finds.
 func (p *Pool) takeIdle(c *Call) *conn {
 	for {
-		k := p.popIdle(c.Address)
-		if k == nil {
+		cn := p.popIdle(c.Address)
+		if cn == nil {
 			return nil
 		}
 		now := time.Now()
-		old := now.After(k.until)
+		old := now.After(cn.expires)
 		if c.Careful {
-			old = old || now.Sub(k.idleSince) > k.until.Sub(k.idleSince)/carefulShare
+			old = old || now.Sub(cn.idleSince) > cn.expires.Sub(cn.idleSince)/carefulLifeDivisor
 		}
-		if old || !quiet(k) {
-			_ = k.Close()
-			p.forget(c.Address)
+		if old || !isQuiet(cn) {
+			_ = cn.Close()
+			p.releaseSlot(c.Address)
 			continue
 		}
-		return k
+		return cn
 	}
 }
 
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
-	if h == nil || len(h.idle) == 0 {
+	conns := p.addresses[address]
+	if conns == nil || len(conns.idle) == 0 {
 		return nil
 	}
-	last := len(h.idle) - 1
-	k := h.idle[last]
-	h.idle[last] = nil
-	h.idle = h.idle[:last]
-	return k
+	last := len(conns.idle) - 1
+	cn := conns.idle[last]
+	conns.idle[last] = nil
+	conns.idle = conns.idle[:last]
+	return cn
 }
 
-// keep puts a connection aside for the next request.
-func (p *Pool) keep(address string, k *conn, life time.Duration) {
-	k.idleSince = time.Now()
-	k.until = k.idleSince.Add(life)
+// putIdle keeps a connection for reuse by a later request.
+func (p *Pool) putIdle(address string, cn *conn, life time.Duration) {
+	cn.idleSince = time.Now()
+	cn.expires = cn.idleSince.Add(life)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.host(address)
-	h.idle = append(h.idle, k)
+	conns := p.connsTo(address)
+	conns.idle = append(conns.idle, cn)
 }
 
-// Forget closes the unused connections to an address: its endpoint is gone.
+// Forget closes the idle connections to an address whose endpoint is gone.
 func (p *Pool) Forget(address string) {
 	for {
-		k := p.popIdle(address)
-		if k == nil {
+		cn := p.popIdle(address)
+		if cn == nil {
 			return
 		}
-		_ = k.Close()
-		p.forget(address)
+		_ = cn.Close()
+		p.releaseSlot(address)
 	}
 }
 
-// Sweep closes the connections that are too old to be used again.
+// Sweep closes the idle connections that are too old to be reused.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	var old []*conn
 	p.mu.Lock()
-	for address, h := range p.hosts {
-		fresh := h.idle[:0]
-		for _, k := range h.idle {
-			if now.After(k.until) {
-				old = append(old, k)
-				h.open--
+	for address, conns := range p.addresses {
+		remaining := conns.idle[:0]
+		for _, cn := range conns.idle {
+			if now.After(cn.expires) {
+				old = append(old, cn)
+				conns.open--
 				continue
 			}
-			fresh = append(fresh, k)
+			remaining = append(remaining, cn)
 		}
-		clear(h.idle[len(fresh):])
-		h.idle = fresh
-		if h.open <= 0 && len(h.idle) == 0 {
-			delete(p.hosts, address)
+		clear(conns.idle[len(remaining):])
+		conns.idle = remaining
+		if conns.open <= 0 && len(conns.idle) == 0 {
+			delete(p.addresses, address)
 		}
 	}
 	p.mu.Unlock()
-	for _, k := range old {
-		_ = k.Close()
+	for _, cn := range old {
+		_ = cn.Close()
 	}
 }
 
-// Close closes the kept connections.
+// Close closes the idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, h := range p.hosts {
-		for _, k := range h.idle {
-			_ = k.Close()
+	for _, conns := range p.addresses {
+		for _, cn := range conns.idle {
+			_ = cn.Close()
 		}
 	}
-	p.hosts = map[string]*host{}
+	p.addresses = map[string]*addressConns{}
 }
 
 func notRun(c *Call, code verdict.Code, cause error) *verdict.Error {
 	return verdict.New(verdict.NotRun, code, "the request was not sent to %s", c.Address).WithCause(cause)
 }
 
-// endedCode tells a time limit from a caller that left.
-func endedCode(err error) verdict.Code {
+// contextErrorCode is the code for the error of an ended context: CodeDeadline or
+// CodeCallerGone.
+func contextErrorCode(err error) verdict.Code {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return verdict.CodeDeadline
 	}
 	return verdict.CodeCallerGone
 }
 
-// mayHaveRun names the cause of a failure after bytes were sent.
+// mayHaveRun returns the error for a failure after bytes were sent.
 func mayHaveRun(ctx context.Context, c *Call, cause error) *verdict.Error {
 	code := verdict.CodeEndpointFailed
 	switch {
 	case ctx.Err() != nil:
-		code = endedCode(ctx.Err())
+		code = contextErrorCode(ctx.Err())
 	case errors.Is(cause, os.ErrDeadlineExceeded), errors.Is(cause, fasthttp.ErrTimeout):
 		code = verdict.CodeDeadline
 	}
 	if cause == io.EOF {
-		cause = errors.New("it closed the connection without an answer")
+		cause = errors.New("the endpoint closed the connection without an answer")
 	}
-	return verdict.New(verdict.MayHaveRun, code, "the exchange with %s broke", c.Address).WithCause(cause)
+	return verdict.New(verdict.MayHaveRun, code, "the exchange with %s failed", c.Address).WithCause(cause)
 }
