--- a/core/pool/judge.go
+++ b/core/pool/judge.go
@@ -40,7 +40,7 @@
 		w.Suspect = true
 	}
 	unconfirmed := m.unconfirmed(now, f)
-	if unconfirmed+finding.Crashes >= maxPending && unconfirmed > 0 {
+	if unconfirmed+finding.Crashes >= maxUnconfirmedCrashes && unconfirmed > 0 {
 		return held(w.Request, heldRetryAfter)
 	}
 	if unconfirmed > 0 {
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -17,7 +17,7 @@
 const (
 	// maxPending is how many endpoints may have crashed under a request,
 	// unconfirmed, before it is held back.
-	maxPending = 2
+	maxUnconfirmedCrashes = 2
 	// pendingLife is how long an unconfirmed crash is remembered.
 	pendingLife = 5 * time.Second
 	// trackedLife is how long a request is tracked whose end is never reported,
