--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -19,7 +19,7 @@
 	// unconfirmed, before it is held back.
 	maxUnconfirmedCrashes = 2
 	// pendingLife is how long an unconfirmed crash is remembered.
-	pendingLife = 5 * time.Second
+	unconfirmedCrashTTL = 5 * time.Second
 	// trackedLife is how long a request is tracked whose end is never reported,
 	// as when the report was lost.
 	trackedLife = 5 * time.Minute
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -179,7 +179,7 @@
 	r.is.Equal(a.Refusal.Code, verdict.CodeUnavailable)
 	r.is.True(a.Refusal.RetryAfter > 0)
 	r.begin("d", "two") // another request is not
-	r.now += pendingLife
+	r.now += unconfirmedCrashTTL
 	r.Tick(r.now)
 	r.begin("e", "one") // nobody confirmed the crashes
 }
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -194,7 +194,7 @@
 func (m *Manager) unconfirmed(now time.Duration, f poison.Fingerprint) int {
 	count := 0
 	for _, p := range m.pending[f] {
-		if now-p.at < pendingLife {
+		if now-p.at < unconfirmedCrashTTL {
 			count++
 		}
 	}
