--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -22,7 +22,7 @@
 	unconfirmedCrashTTL = 5 * time.Second
 	// trackedLife is how long a request is tracked whose end is never reported,
 	// as when the report was lost.
-	trackedLife = 5 * time.Minute
+	trackedRequestTTL = 5 * time.Minute
 	// sweepEvery is the time between looks for such requests.
 	sweepEvery = 10 * time.Second
 	// drainLife is how long a drain holds that is not repeated.
@@ -254,7 +254,7 @@
 	}
 	m.swept = now
 	for _, r := range m.sortedRequests() {
-		if now-m.requests[r].since > trackedLife {
+		if now-m.requests[r].since > trackedRequestTTL {
 			m.forget(now, r, health.Withdrawn)
 		}
 	}
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -312,7 +312,7 @@
 func TestLostEndIsSwept(t *testing.T) {
 	r := newRig(t, 1)
 	r.begin("a", "one")
-	r.now += trackedLife + ms
+	r.now += trackedRequestTTL + ms
 	r.Tick(r.now)
 	s := r.Status(r.now)
 	r.is.Equal(s.Tracked+s.Working, 0)
