--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -24,7 +24,7 @@
 	// as when the report was lost.
 	trackedRequestTTL = 5 * time.Minute
 	// sweepEvery is the time between looks for such requests.
-	sweepEvery = 10 * time.Second
+	sweepInterval = 10 * time.Second
 	// drainLife is how long a drain holds that is not repeated.
 	drainLife = 2 * time.Second
 	// heldRetryAfter is advised to the caller of a request that is held back.
@@ -249,7 +249,7 @@
 
 // sweep forgets requests whose end was never reported.
 func (m *Manager) sweep(now time.Duration) {
-	if now-m.swept < sweepEvery {
+	if now-m.swept < sweepInterval {
 		return
 	}
 	m.swept = now
