--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -26,7 +26,7 @@
 	// sweepEvery is the time between looks for such requests.
 	sweepInterval = 10 * time.Second
 	// drainLife is how long a drain holds that is not repeated.
-	drainLife = 2 * time.Second
+	drainTTL = 2 * time.Second
 	// heldRetryAfter is advised to the caller of a request that is held back.
 	heldRetryAfter = time.Second
 )
@@ -205,7 +205,7 @@
 	was := now < m.drains[e]
 	delete(m.drains, e)
 	if on {
-		m.drains[e] = now + drainLife
+		m.drains[e] = now + drainTTL
 	}
 	report, known := m.reports[e]
 	if was == on {
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -216,7 +216,7 @@
 	r.is.Equal(r.Status(r.now).Leaving, []id.Endpoint{"prefill-0"})
 	r.notServed("a")
 	r.Withdraw(r.now, "a")
-	r.now += drainLife
+	r.now += drainTTL
 	r.report("prefill-0", 1)
 	r.is.Equal(len(r.Status(r.now).Leaving), 0)
 	r.begin("b", "one")
