--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -60,7 +60,7 @@
 	opts     Options
 	sched    sched.Scheduler
 	health   *health.Detector
-	requests map[id.Request]*tracked
+	requests map[id.Request]*trackedRequest
 	nodes    map[id.Endpoint]*node
 	pending  map[poison.Fingerprint][]pendingCrash
 	swept    time.Duration
@@ -74,7 +74,7 @@
 }
 
 // tracked is a request that holds a grant.
-type tracked struct {
+type trackedRequest struct {
 	want    sched.Want
 	print   poison.Fingerprint
 	prefill id.Endpoint
@@ -93,7 +93,7 @@
 	m := &Manager{
 		opts:     o,
 		health:   health.New(o.Health),
-		requests: make(map[id.Request]*tracked),
+		requests: make(map[id.Request]*trackedRequest),
 		nodes:    make(map[id.Endpoint]*node),
 		pending:  make(map[poison.Fingerprint][]pendingCrash),
 		drains:   make(map[id.Endpoint]time.Duration),
@@ -156,7 +156,7 @@
 		}
 	}
 	if _, ok := m.requests[w.Request]; !ok {
-		m.requests[w.Request] = &tracked{want: w, print: print, since: now}
+		m.requests[w.Request] = &trackedRequest{want: w, print: print, since: now}
 	}
 	return m.follow(now, m.sched.Want(now, w))
 }
@@ -185,7 +185,7 @@
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
 	m.forget(now, a.Want.Request, health.Withdrawn)
 	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
-	t := &tracked{want: a.Want, print: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, since: now}
+	t := &trackedRequest{want: a.Want, print: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, since: now}
 	m.requests[a.Want.Request] = t
 	m.enter(now, t)
 	return m.follow(now, m.sched.Adopt(now, a))
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -40,7 +40,7 @@
 }
 
 // observe follows a request through its phases.
-func (m *Manager) observe(now time.Duration, t *tracked, p sched.Progress) {
+func (m *Manager) observe(now time.Duration, t *trackedRequest, p sched.Progress) {
 	if p.PromptTokens > 0 {
 		t.prompt = p.PromptTokens - p.CachedTokens
 	}
@@ -66,12 +66,12 @@
 
 // elsewhere says whether a request decodes at another endpoint than is known:
 // its daemon did not get, or did not wait for, the binding of its grant.
-func (t *tracked) elsewhere(p sched.Progress) bool {
+func (t *trackedRequest) elsewhere(p sched.Progress) bool {
 	return p.Phase == sched.PhaseDecoding && p.Endpoint != "" && p.Endpoint != t.decode
 }
 
 // passed is the outcome of a phase that led to the next one.
-func (t *tracked) passed(p sched.Progress) health.Result {
+func (t *trackedRequest) passed(p sched.Progress) health.Result {
 	if t.elsewhere(p) {
 		return health.Result{Request: p.Request, Kind: health.Withdrawn}
 	}
@@ -79,7 +79,7 @@
 }
 
 // prefillPace is the time for each prompt token that the engine really read.
-func prefillPace(t *tracked, p sched.Progress) time.Duration {
+func prefillPace(t *trackedRequest, p sched.Progress) time.Duration {
 	if p.Phase != sched.PhaseTransferring || t.prompt <= 0 {
 		return 0
 	}
@@ -87,7 +87,7 @@
 }
 
 // place is the endpoint that has the request's work in its phase.
-func (t *tracked) place() id.Endpoint {
+func (t *trackedRequest) place() id.Endpoint {
 	switch t.phase {
 	case sched.PhasePrefilling:
 		return t.prefill
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *Manager) enter(now time.Duration, t *tracked) {
+func (m *Manager) enter(now time.Duration, t *trackedRequest) {
 	e := t.place()
 	if e == "" {
 		return
@@ -115,7 +115,7 @@
 )
 
 // expected is how long the work of the present phase may take without a sign.
-func (t *tracked) expected() time.Duration {
+func (t *trackedRequest) expected() time.Duration {
 	if t.phase == sched.PhasePrefilling {
 		return expectedOutput + time.Duration(t.want.PromptTokens)*expectedPerToken
 	}
@@ -124,7 +124,7 @@
 
 // leave ends the request's work where it is. Moving on within one endpoint is
 // no outcome.
-func (m *Manager) leave(now time.Duration, t *tracked, r health.Result) {
+func (m *Manager) leave(now time.Duration, t *trackedRequest, r health.Result) {
 	e := t.place()
 	if e == "" {
 		return
@@ -133,7 +133,7 @@
 	delete(m.node(e).running, t.want.Request)
 }
 
-func (m *Manager) done(now time.Duration, t *tracked, p sched.Progress) {
+func (m *Manager) done(now time.Duration, t *trackedRequest, p sched.Progress) {
 	pace := time.Duration(0)
 	if p.OutputTokens > 0 && !t.adopted {
 		pace = (now - t.since) / time.Duration(p.OutputTokens)
@@ -145,7 +145,7 @@
 	m.answered++
 }
 
-func (m *Manager) failed(now time.Duration, t *tracked, p sched.Progress) {
+func (m *Manager) failed(now time.Duration, t *trackedRequest, p sched.Progress) {
 	kind := outcomeOf(p)
 	at := t.place()
 	m.leave(now, t, health.Result{Request: p.Request, Kind: kind})
@@ -180,7 +180,7 @@
 
 // suspectCrash remembers that a request's connection broke and has the
 // endpoint looked at.
-func (m *Manager) suspectCrash(now time.Duration, t *tracked, e id.Endpoint) {
+func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.print, Team: t.want.Team}
 	m.node(e).lost[t.want.Request] = lostWork{suspect: suspect, at: now}
 	m.pending[t.print] = append(m.pending[t.print], pendingCrash{endpoint: e, at: now})
