--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -75,10 +75,10 @@
 
 // tracked is a request that holds a grant.
 type trackedRequest struct {
-	want    sched.Want
-	print   poison.Fingerprint
-	prefill id.Endpoint
-	decode  id.Endpoint
+	want        sched.Want
+	fingerprint poison.Fingerprint
+	prefill     id.Endpoint
+	decode      id.Endpoint
 	// reservation of the grant in use; a former grant's late report is ignored.
 	reservation uint64
 	// adopted work began before this owner knew of it: its pace is not known.
@@ -156,7 +156,7 @@
 		}
 	}
 	if _, ok := m.requests[w.Request]; !ok {
-		m.requests[w.Request] = &trackedRequest{want: w, print: print, since: now}
+		m.requests[w.Request] = &trackedRequest{want: w, fingerprint: print, since: now}
 	}
 	return m.follow(now, m.sched.Want(now, w))
 }
@@ -185,7 +185,7 @@
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
 	m.forget(now, a.Want.Request, health.Withdrawn)
 	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
-	t := &trackedRequest{want: a.Want, print: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, since: now}
+	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, since: now}
 	m.requests[a.Want.Request] = t
 	m.enter(now, t)
 	return m.follow(now, m.sched.Adopt(now, a))
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -104,7 +104,7 @@
 		return
 	}
 	m.health.Began(now, e, t.want.Request, t.expected())
-	m.node(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.print, Team: t.want.Team}
+	m.node(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 }
 
 const (
@@ -139,8 +139,8 @@
 		pace = (now - t.since) / time.Duration(p.OutputTokens)
 	}
 	m.leave(now, t, health.Result{Request: p.Request, Kind: health.OK, Latency: pace})
-	m.opts.Poison.Finished(m.wall(now), t.print)
-	delete(m.pending, t.print)
+	m.opts.Poison.Finished(m.wall(now), t.fingerprint)
+	delete(m.pending, t.fingerprint)
 	delete(m.requests, p.Request)
 	m.answered++
 }
@@ -181,9 +181,9 @@
 // suspectCrash remembers that a request's connection broke and has the
 // endpoint looked at.
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
-	suspect := poison.Suspect{Fingerprint: t.print, Team: t.want.Team}
+	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 	m.node(e).lost[t.want.Request] = lostWork{suspect: suspect, at: now}
-	m.pending[t.print] = append(m.pending[t.print], pendingCrash{endpoint: e, at: now})
+	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], pendingCrash{endpoint: e, at: now})
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
 	}
