--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -56,5 +56,5 @@
 	t.prefill = g.Prefill
 	t.decode = g.Decode
 	t.reservation = g.Reservation
-	t.since = now
+	t.updatedAt = now
 }
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -82,10 +82,10 @@
 	// reservation of the grant in use; a former grant's late report is ignored.
 	reservation uint64
 	// adopted work began before this owner knew of it: its pace is not known.
-	adopted bool
-	phase   sched.Phase
-	since   time.Duration
-	prompt  int
+	adopted   bool
+	phase     sched.Phase
+	updatedAt time.Duration
+	prompt    int
 }
 
 // New returns a Manager without configuration.
@@ -156,7 +156,7 @@
 		}
 	}
 	if _, ok := m.requests[w.Request]; !ok {
-		m.requests[w.Request] = &trackedRequest{want: w, fingerprint: print, since: now}
+		m.requests[w.Request] = &trackedRequest{want: w, fingerprint: print, updatedAt: now}
 	}
 	return m.follow(now, m.sched.Want(now, w))
 }
@@ -185,7 +185,7 @@
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
 	m.forget(now, a.Want.Request, health.Withdrawn)
 	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
-	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, since: now}
+	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
 	m.requests[a.Want.Request] = t
 	m.enter(now, t)
 	return m.follow(now, m.sched.Adopt(now, a))
@@ -254,7 +254,7 @@
 	}
 	m.swept = now
 	for _, r := range m.sortedRequests() {
-		if now-m.requests[r].since > trackedRequestTTL {
+		if now-m.requests[r].updatedAt > trackedRequestTTL {
 			m.forget(now, r, health.Withdrawn)
 		}
 	}
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -60,7 +60,7 @@
 		t.decode = p.Endpoint
 	}
 	t.phase = p.Phase
-	t.since = now
+	t.updatedAt = now
 	m.enter(now, t)
 }
 
@@ -136,7 +136,7 @@
 func (m *Manager) done(now time.Duration, t *trackedRequest, p sched.Progress) {
 	pace := time.Duration(0)
 	if p.OutputTokens > 0 && !t.adopted {
-		pace = (now - t.since) / time.Duration(p.OutputTokens)
+		pace = (now - t.updatedAt) / time.Duration(p.OutputTokens)
 	}
 	m.leave(now, t, health.Result{Request: p.Request, Kind: health.OK, Latency: pace})
 	m.opts.Poison.Finished(m.wall(now), t.fingerprint)
--- a/core/pool/reconcile.go
+++ b/core/pool/reconcile.go
@@ -19,7 +19,7 @@
 	var out []sched.Action
 	for _, r := range m.sortedRequests() {
 		t := m.requests[r]
-		ended := t.decode == e && t.phase == sched.PhaseDecoding && !held[r] && now-t.since >= reconcileAfter
+		ended := t.decode == e && t.phase == sched.PhaseDecoding && !held[r] && now-t.updatedAt >= reconcileAfter
 		if ended {
 			p := sched.Progress{Request: r, Reservation: t.reservation, Phase: sched.PhaseCancelled}
 			out = append(out, m.Progress(now, p)...)
