--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -82,10 +82,10 @@
 	// reservation of the grant in use; a former grant's late report is ignored.
 	reservation uint64
 	// adopted work began before this owner knew of it: its pace is not known.
-	adopted   bool
-	phase     sched.Phase
-	updatedAt time.Duration
-	prompt    int
+	adopted              bool
+	phase                sched.Phase
+	updatedAt            time.Duration
+	uncachedPromptTokens int
 }
 
 // New returns a Manager without configuration.
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -42,7 +42,7 @@
 // observe follows a request through its phases.
 func (m *Manager) observe(now time.Duration, t *trackedRequest, p sched.Progress) {
 	if p.PromptTokens > 0 {
-		t.prompt = p.PromptTokens - p.CachedTokens
+		t.uncachedPromptTokens = p.PromptTokens - p.CachedTokens
 	}
 	switch p.Phase {
 	case sched.PhaseFailed:
@@ -80,10 +80,10 @@
 
 // prefillPace is the time for each prompt token that the engine really read.
 func prefillPace(t *trackedRequest, p sched.Progress) time.Duration {
-	if p.Phase != sched.PhaseTransferring || t.prompt <= 0 {
+	if p.Phase != sched.PhaseTransferring || t.uncachedPromptTokens <= 0 {
 		return 0
 	}
-	return p.PrefillTime / time.Duration(t.prompt)
+	return p.PrefillTime / time.Duration(t.uncachedPromptTokens)
 }
 
 // place is the endpoint that has the request's work in its phase.
