--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -56,7 +56,7 @@
 		return
 	}
 	m.leave(now, t, t.passed(p))
-	if t.elsewhere(p) {
+	if t.decodesElsewhere(p) {
 		t.decode = p.Endpoint
 	}
 	t.phase = p.Phase
@@ -66,13 +66,13 @@
 
 // elsewhere says whether a request decodes at another endpoint than is known:
 // its daemon did not get, or did not wait for, the binding of its grant.
-func (t *trackedRequest) elsewhere(p sched.Progress) bool {
+func (t *trackedRequest) decodesElsewhere(p sched.Progress) bool {
 	return p.Phase == sched.PhaseDecoding && p.Endpoint != "" && p.Endpoint != t.decode
 }
 
 // passed is the outcome of a phase that led to the next one.
 func (t *trackedRequest) passed(p sched.Progress) health.Result {
-	if t.elsewhere(p) {
+	if t.decodesElsewhere(p) {
 		return health.Result{Request: p.Request, Kind: health.Withdrawn}
 	}
 	return health.Result{Request: p.Request, Kind: health.OK, Latency: prefillPace(t, p)}
