--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -55,7 +55,7 @@
 		m.done(now, t, p)
 		return
 	}
-	m.leave(now, t, t.passed(p))
+	m.leave(now, t, t.phaseOutcome(p))
 	if t.decodesElsewhere(p) {
 		t.decode = p.Endpoint
 	}
@@ -71,7 +71,7 @@
 }
 
 // passed is the outcome of a phase that led to the next one.
-func (t *trackedRequest) passed(p sched.Progress) health.Result {
+func (t *trackedRequest) phaseOutcome(p sched.Progress) health.Result {
 	if t.decodesElsewhere(p) {
 		return health.Result{Request: p.Request, Kind: health.Withdrawn}
 	}
