--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -87,7 +87,7 @@
 }
 
 // place is the endpoint that has the request's work in its phase.
-func (t *trackedRequest) place() id.Endpoint {
+func (t *trackedRequest) currentEndpoint() id.Endpoint {
 	switch t.phase {
 	case sched.PhasePrefilling:
 		return t.prefill
@@ -99,7 +99,7 @@
 }
 
 func (m *Manager) enter(now time.Duration, t *trackedRequest) {
-	e := t.place()
+	e := t.currentEndpoint()
 	if e == "" {
 		return
 	}
@@ -125,7 +125,7 @@
 // leave ends the request's work where it is. Moving on within one endpoint is
 // no outcome.
 func (m *Manager) leave(now time.Duration, t *trackedRequest, r health.Result) {
-	e := t.place()
+	e := t.currentEndpoint()
 	if e == "" {
 		return
 	}
@@ -147,7 +147,7 @@
 
 func (m *Manager) failed(now time.Duration, t *trackedRequest, p sched.Progress) {
 	kind := outcomeOf(p)
-	at := t.place()
+	at := t.currentEndpoint()
 	m.leave(now, t, health.Result{Request: p.Request, Kind: kind})
 	if p.Crashed && at != "" && at == p.Endpoint {
 		m.suspectCrash(now, t, at)
