--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -103,7 +103,7 @@
 	if e == "" {
 		return
 	}
-	m.health.Began(now, e, t.want.Request, t.expected())
+	m.health.Began(now, e, t.want.Request, t.firstOutputTimeout())
 	m.node(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 }
 
@@ -115,7 +115,7 @@
 )
 
 // expected is how long the work of the present phase may take without a sign.
-func (t *trackedRequest) expected() time.Duration {
+func (t *trackedRequest) firstOutputTimeout() time.Duration {
 	if t.phase == sched.PhasePrefilling {
 		return expectedOutput + time.Duration(t.want.PromptTokens)*expectedPerToken
 	}
