--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -109,7 +109,7 @@
 
 const (
 	// expectedOutput is how soon an endpoint should show a sign of its work.
-	expectedOutput = 300 * time.Millisecond
+	baseFirstOutput = 300 * time.Millisecond
 	// expectedPerToken is added for each prompt token that a prefill reads.
 	expectedPerToken = 50 * time.Microsecond
 )
@@ -117,9 +117,9 @@
 // expected is how long the work of the present phase may take without a sign.
 func (t *trackedRequest) firstOutputTimeout() time.Duration {
 	if t.phase == sched.PhasePrefilling {
-		return expectedOutput + time.Duration(t.want.PromptTokens)*expectedPerToken
+		return baseFirstOutput + time.Duration(t.want.PromptTokens)*expectedPerToken
 	}
-	return expectedOutput
+	return baseFirstOutput
 }
 
 // leave ends the request's work where it is. Moving on within one endpoint is
