--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -111,13 +111,13 @@
 	// expectedOutput is how soon an endpoint should show a sign of its work.
 	baseFirstOutput = 300 * time.Millisecond
 	// expectedPerToken is added for each prompt token that a prefill reads.
-	expectedPerToken = 50 * time.Microsecond
+	firstOutputPerToken = 50 * time.Microsecond
 )
 
 // expected is how long the work of the present phase may take without a sign.
 func (t *trackedRequest) firstOutputTimeout() time.Duration {
 	if t.phase == sched.PhasePrefilling {
-		return baseFirstOutput + time.Duration(t.want.PromptTokens)*expectedPerToken
+		return baseFirstOutput + time.Duration(t.want.PromptTokens)*firstOutputPerToken
 	}
 	return baseFirstOutput
 }
