--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -61,7 +61,7 @@
 	sched    sched.Scheduler
 	health   *health.Detector
 	requests map[id.Request]*trackedRequest
-	nodes    map[id.Endpoint]*node
+	nodes    map[id.Endpoint]*endpointState
 	pending  map[poison.Fingerprint][]pendingCrash
 	swept    time.Duration
 	// lost are endpoints found unreachable, not yet told to the scheduler.
@@ -94,7 +94,7 @@
 		opts:     o,
 		health:   health.New(o.Health),
 		requests: make(map[id.Request]*trackedRequest),
-		nodes:    make(map[id.Endpoint]*node),
+		nodes:    make(map[id.Endpoint]*endpointState),
 		pending:  make(map[poison.Fingerprint][]pendingCrash),
 		drains:   make(map[id.Endpoint]time.Duration),
 		reports:  make(map[id.Endpoint]sched.Load),
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -11,7 +11,7 @@
 )
 
 // node is what is known of one endpoint's process.
-type node struct {
+type endpointState struct {
 	incarnation id.Incarnation
 	// running are the requests whose work is there now.
 	running map[id.Request]poison.Suspect
@@ -30,10 +30,10 @@
 	at       time.Duration
 }
 
-func (m *Manager) node(e id.Endpoint) *node {
+func (m *Manager) node(e id.Endpoint) *endpointState {
 	n, ok := m.nodes[e]
 	if !ok {
-		n = &node{running: make(map[id.Request]poison.Suspect), lost: make(map[id.Request]lostWork)}
+		n = &endpointState{running: make(map[id.Request]poison.Suspect), lost: make(map[id.Request]lostWork)}
 		m.nodes[e] = n
 	}
 	return n
@@ -218,7 +218,7 @@
 }
 
 // resolve forgets broken connections of a process that turned out to run on.
-func (m *Manager) resolve(now time.Duration, e id.Endpoint, n *node, same bool) {
+func (m *Manager) resolve(now time.Duration, e id.Endpoint, n *endpointState, same bool) {
 	if !same || len(n.lost) == 0 {
 		return
 	}
@@ -226,7 +226,7 @@
 	m.settlePending(e)
 }
 
-func (m *Manager) crashed(now time.Duration, crash poison.CrashID, n *node) {
+func (m *Manager) crashed(now time.Duration, crash poison.CrashID, n *endpointState) {
 	suspects := suspectsOf(n)
 	clear(n.lost)
 	m.settlePending(crash.Endpoint)
@@ -237,7 +237,7 @@
 }
 
 // suspectsOf lists, in a fixed order, all that ran in the ended process.
-func suspectsOf(n *node) []poison.Suspect {
+func suspectsOf(n *endpointState) []poison.Suspect {
 	var out []poison.Suspect
 	for _, s := range n.running {
 		out = append(out, s)
