--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -16,7 +16,7 @@
 	// running are the requests whose work is there now.
 	running map[id.Request]poison.Suspect
 	// lost are those whose connection broke in a way that may mean a crash.
-	lost map[id.Request]lostWork
+	brokenConnections map[id.Request]lostWork
 }
 
 type lostWork struct {
@@ -33,7 +33,7 @@
 func (m *Manager) node(e id.Endpoint) *endpointState {
 	n, ok := m.nodes[e]
 	if !ok {
-		n = &endpointState{running: make(map[id.Request]poison.Suspect), lost: make(map[id.Request]lostWork)}
+		n = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]lostWork)}
 		m.nodes[e] = n
 	}
 	return n
@@ -182,7 +182,7 @@
 // endpoint looked at.
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
-	m.node(e).lost[t.want.Request] = lostWork{suspect: suspect, at: now}
+	m.node(e).brokenConnections[t.want.Request] = lostWork{suspect: suspect, at: now}
 	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], pendingCrash{endpoint: e, at: now})
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
@@ -219,16 +219,16 @@
 
 // resolve forgets broken connections of a process that turned out to run on.
 func (m *Manager) resolve(now time.Duration, e id.Endpoint, n *endpointState, same bool) {
-	if !same || len(n.lost) == 0 {
+	if !same || len(n.brokenConnections) == 0 {
 		return
 	}
-	clear(n.lost)
+	clear(n.brokenConnections)
 	m.settlePending(e)
 }
 
 func (m *Manager) crashed(now time.Duration, crash poison.CrashID, n *endpointState) {
 	suspects := suspectsOf(n)
-	clear(n.lost)
+	clear(n.brokenConnections)
 	m.settlePending(crash.Endpoint)
 	m.opts.Poison.Crash(m.wall(now), crash, suspects)
 	if m.opts.Events.Crash != nil {
@@ -242,7 +242,7 @@
 	for _, s := range n.running {
 		out = append(out, s)
 	}
-	for _, l := range n.lost {
+	for _, l := range n.brokenConnections {
 		out = append(out, l.suspect)
 	}
 	slices.SortFunc(out, func(a, b poison.Suspect) int {
