--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -16,10 +16,10 @@
 	// running are the requests whose work is there now.
 	running map[id.Request]poison.Suspect
 	// lost are those whose connection broke in a way that may mean a crash.
-	brokenConnections map[id.Request]lostWork
+	brokenConnections map[id.Request]brokenConnection
 }
 
-type lostWork struct {
+type brokenConnection struct {
 	suspect poison.Suspect
 	at      time.Duration
 }
@@ -33,7 +33,7 @@
 func (m *Manager) node(e id.Endpoint) *endpointState {
 	n, ok := m.nodes[e]
 	if !ok {
-		n = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]lostWork)}
+		n = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]brokenConnection)}
 		m.nodes[e] = n
 	}
 	return n
@@ -182,7 +182,7 @@
 // endpoint looked at.
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
-	m.node(e).brokenConnections[t.want.Request] = lostWork{suspect: suspect, at: now}
+	m.node(e).brokenConnections[t.want.Request] = brokenConnection{suspect: suspect, at: now}
 	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], pendingCrash{endpoint: e, at: now})
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
