--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -128,7 +128,7 @@
 	for i := range 3 {
 		g := r.begin(id.Request(fmt.Sprint(name, i)), name)
 		r.crash(g)
-		r.report(g.Prefill, r.node(g.Prefill).incarnation+1)
+		r.report(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
 		r.now += 10 * time.Minute / 3 // settled, and the endpoint is let in again
 		r.Tick(r.now)
 		if a := r.ask(id.Request(fmt.Sprint(name, i, "?")), name); a != nil && a.Refusal != nil {
@@ -284,8 +284,8 @@
 	g := r.begin("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.progress(g, sched.Progress{Phase: sched.PhaseDecoding, Endpoint: "decode-9"})
-	r.is.Equal(len(r.node(g.Decode).running), 0)
-	r.is.Equal(len(r.node("decode-9").running), 1)
+	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
+	r.is.Equal(len(r.endpoint("decode-9").running), 1)
 	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
@@ -295,8 +295,8 @@
 	g := r.begin("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.follow(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
-	r.is.Equal(len(r.node(g.Decode).running), 0)
-	r.is.Equal(len(r.node("decode-9").running), 1)
+	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
+	r.is.Equal(len(r.endpoint("decode-9").running), 1)
 	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -30,7 +30,7 @@
 	at       time.Duration
 }
 
-func (m *Manager) node(e id.Endpoint) *endpointState {
+func (m *Manager) endpoint(e id.Endpoint) *endpointState {
 	n, ok := m.nodes[e]
 	if !ok {
 		n = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]brokenConnection)}
@@ -104,7 +104,7 @@
 		return
 	}
 	m.health.Began(now, e, t.want.Request, t.firstOutputTimeout())
-	m.node(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
+	m.endpoint(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 }
 
 const (
@@ -130,7 +130,7 @@
 		return
 	}
 	m.tell(m.health.Outcome(now, e, r))
-	delete(m.node(e).running, t.want.Request)
+	delete(m.endpoint(e).running, t.want.Request)
 }
 
 func (m *Manager) done(now time.Duration, t *trackedRequest, p sched.Progress) {
@@ -182,7 +182,7 @@
 // endpoint looked at.
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
-	m.node(e).brokenConnections[t.want.Request] = brokenConnection{suspect: suspect, at: now}
+	m.endpoint(e).brokenConnections[t.want.Request] = brokenConnection{suspect: suspect, at: now}
 	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], pendingCrash{endpoint: e, at: now})
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
@@ -207,7 +207,7 @@
 	if !l.Reachable || l.Incarnation == 0 {
 		return
 	}
-	n := m.node(l.Endpoint)
+	n := m.endpoint(l.Endpoint)
 	former := n.incarnation
 	n.incarnation = max(former, l.Incarnation)
 	if former == 0 || l.Incarnation <= former {
