--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -31,10 +31,10 @@
 }
 
 func (m *Manager) endpoint(e id.Endpoint) *endpointState {
-	n, ok := m.nodes[e]
+	n, ok := m.endpoints[e]
 	if !ok {
 		n = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]brokenConnection)}
-		m.nodes[e] = n
+		m.endpoints[e] = n
 	}
 	return n
 }
--- a/core/pool/status.go
+++ b/core/pool/status.go
@@ -34,7 +34,7 @@
 		s.Snapshot = snap.Snapshot()
 	}
 	s.Tracked = len(m.requests)
-	for _, n := range m.nodes {
+	for _, n := range m.endpoints {
 		s.Working += len(n.running)
 	}
 	s.Unreachable = m.unreachableCount()
