--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -62,7 +62,7 @@
 	health    *health.Detector
 	requests  map[id.Request]*trackedRequest
 	endpoints map[id.Endpoint]*endpointState
-	pending   map[poison.Fingerprint][]pendingCrash
+	pending   map[poison.Fingerprint][]unconfirmedCrash
 	swept     time.Duration
 	// lost are endpoints found unreachable, not yet told to the scheduler.
 	lost     []id.Endpoint
@@ -95,7 +95,7 @@
 		health:    health.New(o.Health),
 		requests:  make(map[id.Request]*trackedRequest),
 		endpoints: make(map[id.Endpoint]*endpointState),
-		pending:   make(map[poison.Fingerprint][]pendingCrash),
+		pending:   make(map[poison.Fingerprint][]unconfirmedCrash),
 		drains:    make(map[id.Endpoint]time.Duration),
 		reports:   make(map[id.Endpoint]sched.Load),
 	}
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -25,7 +25,7 @@
 }
 
 // pendingCrash is a crash that no report has confirmed yet.
-type pendingCrash struct {
+type unconfirmedCrash struct {
 	endpoint id.Endpoint
 	at       time.Duration
 }
@@ -183,7 +183,7 @@
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 	m.endpoint(e).brokenConnections[t.want.Request] = brokenConnection{suspect: suspect, at: now}
-	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], pendingCrash{endpoint: e, at: now})
+	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], unconfirmedCrash{endpoint: e, at: now})
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
 	}
@@ -254,7 +254,7 @@
 // settlePending drops the unconfirmed crashes at an endpoint.
 func (m *Manager) settlePending(e id.Endpoint) {
 	for f, list := range m.pending {
-		rest := slices.DeleteFunc(list, func(p pendingCrash) bool { return p.endpoint == e })
+		rest := slices.DeleteFunc(list, func(p unconfirmedCrash) bool { return p.endpoint == e })
 		if len(rest) == 0 {
 			delete(m.pending, f)
 			continue
