--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -57,13 +57,13 @@
 
 // Manager decides for one pool. It is not safe for concurrent use.
 type Manager struct {
-	opts      Options
-	sched     sched.Scheduler
-	health    *health.Detector
-	requests  map[id.Request]*trackedRequest
-	endpoints map[id.Endpoint]*endpointState
-	pending   map[poison.Fingerprint][]unconfirmedCrash
-	swept     time.Duration
+	opts               Options
+	sched              sched.Scheduler
+	health             *health.Detector
+	requests           map[id.Request]*trackedRequest
+	endpoints          map[id.Endpoint]*endpointState
+	unconfirmedCrashes map[poison.Fingerprint][]unconfirmedCrash
+	swept              time.Duration
 	// lost are endpoints found unreachable, not yet told to the scheduler.
 	lost     []id.Endpoint
 	drains   map[id.Endpoint]time.Duration
@@ -91,13 +91,13 @@
 // New returns a Manager without configuration.
 func New(o Options) *Manager {
 	m := &Manager{
-		opts:      o,
-		health:    health.New(o.Health),
-		requests:  make(map[id.Request]*trackedRequest),
-		endpoints: make(map[id.Endpoint]*endpointState),
-		pending:   make(map[poison.Fingerprint][]unconfirmedCrash),
-		drains:    make(map[id.Endpoint]time.Duration),
-		reports:   make(map[id.Endpoint]sched.Load),
+		opts:               o,
+		health:             health.New(o.Health),
+		requests:           make(map[id.Request]*trackedRequest),
+		endpoints:          make(map[id.Endpoint]*endpointState),
+		unconfirmedCrashes: make(map[poison.Fingerprint][]unconfirmedCrash),
+		drains:             make(map[id.Endpoint]time.Duration),
+		reports:            make(map[id.Endpoint]sched.Load),
 	}
 	m.sched = o.NewScheduler(m.health)
 	return m
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -140,7 +140,7 @@
 	}
 	m.leave(now, t, health.Result{Request: p.Request, Kind: health.OK, Latency: pace})
 	m.opts.Poison.Finished(m.wall(now), t.fingerprint)
-	delete(m.pending, t.fingerprint)
+	delete(m.unconfirmedCrashes, t.fingerprint)
 	delete(m.requests, p.Request)
 	m.answered++
 }
@@ -183,7 +183,7 @@
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 	m.endpoint(e).brokenConnections[t.want.Request] = brokenConnection{suspect: suspect, at: now}
-	m.pending[t.fingerprint] = append(m.pending[t.fingerprint], unconfirmedCrash{endpoint: e, at: now})
+	m.unconfirmedCrashes[t.fingerprint] = append(m.unconfirmedCrashes[t.fingerprint], unconfirmedCrash{endpoint: e, at: now})
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
 	}
@@ -193,7 +193,7 @@
 // confirmed or refuted yet.
 func (m *Manager) unconfirmed(now time.Duration, f poison.Fingerprint) int {
 	count := 0
-	for _, p := range m.pending[f] {
+	for _, p := range m.unconfirmedCrashes[f] {
 		if now-p.at < unconfirmedCrashTTL {
 			count++
 		}
@@ -253,20 +253,20 @@
 
 // settlePending drops the unconfirmed crashes at an endpoint.
 func (m *Manager) settlePending(e id.Endpoint) {
-	for f, list := range m.pending {
+	for f, list := range m.unconfirmedCrashes {
 		rest := slices.DeleteFunc(list, func(p unconfirmedCrash) bool { return p.endpoint == e })
 		if len(rest) == 0 {
-			delete(m.pending, f)
+			delete(m.unconfirmedCrashes, f)
 			continue
 		}
-		m.pending[f] = rest
+		m.unconfirmedCrashes[f] = rest
 	}
 }
 
 func (m *Manager) dropPending(now time.Duration) {
-	for f := range m.pending {
+	for f := range m.unconfirmedCrashes {
 		if m.unconfirmed(now, f) == 0 {
-			delete(m.pending, f)
+			delete(m.unconfirmedCrashes, f)
 		}
 	}
 }
