--- a/core/pool/judge.go
+++ b/core/pool/judge.go
@@ -39,7 +39,7 @@
 	case poison.Suspected, poison.Isolated:
 		w.Suspect = true
 	}
-	unconfirmed := m.unconfirmed(now, f)
+	unconfirmed := m.countUnconfirmed(now, f)
 	if unconfirmed+finding.Crashes >= maxUnconfirmedCrashes && unconfirmed > 0 {
 		return held(w.Request, heldRetryAfter)
 	}
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -162,11 +162,11 @@
 func TestSameIncarnationRefutesACrash(t *testing.T) {
 	r := newRig(t, 2)
 	r.crash(r.begin("a", "one"))
-	r.is.Equal(r.unconfirmed(r.now, content("one")), 1)
+	r.is.Equal(r.countUnconfirmed(r.now, content("one")), 1)
 	for _, e := range r.doc.Endpoints {
 		r.report(e.Name, 1)
 	}
-	r.is.Equal(r.unconfirmed(r.now, content("one")), 0)
+	r.is.Equal(r.countUnconfirmed(r.now, content("one")), 0)
 	r.is.Equal(len(r.crashes), 0)
 }
 
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -191,7 +191,7 @@
 
 // unconfirmed counts the crashes under a fingerprint that no report has
 // confirmed or refuted yet.
-func (m *Manager) unconfirmed(now time.Duration, f poison.Fingerprint) int {
+func (m *Manager) countUnconfirmed(now time.Duration, f poison.Fingerprint) int {
 	count := 0
 	for _, p := range m.unconfirmedCrashes[f] {
 		if now-p.at < unconfirmedCrashTTL {
@@ -265,7 +265,7 @@
 
 func (m *Manager) dropPending(now time.Duration) {
 	for f := range m.unconfirmedCrashes {
-		if m.unconfirmed(now, f) == 0 {
+		if m.countUnconfirmed(now, f) == 0 {
 			delete(m.unconfirmedCrashes, f)
 		}
 	}
