--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -263,7 +263,7 @@
 	}
 }
 
-func (m *Manager) dropPending(now time.Duration) {
+func (m *Manager) expireUnconfirmed(now time.Duration) {
 	for f := range m.unconfirmedCrashes {
 		if m.countUnconfirmed(now, f) == 0 {
 			delete(m.unconfirmedCrashes, f)
