--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -223,13 +223,13 @@
 		return
 	}
 	clear(n.brokenConnections)
-	m.settlePending(e)
+	m.dropUnconfirmed(e)
 }
 
 func (m *Manager) crashed(now time.Duration, crash poison.CrashID, n *endpointState) {
 	suspects := suspectsOf(n)
 	clear(n.brokenConnections)
-	m.settlePending(crash.Endpoint)
+	m.dropUnconfirmed(crash.Endpoint)
 	m.opts.Poison.Crash(m.wall(now), crash, suspects)
 	if m.opts.Events.Crash != nil {
 		m.opts.Events.Crash(crash, len(suspects))
@@ -252,7 +252,7 @@
 }
 
 // settlePending drops the unconfirmed crashes at an endpoint.
-func (m *Manager) settlePending(e id.Endpoint) {
+func (m *Manager) dropUnconfirmed(e id.Endpoint) {
 	for f, list := range m.unconfirmedCrashes {
 		rest := slices.DeleteFunc(list, func(p unconfirmedCrash) bool { return p.endpoint == e })
 		if len(rest) == 0 {
