--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -65,12 +65,12 @@
 	unconfirmedCrashes map[poison.Fingerprint][]unconfirmedCrash
 	swept              time.Duration
 	// lost are endpoints found unreachable, not yet told to the scheduler.
-	lost     []id.Endpoint
-	drains   map[id.Endpoint]time.Duration
-	reports  map[id.Endpoint]sched.Load
-	usage    usage
-	answered uint64
-	refused  uint64
+	newlyUnreachable []id.Endpoint
+	drains           map[id.Endpoint]time.Duration
+	reports          map[id.Endpoint]sched.Load
+	usage            usage
+	answered         uint64
+	refused          uint64
 }
 
 // tracked is a request that holds a grant.
@@ -173,10 +173,10 @@
 		m.observe(now, t, p)
 	}
 	out := m.follow(now, m.sched.Progress(now, p))
-	for _, e := range m.lost {
+	for _, e := range m.newlyUnreachable {
 		out = append(out, m.follow(now, m.sched.Load(now, sched.Load{Endpoint: e}))...)
 	}
-	m.lost = nil
+	m.newlyUnreachable = nil
 	return out
 }
 
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -161,7 +161,7 @@
 // unreachable keeps work off an endpoint that took no connection until a
 // report says that it is there again; one is asked for at once.
 func (m *Manager) unreachable(now time.Duration, e id.Endpoint) {
-	m.lost = append(m.lost, e)
+	m.newlyUnreachable = append(m.newlyUnreachable, e)
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
 	}
