--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -63,7 +63,7 @@
 	requests           map[id.Request]*trackedRequest
 	endpoints          map[id.Endpoint]*endpointState
 	unconfirmedCrashes map[poison.Fingerprint][]unconfirmedCrash
-	swept              time.Duration
+	lastSweep          time.Duration
 	// lost are endpoints found unreachable, not yet told to the scheduler.
 	newlyUnreachable []id.Endpoint
 	drains           map[id.Endpoint]time.Duration
@@ -249,10 +249,10 @@
 
 // sweep forgets requests whose end was never reported.
 func (m *Manager) sweep(now time.Duration) {
-	if now-m.swept < sweepInterval {
+	if now-m.lastSweep < sweepInterval {
 		return
 	}
-	m.swept = now
+	m.lastSweep = now
 	for _, r := range m.sortedRequests() {
 		if now-m.requests[r].updatedAt > trackedRequestTTL {
 			m.forget(now, r, health.Withdrawn)
