--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -235,7 +235,7 @@
 
 // Tick does what is due; call it at Next or earlier.
 func (m *Manager) Tick(now time.Duration) []sched.Action {
-	m.tell(m.health.Tick(now))
+	m.reportHealth(m.health.Tick(now))
 	m.expireUnconfirmed(now)
 	if m.usage.due(now) {
 		m.usage.sample(now, m.prefilling())
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -129,7 +129,7 @@
 	if e == "" {
 		return
 	}
-	m.tell(m.health.Outcome(now, e, r))
+	m.reportHealth(m.health.Outcome(now, e, r))
 	delete(m.endpoint(e).running, t.want.Request)
 }
 
@@ -281,7 +281,7 @@
 	delete(m.requests, r)
 }
 
-func (m *Manager) tell(changes []health.Change) {
+func (m *Manager) reportHealth(changes []health.Change) {
 	if m.opts.Events.Health == nil {
 		return
 	}
