--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -9,7 +9,7 @@
 )
 
 // follow notes what the scheduler decided.
-func (m *Manager) follow(now time.Duration, actions []sched.Action) []sched.Action {
+func (m *Manager) recordActions(now time.Duration, actions []sched.Action) []sched.Action {
 	for _, a := range actions {
 		switch {
 		case a.Grant != nil:
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -112,7 +112,7 @@
 	m.forgetReports(members)
 	m.usage.configure(members)
 	m.lift(now, doc)
-	return m.follow(now, m.sched.Configure(now, doc))
+	return m.recordActions(now, m.sched.Configure(now, doc))
 }
 
 // members lists the pool's endpoints; none where the pool or its selector is
@@ -158,13 +158,13 @@
 	if _, ok := m.requests[w.Request]; !ok {
 		m.requests[w.Request] = &trackedRequest{want: w, fingerprint: print, updatedAt: now}
 	}
-	return m.follow(now, m.sched.Want(now, w))
+	return m.recordActions(now, m.sched.Want(now, w))
 }
 
 // Withdraw drops a request that waits or was granted and not yet begun.
 func (m *Manager) Withdraw(now time.Duration, r id.Request) []sched.Action {
 	m.forget(now, r, health.Withdrawn)
-	return m.follow(now, m.sched.Withdraw(now, r))
+	return m.recordActions(now, m.sched.Withdraw(now, r))
 }
 
 // Progress follows a granted request.
@@ -172,9 +172,9 @@
 	if t, ok := m.requests[p.Request]; ok && p.Reservation == t.reservation {
 		m.observe(now, t, p)
 	}
-	out := m.follow(now, m.sched.Progress(now, p))
+	out := m.recordActions(now, m.sched.Progress(now, p))
 	for _, e := range m.newlyUnreachable {
-		out = append(out, m.follow(now, m.sched.Load(now, sched.Load{Endpoint: e}))...)
+		out = append(out, m.recordActions(now, m.sched.Load(now, sched.Load{Endpoint: e}))...)
 	}
 	m.newlyUnreachable = nil
 	return out
@@ -188,7 +188,7 @@
 	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
 	m.requests[a.Want.Request] = t
 	m.enter(now, t)
-	return m.follow(now, m.sched.Adopt(now, a))
+	return m.recordActions(now, m.sched.Adopt(now, a))
 }
 
 // Load takes an endpoint's report.
@@ -196,7 +196,7 @@
 	m.incarnation(now, l)
 	m.reports[l.Endpoint] = l
 	l.Leaving = l.Leaving || now < m.drains[l.Endpoint]
-	return m.follow(now, m.sched.Load(now, l))
+	return m.recordActions(now, m.sched.Load(now, l))
 }
 
 // Drain keeps new work off an endpoint for drainLife, or lets it in again. Who
@@ -213,7 +213,7 @@
 	}
 	if !known {
 		// No report is asked for in this pool: only the drain is told.
-		return m.follow(now, m.sched.Load(now, sched.Load{Endpoint: e, Reachable: true, Leaving: on}))
+		return m.recordActions(now, m.sched.Load(now, sched.Load{Endpoint: e, Reachable: true, Leaving: on}))
 	}
 	return m.Load(now, report)
 }
@@ -230,7 +230,7 @@
 			m.forget(now, r, health.Withdrawn)
 		}
 	}
-	return m.follow(now, m.sched.ProcessGone(now, p))
+	return m.recordActions(now, m.sched.ProcessGone(now, p))
 }
 
 // Tick does what is due; call it at Next or earlier.
@@ -241,7 +241,7 @@
 		m.usage.sample(now, m.prefilling())
 	}
 	m.sweep(now)
-	return m.follow(now, m.sched.Tick(now))
+	return m.recordActions(now, m.sched.Tick(now))
 }
 
 // Next is when Tick is due.
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -261,7 +261,7 @@
 func TestRefusalBesideWorkKeepsIt(t *testing.T) {
 	r := newRig(t, 1)
 	r.begin("a", "one")
-	r.follow(r.now, []sched.Action{{Refusal: &sched.Refusal{Request: "a"}}})
+	r.recordActions(r.now, []sched.Action{{Refusal: &sched.Refusal{Request: "a"}}})
 	r.is.Equal(r.Status(r.now).Tracked, 1)
 	r.Withdraw(r.now, "a")
 	r.is.Equal(r.Status(r.now).Working, 0)
@@ -274,7 +274,7 @@
 	g := r.begin("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.progress(g, sched.Progress{Phase: sched.PhaseDecoding})
-	r.follow(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
+	r.recordActions(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
 	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
@@ -294,7 +294,7 @@
 	r := newRig(t, 2)
 	g := r.begin("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
-	r.follow(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
+	r.recordActions(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
 	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
 	r.is.Equal(len(r.endpoint("decode-9").running), 1)
 	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
