--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -13,7 +13,7 @@
 	for _, a := range actions {
 		switch {
 		case a.Grant != nil:
-			m.granted(now, a.Grant)
+			m.recordGrant(now, a.Grant)
 		case a.Binding != nil:
 			m.bound(now, a.Binding)
 		case a.Refusal != nil:
@@ -48,7 +48,7 @@
 	m.enter(now, t)
 }
 
-func (m *Manager) granted(now time.Duration, g *sched.Grant) {
+func (m *Manager) recordGrant(now time.Duration, g *sched.Grant) {
 	t, ok := m.requests[g.Request]
 	if !ok || t.phase != 0 {
 		return
