--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -15,7 +15,7 @@
 		case a.Grant != nil:
 			m.recordGrant(now, a.Grant)
 		case a.Binding != nil:
-			m.bound(now, a.Binding)
+			m.recordBinding(now, a.Binding)
 		case a.Refusal != nil:
 			m.refused++
 			m.dropIdle(a.Refusal.Request)
@@ -34,7 +34,7 @@
 
 // bound follows a provisional grant to the endpoint that it got. Once it
 // decodes, the binding has come too late to be followed.
-func (m *Manager) bound(now time.Duration, b *sched.Binding) {
+func (m *Manager) recordBinding(now time.Duration, b *sched.Binding) {
 	t, ok := m.requests[b.Request]
 	if !ok || t.decode == b.Decode || t.phase > sched.PhaseTransferring {
 		return
