--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -18,7 +18,7 @@
 			m.recordBinding(now, a.Binding)
 		case a.Refusal != nil:
 			m.refused++
-			m.dropIdle(a.Refusal.Request)
+			m.dropRefused(a.Refusal.Request)
 		}
 	}
 	return actions
@@ -26,7 +26,7 @@
 
 // dropIdle forgets a refused request, unless its work is known to go on: a Want
 // that comes again after its grant expired can be refused beside it.
-func (m *Manager) dropIdle(r id.Request) {
+func (m *Manager) dropRefused(r id.Request) {
 	if t, ok := m.requests[r]; ok && t.phase == 0 {
 		delete(m.requests, r)
 	}
