--- a/core/pool/judge.go
+++ b/core/pool/judge.go
@@ -11,7 +11,7 @@
 )
 
 // lift frees the fingerprints that a service's label names.
-func (m *Manager) lift(now time.Duration, doc *live.Document) {
+func (m *Manager) liftQuarantines(now time.Duration, doc *live.Document) {
 	for i := range doc.Services {
 		svc := &doc.Services[i]
 		value, ok := svc.Labels[live.LabelLiftQuarantine]
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -111,7 +111,7 @@
 	m.health.Configure(now, members)
 	m.forgetReports(members)
 	m.usage.configure(members)
-	m.lift(now, doc)
+	m.liftQuarantines(now, doc)
 	return m.recordActions(now, m.sched.Configure(now, doc))
 }
 
