--- a/core/pool/judge.go
+++ b/core/pool/judge.go
@@ -29,7 +29,7 @@
 }
 
 // judge looks the request's fingerprint up. It sets Suspect or refuses.
-func (m *Manager) judge(now time.Duration, w *sched.Want, f poison.Fingerprint) *sched.Refusal {
+func (m *Manager) checkFingerprint(now time.Duration, w *sched.Want, f poison.Fingerprint) *sched.Refusal {
 	finding := m.opts.Poison.Check(m.wall(now), f)
 	switch finding.Standing {
 	case poison.Quarantined:
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -149,7 +149,7 @@
 func (m *Manager) Want(now time.Duration, w sched.Want) []sched.Action {
 	print, err := poison.ParseFingerprint(w.Fingerprint)
 	if err == nil {
-		refusal := m.judge(now, &w, print)
+		refusal := m.checkFingerprint(now, &w, print)
 		if refusal != nil {
 			m.refused++
 			return []sched.Action{{To: w.From, Refusal: refusal}}
