--- a/core/pool/judge.go
+++ b/core/pool/judge.go
@@ -33,7 +33,7 @@
 	finding := m.opts.Poison.Check(m.wall(now), f)
 	switch finding.Standing {
 	case poison.Quarantined:
-		return quarantined(w.Request, finding.Until.Sub(m.wall(now)), finding.Crashes)
+		return quarantineRefusal(w.Request, finding.Until.Sub(m.wall(now)), finding.Crashes)
 	case poison.Held:
 		return held(w.Request, finding.Until.Sub(m.wall(now)))
 	case poison.Suspected, poison.Isolated:
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func quarantined(r id.Request, wait time.Duration, crashes int) *sched.Refusal {
+func quarantineRefusal(r id.Request, wait time.Duration, crashes int) *sched.Refusal {
 	return &sched.Refusal{
 		Request:    r,
 		Code:       verdict.CodeQuarantined,
