--- a/core/pool/judge.go
+++ b/core/pool/judge.go
@@ -35,13 +35,13 @@
 	case poison.Quarantined:
 		return quarantineRefusal(w.Request, finding.Until.Sub(m.wall(now)), finding.Crashes)
 	case poison.Held:
-		return held(w.Request, finding.Until.Sub(m.wall(now)))
+		return heldRefusal(w.Request, finding.Until.Sub(m.wall(now)))
 	case poison.Suspected, poison.Isolated:
 		w.Suspect = true
 	}
 	unconfirmed := m.countUnconfirmed(now, f)
 	if unconfirmed+finding.Crashes >= maxUnconfirmedCrashes && unconfirmed > 0 {
-		return held(w.Request, heldRetryAfter)
+		return heldRefusal(w.Request, heldRetryAfter)
 	}
 	if unconfirmed > 0 {
 		w.Suspect = true
@@ -58,7 +58,7 @@
 	}
 }
 
-func held(r id.Request, wait time.Duration) *sched.Refusal {
+func heldRefusal(r id.Request, wait time.Duration) *sched.Refusal {
 	return &sched.Refusal{
 		Request:    r,
 		Code:       verdict.CodeUnavailable,
