--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -170,7 +170,7 @@
 // Progress follows a granted request.
 func (m *Manager) Progress(now time.Duration, p sched.Progress) []sched.Action {
 	if t, ok := m.requests[p.Request]; ok && p.Reservation == t.reservation {
-		m.observe(now, t, p)
+		m.recordProgress(now, t, p)
 	}
 	out := m.recordActions(now, m.sched.Progress(now, p))
 	for _, e := range m.newlyUnreachable {
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -40,7 +40,7 @@
 }
 
 // observe follows a request through its phases.
-func (m *Manager) observe(now time.Duration, t *trackedRequest, p sched.Progress) {
+func (m *Manager) recordProgress(now time.Duration, t *trackedRequest, p sched.Progress) {
 	if p.PromptTokens > 0 {
 		t.uncachedPromptTokens = p.PromptTokens - p.CachedTokens
 	}
