--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -45,7 +45,7 @@
 	}
 	m.leave(now, t, health.Result{Request: b.Request, Kind: health.Withdrawn})
 	t.decode = b.Decode
-	m.enter(now, t)
+	m.startWork(now, t)
 }
 
 func (m *Manager) recordGrant(now time.Duration, g *sched.Grant) {
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -187,7 +187,7 @@
 	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
 	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
 	m.requests[a.Want.Request] = t
-	m.enter(now, t)
+	m.startWork(now, t)
 	return m.recordActions(now, m.sched.Adopt(now, a))
 }
 
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -61,7 +61,7 @@
 	}
 	t.phase = p.Phase
 	t.updatedAt = now
-	m.enter(now, t)
+	m.startWork(now, t)
 }
 
 // elsewhere says whether a request decodes at another endpoint than is known:
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *Manager) enter(now time.Duration, t *trackedRequest) {
+func (m *Manager) startWork(now time.Duration, t *trackedRequest) {
 	e := t.currentEndpoint()
 	if e == "" {
 		return
