--- a/core/pool/follow.go
+++ b/core/pool/follow.go
@@ -43,7 +43,7 @@
 		t.decode = b.Decode
 		return
 	}
-	m.leave(now, t, health.Result{Request: b.Request, Kind: health.Withdrawn})
+	m.endWork(now, t, health.Result{Request: b.Request, Kind: health.Withdrawn})
 	t.decode = b.Decode
 	m.startWork(now, t)
 }
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -55,7 +55,7 @@
 		m.done(now, t, p)
 		return
 	}
-	m.leave(now, t, t.phaseOutcome(p))
+	m.endWork(now, t, t.phaseOutcome(p))
 	if t.decodesElsewhere(p) {
 		t.decode = p.Endpoint
 	}
@@ -124,7 +124,7 @@
 
 // leave ends the request's work where it is. Moving on within one endpoint is
 // no outcome.
-func (m *Manager) leave(now time.Duration, t *trackedRequest, r health.Result) {
+func (m *Manager) endWork(now time.Duration, t *trackedRequest, r health.Result) {
 	e := t.currentEndpoint()
 	if e == "" {
 		return
@@ -138,7 +138,7 @@
 	if p.OutputTokens > 0 && !t.adopted {
 		pace = (now - t.updatedAt) / time.Duration(p.OutputTokens)
 	}
-	m.leave(now, t, health.Result{Request: p.Request, Kind: health.OK, Latency: pace})
+	m.endWork(now, t, health.Result{Request: p.Request, Kind: health.OK, Latency: pace})
 	m.opts.Poison.Finished(m.wall(now), t.fingerprint)
 	delete(m.unconfirmedCrashes, t.fingerprint)
 	delete(m.requests, p.Request)
@@ -148,7 +148,7 @@
 func (m *Manager) failed(now time.Duration, t *trackedRequest, p sched.Progress) {
 	kind := outcomeOf(p)
 	at := t.currentEndpoint()
-	m.leave(now, t, health.Result{Request: p.Request, Kind: kind})
+	m.endWork(now, t, health.Result{Request: p.Request, Kind: kind})
 	if p.Crashed && at != "" && at == p.Endpoint {
 		m.suspectCrash(now, t, at)
 	}
@@ -277,7 +277,7 @@
 	if !ok {
 		return
 	}
-	m.leave(now, t, health.Result{Request: r, Kind: kind})
+	m.endWork(now, t, health.Result{Request: r, Kind: kind})
 	delete(m.requests, r)
 }
 
