--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -52,7 +52,7 @@
 		m.forget(now, p.Request, health.Withdrawn)
 		return
 	case sched.PhaseDone:
-		m.done(now, t, p)
+		m.recordDone(now, t, p)
 		return
 	}
 	m.endWork(now, t, t.phaseOutcome(p))
@@ -133,7 +133,7 @@
 	delete(m.endpoint(e).running, t.want.Request)
 }
 
-func (m *Manager) done(now time.Duration, t *trackedRequest, p sched.Progress) {
+func (m *Manager) recordDone(now time.Duration, t *trackedRequest, p sched.Progress) {
 	pace := time.Duration(0)
 	if p.OutputTokens > 0 && !t.adopted {
 		pace = (now - t.updatedAt) / time.Duration(p.OutputTokens)
