--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -46,7 +46,7 @@
 	}
 	switch p.Phase {
 	case sched.PhaseFailed:
-		m.failed(now, t, p)
+		m.recordFailure(now, t, p)
 		return
 	case sched.PhaseCancelled:
 		m.forget(now, p.Request, health.Withdrawn)
@@ -145,7 +145,7 @@
 	m.answered++
 }
 
-func (m *Manager) failed(now time.Duration, t *trackedRequest, p sched.Progress) {
+func (m *Manager) recordFailure(now time.Duration, t *trackedRequest, p sched.Progress) {
 	kind := outcomeOf(p)
 	at := t.currentEndpoint()
 	m.endWork(now, t, health.Result{Request: p.Request, Kind: kind})
