--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -154,13 +154,13 @@
 	}
 	delete(m.requests, p.Request)
 	if p.Unreachable {
-		m.unreachable(now, p.Endpoint)
+		m.markUnreachable(now, p.Endpoint)
 	}
 }
 
 // unreachable keeps work off an endpoint that took no connection until a
 // report says that it is there again; one is asked for at once.
-func (m *Manager) unreachable(now time.Duration, e id.Endpoint) {
+func (m *Manager) markUnreachable(now time.Duration, e id.Endpoint) {
 	m.newlyUnreachable = append(m.newlyUnreachable, e)
 	if m.opts.Events.Probe != nil {
 		m.opts.Events.Probe(e)
