--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -193,7 +193,7 @@
 
 // Load takes an endpoint's report.
 func (m *Manager) Load(now time.Duration, l sched.Load) []sched.Action {
-	m.incarnation(now, l)
+	m.checkIncarnation(now, l)
 	m.reports[l.Endpoint] = l
 	l.Leaving = l.Leaving || now < m.drains[l.Endpoint]
 	return m.recordActions(now, m.sched.Load(now, l))
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -203,7 +203,7 @@
 
 // incarnation compares a report with what is known: a higher incarnation
 // means that the former process crashed with all that ran in it.
-func (m *Manager) incarnation(now time.Duration, l sched.Load) {
+func (m *Manager) checkIncarnation(now time.Duration, l sched.Load) {
 	if !l.Reachable || l.Incarnation == 0 {
 		return
 	}
