--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -211,14 +211,14 @@
 	former := n.incarnation
 	n.incarnation = max(former, l.Incarnation)
 	if former == 0 || l.Incarnation <= former {
-		m.resolve(now, l.Endpoint, n, l.Incarnation == former)
+		m.refuteCrashes(now, l.Endpoint, n, l.Incarnation == former)
 		return
 	}
 	m.crashed(now, poison.CrashID{Endpoint: l.Endpoint, Incarnation: former}, n)
 }
 
 // resolve forgets broken connections of a process that turned out to run on.
-func (m *Manager) resolve(now time.Duration, e id.Endpoint, n *endpointState, same bool) {
+func (m *Manager) refuteCrashes(now time.Duration, e id.Endpoint, n *endpointState, same bool) {
 	if !same || len(n.brokenConnections) == 0 {
 		return
 	}
