--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -214,7 +214,7 @@
 		m.refuteCrashes(now, l.Endpoint, n, l.Incarnation == former)
 		return
 	}
-	m.crashed(now, poison.CrashID{Endpoint: l.Endpoint, Incarnation: former}, n)
+	m.recordCrash(now, poison.CrashID{Endpoint: l.Endpoint, Incarnation: former}, n)
 }
 
 // resolve forgets broken connections of a process that turned out to run on.
@@ -226,7 +226,7 @@
 	m.dropUnconfirmed(e)
 }
 
-func (m *Manager) crashed(now time.Duration, crash poison.CrashID, n *endpointState) {
+func (m *Manager) recordCrash(now time.Duration, crash poison.CrashID, n *endpointState) {
 	suspects := suspectsOf(n)
 	clear(n.brokenConnections)
 	m.dropUnconfirmed(crash.Endpoint)
