--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -163,7 +163,7 @@
 
 // Withdraw drops a request that waits or was granted and not yet begun.
 func (m *Manager) Withdraw(now time.Duration, r id.Request) []sched.Action {
-	m.forget(now, r, health.Withdrawn)
+	m.endRequest(now, r, health.Withdrawn)
 	return m.recordActions(now, m.sched.Withdraw(now, r))
 }
 
@@ -183,7 +183,7 @@
 // Adopt takes over a former owner's grant. What was known of the request, from
 // an earlier time as its owner, is forgotten first: its work may be elsewhere.
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
-	m.forget(now, a.Want.Request, health.Withdrawn)
+	m.endRequest(now, a.Want.Request, health.Withdrawn)
 	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
 	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
 	m.requests[a.Want.Request] = t
@@ -227,7 +227,7 @@
 func (m *Manager) ProcessGone(now time.Duration, p id.Process) []sched.Action {
 	for _, r := range m.sortedRequests() {
 		if m.requests[r].want.From == p {
-			m.forget(now, r, health.Withdrawn)
+			m.endRequest(now, r, health.Withdrawn)
 		}
 	}
 	return m.recordActions(now, m.sched.ProcessGone(now, p))
@@ -255,7 +255,7 @@
 	m.lastSweep = now
 	for _, r := range m.sortedRequests() {
 		if now-m.requests[r].updatedAt > trackedRequestTTL {
-			m.forget(now, r, health.Withdrawn)
+			m.endRequest(now, r, health.Withdrawn)
 		}
 	}
 }
--- a/core/pool/observe.go
+++ b/core/pool/observe.go
@@ -49,7 +49,7 @@
 		m.recordFailure(now, t, p)
 		return
 	case sched.PhaseCancelled:
-		m.forget(now, p.Request, health.Withdrawn)
+		m.endRequest(now, p.Request, health.Withdrawn)
 		return
 	case sched.PhaseDone:
 		m.recordDone(now, t, p)
@@ -272,7 +272,7 @@
 }
 
 // forget ends a request whose end tells nothing about its endpoint.
-func (m *Manager) forget(now time.Duration, r id.Request, kind health.OutcomeKind) {
+func (m *Manager) endRequest(now time.Duration, r id.Request, kind health.OutcomeKind) {
 	t, ok := m.requests[r]
 	if !ok {
 		return
