--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -109,7 +109,7 @@
 func (m *Manager) Configure(now time.Duration, doc *live.Document) []sched.Action {
 	members := m.members(doc)
 	m.health.Configure(now, members)
-	m.forgetReports(members)
+	m.pruneReports(members)
 	m.usage.configure(members)
 	m.liftQuarantines(now, doc)
 	return m.recordActions(now, m.sched.Configure(now, doc))
@@ -134,7 +134,7 @@
 }
 
 // forgetReports drops the reports of endpoints that left the pool.
-func (m *Manager) forgetReports(members []health.Member) {
+func (m *Manager) pruneReports(members []health.Member) {
 	kept := make(map[id.Endpoint]sched.Load, len(members))
 	for _, x := range members {
 		if l, ok := m.reports[x.Endpoint]; ok {
