--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -238,7 +238,7 @@
 	m.reportHealth(m.health.Tick(now))
 	m.expireUnconfirmed(now)
 	if m.usage.due(now) {
-		m.usage.sample(now, m.prefilling())
+		m.usage.sample(now, m.countPrefilling())
 	}
 	m.sweep(now)
 	return m.recordActions(now, m.sched.Tick(now))
--- a/core/pool/usage.go
+++ b/core/pool/usage.go
@@ -47,7 +47,7 @@
 	u.last = now
 }
 
-func (m *Manager) prefilling() int {
+func (m *Manager) countPrefilling() int {
 	n := 0
 	for _, t := range m.requests {
 		if t.phase == sched.PhasePrefilling {
