--- a/core/pool/usage.go
+++ b/core/pool/usage.go
@@ -10,7 +10,7 @@
 )
 
 // usageMemory is the time over which the utilisation is averaged.
-const usageMemory = 5 * time.Second
+const usageTimeConstant = 5 * time.Second
 
 // usageEvery is the least time between two samples.
 const usageEvery = 50 * time.Millisecond
@@ -42,7 +42,7 @@
 	if u.endpoints > 0 {
 		share = min(1, float64(prefilling)/float64(u.endpoints))
 	}
-	keep := math.Exp(-float64(now-u.last) / float64(usageMemory))
+	keep := math.Exp(-float64(now-u.last) / float64(usageTimeConstant))
 	u.load = keep*u.load + (1-keep)*share
 	u.last = now
 }
