--- a/core/pool/usage.go
+++ b/core/pool/usage.go
@@ -13,7 +13,7 @@
 const usageTimeConstant = 5 * time.Second
 
 // usageEvery is the least time between two samples.
-const usageEvery = 50 * time.Millisecond
+const usageInterval = 50 * time.Millisecond
 
 // usage averages how much of the prefill endpoints is at work.
 type usage struct {
@@ -33,7 +33,7 @@
 
 // due says whether it is time for another sample: counting takes a look at
 // every request, and a tick may come each millisecond.
-func (u *usage) due(now time.Duration) bool { return now-u.last >= usageEvery }
+func (u *usage) due(now time.Duration) bool { return now-u.last >= usageInterval }
 
 // sample takes the number of prefills at work; it counts for the time since
 // the last sample.
