--- a/core/pool/usage.go
+++ b/core/pool/usage.go
@@ -19,7 +19,7 @@
 type usage struct {
 	endpoints int
 	load      float64
-	last      time.Duration
+	sampledAt time.Duration
 }
 
 func (u *usage) configure(members []health.Member) {
@@ -33,7 +33,7 @@
 
 // due says whether it is time for another sample: counting takes a look at
 // every request, and a tick may come each millisecond.
-func (u *usage) due(now time.Duration) bool { return now-u.last >= usageInterval }
+func (u *usage) due(now time.Duration) bool { return now-u.sampledAt >= usageInterval }
 
 // sample takes the number of prefills at work; it counts for the time since
 // the last sample.
@@ -42,9 +42,9 @@
 	if u.endpoints > 0 {
 		share = min(1, float64(prefilling)/float64(u.endpoints))
 	}
-	keep := math.Exp(-float64(now-u.last) / float64(usageTimeConstant))
+	keep := math.Exp(-float64(now-u.sampledAt) / float64(usageTimeConstant))
 	u.load = keep*u.load + (1-keep)*share
-	u.last = now
+	u.sampledAt = now
 }
 
 func (m *Manager) countPrefilling() int {
