--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -123,7 +123,7 @@
 }
 
 // convict has an endpoint crash three times under a request that runs alone.
-func (r *rig) convict(name string) {
+func (r *rig) quarantine(name string) {
 	r.is.Helper()
 	for i := range 3 {
 		g := r.begin(id.Request(fmt.Sprint(name, i)), name)
@@ -186,7 +186,7 @@
 
 func TestQuarantineAndLiftByLabel(t *testing.T) {
 	r := newRig(t, 3)
-	r.convict("one")
+	r.quarantine("one")
 	r.is.Equal(len(r.Status(r.now).Quarantine), 1)
 	r.begin("other", "two")
 	lifted := live.Clone(r.doc)
@@ -203,7 +203,7 @@
 
 func TestLiftAllByLabel(t *testing.T) {
 	r := newRig(t, 3)
-	r.convict("one")
+	r.quarantine("one")
 	lifted := live.Clone(r.doc)
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: "all"}
 	r.Configure(r.now, lifted)
