--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -96,7 +96,7 @@
 }
 
 // notServed expects that a request waits, or that no endpoint may serve it.
-func (r *rig) notServed(request id.Request) {
+func (r *rig) expectNotServed(request id.Request) {
 	r.is.Helper()
 	a := r.ask(request, "one")
 	r.is.True(a == nil || (a.Refusal != nil && a.Refusal.Code == verdict.CodeNoEndpoint))
@@ -214,7 +214,7 @@
 	r := newRig(t, 1)
 	r.Drain(r.now, "prefill-0", true)
 	r.is.Equal(r.Status(r.now).Leaving, []id.Endpoint{"prefill-0"})
-	r.notServed("a")
+	r.expectNotServed("a")
 	r.Withdraw(r.now, "a")
 	r.now += drainTTL
 	r.report("prefill-0", 1)
@@ -231,7 +231,7 @@
 	g := r.begin("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Unreachable: true})
 	r.is.Equal(r.probes, []id.Endpoint{g.Prefill})
-	r.notServed("b") // nothing else could serve it
+	r.expectNotServed("b") // nothing else could serve it
 	r.Withdraw(r.now, "b")
 	r.report(g.Prefill, 1)
 	r.begin("c", "one")
