--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -103,7 +103,7 @@
 }
 
 // begin asks, expects a grant and reports the prefill's order.
-func (r *rig) begin(request id.Request, name string) *sched.Grant {
+func (r *rig) startPrefill(request id.Request, name string) *sched.Grant {
 	r.is.Helper()
 	a := r.ask(request, name)
 	r.is.True(a != nil && a.Grant != nil)
@@ -126,7 +126,7 @@
 func (r *rig) quarantine(name string) {
 	r.is.Helper()
 	for i := range 3 {
-		g := r.begin(id.Request(fmt.Sprint(name, i)), name)
+		g := r.startPrefill(id.Request(fmt.Sprint(name, i)), name)
 		r.crash(g)
 		r.report(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
 		r.now += 10 * time.Minute / 3 // settled, and the endpoint is let in again
@@ -142,8 +142,8 @@
 
 func TestHigherIncarnationIsACrashOfAllThatRan(t *testing.T) {
 	r := newRig(t, 1)
-	a := r.begin("a", "one")
-	b := r.begin("b", "two")
+	a := r.startPrefill("a", "one")
+	b := r.startPrefill("b", "two")
 	r.is.Equal(a.Prefill, b.Prefill)
 	r.crash(a) // a's connection broke, b's has not yet
 	r.is.Equal(r.probes, []id.Endpoint{a.Prefill})
@@ -161,7 +161,7 @@
 
 func TestSameIncarnationRefutesACrash(t *testing.T) {
 	r := newRig(t, 2)
-	r.crash(r.begin("a", "one"))
+	r.crash(r.startPrefill("a", "one"))
 	r.is.Equal(r.countUnconfirmed(r.now, content("one")), 1)
 	for _, e := range r.doc.Endpoints {
 		r.report(e.Name, 1)
@@ -172,23 +172,23 @@
 
 func TestHeldBackAfterTwoUnconfirmed(t *testing.T) {
 	r := newRig(t, 3)
-	r.crash(r.begin("a", "one"))
-	r.crash(r.begin("b", "one"))
+	r.crash(r.startPrefill("a", "one"))
+	r.crash(r.startPrefill("b", "one"))
 	a := r.ask("c", "one")
 	r.is.True(a != nil && a.Refusal != nil)
 	r.is.Equal(a.Refusal.Code, verdict.CodeUnavailable)
 	r.is.True(a.Refusal.RetryAfter > 0)
-	r.begin("d", "two") // another request is not
+	r.startPrefill("d", "two") // another request is not
 	r.now += unconfirmedCrashTTL
 	r.Tick(r.now)
-	r.begin("e", "one") // nobody confirmed the crashes
+	r.startPrefill("e", "one") // nobody confirmed the crashes
 }
 
 func TestQuarantineAndLiftByLabel(t *testing.T) {
 	r := newRig(t, 3)
 	r.quarantine("one")
 	r.is.Equal(len(r.Status(r.now).Quarantine), 1)
-	r.begin("other", "two")
+	r.startPrefill("other", "two")
 	lifted := live.Clone(r.doc)
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: content("two").String()}
 	r.Configure(r.now, lifted)
@@ -198,7 +198,7 @@
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: content("one").String()}
 	r.Configure(r.now, lifted)
 	r.is.Equal(len(r.Status(r.now).Quarantine), 0)
-	r.begin("y", "one")
+	r.startPrefill("y", "one")
 }
 
 func TestLiftAllByLabel(t *testing.T) {
@@ -207,7 +207,7 @@
 	lifted := live.Clone(r.doc)
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: "all"}
 	r.Configure(r.now, lifted)
-	r.begin("y", "one")
+	r.startPrefill("y", "one")
 }
 
 func TestDrainExpires(t *testing.T) {
@@ -219,7 +219,7 @@
 	r.now += drainTTL
 	r.report("prefill-0", 1)
 	r.is.Equal(len(r.Status(r.now).Leaving), 0)
-	r.begin("b", "one")
+	r.startPrefill("b", "one")
 
 	r.Drain(r.now, "prefill-0", true)
 	r.Drain(r.now, "prefill-0", false) // let in at once
@@ -228,13 +228,13 @@
 
 func TestUnreachableIsKeptOff(t *testing.T) {
 	r := newRig(t, 1)
-	g := r.begin("a", "one")
+	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Unreachable: true})
 	r.is.Equal(r.probes, []id.Endpoint{g.Prefill})
 	r.expectNotServed("b") // nothing else could serve it
 	r.Withdraw(r.now, "b")
 	r.report(g.Prefill, 1)
-	r.begin("c", "one")
+	r.startPrefill("c", "one")
 	r.is.Equal(len(r.crashes), 0) // no crash was seen
 }
 
@@ -242,7 +242,7 @@
 // brings requests whose work has moved on meanwhile.
 func TestAdoptForgetsTheFormerPlace(t *testing.T) {
 	r := newRig(t, 1)
-	g := r.begin("a", "one")
+	g := r.startPrefill("a", "one")
 	r.Adopt(r.now, sched.Adopt{
 		Want:  r.requests["a"].want,
 		Grant: sched.Grant{Request: "a", Prefill: g.Prefill, Decode: g.Decode, Reservation: 9, Owner: id.Process{Daemon: "x"}},
@@ -260,7 +260,7 @@
 // expired is refused while the work goes on.
 func TestRefusalBesideWorkKeepsIt(t *testing.T) {
 	r := newRig(t, 1)
-	r.begin("a", "one")
+	r.startPrefill("a", "one")
 	r.recordActions(r.now, []sched.Action{{Refusal: &sched.Refusal{Request: "a"}}})
 	r.is.Equal(r.Status(r.now).Tracked, 1)
 	r.Withdraw(r.now, "a")
@@ -271,7 +271,7 @@
 // decodes at the endpoint that the grant named.
 func TestLateBindingIsNotFollowed(t *testing.T) {
 	r := newRig(t, 2)
-	g := r.begin("a", "one")
+	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.progress(g, sched.Progress{Phase: sched.PhaseDecoding})
 	r.recordActions(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
@@ -281,7 +281,7 @@
 
 func TestDecodeElsewhereIsFollowed(t *testing.T) {
 	r := newRig(t, 2)
-	g := r.begin("a", "one")
+	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.progress(g, sched.Progress{Phase: sched.PhaseDecoding, Endpoint: "decode-9"})
 	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
@@ -292,7 +292,7 @@
 
 func TestBindingIsFollowed(t *testing.T) {
 	r := newRig(t, 2)
-	g := r.begin("a", "one")
+	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.recordActions(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
 	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
@@ -303,7 +303,7 @@
 
 func TestProcessGoneIsForgotten(t *testing.T) {
 	r := newRig(t, 1)
-	r.begin("a", "one")
+	r.startPrefill("a", "one")
 	r.ProcessGone(r.now, id.Process{Daemon: "d", Incarnation: 1})
 	s := r.Status(r.now)
 	r.is.Equal(s.Tracked+s.Working+s.Running+s.Queued, 0)
@@ -311,7 +311,7 @@
 
 func TestLostEndIsSwept(t *testing.T) {
 	r := newRig(t, 1)
-	r.begin("a", "one")
+	r.startPrefill("a", "one")
 	r.now += trackedRequestTTL + ms
 	r.Tick(r.now)
 	s := r.Status(r.now)
