--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -23,7 +23,7 @@
 	// each time. A repeat makes up for a lost message only: at one pace, requests
 	// that wait for 3 s come twelve times each to an owner that is short of
 	// processor time for them.
-	resendMost = time.Second
+	maxResend = time.Second
 	// DefaultMargin is added to a request's patience before the asker gives up
 	// on its owner by itself.
 	DefaultMargin = 100 * time.Millisecond
@@ -352,7 +352,7 @@
 			e.giveUp = now + heldUpGrace
 		}
 		if now-e.sentAt >= e.resend {
-			out.append(a.sendWant(now, e, min(2*e.resend, max(resendMost, e.resend))))
+			out.append(a.sendWant(now, e, min(2*e.resend, max(maxResend, e.resend))))
 		}
 		a.due = min(a.due, a.attention(e))
 	}
