--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -30,7 +30,7 @@
 	// ownerSilence is for how long a request waits for an owner that says nothing,
 	// where its caller can wait as long: until the membership has put another one in
 	// the place of an owner that is gone.
-	ownerSilence = 1500 * time.Millisecond
+	maxOwnerTimeout = 1500 * time.Millisecond
 	// lateTick is how far behind its time a tick comes only where this daemon
 	// was held up.
 	lateTick = 100 * time.Millisecond
@@ -157,7 +157,7 @@
 		// Its KV cache lapses at the end of its patience.
 		return 0
 	}
-	return min(ownerSilence, w.Lifetime-w.Age)
+	return min(maxOwnerTimeout, w.Lifetime-w.Age)
 }
 
 // sendWant sends a Want to the pool's owner, and again after resend.
--- a/core/pairing/heldup_test.go
+++ b/core/pairing/heldup_test.go
@@ -49,7 +49,7 @@
 	w := want("r")
 	w.Lifetime = time.Minute
 	a.Ask(0, w, patience)
-	for now := time.Duration(0); now < ownerSilence; now += 50 * ms {
+	for now := time.Duration(0); now < maxOwnerTimeout; now += 50 * ms {
 		is.Equal(len(a.Tick(now).Answers), 0)
 	}
 	out := a.Granted(testPool, grantOf("d2", 1))
@@ -74,7 +74,7 @@
 		0:                            patience + DefaultMargin,
 		patience:                     patience + DefaultMargin,
 		patience + DefaultMargin + 9: patience + DefaultMargin + 9,
-		time.Minute:                  ownerSilence,
+		time.Minute:                  maxOwnerTimeout,
 	} {
 		a := New(self, Options{})
 		w := want("r")
