--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -146,13 +146,13 @@
 // refuses what gets none in that time: one that says nothing is held up or gone.
 func (a *Asker) Ask(now time.Duration, w sched.Want, patience time.Duration) Output {
 	a.now = max(a.now, now)
-	e := &entry{want: w, askedAt: now, giveUp: now + max(patience+a.opts.Margin, silence(&w))}
+	e := &entry{want: w, askedAt: now, giveUp: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
 	a.entries[w.Request] = e
 	return a.sendWant(now, e, a.opts.Resend)
 }
 
 // silence is for how long a request waits for an owner that says nothing.
-func silence(w *sched.Want) time.Duration {
+func ownerTimeout(w *sched.Want) time.Duration {
 	if w.Prefilled {
 		// Its KV cache lapses at the end of its patience.
 		return 0
