--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -33,7 +33,7 @@
 	maxOwnerTimeout = 1500 * time.Millisecond
 	// lateTick is how far behind its time a tick comes only where this daemon
 	// was held up.
-	lateTick = 100 * time.Millisecond
+	stallThreshold = 100 * time.Millisecond
 	// heldUpGrace is how long a request that ran out of patience meanwhile waits
 	// on: its owner's answer may lie ready.
 	heldUpGrace = DefaultResend
@@ -336,7 +336,7 @@
 	if now < a.due {
 		return out
 	}
-	heldUp := now > a.due+lateTick
+	heldUp := now > a.due+stallThreshold
 	a.due = never
 	for _, r := range a.sorted() {
 		e := a.entries[r]
