--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -36,7 +36,7 @@
 	stallThreshold = 100 * time.Millisecond
 	// heldUpGrace is how long a request that ran out of patience meanwhile waits
 	// on: its owner's answer may lie ready.
-	heldUpGrace = DefaultResend
+	stallGrace = DefaultResend
 )
 
 // Message is what the asker wants sent to a pool's owner. One field is set.
@@ -349,7 +349,7 @@
 				continue
 			}
 			e.graced = true
-			e.giveUp = now + heldUpGrace
+			e.giveUp = now + stallGrace
 		}
 		if now-e.sentAt >= e.resend {
 			out.append(a.sendWant(now, e, min(2*e.resend, max(maxResend, e.resend))))
--- a/core/pairing/heldup_test.go
+++ b/core/pairing/heldup_test.go
@@ -32,8 +32,8 @@
 	out := a.Tick(late)
 	is.Equal(len(out.Answers), 0)
 	is.Equal(len(out.Messages), 1) // the want goes out again
-	is.Equal(a.Next(), late+heldUpGrace)
-	out = a.Tick(late + heldUpGrace + time.Second) // held up once more
+	is.Equal(a.Next(), late+stallGrace)
+	out = a.Tick(late + stallGrace + time.Second) // held up once more
 	is.Equal(len(out.Answers), 1)
 	is.Equal(out.Answers[0].Err.Code, verdict.CodeUnavailable)
 	is.Equal(out.Answers[0].Err.Verdict, verdict.NotRun)
