--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -89,8 +89,8 @@
 	askedAt time.Duration
 	sentAt  time.Duration
 	// resend is how long after sentAt the want is sent again.
-	resend time.Duration
-	giveUp time.Duration
+	resend   time.Duration
+	deadline time.Duration
 	// graced is set once giveUp was put off.
 	graced bool
 	owner  id.Daemon
@@ -146,7 +146,7 @@
 // refuses what gets none in that time: one that says nothing is held up or gone.
 func (a *Asker) Ask(now time.Duration, w sched.Want, patience time.Duration) Output {
 	a.now = max(a.now, now)
-	e := &entry{want: w, askedAt: now, giveUp: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
+	e := &entry{want: w, askedAt: now, deadline: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
 	a.entries[w.Request] = e
 	return a.sendWant(now, e, a.opts.Resend)
 }
@@ -322,7 +322,7 @@
 }
 
 // attention is when an unanswered entry is sent again or given up.
-func (a *Asker) attention(e *entry) time.Duration { return min(e.sentAt+e.resend, e.giveUp) }
+func (a *Asker) attention(e *entry) time.Duration { return min(e.sentAt+e.resend, e.deadline) }
 
 // Next is when Tick is due; far away when nothing waits for an answer.
 func (a *Asker) Next() time.Duration { return a.due }
@@ -343,13 +343,13 @@
 		if e.grant != nil {
 			continue
 		}
-		if now >= e.giveUp {
+		if now >= e.deadline {
 			if !heldUp || e.graced {
 				out.append(a.abandon(e))
 				continue
 			}
 			e.graced = true
-			e.giveUp = now + stallGrace
+			e.deadline = now + stallGrace
 		}
 		if now-e.sentAt >= e.resend {
 			out.append(a.sendWant(now, e, min(2*e.resend, max(maxResend, e.resend))))
