--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -92,10 +92,10 @@
 	resend   time.Duration
 	deadline time.Duration
 	// graced is set once giveUp was put off.
-	graced bool
-	owner  id.Daemon
-	grant  *sched.Grant
-	phase  sched.Phase
+	extended bool
+	owner    id.Daemon
+	grant    *sched.Grant
+	phase    sched.Phase
 	// phaseAt is when the phase began.
 	phaseAt time.Duration
 }
@@ -344,11 +344,11 @@
 			continue
 		}
 		if now >= e.deadline {
-			if !heldUp || e.graced {
+			if !heldUp || e.extended {
 				out.append(a.abandon(e))
 				continue
 			}
-			e.graced = true
+			e.extended = true
 			e.deadline = now + stallGrace
 		}
 		if now-e.sentAt >= e.resend {
