--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -97,7 +97,7 @@
 	grant    *sched.Grant
 	phase    sched.Phase
 	// phaseAt is when the phase began.
-	phaseAt time.Duration
+	phaseStart time.Duration
 }
 
 // Asker holds the requests of one daemon that want endpoints or hold a grant.
@@ -175,7 +175,7 @@
 // came back through this daemon while the engine still writes the answer.
 func (a *Asker) Resume(now time.Duration, w sched.Want, g sched.Grant) Output {
 	a.now = max(a.now, now)
-	e := &entry{want: w, askedAt: now, sentAt: now, grant: &g, phase: sched.PhaseDecoding, phaseAt: now}
+	e := &entry{want: w, askedAt: now, sentAt: now, grant: &g, phase: sched.PhaseDecoding, phaseStart: now}
 	e.owner = a.Owner(w.Pool)
 	a.entries[w.Request] = e
 	return Output{Messages: []Message{a.adoptMessage(e)}}
@@ -200,7 +200,7 @@
 		return Output{}
 	}
 	if e.phase != p.Phase {
-		e.phaseAt = now
+		e.phaseStart = now
 	}
 	e.phase = p.Phase
 	p.Reservation = e.grant.Reservation
@@ -251,8 +251,8 @@
 
 func (a *Asker) adoptMessage(e *entry) Message {
 	adopt := &sched.Adopt{Want: e.want, Grant: *e.grant, Phase: e.phase}
-	if e.phaseAt > 0 {
-		adopt.For = max(0, a.now-e.phaseAt)
+	if e.phaseStart > 0 {
+		adopt.For = max(0, a.now-e.phaseStart)
 	}
 	adopt.Want.Age += max(0, a.now-e.askedAt)
 	return Message{To: e.owner, Adopt: adopt}
