--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -280,13 +280,13 @@
 		return Output{}
 	}
 	delete(a.entries, r.Request)
-	return Output{Answers: []Answer{{Request: r.Request, Err: e.refusal(&r)}}}
+	return Output{Answers: []Answer{{Request: r.Request, Err: e.callerError(&r)}}}
 }
 
 // refusal is what the caller hears. What this daemon found in its configuration
 // and the owner's lacks is in force in one of the two: that passes within the
 // seconds that a change takes to spread, and is no reason to refuse for good.
-func (e *entry) refusal(r *sched.Refusal) *verdict.Error {
+func (e *entry) callerError(r *sched.Refusal) *verdict.Error {
 	switch r.Code {
 	case verdict.CodeUnknownService, verdict.CodeForbidden:
 		err := verdict.New(verdict.NotRun, verdict.CodeUnavailable,
