--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -165,7 +165,7 @@
 	e.owner = a.Owner(e.want.Pool)
 	e.sentAt = now
 	e.resend = resend
-	a.due = min(a.due, a.attention(e))
+	a.due = min(a.due, a.entryDue(e))
 	w := e.want
 	w.Age += now - e.askedAt
 	return Output{Messages: []Message{{To: e.owner, Want: &w}}}
@@ -322,7 +322,7 @@
 }
 
 // attention is when an unanswered entry is sent again or given up.
-func (a *Asker) attention(e *entry) time.Duration { return min(e.sentAt+e.resend, e.deadline) }
+func (a *Asker) entryDue(e *entry) time.Duration { return min(e.sentAt+e.resend, e.deadline) }
 
 // Next is when Tick is due; far away when nothing waits for an answer.
 func (a *Asker) Next() time.Duration { return a.due }
@@ -354,7 +354,7 @@
 		if now-e.sentAt >= e.resend {
 			out.append(a.sendWant(now, e, min(2*e.resend, max(maxResend, e.resend))))
 		}
-		a.due = min(a.due, a.attention(e))
+		a.due = min(a.due, a.entryDue(e))
 	}
 	return out
 }
