--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -345,7 +345,7 @@
 		}
 		if now >= e.deadline {
 			if !heldUp || e.extended {
-				out.append(a.abandon(e))
+				out.append(a.timeOut(e))
 				continue
 			}
 			e.extended = true
@@ -359,7 +359,7 @@
 	return out
 }
 
-func (a *Asker) abandon(e *entry) Output {
+func (a *Asker) timeOut(e *entry) Output {
 	out := a.Withdraw(e.want.Request)
 	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable,
 		"no answer from %s, which schedules pool %s", e.owner, e.want.Pool)
