--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -308,12 +308,12 @@
 		if a.Owner(e.want.Pool) == e.owner {
 			continue
 		}
-		out.append(a.moved(now, e))
+		out.append(a.sendToNewOwner(now, e))
 	}
 	return out
 }
 
-func (a *Asker) moved(now time.Duration, e *entry) Output {
+func (a *Asker) sendToNewOwner(now time.Duration, e *entry) Output {
 	if e.grant == nil {
 		return a.sendWant(now, e, a.opts.Resend)
 	}
