--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -227,7 +227,7 @@
 		return Output{Messages: []Message{progressMessage(g.Owner.Daemon, pool, release)}}
 	}
 	if e.grant != nil {
-		return a.secondGrant(e, g)
+		return a.rejectSecondGrant(e, g)
 	}
 	e.grant = &g
 	return Output{Answers: []Answer{{Request: g.Request, Grant: &g}}}
@@ -237,7 +237,7 @@
 // a new owner's may both arrive, and so may a late one that its owner had taken
 // for expired and the one that it gave in its place. The first stays in use;
 // the other is given back, and the present owner learns of the one in use.
-func (a *Asker) secondGrant(e *entry, g sched.Grant) Output {
+func (a *Asker) rejectSecondGrant(e *entry, g sched.Grant) Output {
 	if g.Owner == e.grant.Owner && g.Reservation == e.grant.Reservation {
 		return Output{}
 	}
