--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -303,7 +303,7 @@
 	a.now = max(a.now, now)
 	a.members = slices.Clone(members)
 	var out Output
-	for _, r := range a.sorted() {
+	for _, r := range a.sortedRequests() {
 		e := a.entries[r]
 		if a.Owner(e.want.Pool) == e.owner {
 			continue
@@ -338,7 +338,7 @@
 	}
 	heldUp := now > a.due+stallThreshold
 	a.due = never
-	for _, r := range a.sorted() {
+	for _, r := range a.sortedRequests() {
 		e := a.entries[r]
 		if e.grant != nil {
 			continue
@@ -367,7 +367,7 @@
 	return out
 }
 
-func (a *Asker) sorted() []id.Request {
+func (a *Asker) sortedRequests() []id.Request {
 	rs := make([]id.Request, 0, len(a.entries))
 	for r := range a.entries {
 		rs = append(rs, r)
