--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -204,7 +204,7 @@
 	}
 	e.phase = p.Phase
 	p.Reservation = e.grant.Reservation
-	if final(p.Phase) {
+	if isFinal(p.Phase) {
 		delete(a.entries, p.Request)
 	}
 	return Output{Messages: []Message{progressMessage(e.owner, e.want.Pool, p)}}
@@ -214,7 +214,7 @@
 	return Message{To: to, Progress: &PoolProgress{Pool: pool, Progress: p}}
 }
 
-func final(p sched.Phase) bool {
+func isFinal(p sched.Phase) bool {
 	return p == sched.PhaseDone || p == sched.PhaseFailed || p == sched.PhaseCancelled
 }
 
