--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -47,7 +47,7 @@
 }
 
 // asking returns an Asker that has asked owner for the request r.
-func asking(is *is.I, owner id.Daemon) *Asker {
+func newWaitingAsker(is *is.I, owner id.Daemon) *Asker {
 	a := New(self, Options{})
 	a.Members(0, ownedBy(a, owner))
 	out := a.Ask(0, want("r"), patience)
@@ -67,7 +67,7 @@
 
 func TestWaitingWantGoesToTheNewOwner(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	out := a.Members(40*ms, ownedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
@@ -87,7 +87,7 @@
 
 func TestGrantInUseIsAdoptedByTheNewOwner(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	g := grantOf("d2", 7)
 	is.Equal(len(a.Granted(testPool, g).Answers), 1)
 	a.Progress(0, sched.Progress{Request: "r", Phase: sched.PhaseTransferring})
@@ -106,7 +106,7 @@
 
 func TestLateGrantIsGivenBack(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	out := a.Withdraw("r")
 	is.Equal(out.Messages[0].Withdraw.Request, id.Request("r"))
 	out = a.Granted(testPool, grantOf("d3", 4))
@@ -124,7 +124,7 @@
 
 func TestTwoOwnersGrants(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	a.Members(0, ownedBy(a, "d3"))
 	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Answers), 1)
 	out := a.Granted(testPool, grantOf("d3", 1))
@@ -140,7 +140,7 @@
 // gave another; the asker uses the first and says so.
 func TestGrantInPlaceOfALateOne(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	a.Granted(testPool, grantOf("d2", 1))
 	out := a.Granted(testPool, grantOf("d2", 2))
 	is.Equal(len(out.Answers), 0)
@@ -151,7 +151,7 @@
 
 func TestResendAndGiveUp(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	is.Equal(len(a.Tick(DefaultResend-1).Messages), 0)
 	out := a.Tick(DefaultResend)
 	is.Equal(len(out.Messages), 1)
@@ -168,7 +168,7 @@
 
 func TestGrantedIsNotGivenUp(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	a.Granted(testPool, grantOf("d2", 1))
 	is.Equal(a.Tick(time.Hour), Output{})
 	is.Equal(a.Len(), 1)
--- a/core/pairing/heldup_test.go
+++ b/core/pairing/heldup_test.go
@@ -14,7 +14,7 @@
 // for the daemon's own time.
 func TestADaemonThatWasHeldUpHearsItsOwner(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	end := patience + DefaultMargin
 	out := a.Tick(end + 600*ms) // due at DefaultResend
 	is.Equal(len(out.Answers), 0)
@@ -27,7 +27,7 @@
 // once, and is told.
 func TestAnOwnerThatStaysSilentIsGivenUp(t *testing.T) {
 	is := is.New(t)
-	a := asking(is, "d2")
+	a := newWaitingAsker(is, "d2")
 	late := patience + DefaultMargin + 600*ms
 	out := a.Tick(late)
 	is.Equal(len(out.Answers), 0)
