--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -23,7 +23,7 @@
 )
 
 // ownedBy gives the members without all that rank before owner.
-func ownedBy(a *Asker, owner id.Daemon) []id.Daemon {
+func membersOwnedBy(a *Asker, owner id.Daemon) []id.Daemon {
 	members := append([]id.Daemon(nil), all...)
 	for range all {
 		a.members = members
@@ -49,7 +49,7 @@
 // asking returns an Asker that has asked owner for the request r.
 func newWaitingAsker(is *is.I, owner id.Daemon) *Asker {
 	a := New(self, Options{})
-	a.Members(0, ownedBy(a, owner))
+	a.Members(0, membersOwnedBy(a, owner))
 	out := a.Ask(0, want("r"), patience)
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, owner)
@@ -68,7 +68,7 @@
 func TestWaitingWantGoesToTheNewOwner(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
-	out := a.Members(40*ms, ownedBy(a, "d3"))
+	out := a.Members(40*ms, membersOwnedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
 	is.Equal(out.Messages[0].Want.Request, id.Request("r"))
@@ -91,7 +91,7 @@
 	g := grantOf("d2", 7)
 	is.Equal(len(a.Granted(testPool, g).Answers), 1)
 	a.Progress(0, sched.Progress{Request: "r", Phase: sched.PhaseTransferring})
-	out := a.Members(0, ownedBy(a, "d3"))
+	out := a.Members(0, membersOwnedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
 	is.Equal(out.Messages[0].Adopt.Grant, g)
@@ -125,7 +125,7 @@
 func TestTwoOwnersGrants(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
-	a.Members(0, ownedBy(a, "d3"))
+	a.Members(0, membersOwnedBy(a, "d3"))
 	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Answers), 1)
 	out := a.Granted(testPool, grantOf("d3", 1))
 	is.Equal(len(out.Answers), 0)
@@ -177,7 +177,7 @@
 func TestResumeTellsTheOwner(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{})
-	a.Members(0, ownedBy(a, "d3"))
+	a.Members(0, membersOwnedBy(a, "d3"))
 	out := a.Resume(0, want("r"), sched.Grant{Request: "r", Decode: "e", Owner: self})
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
--- a/core/pairing/heldup_test.go
+++ b/core/pairing/heldup_test.go
@@ -45,7 +45,7 @@
 func TestAnOwnerThatIsHeldUpCostsNoRequest(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{})
-	a.Members(0, ownedBy(a, "d2"))
+	a.Members(0, membersOwnedBy(a, "d2"))
 	w := want("r")
 	w.Lifetime = time.Minute
 	a.Ask(0, w, patience)
