--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -112,10 +112,10 @@
 	out = a.Granted(testPool, grantOf("d3", 4))
 	is.Equal(len(out.Answers), 0)
 	is.Equal(len(out.Messages), 1)
-	checkGivenBack(is, out.Messages[0], "d3", 4)
+	checkReleased(is, out.Messages[0], "d3", 4)
 }
 
-func checkGivenBack(is *is.I, m Message, to id.Daemon, number uint64) {
+func checkReleased(is *is.I, m Message, to id.Daemon, number uint64) {
 	is.Helper()
 	is.Equal(m.To, to)
 	is.Equal(m.Progress.Pool, testPool)
@@ -130,7 +130,7 @@
 	out := a.Granted(testPool, grantOf("d3", 1))
 	is.Equal(len(out.Answers), 0)
 	is.Equal(len(out.Messages), 2)
-	checkGivenBack(is, out.Messages[0], "d3", 1)
+	checkReleased(is, out.Messages[0], "d3", 1)
 	is.Equal(out.Messages[1].To, id.Daemon("d3"))
 	is.Equal(out.Messages[1].Adopt.Grant.Owner.Daemon, id.Daemon("d2")) // the one in use
 	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Messages), 0)    // a repeat
@@ -145,7 +145,7 @@
 	out := a.Granted(testPool, grantOf("d2", 2))
 	is.Equal(len(out.Answers), 0)
 	is.Equal(len(out.Messages), 2)
-	checkGivenBack(is, out.Messages[0], "d2", 2)
+	checkReleased(is, out.Messages[0], "d2", 2)
 	is.Equal(out.Messages[1].Adopt.Grant.Reservation, uint64(1))
 }
 
