--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -113,7 +113,7 @@
 	d.count(now, e, r)
 	switch e.state {
 	case Healthy:
-		return d.judge(now, e, r)
+		return d.evaluate(now, e, r)
 	case Probing:
 		return d.judgeProbe(now, e, r)
 	default:
@@ -132,7 +132,7 @@
 	e.addLatency(r.Latency)
 }
 
-func (d *Detector) judge(now time.Duration, e *endpoint, r Result) []Change {
+func (d *Detector) evaluate(now time.Duration, e *endpoint, r Result) []Change {
 	total := e.good + e.bad
 	switch {
 	case r.Kind == Crashed:
