--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -115,7 +115,7 @@
 	case Healthy:
 		return d.evaluate(now, e, r)
 	case Probing:
-		return d.judgeProbe(now, e, r)
+		return d.evaluateProbe(now, e, r)
 	default:
 		return nil
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (d *Detector) judgeProbe(now time.Duration, e *endpoint, r Result) []Change {
+func (d *Detector) evaluateProbe(now time.Duration, e *endpoint, r Result) []Change {
 	if r.Kind != OK || d.slow(e, float64(r.Latency)) {
 		return d.eject(now, e, ReasonProbe)
 	}
