--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -110,7 +110,7 @@
 	if r.Kind == Withdrawn {
 		return nil
 	}
-	d.count(now, e, r)
+	d.recordOutcome(now, e, r)
 	switch e.state {
 	case Healthy:
 		return d.evaluate(now, e, r)
@@ -121,7 +121,7 @@
 	}
 }
 
-func (d *Detector) count(now time.Duration, e *endpoint, r Result) {
+func (d *Detector) recordOutcome(now time.Duration, e *endpoint, r Result) {
 	e.decay(now, d.cfg.HalfLife)
 	if r.Kind != OK {
 		e.bad++
