--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -177,7 +177,7 @@
 // eject takes an endpoint out, unless too many of its group are out already.
 // One that fails its probe was out before and stays so.
 func (d *Detector) eject(now time.Duration, e *endpoint, reason Reason) []Change {
-	if e.state == Healthy && !d.room(e) {
+	if e.state == Healthy && !d.canEject(e) {
 		return nil
 	}
 	d.forgive(now, e)
@@ -198,7 +198,7 @@
 }
 
 // room says whether the group can spare the endpoint.
-func (d *Detector) room(e *endpoint) bool {
+func (d *Detector) canEject(e *endpoint) bool {
 	members := d.groups[group{pool: e.Pool, role: e.Role}]
 	out := 0
 	for _, p := range members {
