--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -180,7 +180,7 @@
 	if e.state == Healthy && !d.canEject(e) {
 		return nil
 	}
-	d.forgive(now, e)
+	d.decayEjections(now, e)
 	duration := float64(d.cfg.EjectMin) * math.Pow(2, float64(e.ejections))
 	length := time.Duration(min(duration, float64(d.cfg.EjectMax)))
 	e.ejections++
@@ -191,7 +191,7 @@
 }
 
 // forgive halves the next ejection for each ForgetAfter spent in health.
-func (d *Detector) forgive(now time.Duration, e *endpoint) {
+func (d *Detector) decayEjections(now time.Duration, e *endpoint) {
 	if e.state == Healthy {
 		e.ejections = max(0, e.ejections-int((now-e.healthy)/d.cfg.ForgetAfter))
 	}
