--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -213,7 +213,7 @@
 // Tick ends ejections and finds stuck work; call it at Next or earlier.
 func (d *Detector) Tick(now time.Duration) []Change {
 	var out []Change
-	for _, e := range d.sorted() {
+	for _, e := range d.sortedEndpoints() {
 		out = append(out, d.tick(now, e)...)
 	}
 	d.next = now + d.cfg.StuckAfter/stuckChecks
@@ -236,7 +236,7 @@
 	}
 }
 
-func (d *Detector) sorted() []*endpoint {
+func (d *Detector) sortedEndpoints() []*endpoint {
 	out := make([]*endpoint, 0, len(d.endpoints))
 	for _, e := range d.endpoints {
 		out = append(out, e)
