--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -214,13 +214,13 @@
 func (d *Detector) Tick(now time.Duration) []Change {
 	var out []Change
 	for _, e := range d.sortedEndpoints() {
-		out = append(out, d.tick(now, e)...)
+		out = append(out, d.tickEndpoint(now, e)...)
 	}
 	d.next = now + d.cfg.StuckAfter/stuckChecks
 	return out
 }
 
-func (d *Detector) tick(now time.Duration, e *endpoint) []Change {
+func (d *Detector) tickEndpoint(now time.Duration, e *endpoint) []Change {
 	stuck := e.stuck(now, d.cfg.StuckAfter)
 	switch {
 	case e.state == Ejected && now >= e.until:
