--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -186,7 +186,7 @@
 	e.ejections++
 	e.state = Ejected
 	e.until = now + length
-	e.forget()
+	e.resetStats()
 	return []Change{{Endpoint: e.Endpoint, State: Ejected, Reason: reason, For: length}}
 }
 
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -70,7 +70,7 @@
 }
 
 // forget drops what was learnt before an ejection ended.
-func (e *endpoint) forget() {
+func (e *endpoint) resetStats() {
 	e.good, e.bad = 0, 0
 	e.latency, e.samples = 0, 0
 	e.probes = 0
