--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -48,7 +48,7 @@
 	for _, m := range members {
 		e := old[m.Endpoint]
 		if e == nil || e.Member != m {
-			e = &endpoint{Member: m, state: Healthy, healthy: now, countedAt: now, progress: now, inFlight: map[id.Request]time.Duration{}}
+			e = &endpoint{Member: m, state: Healthy, healthySince: now, countedAt: now, progress: now, inFlight: map[id.Request]time.Duration{}}
 		}
 		d.endpoints[m.Endpoint] = e
 		g := group{pool: m.Pool, role: m.Role}
@@ -155,7 +155,7 @@
 		return nil
 	}
 	e.state = Healthy
-	e.healthy = now
+	e.healthySince = now
 	return []Change{{Endpoint: e.Endpoint, State: Healthy, Reason: ReasonRecovered}}
 }
 
@@ -193,7 +193,7 @@
 // forgive halves the next ejection for each ForgetAfter spent in health.
 func (d *Detector) decayEjections(now time.Duration, e *endpoint) {
 	if e.state == Healthy {
-		e.ejections = max(0, e.ejections-int((now-e.healthy)/d.cfg.ForgetAfter))
+		e.ejections = max(0, e.ejections-int((now-e.healthySince)/d.cfg.ForgetAfter))
 	}
 }
 
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -29,8 +29,8 @@
 	// ejections counts them, for the doubling; it decays in health.
 	ejections int
 	// healthy is since when the endpoint is healthy.
-	healthy time.Duration
-	probes  int
+	healthySince time.Duration
+	probes       int
 }
 
 // decay brings the counts up to now.
