--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -48,7 +48,7 @@
 	for _, m := range members {
 		e := old[m.Endpoint]
 		if e == nil || e.Member != m {
-			e = &endpoint{Member: m, state: Healthy, healthySince: now, countedAt: now, progress: now, inFlight: map[id.Request]time.Duration{}}
+			e = &endpoint{Member: m, state: Healthy, healthySince: now, countedAt: now, lastProgress: now, inFlight: map[id.Request]time.Duration{}}
 		}
 		d.endpoints[m.Endpoint] = e
 		g := group{pool: m.Pool, role: m.Role}
@@ -96,7 +96,7 @@
 // Progress tells that a request gave output.
 func (d *Detector) Progress(now time.Duration, name id.Endpoint) {
 	if e, ok := d.endpoints[name]; ok {
-		e.progress = now
+		e.lastProgress = now
 	}
 }
 
@@ -128,7 +128,7 @@
 		return
 	}
 	e.good++
-	e.progress = now
+	e.lastProgress = now
 	e.addLatency(r.Latency)
 }
 
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -23,7 +23,7 @@
 	// inFlight holds when each piece of work is overdue.
 	inFlight map[id.Request]time.Duration
 	// progress is when work last gave a token or ended well.
-	progress time.Duration
+	lastProgress time.Duration
 	// until is the end of the ejection.
 	until time.Duration
 	// ejections counts them, for the doubling; it decays in health.
@@ -58,7 +58,7 @@
 
 // stuck says whether work is overdue and none has made progress for a while.
 func (e *endpoint) stuck(now, quiet time.Duration) bool {
-	if now-e.progress < quiet {
+	if now-e.lastProgress < quiet {
 		return false
 	}
 	for _, due := range e.inFlight {
