--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -185,7 +185,7 @@
 	length := time.Duration(min(duration, float64(d.cfg.EjectMax)))
 	e.ejections++
 	e.state = Ejected
-	e.until = now + length
+	e.ejectedUntil = now + length
 	e.resetStats()
 	return []Change{{Endpoint: e.Endpoint, State: Ejected, Reason: reason, For: length}}
 }
@@ -223,7 +223,7 @@
 func (d *Detector) tickEndpoint(now time.Duration, e *endpoint) []Change {
 	stuck := e.stuck(now, d.cfg.StuckAfter)
 	switch {
-	case e.state == Ejected && now >= e.until:
+	case e.state == Ejected && now >= e.ejectedUntil:
 		e.state = Probing
 		clear(e.inFlight)
 		return []Change{{Endpoint: e.Endpoint, State: Probing, Reason: ReasonElapsed}}
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -25,7 +25,7 @@
 	// progress is when work last gave a token or ended well.
 	lastProgress time.Duration
 	// until is the end of the ejection.
-	until time.Duration
+	ejectedUntil time.Duration
 	// ejections counts them, for the doubling; it decays in health.
 	ejections int
 	// healthy is since when the endpoint is healthy.
