--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -127,13 +127,13 @@
 		e.bad++
 		return
 	}
-	e.good++
+	e.successes++
 	e.lastProgress = now
 	e.addLatency(r.Latency)
 }
 
 func (d *Detector) evaluate(now time.Duration, e *endpoint, r Result) []Change {
-	total := e.good + e.bad
+	total := e.successes + e.bad
 	switch {
 	case r.Kind == Crashed:
 		return d.eject(now, e, ReasonCrashed)
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -15,8 +15,8 @@
 	Member
 	state State
 	// good and bad are decayed counts of outcomes, as of countedAt.
-	good, bad float64
-	countedAt time.Duration
+	successes, bad float64
+	countedAt      time.Duration
 	// latency is a moving average, in nanoseconds; 0 if unknown.
 	latency float64
 	samples int
@@ -39,7 +39,7 @@
 		return
 	}
 	factor := math.Exp2(-float64(now-e.countedAt) / float64(halfLife))
-	e.good *= factor
+	e.successes *= factor
 	e.bad *= factor
 	e.countedAt = now
 }
@@ -71,7 +71,7 @@
 
 // forget drops what was learnt before an ejection ended.
 func (e *endpoint) resetStats() {
-	e.good, e.bad = 0, 0
+	e.successes, e.bad = 0, 0
 	e.latency, e.samples = 0, 0
 	e.probes = 0
 }
