--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -124,7 +124,7 @@
 func (d *Detector) recordOutcome(now time.Duration, e *endpoint, r Result) {
 	e.decay(now, d.cfg.HalfLife)
 	if r.Kind != OK {
-		e.bad++
+		e.failures++
 		return
 	}
 	e.successes++
@@ -133,11 +133,11 @@
 }
 
 func (d *Detector) evaluate(now time.Duration, e *endpoint, r Result) []Change {
-	total := e.successes + e.bad
+	total := e.successes + e.failures
 	switch {
 	case r.Kind == Crashed:
 		return d.eject(now, e, ReasonCrashed)
-	case total >= d.cfg.MinOutcomes && e.bad/total >= d.cfg.ErrorRatio:
+	case total >= d.cfg.MinOutcomes && e.failures/total >= d.cfg.ErrorRatio:
 		return d.eject(now, e, ReasonErrors)
 	case total >= d.cfg.MinOutcomes && d.slow(e, e.latency):
 		return d.eject(now, e, ReasonSlow)
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -15,8 +15,8 @@
 	Member
 	state State
 	// good and bad are decayed counts of outcomes, as of countedAt.
-	successes, bad float64
-	countedAt      time.Duration
+	successes, failures float64
+	countedAt           time.Duration
 	// latency is a moving average, in nanoseconds; 0 if unknown.
 	latency float64
 	samples int
@@ -40,7 +40,7 @@
 	}
 	factor := math.Exp2(-float64(now-e.countedAt) / float64(halfLife))
 	e.successes *= factor
-	e.bad *= factor
+	e.failures *= factor
 	e.countedAt = now
 }
 
@@ -71,7 +71,7 @@
 
 // forget drops what was learnt before an ejection ended.
 func (e *endpoint) resetStats() {
-	e.successes, e.bad = 0, 0
+	e.successes, e.failures = 0, 0
 	e.latency, e.samples = 0, 0
 	e.probes = 0
 }
