--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -193,7 +193,7 @@
 // forgive halves the next ejection for each ForgetAfter spent in health.
 func (d *Detector) decayEjections(now time.Duration, e *endpoint) {
 	if e.state == Healthy {
-		e.ejections = max(0, e.ejections-int((now-e.healthySince)/d.cfg.ForgetAfter))
+		e.ejections = max(0, e.ejections-int((now-e.healthySince)/d.cfg.EjectionDecay))
 	}
 }
 
--- a/core/health/types.go
+++ b/core/health/types.go
@@ -118,7 +118,7 @@
 	EjectMin time.Duration
 	EjectMax time.Duration
 	// ForgetAfter is the time in health that halves the next ejection. Default 1 min.
-	ForgetAfter time.Duration
+	EjectionDecay time.Duration
 	// ProbeSuccesses in a row that end the probing. Default 2.
 	ProbeSuccesses int
 	// MaxInFlight bounds the work remembered for each endpoint. Default 1024.
@@ -151,7 +151,7 @@
 	defaults.Set(&c.MaxEjected, DefaultMaxEjected)
 	defaults.Set(&c.EjectMin, DefaultEjectMin)
 	defaults.Set(&c.EjectMax, DefaultEjectMax)
-	defaults.Set(&c.ForgetAfter, DefaultForgetAfter)
+	defaults.Set(&c.EjectionDecay, DefaultForgetAfter)
 	defaults.Set(&c.ProbeSuccesses, DefaultProbeSuccesses)
 	defaults.Set(&c.MaxInFlight, DefaultMaxInFlight)
 	return c
