--- a/core/health/types.go
+++ b/core/health/types.go
@@ -136,7 +136,7 @@
 	DefaultMaxEjected     = 0.4
 	DefaultEjectMin       = 5 * time.Second
 	DefaultEjectMax       = 5 * time.Minute
-	DefaultForgetAfter    = time.Minute
+	DefaultEjectionDecay  = time.Minute
 	DefaultProbeSuccesses = 2
 	DefaultMaxInFlight    = 1024
 )
@@ -151,7 +151,7 @@
 	defaults.Set(&c.MaxEjected, DefaultMaxEjected)
 	defaults.Set(&c.EjectMin, DefaultEjectMin)
 	defaults.Set(&c.EjectMax, DefaultEjectMax)
-	defaults.Set(&c.EjectionDecay, DefaultForgetAfter)
+	defaults.Set(&c.EjectionDecay, DefaultEjectionDecay)
 	defaults.Set(&c.ProbeSuccesses, DefaultProbeSuccesses)
 	defaults.Set(&c.MaxInFlight, DefaultMaxInFlight)
 	return c
