--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func only(bad int, kind OutcomeKind, latency time.Duration) func(int) (OutcomeKind, time.Duration) {
+func onlyFor(bad int, kind OutcomeKind, latency time.Duration) func(int) (OutcomeKind, time.Duration) {
 	return func(i int) (OutcomeKind, time.Duration) {
 		if i == bad {
 			return kind, latency
@@ -79,18 +79,18 @@
 			is := is.New(t)
 			f := newFleet(5)
 			for f.State(name(2)) == Healthy {
-				f.round(5, only(2, c.kind, c.latency))
+				f.round(5, onlyFor(2, c.kind, c.latency))
 			}
 			is.True(f.now < 5*time.Second) // within seconds
 			is.Equal(f.changes, []Change{{Endpoint: name(2), State: Ejected, Reason: c.reason, For: DefaultEjectMin}})
 			// It stays bad: the next ejections are longer, by single probes.
 			for len(f.changes) < 5 {
-				f.round(5, only(2, c.kind, c.latency))
+				f.round(5, onlyFor(2, c.kind, c.latency))
 			}
 			is.Equal(f.changes[2].Reason, ReasonProbe)
 			is.Equal(f.changes[4].For, 4*DefaultEjectMin)
 			for f.State(name(2)) != Healthy {
-				f.round(5, only(2, OK, usual))
+				f.round(5, onlyFor(2, OK, usual))
 			}
 			is.Equal(f.changes[len(f.changes)-1].Reason, ReasonRecovered)
 			is.True(f.Allowed(name(2)))
