--- a/core/resume/keyring.go
+++ b/core/resume/keyring.go
@@ -67,20 +67,20 @@
 // after the longest life of a token.
 type Keyring struct {
 	signing Key
-	accepts map[uint8][]byte
+	secrets map[uint8][]byte
 }
 
 // NewKeyring returns a keyring that signs with signing and accepts it and others.
 func NewKeyring(signing Key, others ...Key) (*Keyring, error) {
-	k := &Keyring{signing: signing, accepts: make(map[uint8][]byte, len(others)+1)}
+	k := &Keyring{signing: signing, secrets: make(map[uint8][]byte, len(others)+1)}
 	for _, key := range append([]Key{signing}, others...) {
 		if len(key.Secret) < MinSecretBytes {
 			return nil, fmt.Errorf("resume key %d has %d bytes, want %d or more", key.ID, len(key.Secret), MinSecretBytes)
 		}
-		if _, double := k.accepts[key.ID]; double {
+		if _, double := k.secrets[key.ID]; double {
 			return nil, fmt.Errorf("resume key %d is given twice", key.ID)
 		}
-		k.accepts[key.ID] = key.Secret
+		k.secrets[key.ID] = key.Secret
 	}
 	return k, nil
 }
@@ -142,7 +142,7 @@
 		return nil, &Error{Reason: ReasonMalformed, Detail: "not an encoded token"}
 	}
 	keyID, sum, body := raw[0], raw[1:envelopeBytes], raw[envelopeBytes:]
-	secret, ok := k.accepts[keyID]
+	secret, ok := k.secrets[keyID]
 	if !ok {
 		return nil, &Error{Reason: ReasonBadSignature, Detail: fmt.Sprintf("key %d is not in use", keyID)}
 	}
