--- a/core/resume/keyring.go
+++ b/core/resume/keyring.go
@@ -108,7 +108,7 @@
 // Verify checks a token that a caller of the given team sent at the given wall
 // time. The error is always an *Error.
 func (k *Keyring) Verify(token string, team id.Team, wall time.Time) (Token, error) {
-	body, err := k.open(token)
+	body, err := k.openEnvelope(token)
 	if err != nil {
 		return Token{}, err
 	}
@@ -129,7 +129,7 @@
 }
 
 // open checks the envelope before anything of the body is read.
-func (k *Keyring) open(token string) ([]byte, error) {
+func (k *Keyring) openEnvelope(token string) ([]byte, error) {
 	if len(token) > MaxTokenBytes {
 		return nil, &Error{Reason: ReasonMalformed, Detail: "too long"}
 	}
