--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -19,7 +19,7 @@
 	Count = 3
 	// settle is how long others must have been reading before a daemon leaves
 	// it to them: a view that is just forming must not stop anybody.
-	settle = time.Second
+	settleTime = time.Second
 	// key is what the readers are chosen by.
 	key = "store"
 )
@@ -125,6 +125,6 @@
 		d.others = true
 		d.since = now
 	}
-	d.reads = d.reads && now-d.since < settle
+	d.reads = d.reads && now-d.since < settleTime
 	return d.reads
 }
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -87,8 +87,8 @@
 	met := startWait + time.Second
 	is.True(d.Decide(met, all, false))
 	is.True(!d.Tells()) // it reads on for itself: the others have just begun
-	is.True(d.Decide(met+settle-1, all, false))
-	is.True(!d.Decide(met+settle, all, false))
+	is.True(d.Decide(met+settleTime-1, all, false))
+	is.True(!d.Decide(met+settleTime, all, false))
 	// Two readers fall silent: others take their place, and it need not read
 	// unless it is the next.
 	left := without(all, chosen[0], chosen[1])
