--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -21,7 +21,7 @@
 	// it to them: a view that is just forming must not stop anybody.
 	settleTime = time.Second
 	// key is what the readers are chosen by.
-	key = "store"
+	rankingKey = "store"
 )
 
 // Candidate is a daemon that is alive.
@@ -48,7 +48,7 @@
 		domains[c.Daemon] = c.Domain
 		names = append(names, c.Daemon)
 	}
-	return spread(rendezvous.Ranked(key, names), domains)
+	return spread(rendezvous.Ranked(rankingKey, names), domains)
 }
 
 // spread takes the first of each domain, then the first of the rest.
