--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -70,7 +70,7 @@
 // startWait is how long a daemon that has started waits to hear of the others
 // before it follows the store: it has just read its tables, and where a whole
 // fleet starts, all would follow them until they know of one another.
-const startWait = 1500 * time.Millisecond
+const startupWait = 1500 * time.Millisecond
 
 // Decision says whether one daemon reads. It begins without.
 type Decision struct {
@@ -112,7 +112,7 @@
 	if !d.begun {
 		d.begun, d.beganAt = true, now
 	}
-	d.waited = d.waited || only || now-d.beganAt >= startWait
+	d.waited = d.waited || only || now-d.beganAt >= startupWait
 	d.chosen = Choose(candidates)
 	needed := len(d.chosen) < Count || slices.Contains(d.chosen, d.self)
 	d.tells = needed && d.waited
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -82,9 +82,9 @@
 	}
 	d := NewDecision(idle)
 	d.Decide(0, all[:1], false)
-	is.True(d.Decide(startWait, all[:1], false)) // it knows hardly anyone yet
+	is.True(d.Decide(startupWait, all[:1], false)) // it knows hardly anyone yet
 	is.True(d.Tells())
-	met := startWait + time.Second
+	met := startupWait + time.Second
 	is.True(d.Decide(met, all, false))
 	is.True(!d.Tells()) // it reads on for itself: the others have just begun
 	is.True(d.Decide(met+settleTime-1, all, false))
@@ -103,7 +103,7 @@
 	d := NewDecision(Choose(all)[0])
 	d.Decide(0, all, false)
 	for s := range 100 {
-		is.True(d.Decide(startWait+time.Duration(s)*time.Second, all, false))
+		is.True(d.Decide(startupWait+time.Duration(s)*time.Second, all, false))
 		is.True(d.Tells())
 	}
 }
@@ -124,7 +124,7 @@
 			if d.Decide(now, known, false) {
 				reading[c.Daemon] = true
 			}
-			is.True(now >= startWait || !d.Tells())
+			is.True(now >= startupWait || !d.Tells())
 		}
 	}
 	is.Equal(len(reading), Count)
