--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -48,11 +48,11 @@
 		domains[c.Daemon] = c.Domain
 		names = append(names, c.Daemon)
 	}
-	return spread(rendezvous.Ranked(rankingKey, names), domains)
+	return spreadOverDomains(rendezvous.Ranked(rankingKey, names), domains)
 }
 
 // spread takes the first of each domain, then the first of the rest.
-func spread(ranked []id.Daemon, domains map[id.Daemon]id.Domain) []id.Daemon {
+func spreadOverDomains(ranked []id.Daemon, domains map[id.Daemon]id.Domain) []id.Daemon {
 	var chosen, rest []id.Daemon
 	seen := map[id.Domain]bool{}
 	for _, d := range ranked {
