--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -76,7 +76,7 @@
 type Decision struct {
 	self id.Daemon
 	// begun is set at the first decision, at beganAt.
-	begun   bool
+	started bool
 	beganAt time.Duration
 	// waited is set once the wait of the start is over.
 	waited bool
@@ -109,8 +109,8 @@
 // begins at once where it is chosen or others are too few, and leaves it to
 // others once these have been enough for a while.
 func (d *Decision) Decide(now time.Duration, candidates []Candidate, only bool) bool {
-	if !d.begun {
-		d.begun, d.beganAt = true, now
+	if !d.started {
+		d.started, d.beganAt = true, now
 	}
 	d.waited = d.waited || only || now-d.beganAt >= startupWait
 	d.chosen = Choose(candidates)
