--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -76,8 +76,8 @@
 type Decision struct {
 	self id.Daemon
 	// begun is set at the first decision, at beganAt.
-	started bool
-	beganAt time.Duration
+	started   bool
+	startedAt time.Duration
 	// waited is set once the wait of the start is over.
 	waited bool
 	reads  bool
@@ -110,9 +110,9 @@
 // others once these have been enough for a while.
 func (d *Decision) Decide(now time.Duration, candidates []Candidate, only bool) bool {
 	if !d.started {
-		d.started, d.beganAt = true, now
+		d.started, d.startedAt = true, now
 	}
-	d.waited = d.waited || only || now-d.beganAt >= startupWait
+	d.waited = d.waited || only || now-d.startedAt >= startupWait
 	d.chosen = Choose(candidates)
 	needed := len(d.chosen) < Count || slices.Contains(d.chosen, d.self)
 	d.tells = needed && d.waited
