--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -79,9 +79,9 @@
 	started   bool
 	startedAt time.Duration
 	// waited is set once the wait of the start is over.
-	waited bool
-	reads  bool
-	chosen []id.Daemon
+	startupOver bool
+	reads       bool
+	chosen      []id.Daemon
 	// since is when enough others began to read; meaningless unless others is set.
 	since  time.Duration
 	others bool
@@ -102,7 +102,7 @@
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
 
 // Waited says whether the daemon has waited to hear of others, and decides.
-func (d *Decision) Waited() bool { return d.waited }
+func (d *Decision) Waited() bool { return d.startupOver }
 
 // Decide tells whether the daemon reads, given the candidates of the moment and
 // whether it is the only one that ever enrolled. Behind the wait of its start it
@@ -112,10 +112,10 @@
 	if !d.started {
 		d.started, d.startedAt = true, now
 	}
-	d.waited = d.waited || only || now-d.startedAt >= startupWait
+	d.startupOver = d.startupOver || only || now-d.startedAt >= startupWait
 	d.chosen = Choose(candidates)
 	needed := len(d.chosen) < Count || slices.Contains(d.chosen, d.self)
-	d.tells = needed && d.waited
+	d.tells = needed && d.startupOver
 	if needed {
 		d.others = false
 		d.reads = d.tells
