--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -83,8 +83,8 @@
 	reads       bool
 	chosen      []id.Daemon
 	// since is when enough others began to read; meaningless unless others is set.
-	since  time.Duration
-	others bool
+	since         time.Duration
+	othersSuffice bool
 	// tells is set while the daemon reads for others as well.
 	tells bool
 }
@@ -117,12 +117,12 @@
 	needed := len(d.chosen) < Count || slices.Contains(d.chosen, d.self)
 	d.tells = needed && d.startupOver
 	if needed {
-		d.others = false
+		d.othersSuffice = false
 		d.reads = d.tells
 		return d.reads
 	}
-	if !d.others {
-		d.others = true
+	if !d.othersSuffice {
+		d.othersSuffice = true
 		d.since = now
 	}
 	d.reads = d.reads && now-d.since < settleTime
