--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -83,7 +83,7 @@
 	reads       bool
 	chosen      []id.Daemon
 	// since is when enough others began to read; meaningless unless others is set.
-	since         time.Duration
+	othersSince   time.Duration
 	othersSuffice bool
 	// tells is set while the daemon reads for others as well.
 	tells bool
@@ -123,8 +123,8 @@
 	}
 	if !d.othersSuffice {
 		d.othersSuffice = true
-		d.since = now
+		d.othersSince = now
 	}
-	d.reads = d.reads && now-d.since < settleTime
+	d.reads = d.reads && now-d.othersSince < settleTime
 	return d.reads
 }
