--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -80,7 +80,7 @@
 	startedAt time.Duration
 	// waited is set once the wait of the start is over.
 	startupOver bool
-	reads       bool
+	reading     bool
 	chosen      []id.Daemon
 	// since is when enough others began to read; meaningless unless others is set.
 	othersSince   time.Duration
@@ -118,13 +118,13 @@
 	d.tells = needed && d.startupOver
 	if needed {
 		d.othersSuffice = false
-		d.reads = d.tells
-		return d.reads
+		d.reading = d.tells
+		return d.reading
 	}
 	if !d.othersSuffice {
 		d.othersSuffice = true
 		d.othersSince = now
 	}
-	d.reads = d.reads && now-d.othersSince < settleTime
-	return d.reads
+	d.reading = d.reading && now-d.othersSince < settleTime
+	return d.reading
 }
