--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -86,7 +86,7 @@
 	othersSince   time.Duration
 	othersSuffice bool
 	// tells is set while the daemon reads for others as well.
-	tells bool
+	announces bool
 }
 
 // NewDecision returns the decision of the daemon self.
@@ -96,7 +96,7 @@
 // chosen, or others are too few. One that only reads on until the others have
 // settled keeps it to itself: news with gaps before them have each of the others
 // read a table anew.
-func (d *Decision) Tells() bool { return d.tells }
+func (d *Decision) Tells() bool { return d.announces }
 
 // Chosen are the daemons that read for all, as of the last decision.
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
@@ -115,10 +115,10 @@
 	d.startupOver = d.startupOver || only || now-d.startedAt >= startupWait
 	d.chosen = Choose(candidates)
 	needed := len(d.chosen) < Count || slices.Contains(d.chosen, d.self)
-	d.tells = needed && d.startupOver
+	d.announces = needed && d.startupOver
 	if needed {
 		d.othersSuffice = false
-		d.reading = d.tells
+		d.reading = d.announces
 		return d.reading
 	}
 	if !d.othersSuffice {
