--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -67,7 +67,7 @@
 // evenly; each further one comes from a failure domain used least so far, so
 // that a caller who tries the next survives the loss of one.
 func Make(cfg Config, view []Candidate, self id.Daemon, rng *rand.Rand) Answer {
-	chosen := choose(cfg, view, self)
+	chosen := selectCandidates(cfg, view, self)
 	slices.SortFunc(chosen, func(a, b Candidate) int { return strings.Compare(string(a.Daemon), string(b.Daemon)) })
 	weights := weigh(chosen)
 	answer := Answer{Lifetime: lifetime(cfg, chosen)}
@@ -86,7 +86,7 @@
 // choose keeps the alive; where this daemon is the only one, the partitioned as
 // well; without any, the suspect; without those, this daemon, which answers and
 // so runs.
-func choose(cfg Config, view []Candidate, self id.Daemon) []Candidate {
+func selectCandidates(cfg Config, view []Candidate, self id.Daemon) []Candidate {
 	alive := inState(cfg, view, member.Alive)
 	if len(alive) == 1 && alive[0].Daemon == self {
 		// Cut off from most of the fleet, this daemon can't tell who lives:
