--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -69,7 +69,7 @@
 func Make(cfg Config, view []Candidate, self id.Daemon, rng *rand.Rand) Answer {
 	chosen := selectCandidates(cfg, view, self)
 	slices.SortFunc(chosen, func(a, b Candidate) int { return strings.Compare(string(a.Daemon), string(b.Daemon)) })
-	weights := weigh(chosen)
+	weights := computeWeights(chosen)
 	answer := Answer{Lifetime: lifetime(cfg, chosen)}
 	used := map[id.Domain]int{}
 	taken := make([]bool, len(chosen))
@@ -132,7 +132,7 @@
 }
 
 // weigh gives a host less the more it serves beyond the mean.
-func weigh(chosen []Candidate) []int {
+func computeWeights(chosen []Candidate) []int {
 	total := 0
 	for _, c := range chosen {
 		total += c.InFlight
