--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -70,7 +70,7 @@
 	chosen := selectCandidates(cfg, view, self)
 	slices.SortFunc(chosen, func(a, b Candidate) int { return strings.Compare(string(a.Daemon), string(b.Daemon)) })
 	weights := computeWeights(chosen)
-	answer := Answer{Lifetime: lifetime(cfg, chosen)}
+	answer := Answer{Lifetime: answerLifetime(cfg, chosen)}
 	used := map[id.Domain]int{}
 	taken := make([]bool, len(chosen))
 	for range min(cfg.MaxAddresses, len(chosen)) {
@@ -121,7 +121,7 @@
 }
 
 // lifetime ends before the first announced stop of a host that is named.
-func lifetime(cfg Config, chosen []Candidate) time.Duration {
+func answerLifetime(cfg Config, chosen []Candidate) time.Duration {
 	life := cfg.Lifetime
 	for _, c := range chosen {
 		if c.StopsIn > 0 {
