--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -74,7 +74,7 @@
 	used := map[id.Domain]int{}
 	taken := make([]bool, len(chosen))
 	for range min(cfg.MaxAddresses, len(chosen)) {
-		i := draw(chosen, weights, taken, used, rng)
+		i := drawWeighted(chosen, weights, taken, used, rng)
 		taken[i] = true
 		used[chosen[i].Domain]++
 		c := chosen[i]
@@ -147,7 +147,7 @@
 }
 
 // draw picks by weight among those not taken whose domain is used least.
-func draw(chosen []Candidate, weights []int, taken []bool, used map[id.Domain]int, rng *rand.Rand) int {
+func drawWeighted(chosen []Candidate, weights []int, taken []bool, used map[id.Domain]int, rng *rand.Rand) int {
 	fewest := math.MaxInt
 	for i, c := range chosen {
 		if !taken[i] {
