--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -42,7 +42,7 @@
 type StopPlan struct {
 	cfg StopConfig
 	// began is when the leaving was announced.
-	began time.Duration
+	startedAt time.Duration
 	// named is the last time that an answer could have named this daemon.
 	named time.Duration
 	// came is when the last new caller came.
@@ -52,7 +52,7 @@
 // NewStopPlan starts the leaving at now. From then on this daemon must leave
 // itself out of its own answers.
 func NewStopPlan(cfg StopConfig, now time.Duration) *StopPlan {
-	return &StopPlan{cfg: cfg, began: now, named: now + cfg.Spread, came: now}
+	return &StopPlan{cfg: cfg, startedAt: now, named: now + cfg.Spread, came: now}
 }
 
 // Named notes that an answer named this daemon even so, as when it was the
@@ -71,7 +71,7 @@
 // MayClose tells whether the daemon may close, and why or why not.
 func (p *StopPlan) MayClose(now time.Duration, inFlight int) (bool, StopReason) {
 	switch {
-	case p.cfg.Limit > 0 && now-p.began >= p.cfg.Limit:
+	case p.cfg.Limit > 0 && now-p.startedAt >= p.cfg.Limit:
 		return true, StopLimit
 	case now < p.named+p.cfg.Lifetime:
 		return false, StopAnswers
