--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -44,7 +44,7 @@
 	// began is when the leaving was announced.
 	startedAt time.Duration
 	// named is the last time that an answer could have named this daemon.
-	named time.Duration
+	lastNamed time.Duration
 	// came is when the last new caller came.
 	came time.Duration
 }
@@ -52,12 +52,12 @@
 // NewStopPlan starts the leaving at now. From then on this daemon must leave
 // itself out of its own answers.
 func NewStopPlan(cfg StopConfig, now time.Duration) *StopPlan {
-	return &StopPlan{cfg: cfg, startedAt: now, named: now + cfg.Spread, came: now}
+	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.Spread, came: now}
 }
 
 // Named notes that an answer named this daemon even so, as when it was the
 // only one left.
-func (p *StopPlan) Named(now time.Duration) { p.named = max(p.named, now) }
+func (p *StopPlan) Named(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
 // Caller notes that a new caller came.
 func (p *StopPlan) Caller(now time.Duration) { p.came = now }
@@ -65,7 +65,7 @@
 // Earliest is the first time at which the daemon may close, if no caller is
 // left then.
 func (p *StopPlan) Earliest() time.Duration {
-	return max(p.named+p.cfg.Lifetime, p.came+p.cfg.Quiet)
+	return max(p.lastNamed+p.cfg.Lifetime, p.came+p.cfg.Quiet)
 }
 
 // MayClose tells whether the daemon may close, and why or why not.
@@ -73,7 +73,7 @@
 	switch {
 	case p.cfg.Limit > 0 && now-p.startedAt >= p.cfg.Limit:
 		return true, StopLimit
-	case now < p.named+p.cfg.Lifetime:
+	case now < p.lastNamed+p.cfg.Lifetime:
 		return false, StopAnswers
 	case inFlight > 0:
 		return false, StopStreams
