--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -46,13 +46,13 @@
 	// named is the last time that an answer could have named this daemon.
 	lastNamed time.Duration
 	// came is when the last new caller came.
-	came time.Duration
+	lastCaller time.Duration
 }
 
 // NewStopPlan starts the leaving at now. From then on this daemon must leave
 // itself out of its own answers.
 func NewStopPlan(cfg StopConfig, now time.Duration) *StopPlan {
-	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.Spread, came: now}
+	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.Spread, lastCaller: now}
 }
 
 // Named notes that an answer named this daemon even so, as when it was the
@@ -60,12 +60,12 @@
 func (p *StopPlan) Named(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
 // Caller notes that a new caller came.
-func (p *StopPlan) Caller(now time.Duration) { p.came = now }
+func (p *StopPlan) Caller(now time.Duration) { p.lastCaller = now }
 
 // Earliest is the first time at which the daemon may close, if no caller is
 // left then.
 func (p *StopPlan) Earliest() time.Duration {
-	return max(p.lastNamed+p.cfg.Lifetime, p.came+p.cfg.Quiet)
+	return max(p.lastNamed+p.cfg.Lifetime, p.lastCaller+p.cfg.Quiet)
 }
 
 // MayClose tells whether the daemon may close, and why or why not.
@@ -77,7 +77,7 @@
 		return false, StopAnswers
 	case inFlight > 0:
 		return false, StopStreams
-	case now < p.came+p.cfg.Quiet:
+	case now < p.lastCaller+p.cfg.Quiet:
 		return false, StopCallers
 	default:
 		return true, StopDone
