--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -13,7 +13,7 @@
 )
 
 // nine hosts in four failure domains, one of which has a single host.
-func nine() []Candidate {
+func nineCandidates() []Candidate {
 	domains := []id.Domain{"a", "a", "a", "b", "b", "c", "c", "c", "d"}
 	out := make([]Candidate, len(domains))
 	for i, d := range domains {
@@ -30,7 +30,7 @@
 	first := map[id.Daemon]int{}
 	rng := source()
 	for range 9000 {
-		a := Make(DefaultConfig(), nine(), "h0", rng)
+		a := Make(DefaultConfig(), nineCandidates(), "h0", rng)
 		first[a.Addresses[0].Daemon]++
 		is.Equal(len(a.Addresses), 6)
 		domains := map[id.Domain]bool{}
@@ -39,14 +39,14 @@
 		}
 		is.Equal(len(domains), 4) // the first four are in four domains
 	}
-	for _, c := range nine() {
+	for _, c := range nineCandidates() {
 		is.True(first[c.Daemon] > 850 && first[c.Daemon] < 1150)
 	}
 }
 
 func TestOnlyLiveHostsAreNamed(t *testing.T) {
 	is := is.New(t)
-	view := nine()
+	view := nineCandidates()
 	view[1].State, view[2].State, view[3].State, view[4].State = member.Leaving, member.Dead, member.Partitioned, member.Paused
 	view[5].State = member.Suspect
 	view[6].StopsIn = 500 * time.Millisecond // too soon for any answer
@@ -67,7 +67,7 @@
 
 func TestBusyHostsAreDrawnLess(t *testing.T) {
 	is := is.New(t)
-	view := nine()
+	view := nineCandidates()
 	view[0].InFlight = 1000
 	first := map[id.Daemon]int{}
 	rng := source()
@@ -111,7 +111,7 @@
 		for range 50 {
 			asked := time.Duration(rng.Int64N(int64(20 * time.Second)))
 			knows := time.Duration(rng.Int64N(int64(stop.Spread)))
-			view := nine()
+			view := nineCandidates()
 			if asked >= knows {
 				view[3].State = member.Leaving
 			}
