--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -80,7 +80,7 @@
 	delivered int
 	ended     bool
 	finish    string
-	early     map[int]Event
+	buffered  map[int]Event
 	text      strings.Builder
 	stats     Stats
 }
@@ -92,7 +92,7 @@
 	if window < 1 {
 		window = DefaultWindow
 	}
-	return &Sequencer{attempt: attempt, window: window, delivered: after, early: map[int]Event{}}
+	return &Sequencer{attempt: attempt, window: window, delivered: after, buffered: map[int]Event{}}
 }
 
 // Push takes one event and returns those that can now be given out, in order.
@@ -105,7 +105,7 @@
 	if err := s.check(e); err != nil {
 		return nil, err
 	}
-	s.early[e.Seq] = e
+	s.buffered[e.Seq] = e
 	return s.release(), nil
 }
 
@@ -131,7 +131,7 @@
 	if e.Seq > s.delivered+s.window {
 		return &OverflowError{Attempt: e.Attempt, Seq: e.Seq, Delivered: s.delivered, Window: s.window}
 	}
-	known, ok := s.early[e.Seq]
+	known, ok := s.buffered[e.Seq]
 	if ok && known != e {
 		return &InvalidError{Attempt: e.Attempt, Seq: e.Seq, Reason: "differs from its first copy"}
 	}
@@ -145,16 +145,16 @@
 func (s *Sequencer) release() []Event {
 	var out []Event
 	for !s.ended {
-		e, ok := s.early[s.delivered+1]
+		e, ok := s.buffered[s.delivered+1]
 		if !ok {
 			break
 		}
-		delete(s.early, e.Seq)
+		delete(s.buffered, e.Seq)
 		s.deliver(e)
 		out = append(out, e)
 	}
 	if s.ended {
-		clear(s.early)
+		clear(s.buffered)
 	}
 	return out
 }
@@ -174,7 +174,7 @@
 		return false
 	}
 	s.attempt = attempt
-	clear(s.early)
+	clear(s.buffered)
 	return true
 }
 
@@ -196,7 +196,7 @@
 
 // Kept returns how many events wait behind a gap.
 func (s *Sequencer) Kept() int {
-	return len(s.early)
+	return len(s.buffered)
 }
 
 // Stats returns the counts of dropped events.
