--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -99,7 +99,7 @@
 // The returned events are delivered: they never come again. Both errors leave
 // the delivered part as it was.
 func (s *Sequencer) Push(e Event) ([]Event, error) {
-	if s.ignore(e) {
+	if s.discard(e) {
 		return nil, nil
 	}
 	if err := s.check(e); err != nil {
@@ -110,7 +110,7 @@
 }
 
 // ignore says whether an event is of no interest, and counts it.
-func (s *Sequencer) ignore(e Event) bool {
+func (s *Sequencer) discard(e Event) bool {
 	switch {
 	case e.Attempt != s.attempt:
 		s.stats.Foreign++
