--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -195,7 +195,7 @@
 func (s *Sequencer) Finish() string { return s.finish }
 
 // Kept returns how many events wait behind a gap.
-func (s *Sequencer) Kept() int {
+func (s *Sequencer) Buffered() int {
 	return len(s.buffered)
 }
 
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -88,7 +88,7 @@
 	is.Equal(len(out), 1)
 	_, err = s.Push(Event{Attempt: "a", Seq: 3, Text: "z"})
 	is.NoErr(err) // a gap is waited for
-	is.Equal(s.Kept(), 1)
+	is.Equal(s.Buffered(), 1)
 	_, err = s.Push(Event{Attempt: "a", Seq: 6})
 	var overflow *OverflowError
 	is.True(errors.As(err, &overflow))
@@ -109,7 +109,7 @@
 	is.True(errors.As(err, &invalid))
 	_, err = s.Push(Event{Attempt: "a", Seq: 5, Text: "again"})
 	is.NoErr(err)
-	is.Equal(s.Kept(), 0)
+	is.Equal(s.Buffered(), 0)
 	_, err = s.Push(Event{Attempt: "a", Seq: 7, Text: "one"})
 	is.NoErr(err)
 	_, err = s.Push(Event{Attempt: "a", Seq: 7, Text: "two"})
