--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -19,7 +19,7 @@
 		total := rapid.IntRange(1, 40).Draw(t, "events")
 		window := rapid.IntRange(total, total+10).Draw(t, "window")
 		switchAt := rapid.IntRange(0, 2*total).Draw(t, "switch at")
-		pool := draw(t, "first", total)
+		pool := drawEvents(t, "first", total)
 		s := New("first", 0, window)
 		var got []Event
 		push := func(events []Event) {
@@ -43,7 +43,7 @@
 }
 
 // draw gives the events of an attempt in any order, some of them twice.
-func draw(t *rapid.T, attempt id.Request, total int) []Event {
+func drawEvents(t *rapid.T, attempt id.Request, total int) []Event {
 	events := answer(attempt, 0, total)
 	doubled := rapid.SliceOf(rapid.SampledFrom(events)).Draw(t, "doubled")
 	return rapid.Permutation(append(events, doubled...)).Draw(t, "order")
