--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -38,7 +38,7 @@
 			mixed := append(pool[min(switchAt, len(pool)):], second...)
 			push(rapid.Permutation(mixed).Draw(t, "mixed"))
 		}
-		checkWhole(t, s, got, total)
+		checkComplete(t, s, got, total)
 	})
 }
 
@@ -61,7 +61,7 @@
 	return out
 }
 
-func checkWhole(t *rapid.T, s *Sequencer, got []Event, total int) {
+func checkComplete(t *rapid.T, s *Sequencer, got []Event, total int) {
 	var text strings.Builder
 	for i, e := range got {
 		text.WriteString(e.Text)
