--- a/core/pool/follow.go
+++ b/core/pool/actions.go
@@ -8,7 +8,8 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// follow notes what the scheduler decided.
+// recordActions updates the tracked requests by the scheduler's decisions and
+// returns the actions unchanged.
 func (m *Manager) recordActions(now time.Duration, actions []sched.Action) []sched.Action {
 	for _, a := range actions {
 		switch {
@@ -24,16 +25,17 @@
 	return actions
 }
 
-// dropIdle forgets a refused request, unless its work is known to go on: a Want
-// that comes again after its grant expired can be refused beside it.
+// dropRefused removes a refused request unless its work has started: a Want that
+// is sent again after its grant expired can be refused while the work continues.
 func (m *Manager) dropRefused(r id.Request) {
 	if t, ok := m.requests[r]; ok && t.phase == 0 {
 		delete(m.requests, r)
 	}
 }
 
-// bound follows a provisional grant to the endpoint that it got. Once it
-// decodes, the binding has come too late to be followed.
+// recordBinding moves a request with a provisional grant to the decode endpoint
+// that it was bound to. A binding that arrives once decoding has started is
+// ignored.
 func (m *Manager) recordBinding(now time.Duration, b *sched.Binding) {
 	t, ok := m.requests[b.Request]
 	if !ok || t.decode == b.Decode || t.phase > sched.PhaseTransferring {
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -1,7 +1,7 @@
-// Package pool is the owner's side of a pool: the scheduler, and around it the
-// detectors that only the owner can feed, since it alone sees the pool's
-// requests from all daemons. It tells endpoints' grey failures and requests
-// that crash endpoints. It is deterministic.
+// Package pool implements the owner's side of a pool: the scheduler and the
+// detectors of grey failures of endpoints and of requests that crash endpoints.
+// The detectors run at the owner because only the owner sees the pool's requests
+// from all daemons. The package is deterministic.
 package pool
 
 import (
@@ -15,47 +15,52 @@
 )
 
 const (
-	// maxPending is how many endpoints may have crashed under a request,
-	// unconfirmed, before it is held back.
+	// maxUnconfirmedCrashes is the number of unconfirmed and confirmed crashes at
+	// which a request with an unconfirmed crash is held back.
 	maxUnconfirmedCrashes = 2
-	// pendingLife is how long an unconfirmed crash is remembered.
+	// unconfirmedCrashTTL is how long an unconfirmed crash counts.
 	unconfirmedCrashTTL = 5 * time.Second
-	// trackedLife is how long a request is tracked whose end is never reported,
-	// as when the report was lost.
+	// trackedRequestTTL is how long a request is tracked without any report, for
+	// example because the report of its end was lost.
 	trackedRequestTTL = 5 * time.Minute
-	// sweepEvery is the time between looks for such requests.
+	// sweepInterval is the time between two searches for such requests.
 	sweepInterval = 10 * time.Second
-	// drainLife is how long a drain holds that is not repeated.
+	// drainTTL is how long a drain lasts unless it is repeated.
 	drainTTL = 2 * time.Second
-	// heldRetryAfter is advised to the caller of a request that is held back.
+	// heldRetryAfter is the RetryAfter of a request that is held back.
 	heldRetryAfter = time.Second
 )
 
-// Events tell the daemon what the detectors found, for logs and metrics.
+// Events are callbacks by which the detectors report to the daemon, for logs and
+// metrics.
 type Events struct {
-	// Health is told of each change of an endpoint's state.
+	// Health is called for each change of an endpoint's state.
 	Health func(c health.Change)
-	// Crash is told of each confirmed crash and how many requests ran there.
+	// Crash is called for each confirmed crash, with the number of requests that
+	// ran in the crashed process.
 	Crash func(c poison.CrashID, running int)
-	// Probe asks for a fresh report of an endpoint that seems to have crashed.
+	// Probe requests a new report of an endpoint that may have crashed or is
+	// unreachable.
 	Probe func(e id.Endpoint)
 }
 
-// Options of a Manager.
+// Options configure a Manager.
 type Options struct {
 	Pool id.Pool
-	// NewScheduler makes the policy; the view says which endpoints are allowed.
+	// NewScheduler creates the scheduler; the view reports which endpoints are
+	// allowed.
 	NewScheduler func(view sched.HealthView) sched.Scheduler
 	Health       health.Config
-	// Poison is shared by the daemon's pools and merged with other daemons'.
+	// Poison is shared by the daemon's pools and merged with the ledgers of other
+	// daemons.
 	Poison *poison.Ledger
-	// Epoch is the wall time at time zero: with it, jumps of the wall clock
-	// don't matter.
+	// Epoch is the wall time at time zero. Wall times are computed from it, so
+	// that jumps of the wall clock have no effect.
 	Epoch  time.Time
 	Events Events
 }
 
-// Manager decides for one pool. It is not safe for concurrent use.
+// Manager schedules one pool. It is not safe for concurrent use.
 type Manager struct {
 	opts               Options
 	sched              sched.Scheduler
@@ -64,7 +69,8 @@
 	endpoints          map[id.Endpoint]*endpointState
 	unconfirmedCrashes map[poison.Fingerprint][]unconfirmedCrash
 	lastSweep          time.Duration
-	// lost are endpoints found unreachable, not yet told to the scheduler.
+	// newlyUnreachable holds unreachable endpoints that were not yet reported to
+	// the scheduler.
 	newlyUnreachable []id.Endpoint
 	drains           map[id.Endpoint]time.Duration
 	reports          map[id.Endpoint]sched.Load
@@ -73,15 +79,17 @@
 	refused          uint64
 }
 
-// tracked is a request that holds a grant.
+// trackedRequest is a request that waits or holds a grant.
 type trackedRequest struct {
 	want        sched.Want
 	fingerprint poison.Fingerprint
 	prefill     id.Endpoint
 	decode      id.Endpoint
-	// reservation of the grant in use; a former grant's late report is ignored.
+	// reservation of the grant in use; late reports for an earlier grant are
+	// ignored.
 	reservation uint64
-	// adopted work began before this owner knew of it: its pace is not known.
+	// adopted requests started under another owner: their latency per token is
+	// unknown.
 	adopted              bool
 	phase                sched.Phase
 	updatedAt            time.Duration
@@ -105,7 +113,7 @@
 
 func (m *Manager) wall(now time.Duration) time.Time { return m.opts.Epoch.Add(now) }
 
-// Configure takes a new configuration.
+// Configure applies a new configuration.
 func (m *Manager) Configure(now time.Duration, doc *live.Document) []sched.Action {
 	members := m.members(doc)
 	m.health.Configure(now, members)
@@ -115,8 +123,8 @@
 	return m.recordActions(now, m.sched.Configure(now, doc))
 }
 
-// members lists the pool's endpoints; none where the pool or its selector is
-// not known, as the scheduler has it.
+// members lists the pool's endpoints. Like the scheduler, it has none if the pool
+// is unknown or its selector is invalid.
 func (m *Manager) members(doc *live.Document) []health.Member {
 	pool := sched.FindPool(doc, m.opts.Pool)
 	if pool == nil {
@@ -133,7 +141,7 @@
 	return out
 }
 
-// forgetReports drops the reports of endpoints that left the pool.
+// pruneReports drops the reports of endpoints that left the pool.
 func (m *Manager) pruneReports(members []health.Member) {
 	kept := make(map[id.Endpoint]sched.Load, len(members))
 	for _, x := range members {
@@ -144,8 +152,8 @@
 	m.reports = kept
 }
 
-// Want takes a request. One that is known to crash endpoints is refused, one
-// that may is run alone.
+// Want handles a request for endpoints. A request that is known to crash
+// endpoints is refused; a suspected one is marked to run alone.
 func (m *Manager) Want(now time.Duration, w sched.Want) []sched.Action {
 	print, err := poison.ParseFingerprint(w.Fingerprint)
 	if err == nil {
@@ -161,13 +169,13 @@
 	return m.recordActions(now, m.sched.Want(now, w))
 }
 
-// Withdraw drops a request that waits or was granted and not yet begun.
+// Withdraw drops a request that waits or has a grant but has not started.
 func (m *Manager) Withdraw(now time.Duration, r id.Request) []sched.Action {
 	m.endRequest(now, r, health.Withdrawn)
 	return m.recordActions(now, m.sched.Withdraw(now, r))
 }
 
-// Progress follows a granted request.
+// Progress handles a progress report of a granted request.
 func (m *Manager) Progress(now time.Duration, p sched.Progress) []sched.Action {
 	if t, ok := m.requests[p.Request]; ok && p.Reservation == t.reservation {
 		m.recordProgress(now, t, p)
@@ -180,8 +188,9 @@
 	return out
 }
 
-// Adopt takes over a former owner's grant. What was known of the request, from
-// an earlier time as its owner, is forgotten first: its work may be elsewhere.
+// Adopt takes over a grant of a former owner. State of the request that remains
+// from an earlier ownership is dropped first: the work may have moved to another
+// endpoint since.
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
 	m.endRequest(now, a.Want.Request, health.Withdrawn)
 	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
@@ -191,7 +200,7 @@
 	return m.recordActions(now, m.sched.Adopt(now, a))
 }
 
-// Load takes an endpoint's report.
+// Load handles an endpoint's load report.
 func (m *Manager) Load(now time.Duration, l sched.Load) []sched.Action {
 	m.checkIncarnation(now, l)
 	m.reports[l.Endpoint] = l
@@ -199,8 +208,8 @@
 	return m.recordActions(now, m.sched.Load(now, l))
 }
 
-// Drain keeps new work off an endpoint for drainLife, or lets it in again. Who
-// wants it kept off says so again and again.
+// Drain stops new work at an endpoint for drainTTL, or allows it again. The
+// caller repeats the call for as long as the endpoint is to be drained.
 func (m *Manager) Drain(now time.Duration, e id.Endpoint, on bool) []sched.Action {
 	was := now < m.drains[e]
 	delete(m.drains, e)
@@ -212,18 +221,18 @@
 		return nil
 	}
 	if !known {
-		// No report is asked for in this pool: only the drain is told.
+		// The pool has no report of the endpoint, so only the drain is passed on.
 		return m.recordActions(now, m.sched.Load(now, sched.Load{Endpoint: e, Reachable: true, Leaving: on}))
 	}
 	return m.Load(now, report)
 }
 
-// Cache takes cache events; gap says that some were lost.
+// Cache handles cache events of an endpoint; gap is true if some were lost.
 func (m *Manager) Cache(now time.Duration, e id.Endpoint, events []sched.CacheEvent, gap bool) {
 	m.sched.Cache(now, e, events, gap)
 }
 
-// ProcessGone releases all that a dead daemon held.
+// ProcessGone releases the requests and grants of a dead daemon process.
 func (m *Manager) ProcessGone(now time.Duration, p id.Process) []sched.Action {
 	for _, r := range m.sortedRequests() {
 		if m.requests[r].want.From == p {
@@ -233,7 +242,7 @@
 	return m.recordActions(now, m.sched.ProcessGone(now, p))
 }
 
-// Tick does what is due; call it at Next or earlier.
+// Tick runs due timers; call it at Next or earlier.
 func (m *Manager) Tick(now time.Duration) []sched.Action {
 	m.reportHealth(m.health.Tick(now))
 	m.expireUnconfirmed(now)
@@ -244,10 +253,10 @@
 	return m.recordActions(now, m.sched.Tick(now))
 }
 
-// Next is when Tick is due.
+// Next returns the time at which Tick is due.
 func (m *Manager) Next() time.Duration { return min(m.sched.Next(), m.health.Next()) }
 
-// sweep forgets requests whose end was never reported.
+// sweep drops requests whose end was never reported.
 func (m *Manager) sweep(now time.Duration) {
 	if now-m.lastSweep < sweepInterval {
 		return
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -19,7 +19,7 @@
 	testPool = id.Pool("packets")
 )
 
-// rig is a Manager with two engines of each role, and what it told.
+// rig is a Manager with engines of each role; it records the Manager's events.
 type rig struct {
 	*Manager
 	is      *is.I
@@ -69,7 +69,7 @@
 	return r
 }
 
-// report tells of an endpoint that is well.
+// report sends a load report of a reachable endpoint.
 func (r *rig) report(e id.Endpoint, incarnation id.Incarnation) []sched.Action {
 	r.now += ms
 	return r.Load(r.now, sched.Load{Endpoint: e, Incarnation: incarnation, Slots: 2, Reachable: true})
@@ -77,8 +77,8 @@
 
 func content(name string) poison.Fingerprint { return poison.Print("t", "s", []byte(name)) }
 
-// ask sends a Want and returns what it is answered within 100 ms; nil if it
-// waits.
+// ask sends a Want and returns the first action within 100 ms; nil if the request
+// still waits then.
 func (r *rig) ask(request id.Request, name string) *sched.Action {
 	w := sched.Want{
 		Request: request, Team: "t", Service: "s", Pool: testPool, PromptTokens: 100, OutputTokens: 5,
@@ -95,14 +95,15 @@
 	return nil
 }
 
-// notServed expects that a request waits, or that no endpoint may serve it.
+// expectNotServed checks that a request waits or is refused for lack of an
+// endpoint.
 func (r *rig) expectNotServed(request id.Request) {
 	r.is.Helper()
 	a := r.ask(request, "one")
 	r.is.True(a == nil || (a.Refusal != nil && a.Refusal.Code == verdict.CodeNoEndpoint))
 }
 
-// begin asks, expects a grant and reports the prefill's order.
+// startPrefill sends a Want, expects a grant and reports the start of the prefill.
 func (r *rig) startPrefill(request id.Request, name string) *sched.Grant {
 	r.is.Helper()
 	a := r.ask(request, name)
@@ -117,19 +118,20 @@
 	r.Progress(r.now, p)
 }
 
-// crash lets a request's prefill end with a broken connection.
+// crash reports that a request's prefill failed with a broken connection.
 func (r *rig) crash(g *sched.Grant) {
 	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Crashed: true})
 }
 
-// convict has an endpoint crash three times under a request that runs alone.
+// quarantine crashes endpoints under a request that runs alone, up to three
+// times, until the request is quarantined.
 func (r *rig) quarantine(name string) {
 	r.is.Helper()
 	for i := range 3 {
 		g := r.startPrefill(id.Request(fmt.Sprint(name, i)), name)
 		r.crash(g)
 		r.report(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
-		r.now += 10 * time.Minute / 3 // settled, and the endpoint is let in again
+		r.now += 10 * time.Minute / 3 // the crash was counted and the ejection ended
 		r.Tick(r.now)
 		if a := r.ask(id.Request(fmt.Sprint(name, i, "?")), name); a != nil && a.Refusal != nil {
 			r.is.Equal(a.Refusal.Code, verdict.CodeQuarantined)
@@ -140,7 +142,7 @@
 	r.is.Fail()
 }
 
-func TestHigherIncarnationIsACrashOfAllThatRan(t *testing.T) {
+func TestHigherIncarnationIsACrashOfAllRunningRequests(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.startPrefill("a", "one")
 	b := r.startPrefill("b", "two")
@@ -155,7 +157,7 @@
 		r.is.Equal(finding.Standing, poison.Suspected)
 	}
 	r.is.Equal(r.opts.Poison.Check(r.wall(r.now), content("three")).Standing, poison.Clear)
-	r.report(a.Prefill, 1) // a late report of the former process
+	r.report(a.Prefill, 1) // a late report from the former process
 	r.is.Equal(len(r.crashes), 1)
 }
 
@@ -170,7 +172,7 @@
 	r.is.Equal(len(r.crashes), 0)
 }
 
-func TestHeldBackAfterTwoUnconfirmed(t *testing.T) {
+func TestHeldBackAfterTwoUnconfirmedCrashes(t *testing.T) {
 	r := newRig(t, 3)
 	r.crash(r.startPrefill("a", "one"))
 	r.crash(r.startPrefill("b", "one"))
@@ -178,10 +180,10 @@
 	r.is.True(a != nil && a.Refusal != nil)
 	r.is.Equal(a.Refusal.Code, verdict.CodeUnavailable)
 	r.is.True(a.Refusal.RetryAfter > 0)
-	r.startPrefill("d", "two") // another request is not
+	r.startPrefill("d", "two") // another request is not held back
 	r.now += unconfirmedCrashTTL
 	r.Tick(r.now)
-	r.startPrefill("e", "one") // nobody confirmed the crashes
+	r.startPrefill("e", "one") // the crashes were not confirmed in time
 }
 
 func TestQuarantineAndLiftByLabel(t *testing.T) {
@@ -193,7 +195,7 @@
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: content("two").String()}
 	r.Configure(r.now, lifted)
 	a := r.ask("x", "one")
-	r.is.Equal(a.Refusal.Code, verdict.CodeQuarantined) // the label names another
+	r.is.Equal(a.Refusal.Code, verdict.CodeQuarantined) // the label names another fingerprint
 	lifted = live.Clone(r.doc)
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: content("one").String()}
 	r.Configure(r.now, lifted)
@@ -222,25 +224,25 @@
 	r.startPrefill("b", "one")
 
 	r.Drain(r.now, "prefill-0", true)
-	r.Drain(r.now, "prefill-0", false) // let in at once
+	r.Drain(r.now, "prefill-0", false) // the drain ends at once
 	r.is.Equal(len(r.Status(r.now).Leaving), 0)
 }
 
-func TestUnreachableIsKeptOff(t *testing.T) {
+func TestUnreachableEndpointGetsNoWork(t *testing.T) {
 	r := newRig(t, 1)
 	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Unreachable: true})
 	r.is.Equal(r.probes, []id.Endpoint{g.Prefill})
-	r.expectNotServed("b") // nothing else could serve it
+	r.expectNotServed("b") // no other prefill endpoint
 	r.Withdraw(r.now, "b")
 	r.report(g.Prefill, 1)
 	r.startPrefill("c", "one")
-	r.is.Equal(len(r.crashes), 0) // no crash was seen
+	r.is.Equal(len(r.crashes), 0) // unreachable is not a crash
 }
 
-// TestAdoptForgetsTheFormerPlace: a pool that comes back to its first owner
-// brings requests whose work has moved on meanwhile.
-func TestAdoptForgetsTheFormerPlace(t *testing.T) {
+// When a pool returns to an earlier owner, that owner may still have records of
+// requests that have since moved to another endpoint. Adopt must replace them.
+func TestAdoptReplacesOutdatedRecords(t *testing.T) {
 	r := newRig(t, 1)
 	g := r.startPrefill("a", "one")
 	r.Adopt(r.now, sched.Adopt{
@@ -249,16 +251,16 @@
 		Phase: sched.PhaseDecoding,
 	})
 	r.is.Equal(r.Status(r.now).Working, 1)
-	r.report(g.Prefill, 2) // the prefill engine crashes with nothing on it
+	r.report(g.Prefill, 2) // the prefill engine crashes while no request runs there
 	r.is.Equal(r.running, []int{0})
 	r.Progress(r.now, sched.Progress{Request: "a", Reservation: 9, Phase: sched.PhaseDone})
 	r.is.Equal(r.Status(r.now).Working, 0)
 	r.is.Equal(r.Status(r.now).Tracked, 0)
 }
 
-// TestRefusalBesideWorkKeepsIt: a Want that comes again once its grant has
-// expired is refused while the work goes on.
-func TestRefusalBesideWorkKeepsIt(t *testing.T) {
+// A Want that is sent again after its grant expired can be refused while the
+// request still runs. The refusal must not drop the running request.
+func TestRefusalKeepsRunningRequest(t *testing.T) {
 	r := newRig(t, 1)
 	r.startPrefill("a", "one")
 	r.recordActions(r.now, []sched.Action{{Refusal: &sched.Refusal{Request: "a"}}})
@@ -267,9 +269,9 @@
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
-// TestLateBindingIsNotFollowed: the daemon gave up the wait for a binding and
-// decodes at the endpoint that the grant named.
-func TestLateBindingIsNotFollowed(t *testing.T) {
+// A daemon that stops waiting for a binding decodes at the endpoint named in the
+// grant. A binding that arrives later must not move the request.
+func TestLateBindingIsIgnored(t *testing.T) {
 	r := newRig(t, 2)
 	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
@@ -279,7 +281,7 @@
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
-func TestDecodeElsewhereIsFollowed(t *testing.T) {
+func TestReportedDecodeEndpointIsRecorded(t *testing.T) {
 	r := newRig(t, 2)
 	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
@@ -290,7 +292,7 @@
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
-func TestBindingIsFollowed(t *testing.T) {
+func TestBindingMovesTheRequest(t *testing.T) {
 	r := newRig(t, 2)
 	g := r.startPrefill("a", "one")
 	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
@@ -301,7 +303,7 @@
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
-func TestProcessGoneIsForgotten(t *testing.T) {
+func TestProcessGoneDropsItsRequests(t *testing.T) {
 	r := newRig(t, 1)
 	r.startPrefill("a", "one")
 	r.ProcessGone(r.now, id.Process{Daemon: "d", Incarnation: 1})
@@ -309,7 +311,7 @@
 	r.is.Equal(s.Tracked+s.Working+s.Running+s.Queued, 0)
 }
 
-func TestLostEndIsSwept(t *testing.T) {
+func TestRequestWithoutEndReportIsSwept(t *testing.T) {
 	r := newRig(t, 1)
 	r.startPrefill("a", "one")
 	r.now += trackedRequestTTL + ms
--- a/core/pool/observe.go
+++ b/core/pool/progress.go
@@ -10,12 +10,13 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// node is what is known of one endpoint's process.
+// endpointState is the state of one endpoint's process.
 type endpointState struct {
 	incarnation id.Incarnation
-	// running are the requests whose work is there now.
+	// running holds the requests that run at the endpoint.
 	running map[id.Request]poison.Suspect
-	// lost are those whose connection broke in a way that may mean a crash.
+	// brokenConnections holds the requests whose connection broke in a way that
+	// may indicate a crash.
 	brokenConnections map[id.Request]brokenConnection
 }
 
@@ -24,7 +25,7 @@
 	at      time.Duration
 }
 
-// pendingCrash is a crash that no report has confirmed yet.
+// unconfirmedCrash is a suspected crash that no report has confirmed or refuted.
 type unconfirmedCrash struct {
 	endpoint id.Endpoint
 	at       time.Duration
@@ -39,7 +40,7 @@
 	return n
 }
 
-// observe follows a request through its phases.
+// recordProgress updates a request's phase and the records of its endpoints.
 func (m *Manager) recordProgress(now time.Duration, t *trackedRequest, p sched.Progress) {
 	if p.PromptTokens > 0 {
 		t.uncachedPromptTokens = p.PromptTokens - p.CachedTokens
@@ -64,13 +65,14 @@
 	m.startWork(now, t)
 }
 
-// elsewhere says whether a request decodes at another endpoint than is known:
-// its daemon did not get, or did not wait for, the binding of its grant.
+// decodesElsewhere reports whether a request decodes at another endpoint than
+// recorded: its daemon did not receive, or did not wait for, the binding of its
+// grant.
 func (t *trackedRequest) decodesElsewhere(p sched.Progress) bool {
 	return p.Phase == sched.PhaseDecoding && p.Endpoint != "" && p.Endpoint != t.decode
 }
 
-// passed is the outcome of a phase that led to the next one.
+// phaseOutcome returns the outcome of the phase that ends with p.
 func (t *trackedRequest) phaseOutcome(p sched.Progress) health.Result {
 	if t.decodesElsewhere(p) {
 		return health.Result{Request: p.Request, Kind: health.Withdrawn}
@@ -78,7 +80,8 @@
 	return health.Result{Request: p.Request, Kind: health.OK, Latency: prefillPace(t, p)}
 }
 
-// prefillPace is the time for each prompt token that the engine really read.
+// prefillPace returns the prefill time for each prompt token that was not
+// cached; 0 if unknown.
 func prefillPace(t *trackedRequest, p sched.Progress) time.Duration {
 	if p.Phase != sched.PhaseTransferring || t.uncachedPromptTokens <= 0 {
 		return 0
@@ -86,7 +89,8 @@
 	return p.PrefillTime / time.Duration(t.uncachedPromptTokens)
 }
 
-// place is the endpoint that has the request's work in its phase.
+// currentEndpoint returns the endpoint at which the request runs in its current
+// phase; empty if none.
 func (t *trackedRequest) currentEndpoint() id.Endpoint {
 	switch t.phase {
 	case sched.PhasePrefilling:
@@ -103,27 +107,29 @@
 	if e == "" {
 		return
 	}
-	m.health.Began(now, e, t.want.Request, t.firstOutputTimeout())
+	m.health.Began(now, e, t.want.Request, t.expectedFirstOutput())
 	m.endpoint(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 }
 
 const (
-	// expectedOutput is how soon an endpoint should show a sign of its work.
+	// baseFirstOutput is the expected time until the first output of a phase,
+	// without the prompt's part.
 	baseFirstOutput = 300 * time.Millisecond
-	// expectedPerToken is added for each prompt token that a prefill reads.
+	// firstOutputPerToken is added for each prompt token of a prefill.
 	firstOutputPerToken = 50 * time.Microsecond
 )
 
-// expected is how long the work of the present phase may take without a sign.
-func (t *trackedRequest) firstOutputTimeout() time.Duration {
+// expectedFirstOutput returns the expected time until the first output of the
+// current phase.
+func (t *trackedRequest) expectedFirstOutput() time.Duration {
 	if t.phase == sched.PhasePrefilling {
 		return baseFirstOutput + time.Duration(t.want.PromptTokens)*firstOutputPerToken
 	}
 	return baseFirstOutput
 }
 
-// leave ends the request's work where it is. Moving on within one endpoint is
-// no outcome.
+// endWork records the outcome of the request's work at its current endpoint, if
+// it has one.
 func (m *Manager) endWork(now time.Duration, t *trackedRequest, r health.Result) {
 	e := t.currentEndpoint()
 	if e == "" {
@@ -158,8 +164,8 @@
 	}
 }
 
-// unreachable keeps work off an endpoint that took no connection until a
-// report says that it is there again; one is asked for at once.
+// markUnreachable stops new work at an endpoint that accepted no connection, until
+// a report shows that it is reachable again, and requests a report at once.
 func (m *Manager) markUnreachable(now time.Duration, e id.Endpoint) {
 	m.newlyUnreachable = append(m.newlyUnreachable, e)
 	if m.opts.Events.Probe != nil {
@@ -178,8 +184,8 @@
 	}
 }
 
-// suspectCrash remembers that a request's connection broke and has the
-// endpoint looked at.
+// suspectCrash records an unconfirmed crash after a request's connection broke,
+// and requests a report of the endpoint.
 func (m *Manager) suspectCrash(now time.Duration, t *trackedRequest, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 	m.endpoint(e).brokenConnections[t.want.Request] = brokenConnection{suspect: suspect, at: now}
@@ -189,8 +195,8 @@
 	}
 }
 
-// unconfirmed counts the crashes under a fingerprint that no report has
-// confirmed or refuted yet.
+// countUnconfirmed counts the crashes under a fingerprint that no report has
+// confirmed or refuted and that are not older than unconfirmedCrashTTL.
 func (m *Manager) countUnconfirmed(now time.Duration, f poison.Fingerprint) int {
 	count := 0
 	for _, p := range m.unconfirmedCrashes[f] {
@@ -201,8 +207,9 @@
 	return count
 }
 
-// incarnation compares a report with what is known: a higher incarnation
-// means that the former process crashed with all that ran in it.
+// checkIncarnation compares a report's incarnation with the recorded one. A
+// higher incarnation means that the former process crashed, with all requests
+// that ran in it.
 func (m *Manager) checkIncarnation(now time.Duration, l sched.Load) {
 	if !l.Reachable || l.Incarnation == 0 {
 		return
@@ -217,7 +224,8 @@
 	m.recordCrash(now, poison.CrashID{Endpoint: l.Endpoint, Incarnation: former}, n)
 }
 
-// resolve forgets broken connections of a process that turned out to run on.
+// refuteCrashes drops the broken connections of a process that still runs, as its
+// unchanged incarnation shows.
 func (m *Manager) refuteCrashes(now time.Duration, e id.Endpoint, n *endpointState, same bool) {
 	if !same || len(n.brokenConnections) == 0 {
 		return
@@ -236,7 +244,7 @@
 	}
 }
 
-// suspectsOf lists, in a fixed order, all that ran in the ended process.
+// suspectsOf lists, in a fixed order, the requests that ran in the ended process.
 func suspectsOf(n *endpointState) []poison.Suspect {
 	var out []poison.Suspect
 	for _, s := range n.running {
@@ -251,7 +259,7 @@
 	return out
 }
 
-// settlePending drops the unconfirmed crashes at an endpoint.
+// dropUnconfirmed drops the unconfirmed crashes at an endpoint.
 func (m *Manager) dropUnconfirmed(e id.Endpoint) {
 	for f, list := range m.unconfirmedCrashes {
 		rest := slices.DeleteFunc(list, func(p unconfirmedCrash) bool { return p.endpoint == e })
@@ -271,7 +279,7 @@
 	}
 }
 
-// forget ends a request whose end tells nothing about its endpoint.
+// endRequest ends a request with the given outcome, without a latency.
 func (m *Manager) endRequest(now time.Duration, r id.Request, kind health.OutcomeKind) {
 	t, ok := m.requests[r]
 	if !ok {
--- a/core/pool/judge.go
+++ b/core/pool/quarantine.go
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// lift frees the fingerprints that a service's label names.
+// liftQuarantines lifts the quarantines named by the labels of the pool's services.
 func (m *Manager) liftQuarantines(now time.Duration, doc *live.Document) {
 	for i := range doc.Services {
 		svc := &doc.Services[i]
@@ -28,7 +28,8 @@
 	}
 }
 
-// judge looks the request's fingerprint up. It sets Suspect or refuses.
+// checkFingerprint checks the request's fingerprint against the poison ledger. It
+// returns a refusal, or nil after setting w.Suspect where needed.
 func (m *Manager) checkFingerprint(now time.Duration, w *sched.Want, f poison.Fingerprint) *sched.Refusal {
 	finding := m.opts.Poison.Check(m.wall(now), f)
 	switch finding.Standing {
--- a/core/pool/reconcile.go
+++ b/core/pool/reconcile.go
@@ -8,13 +8,14 @@
 )
 
 // reconcileAfter is how long a request must have been decoding before its
-// absence from the engine's own list counts: the list and the reports of the
-// daemons overtake one another by less.
+// absence from the engine's list counts. The list and the daemons' reports can
+// arrive out of order, but by less than this.
 const reconcileAfter = 2 * time.Second
 
-// Holding takes the requests that an engine holds, by its own list. A request
-// that counts as decoding there and is not in the list has ended without a word
-// of its daemon, which may be dead or cut off: its slot is free.
+// Holding compares the tracked requests with the list of requests that an engine
+// holds. A request that is recorded as decoding at e but is missing from the list
+// has ended without a report from its daemon, which may be dead or partitioned;
+// it is cancelled to free its slot.
 func (m *Manager) Holding(now time.Duration, e id.Endpoint, held map[id.Request]bool) []sched.Action {
 	var out []sched.Action
 	for _, r := range m.sortedRequests() {
--- a/core/pool/reconcile_test.go
+++ b/core/pool/reconcile_test.go
@@ -7,9 +7,9 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// TestSlotOfASilentDaemonIsFreedByTheEnginesWord: a daemon was cut off while
-// its answer was written; the engine ended it long ago.
-func TestSlotOfASilentDaemonIsFreedByTheEnginesWord(t *testing.T) {
+// A daemon that is partitioned during decoding never reports the end of the
+// request. The slot must be freed by the engine's list, which lacks the request.
+func TestSlotIsFreedWhenEngineNoLongerHoldsTheRequest(t *testing.T) {
 	r := newRig(t, 1)
 	g := r.ask("r1", "content")
 	r.is.True(g != nil && g.Grant != nil)
@@ -19,10 +19,10 @@
 
 	nothing := map[id.Request]bool{}
 	r.Holding(r.now, g.Grant.Decode, nothing)
-	r.is.Equal(r.Status(r.now).Held, 1) // too soon to tell
+	r.is.Equal(r.Status(r.now).Held, 1) // sooner than reconcileAfter
 	r.now += 2 * reconcileAfter
 	r.Holding(r.now, g.Grant.Decode, map[id.Request]bool{"r1": true})
-	r.is.Equal(r.Status(r.now).Held, 1) // the engine still has it
+	r.is.Equal(r.Status(r.now).Held, 1) // the engine still holds the request
 	r.Holding(r.now, g.Grant.Decode, nothing)
 	r.is.Equal(r.Status(r.now).Held, 0)
 }
--- a/core/pool/status.go
+++ b/core/pool/status.go
@@ -7,19 +7,19 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// Status is the state of a pool for people.
+// Status is the state of a pool, for operators.
 type Status struct {
 	sched.Snapshot
 	// Answered and Refused count since this daemon became the owner.
 	Answered uint64
 	Refused  uint64
-	// Unreachable counts the endpoints that did not answer when last asked.
+	// Unreachable counts the endpoints whose latest report says unreachable.
 	Unreachable int
-	// PrefillLoad and DecodeLoad are the utilisation of the roles, 0 to 1.
+	// PrefillLoad and DecodeLoad are the utilisation of the two roles, 0 to 1.
 	PrefillLoad float64
 	DecodeLoad  float64
-	// Tracked counts the requests that wait or hold a grant, as the detectors
-	// see them, Working those whose work is known to be at an endpoint.
+	// Tracked counts the requests that wait or hold a grant, in the records of the
+	// detectors. Working counts those that run at an endpoint.
 	Tracked int
 	Working int
 	// Quarantine lists the quarantined requests.
@@ -46,8 +46,8 @@
 	return s
 }
 
-// Demand is what the pool's roles have to do; ok is false where the scheduler
-// does not tell.
+// Demand returns the demand on the pool's roles; ok is false if the scheduler
+// does not report it.
 func (m *Manager) Demand(now time.Duration) (d sched.Demand, ok bool) {
 	demander, ok := m.sched.(sched.Demander)
 	if !ok {
--- a/core/pool/usage.go
+++ b/core/pool/usage.go
@@ -9,13 +9,13 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// usageMemory is the time over which the utilisation is averaged.
+// usageTimeConstant is the time constant of the moving average of the utilisation.
 const usageTimeConstant = 5 * time.Second
 
-// usageEvery is the least time between two samples.
+// usageInterval is the minimum time between two samples.
 const usageInterval = 50 * time.Millisecond
 
-// usage averages how much of the prefill endpoints is at work.
+// usage is a moving average of the share of prefill endpoints that are busy.
 type usage struct {
 	endpoints int
 	load      float64
@@ -31,12 +31,12 @@
 	}
 }
 
-// due says whether it is time for another sample: counting takes a look at
-// every request, and a tick may come each millisecond.
+// due reports whether another sample is due. Sampling is limited because it
+// iterates over all requests and ticks may come each millisecond.
 func (u *usage) due(now time.Duration) bool { return now-u.sampledAt >= usageInterval }
 
-// sample takes the number of prefills at work; it counts for the time since
-// the last sample.
+// sample adds the number of running prefills to the average, weighted by the time
+// since the last sample.
 func (u *usage) sample(now time.Duration, prefilling int) {
 	share := 0.0
 	if u.endpoints > 0 {
