--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -1,7 +1,7 @@
-// Package pairing is the asking side of scheduling: the state that a daemon
-// keeps of each request that it wants endpoints for. It sends the Want to the
-// pool's owner, sends it again when no answer comes or the owner changes, hands
-// grants in use to a new owner, and gives up in time. It is deterministic.
+// Package pairing is the requesting side of scheduling: the state that a daemon
+// keeps for each request that needs endpoints. It sends the Want to the pool's
+// owner, resends it when no answer arrives or the owner changes, passes grants in
+// use to a new owner, and times out. It is deterministic.
 package pairing
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	// DefaultResend is how long an unanswered Want waits before it is first sent
-	// again: a tenth of what callers of streams wait.
+	// DefaultResend is the time after which an unanswered Want is first resent: a
+	// tenth of the time that callers of streams wait.
 	DefaultResend = 250 * time.Millisecond
-	// resendMost bounds the wait before it is sent once more, which doubles with
-	// each time. A repeat makes up for a lost message only: at one pace, requests
-	// that wait for 3 s come twelve times each to an owner that is short of
-	// processor time for them.
+	// maxResend bounds the resend interval, which doubles with each resend.
+	// Resending only compensates for lost messages. At a constant interval, a Want
+	// that waits for 3 s would reach an owner that is short of processor time
+	// twelve times.
 	maxResend = time.Second
-	// DefaultMargin is added to a request's patience before the asker gives up
-	// on its owner by itself.
+	// DefaultMargin is added to a request's patience before the asker stops waiting
+	// for the owner's answer.
 	DefaultMargin = 100 * time.Millisecond
-	// ownerSilence is for how long a request waits for an owner that says nothing,
-	// where its caller can wait as long: until the membership has put another one in
-	// the place of an owner that is gone.
+	// maxOwnerTimeout bounds how long a request waits for an owner that does not
+	// answer, if its caller can wait as long: by then the membership has replaced a
+	// dead owner.
 	maxOwnerTimeout = 1500 * time.Millisecond
-	// lateTick is how far behind its time a tick comes only where this daemon
-	// was held up.
+	// stallThreshold is the delay of a tick from which this daemon counts as having
+	// been stalled.
 	stallThreshold = 100 * time.Millisecond
-	// heldUpGrace is how long a request that ran out of patience meanwhile waits
-	// on: its owner's answer may lie ready.
+	// stallGrace extends a deadline that passed while this daemon was stalled: the
+	// owner's answer may have arrived but not been processed.
 	stallGrace = DefaultResend
 )
 
-// Message is what the asker wants sent to a pool's owner. One field is set.
+// Message is a message to a pool's owner. Exactly one field besides To is set.
 type Message struct {
 	To       id.Daemon
 	Want     *sched.Want
@@ -48,39 +48,41 @@
 	Adopt    *sched.Adopt
 }
 
-// Withdrawal drops a request that waits or was granted and not begun.
+// Withdrawal drops a request that waits or has a grant but has not started.
 type Withdrawal struct {
 	Pool    id.Pool    `cbor:"1,keyasint"`
 	Request id.Request `cbor:"2,keyasint"`
 }
 
-// PoolProgress is a Progress with the pool it belongs to.
+// PoolProgress is a Progress with its pool.
 type PoolProgress struct {
 	Pool     id.Pool        `cbor:"1,keyasint"`
 	Progress sched.Progress `cbor:"2,keyasint"`
 }
 
-// Answer ends an Ask: a grant, or an error whose verdict is not run.
+// Answer is the result of an Ask: a grant, or an error whose verdict is NotRun.
 type Answer struct {
 	Request id.Request
 	Grant   *sched.Grant
 	Err     *verdict.Error
 }
 
-// Output is what an event caused: messages to send and answers to deliver.
+// Output is the result of an event: messages to send, and answers and bindings to
+// deliver.
 type Output struct {
 	Messages []Message
 	Answers  []Answer
 	Bindings []sched.Binding
 }
 
-// Options tune an Asker; zero values mean the defaults.
+// Options configure an Asker; zero durations mean the defaults.
 type Options struct {
-	// Local keeps every pool on this daemon: for policies without an owner.
+	// Local makes this daemon the owner of every pool, for policies without an
+	// owner.
 	Local bool
-	// Resend is the wait before an unanswered Want is first sent again.
+	// Resend is the time after which an unanswered Want is first resent.
 	Resend time.Duration
-	// Margin is added to a request's patience before giving up.
+	// Margin is added to a request's patience before it times out.
 	Margin time.Duration
 }
 
@@ -88,19 +90,19 @@
 	want    sched.Want
 	askedAt time.Duration
 	sentAt  time.Duration
-	// resend is how long after sentAt the want is sent again.
+	// resend is the time after sentAt at which the want is resent.
 	resend   time.Duration
 	deadline time.Duration
-	// graced is set once giveUp was put off.
+	// extended is set once the deadline has been extended after a stall.
 	extended bool
 	owner    id.Daemon
 	grant    *sched.Grant
 	phase    sched.Phase
-	// phaseAt is when the phase began.
+	// phaseStart is the time at which the phase started.
 	phaseStart time.Duration
 }
 
-// Asker holds the requests of one daemon that want endpoints or hold a grant.
+// Asker holds the requests of one daemon that wait for endpoints or hold a grant.
 type Asker struct {
 	self    id.Process
 	opts    Options
@@ -108,11 +110,11 @@
 	entries map[id.Request]*entry
 	// now is the time of the newest event.
 	now time.Duration
-	// due is no later than the first time at which an entry needs attention.
+	// due is at or before the earliest time at which an entry is due.
 	due time.Duration
 }
 
-// never is a time that does not come.
+// never is the due time while no entry waits.
 const never = time.Duration(math.MaxInt64)
 
 // New returns an Asker whose only known member is this daemon.
@@ -131,7 +133,7 @@
 	}
 }
 
-// Len is how many requests wait or hold a grant.
+// Len returns the number of requests that wait or hold a grant.
 func (a *Asker) Len() int { return len(a.entries) }
 
 // Owner returns the daemon that schedules pool.
@@ -142,8 +144,9 @@
 	return rendezvous.Owner(string(pool), a.members)
 }
 
-// Ask sends a Want; patience is how long from now it can wait for room. The owner
-// refuses what gets none in that time: one that says nothing is held up or gone.
+// Ask sends a Want; patience is how long from now the request can wait for
+// capacity. The owner refuses a request that gets none in that time, so an owner
+// that does not answer is stalled or dead.
 func (a *Asker) Ask(now time.Duration, w sched.Want, patience time.Duration) Output {
 	a.now = max(a.now, now)
 	e := &entry{want: w, askedAt: now, deadline: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
@@ -151,16 +154,18 @@
 	return a.sendWant(now, e, a.opts.Resend)
 }
 
-// silence is for how long a request waits for an owner that says nothing.
+// ownerTimeout returns the minimum time for which a request waits for an owner that
+// does not answer.
 func ownerTimeout(w *sched.Want) time.Duration {
 	if w.Prefilled {
-		// Its KV cache lapses at the end of its patience.
+		// The request's KV cache expires at the end of its patience.
 		return 0
 	}
 	return min(maxOwnerTimeout, w.Lifetime-w.Age)
 }
 
-// sendWant sends a Want to the pool's owner, and again after resend.
+// sendWant sends a Want to the pool's owner and schedules it to be resent after
+// resend.
 func (a *Asker) sendWant(now time.Duration, e *entry, resend time.Duration) Output {
 	e.owner = a.Owner(e.want.Pool)
 	e.sentAt = now
@@ -171,8 +176,8 @@
 	return Output{Messages: []Message{{To: e.owner, Want: &w}}}
 }
 
-// Resume registers a request that another process had a grant for: its caller
-// came back through this daemon while the engine still writes the answer.
+// Resume registers a request whose grant was held by another process: the caller
+// has reconnected through this daemon while the engine is still generating.
 func (a *Asker) Resume(now time.Duration, w sched.Want, g sched.Grant) Output {
 	a.now = max(a.now, now)
 	e := &entry{want: w, askedAt: now, sentAt: now, grant: &g, phase: sched.PhaseDecoding, phaseStart: now}
@@ -181,7 +186,7 @@
 	return Output{Messages: []Message{a.adoptMessage(e)}}
 }
 
-// Withdraw forgets a request and tells its owner.
+// Withdraw drops a request and notifies its owner.
 func (a *Asker) Withdraw(r id.Request) Output {
 	e, ok := a.entries[r]
 	if !ok {
@@ -192,7 +197,8 @@
 	return Output{Messages: []Message{m}}
 }
 
-// Progress passes on how a granted request fares; a final phase forgets it.
+// Progress forwards the progress of a granted request to its owner; a final phase
+// drops the request.
 func (a *Asker) Progress(now time.Duration, p sched.Progress) Output {
 	a.now = max(a.now, now)
 	e, ok := a.entries[p.Request]
@@ -218,8 +224,8 @@
 	return p == sched.PhaseDone || p == sched.PhaseFailed || p == sched.PhaseCancelled
 }
 
-// Granted takes a grant. One that nobody waits for is given back at once, so
-// that its slot is not held until it expires.
+// Granted handles a grant. A grant for an unknown request is released at once, so
+// that its slot is not held until the grant expires.
 func (a *Asker) Granted(pool id.Pool, g sched.Grant) Output {
 	e, ok := a.entries[g.Request]
 	if !ok {
@@ -233,10 +239,10 @@
 	return Output{Answers: []Answer{{Request: g.Request, Grant: &g}}}
 }
 
-// secondGrant handles a grant for a request that has one: a former owner's and
-// a new owner's may both arrive, and so may a late one that its owner had taken
-// for expired and the one that it gave in its place. The first stays in use;
-// the other is given back, and the present owner learns of the one in use.
+// rejectSecondGrant handles a grant for a request that already has one. This
+// occurs when both a former and a new owner grant the request, or when an owner
+// considers a delayed grant expired and replaces it. The first grant stays in use;
+// the second is released, and the current owner is sent the grant in use.
 func (a *Asker) rejectSecondGrant(e *entry, g sched.Grant) Output {
 	if g.Owner == e.grant.Owner && g.Reservation == e.grant.Reservation {
 		return Output{}
@@ -258,8 +264,8 @@
 	return Message{To: e.owner, Adopt: adopt}
 }
 
-// Bound takes a binding. It is kept with the grant, so that a new owner is told
-// of the endpoint in use.
+// Bound handles a binding. It is stored with the grant, so that a new owner is
+// sent the endpoint in use.
 func (a *Asker) Bound(b sched.Binding) Output {
 	e, ok := a.entries[b.Request]
 	if !ok || e.grant == nil || e.grant.Reservation != b.Reservation || !e.grant.Provisional {
@@ -272,8 +278,8 @@
 	return Output{Bindings: []sched.Binding{b}}
 }
 
-// Refused takes a refusal from a pool's owner. One from a daemon that no longer
-// owns the pool is ignored: the present owner will answer.
+// Refused handles a refusal from a pool's owner. A refusal from a daemon that no
+// longer owns the pool is ignored: the current owner will answer.
 func (a *Asker) Refused(from id.Daemon, r sched.Refusal) Output {
 	e, ok := a.entries[r.Request]
 	if !ok || e.grant != nil || from != e.owner {
@@ -283,9 +289,10 @@
 	return Output{Answers: []Answer{{Request: r.Request, Err: e.callerError(&r)}}}
 }
 
-// refusal is what the caller hears. What this daemon found in its configuration
-// and the owner's lacks is in force in one of the two: that passes within the
-// seconds that a change takes to spread, and is no reason to refuse for good.
+// callerError returns the caller's error for a refusal. If the owner's
+// configuration lacks the service or the permission that this daemon found in its
+// own, the two daemons have different versions. That lasts only for the seconds
+// that a change takes to propagate, so the error is one that can be retried.
 func (e *entry) callerError(r *sched.Refusal) *verdict.Error {
 	switch r.Code {
 	case verdict.CodeUnknownService, verdict.CodeForbidden:
@@ -297,8 +304,8 @@
 	}
 }
 
-// Members takes the live daemons. Requests of pools whose owner changed go to
-// the new one: waiting ones as Wants, granted ones as Adopts.
+// Members sets the live daemons. Requests of pools whose owner changed are sent to
+// the new owner: waiting ones as Wants, granted ones as Adopts.
 func (a *Asker) Members(now time.Duration, members []id.Daemon) Output {
 	a.now = max(a.now, now)
 	a.members = slices.Clone(members)
@@ -321,22 +328,23 @@
 	return Output{Messages: []Message{a.adoptMessage(e)}}
 }
 
-// attention is when an unanswered entry is sent again or given up.
+// entryDue returns the time at which an unanswered entry is resent or times out.
 func (a *Asker) entryDue(e *entry) time.Duration { return min(e.sentAt+e.resend, e.deadline) }
 
-// Next is when Tick is due; far away when nothing waits for an answer.
+// Next returns the time at which Tick is due, or never if no request waits for an
+// answer.
 func (a *Asker) Next() time.Duration { return a.due }
 
-// Tick sends unanswered Wants again and gives up on those out of patience, but
-// not for time in which this daemon was held up. It looks through the entries
-// only when one may be due.
+// Tick resends unanswered Wants and times out those past their deadline. If this
+// daemon was stalled, it first extends the deadline once by stallGrace. It iterates
+// over the entries only when one may be due.
 func (a *Asker) Tick(now time.Duration) Output {
 	a.now = max(a.now, now)
 	var out Output
 	if now < a.due {
 		return out
 	}
-	heldUp := now > a.due+stallThreshold
+	stalled := now > a.due+stallThreshold
 	a.due = never
 	for _, r := range a.sortedRequests() {
 		e := a.entries[r]
@@ -344,7 +352,7 @@
 			continue
 		}
 		if now >= e.deadline {
-			if !heldUp || e.extended {
+			if !stalled || e.extended {
 				out.append(a.timeOut(e))
 				continue
 			}
--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -22,7 +22,7 @@
 	all  = []id.Daemon{"d1", "d2", "d3"}
 )
 
-// ownedBy gives the members without all that rank before owner.
+// membersOwnedBy returns the members without those that rank before owner.
 func membersOwnedBy(a *Asker, owner id.Daemon) []id.Daemon {
 	members := append([]id.Daemon(nil), all...)
 	for range all {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// asking returns an Asker that has asked owner for the request r.
+// newWaitingAsker returns an Asker that has sent the Want of request r to owner.
 func newWaitingAsker(is *is.I, owner id.Daemon) *Asker {
 	a := New(self, Options{})
 	a.Members(0, membersOwnedBy(a, owner))
@@ -65,16 +65,16 @@
 	}
 }
 
-func TestWaitingWantGoesToTheNewOwner(t *testing.T) {
+func TestWaitingWantIsSentToTheNewOwner(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	out := a.Members(40*ms, membersOwnedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
 	is.Equal(out.Messages[0].Want.Request, id.Request("r"))
-	is.Equal(out.Messages[0].Want.Age, 40*ms) // the wait counts
+	is.Equal(out.Messages[0].Want.Age, 40*ms) // includes the time already waited
 
-	// The former owner no longer decides, the new one does.
+	// Only the new owner's refusal counts.
 	refusal := sched.Refusal{Request: "r", Code: verdict.CodeOverloaded, RetryAfter: ms}
 	is.Equal(len(a.Refused("d2", refusal).Answers), 0)
 	answers := a.Refused("d3", refusal).Answers
@@ -104,7 +104,7 @@
 	is.Equal(len(a.Progress(0, sched.Progress{Request: "r", Phase: sched.PhaseDone}).Messages), 0)
 }
 
-func TestLateGrantIsGivenBack(t *testing.T) {
+func TestGrantForAWithdrawnRequestIsReleased(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	out := a.Withdraw("r")
@@ -122,7 +122,7 @@
 	is.Equal(m.Progress.Progress, sched.Progress{Request: "r", Reservation: number, Phase: sched.PhaseCancelled})
 }
 
-func TestTwoOwnersGrants(t *testing.T) {
+func TestGrantsOfTwoOwners(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	a.Members(0, membersOwnedBy(a, "d3"))
@@ -132,13 +132,13 @@
 	is.Equal(len(out.Messages), 2)
 	checkReleased(is, out.Messages[0], "d3", 1)
 	is.Equal(out.Messages[1].To, id.Daemon("d3"))
-	is.Equal(out.Messages[1].Adopt.Grant.Owner.Daemon, id.Daemon("d2")) // the one in use
-	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Messages), 0)    // a repeat
+	is.Equal(out.Messages[1].Adopt.Grant.Owner.Daemon, id.Daemon("d2")) // the grant in use
+	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Messages), 0)    // a duplicate
 }
 
-// TestGrantInPlaceOfALateOne: the owner took its first grant for expired and
-// gave another; the asker uses the first and says so.
-func TestGrantInPlaceOfALateOne(t *testing.T) {
+// If the owner considers its first grant expired and sends another, the asker
+// must keep the first, release the second and report the first to the owner.
+func TestReplacementOfADelayedGrantIsReleased(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	a.Granted(testPool, grantOf("d2", 1))
@@ -149,7 +149,7 @@
 	is.Equal(out.Messages[1].Adopt.Grant.Reservation, uint64(1))
 }
 
-func TestResendAndGiveUp(t *testing.T) {
+func TestResendAndTimeout(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	is.Equal(len(a.Tick(DefaultResend-1).Messages), 0)
@@ -162,11 +162,11 @@
 	is.Equal(len(out.Answers), 1)
 	is.Equal(out.Answers[0].Err.Verdict, verdict.NotRun)
 	is.Equal(out.Answers[0].Err.Code, verdict.CodeUnavailable)
-	is.Equal(out.Messages[0].Withdraw.Request, id.Request("r")) // the owner shall drop it
+	is.Equal(out.Messages[0].Withdraw.Request, id.Request("r")) // the owner must drop the request
 	is.Equal(a.Len(), 0)
 }
 
-func TestGrantedIsNotGivenUp(t *testing.T) {
+func TestGrantedRequestDoesNotTimeOut(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	a.Granted(testPool, grantOf("d2", 1))
@@ -174,7 +174,7 @@
 	is.Equal(a.Len(), 1)
 }
 
-func TestResumeTellsTheOwner(t *testing.T) {
+func TestResumeNotifiesTheOwner(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{})
 	a.Members(0, membersOwnedBy(a, "d3"))
@@ -184,7 +184,7 @@
 	is.Equal(out.Messages[0].Adopt.Phase, sched.PhaseDecoding)
 }
 
-func TestLocalAsksItself(t *testing.T) {
+func TestLocalSendsToItself(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{Local: true})
 	a.Members(0, all)
@@ -193,9 +193,9 @@
 	is.Equal(len(a.Members(0, all[1:]).Messages), 0)
 }
 
-// TestANewOwnerIsToldHowLongAPhaseHasLasted: without it the owner takes all of
-// the answer for still to be written.
-func TestANewOwnerIsToldHowLongAPhaseHasLasted(t *testing.T) {
+// Without the time spent in the phase, a new owner would assume that the whole
+// answer is still to be generated.
+func TestAdoptCarriesTheTimeInThePhase(t *testing.T) {
 	is := is.New(t)
 	a := New(id.Process{Daemon: "a", Incarnation: 1}, Options{})
 	a.Members(0, []id.Daemon{"a", "b"})
@@ -212,10 +212,10 @@
 	is.Equal(adopt.Want.Age, 4100*time.Millisecond)
 }
 
-// TestAnOwnerThatIsBehindRefusesNobodyForGood: this daemon has found the service
-// and the team in its configuration; an owner that does not know them has another
-// one, and the caller must be told to come back.
-func TestAnOwnerThatIsBehindRefusesNobodyForGood(t *testing.T) {
+// This daemon has found the service and the team in its configuration. An owner
+// that does not has another version of it, so the caller must get an error that
+// can be retried.
+func TestRefusalByAnotherConfigurationCanBeRetried(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeUnknownService, verdict.CodeForbidden} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
--- a/core/pairing/next_test.go
+++ b/core/pairing/next_test.go
@@ -10,25 +10,25 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// TestNextIsWhenAnUnansweredWantNeedsAttention: whoever drives the asker sleeps
-// until Next, so it must name the resend and the giving up.
-func TestNextIsWhenAnUnansweredWantNeedsAttention(t *testing.T) {
+// The caller of Tick sleeps until Next, so Next must return the times of the
+// resend and of the timeout.
+func TestNextIsTheResendOrTheTimeout(t *testing.T) {
 	is := is.New(t)
 	a := New(id.Process{Daemon: "a", Incarnation: 1}, Options{Resend: 250 * time.Millisecond, Margin: 100 * time.Millisecond})
 	a.Tick(0)
 	is.Equal(a.Next(), never)
 	a.Ask(time.Second, sched.Want{Request: "r", Pool: "p"}, 360*time.Millisecond)
 	is.Equal(a.Next(), 1250*time.Millisecond)
-	is.Equal(len(a.Tick(1250*time.Millisecond).Messages), 1) // sent again
+	is.Equal(len(a.Tick(1250*time.Millisecond).Messages), 1) // resent
 	is.Equal(a.Next(), 1460*time.Millisecond)
-	is.Equal(len(a.Tick(1460*time.Millisecond).Answers), 1) // given up
+	is.Equal(len(a.Tick(1460*time.Millisecond).Answers), 1) // timed out
 	is.Equal(a.Next(), never)
 }
 
-// TestAWaitingWantIsSentAgainLessAndLess: 477 requests waited for 3 s each at a
-// pool's owner, which got each of them twelve times. With an answer to give, an
-// owner gives it; what a repeat makes up for is a message that was lost.
-func TestAWaitingWantIsSentAgainLessAndLess(t *testing.T) {
+// With a constant resend interval, the owner of a pool received each of 477
+// requests that waited for 3 s twelve times. Resending only compensates for lost
+// messages, so the interval must grow.
+func TestResendIntervalGrows(t *testing.T) {
 	is := is.New(t)
 	a := New(id.Process{Daemon: "a", Incarnation: 1}, Options{})
 	a.Ask(0, sched.Want{Request: "r", Pool: "p"}, 3*time.Second)
@@ -38,6 +38,6 @@
 			sent = append(sent, now)
 		}
 	}
-	is.Equal(sent[0], DefaultResend) // one that was lost is soon made up for
+	is.Equal(sent[0], DefaultResend) // a lost Want is resent soon
 	is.True(len(sent) <= 4)
 }
--- a/core/pairing/heldup_test.go
+++ b/core/pairing/stall_test.go
@@ -9,10 +9,10 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// TestADaemonThatWasHeldUpHearsItsOwner: this daemon got no processor for longer
-// than the request waits. Its owner's grant lies ready, and must not be given up
-// for the daemon's own time.
-func TestADaemonThatWasHeldUpHearsItsOwner(t *testing.T) {
+// If this daemon gets no processor time for longer than the request's patience,
+// the owner's grant may have arrived but not been processed. The request must not
+// time out because of the stall.
+func TestStallDoesNotTimeOutARequest(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	end := patience + DefaultMargin
@@ -23,26 +23,26 @@
 	is.True(out.Answers[0].Grant != nil)
 }
 
-// TestAnOwnerThatStaysSilentIsGivenUp: one that was held up waits a little more,
-// once, and is told.
-func TestAnOwnerThatStaysSilentIsGivenUp(t *testing.T) {
+// After a stall of this daemon the deadline is extended only once; then the caller
+// gets an error.
+func TestDeadlineIsExtendedOnceAfterAStall(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
 	late := patience + DefaultMargin + 600*ms
 	out := a.Tick(late)
 	is.Equal(len(out.Answers), 0)
-	is.Equal(len(out.Messages), 1) // the want goes out again
+	is.Equal(len(out.Messages), 1) // the Want is resent
 	is.Equal(a.Next(), late+stallGrace)
-	out = a.Tick(late + stallGrace + time.Second) // held up once more
+	out = a.Tick(late + stallGrace + time.Second) // stalled again
 	is.Equal(len(out.Answers), 1)
 	is.Equal(out.Answers[0].Err.Code, verdict.CodeUnavailable)
 	is.Equal(out.Answers[0].Err.Verdict, verdict.NotRun)
 	is.Equal(a.Len(), 0)
 }
 
-// TestAnOwnerThatIsHeldUpCostsNoRequest whose caller can wait longer than it may
-// wait for room: the owner's grant comes late, and nobody refused it.
-func TestAnOwnerThatIsHeldUpCostsNoRequest(t *testing.T) {
+// The owner is stalled for longer than the request's patience for capacity, but the
+// caller can wait longer. The delayed grant must still be used.
+func TestStalledOwnerDoesNotTimeOutARequest(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{})
 	a.Members(0, membersOwnedBy(a, "d2"))
@@ -57,8 +57,9 @@
 	is.True(out.Answers[0].Grant != nil)
 }
 
-// TestAnOwnerThatStaysSilentIsGivenUpInTime: no later than the caller can wait.
-func TestAnOwnerThatStaysSilentIsGivenUpInTime(t *testing.T) {
+// The wait for an owner that does not answer must not last longer than the caller
+// or a prefilled KV cache allows.
+func TestOwnerTimeoutIsBoundedByTheLifetime(t *testing.T) {
 	is := is.New(t)
 	prefilled := New(self, Options{})
 	w := want("r")
