--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -10,10 +10,10 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// Never is what Next returns when nothing is due.
+// Never is returned by Next when nothing is due.
 const Never = time.Duration(math.MaxInt64)
 
-// stuckChecks is how often within StuckAfter work in flight is looked at.
+// stuckChecks is the number of checks for stuck work within StuckAfter.
 const stuckChecks = 4
 
 // group is a set of endpoints that are compared and ejected together.
@@ -22,7 +22,7 @@
 	role live.Role
 }
 
-// Detector judges the endpoints. It is not safe for concurrent use.
+// Detector evaluates the health of endpoints. It is not safe for concurrent use.
 type Detector struct {
 	cfg       Config
 	endpoints map[id.Endpoint]*endpoint
@@ -39,8 +39,8 @@
 	}
 }
 
-// Configure takes the endpoints of a new configuration. What is known of those
-// that stay in their group is kept.
+// Configure sets the endpoints of a new configuration. The records of endpoints
+// that stay in their group are kept.
 func (d *Detector) Configure(now time.Duration, members []Member) {
 	old := d.endpoints
 	d.endpoints = make(map[id.Endpoint]*endpoint, len(members))
@@ -56,8 +56,8 @@
 	}
 }
 
-// Allowed says whether the endpoint may get a request now. An endpoint that is
-// not known may: the detector has nothing against it.
+// Allowed reports whether the endpoint may get a request now. An unknown endpoint
+// may, since no failures are recorded for it.
 func (d *Detector) Allowed(name id.Endpoint) bool {
 	e, ok := d.endpoints[name]
 	if !ok {
@@ -73,7 +73,7 @@
 	}
 }
 
-// State returns the state of an endpoint; Healthy if it is not known.
+// State returns the state of an endpoint; Healthy if it is unknown.
 func (d *Detector) State(name id.Endpoint) State {
 	if e, ok := d.endpoints[name]; ok {
 		return e.state
@@ -81,9 +81,9 @@
 	return Healthy
 }
 
-// Began tells that the endpoint was given a request whose first output is
-// expected after that time. It is overdue after SlowFactor times as long, and
-// StuckAfter at least.
+// Began records that the endpoint was sent a request; expected is the expected
+// time until its first output. The request is overdue after SlowFactor times that
+// time, but not before StuckAfter.
 func (d *Detector) Began(now time.Duration, name id.Endpoint, r id.Request, expected time.Duration) {
 	e, ok := d.endpoints[name]
 	if !ok || len(e.inFlight) >= d.cfg.MaxInFlight {
@@ -93,14 +93,14 @@
 	e.inFlight[r] = now + max(patience, d.cfg.StuckAfter)
 }
 
-// Progress tells that a request gave output.
+// Progress records that a request produced output.
 func (d *Detector) Progress(now time.Duration, name id.Endpoint) {
 	if e, ok := d.endpoints[name]; ok {
 		e.lastProgress = now
 	}
 }
 
-// Outcome takes the end of a piece of work.
+// Outcome records the end of a piece of work and returns the resulting changes.
 func (d *Detector) Outcome(now time.Duration, name id.Endpoint, r Result) []Change {
 	e, ok := d.endpoints[name]
 	if !ok {
@@ -159,7 +159,8 @@
 	return []Change{{Endpoint: e.Endpoint, State: Healthy, Reason: ReasonRecovered}}
 }
 
-// slow compares a latency with the median of the healthy peers.
+// slow reports whether a latency exceeds SlowFactor times the median of the healthy
+// peers.
 func (d *Detector) slow(e *endpoint, latency float64) bool {
 	var peers []float64
 	for _, p := range d.groups[group{pool: e.Pool, role: e.Role}] {
@@ -174,8 +175,9 @@
 	return latency > d.cfg.SlowFactor*peers[len(peers)/2]
 }
 
-// eject takes an endpoint out, unless too many of its group are out already.
-// One that fails its probe was out before and stays so.
+// eject ejects an endpoint, unless too many of its group are ejected or probing
+// already. An endpoint that fails its probe is not healthy yet and is always
+// ejected again.
 func (d *Detector) eject(now time.Duration, e *endpoint, reason Reason) []Change {
 	if e.state == Healthy && !d.canEject(e) {
 		return nil
@@ -190,14 +192,15 @@
 	return []Change{{Endpoint: e.Endpoint, State: Ejected, Reason: reason, For: length}}
 }
 
-// forgive halves the next ejection for each ForgetAfter spent in health.
+// decayEjections halves the next ejection for each EjectionDecay that the endpoint
+// was healthy.
 func (d *Detector) decayEjections(now time.Duration, e *endpoint) {
 	if e.state == Healthy {
 		e.ejections = max(0, e.ejections-int((now-e.healthySince)/d.cfg.EjectionDecay))
 	}
 }
 
-// room says whether the group can spare the endpoint.
+// canEject reports whether the group has enough healthy endpoints to eject this one.
 func (d *Detector) canEject(e *endpoint) bool {
 	members := d.groups[group{pool: e.Pool, role: e.Role}]
 	out := 0
@@ -210,7 +213,7 @@
 	return out < min(most, len(members)-1)
 }
 
-// Tick ends ejections and finds stuck work; call it at Next or earlier.
+// Tick ends ejections and detects stuck work; call it at Next or earlier.
 func (d *Detector) Tick(now time.Duration) []Change {
 	var out []Change
 	for _, e := range d.sortedEndpoints() {
@@ -245,7 +248,7 @@
 	return out
 }
 
-// Next is when Tick is due; Never without endpoints.
+// Next returns the time at which Tick is due; Never without endpoints.
 func (d *Detector) Next() time.Duration {
 	if len(d.endpoints) == 0 {
 		return Never
--- a/core/health/endpoint.go
+++ b/core/health/endpoint.go
@@ -10,30 +10,31 @@
 // latencyWeight is the weight of a new latency in the moving average.
 const latencyWeight = 0.2
 
-// endpoint is what is known of one endpoint.
+// endpoint is the record of one endpoint.
 type endpoint struct {
 	Member
 	state State
-	// good and bad are decayed counts of outcomes, as of countedAt.
+	// successes and failures are decayed counts of outcomes, as of countedAt.
 	successes, failures float64
 	countedAt           time.Duration
 	// latency is a moving average, in nanoseconds; 0 if unknown.
 	latency float64
 	samples int
-	// inFlight holds when each piece of work is overdue.
+	// inFlight holds the time from which each piece of work is overdue.
 	inFlight map[id.Request]time.Duration
-	// progress is when work last gave a token or ended well.
+	// lastProgress is the time at which work last produced output or succeeded.
 	lastProgress time.Duration
-	// until is the end of the ejection.
+	// ejectedUntil is the end of the ejection.
 	ejectedUntil time.Duration
-	// ejections counts them, for the doubling; it decays in health.
+	// ejections counts the ejections, for the doubling; it decays while the
+	// endpoint is healthy.
 	ejections int
-	// healthy is since when the endpoint is healthy.
+	// healthySince is the time at which the endpoint last became healthy.
 	healthySince time.Duration
 	probes       int
 }
 
-// decay brings the counts up to now.
+// decay reduces the outcome counts by their age at now.
 func (e *endpoint) decay(now, halfLife time.Duration) {
 	if now <= e.countedAt {
 		return
@@ -56,7 +57,7 @@
 	e.latency += latencyWeight * (float64(l) - e.latency)
 }
 
-// stuck says whether work is overdue and none has made progress for a while.
+// stuck reports whether work is overdue and no work has made progress for quiet.
 func (e *endpoint) stuck(now, quiet time.Duration) bool {
 	if now-e.lastProgress < quiet {
 		return false
@@ -69,7 +70,7 @@
 	return false
 }
 
-// forget drops what was learnt before an ejection ended.
+// resetStats clears the statistics when an ejection begins.
 func (e *endpoint) resetStats() {
 	e.successes, e.failures = 0, 0
 	e.latency, e.samples = 0, 0
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -33,8 +33,8 @@
 
 func name(i int) id.Endpoint { return id.Endpoint(fmt.Sprint("e", i)) }
 
-// round sends one request to each endpoint that is allowed and lets it end as
-// how says; a zero kind leaves it in flight.
+// round sends one request to each allowed endpoint and ends it with the outcome
+// that how returns; a zero kind leaves it in flight.
 func (f *fleet) round(n int, how func(i int) (OutcomeKind, time.Duration)) {
 	f.now += 250 * time.Millisecond
 	f.changes = append(f.changes, f.Tick(f.now)...)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestGreyFailuresLoseTheirShareAndGetItBack(t *testing.T) {
+func TestGreyFailuresAreEjectedAndRecover(t *testing.T) {
 	cases := []struct {
 		name    string
 		kind    OutcomeKind
@@ -81,9 +81,9 @@
 			for f.State(name(2)) == Healthy {
 				f.round(5, onlyFor(2, c.kind, c.latency))
 			}
-			is.True(f.now < 5*time.Second) // within seconds
+			is.True(f.now < 5*time.Second)
 			is.Equal(f.changes, []Change{{Endpoint: name(2), State: Ejected, Reason: c.reason, For: DefaultEjectMin}})
-			// It stays bad: the next ejections are longer, by single probes.
+			// The endpoint still fails its single probes, so its ejections get longer.
 			for len(f.changes) < 5 {
 				f.round(5, onlyFor(2, c.kind, c.latency))
 			}
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestMostOfAGroupStaysIn(t *testing.T) {
+func TestMostOfAGroupIsNeverEjected(t *testing.T) {
 	for n, most := range map[int]int{1: 0, 2: 1, 4: 1, 5: 2, 18: 7} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
@@ -133,7 +133,7 @@
 func TestLongAnswersAreNotStuck(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
-	f.Began(0, name(0), "decode", 0)               // tokens flow for a minute
+	f.Began(0, name(0), "decode", 0)               // produces tokens for a minute
 	f.Began(0, name(1), "prefill", 20*time.Second) // expected to take long
 	f.Began(0, name(2), "stuck", 100*time.Millisecond)
 	for now := time.Duration(0); now < time.Minute; now += 500 * time.Millisecond {
@@ -146,13 +146,13 @@
 	is.Equal(f.State(name(0)), Healthy)
 }
 
-func TestConfigureKeepsWhatIsKnown(t *testing.T) {
+func TestConfigureKeepsRecords(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	f.Outcome(0, name(0), Result{Kind: Crashed})
 	f.Configure(0, []Member{{Endpoint: name(0), Pool: "p", Role: live.RoleDecode}, {Endpoint: name(1), Pool: "p", Role: live.RoleDecode}})
 	is.True(!f.Allowed(name(0)))
 	f.Configure(0, []Member{{Endpoint: name(0), Pool: "p", Role: live.RolePrefill}})
-	is.True(f.Allowed(name(0))) // another role, another record
+	is.True(f.Allowed(name(0))) // another role starts a new record
 	is.True(f.Allowed("unknown"))
 }
--- a/core/health/restart_test.go
+++ b/core/health/restart_test.go
@@ -10,8 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-// TestARestartedEndpointIsNotEjected for what its former start did.
-func TestARestartedEndpointIsNotEjected(t *testing.T) {
+// A restarted endpoint must not be ejected for failures before its restart.
+func TestRestartedEndpointIsNotEjected(t *testing.T) {
 	is := is.New(t)
 	d := New(Config{})
 	members := func(born int64) []Member {
--- a/core/health/types.go
+++ b/core/health/types.go
@@ -1,7 +1,7 @@
-// Package health detects grey failures: endpoints that take work and are slow
-// or fail, also those that answer health checks but not work. It learns from
-// the outcomes of real work only, ejects an endpoint for a while and lets it
-// back by single probes. See docs/design/grey-failures.md.
+// Package health detects grey failures: endpoints that accept work but are slow
+// or fail, including those that pass health checks. It uses only the outcomes of
+// real work. It ejects a bad endpoint for some time, then probes it with single
+// requests before it takes full load again. See docs/design/grey-failures.md.
 package health
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// Member is an endpoint with the group in which it is compared and ejected.
+// Member is an endpoint with its pool and role: the group in which it is compared
+// and ejected.
 type Member struct {
 	Endpoint id.Endpoint
 	Pool     id.Pool
@@ -24,15 +25,15 @@
 
 // The kinds of outcomes.
 const (
-	// OK: it ended as it should.
+	// OK: the work succeeded.
 	OK OutcomeKind = iota + 1
-	// Failed: the endpoint answered with an error that is its own fault.
+	// Failed: the endpoint returned an error that it caused itself.
 	Failed
-	// TimedOut: no answer came in time.
+	// TimedOut: no answer arrived in time.
 	TimedOut
 	// Crashed: the endpoint's incarnation ended.
 	Crashed
-	// Withdrawn: the work ended for another reason and tells nothing.
+	// Withdrawn: the work ended for a reason unrelated to the endpoint's health.
 	Withdrawn
 )
 
@@ -40,9 +41,8 @@
 type Result struct {
 	Request id.Request
 	Kind    OutcomeKind
-	// Latency is comparable among the members of a group whatever the size of
-	// the work is: time for each prompt token, or for each output token. Zero
-	// if unknown.
+	// Latency is normalised by the size of the work, so that it is comparable
+	// within a group: time per prompt token or per output token. Zero if unknown.
 	Latency time.Duration
 }
 
@@ -51,15 +51,15 @@
 
 // The states of an endpoint.
 const (
-	// Healthy endpoints take work.
+	// Healthy endpoints get work.
 	Healthy State = iota + 1
-	// Ejected ones take none until the ejection ends.
+	// Ejected endpoints get no work until the ejection ends.
 	Ejected
-	// Probing ones take one request at a time.
+	// Probing endpoints get one request at a time.
 	Probing
 )
 
-// String names the state for logs.
+// String returns the state's name for logs.
 func (s State) String() string {
 	switch s {
 	case Healthy:
@@ -73,7 +73,7 @@
 	}
 }
 
-// Reason tells why a state changed.
+// Reason is the cause of a state change.
 type Reason string
 
 // The reasons of a Change.
@@ -96,32 +96,38 @@
 	For time.Duration
 }
 
-// Config sets the bounds; zero fields take the defaults.
+// Config sets the thresholds; zero fields mean the defaults.
 type Config struct {
-	// ErrorRatio that ejects. Default 0.5.
+	// ErrorRatio is the share of failed outcomes that ejects. Default 0.5.
 	ErrorRatio float64
-	// MinOutcomes is the decayed count below which no ratio is judged. Default 5.
+	// MinOutcomes is the decayed count below which error ratio and latency are not
+	// evaluated. Default 5.
 	MinOutcomes float64
-	// HalfLife of the counts. Default 10 s.
+	// HalfLife of the decaying outcome counts. Default 10 s.
 	HalfLife time.Duration
-	// SlowFactor times the median of the peers ejects. Default 3.
+	// SlowFactor is the multiple of the peers' median latency that ejects. Default 3.
 	SlowFactor float64
-	// MinPeers with known latency, for a comparison. Default 3.
+	// MinPeers is the number of peers with known latency that a comparison needs.
+	// Default 3.
 	MinPeers int
 	// StuckAfter is how long an endpoint may go without any output while work
 	// in flight is overdue. Default 3 s.
 	StuckAfter time.Duration
-	// MaxEjected is the largest share of a group that is ejected at once; one
-	// endpoint of two or more always may be. Default 0.4.
+	// MaxEjected is the largest share of a group that may be ejected or probing at
+	// once; in a group of two or more, one always may be. Default 0.4.
 	MaxEjected float64
-	// EjectMin and EjectMax bound an ejection; it doubles. Default 5 s and 5 min.
+	// EjectMin and EjectMax bound the length of an ejection, which doubles each
+	// time. Default 5 s and 5 min.
 	EjectMin time.Duration
 	EjectMax time.Duration
-	// ForgetAfter is the time in health that halves the next ejection. Default 1 min.
+	// EjectionDecay is the time spent healthy that halves the next ejection.
+	// Default 1 min.
 	EjectionDecay time.Duration
-	// ProbeSuccesses in a row that end the probing. Default 2.
+	// ProbeSuccesses is the number of successful probes in a row that end the
+	// probing. Default 2.
 	ProbeSuccesses int
-	// MaxInFlight bounds the work remembered for each endpoint. Default 1024.
+	// MaxInFlight bounds the work in flight that is tracked for each endpoint.
+	// Default 1024.
 	MaxInFlight int
 }
 
