--- a/core/resume/keyring.go
+++ b/core/resume/keyring.go
@@ -14,10 +14,10 @@
 // MinSecretBytes is the shortest secret that a key may have.
 const MinSecretBytes = 32
 
-// envelopeBytes are the bytes before the body: key id and signature.
+// envelopeBytes is the number of bytes before the body: key id and signature.
 const envelopeBytes = 1 + sha256.Size
 
-// Reason names why a token was refused.
+// Reason is the cause of a token's rejection.
 type Reason string
 
 // The reasons of an Error.
@@ -28,18 +28,18 @@
 	ReasonExpired      Reason = "expired"
 )
 
-// Error says why a token was refused.
+// Error is the error of a rejected token.
 type Error struct {
-	// Reason of the refusal.
+	// Reason of the rejection.
 	Reason Reason
-	// Detail for a person; it never holds another team's data.
+	// Detail for a human reader; it never contains another team's data.
 	Detail string
 }
 
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("resume token %s: %s", e.Reason, e.Detail) }
 
-// Is makes errors.Is compare by reason.
+// Is lets errors.Is compare errors by reason.
 func (e *Error) Is(target error) bool {
 	other, ok := target.(*Error)
 	return ok && other.Reason == e.Reason
@@ -53,18 +53,18 @@
 	ErrExpired      = &Error{Reason: ReasonExpired}
 )
 
-// Key is one secret with its number.
+// Key is a secret with its id.
 type Key struct {
-	// ID tells keys apart during a rotation.
+	// ID identifies the key during a rotation.
 	ID uint8
 	// Secret has at least MinSecretBytes bytes.
 	Secret []byte
 }
 
-// Keyring signs with one key and accepts several. It is never changed after it
-// was built: a rotation is a new Keyring. A rotation adds the new key to the
-// accepted ones everywhere first, then signs with it, then drops the old one
-// after the longest life of a token.
+// Keyring signs with one key and accepts signatures of several. It is immutable: a
+// rotation creates new keyrings. A rotation first adds the new key to the accepted
+// keys of all daemons, then signs with it, and removes the old key once the maximum
+// lifetime of a token has passed.
 type Keyring struct {
 	signing Key
 	secrets map[uint8][]byte
@@ -77,8 +77,8 @@
 		if len(key.Secret) < MinSecretBytes {
 			return nil, fmt.Errorf("resume key %d has %d bytes, want %d or more", key.ID, len(key.Secret), MinSecretBytes)
 		}
-		if _, double := k.secrets[key.ID]; double {
-			return nil, fmt.Errorf("resume key %d is given twice", key.ID)
+		if _, duplicate := k.secrets[key.ID]; duplicate {
+			return nil, fmt.Errorf("resume key %d is configured twice", key.ID)
 		}
 		k.secrets[key.ID] = key.Secret
 	}
@@ -106,7 +106,7 @@
 }
 
 // Verify checks a token that a caller of the given team sent at the given wall
-// time. The error is always an *Error.
+// time, and returns its content. The error is always an *Error.
 func (k *Keyring) Verify(token string, team id.Team, wall time.Time) (Token, error) {
 	body, err := k.openEnvelope(token)
 	if err != nil {
@@ -120,21 +120,23 @@
 		return Token{}, &Error{Reason: ReasonMalformed, Detail: err.Error()}
 	}
 	if t.Team != team {
-		return Token{}, &Error{Reason: ReasonWrongTeam, Detail: "it belongs to another team"}
+		return Token{}, &Error{Reason: ReasonWrongTeam, Detail: "the token belongs to another team"}
 	}
 	if t.Expired(wall) {
-		return Token{}, &Error{Reason: ReasonExpired, Detail: "its time is over"}
+		return Token{}, &Error{Reason: ReasonExpired, Detail: "the token has expired"}
 	}
 	return t, nil
 }
 
-// open checks the envelope before anything of the body is read.
+// openEnvelope verifies the envelope and returns the body, which is not decoded
+// before its signature has been checked.
 func (k *Keyring) openEnvelope(token string) ([]byte, error) {
 	if len(token) > MaxTokenBytes {
 		return nil, &Error{Reason: ReasonMalformed, Detail: "too long"}
 	}
 	if strings.ContainsAny(token, "\r\n") {
-		// The decoder would skip them: one token would have many spellings.
+		// The base64 decoder ignores line breaks, so one token would have several
+		// encodings.
 		return nil, &Error{Reason: ReasonMalformed, Detail: "has a line break"}
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(token)
--- a/core/resume/resume_test.go
+++ b/core/resume/resume_test.go
@@ -106,8 +106,8 @@
 	is.Equal(pieces.Sum(), HashText("one two"))
 }
 
-// FuzzVerify: whatever a caller sends gives a typed error or a token that the
-// keyring signed for that team.
+// FuzzVerify checks that Verify returns either a typed error or a token that the
+// keyring signed for the given team.
 func FuzzVerify(f *testing.F) {
 	k, err := NewKeyring(key(1), key(2))
 	if err != nil {
@@ -127,13 +127,13 @@
 		got, err := k.Verify(token, id.Team(team), wall)
 		if err == nil {
 			if token != good || string(got.Team) != team {
-				t.Fatalf("a token that was never signed for team %q passes: %q", team, token)
+				t.Fatalf("token not signed for team %q was accepted: %q", team, token)
 			}
 			return
 		}
 		var typed *Error
 		if !errors.As(err, &typed) {
-			t.Fatalf("error %v has no reason", err)
+			t.Fatalf("error %v is not an *Error", err)
 		}
 	})
 }
--- a/core/resume/text.go
+++ b/core/resume/text.go
@@ -5,11 +5,10 @@
 	"hash"
 )
 
-// TextHasher hashes an answer's text piece by piece. The zero value is the
-// hash of no text.
+// TextHasher hashes an answer's text incrementally. The zero value is ready to use.
 type TextHasher struct{ state hash.Hash }
 
-// Add takes the next piece.
+// Add hashes the next piece of the text.
 func (h *TextHasher) Add(text string) {
 	if h.state == nil {
 		h.state = sha256.New()
@@ -17,7 +16,7 @@
 	h.state.Write([]byte(text))
 }
 
-// Sum returns the hash of all pieces so far; more may follow.
+// Sum returns the hash of all pieces added so far; more may be added.
 func (h *TextHasher) Sum() [HashBytes]byte {
 	if h.state == nil {
 		return sha256.Sum256(nil)
@@ -25,5 +24,5 @@
 	return [HashBytes]byte(h.state.Sum(nil))
 }
 
-// HashText hashes a whole text as a TextHasher does.
+// HashText returns the hash that a TextHasher computes for the whole text.
 func HashText(text string) [HashBytes]byte { return sha256.Sum256([]byte(text)) }
--- a/core/resume/token.go
+++ b/core/resume/token.go
@@ -1,6 +1,6 @@
-// Package resume signs and checks the tokens by which a caller resumes a
-// stream at any daemon. A token holds all that is needed to find the stream
-// again, so that daemons keep nothing.
+// Package resume signs and verifies the tokens with which a caller resumes a
+// stream at any daemon. A token contains all data needed to find the stream again,
+// so that daemons store no state for it.
 package resume
 
 import (
@@ -14,37 +14,37 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// MaxTokenBytes bounds an encoded token.
+// MaxTokenBytes is the maximum length of an encoded token.
 const MaxTokenBytes = 1024
 
-// maxNameBytes bounds each name within a token.
+// maxNameBytes is the maximum length of each name in a token.
 const maxNameBytes = 128
 
-// HashBytes is the length of a request hash.
+// HashBytes is the length of a request hash or text hash.
 const HashBytes = sha256.Size
 
-// Token says where a stream stands and to whom it belongs.
+// Token is the position of a stream and its owner.
 type Token struct {
 	Team    id.Team    `cbor:"1,keyasint"`
 	Service id.Service `cbor:"2,keyasint"`
-	// Request is the id that the caller knows.
+	// Request is the request id given to the caller.
 	Request string `cbor:"3,keyasint"`
-	// Attempt is the id that the endpoint knows.
+	// Attempt is the request id given to the endpoint.
 	Attempt id.Request `cbor:"4,keyasint"`
-	// Endpoint decodes the answer.
+	// Endpoint is the endpoint that decodes the answer.
 	Endpoint    id.Endpoint    `cbor:"5,keyasint"`
 	Incarnation id.Incarnation `cbor:"6,keyasint"`
-	// Seq is the last event that the caller has.
+	// Seq is the number of the last event that the caller received.
 	Seq int `cbor:"7,keyasint"`
-	// RequestHash binds the prompt and its limits; see HashRequest.
+	// RequestHash binds the token to the prompt and its limit; see HashRequest.
 	RequestHash [HashBytes]byte `cbor:"8,keyasint"`
 	// TextHash is the hash of the answer's text up to Seq; see TextHasher.
 	TextHash [HashBytes]byte `cbor:"10,keyasint"`
-	// ExpiresUnix is the wall time of the expiry, in seconds since 1970.
+	// ExpiresUnix is the wall time of the expiry, in seconds since the Unix epoch.
 	ExpiresUnix int64 `cbor:"9,keyasint"`
 }
 
-// HashRequest hashes what a continuation needs to be the same.
+// HashRequest hashes the parts of a request that must not change when it resumes.
 func HashRequest(prompt string, maxTokens int) [HashBytes]byte {
 	h := sha256.New()
 	h.Write(binary.BigEndian.AppendUint64(nil, uint64(maxTokens)))
@@ -52,10 +52,10 @@
 	return [HashBytes]byte(h.Sum(nil))
 }
 
-// Expired says whether the token is past its time.
+// Expired reports whether the token has expired.
 func (t *Token) Expired(wall time.Time) bool { return wall.Unix() >= t.ExpiresUnix }
 
-// validate bounds each field.
+// validate checks the bounds of the fields.
 func (t *Token) validate() error {
 	names := []struct{ field, value string }{
 		{"team", string(t.Team)},
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// encoder and decoder are strict, so that one token has one encoding.
+// encoder and decoder are strict, so that each token has exactly one encoding.
 var (
 	encoder = newEncoder()
 	decoder = newDecoder()
@@ -84,7 +84,7 @@
 func newEncoder() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are constant: a fault of the build
+		panic(err) // the options are constant, so this is a programming error
 	}
 	return mode
 }
@@ -100,7 +100,7 @@
 		MaxMapPairs:       16,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constant: a fault of the build
+		panic(err) // the options are constant, so this is a programming error
 	}
 	return mode
 }
