--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -1,7 +1,7 @@
-// Package readers chooses which daemons follow the platform's store for the
-// whole fleet. They tell the others of each change, so that the calls to the
-// store don't grow with the fleet. Every daemon decides from its own view of
-// the membership, without asking. It is deterministic.
+// Package readers selects the daemons that read the platform's store for the
+// whole fleet. They forward each change to the other daemons, so that the number
+// of calls to the store does not grow with the fleet. Each daemon decides from its
+// own view of the membership, without coordination. The package is deterministic.
 package readers
 
 import (
@@ -14,28 +14,29 @@
 )
 
 const (
-	// Count is how many daemons read: two may fail at once without anyone
-	// waiting for the membership to find it out.
+	// Count is the number of readers: two may fail at once and changes still arrive
+	// without waiting for the membership to detect the failures.
 	Count = 3
-	// settle is how long others must have been reading before a daemon leaves
-	// it to them: a view that is just forming must not stop anybody.
+	// settleTime is how long enough other daemons must have been chosen before a
+	// daemon stops reading. It prevents a membership view that is still forming
+	// from stopping readers.
 	settleTime = time.Second
-	// key is what the readers are chosen by.
+	// rankingKey is the rendezvous key by which the readers are ranked.
 	rankingKey = "store"
 )
 
-// Candidate is a daemon that is alive.
+// Candidate is a live daemon that may be chosen as a reader.
 type Candidate struct {
 	Daemon id.Daemon
 	Domain id.Domain
-	// StoreLost is set while the store does not answer the daemon.
+	// StoreLost is set while the daemon gets no answers from the store.
 	StoreLost bool
 	Capacity  capacity.Capacity
 }
 
-// Choose returns the daemons that read, in different failure domains as far as
-// there are any. Those that the store does not answer are passed over, and those
-// on small hosts, unless too few others are left.
+// Choose returns the readers, in different failure domains as far as possible.
+// It skips daemons that get no answers from the store, and daemons on small hosts
+// unless fewer than Count others are left.
 func Choose(candidates []Candidate) []id.Daemon {
 	served := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.StoreLost })
 	able := capacity.Able(served, func(c Candidate) capacity.Capacity { return c.Capacity })
@@ -51,7 +52,8 @@
 	return spreadOverDomains(rendezvous.Ranked(rankingKey, names), domains)
 }
 
-// spread takes the first of each domain, then the first of the rest.
+// spreadOverDomains returns the first Count daemons, taking the first of each
+// domain before all others.
 func spreadOverDomains(ranked []id.Daemon, domains map[id.Daemon]id.Domain) []id.Daemon {
 	var chosen, rest []id.Daemon
 	seen := map[id.Domain]bool{}
@@ -67,47 +69,49 @@
 	return chosen[:min(Count, len(chosen))]
 }
 
-// startWait is how long a daemon that has started waits to hear of the others
-// before it follows the store: it has just read its tables, and where a whole
-// fleet starts, all would follow them until they know of one another.
+// startupWait is how long a daemon waits after its start to discover the others
+// before it follows the store. It has just read the store's tables, and when a
+// whole fleet starts, all daemons would otherwise follow them until they have
+// discovered one another.
 const startupWait = 1500 * time.Millisecond
 
-// Decision says whether one daemon reads. It begins without.
+// Decision decides whether one daemon reads. Initially the daemon does not.
 type Decision struct {
 	self id.Daemon
-	// begun is set at the first decision, at beganAt.
+	// started is set at the first decision, which is made at startedAt.
 	started   bool
 	startedAt time.Duration
-	// waited is set once the wait of the start is over.
+	// startupOver is set once the wait after the start is over.
 	startupOver bool
 	reading     bool
 	chosen      []id.Daemon
-	// since is when enough others began to read; meaningless unless others is set.
+	// othersSince is the time since which enough others are chosen; valid only if
+	// othersSuffice is set.
 	othersSince   time.Duration
 	othersSuffice bool
-	// tells is set while the daemon reads for others as well.
+	// announces is set while the daemon forwards changes to the others.
 	announces bool
 }
 
 // NewDecision returns the decision of the daemon self.
 func NewDecision(self id.Daemon) *Decision { return &Decision{self: self} }
 
-// Tells says whether the daemon tells the others of what it reads: where it is
-// chosen, or others are too few. One that only reads on until the others have
-// settled keeps it to itself: news with gaps before them have each of the others
-// read a table anew.
+// Tells reports whether the daemon forwards the changes that it reads: once the wait
+// after the start is over, it does if it is chosen or fewer than Count daemons are.
+// A daemon that only continues to read during settleTime does not forward, since a
+// change that arrives after a gap makes each receiver read the whole table again.
 func (d *Decision) Tells() bool { return d.announces }
 
-// Chosen are the daemons that read for all, as of the last decision.
+// Chosen returns the readers as of the last decision.
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
 
-// Waited says whether the daemon has waited to hear of others, and decides.
+// Waited reports whether the wait after the start is over.
 func (d *Decision) Waited() bool { return d.startupOver }
 
-// Decide tells whether the daemon reads, given the candidates of the moment and
-// whether it is the only one that ever enrolled. Behind the wait of its start it
-// begins at once where it is chosen or others are too few, and leaves it to
-// others once these have been enough for a while.
+// Decide reports whether the daemon reads, given the current candidates and whether
+// it is the only daemon that ever enrolled. After startupWait, or at once if it is
+// the only one, it reads if it is chosen or fewer than Count daemons are. It stops
+// once enough others have been chosen for settleTime.
 func (d *Decision) Decide(now time.Duration, candidates []Candidate, only bool) bool {
 	if !d.started {
 		d.started, d.startedAt = true, now
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -38,7 +38,7 @@
 	return out
 }
 
-func TestReadersStandInDifferentFailureDomains(t *testing.T) {
+func TestReadersAreInDifferentFailureDomains(t *testing.T) {
 	is := is.New(t)
 	for _, domains := range []int{3, 4, 5} {
 		all := fleet(60, domains)
@@ -52,11 +52,11 @@
 		}
 		is.Equal(len(seen), Count)
 	}
-	is.Equal(len(Choose(fleet(9, 1))), Count) // one domain alone must do
+	is.Equal(len(Choose(fleet(9, 1))), Count) // a single domain suffices
 	is.Equal(len(Choose(fleet(2, 2))), 2)
 }
 
-func TestADaemonThatTheStoreRefusesIsPassedOver(t *testing.T) {
+func TestDaemonWithoutTheStoreIsNotChosen(t *testing.T) {
 	is := is.New(t)
 	all := fleet(9, 4)
 	first := Choose(all)[0]
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestADaemonReadsUntilOthersHaveDoneSoForAWhile(t *testing.T) {
+func TestDaemonReadsUntilOthersAreChosenForSettleTime(t *testing.T) {
 	is := is.New(t)
 	all := fleet(9, 4)
 	chosen := Choose(all)
@@ -82,22 +82,22 @@
 	}
 	d := NewDecision(idle)
 	d.Decide(0, all[:1], false)
-	is.True(d.Decide(startupWait, all[:1], false)) // it knows hardly anyone yet
+	is.True(d.Decide(startupWait, all[:1], false)) // it has discovered no other daemon yet
 	is.True(d.Tells())
-	met := startupWait + time.Second
-	is.True(d.Decide(met, all, false))
-	is.True(!d.Tells()) // it reads on for itself: the others have just begun
-	is.True(d.Decide(met+settleTime-1, all, false))
-	is.True(!d.Decide(met+settleTime, all, false))
-	// Two readers fall silent: others take their place, and it need not read
-	// unless it is the next.
+	discovered := startupWait + time.Second
+	is.True(d.Decide(discovered, all, false))
+	is.True(!d.Tells()) // it reads for itself only: the others were chosen just now
+	is.True(d.Decide(discovered+settleTime-1, all, false))
+	is.True(!d.Decide(discovered+settleTime, all, false))
+	// Two readers fail and are replaced: the daemon reads only if it is one of the
+	// replacements.
 	left := without(all, chosen[0], chosen[1])
 	is.Equal(d.Decide(10*time.Second, left, false), slices.Contains(Choose(left), idle))
-	// All but itself do: it reads at once.
+	// All others fail: the daemon reads at once.
 	is.True(d.Decide(20*time.Second, []Candidate{{Daemon: idle}}, false))
 }
 
-func TestAChosenDaemonGoesOnReading(t *testing.T) {
+func TestChosenDaemonKeepsReading(t *testing.T) {
 	is := is.New(t)
 	all := fleet(9, 4)
 	d := NewDecision(Choose(all)[0])
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestFewReadWhileAWholeFleetStarts: where all daemons follow the store until
-// they know of one another, each change of its tables costs a call of each.
-func TestFewReadWhileAWholeFleetStarts(t *testing.T) {
+// When a whole fleet starts, daemons must not follow the store until they have
+// discovered one another: each change of its tables would cost a call per daemon.
+func TestOnlyCountDaemonsReadWhileTheFleetStarts(t *testing.T) {
 	is := is.New(t)
 	all := fleet(60, 5)
 	reading := map[id.Daemon]bool{}
@@ -119,7 +119,7 @@
 		for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 			known := all
 			if now < time.Second {
-				known = all[:1+int(now/(100*time.Millisecond))] // they meet within a second
+				known = all[:1+int(now/(100*time.Millisecond))] // they discover one another within a second
 			}
 			if d.Decide(now, known, false) {
 				reading[c.Daemon] = true
@@ -130,9 +130,9 @@
 	is.Equal(len(reading), Count)
 }
 
-// TestReadersStandOnTheLargestHosts: each change goes from a reader to all
-// others, which a narrow link takes a second for.
-func TestReadersStandOnTheLargestHosts(t *testing.T) {
+// A reader sends each change to all other daemons, which takes a second on a slow
+// link. So daemons on large hosts must be preferred.
+func TestReadersAreOnTheLargestHosts(t *testing.T) {
 	is := is.New(t)
 	all := fleet(60, 5)
 	large := map[id.Daemon]bool{}
@@ -146,7 +146,7 @@
 	for _, d := range Choose(all) {
 		is.True(large[d])
 	}
-	// Two large ones alone are too few: all may read.
+	// Two large hosts are fewer than Count: daemons on all hosts may read.
 	few := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return large[c.Daemon] && c.Daemon != "d0" && c.Daemon != "d12" })
 	is.Equal(len(Choose(few)), Count)
 }
