--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry makes the answer to callers who ask which of the system's
-// addresses to use, and plans when a daemon that leaves may close: no caller
-// that kept an answer for its lifetime may find it gone.
+// Package entry computes the answer to callers that request the system's
+// addresses, and plans when a leaving daemon may close: no caller that cached an
+// answer for its lifetime may be sent to a closed daemon.
 package entry
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/samphirequay/samphirequay/core/member"
 )
 
-// Bounds of a weight.
+// Bounds of an address's weight.
 const (
 	MinWeight = 25
 	MaxWeight = 100
 )
 
-// Config sets the answers.
+// Config sets the bounds of answers.
 type Config struct {
-	// Lifetime is how long a caller may keep an answer.
+	// Lifetime is how long a caller may cache an answer.
 	Lifetime time.Duration
-	// MinLifetime bounds it from below when a planned stop is near.
+	// MinLifetime is the minimum lifetime, if an announced stop shortens it.
 	MinLifetime time.Duration
-	// MaxAddresses bounds an answer.
+	// MaxAddresses is the maximum number of addresses in an answer.
 	MaxAddresses int
 }
 
@@ -35,15 +35,15 @@
 	return Config{Lifetime: 10 * time.Second, MinLifetime: time.Second, MaxAddresses: 6}
 }
 
-// Candidate is one daemon as the answering one sees it.
+// Candidate is a daemon in the view of the answering daemon.
 type Candidate struct {
 	Daemon  id.Daemon
 	Domain  id.Domain
 	Address string
 	State   member.State
-	// InFlight counts the requests it serves.
+	// InFlight is the number of requests that the daemon is serving.
 	InFlight int
-	// StopsIn is the time until an announced stop; zero when none is.
+	// StopsIn is the time until an announced stop; zero if none is announced.
 	StopsIn time.Duration
 }
 
@@ -52,20 +52,20 @@
 	Daemon  id.Daemon
 	Domain  id.Domain
 	Address string
-	// Weight is the share of callers that should choose it.
+	// Weight is the relative share of callers that should choose the address.
 	Weight int
 }
 
-// Answer tells a caller which addresses to use, best first.
+// Answer lists the addresses that a caller should use, in order of preference.
 type Answer struct {
 	Addresses []Address
 	Lifetime  time.Duration
 }
 
-// Make answers a caller from the daemons in view; self is the answering one.
-// The first address is drawn by weight over all hosts, so that callers spread
-// evenly; each further one comes from a failure domain used least so far, so
-// that a caller who tries the next survives the loss of one.
+// Make computes an answer from the daemons in view; self is the answering daemon.
+// The first address is drawn by weight from all hosts, so that callers spread
+// evenly. Each further address comes from a failure domain used least so far, so
+// that a caller that tries the next address survives the loss of a domain.
 func Make(cfg Config, view []Candidate, self id.Daemon, rng *rand.Rand) Answer {
 	chosen := selectCandidates(cfg, view, self)
 	slices.SortFunc(chosen, func(a, b Candidate) int { return strings.Compare(string(a.Daemon), string(b.Daemon)) })
@@ -83,14 +83,14 @@
 	return answer
 }
 
-// choose keeps the alive; where this daemon is the only one, the partitioned as
-// well; without any, the suspect; without those, this daemon, which answers and
-// so runs.
+// selectCandidates returns the alive daemons, and the partitioned ones as well if
+// self is the only alive daemon. Without alive daemons it returns the suspect ones,
+// and without these self, which is running since it answers.
 func selectCandidates(cfg Config, view []Candidate, self id.Daemon) []Candidate {
 	alive := inState(cfg, view, member.Alive)
 	if len(alive) == 1 && alive[0].Daemon == self {
-		// Cut off from most of the fleet, this daemon can't tell who lives:
-		// callers may well reach the others.
+		// A daemon that is partitioned from most of the fleet can't determine
+		// which daemons are alive. Callers may still reach the others.
 		alive = append(alive, inState(cfg, view, member.Partitioned)...)
 	}
 	if len(alive) > 0 {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// inState lists the candidates in a state that have an address and don't stop
-// at once.
+// inState returns the candidates in a state that have an address and whose
+// announced stop, if any, is more than MinLifetime away.
 func inState(cfg Config, view []Candidate, state member.State) []Candidate {
 	var out []Candidate
 	for _, c := range view {
@@ -120,7 +120,8 @@
 	return out
 }
 
-// lifetime ends before the first announced stop of a host that is named.
+// answerLifetime returns cfg.Lifetime, shortened to the first announced stop among
+// the chosen, but at least cfg.MinLifetime.
 func answerLifetime(cfg Config, chosen []Candidate) time.Duration {
 	life := cfg.Lifetime
 	for _, c := range chosen {
@@ -131,7 +132,7 @@
 	return max(life, cfg.MinLifetime)
 }
 
-// weigh gives a host less the more it serves beyond the mean.
+// computeWeights reduces a host's weight as its requests in flight exceed the mean.
 func computeWeights(chosen []Candidate) []int {
 	total := 0
 	for _, c := range chosen {
@@ -146,7 +147,8 @@
 	return out
 }
 
-// draw picks by weight among those not taken whose domain is used least.
+// drawWeighted draws an index by weight from the candidates that are not taken and
+// whose domain is used least.
 func drawWeighted(chosen []Candidate, weights []int, taken []bool, used map[id.Domain]int, rng *rand.Rand) int {
 	fewest := math.MaxInt
 	for i, c := range chosen {
@@ -170,10 +172,10 @@
 		}
 		left -= weights[i]
 	}
-	panic("entry: the weights of the draw do not add up")
+	panic("entry: the drawn number exceeds the sum of the weights")
 }
 
-// FromView turns a membership's view into candidates.
+// FromView converts a membership view to candidates.
 func FromView(view []member.Entry) []Candidate {
 	out := make([]Candidate, len(view))
 	for i, e := range view {
--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -12,7 +12,8 @@
 	"github.com/samphirequay/samphirequay/core/member"
 )
 
-// nine hosts in four failure domains, one of which has a single host.
+// nineCandidates returns nine hosts in four failure domains, one of which has a
+// single host.
 func nineCandidates() []Candidate {
 	domains := []id.Domain{"a", "a", "a", "b", "b", "c", "c", "c", "d"}
 	out := make([]Candidate, len(domains))
@@ -55,17 +56,17 @@
 	for range 200 {
 		a := Make(DefaultConfig(), view, "h0", rng)
 		is.Equal(len(a.Addresses), 3)       // h0, h7, h8
-		is.Equal(a.Lifetime, 4*time.Second) // shrinks before the announced stop
+		is.Equal(a.Lifetime, 4*time.Second) // shortened to the announced stop
 	}
 	for i := range view {
 		view[i].State = member.Leaving
 	}
 	a := Make(DefaultConfig(), view, "h0", rng)
-	is.Equal(len(a.Addresses), 1) // who answers, runs
+	is.Equal(len(a.Addresses), 1) // the answering daemon is running
 	is.Equal(a.Addresses[0].Daemon, id.Daemon("h0"))
 }
 
-func TestBusyHostsAreDrawnLess(t *testing.T) {
+func TestBusyHostsAreDrawnLessOften(t *testing.T) {
 	is := is.New(t)
 	view := nineCandidates()
 	view[0].InFlight = 1000
@@ -77,7 +78,7 @@
 	is.True(first["h0"] > 100 && first["h0"] < 450)
 }
 
-func TestStopWaitsForAnswersCallersAndStreams(t *testing.T) {
+func TestStopWaitsForCachedAnswersCallersAndStreams(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultStopConfig()
 	p := NewStopPlan(cfg, 0)
@@ -99,25 +100,25 @@
 	check(cfg.Limit, 3, true, StopLimit)
 }
 
-// TestNoCallerFindsAStoppedHost lets callers ask daemons that learn of a
-// leaving late, keep each answer for its lifetime, and use it to the end.
-func TestNoCallerFindsAStoppedHost(t *testing.T) {
+// Callers query a daemon that receives the announcement of a stop late, and use
+// each answer until its lifetime ends. None may be sent to a closed daemon.
+func TestNoCallerIsSentToAClosedDaemon(t *testing.T) {
 	is := is.New(t)
 	cfg, stop := DefaultConfig(), DefaultStopConfig()
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		plan := NewStopPlan(stop, 0)
-		closes := plan.Earliest()
+		closesAt := plan.Earliest()
 		for range 50 {
-			asked := time.Duration(rng.Int64N(int64(20 * time.Second)))
-			knows := time.Duration(rng.Int64N(int64(stop.Spread)))
+			askedAt := time.Duration(rng.Int64N(int64(20 * time.Second)))
+			informedAt := time.Duration(rng.Int64N(int64(stop.Spread)))
 			view := nineCandidates()
-			if asked >= knows {
+			if askedAt >= informedAt {
 				view[3].State = member.Leaving
 			}
 			a := Make(cfg, view, "h0", rng)
 			for _, address := range a.Addresses {
-				is.True(address.Daemon != "h3" || asked+a.Lifetime <= closes)
+				is.True(address.Daemon != "h3" || askedAt+a.Lifetime <= closesAt)
 			}
 		}
 	}
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// StopConfig sets how a daemon leaves.
+// StopConfig sets the timing of a daemon's stop.
 type StopConfig struct {
-	// Spread is how long it may take until every daemon knows of the leaving
-	// and names this one no more.
+	// Spread is how long the announcement of the stop may take to reach every
+	// daemon, so that none names this daemon in its answers any more.
 	Spread time.Duration
-	// Lifetime is the longest that an answer given before may be kept.
+	// Lifetime is the longest time for which callers may cache an earlier answer.
 	Lifetime time.Duration
-	// Quiet is how long no new caller must have come.
+	// Quiet is how long no new caller must have arrived before the daemon closes.
 	Quiet time.Duration
-	// Limit bounds the leaving; what still runs then is cut. Zero for none.
+	// Limit bounds the duration of the stop; requests that still run then are
+	// aborted. Zero means no limit.
 	Limit time.Duration
 }
 
-// DefaultStopConfig returns the defaults that fit DefaultConfig.
+// DefaultStopConfig returns the defaults that match DefaultConfig.
 func DefaultStopConfig() StopConfig {
 	return StopConfig{
 		Spread:   4 * time.Second,
@@ -25,50 +26,50 @@
 	}
 }
 
-// StopReason says why a leaving daemon may, or may not, close.
+// StopReason is the reason why a leaving daemon may or may not close.
 type StopReason string
 
-// The reasons.
+// The reasons of MayClose.
 const (
-	StopAnswers StopReason = "answers that name this daemon may still be kept"
-	StopCallers StopReason = "callers still come"
+	StopAnswers StopReason = "callers may still have cached answers that name this daemon"
+	StopCallers StopReason = "new callers still arrive"
 	StopStreams StopReason = "requests are in flight"
 	StopDone    StopReason = "nobody needs this daemon"
 	StopLimit   StopReason = "the time limit is over"
 )
 
-// StopPlan tells a leaving daemon when it may close. Until then it serves as
-// ever.
+// StopPlan determines when a leaving daemon may close. Until then the daemon serves
+// requests as usual.
 type StopPlan struct {
 	cfg StopConfig
-	// began is when the leaving was announced.
+	// startedAt is the time at which the stop was announced.
 	startedAt time.Duration
-	// named is the last time that an answer could have named this daemon.
+	// lastNamed is the last time at which an answer could have named this daemon.
 	lastNamed time.Duration
-	// came is when the last new caller came.
+	// lastCaller is the time at which the last new caller arrived.
 	lastCaller time.Duration
 }
 
-// NewStopPlan starts the leaving at now. From then on this daemon must leave
-// itself out of its own answers.
+// NewStopPlan returns the plan of a stop announced at now. From then on this daemon
+// must omit itself from its own answers.
 func NewStopPlan(cfg StopConfig, now time.Duration) *StopPlan {
 	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.Spread, lastCaller: now}
 }
 
-// Named notes that an answer named this daemon even so, as when it was the
-// only one left.
+// Named records that an answer named this daemon nevertheless, for example because
+// it was the only one left.
 func (p *StopPlan) Named(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
-// Caller notes that a new caller came.
+// Caller records that a new caller arrived.
 func (p *StopPlan) Caller(now time.Duration) { p.lastCaller = now }
 
-// Earliest is the first time at which the daemon may close, if no caller is
-// left then.
+// Earliest returns the earliest time at which the daemon may close, provided that
+// no requests are in flight then.
 func (p *StopPlan) Earliest() time.Duration {
 	return max(p.lastNamed+p.cfg.Lifetime, p.lastCaller+p.cfg.Quiet)
 }
 
-// MayClose tells whether the daemon may close, and why or why not.
+// MayClose reports whether the daemon may close, and the reason.
 func (p *StopPlan) MayClose(now time.Duration, inFlight int) (bool, StopReason) {
 	switch {
 	case p.cfg.Limit > 0 && now-p.startedAt >= p.cfg.Limit:
