--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream puts the token events of one request in order. Events may be
-// late, doubled, reordered or come from an attempt that was given up; what
-// goes out is in order, each event once, with exactly one terminal event.
+// Package stream orders the token events of one request. Events may arrive late,
+// duplicated, reordered or from an abandoned attempt. They are delivered in order,
+// each once, with exactly one terminal event.
 package stream
 
 import (
@@ -10,51 +10,52 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// DefaultWindow is how many events ahead of the next one are kept, at most.
+// DefaultWindow is the default of the window: how far, in events, an event may be
+// ahead of the last delivered one.
 const DefaultWindow = 256
 
-// Event is one token event of an answer, as an engine sent it.
+// Event is a token event of an answer, as sent by an engine.
 type Event struct {
-	// Attempt is the attempt that the engine ran.
+	// Attempt is the attempt that produced the event.
 	Attempt id.Request
-	// Seq counts from 1 within the answer, over all attempts.
+	// Seq is the event's number in the answer, from 1 and across all attempts.
 	Seq int
-	// Text of the token; it may be empty on the terminal event.
+	// Text of the token; may be empty in the terminal event.
 	Text string
-	// Finish is empty but for the terminal event.
+	// Finish is the finish reason; empty except in the terminal event.
 	Finish string
 }
 
-// Terminal says whether the event ends the answer.
+// Terminal reports whether the event ends the answer.
 func (e Event) Terminal() bool { return e.Finish != "" }
 
-// OverflowError says that an event lies too far ahead of the next one: events
-// between were lost. The request resumes behind Delivered.
+// OverflowError is returned for an event beyond the window: events before it were
+// lost. The request resumes after Delivered.
 type OverflowError struct {
 	// Attempt that sent the event.
 	Attempt id.Request
-	// Seq of the event that did not fit.
+	// Seq of the event beyond the window.
 	Seq int
-	// Delivered is the number of the last event given out.
+	// Delivered is the number of the last delivered event.
 	Delivered int
-	// Window is the bound, in events.
+	// Window is the size of the window, in events.
 	Window int
 }
 
 // Error implements error.
 func (e *OverflowError) Error() string {
-	return fmt.Sprintf("stream: event %d of attempt %s is beyond the window of %d behind event %d",
+	return fmt.Sprintf("stream: event %d of attempt %s is beyond the window of %d after event %d",
 		e.Seq, e.Attempt, e.Window, e.Delivered)
 }
 
-// InvalidError says that an event contradicts what the attempt sent before or
-// has a number that can't be.
+// InvalidError is returned for an event that contradicts an earlier event of the
+// attempt or has an invalid number.
 type InvalidError struct {
 	// Attempt that sent the event.
 	Attempt id.Request
 	// Seq of the event.
 	Seq int
-	// Reason says what was wrong.
+	// Reason describes the violation.
 	Reason string
 }
 
@@ -63,13 +64,13 @@
 	return fmt.Sprintf("stream: event %d of attempt %s: %s", e.Seq, e.Attempt, e.Reason)
 }
 
-// Stats counts events that were not given out.
+// Stats counts events that were not delivered.
 type Stats struct {
-	// Duplicates came again.
+	// Duplicates had been received before.
 	Duplicates int
-	// Foreign came from an attempt that is not the current one.
+	// Foreign events are from an attempt other than the current one.
 	Foreign int
-	// Late came after the terminal event.
+	// Late events arrived after the terminal event.
 	Late int
 }
 
@@ -85,9 +86,9 @@
 	stats     Stats
 }
 
-// New returns a sequencer that takes events of one attempt. The first event it
-// gives out is number after+1: 0 for a new answer, else the last event that
-// the caller has. A window below 1 means DefaultWindow.
+// New returns a sequencer that accepts events of one attempt. The first event that
+// it delivers is number after+1; after is 0 for a new answer, else the number of the
+// last event that the caller received. A window below 1 means DefaultWindow.
 func New(attempt id.Request, after, window int) *Sequencer {
 	if window < 1 {
 		window = DefaultWindow
@@ -95,9 +96,10 @@
 	return &Sequencer{attempt: attempt, window: window, delivered: after, buffered: map[int]Event{}}
 }
 
-// Push takes one event and returns those that can now be given out, in order.
-// The returned events are delivered: they never come again. Both errors leave
-// the delivered part as it was.
+// Push handles one event and returns the events that can now be delivered, in
+// order. They count as delivered and are not returned again. Its errors, an
+// *OverflowError or an *InvalidError, leave the sequencer's delivered events
+// unchanged.
 func (s *Sequencer) Push(e Event) ([]Event, error) {
 	if s.discard(e) {
 		return nil, nil
@@ -109,7 +111,7 @@
 	return s.release(), nil
 }
 
-// ignore says whether an event is of no interest, and counts it.
+// discard reports whether an event is to be discarded, and counts it if so.
 func (s *Sequencer) discard(e Event) bool {
 	switch {
 	case e.Attempt != s.attempt:
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// release takes the run of events that follows the last delivered one.
+// release delivers the contiguous buffered events after the last delivered one.
 func (s *Sequencer) release() []Event {
 	var out []Event
 	for !s.ended {
@@ -166,9 +168,9 @@
 	s.finish = e.Finish
 }
 
-// Switch makes another attempt the current one; it goes on behind Delivered.
-// Events of the former attempt, kept ones too, are dropped. It returns false
-// when the answer has already ended.
+// Switch makes another attempt the current one; it continues after Delivered.
+// Events of the former attempt, including buffered ones, are dropped. It returns
+// false if the answer has already ended.
 func (s *Sequencer) Switch(attempt id.Request) bool {
 	if s.ended {
 		return false
@@ -181,23 +183,23 @@
 // Attempt returns the current attempt.
 func (s *Sequencer) Attempt() id.Request { return s.attempt }
 
-// Delivered returns the number of the last event given out.
+// Delivered returns the number of the last delivered event.
 func (s *Sequencer) Delivered() int { return s.delivered }
 
-// Text returns the text given out by this sequencer, without what was
-// delivered before it was made.
+// Text returns the text delivered by this sequencer. It excludes events delivered
+// before the sequencer was created.
 func (s *Sequencer) Text() string { return s.text.String() }
 
-// Ended says whether the terminal event was given out.
+// Ended reports whether the terminal event was delivered.
 func (s *Sequencer) Ended() bool { return s.ended }
 
 // Finish returns the finish reason once the answer has ended.
 func (s *Sequencer) Finish() string { return s.finish }
 
-// Kept returns how many events wait behind a gap.
+// Buffered returns the number of events that wait for a missing earlier event.
 func (s *Sequencer) Buffered() int {
 	return len(s.buffered)
 }
 
-// Stats returns the counts of dropped events.
+// Stats returns the counts of discarded events.
 func (s *Sequencer) Stats() Stats { return s.stats }
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -12,9 +12,9 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// TestAnswerIsWhole feeds the events of two attempts reordered, doubled and
-// mixed, with a switch in between, and checks what the caller gets.
-func TestAnswerIsWhole(t *testing.T) {
+// TestAnswerIsComplete pushes the events of two attempts reordered, duplicated and
+// interleaved, with a switch of attempts, and checks the delivered events.
+func TestAnswerIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 40).Draw(t, "events")
 		window := rapid.IntRange(total, total+10).Draw(t, "window")
@@ -33,7 +33,7 @@
 		}
 		push(pool[:min(switchAt, len(pool))])
 		if s.Switch("second") {
-			// The second engine goes on behind what was delivered.
+			// The second engine continues after the last delivered event.
 			second := rapid.Permutation(answer("second", s.Delivered(), total)).Draw(t, "second")
 			mixed := append(pool[min(switchAt, len(pool)):], second...)
 			push(rapid.Permutation(mixed).Draw(t, "mixed"))
@@ -42,7 +42,7 @@
 	})
 }
 
-// draw gives the events of an attempt in any order, some of them twice.
+// drawEvents returns the events of an attempt in random order, some of them twice.
 func drawEvents(t *rapid.T, attempt id.Request, total int) []Event {
 	events := answer(attempt, 0, total)
 	doubled := rapid.SliceOf(rapid.SampledFrom(events)).Draw(t, "doubled")
@@ -73,21 +73,21 @@
 		}
 	}
 	if len(got) != total || !s.Ended() || s.Finish() != "stop" {
-		t.Fatalf("%d of %d events given out, ended %v", len(got), total, s.Ended())
+		t.Fatalf("%d of %d events delivered, ended %v", len(got), total, s.Ended())
 	}
 	if s.Text() != text.String() || s.Delivered() != total {
 		t.Fatalf("text is %q, delivered %d", s.Text(), s.Delivered())
 	}
 }
 
-func TestOverflowResumesBehindDelivered(t *testing.T) {
+func TestOverflowResumesAfterDelivered(t *testing.T) {
 	is := is.New(t)
 	s := New("a", 0, 4)
 	out, err := s.Push(Event{Attempt: "a", Seq: 1, Text: "x"})
 	is.NoErr(err)
 	is.Equal(len(out), 1)
 	_, err = s.Push(Event{Attempt: "a", Seq: 3, Text: "z"})
-	is.NoErr(err) // a gap is waited for
+	is.NoErr(err) // waits for the missing event
 	is.Equal(s.Buffered(), 1)
 	_, err = s.Push(Event{Attempt: "a", Seq: 6})
 	var overflow *OverflowError
