--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -155,16 +155,16 @@
 // Want handles a request for endpoints. A request that is known to crash
 // endpoints is refused; a suspected one is marked to run alone.
 func (m *Manager) Want(now time.Duration, w sched.Want) []sched.Action {
-	print, err := poison.ParseFingerprint(w.Fingerprint)
+	fingerprint, err := poison.ParseFingerprint(w.Fingerprint)
 	if err == nil {
-		refusal := m.checkFingerprint(now, &w, print)
+		refusal := m.checkFingerprint(now, &w, fingerprint)
 		if refusal != nil {
 			m.refused++
 			return []sched.Action{{To: w.From, Refusal: refusal}}
 		}
 	}
 	if _, ok := m.requests[w.Request]; !ok {
-		m.requests[w.Request] = &trackedRequest{want: w, fingerprint: print, updatedAt: now}
+		m.requests[w.Request] = &trackedRequest{want: w, fingerprint: fingerprint, updatedAt: now}
 	}
 	return m.recordActions(now, m.sched.Want(now, w))
 }
@@ -193,8 +193,8 @@
 // endpoint since.
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
 	m.endRequest(now, a.Want.Request, health.Withdrawn)
-	print, _ := poison.ParseFingerprint(a.Want.Fingerprint)
-	t := &trackedRequest{want: a.Want, fingerprint: print, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
+	fingerprint, _ := poison.ParseFingerprint(a.Want.Fingerprint)
+	t := &trackedRequest{want: a.Want, fingerprint: fingerprint, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
 	m.requests[a.Want.Request] = t
 	m.startWork(now, t)
 	return m.recordActions(now, m.sched.Adopt(now, a))
