--- a/core/pool/actions.go
+++ b/core/pool/actions.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// recordActions updates the tracked requests by the scheduler's decisions and
+// recordActions updates the tracked requests from the scheduler's decisions and
 // returns the actions unchanged.
 func (m *Manager) recordActions(now time.Duration, actions []sched.Action) []sched.Action {
 	for _, a := range actions {
--- a/core/pool/progress.go
+++ b/core/pool/progress.go
@@ -32,12 +32,12 @@
 }
 
 func (m *Manager) endpoint(e id.Endpoint) *endpointState {
-	n, ok := m.endpoints[e]
+	state, ok := m.endpoints[e]
 	if !ok {
-		n = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]brokenConnection)}
-		m.endpoints[e] = n
+		state = &endpointState{running: make(map[id.Request]poison.Suspect), brokenConnections: make(map[id.Request]brokenConnection)}
+		m.endpoints[e] = state
 	}
-	return n
+	return state
 }
 
 // recordProgress updates a request's phase and the records of its endpoints.
@@ -214,29 +214,29 @@
 	if !l.Reachable || l.Incarnation == 0 {
 		return
 	}
-	n := m.endpoint(l.Endpoint)
-	former := n.incarnation
-	n.incarnation = max(former, l.Incarnation)
+	state := m.endpoint(l.Endpoint)
+	former := state.incarnation
+	state.incarnation = max(former, l.Incarnation)
 	if former == 0 || l.Incarnation <= former {
-		m.refuteCrashes(now, l.Endpoint, n, l.Incarnation == former)
+		m.refuteCrashes(now, l.Endpoint, state, l.Incarnation == former)
 		return
 	}
-	m.recordCrash(now, poison.CrashID{Endpoint: l.Endpoint, Incarnation: former}, n)
+	m.recordCrash(now, poison.CrashID{Endpoint: l.Endpoint, Incarnation: former}, state)
 }
 
 // refuteCrashes drops the broken connections of a process that still runs, as its
 // unchanged incarnation shows.
-func (m *Manager) refuteCrashes(now time.Duration, e id.Endpoint, n *endpointState, same bool) {
-	if !same || len(n.brokenConnections) == 0 {
+func (m *Manager) refuteCrashes(now time.Duration, e id.Endpoint, state *endpointState, same bool) {
+	if !same || len(state.brokenConnections) == 0 {
 		return
 	}
-	clear(n.brokenConnections)
+	clear(state.brokenConnections)
 	m.dropUnconfirmed(e)
 }
 
-func (m *Manager) recordCrash(now time.Duration, crash poison.CrashID, n *endpointState) {
-	suspects := suspectsOf(n)
-	clear(n.brokenConnections)
+func (m *Manager) recordCrash(now time.Duration, crash poison.CrashID, state *endpointState) {
+	suspects := suspectsOf(state)
+	clear(state.brokenConnections)
 	m.dropUnconfirmed(crash.Endpoint)
 	m.opts.Poison.Crash(m.wall(now), crash, suspects)
 	if m.opts.Events.Crash != nil {
@@ -245,13 +245,13 @@
 }
 
 // suspectsOf lists, in a fixed order, the requests that ran in the ended process.
-func suspectsOf(n *endpointState) []poison.Suspect {
+func suspectsOf(state *endpointState) []poison.Suspect {
 	var out []poison.Suspect
-	for _, s := range n.running {
+	for _, s := range state.running {
 		out = append(out, s)
 	}
-	for _, l := range n.brokenConnections {
-		out = append(out, l.suspect)
+	for _, b := range state.brokenConnections {
+		out = append(out, b.suspect)
 	}
 	slices.SortFunc(out, func(a, b poison.Suspect) int {
 		return slices.Compare(a.Fingerprint[:], b.Fingerprint[:])
--- a/core/pool/status.go
+++ b/core/pool/status.go
@@ -34,8 +34,8 @@
 		s.Snapshot = snap.Snapshot()
 	}
 	s.Tracked = len(m.requests)
-	for _, n := range m.endpoints {
-		s.Working += len(n.running)
+	for _, state := range m.endpoints {
+		s.Working += len(state.running)
 	}
 	s.Unreachable = m.unreachableCount()
 	s.PrefillLoad = m.usage.load
