--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -79,7 +79,7 @@
 
 // ask sends a Want and returns the first action within 100 ms; nil if the request
 // still waits then.
-func (r *rig) ask(request id.Request, name string) *sched.Action {
+func (r *rig) sendWant(request id.Request, name string) *sched.Action {
 	w := sched.Want{
 		Request: request, Team: "t", Service: "s", Pool: testPool, PromptTokens: 100, OutputTokens: 5,
 		From: id.Process{Daemon: "d", Incarnation: 1}, Fingerprint: content(name).String(),
@@ -99,14 +99,14 @@
 // endpoint.
 func (r *rig) expectNotServed(request id.Request) {
 	r.is.Helper()
-	a := r.ask(request, "one")
+	a := r.sendWant(request, "one")
 	r.is.True(a == nil || (a.Refusal != nil && a.Refusal.Code == verdict.CodeNoEndpoint))
 }
 
 // startPrefill sends a Want, expects a grant and reports the start of the prefill.
 func (r *rig) startPrefill(request id.Request, name string) *sched.Grant {
 	r.is.Helper()
-	a := r.ask(request, name)
+	a := r.sendWant(request, name)
 	r.is.True(a != nil && a.Grant != nil)
 	r.progress(a.Grant, sched.Progress{Phase: sched.PhasePrefilling})
 	return a.Grant
@@ -133,7 +133,7 @@
 		r.report(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
 		r.now += 10 * time.Minute / 3 // the crash was counted and the ejection ended
 		r.Tick(r.now)
-		if a := r.ask(id.Request(fmt.Sprint(name, i, "?")), name); a != nil && a.Refusal != nil {
+		if a := r.sendWant(id.Request(fmt.Sprint(name, i, "?")), name); a != nil && a.Refusal != nil {
 			r.is.Equal(a.Refusal.Code, verdict.CodeQuarantined)
 			return
 		}
@@ -176,7 +176,7 @@
 	r := newRig(t, 3)
 	r.crash(r.startPrefill("a", "one"))
 	r.crash(r.startPrefill("b", "one"))
-	a := r.ask("c", "one")
+	a := r.sendWant("c", "one")
 	r.is.True(a != nil && a.Refusal != nil)
 	r.is.Equal(a.Refusal.Code, verdict.CodeUnavailable)
 	r.is.True(a.Refusal.RetryAfter > 0)
@@ -194,7 +194,7 @@
 	lifted := live.Clone(r.doc)
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: content("two").String()}
 	r.Configure(r.now, lifted)
-	a := r.ask("x", "one")
+	a := r.sendWant("x", "one")
 	r.is.Equal(a.Refusal.Code, verdict.CodeQuarantined) // the label names another fingerprint
 	lifted = live.Clone(r.doc)
 	lifted.Services[0].Labels = live.Labels{live.LabelLiftQuarantine: content("one").String()}
--- a/core/pool/reconcile_test.go
+++ b/core/pool/reconcile_test.go
@@ -11,7 +11,7 @@
 // request. The slot must be freed by the engine's list, which lacks the request.
 func TestSlotIsFreedWhenEngineNoLongerHoldsTheRequest(t *testing.T) {
 	r := newRig(t, 1)
-	g := r.ask("r1", "content")
+	g := r.sendWant("r1", "content")
 	r.is.True(g != nil && g.Grant != nil)
 	r.progress(g.Grant, sched.Progress{Phase: sched.PhaseTransferring})
 	r.progress(g.Grant, sched.Progress{Phase: sched.PhaseDecoding})
