--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -119,7 +119,7 @@
 }
 
 // crash reports that a request's prefill failed with a broken connection.
-func (r *rig) crash(g *sched.Grant) {
+func (r *rig) breakConnection(g *sched.Grant) {
 	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Crashed: true})
 }
 
@@ -129,7 +129,7 @@
 	r.is.Helper()
 	for i := range 3 {
 		g := r.startPrefill(id.Request(fmt.Sprint(name, i)), name)
-		r.crash(g)
+		r.breakConnection(g)
 		r.report(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
 		r.now += 10 * time.Minute / 3 // the crash was counted and the ejection ended
 		r.Tick(r.now)
@@ -147,7 +147,7 @@
 	a := r.startPrefill("a", "one")
 	b := r.startPrefill("b", "two")
 	r.is.Equal(a.Prefill, b.Prefill)
-	r.crash(a) // a's connection broke, b's has not yet
+	r.breakConnection(a) // a's connection broke, b's has not yet
 	r.is.Equal(r.probes, []id.Endpoint{a.Prefill})
 	r.report(a.Prefill, 2)
 	r.is.Equal(r.crashes, []poison.CrashID{{Endpoint: a.Prefill, Incarnation: 1}})
@@ -163,7 +163,7 @@
 
 func TestSameIncarnationRefutesACrash(t *testing.T) {
 	r := newRig(t, 2)
-	r.crash(r.startPrefill("a", "one"))
+	r.breakConnection(r.startPrefill("a", "one"))
 	r.is.Equal(r.countUnconfirmed(r.now, content("one")), 1)
 	for _, e := range r.doc.Endpoints {
 		r.report(e.Name, 1)
@@ -174,8 +174,8 @@
 
 func TestHeldBackAfterTwoUnconfirmedCrashes(t *testing.T) {
 	r := newRig(t, 3)
-	r.crash(r.startPrefill("a", "one"))
-	r.crash(r.startPrefill("b", "one"))
+	r.breakConnection(r.startPrefill("a", "one"))
+	r.breakConnection(r.startPrefill("b", "one"))
 	a := r.sendWant("c", "one")
 	r.is.True(a != nil && a.Refusal != nil)
 	r.is.Equal(a.Refusal.Code, verdict.CodeUnavailable)
