--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -90,7 +90,7 @@
 	othersSince   time.Duration
 	othersSuffice bool
 	// announces is set while the daemon forwards changes to the others.
-	forwards bool
+	broadcasts bool
 }
 
 // NewDecision returns the decision of the daemon self.
@@ -100,7 +100,7 @@
 // after the start is over, it does if it is chosen or fewer than Count daemons are.
 // A daemon that only continues to read during settleTime does not forward, since a
 // change that arrives after a gap makes each receiver read the whole table again.
-func (d *Decision) Tells() bool { return d.forwards }
+func (d *Decision) Tells() bool { return d.broadcasts }
 
 // Chosen returns the readers as of the last decision.
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
@@ -119,10 +119,10 @@
 	d.startupOver = d.startupOver || only || now-d.startedAt >= startupWait
 	d.chosen = Choose(candidates)
 	needed := len(d.chosen) < Count || slices.Contains(d.chosen, d.self)
-	d.forwards = needed && d.startupOver
+	d.broadcasts = needed && d.startupOver
 	if needed {
 		d.othersSuffice = false
-		d.reading = d.forwards
+		d.reading = d.broadcasts
 		return d.reading
 	}
 	if !d.othersSuffice {
