--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -64,13 +64,13 @@
 	})
 	r.Configure(r.now, r.doc)
 	for _, e := range r.doc.Endpoints {
-		r.report(e.Name, 1)
+		r.reportReachable(e.Name, 1)
 	}
 	return r
 }
 
 // report sends a load report of a reachable endpoint.
-func (r *rig) report(e id.Endpoint, incarnation id.Incarnation) []sched.Action {
+func (r *rig) reportReachable(e id.Endpoint, incarnation id.Incarnation) []sched.Action {
 	r.now += ms
 	return r.Load(r.now, sched.Load{Endpoint: e, Incarnation: incarnation, Slots: 2, Reachable: true})
 }
@@ -130,7 +130,7 @@
 	for i := range 3 {
 		g := r.startPrefill(id.Request(fmt.Sprint(name, i)), name)
 		r.breakConnection(g)
-		r.report(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
+		r.reportReachable(g.Prefill, r.endpoint(g.Prefill).incarnation+1)
 		r.now += 10 * time.Minute / 3 // the crash was counted and the ejection ended
 		r.Tick(r.now)
 		if a := r.sendWant(id.Request(fmt.Sprint(name, i, "?")), name); a != nil && a.Refusal != nil {
@@ -149,7 +149,7 @@
 	r.is.Equal(a.Prefill, b.Prefill)
 	r.breakConnection(a) // a's connection broke, b's has not yet
 	r.is.Equal(r.probes, []id.Endpoint{a.Prefill})
-	r.report(a.Prefill, 2)
+	r.reportReachable(a.Prefill, 2)
 	r.is.Equal(r.crashes, []poison.CrashID{{Endpoint: a.Prefill, Incarnation: 1}})
 	r.is.Equal(r.running, []int{2})
 	for _, name := range []string{"one", "two"} {
@@ -157,7 +157,7 @@
 		r.is.Equal(finding.Standing, poison.Suspected)
 	}
 	r.is.Equal(r.opts.Poison.Check(r.wall(r.now), content("three")).Standing, poison.Clear)
-	r.report(a.Prefill, 1) // a late report from the former process
+	r.reportReachable(a.Prefill, 1) // a late report from the former process
 	r.is.Equal(len(r.crashes), 1)
 }
 
@@ -166,7 +166,7 @@
 	r.breakConnection(r.startPrefill("a", "one"))
 	r.is.Equal(r.countUnconfirmed(r.now, content("one")), 1)
 	for _, e := range r.doc.Endpoints {
-		r.report(e.Name, 1)
+		r.reportReachable(e.Name, 1)
 	}
 	r.is.Equal(r.countUnconfirmed(r.now, content("one")), 0)
 	r.is.Equal(len(r.crashes), 0)
@@ -219,7 +219,7 @@
 	r.expectNotServed("a")
 	r.Withdraw(r.now, "a")
 	r.now += drainTTL
-	r.report("prefill-0", 1)
+	r.reportReachable("prefill-0", 1)
 	r.is.Equal(len(r.Status(r.now).Leaving), 0)
 	r.startPrefill("b", "one")
 
@@ -235,7 +235,7 @@
 	r.is.Equal(r.probes, []id.Endpoint{g.Prefill})
 	r.expectNotServed("b") // no other prefill endpoint
 	r.Withdraw(r.now, "b")
-	r.report(g.Prefill, 1)
+	r.reportReachable(g.Prefill, 1)
 	r.startPrefill("c", "one")
 	r.is.Equal(len(r.crashes), 0) // unreachable is not a crash
 }
@@ -251,7 +251,7 @@
 		Phase: sched.PhaseDecoding,
 	})
 	r.is.Equal(r.Status(r.now).Working, 1)
-	r.report(g.Prefill, 2) // the prefill engine crashes while no request runs there
+	r.reportReachable(g.Prefill, 2) // the prefill engine crashes while no request runs there
 	r.is.Equal(r.running, []int{0})
 	r.Progress(r.now, sched.Progress{Request: "a", Reservation: 9, Phase: sched.PhaseDone})
 	r.is.Equal(r.Status(r.now).Working, 0)
