--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -108,11 +108,11 @@
 	r.is.Helper()
 	a := r.sendWant(request, name)
 	r.is.True(a != nil && a.Grant != nil)
-	r.progress(a.Grant, sched.Progress{Phase: sched.PhasePrefilling})
+	r.reportProgress(a.Grant, sched.Progress{Phase: sched.PhasePrefilling})
 	return a.Grant
 }
 
-func (r *rig) progress(g *sched.Grant, p sched.Progress) {
+func (r *rig) reportProgress(g *sched.Grant, p sched.Progress) {
 	p.Request = g.Request
 	p.Reservation = g.Reservation
 	r.Progress(r.now, p)
@@ -120,7 +120,7 @@
 
 // crash reports that a request's prefill failed with a broken connection.
 func (r *rig) breakConnection(g *sched.Grant) {
-	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Crashed: true})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Crashed: true})
 }
 
 // quarantine crashes endpoints under a request that runs alone, up to three
@@ -231,7 +231,7 @@
 func TestUnreachableEndpointGetsNoWork(t *testing.T) {
 	r := newRig(t, 1)
 	g := r.startPrefill("a", "one")
-	r.progress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Unreachable: true})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Unreachable: true})
 	r.is.Equal(r.probes, []id.Endpoint{g.Prefill})
 	r.expectNotServed("b") // no other prefill endpoint
 	r.Withdraw(r.now, "b")
@@ -274,32 +274,32 @@
 func TestLateBindingIsIgnored(t *testing.T) {
 	r := newRig(t, 2)
 	g := r.startPrefill("a", "one")
-	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
-	r.progress(g, sched.Progress{Phase: sched.PhaseDecoding})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseTransferring})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseDecoding})
 	r.recordActions(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
-	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
 func TestReportedDecodeEndpointIsRecorded(t *testing.T) {
 	r := newRig(t, 2)
 	g := r.startPrefill("a", "one")
-	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
-	r.progress(g, sched.Progress{Phase: sched.PhaseDecoding, Endpoint: "decode-9"})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseTransferring})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseDecoding, Endpoint: "decode-9"})
 	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
 	r.is.Equal(len(r.endpoint("decode-9").running), 1)
-	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
 func TestBindingMovesTheRequest(t *testing.T) {
 	r := newRig(t, 2)
 	g := r.startPrefill("a", "one")
-	r.progress(g, sched.Progress{Phase: sched.PhaseTransferring})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseTransferring})
 	r.recordActions(r.now, []sched.Action{{Binding: &sched.Binding{Request: "a", Decode: "decode-9"}}})
 	r.is.Equal(len(r.endpoint(g.Decode).running), 0)
 	r.is.Equal(len(r.endpoint("decode-9").running), 1)
-	r.progress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
+	r.reportProgress(g, sched.Progress{Phase: sched.PhaseDone, OutputTokens: 5})
 	r.is.Equal(r.Status(r.now).Working, 0)
 }
 
--- a/core/pool/reconcile_test.go
+++ b/core/pool/reconcile_test.go
@@ -13,8 +13,8 @@
 	r := newRig(t, 1)
 	g := r.sendWant("r1", "content")
 	r.is.True(g != nil && g.Grant != nil)
-	r.progress(g.Grant, sched.Progress{Phase: sched.PhaseTransferring})
-	r.progress(g.Grant, sched.Progress{Phase: sched.PhaseDecoding})
+	r.reportProgress(g.Grant, sched.Progress{Phase: sched.PhaseTransferring})
+	r.reportProgress(g.Grant, sched.Progress{Phase: sched.PhaseDecoding})
 	r.is.Equal(r.Status(r.now).Held, 1)
 
 	nothing := map[id.Request]bool{}
