--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -115,7 +115,7 @@
 
 // Configure applies a new configuration.
 func (m *Manager) Configure(now time.Duration, doc *live.Document) []sched.Action {
-	members := m.members(doc)
+	members := m.poolMembers(doc)
 	m.health.Configure(now, members)
 	m.pruneReports(members)
 	m.usage.configure(members)
@@ -125,7 +125,7 @@
 
 // members lists the pool's endpoints. Like the scheduler, it has none if the pool
 // is unknown or its selector is invalid.
-func (m *Manager) members(doc *live.Document) []health.Member {
+func (m *Manager) poolMembers(doc *live.Document) []health.Member {
 	pool := sched.FindPool(doc, m.opts.Pool)
 	if pool == nil {
 		return nil
