--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -118,7 +118,7 @@
 	members := m.poolMembers(doc)
 	m.health.Configure(now, members)
 	m.pruneReports(members)
-	m.usage.configure(members)
+	m.usage.setMembers(members)
 	m.liftQuarantines(now, doc)
 	return m.recordActions(now, m.sched.Configure(now, doc))
 }
--- a/core/pool/usage.go
+++ b/core/pool/usage.go
@@ -22,7 +22,7 @@
 	sampledAt time.Duration
 }
 
-func (u *usage) configure(members []health.Member) {
+func (u *usage) setMembers(members []health.Member) {
 	u.endpoints = 0
 	for _, m := range members {
 		if m.Role == live.RolePrefill {
