--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -123,7 +123,7 @@
 	return m.recordActions(now, m.sched.Configure(now, doc))
 }
 
-// members lists the pool's endpoints. Like the scheduler, it has none if the pool
+// poolMembers lists the pool's endpoints. Like the scheduler, it has none if the pool
 // is unknown or its selector is invalid.
 func (m *Manager) poolMembers(doc *live.Document) []health.Member {
 	pool := sched.FindPool(doc, m.opts.Pool)
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -69,7 +69,7 @@
 	return r
 }
 
-// report sends a load report of a reachable endpoint.
+// reportReachable sends a load report of a reachable endpoint.
 func (r *rig) reportReachable(e id.Endpoint, incarnation id.Incarnation) []sched.Action {
 	r.now += ms
 	return r.Load(r.now, sched.Load{Endpoint: e, Incarnation: incarnation, Slots: 2, Reachable: true})
@@ -77,7 +77,7 @@
 
 func content(name string) poison.Fingerprint { return poison.Print("t", "s", []byte(name)) }
 
-// ask sends a Want and returns the first action within 100 ms; nil if the request
+// sendWant sends a Want and returns the first action within 100 ms; nil if the request
 // still waits then.
 func (r *rig) sendWant(request id.Request, name string) *sched.Action {
 	w := sched.Want{
@@ -118,7 +118,7 @@
 	r.Progress(r.now, p)
 }
 
-// crash reports that a request's prefill failed with a broken connection.
+// breakConnection reports that a request's prefill failed with a broken connection.
 func (r *rig) breakConnection(g *sched.Grant) {
 	r.reportProgress(g, sched.Progress{Phase: sched.PhaseFailed, Endpoint: g.Prefill, Crashed: true})
 }
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -1,5 +1,5 @@
 // Package readers selects the daemons that read the platform's store for the
-// whole fleet. They forward each change to the other daemons, so that the number
+// whole fleet. They broadcast each change to the other daemons, so that the number
 // of calls to the store does not grow with the fleet. Each daemon decides from its
 // own view of the membership, without coordination. The package is deterministic.
 package readers
@@ -89,16 +89,16 @@
 	// othersSuffice is set.
 	othersSince   time.Duration
 	othersSuffice bool
-	// announces is set while the daemon forwards changes to the others.
+	// broadcasts is set while the daemon sends changes to the others.
 	broadcasts bool
 }
 
 // NewDecision returns the decision of the daemon self.
 func NewDecision(self id.Daemon) *Decision { return &Decision{self: self} }
 
-// Tells reports whether the daemon forwards the changes that it reads: once the wait
-// after the start is over, it does if it is chosen or fewer than Count daemons are.
-// A daemon that only continues to read during settleTime does not forward, since a
+// Tells reports whether the daemon broadcasts the changes that it reads: once the
+// wait after the start is over, it does if it is chosen or fewer than Count daemons
+// are. A daemon that only continues to read during settleTime does not, since a
 // change that arrives after a gap makes each receiver read the whole table again.
 func (d *Decision) Tells() bool { return d.broadcasts }
 
