--- a/core/pool/judge.go
+++ b/core/pool/quarantine.go
@@ -10,8 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// lift frees the fingerprints that a service's label names.
-func (m *Manager) lift(now time.Duration, doc *live.Document) {
+// liftQuarantines lifts the quarantines named by the labels of the pool's services.
+func (m *Manager) liftQuarantines(now time.Duration, doc *live.Document) {
 	for i := range doc.Services {
 		svc := &doc.Services[i]
 		value, ok := svc.Labels[live.LabelLiftQuarantine]
@@ -28,20 +28,21 @@
 	}
 }
 
-// judge looks the request's fingerprint up. It sets Suspect or refuses.
-func (m *Manager) judge(now time.Duration, w *sched.Want, f poison.Fingerprint) *sched.Refusal {
+// checkFingerprint checks the request's fingerprint against the poison ledger. It
+// returns a refusal, or nil after setting w.Suspect where needed.
+func (m *Manager) checkFingerprint(now time.Duration, w *sched.Want, f poison.Fingerprint) *sched.Refusal {
 	finding := m.opts.Poison.Check(m.wall(now), f)
 	switch finding.Standing {
 	case poison.Quarantined:
-		return quarantined(w.Request, finding.Until.Sub(m.wall(now)), finding.Crashes)
+		return quarantineRefusal(w.Request, finding.Until.Sub(m.wall(now)), finding.Crashes)
 	case poison.Held:
-		return held(w.Request, finding.Until.Sub(m.wall(now)))
+		return heldRefusal(w.Request, finding.Until.Sub(m.wall(now)))
 	case poison.Suspected, poison.Isolated:
 		w.Suspect = true
 	}
-	unconfirmed := m.unconfirmed(now, f)
-	if unconfirmed+finding.Crashes >= maxPending && unconfirmed > 0 {
-		return held(w.Request, heldRetryAfter)
+	unconfirmed := m.countUnconfirmed(now, f)
+	if unconfirmed+finding.Crashes >= maxUnconfirmedCrashes && unconfirmed > 0 {
+		return heldRefusal(w.Request, heldRetryAfter)
 	}
 	if unconfirmed > 0 {
 		w.Suspect = true
@@ -49,7 +50,7 @@
 	return nil
 }
 
-func quarantined(r id.Request, wait time.Duration, crashes int) *sched.Refusal {
+func quarantineRefusal(r id.Request, wait time.Duration, crashes int) *sched.Refusal {
 	return &sched.Refusal{
 		Request:    r,
 		Code:       verdict.CodeQuarantined,
@@ -58,7 +59,7 @@
 	}
 }
 
-func held(r id.Request, wait time.Duration) *sched.Refusal {
+func heldRefusal(r id.Request, wait time.Duration) *sched.Refusal {
 	return &sched.Refusal{
 		Request:    r,
 		Code:       verdict.CodeUnavailable,
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -12,14 +12,14 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// TestAnswerIsWhole feeds the events of two attempts reordered, doubled and
-// mixed, with a switch in between, and checks what the caller gets.
-func TestAnswerIsWhole(t *testing.T) {
+// TestAnswerIsComplete pushes the events of two attempts reordered, duplicated and
+// interleaved, with a switch of attempts, and checks the delivered events.
+func TestAnswerIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 40).Draw(t, "events")
 		window := rapid.IntRange(total, total+10).Draw(t, "window")
 		switchAt := rapid.IntRange(0, 2*total).Draw(t, "switch at")
-		pool := draw(t, "first", total)
+		pool := drawEvents(t, "first", total)
 		s := New("first", 0, window)
 		var got []Event
 		push := func(events []Event) {
@@ -33,17 +33,17 @@
 		}
 		push(pool[:min(switchAt, len(pool))])
 		if s.Switch("second") {
-			// The second engine goes on behind what was delivered.
+			// The second engine continues after the last delivered event.
 			second := rapid.Permutation(answer("second", s.Delivered(), total)).Draw(t, "second")
 			mixed := append(pool[min(switchAt, len(pool)):], second...)
 			push(rapid.Permutation(mixed).Draw(t, "mixed"))
 		}
-		checkWhole(t, s, got, total)
+		checkComplete(t, s, got, total)
 	})
 }
 
-// draw gives the events of an attempt in any order, some of them twice.
-func draw(t *rapid.T, attempt id.Request, total int) []Event {
+// drawEvents returns the events of an attempt in random order, some of them twice.
+func drawEvents(t *rapid.T, attempt id.Request, total int) []Event {
 	events := answer(attempt, 0, total)
 	doubled := rapid.SliceOf(rapid.SampledFrom(events)).Draw(t, "doubled")
 	return rapid.Permutation(append(events, doubled...)).Draw(t, "order")
@@ -61,7 +61,7 @@
 	return out
 }
 
-func checkWhole(t *rapid.T, s *Sequencer, got []Event, total int) {
+func checkComplete(t *rapid.T, s *Sequencer, got []Event, total int) {
 	var text strings.Builder
 	for i, e := range got {
 		text.WriteString(e.Text)
@@ -73,22 +73,22 @@
 		}
 	}
 	if len(got) != total || !s.Ended() || s.Finish() != "stop" {
-		t.Fatalf("%d of %d events given out, ended %v", len(got), total, s.Ended())
+		t.Fatalf("%d of %d events delivered, ended %v", len(got), total, s.Ended())
 	}
 	if s.Text() != text.String() || s.Delivered() != total {
 		t.Fatalf("text is %q, delivered %d", s.Text(), s.Delivered())
 	}
 }
 
-func TestOverflowResumesBehindDelivered(t *testing.T) {
+func TestOverflowResumesAfterDelivered(t *testing.T) {
 	is := is.New(t)
 	s := New("a", 0, 4)
 	out, err := s.Push(Event{Attempt: "a", Seq: 1, Text: "x"})
 	is.NoErr(err)
 	is.Equal(len(out), 1)
 	_, err = s.Push(Event{Attempt: "a", Seq: 3, Text: "z"})
-	is.NoErr(err) // a gap is waited for
-	is.Equal(s.Kept(), 1)
+	is.NoErr(err) // waits for the missing event
+	is.Equal(s.Buffered(), 1)
 	_, err = s.Push(Event{Attempt: "a", Seq: 6})
 	var overflow *OverflowError
 	is.True(errors.As(err, &overflow))
@@ -109,7 +109,7 @@
 	is.True(errors.As(err, &invalid))
 	_, err = s.Push(Event{Attempt: "a", Seq: 5, Text: "again"})
 	is.NoErr(err)
-	is.Equal(s.Kept(), 0)
+	is.Equal(s.Buffered(), 0)
 	_, err = s.Push(Event{Attempt: "a", Seq: 7, Text: "one"})
 	is.NoErr(err)
 	_, err = s.Push(Event{Attempt: "a", Seq: 7, Text: "two"})
