--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -20,7 +20,7 @@
 	// since is when entry.State was set.
 	since time.Duration
 	// said is set once the daemon itself, in this incarnation, said that it leaves.
-	said bool
+	announcedLeave bool
 	// listed and listedLeaving are the host list's word.
 	listed        bool
 	listedLeaving bool
@@ -65,7 +65,7 @@
 
 // state is a peer's state with its leaving taken in.
 func (p *peer) state() State {
-	leaving := p.said || p.listedLeaving
+	leaving := p.announcedLeave || p.listedLeaving
 	if leaving && p.entry.State != Dead && p.entry.State != Partitioned {
 		return Leaving
 	}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -116,8 +116,8 @@
 		p.direct = now
 		p.noteWatched(now)
 	}
-	if e.State == Leaving && !p.said {
-		p.said = true
+	if e.State == Leaving && !p.announcedLeave {
+		p.announcedLeave = true
 		m.enqueue(e)
 	}
 	m.mergeState(now, p, e, direct, fresh)
@@ -144,13 +144,13 @@
 func (m *Membership) replace(now time.Duration, p *peer, e Entry, direct bool) {
 	if p.met && p.entry.State != Dead {
 		p.entry.State = Dead
-		p.said, p.listedLeaving = false, false
+		p.announcedLeave, p.listedLeaving = false, false
 		m.show(p, "a later incarnation started")
 	}
 	p.met = true
 	p.entry = e
-	p.said = e.State == Leaving
-	if p.said {
+	p.announcedLeave = e.State == Leaving
+	if p.announcedLeave {
 		p.entry.State = Alive
 	}
 	p.heard, p.since = now, now
