--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -150,7 +150,7 @@
 		return
 	}
 	limit := m.cfg.DeadAfter - m.cfg.SuspectAfter
-	if !p.mine {
+	if !p.suspectedLocally {
 		limit += 2 * m.cfg.DeadAfter
 	}
 	if now-p.since >= limit {
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -174,7 +174,7 @@
 	m.partial.result(false)
 	if p.entry.State == Alive || p.entry.State == Paused {
 		m.set(now, p, Suspect, "no answer")
-		p.mine = true
+		p.suspectedLocally = true
 	}
 }
 
@@ -184,7 +184,7 @@
 func (m *Membership) probeSuspects(now time.Duration) {
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.mine || p.entry.State != Suspect {
+		if !p.suspectedLocally || p.entry.State != Suspect {
 			continue
 		}
 		m.send(p, Message{Kind: Probe})
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -32,7 +32,7 @@
 	asked  time.Duration
 	// mine is set, in Partial mode, on a daemon that this one's own probes
 	// made suspect: this one probes on, and judges it.
-	mine bool
+	suspectedLocally bool
 
 	place
 }
@@ -92,7 +92,7 @@
 		p.entry.State = s
 		m.rings.stale = true
 		p.since = now
-		p.mine = false
+		p.suspectedLocally = false
 		if p.met && !(m.rings.on && m.isolated && s == Partitioned) {
 			// What one that is cut off can't reach says nothing to the others.
 			m.enqueue(p.entry)
