--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -25,7 +25,7 @@
 	listed        bool
 	listedLeaving bool
 	// shown is the state that was last reported.
-	shown State
+	reported State
 	// revive is when a dead daemon is sent a message again; asked when peers
 	// were last asked about it.
 	revive time.Duration
@@ -75,11 +75,11 @@
 // show reports a peer's state if it changed.
 func (m *Membership) show(p *peer, reason string) {
 	to := p.state()
-	if to == p.shown {
+	if to == p.reported {
 		return
 	}
-	from := p.shown
-	p.shown = to
+	from := p.reported
+	p.reported = to
 	if !p.met && from == 0 && to == Suspect {
 		return
 	}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -159,7 +159,7 @@
 		p.direct = now
 		p.noteWatched(now)
 	}
-	p.shown = 0
+	p.reported = 0
 	m.rings.stale = true
 	m.enqueue(e)
 	m.show(p, "first heard")
