--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -27,10 +27,10 @@
 // askAbout asks a few peers about a silent daemon, once a period: where only
 // one direction of one path is lost, they have heard it.
 func (m *Membership) askAbout(now time.Duration, p *peer) {
-	if now-p.asked < m.cfg.Period || !p.met {
+	if now-p.askedAt < m.cfg.Period || !p.met {
 		return
 	}
-	p.asked = now
+	p.askedAt = now
 	for _, helper := range m.helpers(p, m.cfg.Indirect) {
 		m.seq++
 		m.send(helper, Message{Kind: ProbeRequest, Seq: m.seq, About: p.entry.Process.Daemon})
