--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -87,12 +87,12 @@
 // tryGap sends a message now and then to a daemon that is gone and would be a
 // neighbour: so it learns, when it comes back, what is held of it.
 func (m *Membership) tryGap(now time.Duration, p *peer) {
-	if !p.gap || now < p.revive {
+	if !p.gap || now < p.reviveAt {
 		return
 	}
-	p.revive = now + m.cfg.ReviveEvery
+	p.reviveAt = now + m.cfg.ReviveEvery
 	if now-p.since >= longGone {
-		p.revive = now + longGoneEvery
+		p.reviveAt = now + longGoneEvery
 	}
 	m.send(p, Message{Kind: Heartbeat, Watching: true})
 }
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -170,7 +170,7 @@
 	default:
 		m.set(now, p, Dead, "silent")
 	}
-	p.revive = now + m.cfg.ReviveEvery
+	p.reviveAt = now + m.cfg.ReviveEvery
 }
 
 // domainSilent tells whether the other daemons of a silent one's failure
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -12,10 +12,10 @@
 	m.heardOf = 0
 	for _, name := range m.order {
 		p := m.peers[name]
-		if p.entry.State == Dead && now < p.revive {
+		if p.entry.State == Dead && now < p.reviveAt {
 			continue
 		}
-		p.revive = now + m.cfg.ReviveEvery
+		p.reviveAt = now + m.cfg.ReviveEvery
 		if p.met && p.entry.State != Dead {
 			m.heardOf++
 		}
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -28,8 +28,8 @@
 	reported State
 	// revive is when a dead daemon is sent a message again; asked when peers
 	// were last asked about it.
-	revive  time.Duration
-	askedAt time.Duration
+	reviveAt time.Duration
+	askedAt  time.Duration
 	// mine is set, in Partial mode, on a daemon that this one's own probes
 	// made suspect: this one probes on, and judges it.
 	suspectedLocally bool
@@ -45,7 +45,7 @@
 	if len(m.peers) >= m.cfg.MaxMembers || name == "" {
 		return nil
 	}
-	p := &peer{heard: now, direct: now - m.cfg.DeadAfter, since: now, revive: now, askedAt: now - m.cfg.DeadAfter}
+	p := &peer{heard: now, direct: now - m.cfg.DeadAfter, since: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
 	p.entry = Entry{Process: id.Process{Daemon: name}, State: Suspect}
 	p.at = m.cfg.positions(name)
 	m.rings.stale = true
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -154,7 +154,7 @@
 		p.entry.State = Alive
 	}
 	p.heard, p.since = now, now
-	p.watchedAt, p.revive = 0, now
+	p.watchedAt, p.reviveAt = 0, now
 	if direct {
 		p.direct = now
 		p.noteWatched(now)
