--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -246,7 +246,7 @@
 		m.set(now, p, Dead, "listed and never heard")
 	case p.met && p.entry.State == Suspect && now-p.since >= m.unwatchedPatience():
 		m.giveUp(now, p)
-	case p.met && p.entry.State == Alive && m.isolated && now-p.heard >= m.deadAfter(p) && m.domainSilent(now, p):
+	case p.met && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
 		// None of those who are left watches it.
 		m.giveUp(now, p)
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -246,7 +246,7 @@
 	}
 	for _, name := range m.order {
 		p := m.peers[name]
-		p.heard += late
+		p.lastHeard += late
 		p.direct += late
 		p.since += late
 		p.nearSince += late
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -121,7 +121,7 @@
 	delete(f.stopped, "host-003")
 	m.due = f.now // no lateness is seen
 	for _, p := range m.peers {
-		p.heard = f.now
+		p.lastHeard = f.now
 	}
 	f.run(3 * time.Second)
 	is.Equal(f.declared["host-003"], 1)
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -163,7 +163,7 @@
 // probeFailed ends a probe without an Ack; a Report may have come meanwhile.
 func (m *Membership) probeFailed(now time.Duration, p *peer) {
 	wait := m.cfg.ProbeTimeout + m.cfg.IndirectTimeout
-	if p.met && now-p.heard < wait {
+	if p.met && now-p.lastHeard < wait {
 		m.partial.result(true)
 		return
 	}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -153,7 +153,7 @@
 	if p.announcedLeave {
 		p.entry.State = Alive
 	}
-	p.heard, p.since = now, now
+	p.lastHeard, p.since = now, now
 	p.watchedAt, p.reviveAt = 0, now
 	if direct {
 		p.direct = now
@@ -178,7 +178,7 @@
 	newer := e.Epoch > p.entry.Epoch
 	if newer {
 		p.entry.Epoch = e.Epoch
-		p.heard = now
+		p.lastHeard = now
 		m.set(now, p, said, "a new epoch")
 		if m.rings.on {
 			// Also where it changes nothing here: others may hold it for suspect.
@@ -193,7 +193,7 @@
 		m.evidence(now, p, e, direct)
 	}
 	if m.rejoins(now, p, said) {
-		p.heard = now
+		p.lastHeard = now
 		m.set(now, p, said, "reported by a peer")
 	}
 	if !direct && m.adopts(p, e, said) {
@@ -249,13 +249,13 @@
 	switch p.entry.State {
 	case Dead:
 		if direct {
-			p.heard = now
+			p.lastHeard = now
 			m.set(now, p, Paused, "it came back")
 		}
 	case Paused:
-		p.heard = now
+		p.lastHeard = now
 	default:
-		p.heard = now
+		p.lastHeard = now
 		to := Alive
 		if direct && e.State == Paused {
 			to = Paused
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -164,7 +164,7 @@
 
 // silence is for how long a peer that this daemon watches was not heard.
 func (m *Membership) silence(now time.Duration, p *peer) time.Duration {
-	heard := p.heard
+	heard := p.lastHeard
 	if m.rings.on {
 		heard = max(heard, p.nearSince)
 	}
