--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		lost := m.silent(now, p)
-		reached := !lost && p.direct > m.isolatedAt
+		reached := !lost && p.lastDirect > m.isolatedAt
 		beyond := p.entry.Domain != m.self.Domain
 		all.add(lost, reached, beyond)
 		if p.near {
@@ -139,7 +139,7 @@
 // large fleet, has not heard since. There are many to find out about, a few at a
 // time.
 func (m *Membership) cutOff(p *peer) bool {
-	return m.rings.on && m.isolated && p.direct < m.isolatedAt
+	return m.rings.on && m.isolated && p.lastDirect < m.isolatedAt
 }
 
 // judgeSuspect, in Partial mode, lets a suspicion run out. Whoever raised it
@@ -196,7 +196,7 @@
 // Partial mode the probes of probeSuspects tell.
 func (m *Membership) silentSince(now time.Duration, p, q *peer) bool {
 	if m.cfg.Mode == Partial {
-		return q.direct < p.since
+		return q.lastDirect < p.since
 	}
 	return m.silent(now, q)
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -247,7 +247,7 @@
 	for _, name := range m.order {
 		p := m.peers[name]
 		p.lastHeard += late
-		p.direct += late
+		p.lastDirect += late
 		p.since += late
 		p.nearSince += late
 	}
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -75,7 +75,7 @@
 	if !ok || !p.met {
 		return
 	}
-	if now-p.direct <= 2*m.cfg.Period {
+	if now-p.lastDirect <= 2*m.cfg.Period {
 		m.send(asker, Message{Kind: Report, Seq: msg.Seq, About: msg.About, Entries: []Entry{p.entry}})
 		return
 	}
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -15,8 +15,8 @@
 	met bool
 	// heard is when the newest evidence of its running came; direct is when
 	// it came from the daemon itself.
-	lastHeard time.Duration
-	direct    time.Duration
+	lastHeard  time.Duration
+	lastDirect time.Duration
 	// since is when entry.State was set.
 	since time.Duration
 	// said is set once the daemon itself, in this incarnation, said that it leaves.
@@ -45,7 +45,7 @@
 	if len(m.peers) >= m.cfg.MaxMembers || name == "" {
 		return nil
 	}
-	p := &peer{lastHeard: now, direct: now - m.cfg.DeadAfter, since: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
+	p := &peer{lastHeard: now, lastDirect: now - m.cfg.DeadAfter, since: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
 	p.entry = Entry{Process: id.Process{Daemon: name}, State: Suspect}
 	p.at = m.cfg.positions(name)
 	m.rings.stale = true
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -113,7 +113,7 @@
 		m.enqueue(p.entry)
 	}
 	if direct {
-		p.direct = now
+		p.lastDirect = now
 		p.noteWatched(now)
 	}
 	if e.State == Leaving && !p.announcedLeave {
@@ -156,7 +156,7 @@
 	p.lastHeard, p.since = now, now
 	p.watchedAt, p.reviveAt = 0, now
 	if direct {
-		p.direct = now
+		p.lastDirect = now
 		p.noteWatched(now)
 	}
 	p.reported = 0
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -74,7 +74,7 @@
 	if !ok {
 		return m.cfg.Forget
 	}
-	return now - p.direct
+	return now - p.lastDirect
 }
 
 // Revision returns the highest configuration revision that any daemon has in
