--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -58,13 +58,13 @@
 			m.tryGap(now, p)
 			continue
 		}
-		if p.met {
+		if p.seen {
 			m.heardOf++
 		}
 		switch {
 		case p.near || now < p.askedUntil:
 			m.sendNear(now, p, news)
-		case toAll && p.met:
+		case toAll && p.seen:
 			m.sendLink(now, p)
 		}
 	}
@@ -107,7 +107,7 @@
 	for range min(len(m.order), 1+int(share*float64(len(m.order)))) {
 		p := m.peers[m.order[m.rings.linkAt%len(m.order)]]
 		m.rings.linkAt++
-		if p.met && !p.absent() && now-p.sentAt >= linkEvery/2 {
+		if p.seen && !p.absent() && now-p.sentAt >= linkEvery/2 {
 			m.sendLink(now, p)
 		}
 	}
@@ -136,7 +136,7 @@
 func (m *Membership) digest() uint64 {
 	sum := entryDigest(&m.self)
 	for _, p := range m.peers {
-		if p.met && !p.absent() {
+		if p.seen && !p.absent() {
 			sum ^= entryDigest(&p.entry)
 		}
 	}
@@ -174,10 +174,10 @@
 	var near []*peer
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.met && !p.absent() {
+		if !p.seen && !p.absent() {
 			unmet++
 		}
-		if p.near && p.met && p.entry.State == Alive {
+		if p.near && p.seen && p.entry.State == Alive {
 			near = append(near, p)
 		}
 	}
@@ -242,11 +242,11 @@
 // tell of it, and are waited for.
 func (m *Membership) judgeUnwatched(now time.Duration, p *peer) {
 	switch {
-	case !p.met && now-p.since >= unmetFor:
+	case !p.seen && now-p.since >= unmetFor:
 		m.set(now, p, Dead, "listed and never heard")
-	case p.met && p.entry.State == Suspect && now-p.since >= m.unwatchedPatience():
+	case p.seen && p.entry.State == Suspect && now-p.since >= m.unwatchedPatience():
 		m.giveUp(now, p)
-	case p.met && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
+	case p.seen && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
 		// None of those who are left watches it.
 		m.giveUp(now, p)
 	}
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -78,7 +78,7 @@
 func (m *Membership) countLost(now time.Duration) (all, near group) {
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.met || p.entry.State == Dead {
+		if !p.seen || p.entry.State == Dead {
 			continue
 		}
 		lost := m.silent(now, p)
@@ -146,7 +146,7 @@
 // has gone on probing and judges; the others wait for its word, and give up on
 // their own only if it does not come.
 func (m *Membership) judgeSuspect(now time.Duration, p *peer) {
-	if !p.met || p.entry.State != Suspect {
+	if !p.seen || p.entry.State != Suspect {
 		return
 	}
 	limit := m.cfg.DeadAfter - m.cfg.SuspectAfter
@@ -161,7 +161,7 @@
 // giveUp decides between dead and partitioned.
 func (m *Membership) giveUp(now time.Duration, p *peer) {
 	switch {
-	case !p.met:
+	case !p.seen:
 		m.set(now, p, Dead, "listed and never heard")
 	case m.isolated:
 		m.set(now, p, Partitioned, "silent with most of the fleet")
@@ -206,7 +206,7 @@
 	var out []*peer
 	for _, name := range m.order {
 		q := m.peers[name]
-		counts := q != p && q.met && q.entry.Domain == p.entry.Domain
+		counts := q != p && q.seen && q.entry.Domain == p.entry.Domain
 		if counts && q.entry.State != Dead && q.state() != Leaving {
 			out = append(out, q)
 		}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -283,7 +283,7 @@
 	}
 	msg.From = m.self
 	msg.Proof = m.proof
-	if p.met && m.tells(p) {
+	if p.seen && m.tells(p) {
 		told := p.entry
 		if told.State == Paused {
 			// It has yet to answer to its death with a new epoch.
@@ -322,7 +322,7 @@
 			continue
 		}
 		p.listed, p.listedLeaving = true, h.Leaving
-		if !p.met {
+		if !p.seen {
 			p.entry.Domain, p.entry.Address = h.Domain, h.Address
 		}
 	}
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		p.reviveAt = now + m.cfg.ReviveEvery
-		if p.met && p.entry.State != Dead {
+		if p.seen && p.entry.State != Dead {
 			m.heardOf++
 		}
 		// A peer that knows of more daemons may watch a few neighbours only.
@@ -27,7 +27,7 @@
 // askAbout asks a few peers about a silent daemon, once a period: where only
 // one direction of one path is lost, they have heard it.
 func (m *Membership) askAbout(now time.Duration, p *peer) {
-	if now-p.askedAt < m.cfg.Period || !p.met {
+	if now-p.askedAt < m.cfg.Period || !p.seen {
 		return
 	}
 	p.askedAt = now
@@ -49,7 +49,7 @@
 	}
 	var alive []*peer
 	for _, q := range candidates {
-		if q != p && q.met && q.entry.State == Alive {
+		if q != p && q.seen && q.entry.State == Alive {
 			alive = append(alive, q)
 		}
 	}
@@ -62,7 +62,7 @@
 	var out []Entry
 	for range min(3*n, len(m.order)) {
 		p := m.peers[m.order[m.rng.IntN(len(m.order))]]
-		if p.met && p.entry.State == Alive && len(out) < n {
+		if p.seen && p.entry.State == Alive && len(out) < n {
 			out = append(out, p.entry)
 		}
 	}
@@ -72,7 +72,7 @@
 // onProbeRequest answers with fresh evidence, or probes on the asker's behalf.
 func (m *Membership) onProbeRequest(now time.Duration, asker *peer, msg Message) {
 	p, ok := m.peers[msg.About]
-	if !ok || !p.met {
+	if !ok || !p.seen {
 		return
 	}
 	if now-p.lastDirect <= 2*m.cfg.Period {
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -163,11 +163,11 @@
 // probeFailed ends a probe without an Ack; a Report may have come meanwhile.
 func (m *Membership) probeFailed(now time.Duration, p *peer) {
 	wait := m.cfg.ProbeTimeout + m.cfg.IndirectTimeout
-	if p.met && now-p.lastHeard < wait {
+	if p.seen && now-p.lastHeard < wait {
 		m.partial.result(true)
 		return
 	}
-	if !p.met {
+	if !p.seen {
 		m.set(now, p, Dead, "listed and never heard")
 		return
 	}
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -12,7 +12,7 @@
 type peer struct {
 	entry Entry
 	// met is set once the daemon was heard of by a message.
-	met bool
+	seen bool
 	// heard is when the newest evidence of its running came; direct is when
 	// it came from the daemon itself.
 	lastHeard  time.Duration
@@ -80,7 +80,7 @@
 	}
 	from := p.reported
 	p.reported = to
-	if !p.met && from == 0 && to == Suspect {
+	if !p.seen && from == 0 && to == Suspect {
 		return
 	}
 	m.emit(Action{Changed: &Changed{Process: p.entry.Process, Domain: p.entry.Domain, From: from, To: to, Reason: reason}})
@@ -93,7 +93,7 @@
 		m.rings.stale = true
 		p.since = now
 		p.suspectedLocally = false
-		if p.met && !(m.rings.on && m.isolated && s == Partitioned) {
+		if p.seen && !(m.rings.on && m.isolated && s == Partitioned) {
 			// What one that is cut off can't reach says nothing to the others.
 			m.enqueue(p.entry)
 		}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -97,7 +97,7 @@
 	if e.Process.Incarnation < p.entry.Process.Incarnation {
 		return false
 	}
-	if !p.met || e.Process.Incarnation > p.entry.Process.Incarnation {
+	if !p.seen || e.Process.Incarnation > p.entry.Process.Incarnation {
 		m.replace(now, p, e, direct)
 		return true
 	}
@@ -142,12 +142,12 @@
 
 // replace starts afresh with a new incarnation, or one that was only listed.
 func (m *Membership) replace(now time.Duration, p *peer, e Entry, direct bool) {
-	if p.met && p.entry.State != Dead {
+	if p.seen && p.entry.State != Dead {
 		p.entry.State = Dead
 		p.announcedLeave, p.listedLeaving = false, false
 		m.show(p, "a later incarnation started")
 	}
-	p.met = true
+	p.seen = true
 	p.entry = e
 	p.announcedLeave = e.State == Leaving
 	if p.announcedLeave {
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -147,7 +147,7 @@
 	for ring := range m.cfg.Rings {
 		next, previous := m.nextTo(p.at[ring], ring, p)
 		for _, q := range []*peer{next, previous} {
-			if q != nil && q.met && !seen[q] {
+			if q != nil && q.seen && !seen[q] {
 				seen[q] = true
 				out = append(out, q)
 			}
--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -59,7 +59,7 @@
 	for _, i := range m.rng.Perm(len(m.partial.view)) {
 		name := m.partial.view[i].name
 		p, ok := m.peers[name]
-		if ok && name != without && p.met && len(out) < m.cfg.ShuffleSize {
+		if ok && name != without && p.seen && len(out) < m.cfg.ShuffleSize {
 			out = append(out, p.entry)
 		}
 	}
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		reachable = append(reachable, p)
-		if !p.met {
+		if !p.seen {
 			unmet++
 		}
 	}
@@ -36,7 +36,7 @@
 	var batch []Entry
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.met || p == asker {
+		if !p.seen || p == asker {
 			continue
 		}
 		batch = append(batch, p.entry)
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -32,7 +32,7 @@
 	var out []id.Daemon
 	for _, e := range m.View() {
 		own := e.Process.Daemon == m.self.Process.Daemon
-		met := own || m.peers[e.Process.Daemon].met
+		met := own || m.peers[e.Process.Daemon].seen
 		if met && e.State == Alive {
 			out = append(out, e.Process.Daemon)
 		}
