--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -91,7 +91,7 @@
 		return
 	}
 	p.reviveAt = now + m.cfg.ReviveEvery
-	if now-p.since >= longGone {
+	if now-p.stateSince >= longGone {
 		p.reviveAt = now + longGoneEvery
 	}
 	m.send(p, Message{Kind: Heartbeat, Watching: true})
@@ -242,9 +242,9 @@
 // tell of it, and are waited for.
 func (m *Membership) judgeUnwatched(now time.Duration, p *peer) {
 	switch {
-	case !p.seen && now-p.since >= unmetFor:
+	case !p.seen && now-p.stateSince >= unmetFor:
 		m.set(now, p, Dead, "listed and never heard")
-	case p.seen && p.entry.State == Suspect && now-p.since >= m.unwatchedPatience():
+	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedPatience():
 		m.giveUp(now, p)
 	case p.seen && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
 		// None of those who are left watches it.
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -97,7 +97,7 @@
 	switch p.entry.State {
 	case Dead:
 	case Partitioned:
-		if now-p.since >= m.cfg.PartitionedFor {
+		if now-p.stateSince >= m.cfg.PartitionedFor {
 			m.set(now, p, Dead, "partitioned for too long")
 		}
 	default:
@@ -153,7 +153,7 @@
 	if !p.suspectedLocally {
 		limit += 2 * m.cfg.DeadAfter
 	}
-	if now-p.since >= limit {
+	if now-p.stateSince >= limit {
 		m.giveUp(now, p)
 	}
 }
@@ -196,7 +196,7 @@
 // Partial mode the probes of probeSuspects tell.
 func (m *Membership) silentSince(now time.Duration, p, q *peer) bool {
 	if m.cfg.Mode == Partial {
-		return q.lastDirect < p.since
+		return q.lastDirect < p.stateSince
 	}
 	return m.silent(now, q)
 }
@@ -219,7 +219,7 @@
 	var old []id.Daemon
 	for _, name := range m.order {
 		p := m.peers[name]
-		if p.entry.State == Dead && !p.listed && now-p.since >= m.cfg.Forget {
+		if p.entry.State == Dead && !p.listed && now-p.stateSince >= m.cfg.Forget {
 			old = append(old, name)
 		}
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -248,7 +248,7 @@
 		p := m.peers[name]
 		p.lastHeard += late
 		p.lastDirect += late
-		p.since += late
+		p.stateSince += late
 		p.nearSince += late
 	}
 	m.partial.shift(late)
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -18,7 +18,7 @@
 	lastHeard  time.Duration
 	lastDirect time.Duration
 	// since is when entry.State was set.
-	since time.Duration
+	stateSince time.Duration
 	// said is set once the daemon itself, in this incarnation, said that it leaves.
 	announcedLeave bool
 	// listed and listedLeaving are the host list's word.
@@ -45,7 +45,7 @@
 	if len(m.peers) >= m.cfg.MaxMembers || name == "" {
 		return nil
 	}
-	p := &peer{lastHeard: now, lastDirect: now - m.cfg.DeadAfter, since: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
+	p := &peer{lastHeard: now, lastDirect: now - m.cfg.DeadAfter, stateSince: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
 	p.entry = Entry{Process: id.Process{Daemon: name}, State: Suspect}
 	p.at = m.cfg.positions(name)
 	m.rings.stale = true
@@ -91,7 +91,7 @@
 	if p.entry.State != s {
 		p.entry.State = s
 		m.rings.stale = true
-		p.since = now
+		p.stateSince = now
 		p.suspectedLocally = false
 		if p.seen && !(m.rings.on && m.isolated && s == Partitioned) {
 			// What one that is cut off can't reach says nothing to the others.
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -153,7 +153,7 @@
 	if p.announcedLeave {
 		p.entry.State = Alive
 	}
-	p.lastHeard, p.since = now, now
+	p.lastHeard, p.stateSince = now, now
 	p.watchedAt, p.reviveAt = 0, now
 	if direct {
 		p.lastDirect = now
