--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -34,7 +34,7 @@
 	// made suspect: this one probes on, and judges it.
 	suspectedLocally bool
 
-	place
+	ringState
 }
 
 // peerNamed returns the peer of that name, making it if there is room.
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -40,7 +40,7 @@
 }
 
 // place is what the rings say of a peer.
-type place struct {
+type ringState struct {
 	// at is the peer's position on each ring.
 	at []uint64
 	// near peers are this daemon's neighbours, which it watches since nearSince.
