--- a/core/member/member.go
+++ b/core/member/member.go
@@ -43,7 +43,7 @@
 	partial partial
 	rings   rings
 	// at is this daemon's own position on each ring.
-	at []uint64
+	positions []uint64
 }
 
 // relay remembers for whom a probe was sent on.
@@ -59,15 +59,15 @@
 func New(cfg Config, self Entry, now time.Duration, rng *rand.Rand) *Membership {
 	self.State = Alive
 	return &Membership{
-		cfg:     cfg,
-		rng:     rng,
-		self:    self,
-		peers:   map[id.Daemon]*peer{},
-		due:     now,
-		lookAt:  now,
-		relays:  map[uint64]relay{},
-		partial: newPartial(now),
-		at:      cfg.positions(self.Process.Daemon),
+		cfg:       cfg,
+		rng:       rng,
+		self:      self,
+		peers:     map[id.Daemon]*peer{},
+		due:       now,
+		lookAt:    now,
+		relays:    map[uint64]relay{},
+		partial:   newPartial(now),
+		positions: cfg.positions(self.Process.Daemon),
 	}
 }
 
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -108,14 +108,14 @@
 // chooseOn finds the neighbours on one ring, and those who are gone from
 // between them and this daemon.
 func (m *Membership) chooseOn(ring int) {
-	next, previous := m.nextTo(m.at[ring], ring, nil)
+	next, previous := m.nextTo(m.positions[ring], ring, nil)
 	ahead, behind := ^uint64(0), ^uint64(0)
 	if next != nil {
 		next.near, previous.near = true, true
-		ahead, behind = next.at[ring]-m.at[ring], m.at[ring]-previous.at[ring]
+		ahead, behind = next.at[ring]-m.positions[ring], m.positions[ring]-previous.at[ring]
 	}
 	for _, p := range m.peers {
-		if !m.onRings(p) && (p.at[ring]-m.at[ring] < ahead || m.at[ring]-p.at[ring] < behind) {
+		if !m.onRings(p) && (p.at[ring]-m.positions[ring] < ahead || m.positions[ring]-p.at[ring] < behind) {
 			p.gap = true
 		}
 	}
