--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -70,7 +70,7 @@
 	}
 	m.keepLinks(now)
 	if len(m.rings.news) > 0 {
-		m.due = min(m.due, now+m.cfg.SpreadPause)
+		m.nextBeat = min(m.nextBeat, now+m.cfg.SpreadPause)
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 // hurryNews brings the next heartbeats forward to when news may go out.
-func (m *Membership) hurryNews() { m.due = min(m.due, m.beatAt+m.cfg.SpreadPause) }
+func (m *Membership) hurryNews() { m.nextBeat = min(m.nextBeat, m.beatAt+m.cfg.SpreadPause) }
 
 // noteworthy says whether a daemon tells of itself what all others must know.
 func noteworthy(old, now Entry) bool {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -23,7 +23,7 @@
 	// order of a map.
 	order []id.Daemon
 
-	due time.Duration
+	nextBeat time.Duration
 	// lookAt is when Tick is due at the latest, also between heartbeats that are
 	// far apart: to judge the silent, and to notice that this daemon was not run.
 	lookAt time.Duration
@@ -63,7 +63,7 @@
 		rng:       rng,
 		self:      self,
 		peers:     map[id.Daemon]*peer{},
-		due:       now,
+		nextBeat:  now,
 		lookAt:    now,
 		relays:    map[uint64]relay{},
 		partial:   newPartial(now),
@@ -118,7 +118,7 @@
 // hurry brings the next heartbeats forward to when a small fleet would have
 // them: the others act on what they say.
 func (m *Membership) hurry() {
-	m.due = min(m.due, m.beatAt+m.basePeriod())
+	m.nextBeat = min(m.nextBeat, m.beatAt+m.basePeriod())
 	if m.rings.on {
 		m.hurryNews()
 	}
@@ -160,9 +160,9 @@
 // Next is when Tick is due.
 func (m *Membership) Next() time.Duration {
 	if m.cfg.Mode == Partial {
-		return min(m.due, m.partial.next())
+		return min(m.nextBeat, m.partial.next())
 	}
-	return min(m.due, m.lookAt)
+	return min(m.nextBeat, m.lookAt)
 }
 
 // Tick does what is due: send, judge the silent, ask about them.
@@ -172,10 +172,10 @@
 	if m.rings.stale {
 		m.chooseNeighbours(now)
 	}
-	if now >= m.due {
+	if now >= m.nextBeat {
 		m.beatAt = now
 		period := m.ownPeriod()
-		m.due = now + period
+		m.nextBeat = now + period
 		m.self.Period = 0
 		if period > m.basePeriod() {
 			m.self.Period = period
@@ -188,7 +188,7 @@
 		m.expireProbes(now)
 	}
 	m.judge(now)
-	m.lookAt = min(m.due, now+m.basePeriod())
+	m.lookAt = min(m.nextBeat, now+m.basePeriod())
 	return m.flush()
 }
 
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -119,7 +119,7 @@
 	f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
 	m := f.members["host-003"]
 	delete(f.stopped, "host-003")
-	m.due = f.now // no lateness is seen
+	m.nextBeat = f.now // no lateness is seen
 	for _, p := range m.peers {
 		p.lastHeard = f.now
 	}
@@ -298,7 +298,7 @@
 		m.Receive(0, Message{Kind: Heartbeat, From: e})
 	}
 	at := func(now time.Duration, name id.Daemon) State {
-		m.due = now // no lateness is seen
+		m.nextBeat = now // no lateness is seen
 		m.Tick(now)
 		e, ok := m.Get(name)
 		is.True(ok)
@@ -329,7 +329,7 @@
 	}
 	suspected := func() bool {
 		const now = 300 * time.Millisecond
-		m.due = now // no lateness is seen
+		m.nextBeat = now // no lateness is seen
 		m.Tick(now)
 		e, _ := m.Get("b")
 		return e.State == Suspect
