--- a/core/member/member.go
+++ b/core/member/member.go
@@ -26,7 +26,7 @@
 	nextBeat time.Duration
 	// lookAt is when Tick is due at the latest, also between heartbeats that are
 	// far apart: to judge the silent, and to notice that this daemon was not run.
-	lookAt time.Duration
+	nextCheck time.Duration
 	// beatAt is when the last heartbeats went out, to how many daemons that had
 	// been heard from.
 	beatAt   time.Duration
@@ -64,7 +64,7 @@
 		self:      self,
 		peers:     map[id.Daemon]*peer{},
 		nextBeat:  now,
-		lookAt:    now,
+		nextCheck: now,
 		relays:    map[uint64]relay{},
 		partial:   newPartial(now),
 		positions: cfg.positions(self.Process.Daemon),
@@ -162,7 +162,7 @@
 	if m.cfg.Mode == Partial {
 		return min(m.nextBeat, m.partial.next())
 	}
-	return min(m.nextBeat, m.lookAt)
+	return min(m.nextBeat, m.nextCheck)
 }
 
 // Tick does what is due: send, judge the silent, ask about them.
@@ -188,7 +188,7 @@
 		m.expireProbes(now)
 	}
 	m.judge(now)
-	m.lookAt = min(m.nextBeat, now+m.basePeriod())
+	m.nextCheck = min(m.nextBeat, now+m.basePeriod())
 	return m.flush()
 }
 
@@ -240,7 +240,7 @@
 // that nobody is suspected for it. After a stall in which others may have
 // declared it dead, it takes that for done.
 func (m *Membership) noteStall(now time.Duration) {
-	late := now - m.lookAt
+	late := now - m.nextCheck
 	if late < m.cfg.StallAfter {
 		return
 	}
