--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -123,7 +123,7 @@
 }
 
 // hurryNews brings the next heartbeats forward to when news may go out.
-func (m *Membership) hurryNews() { m.nextBeat = min(m.nextBeat, m.beatAt+m.cfg.SpreadPause) }
+func (m *Membership) hurryNews() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.SpreadPause) }
 
 // noteworthy says whether a daemon tells of itself what all others must know.
 func noteworthy(old, now Entry) bool {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -29,7 +29,7 @@
 	nextCheck time.Duration
 	// beatAt is when the last heartbeats went out, to how many daemons that had
 	// been heard from.
-	beatAt   time.Duration
+	lastBeat time.Duration
 	heardOf  int
 	isolated bool
 	// isolatedAt is when isolated was set or cleared.
@@ -102,7 +102,7 @@
 	m.rings.wantsWatched = l.Watched && m.cfg.WatchedPeriod > 0
 	m.rings.linked = l.Linked
 	if !m.rings.on {
-		m.takeWatched(m.beatAt)
+		m.takeWatched(m.lastBeat)
 	}
 	if l.StoreLost != m.self.StoreLost {
 		m.hurry()
@@ -118,7 +118,7 @@
 // hurry brings the next heartbeats forward to when a small fleet would have
 // them: the others act on what they say.
 func (m *Membership) hurry() {
-	m.nextBeat = min(m.nextBeat, m.beatAt+m.basePeriod())
+	m.nextBeat = min(m.nextBeat, m.lastBeat+m.basePeriod())
 	if m.rings.on {
 		m.hurryNews()
 	}
@@ -173,7 +173,7 @@
 		m.chooseNeighbours(now)
 	}
 	if now >= m.nextBeat {
-		m.beatAt = now
+		m.lastBeat = now
 		period := m.ownPeriod()
 		m.nextBeat = now + period
 		m.self.Period = 0
