--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -49,7 +49,7 @@
 func (m *Membership) beatNear(now time.Duration) {
 	news := m.rings.news.take(mostNews, newsRepeats)
 	m.rings.digest = m.digest()
-	m.heardOf = 0
+	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.tellAllUntil
 	m.rings.toldAll = m.rings.toldAll || m.self.Watched
 	for _, name := range m.order {
@@ -59,7 +59,7 @@
 			continue
 		}
 		if p.seen {
-			m.heardOf++
+			m.seenPeers++
 		}
 		switch {
 		case p.near || now < p.askedUntil:
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -29,9 +29,9 @@
 	nextCheck time.Duration
 	// beatAt is when the last heartbeats went out, to how many daemons that had
 	// been heard from.
-	lastBeat time.Duration
-	heardOf  int
-	isolated bool
+	lastBeat  time.Duration
+	seenPeers int
+	isolated  bool
 	// isolatedAt is when isolated was set or cleared.
 	isolatedAt time.Duration
 	relays     map[uint64]relay
@@ -208,7 +208,7 @@
 	if most <= 0 || m.cfg.Mode != Mesh {
 		return m.basePeriod()
 	}
-	bound := time.Duration(float64(m.heardOf) / most * float64(time.Second))
+	bound := time.Duration(float64(m.seenPeers) / most * float64(time.Second))
 	return max(m.basePeriod(), min(bound, mostStretch*m.basePeriod()))
 }
 
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -9,7 +9,7 @@
 	if m.cfg.SampleEvery > 0 && m.self.Beat%m.cfg.SampleEvery == 0 {
 		sample = m.sample(1)
 	}
-	m.heardOf = 0
+	m.seenPeers = 0
 	for _, name := range m.order {
 		p := m.peers[name]
 		if p.entry.State == Dead && now < p.reviveAt {
@@ -17,7 +17,7 @@
 		}
 		p.reviveAt = now + m.cfg.ReviveEvery
 		if p.seen && p.entry.State != Dead {
-			m.heardOf++
+			m.seenPeers++
 		}
 		// A peer that knows of more daemons may watch a few neighbours only.
 		m.send(p, Message{Kind: Heartbeat, Watching: m.cfg.MeshUpTo > 0, Entries: append([]Entry(nil), sample...)})
