--- a/core/member/member.go
+++ b/core/member/member.go
@@ -38,7 +38,7 @@
 	seq        uint64
 	out        []Action
 	// bulk is set while a SyncReply is merged: old news, not to be sent on.
-	bulk bool
+	mergingSync bool
 
 	partial partial
 	rings   rings
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -199,7 +199,7 @@
 
 // enqueue has news sent on with the next messages.
 func (m *Membership) enqueue(e Entry) {
-	if !m.gossips() || m.bulk {
+	if !m.gossips() || m.mergingSync {
 		return
 	}
 	if m.rings.on {
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -14,7 +14,7 @@
 		return m.flush()
 	}
 	current := m.merge(now, msg.From, true)
-	m.bulk = msg.Kind == SyncReply
+	m.mergingSync = msg.Kind == SyncReply
 	for _, e := range msg.Entries {
 		if e.Process.Daemon == m.self.Process.Daemon {
 			m.aboutSelf(e, from)
@@ -22,7 +22,7 @@
 		}
 		m.merge(now, e, false)
 	}
-	m.bulk = false
+	m.mergingSync = false
 	if p := m.peers[from]; p != nil {
 		m.answer(now, p, msg, current)
 	}
@@ -205,7 +205,7 @@
 // word: this one was cut off, and the others were not.
 func (m *Membership) rejoins(now time.Duration, p *peer, said State) bool {
 	lost := p.entry.State == Partitioned || p.entry.State == Suspect && !m.watches(p)
-	return lost && said == Alive && m.bulk && now < m.rings.rejoinUntil
+	return lost && said == Alive && m.mergingSync && now < m.rings.rejoinUntil
 }
 
 // adopts decides whether to take a peer's word about another daemon. A death
@@ -234,7 +234,7 @@
 	case Suspect:
 		// An old suspicion is refuted by now, and of a daemon that is watched here
 		// its own silence tells more.
-		return !m.bulk && !m.watches(p)
+		return !m.mergingSync && !m.watches(p)
 	default:
 		return true
 	}
