--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -235,7 +235,7 @@
 	}
 	r.toldAll = false
 	m.self.Watched = watched
-	m.hurry()
+	m.expediteHeartbeat()
 }
 
 // judgeUnwatched moves along a peer that this daemon does not watch: those who do
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -105,11 +105,11 @@
 		m.takeWatched(m.lastBeat)
 	}
 	if l.StoreLost != m.self.StoreLost {
-		m.hurry()
+		m.expediteHeartbeat()
 	}
 	m.self.StoreLost = l.StoreLost
 	if l.Stale != m.self.Stale {
-		m.hurry()
+		m.expediteHeartbeat()
 	}
 	m.self.Stale = l.Stale
 	m.proof = l.Proof
@@ -117,7 +117,7 @@
 
 // hurry brings the next heartbeats forward to when a small fleet would have
 // them: the others act on what they say.
-func (m *Membership) hurry() {
+func (m *Membership) expediteHeartbeat() {
 	m.nextBeat = min(m.nextBeat, m.lastBeat+m.basePeriod())
 	if m.rings.on {
 		m.hurryNews()
@@ -130,7 +130,7 @@
 	if !m.halted {
 		m.self.State = Leaving
 	}
-	m.hurry()
+	m.expediteHeartbeat()
 	m.enqueue(m.self)
 	return m.flush()
 }
