--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -119,11 +119,11 @@
 		// Each heartbeat tells of this daemon itself.
 		m.rings.news.put(e)
 	}
-	m.hurryNews()
+	m.expediteUpdates()
 }
 
 // hurryNews brings the next heartbeats forward to when news may go out.
-func (m *Membership) hurryNews() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.SpreadPause) }
+func (m *Membership) expediteUpdates() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.SpreadPause) }
 
 // noteworthy says whether a daemon tells of itself what all others must know.
 func noteworthy(old, now Entry) bool {
@@ -208,7 +208,7 @@
 	}
 	if msg.Watching {
 		if now >= p.askedUntil {
-			m.hurryNews()
+			m.expediteUpdates()
 		}
 		p.askedUntil = now + m.suspectAfter(p)
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -94,7 +94,7 @@
 func (m *Membership) SetLocal(l Local) {
 	if m.rings.on && (l.Revision == 0) != (m.self.Revision == 0) {
 		// It can take duties from now on, or no more.
-		m.hurryNews()
+		m.expediteUpdates()
 	}
 	m.self.Revision = l.Revision
 	m.self.InFlight = l.InFlight
@@ -120,7 +120,7 @@
 func (m *Membership) expediteHeartbeat() {
 	m.nextBeat = min(m.nextBeat, m.lastBeat+m.basePeriod())
 	if m.rings.on {
-		m.hurryNews()
+		m.expediteUpdates()
 	}
 }
 
@@ -332,7 +332,7 @@
 	if m.rings.stale {
 		// Those that are new here should not wait for the next heartbeats.
 		m.chooseNeighbours(now)
-		m.hurryNews()
+		m.expediteUpdates()
 	}
 	return m.flush()
 }
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -100,7 +100,7 @@
 	for _, p := range m.peers {
 		if p.near && !before[p] {
 			p.nearSince, p.agreedAt = now, now
-			m.hurryNews()
+			m.expediteUpdates()
 		}
 	}
 }
