--- a/core/member/member.go
+++ b/core/member/member.go
@@ -182,7 +182,7 @@
 		}
 		m.self.Beat++
 		m.dropRelays(now)
-		m.period(now)
+		m.runPeriod(now)
 	}
 	if m.cfg.Mode == Partial {
 		m.expireProbes(now)
@@ -219,7 +219,7 @@
 func (m *Membership) suspectAfter(p *peer) time.Duration { return m.cfg.suspectAfter(&p.entry) }
 func (m *Membership) deadAfter(p *peer) time.Duration    { return m.cfg.deadAfter(&p.entry) }
 
-func (m *Membership) period(now time.Duration) {
+func (m *Membership) runPeriod(now time.Duration) {
 	if m.cfg.Mode == Partial {
 		m.syncNext(now)
 		m.probeSuspects(now)
