--- a/core/member/member.go
+++ b/core/member/member.go
@@ -283,7 +283,7 @@
 	}
 	msg.From = m.self
 	msg.Proof = m.proof
-	if p.seen && m.tells(p) {
+	if p.seen && m.mustNotify(p) {
 		told := p.entry
 		if told.State == Paused {
 			// It has yet to answer to its death with a new epoch.
@@ -295,7 +295,7 @@
 }
 
 // tells decides whether a peer must hear what this daemon holds of it.
-func (m *Membership) tells(p *peer) bool {
+func (m *Membership) mustNotify(p *peer) bool {
 	switch p.entry.State {
 	case Dead, Paused:
 		return true
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -39,7 +39,7 @@
 	switch msg.Kind {
 	case Heartbeat:
 		m.noteHeartbeat(now, p, msg)
-		if m.tells(p) && p.entry.State != Suspect {
+		if m.mustNotify(p) && p.entry.State != Suspect {
 			m.send(p, Message{Kind: Ack})
 		}
 	case Probe:
