--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -114,7 +114,7 @@
 }
 
 // tell has news of a peer sent on to the neighbours, soon.
-func (m *Membership) tell(e Entry) {
+func (m *Membership) enqueueUpdate(e Entry) {
 	if e.Process.Daemon != m.self.Process.Daemon {
 		// Each heartbeat tells of this daemon itself.
 		m.rings.news.put(e)
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -203,7 +203,7 @@
 		return
 	}
 	if m.rings.on {
-		m.tell(e)
+		m.enqueueUpdate(e)
 		return
 	}
 	m.partial.queue.put(e)
