--- a/core/member/member.go
+++ b/core/member/member.go
@@ -327,7 +327,7 @@
 		}
 	}
 	for _, name := range m.order {
-		m.show(m.peers[name], "host list")
+		m.reportState(m.peers[name], "host list")
 	}
 	if m.rings.stale {
 		// Those that are new here should not wait for the next heartbeats.
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -73,7 +73,7 @@
 }
 
 // show reports a peer's state if it changed.
-func (m *Membership) show(p *peer, reason string) {
+func (m *Membership) reportState(p *peer, reason string) {
 	to := p.state()
 	if to == p.reported {
 		return
@@ -98,7 +98,7 @@
 			m.enqueue(p.entry)
 		}
 	}
-	m.show(p, reason)
+	m.reportState(p, reason)
 }
 
 // compareNames orders entries by daemon.
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -145,7 +145,7 @@
 	if p.seen && p.entry.State != Dead {
 		p.entry.State = Dead
 		p.announcedLeave, p.listedLeaving = false, false
-		m.show(p, "a later incarnation started")
+		m.reportState(p, "a later incarnation started")
 	}
 	p.seen = true
 	p.entry = e
@@ -162,7 +162,7 @@
 	p.reported = 0
 	m.rings.stale = true
 	m.enqueue(e)
-	m.show(p, "first heard")
+	m.reportState(p, "first heard")
 	if direct && m.cfg.Mode == Mesh && !m.halted {
 		// It has just started, and should not wait for the next heartbeats.
 		m.send(p, Message{Kind: Heartbeat})
