--- a/core/member/member.go
+++ b/core/member/member.go
@@ -233,7 +233,7 @@
 		m.beatNear(now)
 		return
 	}
-	m.beat(now)
+	m.sendHeartbeats(now)
 }
 
 // noteStall moves every wait by the time that this daemon was not run, so
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -4,7 +4,7 @@
 
 // beat sends a heartbeat to every daemon that is not dead, and now and then
 // one to the dead, so that they learn it when they come back.
-func (m *Membership) beat(now time.Duration) {
+func (m *Membership) sendHeartbeats(now time.Duration) {
 	var sample []Entry
 	if m.cfg.SampleEvery > 0 && m.self.Beat%m.cfg.SampleEvery == 0 {
 		sample = m.sample(1)
