--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -46,7 +46,7 @@
 
 // beatNear sends heartbeats to the neighbours, to those that watch this daemon
 // and, where it keeps connections to all others, to these.
-func (m *Membership) beatNear(now time.Duration) {
+func (m *Membership) sendRingHeartbeats(now time.Duration) {
 	news := m.rings.news.take(mostNews, newsRepeats)
 	m.rings.digest = m.digest()
 	m.seenPeers = 0
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -230,7 +230,7 @@
 	}
 	if m.rings.on {
 		m.syncNear(now)
-		m.beatNear(now)
+		m.sendRingHeartbeats(now)
 		return
 	}
 	m.sendHeartbeats(now)
