--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -63,7 +63,7 @@
 		}
 		switch {
 		case p.near || now < p.askedUntil:
-			m.sendNear(now, p, news)
+			m.sendNeighbour(now, p, news)
 		case toAll && p.seen:
 			m.sendLink(now, p)
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (m *Membership) sendNear(now time.Duration, p *peer, news []Entry) {
+func (m *Membership) sendNeighbour(now time.Duration, p *peer, news []Entry) {
 	p.sentAt = now
 	m.send(p, Message{Kind: Heartbeat, Watching: p.near, Digest: m.rings.digest, Entries: slices.Clone(news)})
 }
