--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -65,7 +65,7 @@
 		case p.near || now < p.askedUntil:
 			m.sendNeighbour(now, p, news)
 		case toAll && p.seen:
-			m.sendLink(now, p)
+			m.sendKeepalive(now, p)
 		}
 	}
 	m.keepLinks(now)
@@ -79,7 +79,7 @@
 	m.send(p, Message{Kind: Heartbeat, Watching: p.near, Digest: m.rings.digest, Entries: slices.Clone(news)})
 }
 
-func (m *Membership) sendLink(now time.Duration, p *peer) {
+func (m *Membership) sendKeepalive(now time.Duration, p *peer) {
 	p.sentAt = now
 	m.send(p, Message{Kind: Heartbeat})
 }
@@ -108,7 +108,7 @@
 		p := m.peers[m.order[m.rings.linkAt%len(m.order)]]
 		m.rings.linkAt++
 		if p.seen && !p.absent() && now-p.sentAt >= linkEvery/2 {
-			m.sendLink(now, p)
+			m.sendKeepalive(now, p)
 		}
 	}
 }
