--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -68,7 +68,7 @@
 			m.sendKeepalive(now, p)
 		}
 	}
-	m.keepLinks(now)
+	m.keepConnections(now)
 	if len(m.rings.news) > 0 {
 		m.nextBeat = min(m.nextBeat, now+m.cfg.SpreadPause)
 	}
@@ -99,7 +99,7 @@
 
 // keepLinks keeps the connections to all others alive: each gets a heartbeat
 // every linkEvery, a part of them in each period.
-func (m *Membership) keepLinks(now time.Duration) {
+func (m *Membership) keepConnections(now time.Duration) {
 	if !m.rings.linked || m.self.Watched || len(m.order) == 0 {
 		return
 	}
