--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -55,7 +55,7 @@
 	for _, name := range m.order {
 		p := m.peers[name]
 		if !m.onRings(p) {
-			m.tryGap(now, p)
+			m.retryAbsent(now, p)
 			continue
 		}
 		if p.seen {
@@ -86,7 +86,7 @@
 
 // tryGap sends a message now and then to a daemon that is gone and would be a
 // neighbour: so it learns, when it comes back, what is held of it.
-func (m *Membership) tryGap(now time.Duration, p *peer) {
+func (m *Membership) retryAbsent(now time.Duration, p *peer) {
 	if !p.gap || now < p.reviveAt {
 		return
 	}
