--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -151,7 +151,7 @@
 
 // compare takes a neighbour's digest. One that has differed for long has missed
 // news, or this daemon has.
-func (m *Membership) compare(now time.Duration, p *peer, digest uint64) {
+func (m *Membership) compareDigest(now time.Duration, p *peer, digest uint64) {
 	if digest == 0 || digest == m.rings.digest {
 		p.agreedAt = now
 		return
@@ -213,7 +213,7 @@
 		p.askedUntil = now + m.suspectAfter(p)
 	}
 	if p.near {
-		m.compare(now, p, msg.Digest)
+		m.compareDigest(now, p, msg.Digest)
 	}
 }
 
