--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -165,7 +165,7 @@
 
 // syncNear asks a neighbour for all that it knows while listed daemons were not
 // heard of: at the daemon's own start, and at that of a whole fleet.
-func (m *Membership) syncNear(now time.Duration) {
+func (m *Membership) syncNeighbour(now time.Duration) {
 	rejoins := now < m.rings.rejoinUntil
 	if now < m.rings.syncAt && !rejoins {
 		return
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -229,7 +229,7 @@
 		return
 	}
 	if m.rings.on {
-		m.syncNear(now)
+		m.syncNeighbour(now)
 		m.sendRingHeartbeats(now)
 		return
 	}
