--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -193,7 +193,7 @@
 
 // askReturned asks a daemon that has come back for all that it knows: it may have
 // been cut off together with others.
-func (m *Membership) askReturned(now time.Duration, p *peer) {
+func (m *Membership) syncReturned(now time.Duration, p *peer) {
 	if !m.rings.on || now < m.rings.returnedAskAt {
 		return
 	}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -244,7 +244,7 @@
 // it was declared dead: it is paused until it answers with a new epoch.
 func (m *Membership) evidence(now time.Duration, p *peer, e Entry, direct bool) {
 	if direct && p.absent() {
-		m.askReturned(now, p)
+		m.syncReturned(now, p)
 	}
 	switch p.entry.State {
 	case Dead:
