--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -219,7 +219,7 @@
 
 // takeWatched says that this daemon is watched once it has wanted to be for a
 // while, and that it is no more at once.
-func (m *Membership) takeWatched(now time.Duration) {
+func (m *Membership) updateWatched(now time.Duration) {
 	r := &m.rings
 	if !r.wantsWatched {
 		r.wantedAt = 0
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -102,7 +102,7 @@
 	m.rings.wantsWatched = l.Watched && m.cfg.WatchedPeriod > 0
 	m.rings.linked = l.Linked
 	if !m.rings.on {
-		m.takeWatched(m.lastBeat)
+		m.updateWatched(m.lastBeat)
 	}
 	if l.StoreLost != m.self.StoreLost {
 		m.expediteHeartbeat()
@@ -168,7 +168,7 @@
 // Tick does what is due: send, judge the silent, ask about them.
 func (m *Membership) Tick(now time.Duration) []Action {
 	m.noteStall(now)
-	m.takeWatched(now)
+	m.updateWatched(now)
 	if m.rings.stale {
 		m.chooseNeighbours(now)
 	}
