--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -244,7 +244,7 @@
 	switch {
 	case !p.seen && now-p.stateSince >= unmetFor:
 		m.set(now, p, Dead, "listed and never heard")
-	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedPatience():
+	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedTimeout():
 		m.giveUp(now, p)
 	case p.seen && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
 		// None of those who are left watches it.
@@ -254,7 +254,7 @@
 
 // unwatchedPatience is how long the word of those who watch a suspect daemon is
 // waited for. Those beyond a cut can't give it.
-func (m *Membership) unwatchedPatience() time.Duration {
+func (m *Membership) unwatchedTimeout() time.Duration {
 	if m.isolated {
 		return m.cfg.DeadAfter
 	}
