--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -245,10 +245,10 @@
 	case !p.seen && now-p.stateSince >= unmetFor:
 		m.set(now, p, Dead, "listed and never heard")
 	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedTimeout():
-		m.giveUp(now, p)
+		m.declareLost(now, p)
 	case p.seen && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
 		// None of those who are left watches it.
-		m.giveUp(now, p)
+		m.declareLost(now, p)
 	}
 }
 
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -131,7 +131,7 @@
 		m.set(now, p, Suspect, "silent")
 	}
 	if m.cutOff(p) || silence >= m.deadAfter(p) {
-		m.giveUp(now, p)
+		m.declareLost(now, p)
 	}
 }
 
@@ -154,12 +154,12 @@
 		limit += 2 * m.cfg.DeadAfter
 	}
 	if now-p.stateSince >= limit {
-		m.giveUp(now, p)
+		m.declareLost(now, p)
 	}
 }
 
 // giveUp decides between dead and partitioned.
-func (m *Membership) giveUp(now time.Duration, p *peer) {
+func (m *Membership) declareLost(now time.Duration, p *peer) {
 	switch {
 	case !p.seen:
 		m.set(now, p, Dead, "listed and never heard")
