--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -10,7 +10,7 @@
 const minGroup = 2
 
 // judge moves the silent along: suspect, then dead or partitioned.
-func (m *Membership) judge(now time.Duration) {
+func (m *Membership) detectFailures(now time.Duration) {
 	m.judgeSelf(now)
 	for _, name := range m.order {
 		m.judgePeer(now, m.peers[name])
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -187,7 +187,7 @@
 	if m.cfg.Mode == Partial {
 		m.expireProbes(now)
 	}
-	m.judge(now)
+	m.detectFailures(now)
 	m.nextCheck = min(m.nextBeat, now+m.basePeriod())
 	return m.flush()
 }
