--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -11,7 +11,7 @@
 
 // judge moves the silent along: suspect, then dead or partitioned.
 func (m *Membership) detectFailures(now time.Duration) {
-	m.judgeSelf(now)
+	m.detectIsolation(now)
 	for _, name := range m.order {
 		m.judgePeer(now, m.peers[name])
 	}
@@ -27,7 +27,7 @@
 }
 
 // judgeSelf finds out whether this daemon has lost most of the fleet at once.
-func (m *Membership) judgeSelf(now time.Duration) {
+func (m *Membership) detectIsolation(now time.Duration) {
 	all, near := m.countLost(now)
 	isolated := all.most() || near.most()
 	switch {
