--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -13,7 +13,7 @@
 func (m *Membership) detectFailures(now time.Duration) {
 	m.detectIsolation(now)
 	for _, name := range m.order {
-		m.judgePeer(now, m.peers[name])
+		m.checkPeer(now, m.peers[name])
 	}
 	m.forgetOld(now)
 }
@@ -93,7 +93,7 @@
 }
 
 // judgePeer applies the time limits to one peer.
-func (m *Membership) judgePeer(now time.Duration, p *peer) {
+func (m *Membership) checkPeer(now time.Duration, p *peer) {
 	switch p.entry.State {
 	case Dead:
 	case Partitioned:
