--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -101,11 +101,11 @@
 			m.set(now, p, Dead, "partitioned for too long")
 		}
 	default:
-		m.judgeSilence(now, p)
+		m.checkSilence(now, p)
 	}
 }
 
-func (m *Membership) judgeSilence(now time.Duration, p *peer) {
+func (m *Membership) checkSilence(now time.Duration, p *peer) {
 	if m.cfg.Mode == Partial {
 		m.judgeSuspect(now, p)
 		return
