--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -107,7 +107,7 @@
 
 func (m *Membership) checkSilence(now time.Duration, p *peer) {
 	if m.cfg.Mode == Partial {
-		m.judgeSuspect(now, p)
+		m.checkSuspect(now, p)
 		return
 	}
 	if !m.watches(p) {
@@ -145,7 +145,7 @@
 // judgeSuspect, in Partial mode, lets a suspicion run out. Whoever raised it
 // has gone on probing and judges; the others wait for its word, and give up on
 // their own only if it does not come.
-func (m *Membership) judgeSuspect(now time.Duration, p *peer) {
+func (m *Membership) checkSuspect(now time.Duration, p *peer) {
 	if !p.seen || p.entry.State != Suspect {
 		return
 	}
