--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -240,7 +240,7 @@
 
 // judgeUnwatched moves along a peer that this daemon does not watch: those who do
 // tell of it, and are waited for.
-func (m *Membership) judgeUnwatched(now time.Duration, p *peer) {
+func (m *Membership) checkUnwatched(now time.Duration, p *peer) {
 	switch {
 	case !p.seen && now-p.stateSince >= unmetFor:
 		m.set(now, p, Dead, "listed and never heard")
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -111,7 +111,7 @@
 		return
 	}
 	if !m.watches(p) {
-		m.judgeUnwatched(now, p)
+		m.checkUnwatched(now, p)
 		return
 	}
 	silence, suspectAfter := m.silence(now, p), m.suspectAfter(p)
