--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -180,7 +180,7 @@
 		return false
 	}
 	known, lost := 1, 1
-	for _, q := range m.neighboursOf(p) {
+	for _, q := range m.domainPeers(p) {
 		known++
 		if m.silentSince(now, p, q) {
 			lost++
@@ -202,7 +202,7 @@
 }
 
 // neighboursOf lists the other daemons of p's failure domain that should be heard.
-func (m *Membership) neighboursOf(p *peer) []*peer {
+func (m *Membership) domainPeers(p *peer) []*peer {
 	var out []*peer
 	for _, name := range m.order {
 		q := m.peers[name]
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		m.send(p, Message{Kind: Probe})
-		if others := m.neighboursOf(p); len(others) > 0 {
+		if others := m.domainPeers(p); len(others) > 0 {
 			m.send(others[m.rng.IntN(len(others))], Message{Kind: Probe})
 		}
 	}
