--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -122,7 +122,7 @@
 		askAfter /= 2
 	}
 	if silence >= askAfter {
-		m.askAbout(now, p)
+		m.requestIndirectProbe(now, p)
 	}
 	if silence < suspectAfter {
 		return
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -26,7 +26,7 @@
 
 // askAbout asks a few peers about a silent daemon, once a period: where only
 // one direction of one path is lost, they have heard it.
-func (m *Membership) askAbout(now time.Duration, p *peer) {
+func (m *Membership) requestIndirectProbe(now time.Duration, p *peer) {
 	if now-p.askedAt < m.cfg.Period || !p.seen {
 		return
 	}
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -150,7 +150,7 @@
 		case now < pr.ends:
 			s.probes = append(s.probes, pr)
 		case !pr.indirect:
-			m.askAbout(now, p)
+			m.requestIndirectProbe(now, p)
 			pr.indirect = true
 			pr.ends = now + m.cfg.IndirectTimeout
 			s.probes = append(s.probes, pr)
