--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -33,7 +33,7 @@
 func (m *Membership) answer(now time.Duration, p *peer, msg Message, current bool) {
 	if !current {
 		// An old incarnation still runs: it must learn that it is superseded.
-		m.tellStale(p, msg)
+		m.notifySuperseded(p, msg)
 		return
 	}
 	switch msg.Kind {
@@ -58,7 +58,7 @@
 }
 
 // tellStale answers a process that a later incarnation has replaced.
-func (m *Membership) tellStale(p *peer, msg Message) {
+func (m *Membership) notifySuperseded(p *peer, msg Message) {
 	reply := Message{Kind: Ack, From: m.self, Entries: []Entry{p.entry}}
 	m.emit(Action{Send: &Send{To: p.entry.Process.Daemon, Address: msg.From.Address, Message: reply}})
 }
