--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -10,14 +10,14 @@
 func (m *Membership) Receive(now time.Duration, msg Message) []Action {
 	from := msg.From.Process.Daemon
 	if from == "" || from == m.self.Process.Daemon {
-		m.aboutSelf(msg.From, from)
+		m.handleSelfEntry(msg.From, from)
 		return m.flush()
 	}
 	current := m.merge(now, msg.From, true)
 	m.mergingSync = msg.Kind == SyncReply
 	for _, e := range msg.Entries {
 		if e.Process.Daemon == m.self.Process.Daemon {
-			m.aboutSelf(e, from)
+			m.handleSelfEntry(e, from)
 			continue
 		}
 		m.merge(now, e, false)
@@ -64,7 +64,7 @@
 }
 
 // aboutSelf meets what another daemon holds of this one.
-func (m *Membership) aboutSelf(e Entry, by id.Daemon) {
+func (m *Membership) handleSelfEntry(e Entry, by id.Daemon) {
 	if e.Process.Daemon != m.self.Process.Daemon {
 		return
 	}
