--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -104,7 +104,7 @@
 	fresh := e.Beat > p.entry.Beat
 	news := fresh && noteworthy(p.entry, e)
 	if fresh {
-		takeReport(&p.entry, e)
+		copyReport(&p.entry, e)
 	}
 	if !p.entry.Watched {
 		p.watchedAt = 0
@@ -132,7 +132,7 @@
 }
 
 // takeReport copies what a daemon says of itself, but for state and epoch.
-func takeReport(to *Entry, e Entry) {
+func copyReport(to *Entry, e Entry) {
 	to.Beat = e.Beat
 	to.Domain, to.Address, to.CallerAddress = e.Domain, e.Address, e.CallerAddress
 	to.Revision, to.InFlight, to.Settings = e.Revision, e.InFlight, e.Settings
