--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	if !p.seen || e.Process.Incarnation > p.entry.Process.Incarnation {
-		m.replace(now, p, e, direct)
+		m.replaceIncarnation(now, p, e, direct)
 		return true
 	}
 	fresh := e.Beat > p.entry.Beat
@@ -141,7 +141,7 @@
 }
 
 // replace starts afresh with a new incarnation, or one that was only listed.
-func (m *Membership) replace(now time.Duration, p *peer, e Entry, direct bool) {
+func (m *Membership) replaceIncarnation(now time.Duration, p *peer, e Entry, direct bool) {
 	if p.seen && p.entry.State != Dead {
 		p.entry.State = Dead
 		p.announcedLeave, p.listedLeaving = false, false
