--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -190,7 +190,7 @@
 		return
 	}
 	if fresh || direct {
-		m.evidence(now, p, e, direct)
+		m.applyEvidence(now, p, e, direct)
 	}
 	if m.rejoins(now, p, said) {
 		p.lastHeard = now
@@ -242,7 +242,7 @@
 
 // evidence takes proof that the process ran. A dead one must first learn that
 // it was declared dead: it is paused until it answers with a new epoch.
-func (m *Membership) evidence(now time.Duration, p *peer, e Entry, direct bool) {
+func (m *Membership) applyEvidence(now time.Duration, p *peer, e Entry, direct bool) {
 	if direct && p.absent() {
 		m.syncReturned(now, p)
 	}
