--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -196,7 +196,7 @@
 		p.lastHeard = now
 		m.set(now, p, said, "reported by a peer")
 	}
-	if !direct && m.adopts(p, e, said) {
+	if !direct && m.acceptsReport(p, e, said) {
 		m.set(now, p, said, "reported by a peer")
 	}
 }
@@ -211,7 +211,7 @@
 // adopts decides whether to take a peer's word about another daemon. A death
 // counts, unless this daemon is cut off, so that the daemon learns of it
 // wherever it turns; a suspicion counts unless this one has newer evidence.
-func (m *Membership) adopts(p *peer, e Entry, said State) bool {
+func (m *Membership) acceptsReport(p *peer, e Entry, said State) bool {
 	if !m.gossips() || said <= p.entry.State {
 		return false
 	}
