--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -215,7 +215,7 @@
 	if !m.gossips() || said <= p.entry.State {
 		return false
 	}
-	if m.rings.on && !m.wordCounts(p, said) {
+	if m.rings.on && !m.acceptsOnRings(p, said) {
 		return false
 	}
 	if said == Dead {
@@ -226,7 +226,7 @@
 
 // wordCounts says whether another daemon's word about a state is worth anything
 // in a large fleet.
-func (m *Membership) wordCounts(p *peer, said State) bool {
+func (m *Membership) acceptsOnRings(p *peer, said State) bool {
 	switch said {
 	case Partitioned:
 		// Who can reach a daemon differs from one to the next.
