--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -108,7 +108,7 @@
 // chooseOn finds the neighbours on one ring, and those who are gone from
 // between them and this daemon.
 func (m *Membership) chooseOn(ring int) {
-	next, previous := m.nextTo(m.positions[ring], ring, nil)
+	next, previous := m.adjacent(m.positions[ring], ring, nil)
 	ahead, behind := ^uint64(0), ^uint64(0)
 	if next != nil {
 		next.near, previous.near = true, true
@@ -123,7 +123,7 @@
 
 // nextTo finds the daemons that follow and precede a position of a ring, other
 // than one; nil where there are none.
-func (m *Membership) nextTo(at uint64, ring int, except *peer) (next, previous *peer) {
+func (m *Membership) adjacent(at uint64, ring int, except *peer) (next, previous *peer) {
 	for _, name := range m.order {
 		p := m.peers[name]
 		if p == except || !m.onRings(p) {
@@ -145,7 +145,7 @@
 	var out []*peer
 	seen := map[*peer]bool{}
 	for ring := range m.cfg.Rings {
-		next, previous := m.nextTo(p.at[ring], ring, p)
+		next, previous := m.adjacent(p.at[ring], ring, p)
 		for _, q := range []*peer{next, previous} {
 			if q != nil && q.seen && !seen[q] {
 				seen[q] = true
