--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -95,7 +95,7 @@
 		return
 	}
 	for ring := range m.cfg.Rings {
-		m.chooseOn(ring)
+		m.chooseOnRing(ring)
 	}
 	for _, p := range m.peers {
 		if p.near && !before[p] {
@@ -107,7 +107,7 @@
 
 // chooseOn finds the neighbours on one ring, and those who are gone from
 // between them and this daemon.
-func (m *Membership) chooseOn(ring int) {
+func (m *Membership) chooseOnRing(ring int) {
 	next, previous := m.adjacent(m.positions[ring], ring, nil)
 	ahead, behind := ^uint64(0), ^uint64(0)
 	if next != nil {
