--- a/core/member/member.go
+++ b/core/member/member.go
@@ -221,7 +221,7 @@
 
 func (m *Membership) runPeriod(now time.Duration) {
 	if m.cfg.Mode == Partial {
-		m.syncNext(now)
+		m.requestSync(now)
 		m.probeSuspects(now)
 		m.probeNext(now)
 		m.shuffleNext(now)
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -9,7 +9,7 @@
 // syncNext, while listed daemons were neither heard of nor found dead, asks one
 // for all that it knows: at the daemon's own start, and while a whole fleet
 // starts.
-func (m *Membership) syncNext(now time.Duration) {
+func (m *Membership) requestSync(now time.Duration) {
 	if now < m.partial.sync {
 		return
 	}
