--- a/core/member/member.go
+++ b/core/member/member.go
@@ -224,7 +224,7 @@
 		m.requestSync(now)
 		m.probeSuspects(now)
 		m.probeNext(now)
-		m.shuffleNext(now)
+		m.shuffleView(now)
 		m.reviveOne(now)
 		return
 	}
--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -11,7 +11,7 @@
 // shuffleNext, now and then, exchanges a few entries with the neighbour that
 // has been in the view longest, so that daemons which the host list lacks are
 // found and stale entries fade out.
-func (m *Membership) shuffleNext(now time.Duration) {
+func (m *Membership) shuffleView(now time.Duration) {
 	s := &m.partial
 	if now < s.shuffle {
 		return
