--- a/core/member/member.go
+++ b/core/member/member.go
@@ -225,7 +225,7 @@
 		m.probeSuspects(now)
 		m.probeNext(now)
 		m.shuffleView(now)
-		m.reviveOne(now)
+		m.probeDead(now)
 		return
 	}
 	if m.rings.on {
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -122,7 +122,7 @@
 }
 
 // reviveOne sends a probe to one dead daemon now and then.
-func (m *Membership) reviveOne(now time.Duration) {
+func (m *Membership) probeDead(now time.Duration) {
 	if now < m.partial.revive {
 		return
 	}
