--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -71,17 +71,17 @@
 	reply := m.viewSample(p.entry.Process.Daemon)
 	m.send(p, Message{Kind: ShuffleReply, Seq: msg.Seq, Entries: reply})
 	// The asker itself comes into the view fresh, beside what it offered.
-	m.takeNeighbours(append([]id.Daemon{p.entry.Process.Daemon}, names(msg.Entries)...), names(reply))
+	m.mergeView(append([]id.Daemon{p.entry.Process.Daemon}, names(msg.Entries)...), names(reply))
 }
 
 func (m *Membership) onShuffleReply(msg Message) {
-	m.takeNeighbours(names(msg.Entries), m.partial.sent)
+	m.mergeView(names(msg.Entries), m.partial.sent)
 	m.partial.sent = nil
 }
 
 // takeNeighbours puts names into the view: into free slots first, then in
 // place of those that were sent away.
-func (m *Membership) takeNeighbours(got, sent []id.Daemon) {
+func (m *Membership) mergeView(got, sent []id.Daemon) {
 	s := &m.partial
 	for _, name := range got {
 		inView := slices.ContainsFunc(s.view, func(n neighbour) bool { return n.name == name })
