--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -26,7 +26,7 @@
 	// results holds the newest probes' success.
 	results []bool
 	queue   news
-	view    []neighbour
+	view    []viewSlot
 	sent    []id.Daemon
 	shuffle time.Duration
 	revive  time.Duration
@@ -43,7 +43,7 @@
 }
 
 // neighbour is one slot of the sample that shuffles exchange.
-type neighbour struct {
+type viewSlot struct {
 	name id.Daemon
 	age  int
 }
--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -24,8 +24,8 @@
 	for i := range s.view {
 		s.view[i].age++
 	}
-	oldest := slices.MaxFunc(s.view, func(a, b neighbour) int { return cmp.Compare(a.age, b.age) })
-	s.view = slices.DeleteFunc(s.view, func(n neighbour) bool { return n.name == oldest.name })
+	oldest := slices.MaxFunc(s.view, func(a, b viewSlot) int { return cmp.Compare(a.age, b.age) })
+	s.view = slices.DeleteFunc(s.view, func(n viewSlot) bool { return n.name == oldest.name })
 	entries := m.viewSample(oldest.name)
 	s.sent = names(entries)
 	m.send(m.peers[oldest.name], Message{Kind: Shuffle, Entries: entries})
@@ -35,7 +35,7 @@
 // that is known.
 func (m *Membership) fillView() {
 	s := &m.partial
-	s.view = slices.DeleteFunc(s.view, func(n neighbour) bool { return !m.present(n.name) })
+	s.view = slices.DeleteFunc(s.view, func(n viewSlot) bool { return !m.present(n.name) })
 	if len(s.view) > 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 	m.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	for _, name := range candidates {
 		if len(s.view) < m.cfg.ViewSize && m.present(name) {
-			s.view = append(s.view, neighbour{name: name})
+			s.view = append(s.view, viewSlot{name: name})
 		}
 	}
 }
@@ -84,18 +84,18 @@
 func (m *Membership) mergeView(got, sent []id.Daemon) {
 	s := &m.partial
 	for _, name := range got {
-		inView := slices.ContainsFunc(s.view, func(n neighbour) bool { return n.name == name })
+		inView := slices.ContainsFunc(s.view, func(n viewSlot) bool { return n.name == name })
 		if inView || name == m.self.Process.Daemon || !m.present(name) {
 			continue
 		}
 		if len(s.view) >= m.cfg.ViewSize {
-			at := slices.IndexFunc(s.view, func(n neighbour) bool { return slices.Contains(sent, n.name) })
+			at := slices.IndexFunc(s.view, func(n viewSlot) bool { return slices.Contains(sent, n.name) })
 			if at < 0 {
 				return
 			}
 			s.view = slices.Delete(s.view, at, at+1)
 		}
-		s.view = append(s.view, neighbour{name: name})
+		s.view = append(s.view, viewSlot{name: name})
 	}
 }
 
