--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -126,7 +126,7 @@
 func (m *Membership) expediteUpdates() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.SpreadPause) }
 
 // noteworthy says whether a daemon tells of itself what all others must know.
-func noteworthy(old, now Entry) bool {
+func mustSpread(old, now Entry) bool {
 	return old.Watched != now.Watched || old.StoreLost != now.StoreLost || old.Stale != now.Stale ||
 		(old.Revision == 0) != (now.Revision == 0) || old.CallerAddress != now.CallerAddress
 }
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -102,7 +102,7 @@
 		return true
 	}
 	fresh := e.Beat > p.entry.Beat
-	news := fresh && noteworthy(p.entry, e)
+	news := fresh && mustSpread(p.entry, e)
 	if fresh {
 		copyReport(&p.entry, e)
 	}
