--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -194,7 +194,7 @@
 // askReturned asks a daemon that has come back for all that it knows: it may have
 // been cut off together with others.
 func (m *Membership) syncReturned(now time.Duration, p *peer) {
-	if !m.rings.on || now < m.rings.returnedAskAt {
+	if !m.rings.enabled || now < m.rings.returnedAskAt {
 		return
 	}
 	m.rings.returnedAskAt = now + returnedPause
@@ -203,7 +203,7 @@
 
 // noteHeartbeat notes a heartbeat of a daemon that watches this one.
 func (m *Membership) noteHeartbeat(now time.Duration, p *peer, msg Message) {
-	if !m.rings.on {
+	if !m.rings.enabled {
 		return
 	}
 	if msg.Watching {
@@ -226,7 +226,7 @@
 	} else if r.wantedAt == 0 {
 		r.wantedAt = now
 	}
-	watched := r.wantsWatched && (!r.on || now-r.wantedAt >= settleWatched)
+	watched := r.wantsWatched && (!r.enabled || now-r.wantedAt >= settleWatched)
 	if watched == m.self.Watched {
 		return
 	}
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -33,7 +33,7 @@
 	switch {
 	case m.cfg.Mode == Partial:
 		isolated = m.partial.failing()
-	case m.rings.on && m.isolated && (2*near.reached <= near.known || all.beyond > 0 && near.reachedBeyond == 0):
+	case m.rings.enabled && m.isolated && (2*near.reached <= near.known || all.beyond > 0 && near.reachedBeyond == 0):
 		// Those it lost were replaced by others, which it has not heard either, or by
 		// those of its own failure domain, which may be cut off as a whole.
 		isolated = true
@@ -116,7 +116,7 @@
 	}
 	silence, suspectAfter := m.silence(now, p), m.suspectAfter(p)
 	askAfter := suspectAfter
-	if m.rings.on {
+	if m.rings.enabled {
 		// Its other neighbours may have heard it: nobody else then learns of a
 		// suspicion that is none.
 		askAfter /= 2
@@ -139,7 +139,7 @@
 // large fleet, has not heard since. There are many to find out about, a few at a
 // time.
 func (m *Membership) cutOff(p *peer) bool {
-	return m.rings.on && m.isolated && p.lastDirect < m.isolatedAt
+	return m.rings.enabled && m.isolated && p.lastDirect < m.isolatedAt
 }
 
 // judgeSuspect, in Partial mode, lets a suspicion run out. Whoever raised it
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -92,7 +92,7 @@
 
 // SetLocal sets what the next messages say.
 func (m *Membership) SetLocal(l Local) {
-	if m.rings.on && (l.Revision == 0) != (m.self.Revision == 0) {
+	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
 		// It can take duties from now on, or no more.
 		m.expediteUpdates()
 	}
@@ -101,7 +101,7 @@
 	m.self.Settings = l.Settings
 	m.rings.wantsWatched = l.Watched && m.cfg.WatchedPeriod > 0
 	m.rings.linked = l.Linked
-	if !m.rings.on {
+	if !m.rings.enabled {
 		m.updateWatched(m.lastBeat)
 	}
 	if l.StoreLost != m.self.StoreLost {
@@ -119,7 +119,7 @@
 // them: the others act on what they say.
 func (m *Membership) expediteHeartbeat() {
 	m.nextBeat = min(m.nextBeat, m.lastBeat+m.basePeriod())
-	if m.rings.on {
+	if m.rings.enabled {
 		m.expediteUpdates()
 	}
 }
@@ -202,7 +202,7 @@
 	if m.self.Watched {
 		most = m.cfg.MostWatched
 	}
-	if m.rings.on && !m.self.Watched {
+	if m.rings.enabled && !m.self.Watched {
 		return max(m.basePeriod(), m.cfg.NearPeriod)
 	}
 	if most <= 0 || m.cfg.Mode != Mesh {
@@ -228,7 +228,7 @@
 		m.probeDead(now)
 		return
 	}
-	if m.rings.on {
+	if m.rings.enabled {
 		m.syncNeighbour(now)
 		m.sendRingHeartbeats(now)
 		return
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -40,7 +40,7 @@
 // helpers chooses up to n alive peers other than p at random.
 func (m *Membership) helpers(p *peer, n int) []*peer {
 	candidates := make([]*peer, 0, len(m.order))
-	if m.rings.on {
+	if m.rings.enabled {
 		candidates = m.watchers(p)
 	} else {
 		for _, name := range m.order {
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -195,14 +195,14 @@
 }
 
 // gossips says whether changes are told from daemon to daemon.
-func (m *Membership) gossips() bool { return m.cfg.Mode == Partial || m.rings.on }
+func (m *Membership) gossips() bool { return m.cfg.Mode == Partial || m.rings.enabled }
 
 // enqueue has news sent on with the next messages.
 func (m *Membership) enqueue(e Entry) {
 	if !m.gossips() || m.mergingSync {
 		return
 	}
-	if m.rings.on {
+	if m.rings.enabled {
 		m.enqueueUpdate(e)
 		return
 	}
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -93,7 +93,7 @@
 		m.rings.stale = true
 		p.stateSince = now
 		p.suspectedLocally = false
-		if p.seen && !(m.rings.on && m.isolated && s == Partitioned) {
+		if p.seen && !(m.rings.enabled && m.isolated && s == Partitioned) {
 			// What one that is cut off can't reach says nothing to the others.
 			m.enqueue(p.entry)
 		}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -180,7 +180,7 @@
 		p.entry.Epoch = e.Epoch
 		p.lastHeard = now
 		m.set(now, p, said, "a new epoch")
-		if m.rings.on {
+		if m.rings.enabled {
 			// Also where it changes nothing here: others may hold it for suspect.
 			m.enqueue(p.entry)
 		}
@@ -215,7 +215,7 @@
 	if !m.gossips() || said <= p.entry.State {
 		return false
 	}
-	if m.rings.on && !m.acceptsOnRings(p, said) {
+	if m.rings.enabled && !m.acceptsOnRings(p, said) {
 		return false
 	}
 	if said == Dead {
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -12,7 +12,7 @@
 // neighbours, instead of all others.
 type rings struct {
 	// on is set while the fleet is so large.
-	on bool
+	enabled bool
 	// stale is set when the neighbours must be chosen anew.
 	stale bool
 	// news waits to be told to the neighbours.
@@ -83,7 +83,7 @@
 // daemon are those whom it watches.
 func (m *Membership) chooseNeighbours(now time.Duration) {
 	m.rings.stale = false
-	m.rings.on = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
+	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
 	before := make(map[*peer]bool, 2*m.cfg.Rings)
 	for _, p := range m.peers {
 		if p.near {
@@ -91,7 +91,7 @@
 		}
 		p.near, p.gap = false, false
 	}
-	if !m.rings.on {
+	if !m.rings.enabled {
 		return
 	}
 	for ring := range m.cfg.Rings {
@@ -159,13 +159,13 @@
 // watches says whether this daemon judges a peer by its silence: it should hear
 // its heartbeats.
 func (m *Membership) watches(p *peer) bool {
-	return !m.rings.on || p.near || (p.entry.Watched && p.watchedAt > 0)
+	return !m.rings.enabled || p.near || (p.entry.Watched && p.watchedAt > 0)
 }
 
 // silence is for how long a peer that this daemon watches was not heard.
 func (m *Membership) silence(now time.Duration, p *peer) time.Duration {
 	heard := p.lastHeard
-	if m.rings.on {
+	if m.rings.enabled {
 		heard = max(heard, p.nearSince)
 	}
 	return now - heard
@@ -173,4 +173,4 @@
 
 // Large says whether the fleet is so large that each daemon watches a few
 // neighbours, instead of all others.
-func (m *Membership) Large() bool { return m.rings.on }
+func (m *Membership) Large() bool { return m.rings.enabled }
