--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -42,7 +42,7 @@
 		return
 	}
 	m.isolated, m.isolatedAt = isolated, now
-	m.rings.stale = true
+	m.rings.neighboursStale = true
 	m.rings.rejoinUntil = 0
 	if !isolated {
 		// What the others found out meanwhile is to be learnt.
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -169,7 +169,7 @@
 func (m *Membership) Tick(now time.Duration) []Action {
 	m.noteStall(now)
 	m.updateWatched(now)
-	if m.rings.stale {
+	if m.rings.neighboursStale {
 		m.chooseNeighbours(now)
 	}
 	if now >= m.nextBeat {
@@ -329,7 +329,7 @@
 	for _, name := range m.order {
 		m.reportState(m.peers[name], "host list")
 	}
-	if m.rings.stale {
+	if m.rings.neighboursStale {
 		// Those that are new here should not wait for the next heartbeats.
 		m.chooseNeighbours(now)
 		m.expediteUpdates()
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -48,7 +48,7 @@
 	p := &peer{lastHeard: now, lastDirect: now - m.cfg.DeadAfter, stateSince: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
 	p.entry = Entry{Process: id.Process{Daemon: name}, State: Suspect}
 	p.at = m.cfg.positions(name)
-	m.rings.stale = true
+	m.rings.neighboursStale = true
 	m.peers[name] = p
 	at, _ := slices.BinarySearch(m.order, name)
 	m.order = slices.Insert(m.order, at, name)
@@ -57,7 +57,7 @@
 
 func (m *Membership) forget(name id.Daemon) {
 	delete(m.peers, name)
-	m.rings.stale = true
+	m.rings.neighboursStale = true
 	if at, ok := slices.BinarySearch(m.order, name); ok {
 		m.order = slices.Delete(m.order, at, at+1)
 	}
@@ -90,7 +90,7 @@
 func (m *Membership) set(now time.Duration, p *peer, s State, reason string) {
 	if p.entry.State != s {
 		p.entry.State = s
-		m.rings.stale = true
+		m.rings.neighboursStale = true
 		p.stateSince = now
 		p.suspectedLocally = false
 		if p.seen && !(m.rings.enabled && m.isolated && s == Partitioned) {
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -160,7 +160,7 @@
 		p.noteWatched(now)
 	}
 	p.reported = 0
-	m.rings.stale = true
+	m.rings.neighboursStale = true
 	m.enqueue(e)
 	m.reportState(p, "first heard")
 	if direct && m.cfg.Mode == Mesh && !m.halted {
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -14,7 +14,7 @@
 	// on is set while the fleet is so large.
 	enabled bool
 	// stale is set when the neighbours must be chosen anew.
-	stale bool
+	neighboursStale bool
 	// news waits to be told to the neighbours.
 	news news
 	// digest is what this daemon knows of who is there, as last told.
@@ -82,7 +82,7 @@
 // All daemons that know the same others choose alike, so that those who watch a
 // daemon are those whom it watches.
 func (m *Membership) chooseNeighbours(now time.Duration) {
-	m.rings.stale = false
+	m.rings.neighboursStale = false
 	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
 	before := make(map[*peer]bool, 2*m.cfg.Rings)
 	for _, p := range m.peers {
