--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -48,7 +48,7 @@
 // and, where it keeps connections to all others, to these.
 func (m *Membership) sendRingHeartbeats(now time.Duration) {
 	news := m.rings.news.take(mostNews, newsRepeats)
-	m.rings.digest = m.digest()
+	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.tellAllUntil
 	m.rings.toldAll = m.rings.toldAll || m.self.Watched
@@ -76,7 +76,7 @@
 
 func (m *Membership) sendNeighbour(now time.Duration, p *peer, news []Entry) {
 	p.sentAt = now
-	m.send(p, Message{Kind: Heartbeat, Watching: p.near, Digest: m.rings.digest, Entries: slices.Clone(news)})
+	m.send(p, Message{Kind: Heartbeat, Watching: p.near, Digest: m.rings.sentDigest, Entries: slices.Clone(news)})
 }
 
 func (m *Membership) sendKeepalive(now time.Duration, p *peer) {
@@ -152,7 +152,7 @@
 // compare takes a neighbour's digest. One that has differed for long has missed
 // news, or this daemon has.
 func (m *Membership) compareDigest(now time.Duration, p *peer, digest uint64) {
-	if digest == 0 || digest == m.rings.digest {
+	if digest == 0 || digest == m.rings.sentDigest {
 		p.agreedAt = now
 		return
 	}
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -18,7 +18,7 @@
 	// news waits to be told to the neighbours.
 	news news
 	// digest is what this daemon knows of who is there, as last told.
-	digest uint64
+	sentDigest uint64
 	// rejoinUntil is until when this daemon, which was isolated, takes over what
 	// others know.
 	rejoinUntil time.Duration
