--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -47,7 +47,7 @@
 // beatNear sends heartbeats to the neighbours, to those that watch this daemon
 // and, where it keeps connections to all others, to these.
 func (m *Membership) sendRingHeartbeats(now time.Duration) {
-	news := m.rings.news.take(mostNews, newsRepeats)
+	news := m.rings.updates.take(mostNews, newsRepeats)
 	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.tellAllUntil
@@ -69,7 +69,7 @@
 		}
 	}
 	m.keepConnections(now)
-	if len(m.rings.news) > 0 {
+	if len(m.rings.updates) > 0 {
 		m.nextBeat = min(m.nextBeat, now+m.cfg.SpreadPause)
 	}
 }
@@ -117,7 +117,7 @@
 func (m *Membership) enqueueUpdate(e Entry) {
 	if e.Process.Daemon != m.self.Process.Daemon {
 		// Each heartbeat tells of this daemon itself.
-		m.rings.news.put(e)
+		m.rings.updates.put(e)
 	}
 	m.expediteUpdates()
 }
