--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -194,10 +194,10 @@
 // askReturned asks a daemon that has come back for all that it knows: it may have
 // been cut off together with others.
 func (m *Membership) syncReturned(now time.Duration, p *peer) {
-	if !m.rings.enabled || now < m.rings.returnedAskAt {
+	if !m.rings.enabled || now < m.rings.returnedSyncAt {
 		return
 	}
-	m.rings.returnedAskAt = now + returnedPause
+	m.rings.returnedSyncAt = now + returnedPause
 	m.send(p, Message{Kind: Sync})
 }
 
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -25,7 +25,7 @@
 	// syncAt is when a neighbour may be asked for all that it knows.
 	syncAt time.Duration
 	// returnedAskAt is when one that has come back may be asked.
-	returnedAskAt time.Duration
+	returnedSyncAt time.Duration
 	// wantsWatched is what the daemon last said of itself, wantedAt since when;
 	// linked is set while it keeps connections to all others.
 	wantsWatched bool
