--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -222,11 +222,11 @@
 func (m *Membership) updateWatched(now time.Duration) {
 	r := &m.rings
 	if !r.wantsWatched {
-		r.wantedAt = 0
-	} else if r.wantedAt == 0 {
-		r.wantedAt = now
+		r.wantsWatchedSince = 0
+	} else if r.wantsWatchedSince == 0 {
+		r.wantsWatchedSince = now
 	}
-	watched := r.wantsWatched && (!r.enabled || now-r.wantedAt >= settleWatched)
+	watched := r.wantsWatched && (!r.enabled || now-r.wantsWatchedSince >= settleWatched)
 	if watched == m.self.Watched {
 		return
 	}
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -28,9 +28,9 @@
 	returnedSyncAt time.Duration
 	// wantsWatched is what the daemon last said of itself, wantedAt since when;
 	// linked is set while it keeps connections to all others.
-	wantsWatched bool
-	wantedAt     time.Duration
-	linked       bool
+	wantsWatched      bool
+	wantsWatchedSince time.Duration
+	linked            bool
 	// toldAll is set once all have been told that the daemon is watched, and
 	// tellAllUntil is until when they are told that it is no more.
 	toldAll      bool
