--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -51,7 +51,7 @@
 	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.tellAllUntil
-	m.rings.toldAll = m.rings.toldAll || m.self.Watched
+	m.rings.announcedToAll = m.rings.announcedToAll || m.self.Watched
 	for _, name := range m.order {
 		p := m.peers[name]
 		if !m.onRings(p) {
@@ -230,10 +230,10 @@
 	if watched == m.self.Watched {
 		return
 	}
-	if r.toldAll && !watched {
+	if r.announcedToAll && !watched {
 		r.tellAllUntil = now + tellAllFor
 	}
-	r.toldAll = false
+	r.announcedToAll = false
 	m.self.Watched = watched
 	m.expediteHeartbeat()
 }
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -33,8 +33,8 @@
 	linked            bool
 	// toldAll is set once all have been told that the daemon is watched, and
 	// tellAllUntil is until when they are told that it is no more.
-	toldAll      bool
-	tellAllUntil time.Duration
+	announcedToAll bool
+	tellAllUntil   time.Duration
 	// linkAt is where in the order the next heartbeats to all others go on.
 	linkAt int
 }
