--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -50,7 +50,7 @@
 	news := m.rings.updates.take(mostNews, newsRepeats)
 	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
-	toAll := m.self.Watched || now < m.rings.tellAllUntil
+	toAll := m.self.Watched || now < m.rings.announceUntil
 	m.rings.announcedToAll = m.rings.announcedToAll || m.self.Watched
 	for _, name := range m.order {
 		p := m.peers[name]
@@ -231,7 +231,7 @@
 		return
 	}
 	if r.announcedToAll && !watched {
-		r.tellAllUntil = now + tellAllFor
+		r.announceUntil = now + tellAllFor
 	}
 	r.announcedToAll = false
 	m.self.Watched = watched
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -34,7 +34,7 @@
 	// toldAll is set once all have been told that the daemon is watched, and
 	// tellAllUntil is until when they are told that it is no more.
 	announcedToAll bool
-	tellAllUntil   time.Duration
+	announceUntil  time.Duration
 	// linkAt is where in the order the next heartbeats to all others go on.
 	linkAt int
 }
