--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -105,8 +105,8 @@
 	}
 	share := float64(m.ownPeriod()) / float64(linkEvery)
 	for range min(len(m.order), 1+int(share*float64(len(m.order)))) {
-		p := m.peers[m.order[m.rings.linkAt%len(m.order)]]
-		m.rings.linkAt++
+		p := m.peers[m.order[m.rings.keepaliveIndex%len(m.order)]]
+		m.rings.keepaliveIndex++
 		if p.seen && !p.absent() && now-p.sentAt >= linkEvery/2 {
 			m.sendKeepalive(now, p)
 		}
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -36,7 +36,7 @@
 	announcedToAll bool
 	announceUntil  time.Duration
 	// linkAt is where in the order the next heartbeats to all others go on.
-	linkAt int
+	keepaliveIndex int
 }
 
 // place is what the rings say of a peer.
