--- a/core/member/news.go
+++ b/core/member/news.go
@@ -23,10 +23,10 @@
 }
 
 // news waits to be sent on, the newest of each daemon.
-type news []update
+type updateQueue []update
 
 // put adds news of a daemon in place of what waited of it.
-func (n *news) put(e Entry) {
+func (n *updateQueue) put(e Entry) {
 	*n = slices.DeleteFunc(*n, func(u update) bool { return u.entry.Process.Daemon == e.Process.Daemon })
 	if len(*n) < maxUpdates {
 		*n = append(*n, update{entry: e})
@@ -35,7 +35,7 @@
 
 // take gives up to so many entries for one message, bad news first, then what
 // was sent least often, and drops what was sent often enough.
-func (n *news) take(most, repeats int) []Entry {
+func (n *updateQueue) take(most, repeats int) []Entry {
 	if len(*n) == 0 {
 		return nil
 	}
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -25,7 +25,7 @@
 	probes []probe
 	// results holds the newest probes' success.
 	results []bool
-	queue   news
+	queue   updateQueue
 	view    []viewSlot
 	sent    []id.Daemon
 	shuffle time.Duration
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -16,7 +16,7 @@
 	// stale is set when the neighbours must be chosen anew.
 	neighboursStale bool
 	// news waits to be told to the neighbours.
-	updates news
+	updates updateQueue
 	// digest is what this daemon knows of who is there, as last told.
 	sentDigest uint64
 	// rejoinUntil is until when this daemon, which was isolated, takes over what
