--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -13,7 +13,7 @@
 	// neighbour: a datagram may be lost, and each daemon has several neighbours.
 	newsRepeats = 3
 	// mostNews bounds the pieces of news on one heartbeat.
-	mostNews = 24
+	maxUpdatesPerHeartbeat = 24
 	// agreeWithin is how long a neighbour may know other daemons than this one
 	// before it is asked for all that it knows: news take less.
 	agreeWithin = 2 * time.Second
@@ -47,7 +47,7 @@
 // beatNear sends heartbeats to the neighbours, to those that watch this daemon
 // and, where it keeps connections to all others, to these.
 func (m *Membership) sendRingHeartbeats(now time.Duration) {
-	news := m.rings.updates.take(mostNews, newsRepeats)
+	news := m.rings.updates.take(maxUpdatesPerHeartbeat, newsRepeats)
 	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.announceUntil
