--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -11,7 +11,7 @@
 const (
 	// newsRepeats is in how many heartbeats a piece of news goes to each
 	// neighbour: a datagram may be lost, and each daemon has several neighbours.
-	newsRepeats = 3
+	updateRepeats = 3
 	// mostNews bounds the pieces of news on one heartbeat.
 	maxUpdatesPerHeartbeat = 24
 	// agreeWithin is how long a neighbour may know other daemons than this one
@@ -47,7 +47,7 @@
 // beatNear sends heartbeats to the neighbours, to those that watch this daemon
 // and, where it keeps connections to all others, to these.
 func (m *Membership) sendRingHeartbeats(now time.Duration) {
-	news := m.rings.updates.take(maxUpdatesPerHeartbeat, newsRepeats)
+	news := m.rings.updates.take(maxUpdatesPerHeartbeat, updateRepeats)
 	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.announceUntil
