--- a/core/member/news.go
+++ b/core/member/news.go
@@ -6,7 +6,7 @@
 )
 
 // maxUpdates bounds the updates that wait to be sent on.
-const maxUpdates = 1024
+const maxQueuedUpdates = 1024
 
 // update is news to be sent on with other messages.
 type update struct {
@@ -28,7 +28,7 @@
 // put adds news of a daemon in place of what waited of it.
 func (n *updateQueue) put(e Entry) {
 	*n = slices.DeleteFunc(*n, func(u update) bool { return u.entry.Process.Daemon == e.Process.Daemon })
-	if len(*n) < maxUpdates {
+	if len(*n) < maxQueuedUpdates {
 		*n = append(*n, update{entry: e})
 	}
 }
