--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -102,7 +102,7 @@
 	m.seq++
 	ends := now + m.cfg.ProbeTimeout
 	m.partial.probes = append(m.partial.probes, probe{seq: m.seq, target: p.entry.Process.Daemon, ends: ends})
-	m.send(p, Message{Kind: Probe, Seq: m.seq, Entries: m.updates()})
+	m.send(p, Message{Kind: Probe, Seq: m.seq, Entries: m.takeUpdates()})
 }
 
 func (m *Membership) nextTarget() *peer {
@@ -210,6 +210,6 @@
 }
 
 // updates is what goes with one message, until all have heard of it.
-func (m *Membership) updates() []Entry {
+func (m *Membership) takeUpdates() []Entry {
 	return m.partial.queue.take(m.cfg.Updates, spreadFactor*bits.Len(uint(len(m.order)+1)))
 }
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -43,7 +43,7 @@
 			m.send(p, Message{Kind: Ack})
 		}
 	case Probe:
-		m.send(p, Message{Kind: Ack, Seq: msg.Seq, Entries: m.updates()})
+		m.send(p, Message{Kind: Ack, Seq: msg.Seq, Entries: m.takeUpdates()})
 	case Ack:
 		m.onAck(now, p, msg)
 	case ProbeRequest:
