--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -29,7 +29,7 @@
 	rejoinFor = 5 * time.Second
 	// linkEvery is the time between heartbeats to all others of a daemon that
 	// keeps connections to them; connections rest for longer.
-	linkEvery = 2 * time.Second
+	keepaliveEvery = 2 * time.Second
 	// settleWatched is how long a daemon must want to be watched before it says
 	// so: one that has just started may take itself for an owner until it has
 	// heard of the others, and would connect to all of them.
@@ -103,11 +103,11 @@
 	if !m.rings.linked || m.self.Watched || len(m.order) == 0 {
 		return
 	}
-	share := float64(m.ownPeriod()) / float64(linkEvery)
+	share := float64(m.ownPeriod()) / float64(keepaliveEvery)
 	for range min(len(m.order), 1+int(share*float64(len(m.order)))) {
 		p := m.peers[m.order[m.rings.keepaliveIndex%len(m.order)]]
 		m.rings.keepaliveIndex++
-		if p.seen && !p.absent() && now-p.sentAt >= linkEvery/2 {
+		if p.seen && !p.absent() && now-p.sentAt >= keepaliveEvery/2 {
 			m.sendKeepalive(now, p)
 		}
 	}
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -344,7 +344,7 @@
 			}
 			return false
 		}
-		f.run(2 * linkEvery)
+		f.run(2 * keepaliveEvery)
 		is.Equal(len(reached), len(f.names)-1)
 	})
 }
