--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -33,7 +33,7 @@
 	// settleWatched is how long a daemon must want to be watched before it says
 	// so: one that has just started may take itself for an owner until it has
 	// heard of the others, and would connect to all of them.
-	settleWatched = 1500 * time.Millisecond
+	watchedDelay = 1500 * time.Millisecond
 	// tellAllFor is how long all are told that a daemon is watched no more.
 	tellAllFor = 2 * time.Second
 	// longGone is after how long a daemon that is gone is tried only every
@@ -226,7 +226,7 @@
 	} else if r.wantsWatchedSince == 0 {
 		r.wantsWatchedSince = now
 	}
-	watched := r.wantsWatched && (!r.enabled || now-r.wantsWatchedSince >= settleWatched)
+	watched := r.wantsWatched && (!r.enabled || now-r.wantsWatchedSince >= watchedDelay)
 	if watched == m.self.Watched {
 		return
 	}
