--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -35,7 +35,7 @@
 	// heard of the others, and would connect to all of them.
 	watchedDelay = 1500 * time.Millisecond
 	// tellAllFor is how long all are told that a daemon is watched no more.
-	tellAllFor = 2 * time.Second
+	announceFor = 2 * time.Second
 	// longGone is after how long a daemon that is gone is tried only every
 	// longGoneEvery: most won't come back under their name.
 	longGone      = time.Minute
@@ -231,7 +231,7 @@
 		return
 	}
 	if r.announcedToAll && !watched {
-		r.announceUntil = now + tellAllFor
+		r.announceUntil = now + announceFor
 	}
 	r.announcedToAll = false
 	m.self.Watched = watched
