--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -38,7 +38,7 @@
 	announceFor = 2 * time.Second
 	// longGone is after how long a daemon that is gone is tried only every
 	// longGoneEvery: most won't come back under their name.
-	longGone      = time.Minute
+	longAbsent    = time.Minute
 	longGoneEvery = 10 * time.Second
 	// unmetFor is how long a listed daemon that nobody has heard of is waited for.
 	unmetFor = 10 * time.Second
@@ -91,7 +91,7 @@
 		return
 	}
 	p.reviveAt = now + m.cfg.ReviveEvery
-	if now-p.stateSince >= longGone {
+	if now-p.stateSince >= longAbsent {
 		p.reviveAt = now + longGoneEvery
 	}
 	m.send(p, Message{Kind: Heartbeat, Watching: true})
