--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -38,8 +38,8 @@
 	announceFor = 2 * time.Second
 	// longGone is after how long a daemon that is gone is tried only every
 	// longGoneEvery: most won't come back under their name.
-	longAbsent    = time.Minute
-	longGoneEvery = 10 * time.Second
+	longAbsent      = time.Minute
+	longAbsentRetry = 10 * time.Second
 	// unmetFor is how long a listed daemon that nobody has heard of is waited for.
 	unmetFor = 10 * time.Second
 )
@@ -92,7 +92,7 @@
 	}
 	p.reviveAt = now + m.cfg.ReviveEvery
 	if now-p.stateSince >= longAbsent {
-		p.reviveAt = now + longGoneEvery
+		p.reviveAt = now + longAbsentRetry
 	}
 	m.send(p, Message{Kind: Heartbeat, Watching: true})
 }
