--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -41,7 +41,7 @@
 	longAbsent      = time.Minute
 	longAbsentRetry = 10 * time.Second
 	// unmetFor is how long a listed daemon that nobody has heard of is waited for.
-	unmetFor = 10 * time.Second
+	unseenTimeout = 10 * time.Second
 )
 
 // beatNear sends heartbeats to the neighbours, to those that watch this daemon
@@ -242,7 +242,7 @@
 // tell of it, and are waited for.
 func (m *Membership) checkUnwatched(now time.Duration, p *peer) {
 	switch {
-	case !p.seen && now-p.stateSince >= unmetFor:
+	case !p.seen && now-p.stateSince >= unseenTimeout:
 		m.set(now, p, Dead, "listed and never heard")
 	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedTimeout():
 		m.declareLost(now, p)
