--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -16,7 +16,7 @@
 	maxUpdatesPerHeartbeat = 24
 	// agreeWithin is how long a neighbour may know other daemons than this one
 	// before it is asked for all that it knows: news take less.
-	agreeWithin = 2 * time.Second
+	digestGrace = 2 * time.Second
 	// syncPause is the least time between two such questions, startSync while
 	// most daemons were not heard of yet.
 	syncPause = 3 * time.Second
@@ -156,7 +156,7 @@
 		p.agreedAt = now
 		return
 	}
-	if now-p.agreedAt < agreeWithin || now < m.rings.syncAt {
+	if now-p.agreedAt < digestGrace || now < m.rings.syncAt {
 		return
 	}
 	m.rings.syncAt = now + syncPause
