--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -19,8 +19,8 @@
 	digestGrace = 2 * time.Second
 	// syncPause is the least time between two such questions, startSync while
 	// most daemons were not heard of yet.
-	syncPause = 3 * time.Second
-	startSync = 400 * time.Millisecond
+	syncInterval = 3 * time.Second
+	startSync    = 400 * time.Millisecond
 	// returnedPause is the least time between two such questions to daemons that
 	// have come back.
 	returnedPause = time.Second
@@ -159,7 +159,7 @@
 	if now-p.agreedAt < digestGrace || now < m.rings.syncAt {
 		return
 	}
-	m.rings.syncAt = now + syncPause
+	m.rings.syncAt = now + syncInterval
 	m.send(p, Message{Kind: Sync})
 }
 
@@ -184,7 +184,7 @@
 	if unmet == 0 && !rejoins || len(near) == 0 {
 		return
 	}
-	m.rings.syncAt = now + syncPause
+	m.rings.syncAt = now + syncInterval
 	if 2*unmet > len(m.order) {
 		m.rings.syncAt = now + startSync
 	}
