--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -19,8 +19,8 @@
 	digestGrace = 2 * time.Second
 	// syncPause is the least time between two such questions, startSync while
 	// most daemons were not heard of yet.
-	syncInterval = 3 * time.Second
-	startSync    = 400 * time.Millisecond
+	syncInterval      = 3 * time.Second
+	startSyncInterval = 400 * time.Millisecond
 	// returnedPause is the least time between two such questions to daemons that
 	// have come back.
 	returnedPause = time.Second
@@ -186,7 +186,7 @@
 	}
 	m.rings.syncAt = now + syncInterval
 	if 2*unmet > len(m.order) {
-		m.rings.syncAt = now + startSync
+		m.rings.syncAt = now + startSyncInterval
 	}
 	m.send(near[m.rng.IntN(len(near))], Message{Kind: Sync})
 }
