--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -23,7 +23,7 @@
 	startSyncInterval = 400 * time.Millisecond
 	// returnedPause is the least time between two such questions to daemons that
 	// have come back.
-	returnedPause = time.Second
+	returnedSyncInterval = time.Second
 	// rejoinFor is how long a daemon that was isolated asks its neighbours, one
 	// after another, for all that they know.
 	rejoinFor = 5 * time.Second
@@ -197,7 +197,7 @@
 	if !m.rings.enabled || now < m.rings.returnedSyncAt {
 		return
 	}
-	m.rings.returnedSyncAt = now + returnedPause
+	m.rings.returnedSyncAt = now + returnedSyncInterval
 	m.send(p, Message{Kind: Sync})
 }
 
