--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -7,7 +7,7 @@
 )
 
 // minGroup is the fewest daemons whose joint silence is a partition.
-const minGroup = 2
+const minPartition = 2
 
 // judge moves the silent along: suspect, then dead or partitioned.
 func (m *Membership) detectFailures(now time.Duration) {
@@ -72,7 +72,7 @@
 }
 
 // most says whether more than half of a group is lost.
-func (g group) most() bool { return g.lost >= minGroup && 2*g.lost > g.known }
+func (g group) most() bool { return g.lost >= minPartition && 2*g.lost > g.known }
 
 // countLost counts all that were heard of, and this daemon's neighbours.
 func (m *Membership) countLost(now time.Duration) (all, near group) {
@@ -187,9 +187,9 @@
 		}
 	}
 	if m.cfg.Mode == Partial {
-		return lost >= minGroup && lost == known
+		return lost >= minPartition && lost == known
 	}
-	return lost >= minGroup && float64(lost) >= m.cfg.DomainShare*float64(known)
+	return lost >= minPartition && float64(lost) >= m.cfg.DomainShare*float64(known)
 }
 
 // silentSince tells whether q, of p's failure domain, is silent as well. In
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -90,7 +90,7 @@
 			failed++
 		}
 	}
-	return failed >= minGroup && 2*failed > len(s.results)
+	return failed >= minPartition && 2*failed > len(s.results)
 }
 
 // probeNext probes the next daemon of a shuffled round over all that are not dead.
