--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -33,7 +33,7 @@
 	switch {
 	case m.cfg.Mode == Partial:
 		isolated = m.partial.failing()
-	case m.rings.enabled && m.isolated && (2*near.reached <= near.known || all.remote > 0 && near.reachedBeyond == 0):
+	case m.rings.enabled && m.isolated && (2*near.reached <= near.known || all.remote > 0 && near.reachedRemote == 0):
 		// Those it lost were replaced by others, which it has not heard either, or by
 		// those of its own failure domain, which may be cut off as a whole.
 		isolated = true
@@ -54,14 +54,14 @@
 // group counts the daemons of a group, those of them that are silent, and those
 // that were heard since this daemon was isolated; beyond and reachedBeyond are
 // those in other failure domains.
-type group struct{ known, lost, reached, remote, reachedBeyond int }
+type group struct{ known, lost, reached, remote, reachedRemote int }
 
 func (g *group) add(lost, reached, beyond bool) {
 	g.known++
 	g.lost += count(lost)
 	g.reached += count(reached)
 	g.remote += count(beyond)
-	g.reachedBeyond += count(reached && beyond)
+	g.reachedRemote += count(reached && beyond)
 }
 
 func count(yes bool) int {
