--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -29,7 +29,7 @@
 // judgeSelf finds out whether this daemon has lost most of the fleet at once.
 func (m *Membership) detectIsolation(now time.Duration) {
 	all, near := m.countLost(now)
-	isolated := all.most() || near.most()
+	isolated := all.mostLost() || near.mostLost()
 	switch {
 	case m.cfg.Mode == Partial:
 		isolated = m.partial.failing()
@@ -72,7 +72,7 @@
 }
 
 // most says whether more than half of a group is lost.
-func (g group) most() bool { return g.lost >= minPartition && 2*g.lost > g.known }
+func (g group) mostLost() bool { return g.lost >= minPartition && 2*g.lost > g.known }
 
 // countLost counts all that were heard of, and this daemon's neighbours.
 func (m *Membership) countLost(now time.Duration) (all, near group) {
