--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -58,13 +58,13 @@
 
 func (g *group) add(lost, reached, beyond bool) {
 	g.known++
-	g.lost += count(lost)
-	g.reached += count(reached)
-	g.remote += count(beyond)
-	g.reachedRemote += count(reached && beyond)
+	g.lost += boolToInt(lost)
+	g.reached += boolToInt(reached)
+	g.remote += boolToInt(beyond)
+	g.reachedRemote += boolToInt(reached && beyond)
 }
 
-func count(yes bool) int {
+func boolToInt(yes bool) int {
 	if yes {
 		return 1
 	}
