--- a/core/member/member.go
+++ b/core/member/member.go
@@ -209,7 +209,7 @@
 		return m.basePeriod()
 	}
 	bound := time.Duration(float64(m.seenPeers) / most * float64(time.Second))
-	return max(m.basePeriod(), min(bound, mostStretch*m.basePeriod()))
+	return max(m.basePeriod(), min(bound, maxPeriodFactor*m.basePeriod()))
 }
 
 // ownDeadAfter is after what silence others take this daemon for dead.
--- a/core/member/pace.go
+++ b/core/member/pace.go
@@ -4,7 +4,7 @@
 
 // mostStretch bounds how many times the configured period the time between
 // heartbeats may be, and is believed to be: whoever says more is suspected.
-const mostStretch = 16
+const maxPeriodFactor = 16
 
 // periodOf is the configured time between a daemon's heartbeats.
 func (c *Config) periodOf(e *Entry) time.Duration {
@@ -20,7 +20,7 @@
 	if e.Period <= period {
 		return 1
 	}
-	return min(float64(e.Period)/float64(period), mostStretch)
+	return min(float64(e.Period)/float64(period), maxPeriodFactor)
 }
 
 // suspectAfter is how long a daemon may be silent before it is suspected.
--- a/core/member/pace_test.go
+++ b/core/member/pace_test.go
@@ -95,6 +95,6 @@
 func TestNobodyIsBelievedToBeatEverSoSlowly(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
-	is.Equal(cfg.suspectAfter(&Entry{Period: time.Hour}), mostStretch*cfg.SuspectAfter)
+	is.Equal(cfg.suspectAfter(&Entry{Period: time.Hour}), maxPeriodFactor*cfg.SuspectAfter)
 	is.Equal(cfg.suspectAfter(&Entry{Period: -time.Hour}), cfg.SuspectAfter)
 }
