--- a/core/member/pace.go
+++ b/core/member/pace.go
@@ -15,7 +15,7 @@
 }
 
 // stretch is how many times that it really is, by the daemon's own word.
-func (c *Config) stretch(e *Entry) float64 {
+func (c *Config) periodFactor(e *Entry) float64 {
 	period := c.periodOf(e)
 	if e.Period <= period {
 		return 1
@@ -29,7 +29,7 @@
 	if e.Watched && c.WatchedSuspect > 0 {
 		after = c.WatchedSuspect
 	}
-	return time.Duration(c.stretch(e) * float64(after))
+	return time.Duration(c.periodFactor(e) * float64(after))
 }
 
 // deadAfter is how long a daemon may be silent before it is taken for dead.
@@ -38,5 +38,5 @@
 	if e.Watched && c.WatchedDead > 0 {
 		after = c.WatchedDead
 	}
-	return time.Duration(c.stretch(e) * float64(after))
+	return time.Duration(c.periodFactor(e) * float64(after))
 }
