--- a/core/member/config.go
+++ b/core/member/config.go
@@ -43,8 +43,8 @@
 	Rings    int
 	// NearPeriod takes the place of Period between neighbours, and SpreadPause is
 	// the least time between heartbeats that pass news on.
-	NearPeriod  time.Duration
-	SpreadPause time.Duration
+	NeighbourPeriod time.Duration
+	SpreadPause     time.Duration
 	// PartitionedFor is how long a silent daemon may stay partitioned before
 	// it is dead after all.
 	PartitionedFor time.Duration
@@ -85,7 +85,7 @@
 		SuspectAfter:    time.Second,
 		DeadAfter:       2500 * time.Millisecond,
 		Rings:           3,
-		NearPeriod:      600 * time.Millisecond,
+		NeighbourPeriod: 600 * time.Millisecond,
 		SpreadPause:     100 * time.Millisecond,
 		PartitionedFor:  time.Minute,
 		Forget:          10 * time.Minute,
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -203,7 +203,7 @@
 		most = m.cfg.MostWatched
 	}
 	if m.rings.enabled && !m.self.Watched {
-		return max(m.basePeriod(), m.cfg.NearPeriod)
+		return max(m.basePeriod(), m.cfg.NeighbourPeriod)
 	}
 	if most <= 0 || m.cfg.Mode != Mesh {
 		return m.basePeriod()
