--- a/core/member/config.go
+++ b/core/member/config.go
@@ -44,7 +44,7 @@
 	// NearPeriod takes the place of Period between neighbours, and SpreadPause is
 	// the least time between heartbeats that pass news on.
 	NeighbourPeriod time.Duration
-	SpreadPause     time.Duration
+	GossipInterval  time.Duration
 	// PartitionedFor is how long a silent daemon may stay partitioned before
 	// it is dead after all.
 	PartitionedFor time.Duration
@@ -86,7 +86,7 @@
 		DeadAfter:       2500 * time.Millisecond,
 		Rings:           3,
 		NeighbourPeriod: 600 * time.Millisecond,
-		SpreadPause:     100 * time.Millisecond,
+		GossipInterval:  100 * time.Millisecond,
 		PartitionedFor:  time.Minute,
 		Forget:          10 * time.Minute,
 		StallAfter:      500 * time.Millisecond,
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -70,7 +70,7 @@
 	}
 	m.keepConnections(now)
 	if len(m.rings.updates) > 0 {
-		m.nextBeat = min(m.nextBeat, now+m.cfg.SpreadPause)
+		m.nextBeat = min(m.nextBeat, now+m.cfg.GossipInterval)
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 // hurryNews brings the next heartbeats forward to when news may go out.
-func (m *Membership) expediteUpdates() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.SpreadPause) }
+func (m *Membership) expediteUpdates() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.GossipInterval) }
 
 // noteworthy says whether a daemon tells of itself what all others must know.
 func mustSpread(old, now Entry) bool {
