--- a/core/member/config.go
+++ b/core/member/config.go
@@ -59,7 +59,7 @@
 	// ReviveEvery is the time between messages to a dead daemon.
 	ReviveEvery time.Duration
 	// Indirect is how many peers are asked about a silent daemon.
-	Indirect int
+	IndirectProbes int
 	// ProbeTimeout is the wait for an Ack before peers are asked; Partial only.
 	ProbeTimeout time.Duration
 	// IndirectTimeout is the wait for their Report; Partial only.
@@ -92,7 +92,7 @@
 		StallAfter:      500 * time.Millisecond,
 		DomainShare:     0.75,
 		ReviveEvery:     2 * time.Second,
-		Indirect:        3,
+		IndirectProbes:  3,
 		ProbeTimeout:    150 * time.Millisecond,
 		IndirectTimeout: 300 * time.Millisecond,
 		Updates:         6,
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -31,7 +31,7 @@
 		return
 	}
 	p.askedAt = now
-	for _, helper := range m.helpers(p, m.cfg.Indirect) {
+	for _, helper := range m.helpers(p, m.cfg.IndirectProbes) {
 		m.seq++
 		m.send(helper, Message{Kind: ProbeRequest, Seq: m.seq, About: p.entry.Process.Daemon})
 	}
