--- a/core/member/config.go
+++ b/core/member/config.go
@@ -65,7 +65,7 @@
 	// IndirectTimeout is the wait for their Report; Partial only.
 	IndirectTimeout time.Duration
 	// Updates bounds the entries on one message.
-	Updates int
+	MaxUpdates int
 	// SampleEvery is the number of periods between heartbeats that carry a
 	// sample of others; Mesh only.
 	SampleEvery uint64
@@ -95,7 +95,7 @@
 		IndirectProbes:  3,
 		ProbeTimeout:    150 * time.Millisecond,
 		IndirectTimeout: 300 * time.Millisecond,
-		Updates:         6,
+		MaxUpdates:      6,
 		SampleEvery:     4,
 		ShuffleEvery:    2 * time.Second,
 		ShuffleSize:     4,
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -211,5 +211,5 @@
 
 // updates is what goes with one message, until all have heard of it.
 func (m *Membership) takeUpdates() []Entry {
-	return m.partial.queue.take(m.cfg.Updates, spreadFactor*bits.Len(uint(len(m.order)+1)))
+	return m.partial.queue.take(m.cfg.MaxUpdates, spreadFactor*bits.Len(uint(len(m.order)+1)))
 }
