--- a/core/member/member.go
+++ b/core/member/member.go
@@ -48,10 +48,10 @@
 
 // relay remembers for whom a probe was sent on.
 type relay struct {
-	asker id.Daemon
-	seq   uint64
-	about id.Daemon
-	ends  time.Duration
+	requester id.Daemon
+	seq       uint64
+	about     id.Daemon
+	ends      time.Duration
 }
 
 // New returns the membership of the daemon self, of which Process, Domain and
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -80,7 +80,7 @@
 		return
 	}
 	m.seq++
-	m.relays[m.seq] = relay{asker: asker.entry.Process.Daemon, seq: msg.Seq, about: msg.About, ends: now + m.cfg.DeadAfter}
+	m.relays[m.seq] = relay{requester: asker.entry.Process.Daemon, seq: msg.Seq, about: msg.About, ends: now + m.cfg.DeadAfter}
 	m.send(p, Message{Kind: Probe, Seq: m.seq})
 }
 
@@ -91,7 +91,7 @@
 		return false
 	}
 	delete(m.relays, msg.Seq)
-	if asker, known := m.peers[r.asker]; known {
+	if asker, known := m.peers[r.requester]; known {
 		m.send(asker, Message{Kind: Report, Seq: r.seq, About: r.about, Entries: []Entry{p.entry}})
 	}
 	return true
