--- a/core/member/member.go
+++ b/core/member/member.go
@@ -50,7 +50,7 @@
 type relay struct {
 	requester id.Daemon
 	seq       uint64
-	about     id.Daemon
+	target    id.Daemon
 	ends      time.Duration
 }
 
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -80,19 +80,19 @@
 		return
 	}
 	m.seq++
-	m.relays[m.seq] = relay{requester: asker.entry.Process.Daemon, seq: msg.Seq, about: msg.About, ends: now + m.cfg.DeadAfter}
+	m.relays[m.seq] = relay{requester: asker.entry.Process.Daemon, seq: msg.Seq, target: msg.About, ends: now + m.cfg.DeadAfter}
 	m.send(p, Message{Kind: Probe, Seq: m.seq})
 }
 
 // relayAck passes an Ack on to the daemon that asked for the probe.
 func (m *Membership) relayAck(p *peer, msg Message) bool {
 	r, ok := m.relays[msg.Seq]
-	if !ok || r.about != p.entry.Process.Daemon {
+	if !ok || r.target != p.entry.Process.Daemon {
 		return false
 	}
 	delete(m.relays, msg.Seq)
 	if asker, known := m.peers[r.requester]; known {
-		m.send(asker, Message{Kind: Report, Seq: r.seq, About: r.about, Entries: []Entry{p.entry}})
+		m.send(asker, Message{Kind: Report, Seq: r.seq, About: r.target, Entries: []Entry{p.entry}})
 	}
 	return true
 }
