--- a/core/member/member.go
+++ b/core/member/member.go
@@ -51,7 +51,7 @@
 	requester id.Daemon
 	seq       uint64
 	target    id.Daemon
-	ends      time.Duration
+	expires   time.Duration
 }
 
 // New returns the membership of the daemon self, of which Process, Domain and
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -80,7 +80,7 @@
 		return
 	}
 	m.seq++
-	m.relays[m.seq] = relay{requester: asker.entry.Process.Daemon, seq: msg.Seq, target: msg.About, ends: now + m.cfg.DeadAfter}
+	m.relays[m.seq] = relay{requester: asker.entry.Process.Daemon, seq: msg.Seq, target: msg.About, expires: now + m.cfg.DeadAfter}
 	m.send(p, Message{Kind: Probe, Seq: m.seq})
 }
 
@@ -99,7 +99,7 @@
 
 func (m *Membership) dropRelays(now time.Duration) {
 	for seq, r := range m.relays {
-		if now >= r.ends {
+		if now >= r.expires {
 			delete(m.relays, seq)
 		}
 	}
