--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -39,7 +39,7 @@
 	target id.Daemon
 	// indirect is set once peers were asked.
 	indirect bool
-	ends     time.Duration
+	deadline time.Duration
 }
 
 // neighbour is one slot of the sample that shuffles exchange.
@@ -53,14 +53,14 @@
 func (s *partial) next() time.Duration {
 	next := time.Duration(1<<63 - 1)
 	for _, p := range s.probes {
-		next = min(next, p.ends)
+		next = min(next, p.deadline)
 	}
 	return next
 }
 
 func (s *partial) shift(late time.Duration) {
 	for i := range s.probes {
-		s.probes[i].ends += late
+		s.probes[i].deadline += late
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	m.seq++
 	ends := now + m.cfg.ProbeTimeout
-	m.partial.probes = append(m.partial.probes, probe{seq: m.seq, target: p.entry.Process.Daemon, ends: ends})
+	m.partial.probes = append(m.partial.probes, probe{seq: m.seq, target: p.entry.Process.Daemon, deadline: ends})
 	m.send(p, Message{Kind: Probe, Seq: m.seq, Entries: m.takeUpdates()})
 }
 
@@ -147,12 +147,12 @@
 		p := m.peers[pr.target]
 		switch {
 		case p == nil:
-		case now < pr.ends:
+		case now < pr.deadline:
 			s.probes = append(s.probes, pr)
 		case !pr.indirect:
 			m.requestIndirectProbe(now, p)
 			pr.indirect = true
-			pr.ends = now + m.cfg.IndirectTimeout
+			pr.deadline = now + m.cfg.IndirectTimeout
 			s.probes = append(s.probes, pr)
 		default:
 			m.probeFailed(now, p)
