--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -24,13 +24,13 @@
 	round  []id.Daemon
 	probes []probe
 	// results holds the newest probes' success.
-	results []bool
-	queue   updateQueue
-	view    []viewSlot
-	sent    []id.Daemon
-	shuffle time.Duration
-	revive  time.Duration
-	sync    time.Duration
+	results   []bool
+	queue     updateQueue
+	view      []viewSlot
+	sent      []id.Daemon
+	shuffleAt time.Duration
+	revive    time.Duration
+	sync      time.Duration
 }
 
 // probe is one probe in flight.
@@ -48,7 +48,7 @@
 	age  int
 }
 
-func newPartial(now time.Duration) partial { return partial{shuffle: now, revive: now, sync: now} }
+func newPartial(now time.Duration) partial { return partial{shuffleAt: now, revive: now, sync: now} }
 
 func (s *partial) next() time.Duration {
 	next := time.Duration(1<<63 - 1)
--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -13,10 +13,10 @@
 // found and stale entries fade out.
 func (m *Membership) shuffleView(now time.Duration) {
 	s := &m.partial
-	if now < s.shuffle {
+	if now < s.shuffleAt {
 		return
 	}
-	s.shuffle = now + m.cfg.ShuffleEvery
+	s.shuffleAt = now + m.cfg.ShuffleEvery
 	m.fillView()
 	if len(s.view) == 0 {
 		return
