--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -29,7 +29,7 @@
 	view      []viewSlot
 	sent      []id.Daemon
 	shuffleAt time.Duration
-	revive    time.Duration
+	reviveAt  time.Duration
 	sync      time.Duration
 }
 
@@ -48,7 +48,7 @@
 	age  int
 }
 
-func newPartial(now time.Duration) partial { return partial{shuffleAt: now, revive: now, sync: now} }
+func newPartial(now time.Duration) partial { return partial{shuffleAt: now, reviveAt: now, sync: now} }
 
 func (s *partial) next() time.Duration {
 	next := time.Duration(1<<63 - 1)
@@ -123,10 +123,10 @@
 
 // reviveOne sends a probe to one dead daemon now and then.
 func (m *Membership) probeDead(now time.Duration) {
-	if now < m.partial.revive {
+	if now < m.partial.reviveAt {
 		return
 	}
-	m.partial.revive = now + m.cfg.ReviveEvery
+	m.partial.reviveAt = now + m.cfg.ReviveEvery
 	var dead []*peer
 	for _, name := range m.order {
 		if p := m.peers[name]; p.entry.State == Dead {
