--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -30,7 +30,7 @@
 	sent      []id.Daemon
 	shuffleAt time.Duration
 	reviveAt  time.Duration
-	sync      time.Duration
+	syncAt    time.Duration
 }
 
 // probe is one probe in flight.
@@ -48,7 +48,9 @@
 	age  int
 }
 
-func newPartial(now time.Duration) partial { return partial{shuffleAt: now, reviveAt: now, sync: now} }
+func newPartial(now time.Duration) partial {
+	return partial{shuffleAt: now, reviveAt: now, syncAt: now}
+}
 
 func (s *partial) next() time.Duration {
 	next := time.Duration(1<<63 - 1)
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -10,10 +10,10 @@
 // for all that it knows: at the daemon's own start, and while a whole fleet
 // starts.
 func (m *Membership) requestSync(now time.Duration) {
-	if now < m.partial.sync {
+	if now < m.partial.syncAt {
 		return
 	}
-	m.partial.sync = now + m.cfg.ShuffleEvery
+	m.partial.syncAt = now + m.cfg.ShuffleEvery
 	unmet := 0
 	var reachable []*peer
 	for _, name := range m.order {
