--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -71,13 +71,13 @@
 	for i, p := range s.probes {
 		if p.seq == seq && p.target == name {
 			s.probes = slices.Delete(s.probes, i, i+1)
-			s.result(true)
+			s.recordResult(true)
 			return
 		}
 	}
 }
 
-func (s *partial) result(ok bool) {
+func (s *partial) recordResult(ok bool) {
 	s.results = append(s.results, ok)
 	if over := len(s.results) - resultWindow; over > 0 {
 		s.results = slices.Delete(s.results, 0, over)
@@ -166,14 +166,14 @@
 func (m *Membership) probeFailed(now time.Duration, p *peer) {
 	wait := m.cfg.ProbeTimeout + m.cfg.IndirectTimeout
 	if p.seen && now-p.lastHeard < wait {
-		m.partial.result(true)
+		m.partial.recordResult(true)
 		return
 	}
 	if !p.seen {
 		m.set(now, p, Dead, "listed and never heard")
 		return
 	}
-	m.partial.result(false)
+	m.partial.recordResult(false)
 	if p.entry.State == Alive || p.entry.State == Paused {
 		m.set(now, p, Suspect, "no answer")
 		p.suspectedLocally = true
