--- a/core/member/member.go
+++ b/core/member/member.go
@@ -36,7 +36,7 @@
 	isolatedAt time.Duration
 	relays     map[uint64]relay
 	seq        uint64
-	out        []Action
+	actions    []Action
 	// bulk is set while a SyncReply is merged: old news, not to be sent on.
 	mergingSync bool
 
@@ -267,11 +267,11 @@
 	m.emit(Action{DeclaredDead: &DeclaredDead{By: by, Superseded: superseded}})
 }
 
-func (m *Membership) emit(a Action) { m.out = append(m.out, a) }
+func (m *Membership) emit(a Action) { m.actions = append(m.actions, a) }
 
 func (m *Membership) flush() []Action {
-	out := m.out
-	m.out = nil
+	out := m.actions
+	m.actions = nil
 	return out
 }
 
