--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -13,14 +13,14 @@
 )
 
 // kind is a kind of fleet that the failures are tried on.
-type kind struct {
+type fleetKind struct {
 	name  string
 	mode  Mode
 	rings bool
 	sizes []int
 }
 
-var kinds = []kind{
+var kinds = []fleetKind{
 	{name: "mesh", mode: Mesh, sizes: []int{9}},
 	{name: "partial", mode: Partial, sizes: []int{9, 60}},
 	{name: "rings", mode: Mesh, rings: true, sizes: []int{30}},
@@ -38,7 +38,7 @@
 	c.MeshUpTo = 24
 }
 
-func (k *kind) fleet(n, domains int, seed uint64) *fleet {
+func (k *fleetKind) fleet(n, domains int, seed uint64) *fleet {
 	if k.rings {
 		return newFleetWith(withRings, k.mode, n, domains, seed)
 	}
