--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -20,7 +20,7 @@
 	sizes []int
 }
 
-var kinds = []fleetKind{
+var fleetKinds = []fleetKind{
 	{name: "mesh", mode: Mesh, sizes: []int{9}},
 	{name: "partial", mode: Partial, sizes: []int{9, 60}},
 	{name: "rings", mode: Mesh, rings: true, sizes: []int{30}},
@@ -47,7 +47,7 @@
 
 // each runs a test on a steady fleet of each mode, size and some seeds.
 func each(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
-	for _, k := range kinds {
+	for _, k := range fleetKinds {
 		for _, n := range k.sizes {
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprintf("%s/%d/%d", k.name, n, seed), func(t *testing.T) {
@@ -235,7 +235,7 @@
 // asserts that a daemon which others took for dead is never live again in its
 // old epoch, and that the fleet finds itself when the faults end.
 func TestRandomFaults(t *testing.T) {
-	for _, k := range kinds {
+	for _, k := range fleetKinds {
 		for seed := range tabletest.Seeds(20) {
 			is := is.New(t)
 			f := k.fleet(k.sizes[0], 4, seed)
