--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -46,7 +46,7 @@
 }
 
 // each runs a test on a steady fleet of each mode, size and some seeds.
-func each(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
+func eachFleet(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
 	for _, k := range fleetKinds {
 		for _, n := range k.sizes {
 			for seed := range uint64(2) {
@@ -64,7 +64,7 @@
 }
 
 func TestNobodyIsDeadInAQuietFleet(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
 		f.run(30 * time.Second)
 		for _, name := range f.names {
@@ -75,7 +75,7 @@
 }
 
 func TestKilledDaemonIsDeadSoonAndItsSuccessorAlive(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.stopped["host-003"] = true
 		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
 		is.True(ok)
@@ -90,7 +90,7 @@
 }
 
 func TestPausedDaemonLearnsOfItsDeathBeforeItIsLive(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.resume = false
 		f.paused["host-003"] = true
 		_, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
@@ -130,7 +130,7 @@
 }
 
 func TestLateTicksSuspectNobody(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.paused["host-002"] = true
 		f.run(1500 * time.Millisecond) // shorter than DeadAfter
 		delete(f.paused, "host-002")
@@ -143,7 +143,7 @@
 }
 
 func TestOneWayLossKillsNobody(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.lost = func(from, to id.Daemon) bool { return from == "host-001" && to == "host-002" }
 		f.run(20 * time.Second)
 		is.Equal(f.deaths("host-001"), 0)
@@ -152,7 +152,7 @@
 }
 
 func TestCutOffDomainIsPartitionedAndComesBack(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		cut := f.domains["host-001"]
 		f.lost = func(from, to id.Daemon) bool { return (f.domains[from] == cut) != (f.domains[to] == cut) }
 		f.run(15 * time.Second)
@@ -184,7 +184,7 @@
 }
 
 func TestLeavingIsSeenAndNeverRevived(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.act("host-004", f.members["host-004"].Leave(f.now))
 		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-004", Leaving) })
 		is.True(ok)
