--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -22,7 +22,7 @@
 
 // largeFleets runs a test on steady fleets in which each daemon watches a few
 // neighbours: of 30 and 100 daemons, and of 300 where more seeds are asked for.
-func largeFleets(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
+func eachLargeFleet(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
 	sizes := []int{30, 100}
 	if tabletest.Seeds(1) > 1 {
 		sizes = append(sizes, 300)
@@ -67,7 +67,7 @@
 }
 
 func TestADeadDaemonIsKnownOfByAllOfALargeFleet(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.01
 		f.stopped["host-003"] = true
 		f.within(t, knownGoneWithin, "dead", func() bool { return f.everyone("host-003", Dead) })
@@ -80,7 +80,7 @@
 // TestHalfOfALargeFleetDiesAtOnce: a daemon all of whose neighbours died with it
 // is found out by those that take their place.
 func TestHalfOfALargeFleetDiesAtOnce(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		var dead, left []id.Daemon
 		for i, name := range f.names {
 			if i%2 == 0 {
@@ -103,7 +103,7 @@
 
 // TestAWholeLargeFleetLosesPower: all are back within a second, in new starts.
 func TestAWholeLargeFleetLosesPower(t *testing.T) {
-	largeFleets(t, func(t *testing.T, _ *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, _ *is.I, f *fleet) {
 		for _, name := range f.names {
 			f.stopped[name] = true
 		}
@@ -122,7 +122,7 @@
 // TestAStartConnectsNobodyToAll: each daemon takes itself for the owner of a pool
 // until it has heard of the others, and all start together.
 func TestAStartConnectsNobodyToAll(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		reached := map[id.Daemon]map[id.Daemon]bool{}
 		f.lost = func(from, to id.Daemon) bool {
 			if reached[from] == nil {
@@ -200,7 +200,7 @@
 
 // TestAFailureDomainOfALargeFleetIsCutOff and comes back.
 func TestAFailureDomainOfALargeFleetIsCutOff(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		cut := f.domains["host-001"]
 		var there, elsewhere []id.Daemon
 		for _, name := range f.names {
@@ -239,7 +239,7 @@
 
 // TestALargeFleetIsCutInHalves and heals: no half is left with a view of its own.
 func TestALargeFleetIsCutInHalves(t *testing.T) {
-	largeFleets(t, func(t *testing.T, _ *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, _ *is.I, f *fleet) {
 		half := map[id.Daemon]bool{}
 		for i, name := range f.names {
 			half[name] = i%2 == 0
@@ -253,7 +253,7 @@
 
 // TestTheOwnerOfAPoolIsWatchedByAllOfALargeFleet: requests wait for it.
 func TestTheOwnerOfAPoolIsWatchedByAllOfALargeFleet(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
 		f.stopped["host-003"] = true
@@ -267,7 +267,7 @@
 // TestOneBadPathToTheOwnerMovesNoPool: whoever does not hear it for a moment
 // keeps that to itself.
 func TestOneBadPathToTheOwnerMovesNoPool(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
 		f.lost = func(from, to id.Daemon) bool { return from == "host-003" && to == "host-007" }
@@ -281,7 +281,7 @@
 
 // TestADaemonThatIsWatchedNoMoreIsNotTakenForSilent by those whom it told often.
 func TestADaemonThatIsWatchedNoMoreIsNotTakenForSilent(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(4 * time.Second)
 		f.members["host-003"].SetLocal(Local{Revision: 1})
@@ -295,7 +295,7 @@
 // TestWhatADaemonBecomesIsKnownOfByAll: whether it can take duties, reaches the
 // store, and leaves, in the time until entry answers may name it no more.
 func TestWhatADaemonBecomesIsKnownOfByAll(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		m := f.members["host-003"]
 		m.SetLocal(Local{Revision: 7, StoreLost: true})
 		f.within(t, 2*time.Second, "ready, without the store", func() bool {
@@ -314,7 +314,7 @@
 // TestBusyDaemonsOfALargeFleetKillNobody: each is not run for up to half a second,
 // again and again.
 func TestBusyDaemonsOfALargeFleetKillNobody(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
 		for step := range 60 {
 			clear(f.paused)
@@ -335,7 +335,7 @@
 // TestALinkedDaemonReachesAllAtRest: it must not have to connect to all when it
 // takes over.
 func TestALinkedDaemonReachesAllAtRest(t *testing.T) {
-	largeFleets(t, func(t *testing.T, is *is.I, f *fleet) {
+	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Linked: true})
 		reached := map[id.Daemon]bool{}
 		f.lost = func(from, to id.Daemon) bool {
