--- a/core/member/pace_test.go
+++ b/core/member/pace_test.go
@@ -8,7 +8,7 @@
 )
 
 // paced is a mesh of n daemons that send at most so many heartbeats a second.
-func paced(n int, most float64) *fleet {
+func boundedMesh(n int, most float64) *fleet {
 	f := newFleetWith(func(c *Config) {
 		c.Period = 400 * time.Millisecond
 		c.SuspectAfter = 1300 * time.Millisecond
@@ -44,9 +44,9 @@
 // not take what small hosts need for them.
 func TestHeartbeatsDoNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
-	without := paced(90, 0).sentPerDaemon(10 * time.Second)
-	with := paced(90, 60).sentPerDaemon(10 * time.Second)
-	nine := paced(9, 60).sentPerDaemon(10 * time.Second)
+	without := boundedMesh(90, 0).sentPerDaemon(10 * time.Second)
+	with := boundedMesh(90, 60).sentPerDaemon(10 * time.Second)
+	nine := boundedMesh(9, 60).sentPerDaemon(10 * time.Second)
 	t.Logf("messages a daemon and second: 90 daemons %.0f, without a bound %.0f; 9 daemons %.0f", with, without, nine)
 	is.True(with <= 63)
 	is.True(nine >= 19) // every 400 ms, as without a bound
@@ -54,7 +54,7 @@
 
 func TestASlowlyBeatingFleetSuspectsNobodyAndNoticesTheDead(t *testing.T) {
 	is := is.New(t)
-	f := paced(90, 60)
+	f := boundedMesh(90, 60)
 	f.loss = 0.02
 	f.run(20 * time.Second)
 	for _, name := range f.names {
@@ -67,7 +67,7 @@
 
 // TestAWatchedDaemonBeatsFasterInALargeFleetToo: callers wait for it.
 func TestAWatchedDaemonBeatsFasterInALargeFleetToo(t *testing.T) {
-	f := paced(90, 60)
+	f := boundedMesh(90, 60)
 	f.members["host-003"].SetLocal(Local{Watched: true})
 	f.run(3 * time.Second)
 	f.stopped["host-003"] = true
@@ -83,7 +83,7 @@
 
 // TestANewDaemonIsGreetedAtOnce, and need not wait until the others send again.
 func TestANewDaemonIsGreetedAtOnce(t *testing.T) {
-	f := paced(90, 60)
+	f := boundedMesh(90, 60)
 	f.stopped["host-003"] = true
 	f.run(20 * time.Second)
 	f.start("host-003", 2)
