--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -24,12 +24,12 @@
 	domains map[id.Daemon]id.Domain
 	members map[id.Daemon]*Membership
 	// stopped daemons do not run; messages to them are kept if paused, else lost.
-	stopped map[id.Daemon]bool
-	paused  map[id.Daemon]bool
-	lost    func(from, to id.Daemon) bool
-	loss    float64
-	wire    []Send
-	senders []id.Daemon
+	stopped  map[id.Daemon]bool
+	paused   map[id.Daemon]bool
+	lost     func(from, to id.Daemon) bool
+	loss     float64
+	inFlight []Send
+	senders  []id.Daemon
 	// changed records all changes by observer.
 	changed  map[id.Daemon][]Changed
 	declared map[id.Daemon]int
@@ -94,7 +94,7 @@
 	for _, a := range actions {
 		switch {
 		case a.Send != nil:
-			f.wire = append(f.wire, *a.Send)
+			f.inFlight = append(f.inFlight, *a.Send)
 			f.senders = append(f.senders, name)
 		case a.Changed != nil:
 			f.changed[name] = append(f.changed[name], *a.Changed)
@@ -123,8 +123,8 @@
 }
 
 func (f *fleet) deliver() {
-	wire, senders := f.wire, f.senders
-	f.wire, f.senders = nil, nil
+	wire, senders := f.inFlight, f.senders
+	f.inFlight, f.senders = nil, nil
 	for i, s := range wire {
 		if f.count {
 			raw, err := cbor.Marshal(s.Message)
@@ -138,7 +138,7 @@
 		switch {
 		case f.stopped[s.To] || cut || f.rng.Float64() < f.loss:
 		case f.paused[s.To]:
-			f.wire = append(f.wire, s)
+			f.inFlight = append(f.inFlight, s)
 			f.senders = append(f.senders, senders[i])
 		default:
 			f.act(s.To, f.members[s.To].Receive(f.now, s.Message))
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -220,7 +220,7 @@
 	f.run(2 * time.Second)
 	f.act("host-000", f.members["host-000"].Receive(f.now, Message{Kind: Heartbeat, From: old.Self()}))
 	var told bool
-	for _, s := range f.wire {
+	for _, s := range f.inFlight {
 		if s.To != "host-007" || s.Message.Kind != Ack {
 			continue
 		}
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -108,7 +108,7 @@
 			f.stopped[name] = true
 		}
 		f.run(time.Second)
-		f.wire, f.senders = nil, nil
+		f.inFlight, f.senders = nil, nil
 		for i, name := range f.names {
 			if i%10 == 0 {
 				f.run(tick)
@@ -134,7 +134,7 @@
 		for _, name := range f.names {
 			f.stopped[name] = true
 		}
-		f.wire, f.senders = nil, nil
+		f.inFlight, f.senders = nil, nil
 		for i, name := range f.names {
 			if i%10 == 0 {
 				f.run(tick)
