--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -47,7 +47,7 @@
 	}
 	p := &peer{lastHeard: now, lastDirect: now - m.cfg.DeadAfter, stateSince: now, reviveAt: now, askedAt: now - m.cfg.DeadAfter}
 	p.entry = Entry{Process: id.Process{Daemon: name}, State: Suspect}
-	p.at = m.cfg.positions(name)
+	p.positions = m.cfg.positions(name)
 	m.rings.neighboursStale = true
 	m.peers[name] = p
 	at, _ := slices.BinarySearch(m.order, name)
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -42,7 +42,7 @@
 // place is what the rings say of a peer.
 type ringState struct {
 	// at is the peer's position on each ring.
-	at []uint64
+	positions []uint64
 	// near peers are this daemon's neighbours, which it watches since nearSince.
 	near      bool
 	nearSince time.Duration
@@ -112,10 +112,10 @@
 	ahead, behind := ^uint64(0), ^uint64(0)
 	if next != nil {
 		next.near, previous.near = true, true
-		ahead, behind = next.at[ring]-m.positions[ring], m.positions[ring]-previous.at[ring]
+		ahead, behind = next.positions[ring]-m.positions[ring], m.positions[ring]-previous.positions[ring]
 	}
 	for _, p := range m.peers {
-		if !m.onRings(p) && (p.at[ring]-m.positions[ring] < ahead || m.positions[ring]-p.at[ring] < behind) {
+		if !m.onRings(p) && (p.positions[ring]-m.positions[ring] < ahead || m.positions[ring]-p.positions[ring] < behind) {
 			p.gap = true
 		}
 	}
@@ -129,10 +129,10 @@
 		if p == except || !m.onRings(p) {
 			continue
 		}
-		if next == nil || p.at[ring]-at < next.at[ring]-at {
+		if next == nil || p.positions[ring]-at < next.positions[ring]-at {
 			next = p
 		}
-		if previous == nil || at-p.at[ring] < at-previous.at[ring] {
+		if previous == nil || at-p.positions[ring] < at-previous.positions[ring] {
 			previous = p
 		}
 	}
@@ -145,7 +145,7 @@
 	var out []*peer
 	seen := map[*peer]bool{}
 	for ring := range m.cfg.Rings {
-		next, previous := m.adjacent(p.at[ring], ring, p)
+		next, previous := m.adjacent(p.positions[ring], ring, p)
 		for _, q := range []*peer{next, previous} {
 			if q != nil && q.seen && !seen[q] {
 				seen[q] = true
