--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -62,7 +62,7 @@
 			m.seenPeers++
 		}
 		switch {
-		case p.near || now < p.askedUntil:
+		case p.neighbour || now < p.askedUntil:
 			m.sendNeighbour(now, p, news)
 		case toAll && p.seen:
 			m.sendKeepalive(now, p)
@@ -76,7 +76,7 @@
 
 func (m *Membership) sendNeighbour(now time.Duration, p *peer, news []Entry) {
 	p.sentAt = now
-	m.send(p, Message{Kind: Heartbeat, Watching: p.near, Digest: m.rings.sentDigest, Entries: slices.Clone(news)})
+	m.send(p, Message{Kind: Heartbeat, Watching: p.neighbour, Digest: m.rings.sentDigest, Entries: slices.Clone(news)})
 }
 
 func (m *Membership) sendKeepalive(now time.Duration, p *peer) {
@@ -177,7 +177,7 @@
 		if !p.seen && !p.absent() {
 			unmet++
 		}
-		if p.near && p.seen && p.entry.State == Alive {
+		if p.neighbour && p.seen && p.entry.State == Alive {
 			near = append(near, p)
 		}
 	}
@@ -212,7 +212,7 @@
 		}
 		p.askedUntil = now + m.suspectAfter(p)
 	}
-	if p.near {
+	if p.neighbour {
 		m.compareDigest(now, p, msg.Digest)
 	}
 }
--- a/core/member/judge.go
+++ b/core/member/judge.go
@@ -85,7 +85,7 @@
 		reached := !lost && p.lastDirect > m.isolatedAt
 		beyond := p.entry.Domain != m.self.Domain
 		all.add(lost, reached, beyond)
-		if p.near {
+		if p.neighbour {
 			near.add(lost, reached, beyond)
 		}
 	}
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -44,7 +44,7 @@
 	// at is the peer's position on each ring.
 	positions []uint64
 	// near peers are this daemon's neighbours, which it watches since nearSince.
-	near      bool
+	neighbour bool
 	nearSince time.Duration
 	// gap peers are gone, and would be neighbours if they came back.
 	gap bool
@@ -86,10 +86,10 @@
 	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
 	before := make(map[*peer]bool, 2*m.cfg.Rings)
 	for _, p := range m.peers {
-		if p.near {
+		if p.neighbour {
 			before[p] = true
 		}
-		p.near, p.gap = false, false
+		p.neighbour, p.gap = false, false
 	}
 	if !m.rings.enabled {
 		return
@@ -98,7 +98,7 @@
 		m.chooseOnRing(ring)
 	}
 	for _, p := range m.peers {
-		if p.near && !before[p] {
+		if p.neighbour && !before[p] {
 			p.nearSince, p.agreedAt = now, now
 			m.expediteUpdates()
 		}
@@ -111,7 +111,7 @@
 	next, previous := m.adjacent(m.positions[ring], ring, nil)
 	ahead, behind := ^uint64(0), ^uint64(0)
 	if next != nil {
-		next.near, previous.near = true, true
+		next.neighbour, previous.neighbour = true, true
 		ahead, behind = next.positions[ring]-m.positions[ring], m.positions[ring]-previous.positions[ring]
 	}
 	for _, p := range m.peers {
@@ -159,7 +159,7 @@
 // watches says whether this daemon judges a peer by its silence: it should hear
 // its heartbeats.
 func (m *Membership) watches(p *peer) bool {
-	return !m.rings.enabled || p.near || (p.entry.Watched && p.watchedAt > 0)
+	return !m.rings.enabled || p.neighbour || (p.entry.Watched && p.watchedAt > 0)
 }
 
 // silence is for how long a peer that this daemon watches was not heard.
