--- a/core/member/member.go
+++ b/core/member/member.go
@@ -249,7 +249,7 @@
 		p.lastHeard += late
 		p.lastDirect += late
 		p.stateSince += late
-		p.nearSince += late
+		p.neighbourSince += late
 	}
 	m.partial.shift(late)
 	m.emit(Action{Stalled: &Stalled{Late: late}})
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -44,8 +44,8 @@
 	// at is the peer's position on each ring.
 	positions []uint64
 	// near peers are this daemon's neighbours, which it watches since nearSince.
-	neighbour bool
-	nearSince time.Duration
+	neighbour      bool
+	neighbourSince time.Duration
 	// gap peers are gone, and would be neighbours if they came back.
 	gap bool
 	// askedUntil is until when the peer, which watches this daemon, is sent
@@ -99,7 +99,7 @@
 	}
 	for _, p := range m.peers {
 		if p.neighbour && !before[p] {
-			p.nearSince, p.agreedAt = now, now
+			p.neighbourSince, p.agreedAt = now, now
 			m.expediteUpdates()
 		}
 	}
@@ -166,7 +166,7 @@
 func (m *Membership) silence(now time.Duration, p *peer) time.Duration {
 	heard := p.lastHeard
 	if m.rings.enabled {
-		heard = max(heard, p.nearSince)
+		heard = max(heard, p.neighbourSince)
 	}
 	return now - heard
 }
