--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -87,7 +87,7 @@
 // tryGap sends a message now and then to a daemon that is gone and would be a
 // neighbour: so it learns, when it comes back, what is held of it.
 func (m *Membership) retryAbsent(now time.Duration, p *peer) {
-	if !p.gap || now < p.reviveAt {
+	if !p.absentNeighbour || now < p.reviveAt {
 		return
 	}
 	p.reviveAt = now + m.cfg.ReviveEvery
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -47,7 +47,7 @@
 	neighbour      bool
 	neighbourSince time.Duration
 	// gap peers are gone, and would be neighbours if they came back.
-	gap bool
+	absentNeighbour bool
 	// askedUntil is until when the peer, which watches this daemon, is sent
 	// heartbeats.
 	askedUntil time.Duration
@@ -89,7 +89,7 @@
 		if p.neighbour {
 			before[p] = true
 		}
-		p.neighbour, p.gap = false, false
+		p.neighbour, p.absentNeighbour = false, false
 	}
 	if !m.rings.enabled {
 		return
@@ -116,7 +116,7 @@
 	}
 	for _, p := range m.peers {
 		if !m.onRings(p) && (p.positions[ring]-m.positions[ring] < ahead || m.positions[ring]-p.positions[ring] < behind) {
-			p.gap = true
+			p.absentNeighbour = true
 		}
 	}
 }
