--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -62,7 +62,7 @@
 			m.seenPeers++
 		}
 		switch {
-		case p.neighbour || now < p.askedUntil:
+		case p.neighbour || now < p.heartbeatsUntil:
 			m.sendNeighbour(now, p, news)
 		case toAll && p.seen:
 			m.sendKeepalive(now, p)
@@ -207,10 +207,10 @@
 		return
 	}
 	if msg.Watching {
-		if now >= p.askedUntil {
+		if now >= p.heartbeatsUntil {
 			m.expediteUpdates()
 		}
-		p.askedUntil = now + m.suspectAfter(p)
+		p.heartbeatsUntil = now + m.suspectAfter(p)
 	}
 	if p.neighbour {
 		m.compareDigest(now, p, msg.Digest)
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -50,7 +50,7 @@
 	absentNeighbour bool
 	// askedUntil is until when the peer, which watches this daemon, is sent
 	// heartbeats.
-	askedUntil time.Duration
+	heartbeatsUntil time.Duration
 	// watchedAt is when the peer first said to this daemon that it is watched.
 	watchedAt time.Duration
 	// sentAt is when the last heartbeat went to the peer.
