--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -107,7 +107,7 @@
 		copyReport(&p.entry, e)
 	}
 	if !p.entry.Watched {
-		p.watchedAt = 0
+		p.watchedSince = 0
 	}
 	if news {
 		m.enqueue(p.entry)
@@ -126,8 +126,8 @@
 
 // noteWatched notes since when a daemon has said to this one that it is watched.
 func (p *peer) noteWatched(now time.Duration) {
-	if p.entry.Watched && p.watchedAt == 0 {
-		p.watchedAt = max(now, 1)
+	if p.entry.Watched && p.watchedSince == 0 {
+		p.watchedSince = max(now, 1)
 	}
 }
 
@@ -154,7 +154,7 @@
 		p.entry.State = Alive
 	}
 	p.lastHeard, p.stateSince = now, now
-	p.watchedAt, p.reviveAt = 0, now
+	p.watchedSince, p.reviveAt = 0, now
 	if direct {
 		p.lastDirect = now
 		p.noteWatched(now)
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -52,7 +52,7 @@
 	// heartbeats.
 	heartbeatsUntil time.Duration
 	// watchedAt is when the peer first said to this daemon that it is watched.
-	watchedAt time.Duration
+	watchedSince time.Duration
 	// sentAt is when the last heartbeat went to the peer.
 	sentAt time.Duration
 	// agreedAt is when the peer last knew the same daemons as this one.
@@ -159,7 +159,7 @@
 // watches says whether this daemon judges a peer by its silence: it should hear
 // its heartbeats.
 func (m *Membership) watches(p *peer) bool {
-	return !m.rings.enabled || p.neighbour || (p.entry.Watched && p.watchedAt > 0)
+	return !m.rings.enabled || p.neighbour || (p.entry.Watched && p.watchedSince > 0)
 }
 
 // silence is for how long a peer that this daemon watches was not heard.
