--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -153,10 +153,10 @@
 // news, or this daemon has.
 func (m *Membership) compareDigest(now time.Duration, p *peer, digest uint64) {
 	if digest == 0 || digest == m.rings.sentDigest {
-		p.agreedAt = now
+		p.digestMatchedAt = now
 		return
 	}
-	if now-p.agreedAt < digestGrace || now < m.rings.syncAt {
+	if now-p.digestMatchedAt < digestGrace || now < m.rings.syncAt {
 		return
 	}
 	m.rings.syncAt = now + syncInterval
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -56,7 +56,7 @@
 	// sentAt is when the last heartbeat went to the peer.
 	sentAt time.Duration
 	// agreedAt is when the peer last knew the same daemons as this one.
-	agreedAt time.Duration
+	digestMatchedAt time.Duration
 }
 
 // positions gives a daemon's place on each ring.
@@ -99,7 +99,7 @@
 	}
 	for _, p := range m.peers {
 		if p.neighbour && !before[p] {
-			p.neighbourSince, p.agreedAt = now, now
+			p.neighbourSince, p.digestMatchedAt = now, now
 			m.expediteUpdates()
 		}
 	}
