--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -117,7 +117,7 @@
 func (m *Membership) enqueueUpdate(e Entry) {
 	if e.Process.Daemon != m.self.Process.Daemon {
 		// Each heartbeat tells of this daemon itself.
-		m.rings.updates.put(e)
+		m.rings.updates.add(e)
 	}
 	m.expediteUpdates()
 }
--- a/core/member/news.go
+++ b/core/member/news.go
@@ -26,7 +26,7 @@
 type updateQueue []update
 
 // put adds news of a daemon in place of what waited of it.
-func (n *updateQueue) put(e Entry) {
+func (n *updateQueue) add(e Entry) {
 	*n = slices.DeleteFunc(*n, func(u update) bool { return u.entry.Process.Daemon == e.Process.Daemon })
 	if len(*n) < maxQueuedUpdates {
 		*n = append(*n, update{entry: e})
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -208,7 +208,7 @@
 		m.enqueueUpdate(e)
 		return
 	}
-	m.partial.queue.put(e)
+	m.partial.queue.add(e)
 }
 
 // updates is what goes with one message, until all have heard of it.
