--- a/core/member/news.go
+++ b/core/member/news.go
@@ -11,7 +11,7 @@
 // update is news to be sent on with other messages.
 type update struct {
 	entry Entry
-	sent  int
+	sends int
 }
 
 // urgency puts bad news before the rest.
@@ -40,13 +40,13 @@
 		return nil
 	}
 	slices.SortStableFunc(*n, func(a, b update) int {
-		return cmp.Or(cmp.Compare(a.urgency(), b.urgency()), cmp.Compare(a.sent, b.sent))
+		return cmp.Or(cmp.Compare(a.urgency(), b.urgency()), cmp.Compare(a.sends, b.sends))
 	})
 	out := make([]Entry, min(most, len(*n)))
 	for i := range out {
-		(*n)[i].sent++
+		(*n)[i].sends++
 		out[i] = (*n)[i].entry
 	}
-	*n = slices.DeleteFunc(*n, func(u update) bool { return u.sent >= repeats })
+	*n = slices.DeleteFunc(*n, func(u update) bool { return u.sends >= repeats })
 	return out
 }
