--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -27,7 +27,7 @@
 	results   []bool
 	queue     updateQueue
 	view      []viewSlot
-	sent      []id.Daemon
+	sentNames []id.Daemon
 	shuffleAt time.Duration
 	reviveAt  time.Duration
 	syncAt    time.Duration
--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -27,7 +27,7 @@
 	oldest := slices.MaxFunc(s.view, func(a, b viewSlot) int { return cmp.Compare(a.age, b.age) })
 	s.view = slices.DeleteFunc(s.view, func(n viewSlot) bool { return n.name == oldest.name })
 	entries := m.viewSample(oldest.name)
-	s.sent = names(entries)
+	s.sentNames = names(entries)
 	m.send(m.peers[oldest.name], Message{Kind: Shuffle, Entries: entries})
 }
 
@@ -75,8 +75,8 @@
 }
 
 func (m *Membership) onShuffleReply(msg Message) {
-	m.mergeView(names(msg.Entries), m.partial.sent)
-	m.partial.sent = nil
+	m.mergeView(names(msg.Entries), m.partial.sentNames)
+	m.partial.sentNames = nil
 }
 
 // takeNeighbours puts names into the view: into free slots first, then in
