--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestNobodyIsDeadInAQuietFleet(t *testing.T) {
+func TestNoDeathsInHealthyFleet(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
 		f.run(30 * time.Second)
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestKilledDaemonIsDeadSoonAndItsSuccessorAlive(t *testing.T) {
+func TestKilledDaemonDetectedAndRestarted(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.stopped["host-003"] = true
 		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestPausedDaemonLearnsOfItsDeathBeforeItIsLive(t *testing.T) {
+func TestPausedDaemonHaltsBeforeRejoin(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.resume = false
 		f.paused["host-003"] = true
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestClockThatHidesThePauseStillLearns(t *testing.T) {
+func TestSuspendedClockStillDeclaredDead(t *testing.T) {
 	// A suspended host's monotonic clock may stand still: only the others can tell.
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 1)
@@ -129,7 +129,7 @@
 	is.True(ok)
 }
 
-func TestLateTicksSuspectNobody(t *testing.T) {
+func TestStallSuspectsNoPeers(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.paused["host-002"] = true
 		f.run(1500 * time.Millisecond) // shorter than DeadAfter
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestOneWayLossKillsNobody(t *testing.T) {
+func TestOneWayLossCausesNoDeaths(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.lost = func(from, to id.Daemon) bool { return from == "host-001" && to == "host-002" }
 		f.run(20 * time.Second)
@@ -151,7 +151,7 @@
 	})
 }
 
-func TestCutOffDomainIsPartitionedAndComesBack(t *testing.T) {
+func TestDomainPartitionAndRecovery(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		cut := f.domains["host-001"]
 		f.lost = func(from, to id.Daemon) bool { return (f.domains[from] == cut) != (f.domains[to] == cut) }
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestLeavingIsSeenAndNeverRevived(t *testing.T) {
+func TestLeavingIsNotReverted(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.act("host-004", f.members["host-004"].Leave(f.now))
 		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-004", Leaving) })
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestHostListMerges(t *testing.T) {
+func TestHostListMerge(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 3)
 	f.until(5*time.Second, f.steady)
@@ -211,7 +211,7 @@
 	is.Equal(f.deaths("host-006"), 0)
 }
 
-func TestLaterIncarnationEndsTheOld(t *testing.T) {
+func TestLaterIncarnationSupersedes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 3)
 	f.until(5*time.Second, f.steady)
@@ -285,7 +285,7 @@
 
 // TestTheSilenceOfAWatchedDaemonIsNoticedSooner: it sends more often, and is
 // suspected by its own time limits, not by those of the others.
-func TestTheSilenceOfAWatchedDaemonIsNoticedSooner(t *testing.T) {
+func TestWatchedDaemonUsesWatchedTimeouts(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
 	cfg.WatchedPeriod = 100 * time.Millisecond
@@ -317,7 +317,7 @@
 
 // TestADaemonIsWatchedOnlyWhileItSaysSo: one that no longer owns a pool beats
 // slowly, and must not be suspected by the limits of owners.
-func TestADaemonIsWatchedOnlyWhileItSaysSo(t *testing.T) {
+func TestUnwatchedDaemonUsesDefaultTimeouts(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
 	cfg.WatchedPeriod = 100 * time.Millisecond
--- a/core/member/ready_test.go
+++ b/core/member/ready_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-func TestADaemonWithoutConfigurationTakesNoDuty(t *testing.T) {
+func TestReadyNeedsConfiguration(t *testing.T) {
 	is := is.New(t)
 	self := Entry{Process: id.Process{Daemon: "a", Incarnation: 1}}
 	m := New(DefaultConfig(Mesh), self, 0, rand.New(rand.NewPCG(1, 1)))
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -49,7 +49,7 @@
 }
 
 // TestWhatADaemonSendsDoesNotGrowWithTheFleet: at rest.
-func TestWhatADaemonSendsDoesNotGrowWithTheFleet(t *testing.T) {
+func TestRingTrafficIndependentOfFleetSize(t *testing.T) {
 	is := is.New(t)
 	sent := func(n int) (messages, bytes float64) {
 		f := newFleetWith(withRings, Mesh, n, 6, 1)
@@ -66,7 +66,7 @@
 	is.True(bytes300 <= 1.3*bytes30)
 }
 
-func TestADeadDaemonIsKnownOfByAllOfALargeFleet(t *testing.T) {
+func TestRingsSpreadDeath(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.01
 		f.stopped["host-003"] = true
@@ -79,7 +79,7 @@
 
 // TestHalfOfALargeFleetDiesAtOnce: a daemon all of whose neighbours died with it
 // is found out by those that take their place.
-func TestHalfOfALargeFleetDiesAtOnce(t *testing.T) {
+func TestRingsHalfFleetDies(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		var dead, left []id.Daemon
 		for i, name := range f.names {
@@ -102,7 +102,7 @@
 }
 
 // TestAWholeLargeFleetLosesPower: all are back within a second, in new starts.
-func TestAWholeLargeFleetLosesPower(t *testing.T) {
+func TestRingsWholeFleetRestarts(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, _ *is.I, f *fleet) {
 		for _, name := range f.names {
 			f.stopped[name] = true
@@ -121,7 +121,7 @@
 
 // TestAStartConnectsNobodyToAll: each daemon takes itself for the owner of a pool
 // until it has heard of the others, and all start together.
-func TestAStartConnectsNobodyToAll(t *testing.T) {
+func TestRingsStartConnections(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		reached := map[id.Daemon]map[id.Daemon]bool{}
 		f.lost = func(from, to id.Daemon) bool {
@@ -173,7 +173,7 @@
 }
 
 // TestMostOfALargeFleetIsAddedAtOnce: three times as many as there are.
-func TestMostOfALargeFleetIsAddedAtOnce(t *testing.T) {
+func TestRingsLargeScaleOut(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 40, 6, 1)
 	f.within(t, wholeWithin, "all know all", f.steady)
@@ -186,7 +186,7 @@
 
 // TestAFleetGrowsLarge: those who know of few others yet, and hear from all in a
 // small fleet, must not take for dead who watches a few neighbours only.
-func TestAFleetGrowsLarge(t *testing.T) {
+func TestMeshGrowsIntoRings(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 15, 6, 1)
 	f.within(t, wholeWithin, "all know all", f.steady)
@@ -199,7 +199,7 @@
 }
 
 // TestAFailureDomainOfALargeFleetIsCutOff and comes back.
-func TestAFailureDomainOfALargeFleetIsCutOff(t *testing.T) {
+func TestRingsDomainPartition(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		cut := f.domains["host-001"]
 		var there, elsewhere []id.Daemon
@@ -238,7 +238,7 @@
 }
 
 // TestALargeFleetIsCutInHalves and heals: no half is left with a view of its own.
-func TestALargeFleetIsCutInHalves(t *testing.T) {
+func TestRingsSplitInHalves(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, _ *is.I, f *fleet) {
 		half := map[id.Daemon]bool{}
 		for i, name := range f.names {
@@ -252,7 +252,7 @@
 }
 
 // TestTheOwnerOfAPoolIsWatchedByAllOfALargeFleet: requests wait for it.
-func TestTheOwnerOfAPoolIsWatchedByAllOfALargeFleet(t *testing.T) {
+func TestRingsWatchedDaemonDetection(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
@@ -266,7 +266,7 @@
 
 // TestOneBadPathToTheOwnerMovesNoPool: whoever does not hear it for a moment
 // keeps that to itself.
-func TestOneBadPathToTheOwnerMovesNoPool(t *testing.T) {
+func TestRingsOneWayLossToWatcher(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
@@ -280,7 +280,7 @@
 }
 
 // TestADaemonThatIsWatchedNoMoreIsNotTakenForSilent by those whom it told often.
-func TestADaemonThatIsWatchedNoMoreIsNotTakenForSilent(t *testing.T) {
+func TestRingsWatchedToUnwatched(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(4 * time.Second)
@@ -294,7 +294,7 @@
 
 // TestWhatADaemonBecomesIsKnownOfByAll: whether it can take duties, reaches the
 // store, and leaves, in the time until entry answers may name it no more.
-func TestWhatADaemonBecomesIsKnownOfByAll(t *testing.T) {
+func TestRingsSpreadStatusChanges(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		m := f.members["host-003"]
 		m.SetLocal(Local{Revision: 7, StoreLost: true})
@@ -313,7 +313,7 @@
 
 // TestBusyDaemonsOfALargeFleetKillNobody: each is not run for up to half a second,
 // again and again.
-func TestBusyDaemonsOfALargeFleetKillNobody(t *testing.T) {
+func TestRingsBusyDaemonsCauseNoDeaths(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
 		for step := range 60 {
@@ -334,7 +334,7 @@
 
 // TestALinkedDaemonReachesAllAtRest: it must not have to connect to all when it
 // takes over.
-func TestALinkedDaemonReachesAllAtRest(t *testing.T) {
+func TestLinkedDaemonKeepsConnections(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Linked: true})
 		reached := map[id.Daemon]bool{}
--- a/core/member/timeouts_test.go
+++ b/core/member/timeouts_test.go
@@ -42,7 +42,7 @@
 
 // TestHeartbeatsDoNotGrowWithTheFleet: what daemons do apart from requests must
 // not take what small hosts need for them.
-func TestHeartbeatsDoNotGrowWithTheFleet(t *testing.T) {
+func TestHeartbeatRateBound(t *testing.T) {
 	is := is.New(t)
 	without := boundedMesh(90, 0).sentPerDaemon(10 * time.Second)
 	with := boundedMesh(90, 60).sentPerDaemon(10 * time.Second)
@@ -52,7 +52,7 @@
 	is.True(nine >= 19) // every 400 ms, as without a bound
 }
 
-func TestASlowlyBeatingFleetSuspectsNobodyAndNoticesTheDead(t *testing.T) {
+func TestStretchedPeriodDetection(t *testing.T) {
 	is := is.New(t)
 	f := boundedMesh(90, 60)
 	f.loss = 0.02
@@ -66,7 +66,7 @@
 }
 
 // TestAWatchedDaemonBeatsFasterInALargeFleetToo: callers wait for it.
-func TestAWatchedDaemonBeatsFasterInALargeFleetToo(t *testing.T) {
+func TestWatchedDaemonInLargeMesh(t *testing.T) {
 	f := boundedMesh(90, 60)
 	f.members["host-003"].SetLocal(Local{Watched: true})
 	f.run(3 * time.Second)
@@ -82,7 +82,7 @@
 }
 
 // TestANewDaemonIsGreetedAtOnce, and need not wait until the others send again.
-func TestANewDaemonIsGreetedAtOnce(t *testing.T) {
+func TestNewDaemonGetsImmediateHeartbeats(t *testing.T) {
 	f := boundedMesh(90, 60)
 	f.stopped["host-003"] = true
 	f.run(20 * time.Second)
@@ -92,7 +92,7 @@
 
 // TestNobodyIsBelievedToBeatEverSoSlowly: what a daemon says of its pace is
 // bounded.
-func TestNobodyIsBelievedToBeatEverSoSlowly(t *testing.T) {
+func TestPeriodFactorIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
 	is.Equal(cfg.suspectAfter(&Entry{Period: time.Hour}), maxPeriodFactor*cfg.SuspectAfter)
