--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// BenchmarkFleet measures what one daemon costs in a steady fleet: bytes sent
-// each second (CBOR, without the transport's headers) and the core's time for
-// its part of one period, encoding left out.
+// BenchmarkFleet measures the cost of one daemon in a converged fleet: bytes sent
+// per second (CBOR, without transport headers) and the processing time per period,
+// without encoding.
 func BenchmarkFleet(b *testing.B) {
 	for _, mode := range []Mode{Mesh, Partial} {
 		for _, n := range []int{9, 60, 120, 420} {
 			b.Run(fmt.Sprintf("%s/%d", mode, n), func(b *testing.B) {
 				f := newFleet(mode, n, 5, 1)
 				took, _ := f.until(2*time.Minute, f.steady)
-				f.run(30 * time.Second) // the news of the start has died down
+				f.run(30 * time.Second) // until the updates of the start have been sent
 				f.count = true
 				f.run(10 * time.Second)
 				f.count = false
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkDetection measures, over kills, the time until the first daemon and
-// until all take the killed one for dead.
+// BenchmarkDetection measures the time until the first daemon, and until all
+// daemons, declare a killed daemon dead.
 func BenchmarkDetection(b *testing.B) {
 	for _, mode := range []Mode{Mesh, Partial} {
 		for _, n := range []int{9, 60, 120, 420} {
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -2,82 +2,85 @@
 
 import "time"
 
-// Mode chooses how the membership is kept up.
+// Mode selects the membership protocol.
 type Mode string
 
 const (
-	// Mesh sends a heartbeat to every daemon each period: fastest and
-	// simplest, at a cost that grows with the fleet.
+	// Mesh sends a heartbeat to every daemon each period: the fastest and
+	// simplest protocol, at a cost that grows with the fleet.
 	Mesh Mode = "mesh"
-	// Partial probes one daemon each period and spreads changes with the
-	// probes: the cost of a daemon does not grow with the fleet.
+	// Partial probes one daemon each period and piggybacks changes on the
+	// probes: the cost per daemon does not grow with the fleet.
 	Partial Mode = "partial"
 )
 
-// Config sets the membership's pace and bounds.
+// Config sets the timing and bounds of the membership protocol.
 type Config struct {
 	Mode Mode
 	// Period is the time between heartbeats, or probes.
 	Period time.Duration
-	// SuspectAfter and DeadAfter are how long a daemon may be silent.
+	// SuspectAfter and DeadAfter are how long a daemon may be silent before it is
+	// suspected or declared dead.
 	SuspectAfter time.Duration
 	DeadAfter    time.Duration
-	// WatchedPeriod, WatchedSuspect and WatchedDead take the place of Period,
-	// SuspectAfter and DeadAfter for daemons that others wait for, such as the
-	// owners of pools: their silence must be noticed sooner, and it would cost
-	// too much to have all daemons send that often. Mesh only; zero for no
-	// difference.
+	// WatchedPeriod, WatchedSuspect and WatchedDead replace Period, SuspectAfter
+	// and DeadAfter for daemons that others wait for, such as the owners of
+	// pools: their silence must be detected sooner, and it would cost too much
+	// for all daemons to send that often. Mesh only; zero for no difference.
 	WatchedPeriod  time.Duration
 	WatchedSuspect time.Duration
 	WatchedDead    time.Duration
-	// MostSent and MostWatched bound the heartbeats that a daemon sends in a
-	// second, the latter while it is watched. In a larger fleet the time between
-	// them grows, and the others' patience with it. Mesh only; 0 for no bound.
+	// MostSent and MostWatched bound the heartbeats that a daemon sends per
+	// second, the latter while it is watched. In a larger fleet the period grows,
+	// and the other daemons' timeouts grow with it. Mesh only; 0 for no bound.
 	MostSent    float64
 	MostWatched float64
-	// MeshUpTo is in how large a fleet, by the number of other daemons, all
-	// exchange heartbeats with all. In a larger one each daemon has two neighbours
-	// on each of Rings hash rings, which watch one another and pass news on: what
-	// a daemon sends does not grow with the fleet. Mesh only; 0 for no bound.
+	// MeshUpTo is the largest number of other daemons at which all daemons
+	// exchange heartbeats with all. In a larger fleet each daemon has two
+	// neighbours on each of Rings hash rings, which monitor each other and spread
+	// updates: a daemon's traffic does not grow with the fleet. Mesh only; 0 for
+	// no bound.
 	MeshUpTo int
 	Rings    int
-	// NearPeriod takes the place of Period between neighbours, and SpreadPause is
-	// the least time between heartbeats that pass news on.
+	// NeighbourPeriod replaces Period between neighbours, and GossipInterval is
+	// the minimum time between heartbeats that spread updates.
 	NeighbourPeriod time.Duration
 	GossipInterval  time.Duration
 	// PartitionedFor is how long a silent daemon may stay partitioned before
-	// it is dead after all.
+	// it is declared dead.
 	PartitionedFor time.Duration
 	// Forget is how long a dead daemon that the host list lacks is kept.
 	Forget time.Duration
-	// StallAfter is how late a Tick may come before this daemon takes itself
-	// for stalled.
+	// StallAfter is how late a Tick may come before this daemon counts it as a
+	// stall of its own process.
 	StallAfter time.Duration
-	// DomainShare is the share of a failure domain that must be silent
-	// together to take it for cut off.
+	// DomainShare is the fraction of a failure domain that must be silent
+	// together for the domain to count as cut off.
 	DomainShare float64
 	// ReviveEvery is the time between messages to a dead daemon.
 	ReviveEvery time.Duration
-	// Indirect is how many peers are asked about a silent daemon.
+	// IndirectProbes is how many peers are asked to probe a silent daemon.
 	IndirectProbes int
-	// ProbeTimeout is the wait for an Ack before peers are asked; Partial only.
+	// ProbeTimeout is the wait for an Ack before indirect probes are requested;
+	// Partial only.
 	ProbeTimeout time.Duration
-	// IndirectTimeout is the wait for their Report; Partial only.
+	// IndirectTimeout is the wait for a Report of the indirect probes; Partial only.
 	IndirectTimeout time.Duration
-	// Updates bounds the entries on one message.
+	// MaxUpdates bounds the piggybacked entries on one message; Partial only.
 	MaxUpdates int
 	// SampleEvery is the number of periods between heartbeats that carry a
-	// sample of others; Mesh only.
+	// random sample of entries; Mesh only.
 	SampleEvery uint64
-	// ShuffleEvery, ShuffleSize and ViewSize set the exchange of samples; Partial only.
+	// ShuffleEvery, ShuffleSize and ViewSize configure the exchange of view
+	// samples; Partial only.
 	ShuffleEvery time.Duration
 	ShuffleSize  int
 	ViewSize     int
-	// MaxMembers bounds the daemons that are kept.
+	// MaxMembers bounds the number of other daemons that are tracked.
 	MaxMembers int
 }
 
-// DefaultConfig returns the defaults of a mode.
+// DefaultConfig returns the default configuration of a mode.
 func DefaultConfig(mode Mode) Config {
 	return Config{
 		Mode:            mode,
--- a/core/member/detect.go
+++ b/core/member/detect.go
@@ -6,10 +6,11 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// minGroup is the fewest daemons whose joint silence is a partition.
+// minPartition is the minimum number of daemons whose joint silence counts as a
+// partition.
 const minPartition = 2
 
-// judge moves the silent along: suspect, then dead or partitioned.
+// detectFailures moves silent peers to suspect, then to dead or partitioned.
 func (m *Membership) detectFailures(now time.Duration) {
 	m.detectIsolation(now)
 	for _, name := range m.order {
@@ -18,7 +19,8 @@
 	m.forgetOld(now)
 }
 
-// silent tells whether a peer that counts has been silent long enough to suspect it.
+// silent reports whether a peer has been silent for long enough to suspect it. In
+// Partial mode, and for a peer that is not watched, its state decides.
 func (m *Membership) silent(now time.Duration, p *peer) bool {
 	if m.cfg.Mode == Partial || !m.watches(p) {
 		return p.entry.State == Suspect || p.entry.State == Partitioned
@@ -26,7 +28,7 @@
 	return m.silence(now, p) >= m.suspectAfter(p)
 }
 
-// judgeSelf finds out whether this daemon has lost most of the fleet at once.
+// detectIsolation determines whether this daemon has lost most of the fleet at once.
 func (m *Membership) detectIsolation(now time.Duration) {
 	all, near := m.countLost(now)
 	isolated := all.mostLost() || near.mostLost()
@@ -34,8 +36,8 @@
 	case m.cfg.Mode == Partial:
 		isolated = m.partial.failing()
 	case m.rings.enabled && m.isolated && (2*near.reached <= near.known || all.remote > 0 && near.reachedRemote == 0):
-		// Those it lost were replaced by others, which it has not heard either, or by
-		// those of its own failure domain, which may be cut off as a whole.
+		// The lost neighbours were replaced by others that have not been heard either,
+		// or by daemons of the own failure domain, which may be cut off as a whole.
 		isolated = true
 	}
 	if isolated == m.isolated {
@@ -45,23 +47,23 @@
 	m.rings.neighboursStale = true
 	m.rings.rejoinUntil = 0
 	if !isolated {
-		// What the others found out meanwhile is to be learnt.
+		// Fetches the state that the others have learnt in the meantime.
 		m.rings.rejoinUntil = now + rejoinFor
 	}
 	m.emit(Action{Isolated: &Isolated{Now: isolated, Silent: all.lost, Known: all.known}})
 }
 
-// group counts the daemons of a group, those of them that are silent, and those
-// that were heard since this daemon was isolated; beyond and reachedBeyond are
-// those in other failure domains.
+// group counts the daemons of a group, the silent ones, and those heard since this
+// daemon's isolation last changed; remote and reachedRemote count the daemons in
+// other failure domains.
 type group struct{ known, lost, reached, remote, reachedRemote int }
 
-func (g *group) add(lost, reached, beyond bool) {
+func (g *group) add(lost, reached, remote bool) {
 	g.known++
 	g.lost += boolToInt(lost)
 	g.reached += boolToInt(reached)
-	g.remote += boolToInt(beyond)
-	g.reachedRemote += boolToInt(reached && beyond)
+	g.remote += boolToInt(remote)
+	g.reachedRemote += boolToInt(reached && remote)
 }
 
 func boolToInt(yes bool) int {
@@ -71,10 +73,10 @@
 	return 0
 }
 
-// most says whether more than half of a group is lost.
+// mostLost reports whether more than half of a group is lost.
 func (g group) mostLost() bool { return g.lost >= minPartition && 2*g.lost > g.known }
 
-// countLost counts all that were heard of, and this daemon's neighbours.
+// countLost counts all seen peers that are not dead, and the neighbours among them.
 func (m *Membership) countLost(now time.Duration) (all, near group) {
 	for _, name := range m.order {
 		p := m.peers[name]
@@ -83,16 +85,16 @@
 		}
 		lost := m.silent(now, p)
 		reached := !lost && p.lastDirect > m.isolatedAt
-		beyond := p.entry.Domain != m.self.Domain
-		all.add(lost, reached, beyond)
+		remote := p.entry.Domain != m.self.Domain
+		all.add(lost, reached, remote)
 		if p.neighbour {
-			near.add(lost, reached, beyond)
+			near.add(lost, reached, remote)
 		}
 	}
 	return all, near
 }
 
-// judgePeer applies the time limits to one peer.
+// checkPeer applies the timeouts to one peer.
 func (m *Membership) checkPeer(now time.Duration, p *peer) {
 	switch p.entry.State {
 	case Dead:
@@ -117,8 +119,8 @@
 	silence, suspectAfter := m.silence(now, p), m.suspectAfter(p)
 	askAfter := suspectAfter
 	if m.rings.enabled {
-		// Its other neighbours may have heard it: nobody else then learns of a
-		// suspicion that is none.
+		// Its other neighbours may have heard it: asking them early avoids spreading a
+		// false suspicion.
 		askAfter /= 2
 	}
 	if silence >= askAfter {
@@ -135,16 +137,16 @@
 	}
 }
 
-// cutOff says whether a peer is one of those that this daemon, isolated in a
-// large fleet, has not heard since. There are many to find out about, a few at a
-// time.
+// cutOff reports whether this daemon, isolated in a large fleet, has not heard a
+// peer since the isolation began. Such a peer is not given the full timeout: there
+// are many, and only the few current neighbours are checked at a time.
 func (m *Membership) cutOff(p *peer) bool {
 	return m.rings.enabled && m.isolated && p.lastDirect < m.isolatedAt
 }
 
-// judgeSuspect, in Partial mode, lets a suspicion run out. Whoever raised it
-// has gone on probing and judges; the others wait for its word, and give up on
-// their own only if it does not come.
+// checkSuspect, in Partial mode, expires a suspicion. The daemon that raised it has
+// continued to probe and decides; the others wait for its result, and decide on
+// their own only after a longer timeout.
 func (m *Membership) checkSuspect(now time.Duration, p *peer) {
 	if !p.seen || p.entry.State != Suspect {
 		return
@@ -158,11 +160,11 @@
 	}
 }
 
-// giveUp decides between dead and partitioned.
+// declareLost sets a silent peer to dead or partitioned.
 func (m *Membership) declareLost(now time.Duration, p *peer) {
 	switch {
 	case !p.seen:
-		m.set(now, p, Dead, "listed and never heard")
+		m.set(now, p, Dead, "listed but never heard from")
 	case m.isolated:
 		m.set(now, p, Partitioned, "silent with most of the fleet")
 	case m.domainSilent(now, p):
@@ -173,8 +175,8 @@
 	p.reviveAt = now + m.cfg.ReviveEvery
 }
 
-// domainSilent tells whether the other daemons of a silent one's failure
-// domain, which is not this daemon's own, are silent with it.
+// domainSilent reports whether the other daemons of a silent peer's failure domain
+// are silent as well. It is false for this daemon's own failure domain.
 func (m *Membership) domainSilent(now time.Duration, p *peer) bool {
 	if p.entry.Domain == m.self.Domain {
 		return false
@@ -192,8 +194,8 @@
 	return lost >= minPartition && float64(lost) >= m.cfg.DomainShare*float64(known)
 }
 
-// silentSince tells whether q, of p's failure domain, is silent as well. In
-// Partial mode the probes of probeSuspects tell.
+// silentSince reports whether q, of p's failure domain, is silent as well. In
+// Partial mode this follows from the probes of probeSuspects.
 func (m *Membership) silentSince(now time.Duration, p, q *peer) bool {
 	if m.cfg.Mode == Partial {
 		return q.lastDirect < p.stateSince
@@ -201,7 +203,8 @@
 	return m.silent(now, q)
 }
 
-// neighboursOf lists the other daemons of p's failure domain that should be heard.
+// domainPeers lists the other daemons of p's failure domain that are seen and
+// neither dead nor leaving.
 func (m *Membership) domainPeers(p *peer) []*peer {
 	var out []*peer
 	for _, name := range m.order {
@@ -214,7 +217,8 @@
 	return out
 }
 
-// forgetOld drops the dead that the host list lacks, after a long while.
+// forgetOld drops peers that have been dead for Config.Forget and are missing from
+// the host list.
 func (m *Membership) forgetOld(now time.Duration) {
 	var old []id.Daemon
 	for _, name := range m.order {
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -12,10 +12,10 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// tick is the step of a test fleet's time; messages take one step.
+// tick is the time step of a test fleet; messages are delivered after one step.
 const tick = 10 * time.Millisecond
 
-// fleet runs memberships on one clock.
+// fleet runs memberships on one simulated clock.
 type fleet struct {
 	cfg     Config
 	now     time.Duration
@@ -23,7 +23,8 @@
 	names   []id.Daemon
 	domains map[id.Daemon]id.Domain
 	members map[id.Daemon]*Membership
-	// stopped daemons do not run; messages to them are kept if paused, else lost.
+	// stopped and paused daemons do not run; messages to a paused daemon are kept,
+	// those to a stopped one are lost.
 	stopped  map[id.Daemon]bool
 	paused   map[id.Daemon]bool
 	lost     func(from, to id.Daemon) bool
@@ -44,7 +45,7 @@
 	return newFleetWith(func(*Config) {}, mode, n, domains, seed)
 }
 
-// newFleetWith is newFleet with another configuration.
+// newFleetWith is newFleet with a changed configuration.
 func newFleetWith(change func(*Config), mode Mode, n, domains int, seed uint64) *fleet {
 	f := &fleet{
 		cfg:      DefaultConfig(mode),
@@ -75,7 +76,7 @@
 	f.act(name, f.members[name].Hosts(f.now, f.hosts()))
 }
 
-// startAlone starts a daemon that has no list of the others yet.
+// startAlone starts a daemon that has no host list yet.
 func (f *fleet) startAlone(name id.Daemon, inc id.Incarnation) {
 	self := Entry{Process: id.Process{Daemon: name, Incarnation: inc}, Domain: f.domains[name], Address: "10.20.30.40:7000"}
 	f.members[name] = New(f.cfg, self, f.now, rand.New(rand.NewPCG(f.rng.Uint64(), uint64(inc))))
@@ -109,7 +110,7 @@
 	}
 }
 
-// run advances all daemons; each step first delivers what was sent in the last.
+// run advances all daemons; each step first delivers the messages of the last step.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += tick {
 		f.deliver()
@@ -123,9 +124,9 @@
 }
 
 func (f *fleet) deliver() {
-	wire, senders := f.inFlight, f.senders
+	sent, senders := f.inFlight, f.senders
 	f.inFlight, f.senders = nil, nil
-	for i, s := range wire {
+	for i, s := range sent {
 		if f.count {
 			raw, err := cbor.Marshal(s.Message)
 			if err != nil {
@@ -146,7 +147,7 @@
 	}
 }
 
-// states counts how the running daemons see one daemon.
+// states counts the states in which the running daemons see one daemon.
 func (f *fleet) states(about id.Daemon) map[State]int {
 	out := map[State]int{}
 	for _, name := range f.names {
@@ -159,13 +160,13 @@
 	return out
 }
 
-// everyone tells whether all running daemons see one daemon in a state.
+// everyone reports whether all running daemons see one daemon in a state.
 func (f *fleet) everyone(about id.Daemon, s State) bool {
 	counts := f.states(about)
 	return len(counts) == 1 && counts[s] > 0
 }
 
-// steady tells whether all running daemons see all running ones alive.
+// steady reports whether every running daemon is seen alive by all others.
 func (f *fleet) steady() bool {
 	for _, name := range f.names {
 		if !f.stopped[name] && !f.everyone(name, Alive) {
@@ -175,7 +176,8 @@
 	return true
 }
 
-// until runs until ok or the limit, and returns the time it took.
+// until runs the fleet until ok returns true or the limit is reached, and returns
+// the time taken.
 func (f *fleet) until(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	start := f.now
 	for f.now-start < limit {
@@ -187,7 +189,7 @@
 	return limit, ok()
 }
 
-// deaths counts the times that any daemon took one for dead.
+// deaths counts how often any daemon declared one daemon dead.
 func (f *fleet) deaths(about id.Daemon) int {
 	n := 0
 	for _, name := range f.names {
--- a/core/member/fuzz_test.go
+++ b/core/member/fuzz_test.go
@@ -10,8 +10,9 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// FuzzReceive: whatever messages come, a daemon goes on to know itself alive
-// under its own name, sends nothing to itself and calls nobody alive twice.
+// FuzzReceive checks that arbitrary messages do not change a daemon's own identity,
+// make it send messages to itself or under another name, or list a daemon twice as
+// live.
 func FuzzReceive(f *testing.F) {
 	self := Entry{Process: id.Process{Daemon: "d1", Incarnation: 5}, Domain: "f1", Address: "127.0.0.1:1"}
 	other := Entry{Process: id.Process{Daemon: "d2", Incarnation: 1}, State: Alive, Domain: "f2", Address: "127.0.0.1:2", Beat: 3}
@@ -49,14 +50,14 @@
 func checkActions(t *testing.T, actions []Action) {
 	for _, a := range actions {
 		if a.Send != nil && (a.Send.To == "d1" || a.Send.Message.From.Process.Daemon != "d1") {
-			t.Fatalf("sent %+v", a.Send)
+			t.Fatalf("wrong receiver or sender: %+v", a.Send)
 		}
 	}
 }
 
 func checkView(t *testing.T, m *Membership, self id.Process) {
 	if m.Self().Process != self {
-		t.Fatalf("became %v", m.Self().Process)
+		t.Fatalf("own process changed to %v", m.Self().Process)
 	}
 	seen := map[id.Daemon]bool{}
 	for _, d := range m.Live() {
@@ -66,6 +67,6 @@
 		seen[d] = true
 	}
 	if m.Next() < 0 {
-		t.Fatalf("next at %v", m.Next())
+		t.Fatalf("negative time of the next tick: %v", m.Next())
 	}
 }
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -7,47 +7,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what neighbours tell one another.
+// Bounds of the gossip between neighbours.
 const (
-	// newsRepeats is in how many heartbeats a piece of news goes to each
+	// updateRepeats is in how many heartbeats an update is sent to each
 	// neighbour: a datagram may be lost, and each daemon has several neighbours.
 	updateRepeats = 3
-	// mostNews bounds the pieces of news on one heartbeat.
+	// maxUpdatesPerHeartbeat bounds the updates on one heartbeat.
 	maxUpdatesPerHeartbeat = 24
-	// agreeWithin is how long a neighbour may know other daemons than this one
-	// before it is asked for all that it knows: news take less.
+	// digestGrace is how long a neighbour's digest may differ from this daemon's
+	// before it is sent a Sync: updates take less time to spread.
 	digestGrace = 2 * time.Second
-	// syncPause is the least time between two such questions, startSync while
-	// most daemons were not heard of yet.
+	// syncInterval is the minimum time between two such Syncs, and
+	// startSyncInterval that between two at startup, while most daemons have not
+	// been seen yet.
 	syncInterval      = 3 * time.Second
 	startSyncInterval = 400 * time.Millisecond
-	// returnedPause is the least time between two such questions to daemons that
-	// have come back.
+	// returnedSyncInterval is the minimum time between two Syncs to daemons that
+	// have returned.
 	returnedSyncInterval = time.Second
-	// rejoinFor is how long a daemon that was isolated asks its neighbours, one
-	// after another, for all that they know.
+	// rejoinFor is how long a daemon that was isolated sends Syncs to randomly
+	// chosen neighbours.
 	rejoinFor = 5 * time.Second
-	// linkEvery is the time between heartbeats to all others of a daemon that
-	// keeps connections to them; connections rest for longer.
+	// keepaliveEvery is the time between heartbeats from a daemon that keeps
+	// connections to all others; the idle timeout of connections is longer.
 	keepaliveEvery = 2 * time.Second
-	// settleWatched is how long a daemon must want to be watched before it says
-	// so: one that has just started may take itself for an owner until it has
-	// heard of the others, and would connect to all of them.
+	// watchedDelay is how long a daemon must want to be watched before it announces
+	// it: a daemon that has just started may consider itself an owner until it has
+	// learnt of the others, and would connect to all of them.
 	watchedDelay = 1500 * time.Millisecond
-	// tellAllFor is how long all are told that a daemon is watched no more.
+	// announceFor is how long heartbeats to all announce that a daemon is no longer
+	// watched.
 	announceFor = 2 * time.Second
-	// longGone is after how long a daemon that is gone is tried only every
-	// longGoneEvery: most won't come back under their name.
+	// longAbsent is the absence after which a daemon is retried only every
+	// longAbsentRetry: most such daemons never return under the same name.
 	longAbsent      = time.Minute
 	longAbsentRetry = 10 * time.Second
-	// unmetFor is how long a listed daemon that nobody has heard of is waited for.
+	// unseenTimeout is the wait for a listed daemon that no message has mentioned.
 	unseenTimeout = 10 * time.Second
 )
 
-// beatNear sends heartbeats to the neighbours, to those that watch this daemon
-// and, where it keeps connections to all others, to these.
+// sendRingHeartbeats sends heartbeats to the neighbours and to the daemons that
+// watch this one; to all others while this daemon is watched or announces that it
+// no longer is; and keepalives where it keeps connections to all others.
 func (m *Membership) sendRingHeartbeats(now time.Duration) {
-	news := m.rings.updates.take(maxUpdatesPerHeartbeat, updateRepeats)
+	updates := m.rings.updates.take(maxUpdatesPerHeartbeat, updateRepeats)
 	m.rings.sentDigest = m.digest()
 	m.seenPeers = 0
 	toAll := m.self.Watched || now < m.rings.announceUntil
@@ -63,7 +66,7 @@
 		}
 		switch {
 		case p.neighbour || now < p.heartbeatsUntil:
-			m.sendNeighbour(now, p, news)
+			m.sendNeighbour(now, p, updates)
 		case toAll && p.seen:
 			m.sendKeepalive(now, p)
 		}
@@ -74,9 +77,9 @@
 	}
 }
 
-func (m *Membership) sendNeighbour(now time.Duration, p *peer, news []Entry) {
+func (m *Membership) sendNeighbour(now time.Duration, p *peer, updates []Entry) {
 	p.sentAt = now
-	m.send(p, Message{Kind: Heartbeat, Watching: p.neighbour, Digest: m.rings.sentDigest, Entries: slices.Clone(news)})
+	m.send(p, Message{Kind: Heartbeat, Watching: p.neighbour, Digest: m.rings.sentDigest, Entries: slices.Clone(updates)})
 }
 
 func (m *Membership) sendKeepalive(now time.Duration, p *peer) {
@@ -84,8 +87,8 @@
 	m.send(p, Message{Kind: Heartbeat})
 }
 
-// tryGap sends a message now and then to a daemon that is gone and would be a
-// neighbour: so it learns, when it comes back, what is held of it.
+// retryAbsent periodically sends a heartbeat to an absent daemon that would
+// otherwise be a neighbour, so that it learns its state here when it returns.
 func (m *Membership) retryAbsent(now time.Duration, p *peer) {
 	if !p.absentNeighbour || now < p.reviveAt {
 		return
@@ -97,8 +100,8 @@
 	m.send(p, Message{Kind: Heartbeat, Watching: true})
 }
 
-// keepLinks keeps the connections to all others alive: each gets a heartbeat
-// every linkEvery, a part of them in each period.
+// keepConnections keeps the connections to all others alive: each is sent a
+// heartbeat every keepaliveEvery, spread over the periods.
 func (m *Membership) keepConnections(now time.Duration) {
 	if !m.rings.linked || m.self.Watched || len(m.order) == 0 {
 		return
@@ -113,26 +116,29 @@
 	}
 }
 
-// tell has news of a peer sent on to the neighbours, soon.
+// enqueueUpdate queues an update for the neighbours and expedites the next
+// heartbeats.
 func (m *Membership) enqueueUpdate(e Entry) {
 	if e.Process.Daemon != m.self.Process.Daemon {
-		// Each heartbeat tells of this daemon itself.
+		// Each heartbeat carries this daemon's own entry.
 		m.rings.updates.add(e)
 	}
 	m.expediteUpdates()
 }
 
-// hurryNews brings the next heartbeats forward to when news may go out.
+// expediteUpdates brings the next heartbeats forward to the earliest time at which
+// updates may be sent.
 func (m *Membership) expediteUpdates() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.GossipInterval) }
 
-// noteworthy says whether a daemon tells of itself what all others must know.
+// mustSpread reports whether a daemon's report about itself has a change that all
+// others must receive.
 func mustSpread(old, now Entry) bool {
 	return old.Watched != now.Watched || old.StoreLost != now.StoreLost || old.Stale != now.Stale ||
 		(old.Revision == 0) != (now.Revision == 0) || old.CallerAddress != now.CallerAddress
 }
 
-// digest sums up who is there: equal ones mean the same daemons in the same
-// starts and epochs.
+// digest returns a hash of the present daemons: equal digests mean the same daemons
+// with the same incarnations and epochs.
 func (m *Membership) digest() uint64 {
 	sum := entryDigest(&m.self)
 	for _, p := range m.peers {
@@ -149,8 +155,8 @@
 	return sum * spread
 }
 
-// compare takes a neighbour's digest. One that has differed for long has missed
-// news, or this daemon has.
+// compareDigest handles a neighbour's digest. If it has differed for digestGrace,
+// the neighbour or this daemon has missed updates.
 func (m *Membership) compareDigest(now time.Duration, p *peer, digest uint64) {
 	if digest == 0 || digest == m.rings.sentDigest {
 		p.digestMatchedAt = now
@@ -163,36 +169,37 @@
 	m.send(p, Message{Kind: Sync})
 }
 
-// syncNear asks a neighbour for all that it knows while listed daemons were not
-// heard of: at the daemon's own start, and at that of a whole fleet.
+// syncNeighbour sends a Sync to a random neighbour while listed daemons have not
+// been seen, as at the start of this daemon or of the whole fleet, and while this
+// daemon rejoins after isolation.
 func (m *Membership) syncNeighbour(now time.Duration) {
 	rejoins := now < m.rings.rejoinUntil
 	if now < m.rings.syncAt && !rejoins {
 		return
 	}
-	unmet := 0
+	unseen := 0
 	var near []*peer
 	for _, name := range m.order {
 		p := m.peers[name]
 		if !p.seen && !p.absent() {
-			unmet++
+			unseen++
 		}
 		if p.neighbour && p.seen && p.entry.State == Alive {
 			near = append(near, p)
 		}
 	}
-	if unmet == 0 && !rejoins || len(near) == 0 {
+	if unseen == 0 && !rejoins || len(near) == 0 {
 		return
 	}
 	m.rings.syncAt = now + syncInterval
-	if 2*unmet > len(m.order) {
+	if 2*unseen > len(m.order) {
 		m.rings.syncAt = now + startSyncInterval
 	}
 	m.send(near[m.rng.IntN(len(near))], Message{Kind: Sync})
 }
 
-// askReturned asks a daemon that has come back for all that it knows: it may have
-// been cut off together with others.
+// syncReturned sends a Sync to a daemon that has returned: it may have been cut off
+// together with others.
 func (m *Membership) syncReturned(now time.Duration, p *peer) {
 	if !m.rings.enabled || now < m.rings.returnedSyncAt {
 		return
@@ -201,7 +208,8 @@
 	m.send(p, Message{Kind: Sync})
 }
 
-// noteHeartbeat notes a heartbeat of a daemon that watches this one.
+// noteHeartbeat records whether the sender of a heartbeat watches this daemon, and
+// compares the digest of a neighbour.
 func (m *Membership) noteHeartbeat(now time.Duration, p *peer, msg Message) {
 	if !m.rings.enabled {
 		return
@@ -217,8 +225,8 @@
 	}
 }
 
-// takeWatched says that this daemon is watched once it has wanted to be for a
-// while, and that it is no more at once.
+// updateWatched sets Watched once the daemon has wanted to be watched for
+// watchedDelay (in a small fleet at once), and clears it at once.
 func (m *Membership) updateWatched(now time.Duration) {
 	r := &m.rings
 	if !r.wantsWatched {
@@ -238,22 +246,22 @@
 	m.expediteHeartbeat()
 }
 
-// judgeUnwatched moves along a peer that this daemon does not watch: those who do
-// tell of it, and are waited for.
+// checkUnwatched applies the timeouts to a peer that this daemon does not watch. The
+// daemons that watch it report its state, and are waited for.
 func (m *Membership) checkUnwatched(now time.Duration, p *peer) {
 	switch {
 	case !p.seen && now-p.stateSince >= unseenTimeout:
-		m.set(now, p, Dead, "listed and never heard")
+		m.set(now, p, Dead, "listed but never heard from")
 	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedTimeout():
 		m.declareLost(now, p)
 	case p.seen && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
-		// None of those who are left watches it.
+		// None of the reachable daemons watches it.
 		m.declareLost(now, p)
 	}
 }
 
-// unwatchedPatience is how long the word of those who watch a suspect daemon is
-// waited for. Those beyond a cut can't give it.
+// unwatchedTimeout is the wait for a report by the daemons that watch a suspect
+// peer. It is shorter while isolated: watchers beyond the partition can't report.
 func (m *Membership) unwatchedTimeout() time.Duration {
 	if m.isolated {
 		return m.cfg.DeadAfter
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -19,16 +19,16 @@
 	proof   *freshness.Proof
 
 	peers map[id.Daemon]*peer
-	// order holds the names of peers, sorted, so that nothing depends on the
-	// order of a map.
+	// order holds the names of peers, sorted, so that results do not depend on
+	// map iteration order.
 	order []id.Daemon
 
 	nextBeat time.Duration
-	// lookAt is when Tick is due at the latest, also between heartbeats that are
-	// far apart: to judge the silent, and to notice that this daemon was not run.
+	// nextCheck is when Tick is due at the latest, also between heartbeats that are
+	// far apart: to detect failed peers, and stalls of this daemon's own process.
 	nextCheck time.Duration
-	// beatAt is when the last heartbeats went out, to how many daemons that had
-	// been heard from.
+	// lastBeat is when the last heartbeats were sent; seenPeers counts the peers
+	// that were seen and not absent at that time.
 	lastBeat  time.Duration
 	seenPeers int
 	isolated  bool
@@ -37,16 +37,17 @@
 	relays     map[uint64]relay
 	seq        uint64
 	actions    []Action
-	// bulk is set while a SyncReply is merged: old news, not to be sent on.
+	// mergingSync is set while a SyncReply is merged: its entries are old and are
+	// not sent on.
 	mergingSync bool
 
 	partial partial
 	rings   rings
-	// at is this daemon's own position on each ring.
+	// positions holds this daemon's own position on each ring.
 	positions []uint64
 }
 
-// relay remembers for whom a probe was sent on.
+// relay is an indirect probe that this daemon sent on behalf of another.
 type relay struct {
 	requester id.Daemon
 	seq       uint64
@@ -54,8 +55,8 @@
 	expires   time.Duration
 }
 
-// New returns the membership of the daemon self, of which Process, Domain and
-// the addresses count.
+// New returns the membership of the daemon self. Of self, Process, Domain and the
+// addresses are used.
 func New(cfg Config, self Entry, now time.Duration, rng *rand.Rand) *Membership {
 	self.State = Alive
 	return &Membership{
@@ -71,7 +72,7 @@
 	}
 }
 
-// Local is what a daemon tells the others of itself.
+// Local is the status that a daemon reports about itself to the others.
 type Local struct {
 	Revision uint64
 	InFlight int
@@ -81,19 +82,19 @@
 	// Linked is set while the daemon keeps connections to all others, since it may
 	// have to reach them at once.
 	Linked bool
-	// StoreLost is set while the platform's store does not answer this daemon.
+	// StoreLost is set while the platform's store does not respond to this daemon.
 	StoreLost bool
 	// Stale is set while its configuration may be too old to take keys.
 	Stale bool
-	// Proof of how fresh a configuration is goes along with each message; nil for
+	// Proof of a configuration's freshness is sent with each message; nil for
 	// none.
 	Proof *freshness.Proof
 }
 
-// SetLocal sets what the next messages say.
+// SetLocal sets the status that the next messages report.
 func (m *Membership) SetLocal(l Local) {
 	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
-		// It can take duties from now on, or no more.
+		// Its eligibility for duties has changed.
 		m.expediteUpdates()
 	}
 	m.self.Revision = l.Revision
@@ -115,8 +116,8 @@
 	m.proof = l.Proof
 }
 
-// hurry brings the next heartbeats forward to when a small fleet would have
-// them: the others act on what they say.
+// expediteHeartbeat brings the next heartbeats forward to the base period, since
+// other daemons act on the changed status.
 func (m *Membership) expediteHeartbeat() {
 	m.nextBeat = min(m.nextBeat, m.lastBeat+m.basePeriod())
 	if m.rings.enabled {
@@ -124,7 +125,7 @@
 	}
 }
 
-// Leave says that this daemon stops soon.
+// Leave announces that this daemon is about to stop.
 func (m *Membership) Leave(now time.Duration) []Action {
 	m.leaving = true
 	if !m.halted {
@@ -135,8 +136,8 @@
 	return m.flush()
 }
 
-// Resume says that this daemon has stopped acting on what it held before
-// DeclaredDead. Others take it back from the next message on.
+// Resume confirms that this daemon has stopped acting on all that it held before
+// DeclaredDead. It is alive in a new epoch, which the next messages announce.
 func (m *Membership) Resume(now time.Duration) []Action {
 	if !m.halted {
 		return nil
@@ -151,13 +152,13 @@
 	return m.flush()
 }
 
-// Halted tells whether this daemon must not act, between DeclaredDead and Resume.
+// Halted reports whether this daemon must not act, between DeclaredDead and Resume.
 func (m *Membership) Halted() bool { return m.halted }
 
-// Isolated tells whether this daemon has lost most of the fleet at once.
+// Isolated reports whether this daemon has lost most of the fleet at once.
 func (m *Membership) Isolated() bool { return m.isolated }
 
-// Next is when Tick is due.
+// Next returns the time when Tick is due.
 func (m *Membership) Next() time.Duration {
 	if m.cfg.Mode == Partial {
 		return min(m.nextBeat, m.partial.next())
@@ -165,7 +166,7 @@
 	return min(m.nextBeat, m.nextCheck)
 }
 
-// Tick does what is due: send, judge the silent, ask about them.
+// Tick sends the messages that are due and runs failure detection.
 func (m *Membership) Tick(now time.Duration) []Action {
 	m.noteStall(now)
 	m.updateWatched(now)
@@ -192,11 +193,13 @@
 	return m.flush()
 }
 
-// basePeriod is the time until this daemon's next heartbeats in a small fleet.
+// basePeriod returns the configured time between this daemon's heartbeats, which
+// applies in a small fleet.
 func (m *Membership) basePeriod() time.Duration { return m.cfg.periodOf(&m.self) }
 
-// ownPeriod is the time until this daemon's next heartbeats: longer where so
-// many daemons get them that they would exceed the bound.
+// ownPeriod returns the time between this daemon's heartbeats. It is longer than
+// basePeriod where the number of receivers would exceed the bound on heartbeats
+// per second.
 func (m *Membership) ownPeriod() time.Duration {
 	most := m.cfg.MostSent
 	if m.self.Watched {
@@ -212,10 +215,11 @@
 	return max(m.basePeriod(), min(bound, maxPeriodFactor*m.basePeriod()))
 }
 
-// ownDeadAfter is after what silence others take this daemon for dead.
+// ownDeadAfter returns the silence after which others declare this daemon dead.
 func (m *Membership) ownDeadAfter() time.Duration { return m.cfg.deadAfter(&m.self) }
 
-// suspectAfter and deadAfter are how long a peer may be silent.
+// suspectAfter and deadAfter return how long a peer may be silent before it is
+// suspected or declared dead.
 func (m *Membership) suspectAfter(p *peer) time.Duration { return m.cfg.suspectAfter(&p.entry) }
 func (m *Membership) deadAfter(p *peer) time.Duration    { return m.cfg.deadAfter(&p.entry) }
 
@@ -236,9 +240,9 @@
 	m.sendHeartbeats(now)
 }
 
-// noteStall moves every wait by the time that this daemon was not run, so
-// that nobody is suspected for it. After a stall in which others may have
-// declared it dead, it takes that for done.
+// noteStall shifts all timers by the time that this daemon was not scheduled, so
+// that no peer is suspected for it. After a stall in which others may have
+// declared this daemon dead, it assumes that they did.
 func (m *Membership) noteStall(now time.Duration) {
 	late := now - m.nextCheck
 	if late < m.cfg.StallAfter {
@@ -275,8 +279,8 @@
 	return out
 }
 
-// send passes a message to a peer; one that this daemon does not hold for
-// alive is told so.
+// send sends a message to a peer. A peer that this daemon does not consider alive
+// receives its own entry with the message.
 func (m *Membership) send(p *peer, msg Message) {
 	if p.entry.Address == "" {
 		return
@@ -286,7 +290,7 @@
 	if p.seen && m.mustNotify(p) {
 		told := p.entry
 		if told.State == Paused {
-			// It has yet to answer to its death with a new epoch.
+			// It has not yet responded to the declared death with a new epoch.
 			told.State = Dead
 		}
 		msg.Entries = append(msg.Entries, told)
@@ -294,7 +298,8 @@
 	m.emit(Action{Send: &Send{To: p.entry.Process.Daemon, Address: p.entry.Address, Message: msg}})
 }
 
-// tells decides whether a peer must hear what this daemon holds of it.
+// mustNotify reports whether a peer must receive the state that this daemon holds
+// for it.
 func (m *Membership) mustNotify(p *peer) bool {
 	switch p.entry.State {
 	case Dead, Paused:
@@ -306,8 +311,8 @@
 	}
 }
 
-// Hosts merges the host list. A host that it calls leaving is leaving; one
-// that it lacks is not dead for that alone.
+// Hosts merges the host list. A host that is listed as leaving is leaving; a
+// daemon missing from the list is not declared dead for that alone.
 func (m *Membership) Hosts(now time.Duration, hosts []Host) []Action {
 	for _, name := range m.order {
 		p := m.peers[name]
@@ -330,7 +335,7 @@
 		m.reportState(m.peers[name], "host list")
 	}
 	if m.rings.neighboursStale {
-		// Those that are new here should not wait for the next heartbeats.
+		// New neighbours should not wait for the next regular heartbeats.
 		m.chooseNeighbours(now)
 		m.expediteUpdates()
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table/tabletest"
 )
 
-// kind is a kind of fleet that the failures are tried on.
+// fleetKind is a protocol variant and the fleet sizes to test it with.
 type fleetKind struct {
 	name  string
 	mode  Mode
@@ -26,7 +26,7 @@
 	{name: "rings", mode: Mesh, rings: true, sizes: []int{30}},
 }
 
-// withRings has each daemon watch a few neighbours, as on the platform.
+// withRings configures each daemon to watch a few neighbours, as on the platform.
 func withRings(c *Config) {
 	c.Period = 400 * time.Millisecond
 	c.SuspectAfter = 1300 * time.Millisecond
@@ -45,7 +45,7 @@
 	return newFleet(k.mode, n, domains, seed)
 }
 
-// each runs a test on a steady fleet of each mode, size and some seeds.
+// eachFleet runs a test on a converged fleet of each kind and size, with two seeds.
 func eachFleet(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
 	for _, k := range fleetKinds {
 		for _, n := range k.sizes {
@@ -55,7 +55,7 @@
 					is := is.New(t)
 					f := k.fleet(n, 4, seed)
 					_, ok := f.until(20*time.Second, f.steady)
-					is.True(ok) // the fleet finds itself
+					is.True(ok) // the fleet converges
 					run(t, is, f)
 				})
 			}
@@ -111,7 +111,8 @@
 }
 
 func TestSuspendedClockStillDeclaredDead(t *testing.T) {
-	// A suspended host's monotonic clock may stand still: only the others can tell.
+	// The monotonic clock of a suspended host may not advance: then only the other
+	// daemons detect the pause.
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 1)
 	f.until(5*time.Second, f.steady)
@@ -119,7 +120,7 @@
 	f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
 	m := f.members["host-003"]
 	delete(f.stopped, "host-003")
-	m.nextBeat = f.now // no lateness is seen
+	m.nextBeat = f.now // Tick detects no delay
 	for _, p := range m.peers {
 		p.lastHeard = f.now
 	}
@@ -171,11 +172,11 @@
 				}
 			}
 		}
-		is.True(partitioned > 4*dead)       // the rest sees a partition
-		is.True(f.isolated["host-001"] > 0) // the cut-off side knows that it is alone
+		is.True(partitioned > 4*dead)       // the other domains detect a partition
+		is.True(f.isolated["host-001"] > 0) // the cut-off domain detects its isolation
 		for _, name := range f.names {
 			e, _ := f.members["host-001"].Get(name)
-			is.True(e.State != Dead) // and calls nobody dead
+			is.True(e.State != Dead) // and declares no daemon dead
 		}
 		f.lost = nil
 		_, ok := f.until(60*time.Second, f.steady)
@@ -206,7 +207,7 @@
 	e, _ := f.members["host-000"].Get("host-005")
 	is.Equal(e.State, Leaving)
 	e, _ = f.members["host-000"].Get("host-006")
-	is.Equal(e.State, Alive) // absent is not dead
+	is.Equal(e.State, Alive) // a daemon missing from the list is not dead
 	f.run(3 * time.Second)
 	is.Equal(f.deaths("host-006"), 0)
 }
@@ -219,21 +220,21 @@
 	f.start("host-007", 2)
 	f.run(2 * time.Second)
 	f.act("host-000", f.members["host-000"].Receive(f.now, Message{Kind: Heartbeat, From: old.Self()}))
-	var told bool
+	var superseded bool
 	for _, s := range f.inFlight {
 		if s.To != "host-007" || s.Message.Kind != Ack {
 			continue
 		}
 		for _, a := range old.Receive(f.now, s.Message) {
-			told = told || (a.DeclaredDead != nil && a.DeclaredDead.Superseded)
+			superseded = superseded || (a.DeclaredDead != nil && a.DeclaredDead.Superseded)
 		}
 	}
-	is.True(told)
+	is.True(superseded)
 }
 
-// TestRandomFaults brings kills, pauses, cuts and loss about at random and
-// asserts that a daemon which others took for dead is never live again in its
-// old epoch, and that the fleet finds itself when the faults end.
+// TestRandomFaults injects kills, pauses, one-way cuts and packet loss at random. It
+// checks that a daemon which was declared dead is never alive again in its old
+// epoch, and that the fleet converges after the faults end.
 func TestRandomFaults(t *testing.T) {
 	for _, k := range fleetKinds {
 		for seed := range tabletest.Seeds(20) {
@@ -274,17 +275,17 @@
 	}
 }
 
-// checkEpochs wants that nobody went straight from dead to live.
+// checkEpochs fails the test if a daemon went from dead to alive without a new epoch.
 func checkEpochs(t *testing.T, changes []Changed) {
 	for _, c := range changes {
 		if c.From == Dead && c.To == Alive && c.Reason != "a new epoch" {
-			t.Fatalf("%s came back without a new epoch: %+v", c.Process, c)
+			t.Fatalf("%s returned without a new epoch: %+v", c.Process, c)
 		}
 	}
 }
 
-// TestTheSilenceOfAWatchedDaemonIsNoticedSooner: it sends more often, and is
-// suspected by its own time limits, not by those of the others.
+// TestWatchedDaemonUsesWatchedTimeouts checks that a watched daemon sends more often
+// and is suspected by the watched timeouts instead of the default ones.
 func TestWatchedDaemonUsesWatchedTimeouts(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
@@ -298,7 +299,7 @@
 		m.Receive(0, Message{Kind: Heartbeat, From: e})
 	}
 	at := func(now time.Duration, name id.Daemon) State {
-		m.nextBeat = now // no lateness is seen
+		m.nextBeat = now // Tick detects no delay
 		m.Tick(now)
 		e, ok := m.Get(name)
 		is.True(ok)
@@ -315,8 +316,8 @@
 	is.Equal(m.Next(), next+cfg.WatchedPeriod)
 }
 
-// TestADaemonIsWatchedOnlyWhileItSaysSo: one that no longer owns a pool beats
-// slowly, and must not be suspected by the limits of owners.
+// TestUnwatchedDaemonUsesDefaultTimeouts guards against suspecting a daemon that no
+// longer owns a pool by the timeouts of owners: it sends less often.
 func TestUnwatchedDaemonUsesDefaultTimeouts(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
@@ -329,7 +330,7 @@
 	}
 	suspected := func() bool {
 		const now = 300 * time.Millisecond
-		m.nextBeat = now // no lateness is seen
+		m.nextBeat = now // Tick detects no delay
 		m.Tick(now)
 		e, _ := m.Get("b")
 		return e.State == Suspect
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// beat sends a heartbeat to every daemon that is not dead, and now and then
-// one to the dead, so that they learn it when they come back.
+// sendHeartbeats sends a heartbeat to every daemon that is not dead, and one every
+// Config.ReviveEvery to the dead, so that a returning daemon learns that it was
+// declared dead.
 func (m *Membership) sendHeartbeats(now time.Duration) {
 	var sample []Entry
 	if m.cfg.SampleEvery > 0 && m.self.Beat%m.cfg.SampleEvery == 0 {
@@ -19,13 +20,13 @@
 		if p.seen && p.entry.State != Dead {
 			m.seenPeers++
 		}
-		// A peer that knows of more daemons may watch a few neighbours only.
+		// A peer that knows of more daemons may already watch only a few neighbours.
 		m.send(p, Message{Kind: Heartbeat, Watching: m.cfg.MeshUpTo > 0, Entries: append([]Entry(nil), sample...)})
 	}
 }
 
-// askAbout asks a few peers about a silent daemon, once a period: where only
-// one direction of one path is lost, they have heard it.
+// requestIndirectProbe asks a few peers about a silent daemon, once per period: if
+// only one direction of one path is lost, they have heard from it.
 func (m *Membership) requestIndirectProbe(now time.Duration, p *peer) {
 	if now-p.askedAt < m.cfg.Period || !p.seen {
 		return
@@ -57,7 +58,7 @@
 	return alive[:min(n, len(alive))]
 }
 
-// sample chooses up to n entries of daemons that are heard from.
+// sample selects up to n entries of alive peers at random.
 func (m *Membership) sample(n int) []Entry {
 	var out []Entry
 	for range min(3*n, len(m.order)) {
@@ -69,30 +70,31 @@
 	return out
 }
 
-// onProbeRequest answers with fresh evidence, or probes on the asker's behalf.
-func (m *Membership) onProbeRequest(now time.Duration, asker *peer, msg Message) {
+// onProbeRequest replies with recent evidence, or probes on the requester's behalf.
+func (m *Membership) onProbeRequest(now time.Duration, requester *peer, msg Message) {
 	p, ok := m.peers[msg.About]
 	if !ok || !p.seen {
 		return
 	}
 	if now-p.lastDirect <= 2*m.cfg.Period {
-		m.send(asker, Message{Kind: Report, Seq: msg.Seq, About: msg.About, Entries: []Entry{p.entry}})
+		m.send(requester, Message{Kind: Report, Seq: msg.Seq, About: msg.About, Entries: []Entry{p.entry}})
 		return
 	}
 	m.seq++
-	m.relays[m.seq] = relay{requester: asker.entry.Process.Daemon, seq: msg.Seq, target: msg.About, expires: now + m.cfg.DeadAfter}
+	m.relays[m.seq] = relay{requester: requester.entry.Process.Daemon, seq: msg.Seq, target: msg.About, expires: now + m.cfg.DeadAfter}
 	m.send(p, Message{Kind: Probe, Seq: m.seq})
 }
 
-// relayAck passes an Ack on to the daemon that asked for the probe.
+// relayAck sends a Report for an Ack to the daemon that requested the probe. It
+// reports whether the Ack belongs to such a probe.
 func (m *Membership) relayAck(p *peer, msg Message) bool {
 	r, ok := m.relays[msg.Seq]
 	if !ok || r.target != p.entry.Process.Daemon {
 		return false
 	}
 	delete(m.relays, msg.Seq)
-	if asker, known := m.peers[r.requester]; known {
-		m.send(asker, Message{Kind: Report, Seq: r.seq, About: r.target, Entries: []Entry{p.entry}})
+	if requester, known := m.peers[r.requester]; known {
+		m.send(requester, Message{Kind: Report, Seq: r.seq, About: r.target, Entries: []Entry{p.entry}})
 	}
 	return true
 }
@@ -105,7 +107,7 @@
 	}
 }
 
-// onAck takes the answer to a probe.
+// onAck handles the reply to a probe.
 func (m *Membership) onAck(now time.Duration, p *peer, msg Message) {
 	if m.relayAck(p, msg) {
 		return
--- a/core/member/messages.go
+++ b/core/member/messages.go
@@ -1,7 +1,7 @@
-// Package member is the membership of the fleet: which daemons there are, and
-// which of them are alive, suspect, paused, partitioned, leaving or dead. It
-// merges heartbeats, what peers report, and the platform's lagging host list.
-// It has no I/O: messages and a time go in, actions come out.
+// Package member implements the membership of the fleet: the known daemons, and
+// whether each is alive, suspect, paused, partitioned, leaving or dead. It
+// merges heartbeats, reports of peers, and the platform's host list, which lags.
+// It performs no I/O: messages and a time are passed in, actions are returned.
 package member
 
 import (
@@ -15,25 +15,26 @@
 // State is a daemon's state as one daemon sees it.
 type State uint8
 
-// The states. Where reports of one epoch differ, the higher one counts.
+// The states. Among reports of the same epoch, the higher state takes precedence.
 const (
-	// Alive: it is heard from.
+	// Alive: messages arrive from the daemon.
 	Alive State = iota + 1
-	// Suspect: it is silent, or was listed and not heard from yet.
+	// Suspect: the daemon is silent, or is listed and has not been heard from yet.
 	Suspect
-	// Paused: it came back after it was declared dead and has not yet
-	// confirmed that it stopped acting on what it held before.
+	// Paused: the daemon returned after it was declared dead and has not yet
+	// confirmed that it stopped acting on all that it held before.
 	Paused
-	// Partitioned: it is silent together with its whole failure domain, or
-	// with most of the fleet, so it may well be alive.
+	// Partitioned: the daemon is silent together with its failure domain or with
+	// most of the fleet, so it may still be alive.
 	Partitioned
-	// Leaving: it said, or the host list says, that it stops soon.
+	// Leaving: the daemon announced, or the host list states, that it is about to
+	// stop.
 	Leaving
-	// Dead: its process is taken as ended.
+	// Dead: the daemon's process is considered ended.
 	Dead
 )
 
-// String names the state as operators see it.
+// String returns the state's name as shown to operators.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -53,35 +54,35 @@
 	}
 }
 
-// Entry is what one message says about one daemon.
+// Entry is a message's record of one daemon.
 type Entry struct {
 	Process id.Process `cbor:"1,keyasint"`
 	State   State      `cbor:"2,keyasint"`
 	// Epoch counts, within an incarnation, how often the daemon refuted a
-	// report about itself. A higher one overrides all lower ones.
+	// report about itself. A higher epoch overrides all lower ones.
 	Epoch uint32 `cbor:"3,keyasint,omitempty"`
-	// Beat counts the daemon's own periods: a higher one proves that it ran.
+	// Beat counts the daemon's own periods: a higher value proves that it ran.
 	Beat    uint64    `cbor:"4,keyasint,omitempty"`
 	Domain  id.Domain `cbor:"5,keyasint,omitempty"`
 	Address string    `cbor:"6,keyasint,omitempty"`
-	// Revision of the configuration in force at the daemon.
+	// Revision is that of the configuration in force at the daemon.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
-	// InFlight counts the requests it serves.
+	// InFlight is the number of requests that the daemon is serving.
 	InFlight int `cbor:"8,keyasint,omitempty"`
-	// Settings is a hash of its settings; equal daemons have equal ones.
+	// Settings is a hash of the daemon's settings; equal settings have equal hashes.
 	Settings uint64 `cbor:"9,keyasint,omitempty"`
-	// CallerAddress is the address that callers are told.
+	// CallerAddress is the address given to callers.
 	CallerAddress string `cbor:"10,keyasint,omitempty"`
-	// Watched says that others wait for the daemon; it sends more often.
+	// Watched is set while others wait for the daemon; it sends more often.
 	Watched bool `cbor:"11,keyasint,omitempty"`
-	// StoreLost says that the platform's store does not answer the daemon.
+	// StoreLost is set while the platform's store does not respond to the daemon.
 	StoreLost bool `cbor:"12,keyasint,omitempty"`
-	// Capacity is what the daemon's host grants it.
+	// Capacity is the capacity that the daemon's host grants it.
 	Capacity capacity.Capacity `cbor:"13,keyasint,omitempty"`
-	// Period is the longest time until the daemon's next heartbeat, where that is
+	// Period is the maximum time until the daemon's next heartbeat, where that is
 	// longer than the configured one; Mesh only.
 	Period time.Duration `cbor:"14,keyasint,omitempty"`
-	// Stale says that the daemon's configuration may be too old to take keys.
+	// Stale is set while the daemon's configuration may be too old to take keys.
 	Stale bool `cbor:"15,keyasint,omitempty"`
 }
 
@@ -90,43 +91,43 @@
 
 // The kinds of messages.
 const (
-	// Heartbeat says that the sender runs; no answer is due.
+	// Heartbeat shows that the sender runs; no reply is expected.
 	Heartbeat Kind = iota + 1
 	// Probe asks the receiver for an Ack.
 	Probe
-	// Ack answers a Probe.
+	// Ack replies to a Probe.
 	Ack
 	// ProbeRequest asks the receiver for a Report about the daemon About.
 	ProbeRequest
-	// Report answers a ProbeRequest with fresh evidence, in Entries.
+	// Report replies to a ProbeRequest with recent evidence in Entries.
 	Report
-	// Shuffle offers a sample of known daemons and asks for one.
+	// Shuffle sends a sample of known daemons and asks for one in return.
 	Shuffle
-	// ShuffleReply answers a Shuffle.
+	// ShuffleReply replies to a Shuffle.
 	ShuffleReply
-	// Sync asks a daemon for all that it knows; Partial only.
+	// Sync asks a daemon for all entries that it holds.
 	Sync
-	// SyncReply answers a Sync, in several messages.
+	// SyncReply replies to a Sync; a long reply takes several messages.
 	SyncReply
 )
 
-// Message is the one message between memberships.
+// Message is the message type exchanged between memberships.
 type Message struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// Seq pairs an answer with its question, within the asker.
+	// Seq matches a reply to its request; it is unique within the requester.
 	Seq uint64 `cbor:"2,keyasint,omitempty"`
-	// From is the sender about itself.
+	// From is the sender's own entry.
 	From Entry `cbor:"3,keyasint"`
 	// About names the daemon that a ProbeRequest is about.
 	About id.Daemon `cbor:"4,keyasint,omitempty"`
-	// Entries tell of other daemons, or tell the receiver about itself.
+	// Entries describe other daemons, or the receiver.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
 	// Watching, on a Heartbeat, asks the receiver for heartbeats: the sender
-	// judges it by its silence.
+	// checks it for silence.
 	Watching bool `cbor:"6,keyasint,omitempty"`
-	// Digest, on a Heartbeat between neighbours, sums up who is there.
+	// Digest, on a Heartbeat between neighbours, is a hash of the present daemons.
 	Digest uint64 `cbor:"7,keyasint,omitempty"`
-	// Proof is the newest that the sender has of how fresh a configuration is.
+	// Proof is the sender's newest proof of a configuration's freshness.
 	Proof *freshness.Proof `cbor:"8,keyasint,omitempty"`
 }
 
@@ -138,14 +139,14 @@
 	Leaving bool
 }
 
-// Send is a message to pass on, without guarantee.
+// Send is a message to deliver on a best-effort basis.
 type Send struct {
 	To      id.Daemon
 	Address string
 	Message Message
 }
 
-// Changed says that a daemon's state changed.
+// Changed reports that a daemon's state changed.
 type Changed struct {
 	Process  id.Process
 	Domain   id.Domain
@@ -153,29 +154,30 @@
 	Reason   string
 }
 
-// DeclaredDead says that this daemon was, or may have been, declared dead. It
+// DeclaredDead reports that this daemon was, or may have been, declared dead. It
 // must stop acting on all that it held (pool ownership, leases, orders) and
 // then call Resume.
 type DeclaredDead struct {
-	// By is the daemon that said so; this daemon itself after a stall.
+	// By is the daemon that reported it; this daemon itself after a stall.
 	By id.Daemon
 	// Superseded is set when a later incarnation of this daemon runs: this
 	// process must end.
 	Superseded bool
 }
 
-// Stalled says that this daemon was not run for a while. Others are not
-// suspected for that time.
+// Stalled reports that this daemon was not scheduled for the time Late. Other
+// daemons are not suspected for that time.
 type Stalled struct{ Late time.Duration }
 
-// Isolated says that this daemon lost (or found again) most of the fleet at once.
+// Isolated reports that this daemon lost most of the fleet at once (Now is set), or
+// reaches it again.
 type Isolated struct {
 	Now    bool
 	Silent int
 	Known  int
 }
 
-// Action is one thing to do or to know.
+// Action is one message to send or one event to handle; exactly one field is set.
 type Action struct {
 	Send         *Send
 	Changed      *Changed
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -10,20 +10,20 @@
 
 // Bounds of the Partial mode.
 const (
-	// resultWindow is how many of this daemon's own probes tell whether it is
-	// cut off itself.
+	// resultWindow is how many of this daemon's own latest probes decide whether
+	// it is isolated.
 	resultWindow = 8
-	// spreadFactor times the logarithm of the fleet's size is how often an
-	// update is sent on.
+	// spreadFactor times the binary logarithm of the fleet's size is how many
+	// times an update is sent.
 	spreadFactor = 3
 )
 
-// partial is the state that only the Partial mode has.
+// partial is the state used only in Partial mode.
 type partial struct {
 	// round holds the daemons still to be probed in this round, shuffled.
 	round  []id.Daemon
 	probes []probe
-	// results holds the newest probes' success.
+	// results holds the success of the latest probes.
 	results   []bool
 	queue     updateQueue
 	view      []viewSlot
@@ -37,12 +37,12 @@
 type probe struct {
 	seq    uint64
 	target id.Daemon
-	// indirect is set once peers were asked.
+	// indirect is set once indirect probes were requested.
 	indirect bool
 	deadline time.Duration
 }
 
-// neighbour is one slot of the sample that shuffles exchange.
+// viewSlot is one slot of the partial view that shuffles exchange.
 type viewSlot struct {
 	name id.Daemon
 	age  int
@@ -66,7 +66,7 @@
 	}
 }
 
-// acked ends a probe well.
+// acked completes a probe as successful.
 func (s *partial) acked(name id.Daemon, seq uint64) {
 	for i, p := range s.probes {
 		if p.seq == seq && p.target == name {
@@ -84,7 +84,7 @@
 	}
 }
 
-// failing tells whether most of this daemon's newest probes failed.
+// failing reports whether most of this daemon's latest probes failed.
 func (s *partial) failing() bool {
 	failed := 0
 	for _, ok := range s.results {
@@ -95,7 +95,8 @@
 	return failed >= minPartition && 2*failed > len(s.results)
 }
 
-// probeNext probes the next daemon of a shuffled round over all that are not dead.
+// probeNext probes the next daemon of a shuffled round over all daemons that are
+// not dead.
 func (m *Membership) probeNext(now time.Duration) {
 	p := m.nextTarget()
 	if p == nil {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// reviveOne sends a probe to one dead daemon now and then.
+// probeDead sends a probe to one random dead daemon every Config.ReviveEvery.
 func (m *Membership) probeDead(now time.Duration) {
 	if now < m.partial.reviveAt {
 		return
@@ -140,7 +141,8 @@
 	}
 }
 
-// expireProbes asks peers about daemons that did not answer, then suspects them.
+// expireProbes requests indirect probes of daemons that did not respond in time,
+// and fails the probe if these bring no evidence either.
 func (m *Membership) expireProbes(now time.Duration) {
 	s := &m.partial
 	pending := s.probes
@@ -162,7 +164,8 @@
 	}
 }
 
-// probeFailed ends a probe without an Ack; a Report may have come meanwhile.
+// probeFailed completes a probe without an Ack; a Report may have arrived in the
+// meantime.
 func (m *Membership) probeFailed(now time.Duration, p *peer) {
 	wait := m.cfg.ProbeTimeout + m.cfg.IndirectTimeout
 	if p.seen && now-p.lastHeard < wait {
@@ -170,19 +173,20 @@
 		return
 	}
 	if !p.seen {
-		m.set(now, p, Dead, "listed and never heard")
+		m.set(now, p, Dead, "listed but never heard from")
 		return
 	}
 	m.partial.recordResult(false)
 	if p.entry.State == Alive || p.entry.State == Paused {
-		m.set(now, p, Suspect, "no answer")
+		m.set(now, p, Suspect, "no reply to probes")
 		p.suspectedLocally = true
 	}
 }
 
-// probeSuspects probes, each period, whom this daemon has made suspect, and
-// one more of the same failure domain: so a short pause ends the suspicion,
-// and a domain that is cut off is told from a dead daemon.
+// probeSuspects probes, each period, every daemon that this daemon has made
+// suspect, and one more of the same failure domain. So a suspicion ends after a
+// short pause of the daemon, and a domain that is cut off is distinguished from a
+// dead daemon.
 func (m *Membership) probeSuspects(now time.Duration) {
 	for _, name := range m.order {
 		p := m.peers[name]
@@ -196,10 +200,10 @@
 	}
 }
 
-// gossips says whether changes are told from daemon to daemon.
+// gossips reports whether updates are spread from daemon to daemon.
 func (m *Membership) gossips() bool { return m.cfg.Mode == Partial || m.rings.enabled }
 
-// enqueue has news sent on with the next messages.
+// enqueue queues an update for the next messages.
 func (m *Membership) enqueue(e Entry) {
 	if !m.gossips() || m.mergingSync {
 		return
@@ -211,7 +215,8 @@
 	m.partial.queue.add(e)
 }
 
-// updates is what goes with one message, until all have heard of it.
+// takeUpdates returns the updates to piggyback on one message. Each is sent often
+// enough to reach all daemons.
 func (m *Membership) takeUpdates() []Entry {
 	return m.partial.queue.take(m.cfg.MaxUpdates, spreadFactor*bits.Len(uint(len(m.order)+1)))
 }
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -8,36 +8,38 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// peer is what is known of one other daemon.
+// peer is the state kept for one other daemon.
 type peer struct {
 	entry Entry
-	// met is set once the daemon was heard of by a message.
+	// seen is set once a message from or about the daemon has arrived.
 	seen bool
-	// heard is when the newest evidence of its running came; direct is when
-	// it came from the daemon itself.
+	// lastHeard is when the newest evidence that the daemon runs arrived;
+	// lastDirect is when a message last arrived from the daemon itself.
 	lastHeard  time.Duration
 	lastDirect time.Duration
-	// since is when entry.State was set.
+	// stateSince is when entry.State was set.
 	stateSince time.Duration
-	// said is set once the daemon itself, in this incarnation, said that it leaves.
+	// announcedLeave is set once the daemon itself, in this incarnation, announced
+	// that it is leaving.
 	announcedLeave bool
-	// listed and listedLeaving are the host list's word.
+	// listed and listedLeaving come from the host list.
 	listed        bool
 	listedLeaving bool
-	// shown is the state that was last reported.
+	// reported is the state of the last Changed action.
 	reported State
-	// revive is when a dead daemon is sent a message again; asked when peers
-	// were last asked about it.
+	// reviveAt is when a dead daemon is next sent a message; askedAt is when
+	// indirect probes of the daemon were last requested.
 	reviveAt time.Duration
 	askedAt  time.Duration
-	// mine is set, in Partial mode, on a daemon that this one's own probes
-	// made suspect: this one probes on, and judges it.
+	// suspectedLocally is set, in Partial mode, on a daemon that this daemon's own
+	// probes made suspect: this daemon continues to probe it, and decides.
 	suspectedLocally bool
 
 	ringState
 }
 
-// peerNamed returns the peer of that name, making it if there is room.
+// peerNamed returns the peer of that name, adding it if needed. It returns nil if
+// the name is empty or Config.MaxMembers is reached.
 func (m *Membership) peerNamed(now time.Duration, name id.Daemon) *peer {
 	if p, ok := m.peers[name]; ok {
 		return p
@@ -63,7 +65,7 @@
 	}
 }
 
-// state is a peer's state with its leaving taken in.
+// state returns a peer's state, Leaving taken into account.
 func (p *peer) state() State {
 	leaving := p.announcedLeave || p.listedLeaving
 	if leaving && p.entry.State != Dead && p.entry.State != Partitioned {
@@ -72,7 +74,7 @@
 	return p.entry.State
 }
 
-// show reports a peer's state if it changed.
+// reportState emits a Changed action if a peer's state changed.
 func (m *Membership) reportState(p *peer, reason string) {
 	to := p.state()
 	if to == p.reported {
@@ -86,7 +88,7 @@
 	m.emit(Action{Changed: &Changed{Process: p.entry.Process, Domain: p.entry.Domain, From: from, To: to, Reason: reason}})
 }
 
-// set changes a peer's own state and spreads the news.
+// set changes entry.State of a peer and spreads the update.
 func (m *Membership) set(now time.Duration, p *peer, s State, reason string) {
 	if p.entry.State != s {
 		p.entry.State = s
@@ -94,7 +96,7 @@
 		p.stateSince = now
 		p.suspectedLocally = false
 		if p.seen && !(m.rings.enabled && m.isolated && s == Partitioned) {
-			// What one that is cut off can't reach says nothing to the others.
+			// That an isolated daemon can't reach a peer is no information for the others.
 			m.enqueue(p.entry)
 		}
 	}
--- a/core/member/queue.go
+++ b/core/member/queue.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// maxUpdates bounds the updates that wait to be sent on.
+// maxQueuedUpdates bounds the updates in a queue.
 const maxQueuedUpdates = 1024
 
-// update is news to be sent on with other messages.
+// update is a queued entry and the number of times it was sent.
 type update struct {
 	entry Entry
 	sends int
 }
 
-// urgency puts bad news before the rest.
+// urgency returns the sort rank: states other than Alive are sent first.
 func (u update) urgency() int {
 	if u.entry.State == Alive {
 		return 1
@@ -22,10 +22,10 @@
 	return 0
 }
 
-// news waits to be sent on, the newest of each daemon.
+// updateQueue holds the updates to send, the newest of each daemon.
 type updateQueue []update
 
-// put adds news of a daemon in place of what waited of it.
+// add queues a daemon's update in place of an earlier one.
 func (n *updateQueue) add(e Entry) {
 	*n = slices.DeleteFunc(*n, func(u update) bool { return u.entry.Process.Daemon == e.Process.Daemon })
 	if len(*n) < maxQueuedUpdates {
@@ -33,8 +33,8 @@
 	}
 }
 
-// take gives up to so many entries for one message, bad news first, then what
-// was sent least often, and drops what was sent often enough.
+// take returns up to most entries for one message: by urgency first, then those
+// sent least often. It drops entries that were sent repeats times.
 func (n *updateQueue) take(most, repeats int) []Entry {
 	if len(*n) == 0 {
 		return nil
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -6,7 +6,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Receive takes a message that arrived from another daemon.
+// Receive handles a message that arrived from another daemon.
 func (m *Membership) Receive(now time.Duration, msg Message) []Action {
 	from := msg.From.Process.Daemon
 	if from == "" || from == m.self.Process.Daemon {
@@ -29,10 +29,10 @@
 	return m.flush()
 }
 
-// answer does what the kind of message asks for.
+// answer handles a message according to its kind.
 func (m *Membership) answer(now time.Duration, p *peer, msg Message, current bool) {
 	if !current {
-		// An old incarnation still runs: it must learn that it is superseded.
+		// An old incarnation still runs: it must be notified that it is superseded.
 		m.notifySuperseded(p, msg)
 		return
 	}
@@ -57,13 +57,14 @@
 	}
 }
 
-// tellStale answers a process that a later incarnation has replaced.
+// notifySuperseded replies to a process that a later incarnation has replaced.
 func (m *Membership) notifySuperseded(p *peer, msg Message) {
 	reply := Message{Kind: Ack, From: m.self, Entries: []Entry{p.entry}}
 	m.emit(Action{Send: &Send{To: p.entry.Process.Daemon, Address: msg.From.Address, Message: reply}})
 }
 
-// aboutSelf meets what another daemon holds of this one.
+// handleSelfEntry handles another daemon's entry about this daemon: it halts if
+// the entry reports a death or a later incarnation, and refutes a suspicion.
 func (m *Membership) handleSelfEntry(e Entry, by id.Daemon) {
 	if e.Process.Daemon != m.self.Process.Daemon {
 		return
@@ -87,8 +88,8 @@
 	}
 }
 
-// merge takes one entry about another daemon; direct entries come from the
-// daemon itself. It tells whether the entry is of its newest incarnation.
+// merge merges one entry about another daemon; direct entries come from the daemon
+// itself. It returns false if the entry is of a superseded incarnation.
 func (m *Membership) merge(now time.Duration, e Entry, direct bool) bool {
 	p := m.peerNamed(now, e.Process.Daemon)
 	if p == nil || e.State < Alive || e.State > Dead {
@@ -102,14 +103,14 @@
 		return true
 	}
 	fresh := e.Beat > p.entry.Beat
-	news := fresh && mustSpread(p.entry, e)
+	spread := fresh && mustSpread(p.entry, e)
 	if fresh {
 		copyReport(&p.entry, e)
 	}
 	if !p.entry.Watched {
 		p.watchedSince = 0
 	}
-	if news {
+	if spread {
 		m.enqueue(p.entry)
 	}
 	if direct {
@@ -124,14 +125,14 @@
 	return true
 }
 
-// noteWatched notes since when a daemon has said to this one that it is watched.
+// noteWatched records since when a daemon has reported directly that it is watched.
 func (p *peer) noteWatched(now time.Duration) {
 	if p.entry.Watched && p.watchedSince == 0 {
 		p.watchedSince = max(now, 1)
 	}
 }
 
-// takeReport copies what a daemon says of itself, but for state and epoch.
+// copyReport copies a daemon's report about itself, except for state and epoch.
 func copyReport(to *Entry, e Entry) {
 	to.Beat = e.Beat
 	to.Domain, to.Address, to.CallerAddress = e.Domain, e.Address, e.CallerAddress
@@ -140,7 +141,8 @@
 	to.Period = e.Period
 }
 
-// replace starts afresh with a new incarnation, or one that was only listed.
+// replaceIncarnation resets a peer for a new incarnation, or for the first message
+// from or about a daemon that was only listed.
 func (m *Membership) replaceIncarnation(now time.Duration, p *peer, e Entry, direct bool) {
 	if p.seen && p.entry.State != Dead {
 		p.entry.State = Dead
@@ -164,24 +166,24 @@
 	m.enqueue(e)
 	m.reportState(p, "first heard")
 	if direct && m.cfg.Mode == Mesh && !m.halted {
-		// It has just started, and should not wait for the next heartbeats.
+		// It has just started, and should not wait for the next regular heartbeats.
 		m.send(p, Message{Kind: Heartbeat})
 	}
 }
 
-// mergeState decides the state after an entry of the same incarnation.
+// mergeState updates a peer's state from an entry of the same incarnation.
 func (m *Membership) mergeState(now time.Duration, p *peer, e Entry, direct, fresh bool) {
-	said := e.State
-	if said == Leaving {
-		said = Alive
+	reported := e.State
+	if reported == Leaving {
+		reported = Alive
 	}
 	newer := e.Epoch > p.entry.Epoch
 	if newer {
 		p.entry.Epoch = e.Epoch
 		p.lastHeard = now
-		m.set(now, p, said, "a new epoch")
+		m.set(now, p, reported, "a new epoch")
 		if m.rings.enabled {
-			// Also where it changes nothing here: others may hold it for suspect.
+			// Queued even if the state is unchanged here: others may suspect the daemon.
 			m.enqueue(p.entry)
 		}
 		return
@@ -192,56 +194,57 @@
 	if fresh || direct {
 		m.applyEvidence(now, p, e, direct)
 	}
-	if m.rejoins(now, p, said) {
+	if m.rejoins(now, p, reported) {
 		p.lastHeard = now
-		m.set(now, p, said, "reported by a peer")
+		m.set(now, p, reported, "reported by a peer")
 	}
-	if !direct && m.acceptsReport(p, e, said) {
-		m.set(now, p, said, "reported by a peer")
+	if !direct && m.acceptsReport(p, e, reported) {
+		m.set(now, p, reported, "reported by a peer")
 	}
 }
 
-// rejoins decides whether a daemon that could not be reached is alive by a peer's
-// word: this one was cut off, and the others were not.
-func (m *Membership) rejoins(now time.Duration, p *peer, said State) bool {
+// rejoins reports whether to accept a peer's report that an unreachable daemon is
+// alive: this daemon was isolated, and the others were not.
+func (m *Membership) rejoins(now time.Duration, p *peer, reported State) bool {
 	lost := p.entry.State == Partitioned || p.entry.State == Suspect && !m.watches(p)
-	return lost && said == Alive && m.mergingSync && now < m.rings.rejoinUntil
+	return lost && reported == Alive && m.mergingSync && now < m.rings.rejoinUntil
 }
 
-// adopts decides whether to take a peer's word about another daemon. A death
-// counts, unless this daemon is cut off, so that the daemon learns of it
-// wherever it turns; a suspicion counts unless this one has newer evidence.
-func (m *Membership) acceptsReport(p *peer, e Entry, said State) bool {
-	if !m.gossips() || said <= p.entry.State {
+// acceptsReport reports whether to accept a peer's report about another daemon. A
+// death is accepted unless this daemon is isolated, so that every daemon notifies
+// the one declared dead; a suspicion is accepted unless this daemon has newer
+// evidence.
+func (m *Membership) acceptsReport(p *peer, e Entry, reported State) bool {
+	if !m.gossips() || reported <= p.entry.State {
 		return false
 	}
-	if m.rings.enabled && !m.acceptsOnRings(p, said) {
+	if m.rings.enabled && !m.acceptsOnRings(p, reported) {
 		return false
 	}
-	if said == Dead {
+	if reported == Dead {
 		return !m.isolated
 	}
 	return e.Beat >= p.entry.Beat
 }
 
-// wordCounts says whether another daemon's word about a state is worth anything
-// in a large fleet.
-func (m *Membership) acceptsOnRings(p *peer, said State) bool {
-	switch said {
+// acceptsOnRings reports whether, in a large fleet, another daemon's report of a
+// state may be accepted.
+func (m *Membership) acceptsOnRings(p *peer, reported State) bool {
+	switch reported {
 	case Partitioned:
-		// Who can reach a daemon differs from one to the next.
+		// Reachability differs between observers.
 		return false
 	case Suspect:
-		// An old suspicion is refuted by now, and of a daemon that is watched here
-		// its own silence tells more.
+		// An old suspicion has been refuted by now, and for a daemon that is watched
+		// here, its silence towards this daemon is the better evidence.
 		return !m.mergingSync && !m.watches(p)
 	default:
 		return true
 	}
 }
 
-// evidence takes proof that the process ran. A dead one must first learn that
-// it was declared dead: it is paused until it answers with a new epoch.
+// applyEvidence handles proof that a process ran. A dead daemon must first learn
+// that it was declared dead: it is paused until it responds with a new epoch.
 func (m *Membership) applyEvidence(now time.Duration, p *peer, e Entry, direct bool) {
 	if direct && p.absent() {
 		m.syncReturned(now, p)
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -8,58 +8,59 @@
 	"github.com/samphirequay/samphirequay/core/rendezvous"
 )
 
-// rings is the state that only a fleet has in which each daemon watches a few
-// neighbours, instead of all others.
+// rings is the state used in a large fleet, in which each daemon watches a few
+// neighbours instead of all others.
 type rings struct {
-	// on is set while the fleet is so large.
+	// enabled is set while the fleet is larger than Config.MeshUpTo.
 	enabled bool
-	// stale is set when the neighbours must be chosen anew.
+	// neighboursStale is set when the neighbours must be recomputed.
 	neighboursStale bool
-	// news waits to be told to the neighbours.
+	// updates are queued for the neighbours.
 	updates updateQueue
-	// digest is what this daemon knows of who is there, as last told.
+	// sentDigest is the membership digest on the last heartbeats.
 	sentDigest uint64
-	// rejoinUntil is until when this daemon, which was isolated, takes over what
-	// others know.
+	// rejoinUntil is until when this daemon, after isolation, adopts the state that
+	// others hold.
 	rejoinUntil time.Duration
-	// syncAt is when a neighbour may be asked for all that it knows.
+	// syncAt is when the next Sync may be sent to a neighbour.
 	syncAt time.Duration
-	// returnedAskAt is when one that has come back may be asked.
+	// returnedSyncAt is when the next Sync may be sent to a returned daemon.
 	returnedSyncAt time.Duration
-	// wantsWatched is what the daemon last said of itself, wantedAt since when;
-	// linked is set while it keeps connections to all others.
+	// wantsWatched is the last Local.Watched, wantsWatchedSince since when it has
+	// been set; linked is the last Local.Linked.
 	wantsWatched      bool
 	wantsWatchedSince time.Duration
 	linked            bool
-	// toldAll is set once all have been told that the daemon is watched, and
-	// tellAllUntil is until when they are told that it is no more.
+	// announcedToAll is set once all daemons have been sent that this daemon is
+	// watched, and announceUntil is until when they are sent that it no longer is.
 	announcedToAll bool
 	announceUntil  time.Duration
-	// linkAt is where in the order the next heartbeats to all others go on.
+	// keepaliveIndex is the index into the order at which the next keepalives start.
 	keepaliveIndex int
 }
 
-// place is what the rings say of a peer.
+// ringState is the state of a peer on the rings.
 type ringState struct {
-	// at is the peer's position on each ring.
+	// positions holds the peer's position on each ring.
 	positions []uint64
-	// near peers are this daemon's neighbours, which it watches since nearSince.
+	// neighbour is set on this daemon's neighbours, watched since neighbourSince.
 	neighbour      bool
 	neighbourSince time.Duration
-	// gap peers are gone, and would be neighbours if they came back.
+	// absentNeighbour is set on peers that have no place on the rings and would be
+	// neighbours otherwise.
 	absentNeighbour bool
-	// askedUntil is until when the peer, which watches this daemon, is sent
+	// heartbeatsUntil is until when the peer, which watches this daemon, is sent
 	// heartbeats.
 	heartbeatsUntil time.Duration
-	// watchedAt is when the peer first said to this daemon that it is watched.
+	// watchedSince is when the peer first reported to this daemon that it is watched.
 	watchedSince time.Duration
-	// sentAt is when the last heartbeat went to the peer.
+	// sentAt is when the last heartbeat was sent to the peer.
 	sentAt time.Duration
-	// agreedAt is when the peer last knew the same daemons as this one.
+	// digestMatchedAt is when the peer's digest last matched this daemon's.
 	digestMatchedAt time.Duration
 }
 
-// positions gives a daemon's place on each ring.
+// positions returns a daemon's position on each ring.
 func (c *Config) positions(name id.Daemon) []uint64 {
 	at := make([]uint64, c.Rings)
 	for ring := range at {
@@ -68,19 +69,19 @@
 	return at
 }
 
-// absent says whether a peer is taken for gone.
+// absent reports whether a peer is dead or partitioned.
 func (p *peer) absent() bool { return p.entry.State == Dead || p.entry.State == Partitioned }
 
-// onRings says whether a peer has a place on the rings at present. For a daemon
-// that is cut off those that are suspect have none: it soon watches others, and
-// so finds out about all.
+// onRings reports whether a peer currently has a place on the rings. While this
+// daemon is isolated, suspect peers have none: it then soon watches other peers,
+// and in this way checks all of them.
 func (m *Membership) onRings(p *peer) bool {
 	return !p.absent() && !(m.isolated && p.entry.State == Suspect)
 }
 
-// chooseNeighbours finds the daemons before and behind this one on each ring.
-// All daemons that know the same others choose alike, so that those who watch a
-// daemon are those whom it watches.
+// chooseNeighbours selects the predecessor and the successor of this daemon on each
+// ring. Daemons with the same membership view make consistent choices, so that
+// neighbours watch each other.
 func (m *Membership) chooseNeighbours(now time.Duration) {
 	m.rings.neighboursStale = false
 	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
@@ -105,8 +106,8 @@
 	}
 }
 
-// chooseOn finds the neighbours on one ring, and those who are gone from
-// between them and this daemon.
+// chooseOnRing selects the neighbours on one ring, and marks the peers without a
+// place on the rings that lie between them and this daemon.
 func (m *Membership) chooseOnRing(ring int) {
 	next, previous := m.adjacent(m.positions[ring], ring, nil)
 	ahead, behind := ^uint64(0), ^uint64(0)
@@ -121,8 +122,8 @@
 	}
 }
 
-// nextTo finds the daemons that follow and precede a position of a ring, other
-// than one; nil where there are none.
+// adjacent returns the peers that follow and precede a position on a ring, without
+// the peer except; nil if there are none.
 func (m *Membership) adjacent(at uint64, ring int, except *peer) (next, previous *peer) {
 	for _, name := range m.order {
 		p := m.peers[name]
@@ -139,8 +140,8 @@
 	return next, previous
 }
 
-// watchers lists the neighbours of a peer, as far as this daemon knows: they
-// hear it.
+// watchers lists the neighbours of a peer in this daemon's view, which receive its
+// heartbeats.
 func (m *Membership) watchers(p *peer) []*peer {
 	var out []*peer
 	seen := map[*peer]bool{}
@@ -156,13 +157,13 @@
 	return out
 }
 
-// watches says whether this daemon judges a peer by its silence: it should hear
-// its heartbeats.
+// watches reports whether this daemon checks a peer for silence, and so expects its
+// heartbeats.
 func (m *Membership) watches(p *peer) bool {
 	return !m.rings.enabled || p.neighbour || (p.entry.Watched && p.watchedSince > 0)
 }
 
-// silence is for how long a peer that this daemon watches was not heard.
+// silence returns for how long a watched peer has not been heard.
 func (m *Membership) silence(now time.Duration, p *peer) time.Duration {
 	heard := p.lastHeard
 	if m.rings.enabled {
@@ -171,6 +172,6 @@
 	return now - heard
 }
 
-// Large says whether the fleet is so large that each daemon watches a few
-// neighbours, instead of all others.
+// Large reports whether the fleet is so large that each daemon watches a few
+// neighbours instead of all others.
 func (m *Membership) Large() bool { return m.rings.enabled }
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -11,17 +11,18 @@
 	"github.com/samphirequay/samphirequay/core/revision/table/tabletest"
 )
 
-// Bounds of a large fleet, from what the platform asks: a daemon that is gone
-// must be known of within the time in which a host counts as out of touch, a
-// fleet must be whole before its traffic starts and after a recovery.
+// Time limits of a large fleet, from the platform's requirements: a dead daemon must
+// be known to all within the time after which a host counts as out of touch, and a
+// fleet must converge before its traffic starts and after a recovery.
 const (
 	knownGoneWithin = 5 * time.Second
 	wholeWithin     = 10 * time.Second
 	recoveredWithin = 15 * time.Second
 )
 
-// largeFleets runs a test on steady fleets in which each daemon watches a few
-// neighbours: of 30 and 100 daemons, and of 300 where more seeds are asked for.
+// eachLargeFleet runs a test on converged fleets in which each daemon watches a few
+// neighbours: of 30 and 100 daemons, and also of 300 if the test run uses more than
+// the default number of seeds.
 func eachLargeFleet(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
 	sizes := []int{30, 100}
 	if tabletest.Seeds(1) > 1 {
@@ -32,13 +33,13 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newFleetWith(withRings, Mesh, n, 6, uint64(n))
-			f.within(t, wholeWithin, "all know all", f.steady)
+			f.within(t, wholeWithin, "converged", f.steady)
 			run(t, is, f)
 		})
 	}
 }
 
-// allSee says whether all running daemons see each of some in a state.
+// allSee reports whether all running daemons see each named daemon in a state.
 func (f *fleet) allSee(names []id.Daemon, s State) bool {
 	for _, name := range names {
 		if !f.everyone(name, s) {
@@ -48,20 +49,21 @@
 	return true
 }
 
-// TestWhatADaemonSendsDoesNotGrowWithTheFleet: at rest.
+// TestRingTrafficIndependentOfFleetSize compares the traffic per daemon of converged
+// fleets of different sizes.
 func TestRingTrafficIndependentOfFleetSize(t *testing.T) {
 	is := is.New(t)
 	sent := func(n int) (messages, bytes float64) {
 		f := newFleetWith(withRings, Mesh, n, 6, 1)
-		f.within(t, wholeWithin, "all know all", f.steady)
-		f.run(10 * time.Second) // the news of the start have died down
+		f.within(t, wholeWithin, "converged", f.steady)
+		f.run(10 * time.Second) // until the updates of the start have been sent
 		f.bytes = 0
 		messages = f.sentPerDaemon(10 * time.Second)
 		return messages, float64(f.bytes) / 10 / float64(n)
 	}
 	messages30, bytes30 := sent(30)
 	messages300, bytes300 := sent(300)
-	t.Logf("a daemon and second: %.1f messages, %.0f bytes at 30; %.1f, %.0f at 300", messages30, bytes30, messages300, bytes300)
+	t.Logf("per daemon and second: %.1f messages, %.0f bytes at 30; %.1f, %.0f at 300", messages30, bytes30, messages300, bytes300)
 	is.True(messages300 <= 1.3*messages30)
 	is.True(bytes300 <= 1.3*bytes30)
 }
@@ -77,8 +79,8 @@
 	})
 }
 
-// TestHalfOfALargeFleetDiesAtOnce: a daemon all of whose neighbours died with it
-// is found out by those that take their place.
+// TestRingsHalfFleetDies covers daemons that die together with all of their
+// neighbours: the neighbours that replace these must detect the death.
 func TestRingsHalfFleetDies(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		var dead, left []id.Daemon
@@ -90,18 +92,19 @@
 				left = append(left, name)
 			}
 		}
-		f.within(t, recoveredWithin, "half are live for nobody", func() bool { return !f.anyLive(dead, left) && f.allSee(left, Alive) })
+		f.within(t, recoveredWithin, "no dead daemon alive", func() bool { return !f.anyLive(dead, left) && f.allSee(left, Alive) })
 		for _, name := range left {
 			is.Equal(f.declared[name], 0)
 		}
 		for _, name := range dead {
 			f.start(name, 2)
 		}
-		f.within(t, recoveredWithin, "all know all", f.steady)
+		f.within(t, recoveredWithin, "converged", f.steady)
 	})
 }
 
-// TestAWholeLargeFleetLosesPower: all are back within a second, in new starts.
+// TestRingsWholeFleetRestarts covers a power loss of the whole fleet: after a second
+// all daemons start again, in new incarnations.
 func TestRingsWholeFleetRestarts(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, _ *is.I, f *fleet) {
 		for _, name := range f.names {
@@ -115,12 +118,13 @@
 			}
 			f.start(name, 2)
 		}
-		f.within(t, wholeWithin, "all know all", f.steady)
+		f.within(t, wholeWithin, "converged", f.steady)
 	})
 }
 
-// TestAStartConnectsNobodyToAll: each daemon takes itself for the owner of a pool
-// until it has heard of the others, and all start together.
+// TestRingsStartConnections guards against connections between all daemons when the
+// whole fleet starts: each daemon considers itself the owner of a pool until it has
+// learnt of the others.
 func TestRingsStartConnections(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		reached := map[id.Daemon]map[id.Daemon]bool{}
@@ -139,7 +143,7 @@
 			if i%10 == 0 {
 				f.run(tick)
 			}
-			// The list of all daemons comes a moment after the first messages.
+			// The host list arrives shortly after the first messages.
 			f.startAlone(name, 2)
 		}
 		for step := range 50 {
@@ -156,12 +160,12 @@
 			total += len(to)
 		}
 		mean := float64(total) / float64(len(f.names))
-		t.Logf("a daemon sends to %.1f others in 5 s", mean)
+		t.Logf("each daemon sends to %.1f others in 5 s on average", mean)
 		is.True(mean <= float64(f.cfg.MeshUpTo))
 	})
 }
 
-// add starts n more daemons, one after each pause.
+// add starts n more daemons, with a pause after each.
 func (f *fleet) add(n int, pause time.Duration) {
 	for i := range n {
 		name := id.Daemon(fmt.Sprintf("new-%03d", i))
@@ -172,33 +176,34 @@
 	}
 }
 
-// TestMostOfALargeFleetIsAddedAtOnce: three times as many as there are.
+// TestRingsLargeScaleOut adds three times the number of existing daemons at once.
 func TestRingsLargeScaleOut(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 40, 6, 1)
-	f.within(t, wholeWithin, "all know all", f.steady)
+	f.within(t, wholeWithin, "converged", f.steady)
 	f.add(120, 0)
-	f.within(t, wholeWithin, "all know all", f.steady)
+	f.within(t, wholeWithin, "converged", f.steady)
 	for _, name := range f.names {
 		is.Equal(f.deaths(name), 0)
 	}
 }
 
-// TestAFleetGrowsLarge: those who know of few others yet, and hear from all in a
-// small fleet, must not take for dead who watches a few neighbours only.
+// TestMeshGrowsIntoRings covers the change from the mesh to rings: daemons that
+// still know few others expect heartbeats from all, and must not declare daemons
+// dead that already send to a few neighbours only.
 func TestMeshGrowsIntoRings(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 15, 6, 1)
-	f.within(t, wholeWithin, "all know all", f.steady)
+	f.within(t, wholeWithin, "converged", f.steady)
 	f.add(25, 200*time.Millisecond)
-	f.within(t, wholeWithin, "all know all", f.steady)
+	f.within(t, wholeWithin, "converged", f.steady)
 	f.run(5 * time.Second)
 	for _, name := range f.names {
 		is.Equal(f.deaths(name), 0)
 	}
 }
 
-// TestAFailureDomainOfALargeFleetIsCutOff and comes back.
+// TestRingsDomainPartition cuts off one failure domain and restores it.
 func TestRingsDomainPartition(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		cut := f.domains["host-001"]
@@ -211,7 +216,7 @@
 			}
 		}
 		f.lost = func(from, to id.Daemon) bool { return (f.domains[from] == cut) != (f.domains[to] == cut) }
-		f.within(t, recoveredWithin, "nobody there is live elsewhere, and all there know that they are cut off", func() bool {
+		f.within(t, recoveredWithin, "cut-off daemons not alive elsewhere, and all isolated", func() bool {
 			for _, name := range there {
 				if !f.members[name].Isolated() {
 					return false
@@ -220,12 +225,12 @@
 			return !f.anyLive(there, elsewhere)
 		})
 		f.lost = nil
-		f.within(t, recoveredWithin, "all know all", f.steady)
+		f.within(t, recoveredWithin, "converged", f.steady)
 		is.True(f.anyLive(there, elsewhere))
 	})
 }
 
-// anyLive says whether any of some daemons is live for any of others.
+// anyLive reports whether any of the others sees any of some daemons alive.
 func (f *fleet) anyLive(some, others []id.Daemon) bool {
 	for _, by := range others {
 		for _, about := range some {
@@ -237,7 +242,8 @@
 	return false
 }
 
-// TestALargeFleetIsCutInHalves and heals: no half is left with a view of its own.
+// TestRingsSplitInHalves checks that a fleet split into halves converges to one view
+// after the partition heals.
 func TestRingsSplitInHalves(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, _ *is.I, f *fleet) {
 		half := map[id.Daemon]bool{}
@@ -247,25 +253,27 @@
 		f.lost = func(from, to id.Daemon) bool { return half[from] != half[to] }
 		f.run(20 * time.Second)
 		f.lost = nil
-		f.within(t, 2*recoveredWithin, "all know all", f.steady)
+		f.within(t, 2*recoveredWithin, "converged", f.steady)
 	})
 }
 
-// TestTheOwnerOfAPoolIsWatchedByAllOfALargeFleet: requests wait for it.
+// TestRingsWatchedDaemonDetection checks that all daemons soon detect the death of a
+// watched daemon, such as a pool's owner, which requests wait for.
 func TestRingsWatchedDaemonDetection(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
 		f.stopped["host-003"] = true
-		f.within(t, 2500*time.Millisecond, "live for nobody", func() bool { return f.states("host-003")[Alive] == 0 })
+		f.within(t, 2500*time.Millisecond, "not alive at any daemon", func() bool { return f.states("host-003")[Alive] == 0 })
 		for _, name := range f.names {
 			is.True(name == "host-003" || f.deaths(name) == 0)
 		}
 	})
 }
 
-// TestOneBadPathToTheOwnerMovesNoPool: whoever does not hear it for a moment
-// keeps that to itself.
+// TestRingsOneWayLossToWatcher guards against moving a pool because of one bad path
+// to its owner: a daemon that temporarily does not hear a watched daemon must not
+// spread the suspicion.
 func TestRingsOneWayLossToWatcher(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
@@ -279,7 +287,8 @@
 	})
 }
 
-// TestADaemonThatIsWatchedNoMoreIsNotTakenForSilent by those whom it told often.
+// TestRingsWatchedToUnwatched checks that a daemon that is no longer watched is not
+// suspected by the daemons that received its frequent heartbeats.
 func TestRingsWatchedToUnwatched(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Watched: true, Revision: 1})
@@ -292,8 +301,9 @@
 	})
 }
 
-// TestWhatADaemonBecomesIsKnownOfByAll: whether it can take duties, reaches the
-// store, and leaves, in the time until entry answers may name it no more.
+// TestRingsSpreadStatusChanges checks that all daemons learn whether a daemon can
+// take duties, reaches the store and is leaving, within the time after which entry
+// answers may no longer name it.
 func TestRingsSpreadStatusChanges(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		m := f.members["host-003"]
@@ -311,15 +321,14 @@
 	})
 }
 
-// TestBusyDaemonsOfALargeFleetKillNobody: each is not run for up to half a second,
-// again and again.
+// TestRingsBusyDaemonsCauseNoDeaths repeatedly stalls daemons for half a second.
 func TestRingsBusyDaemonsCauseNoDeaths(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
 		for step := range 60 {
 			clear(f.paused)
 			for i, name := range f.names {
-				// Never twice in a row.
+				// No daemon is paused twice in a row.
 				f.paused[name] = i%2 == step%2 && f.rng.IntN(2) == 0
 			}
 			f.run(500 * time.Millisecond)
@@ -332,8 +341,8 @@
 	})
 }
 
-// TestALinkedDaemonReachesAllAtRest: it must not have to connect to all when it
-// takes over.
+// TestLinkedDaemonKeepsConnections checks that a linked daemon sends to all others,
+// so that it need not connect to all of them when it takes over.
 func TestLinkedDaemonKeepsConnections(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.members["host-003"].SetLocal(Local{Linked: true})
--- a/core/member/shuffle.go
+++ b/core/member/shuffle.go
@@ -8,9 +8,9 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// shuffleNext, now and then, exchanges a few entries with the neighbour that
-// has been in the view longest, so that daemons which the host list lacks are
-// found and stale entries fade out.
+// shuffleView, every Config.ShuffleEvery, exchanges a few entries with the daemon
+// that has been in the view longest, so that daemons missing from the host list are
+// discovered and stale view slots are replaced.
 func (m *Membership) shuffleView(now time.Duration) {
 	s := &m.partial
 	if now < s.shuffleAt {
@@ -31,8 +31,8 @@
 	m.send(m.peers[oldest.name], Message{Kind: Shuffle, Entries: entries})
 }
 
-// fillView drops neighbours that are gone and fills an empty view from all
-// that is known.
+// fillView drops dead and forgotten daemons from the view, and fills an empty view
+// with random known daemons.
 func (m *Membership) fillView() {
 	s := &m.partial
 	s.view = slices.DeleteFunc(s.view, func(n viewSlot) bool { return !m.present(n.name) })
@@ -53,7 +53,7 @@
 	return ok && p.entry.State != Dead
 }
 
-// viewSample chooses entries of neighbours at random, but for one name.
+// viewSample selects random entries of the view, except that of one daemon.
 func (m *Membership) viewSample(without id.Daemon) []Entry {
 	var out []Entry
 	for _, i := range m.rng.Perm(len(m.partial.view)) {
@@ -70,7 +70,7 @@
 	m.fillView()
 	reply := m.viewSample(p.entry.Process.Daemon)
 	m.send(p, Message{Kind: ShuffleReply, Seq: msg.Seq, Entries: reply})
-	// The asker itself comes into the view fresh, beside what it offered.
+	// The requester itself is added to the view, along with the daemons it sent.
 	m.mergeView(append([]id.Daemon{p.entry.Process.Daemon}, names(msg.Entries)...), names(reply))
 }
 
@@ -79,8 +79,8 @@
 	m.partial.sentNames = nil
 }
 
-// takeNeighbours puts names into the view: into free slots first, then in
-// place of those that were sent away.
+// mergeView adds names to the view: to free slots first, then in place of the
+// names that were sent to the other daemon.
 func (m *Membership) mergeView(got, sent []id.Daemon) {
 	s := &m.partial
 	for _, name := range got {
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -6,15 +6,14 @@
 // or a small frame.
 const syncBatch = 16
 
-// syncNext, while listed daemons were neither heard of nor found dead, asks one
-// for all that it knows: at the daemon's own start, and while a whole fleet
-// starts.
+// requestSync sends a Sync to one random daemon while listed daemons are neither
+// seen nor dead, as at the start of this daemon or of the whole fleet.
 func (m *Membership) requestSync(now time.Duration) {
 	if now < m.partial.syncAt {
 		return
 	}
 	m.partial.syncAt = now + m.cfg.ShuffleEvery
-	unmet := 0
+	unseen := 0
 	var reachable []*peer
 	for _, name := range m.order {
 		p := m.peers[name]
@@ -23,29 +22,29 @@
 		}
 		reachable = append(reachable, p)
 		if !p.seen {
-			unmet++
+			unseen++
 		}
 	}
-	if unmet == 0 {
+	if unseen == 0 {
 		return
 	}
 	m.send(reachable[m.rng.IntN(len(reachable))], Message{Kind: Sync})
 }
 
-func (m *Membership) onSync(asker *peer) {
+func (m *Membership) onSync(requester *peer) {
 	var batch []Entry
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.seen || p == asker {
+		if !p.seen || p == requester {
 			continue
 		}
 		batch = append(batch, p.entry)
 		if len(batch) == syncBatch {
-			m.send(asker, Message{Kind: SyncReply, Entries: batch})
+			m.send(requester, Message{Kind: SyncReply, Entries: batch})
 			batch = nil
 		}
 	}
 	if len(batch) > 0 {
-		m.send(asker, Message{Kind: SyncReply, Entries: batch})
+		m.send(requester, Message{Kind: SyncReply, Entries: batch})
 	}
 }
--- a/core/member/timeouts.go
+++ b/core/member/timeouts.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// mostStretch bounds how many times the configured period the time between
-// heartbeats may be, and is believed to be: whoever says more is suspected.
+// maxPeriodFactor bounds the time between heartbeats, as a multiple of the
+// configured period. Timeouts grow by no more than this factor, whatever period a
+// daemon reports.
 const maxPeriodFactor = 16
 
-// periodOf is the configured time between a daemon's heartbeats.
+// periodOf returns the configured time between a daemon's heartbeats.
 func (c *Config) periodOf(e *Entry) time.Duration {
 	if e.Watched && c.WatchedPeriod > 0 {
 		return c.WatchedPeriod
@@ -14,7 +15,8 @@
 	return c.Period
 }
 
-// stretch is how many times that it really is, by the daemon's own word.
+// periodFactor returns the ratio of the period that a daemon reports to the
+// configured one, between 1 and maxPeriodFactor.
 func (c *Config) periodFactor(e *Entry) float64 {
 	period := c.periodOf(e)
 	if e.Period <= period {
@@ -23,7 +25,7 @@
 	return min(float64(e.Period)/float64(period), maxPeriodFactor)
 }
 
-// suspectAfter is how long a daemon may be silent before it is suspected.
+// suspectAfter returns how long a daemon may be silent before it is suspected.
 func (c *Config) suspectAfter(e *Entry) time.Duration {
 	after := c.SuspectAfter
 	if e.Watched && c.WatchedSuspect > 0 {
@@ -32,7 +34,7 @@
 	return time.Duration(c.periodFactor(e) * float64(after))
 }
 
-// deadAfter is how long a daemon may be silent before it is taken for dead.
+// deadAfter returns how long a daemon may be silent before it is declared dead.
 func (c *Config) deadAfter(e *Entry) time.Duration {
 	after := c.DeadAfter
 	if e.Watched && c.WatchedDead > 0 {
--- a/core/member/timeouts_test.go
+++ b/core/member/timeouts_test.go
@@ -7,21 +7,22 @@
 	"github.com/matryer/is"
 )
 
-// paced is a mesh of n daemons that send at most so many heartbeats a second.
-func boundedMesh(n int, most float64) *fleet {
+// boundedMesh returns a mesh of n daemons that each send at most rate heartbeats per
+// second.
+func boundedMesh(n int, rate float64) *fleet {
 	f := newFleetWith(func(c *Config) {
 		c.Period = 400 * time.Millisecond
 		c.SuspectAfter = 1300 * time.Millisecond
 		c.WatchedPeriod = 120 * time.Millisecond
 		c.WatchedSuspect = 390 * time.Millisecond
 		c.WatchedDead = 1500 * time.Millisecond
-		c.MostSent, c.MostWatched = most, 10*most
+		c.MostSent, c.MostWatched = rate, 10*rate
 	}, Mesh, n, 5, 1)
 	f.run(5 * time.Second)
 	return f
 }
 
-// sentPerDaemon counts a daemon's messages a second.
+// sentPerDaemon returns the mean number of messages per daemon and second.
 func (f *fleet) sentPerDaemon(d time.Duration) float64 {
 	f.count, f.messages = true, 0
 	f.run(d)
@@ -29,7 +30,7 @@
 	return float64(f.messages) / d.Seconds() / float64(len(f.names))
 }
 
-// within asserts that something holds within a bound.
+// within asserts that a condition holds within a time limit.
 func (f *fleet) within(t *testing.T, bound time.Duration, what string, holds func() bool) {
 	t.Helper()
 	is := is.New(t)
@@ -40,14 +41,14 @@
 	is.True(took <= bound)
 }
 
-// TestHeartbeatsDoNotGrowWithTheFleet: what daemons do apart from requests must
-// not take what small hosts need for them.
+// TestHeartbeatRateBound checks that the number of heartbeats per daemon does not
+// grow with the fleet: small hosts need their capacity for requests.
 func TestHeartbeatRateBound(t *testing.T) {
 	is := is.New(t)
 	without := boundedMesh(90, 0).sentPerDaemon(10 * time.Second)
 	with := boundedMesh(90, 60).sentPerDaemon(10 * time.Second)
 	nine := boundedMesh(9, 60).sentPerDaemon(10 * time.Second)
-	t.Logf("messages a daemon and second: 90 daemons %.0f, without a bound %.0f; 9 daemons %.0f", with, without, nine)
+	t.Logf("messages per daemon and second: 90 daemons %.0f, without a bound %.0f; 9 daemons %.0f", with, without, nine)
 	is.True(with <= 63)
 	is.True(nine >= 19) // every 400 ms, as without a bound
 }
@@ -65,7 +66,8 @@
 	f.within(t, 12*time.Second, "dead", func() bool { return f.everyone("host-003", Dead) })
 }
 
-// TestAWatchedDaemonBeatsFasterInALargeFleetToo: callers wait for it.
+// TestWatchedDaemonInLargeMesh checks that a watched daemon, which callers wait for,
+// is detected sooner in a large mesh as well.
 func TestWatchedDaemonInLargeMesh(t *testing.T) {
 	f := boundedMesh(90, 60)
 	f.members["host-003"].SetLocal(Local{Watched: true})
@@ -81,17 +83,18 @@
 	})
 }
 
-// TestANewDaemonIsGreetedAtOnce, and need not wait until the others send again.
+// TestNewDaemonGetsImmediateHeartbeats checks that a new daemon learns of all others
+// without waiting for their next regular heartbeats.
 func TestNewDaemonGetsImmediateHeartbeats(t *testing.T) {
 	f := boundedMesh(90, 60)
 	f.stopped["host-003"] = true
 	f.run(20 * time.Second)
 	f.start("host-003", 2)
-	f.within(t, 100*time.Millisecond, "knows all", func() bool { return len(f.members["host-003"].Live()) == 90 })
+	f.within(t, 100*time.Millisecond, "new daemon sees all alive", func() bool { return len(f.members["host-003"].Live()) == 90 })
 }
 
-// TestNobodyIsBelievedToBeatEverSoSlowly: what a daemon says of its pace is
-// bounded.
+// TestPeriodFactorIsBounded checks that the effect of a reported period on the
+// timeouts is bounded.
 func TestPeriodFactorIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -10,7 +10,7 @@
 // Self returns this daemon's own entry.
 func (m *Membership) Self() Entry { return m.self }
 
-// View lists all known daemons, this one among them, by name; each with its
+// View lists all known daemons, including this one, sorted by name, each with its
 // state as this daemon sees it.
 func (m *Membership) View() []Entry {
 	out := []Entry{m.self}
@@ -24,23 +24,23 @@
 	return out
 }
 
-// Live lists, by name, the daemons that duties are shared among: the alive
-// ones, and this daemon unless it leaves or is halted. A suspect one is left
-// out: a pool whose owner is silent gets no grants, and a duty that moved for
-// nothing moves back at the cost of a few messages.
+// Live lists, sorted by name, the daemons that duties are distributed over: the
+// alive ones, and this daemon unless it is leaving or halted. A suspect daemon is
+// left out: a pool whose owner is silent gets no grants, and a duty that moved
+// needlessly moves back at the cost of a few messages.
 func (m *Membership) Live() []id.Daemon {
 	var out []id.Daemon
 	for _, e := range m.View() {
 		own := e.Process.Daemon == m.self.Process.Daemon
-		met := own || m.peers[e.Process.Daemon].seen
-		if met && e.State == Alive {
+		seen := own || m.peers[e.Process.Daemon].seen
+		if seen && e.State == Alive {
 			out = append(out, e.Process.Daemon)
 		}
 	}
 	return out
 }
 
-// Ready lists those of Live that have a configuration: a daemon that was just
+// Ready lists the daemons of Live that have a configuration: a daemon that has just
 // started can't take a duty yet.
 func (m *Membership) Ready() []id.Daemon {
 	var out []id.Daemon
@@ -67,8 +67,9 @@
 	return e, true
 }
 
-// Silence is how long ago the daemon itself was last heard, directly; paths
-// where one direction is lost show here though the daemon is alive.
+// Silence returns the time since a message last arrived directly from the daemon.
+// It also grows while one direction of the path is lost and the daemon is alive.
+// For an unknown daemon it returns Config.Forget.
 func (m *Membership) Silence(now time.Duration, name id.Daemon) time.Duration {
 	p, ok := m.peers[name]
 	if !ok {
@@ -77,8 +78,8 @@
 	return now - p.lastDirect
 }
 
-// Revision returns the highest configuration revision that any daemon has in
-// force, as far as this one knows.
+// Revision returns the highest configuration revision known to be in force at any
+// daemon.
 func (m *Membership) Revision() uint64 {
 	rev := m.self.Revision
 	for _, name := range m.order {
