--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -24,13 +24,13 @@
 	}
 	m.mergingSync = false
 	if p := m.peers[from]; p != nil {
-		m.answer(now, p, msg, current)
+		m.handle(now, p, msg, current)
 	}
 	return m.flush()
 }
 
 // answer handles a message according to its kind.
-func (m *Membership) answer(now time.Duration, p *peer, msg Message, current bool) {
+func (m *Membership) handle(now time.Duration, p *peer, msg Message, current bool) {
 	if !current {
 		// An old incarnation still runs: it must be notified that it is superseded.
 		m.notifySuperseded(p, msg)
