--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -15,9 +15,9 @@
 // be known to all within the time after which a host counts as out of touch, and a
 // fleet must converge before its traffic starts and after a recovery.
 const (
-	knownGoneWithin = 5 * time.Second
-	wholeWithin     = 10 * time.Second
-	recoveredWithin = 15 * time.Second
+	deathKnownWithin = 5 * time.Second
+	wholeWithin      = 10 * time.Second
+	recoveredWithin  = 15 * time.Second
 )
 
 // eachLargeFleet runs a test on converged fleets in which each daemon watches a few
@@ -72,7 +72,7 @@
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.01
 		f.stopped["host-003"] = true
-		f.within(t, knownGoneWithin, "dead", func() bool { return f.everyone("host-003", Dead) })
+		f.within(t, deathKnownWithin, "dead", func() bool { return f.everyone("host-003", Dead) })
 		for _, name := range f.names {
 			is.True(name == "host-003" || f.deaths(name) == 0)
 		}
