--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -16,7 +16,7 @@
 // fleet must converge before its traffic starts and after a recovery.
 const (
 	deathKnownWithin = 5 * time.Second
-	wholeWithin      = 10 * time.Second
+	convergedWithin  = 10 * time.Second
 	recoveredWithin  = 15 * time.Second
 )
 
@@ -33,7 +33,7 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newFleetWith(withRings, Mesh, n, 6, uint64(n))
-			f.within(t, wholeWithin, "converged", f.steady)
+			f.within(t, convergedWithin, "converged", f.steady)
 			run(t, is, f)
 		})
 	}
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	sent := func(n int) (messages, bytes float64) {
 		f := newFleetWith(withRings, Mesh, n, 6, 1)
-		f.within(t, wholeWithin, "converged", f.steady)
+		f.within(t, convergedWithin, "converged", f.steady)
 		f.run(10 * time.Second) // until the updates of the start have been sent
 		f.bytes = 0
 		messages = f.sentPerDaemon(10 * time.Second)
@@ -118,7 +118,7 @@
 			}
 			f.start(name, 2)
 		}
-		f.within(t, wholeWithin, "converged", f.steady)
+		f.within(t, convergedWithin, "converged", f.steady)
 	})
 }
 
@@ -180,9 +180,9 @@
 func TestRingsLargeScaleOut(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 40, 6, 1)
-	f.within(t, wholeWithin, "converged", f.steady)
+	f.within(t, convergedWithin, "converged", f.steady)
 	f.add(120, 0)
-	f.within(t, wholeWithin, "converged", f.steady)
+	f.within(t, convergedWithin, "converged", f.steady)
 	for _, name := range f.names {
 		is.Equal(f.deaths(name), 0)
 	}
@@ -194,9 +194,9 @@
 func TestMeshGrowsIntoRings(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 15, 6, 1)
-	f.within(t, wholeWithin, "converged", f.steady)
+	f.within(t, convergedWithin, "converged", f.steady)
 	f.add(25, 200*time.Millisecond)
-	f.within(t, wholeWithin, "converged", f.steady)
+	f.within(t, convergedWithin, "converged", f.steady)
 	f.run(5 * time.Second)
 	for _, name := range f.names {
 		is.Equal(f.deaths(name), 0)
