--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -15,7 +15,7 @@
 		for _, n := range []int{9, 60, 120, 420} {
 			b.Run(fmt.Sprintf("%s/%d", mode, n), func(b *testing.B) {
 				f := newFleet(mode, n, 5, 1)
-				took, _ := f.until(2*time.Minute, f.steady)
+				took, _ := f.until(2*time.Minute, f.converged)
 				f.run(30 * time.Second) // until the updates of the start have been sent
 				f.count = true
 				f.run(10 * time.Second)
@@ -44,7 +44,7 @@
 				rng := rand.New(rand.NewPCG(5, 5))
 				for b.Loop() {
 					f := newFleet(mode, n, 5, rng.Uint64())
-					f.until(2*time.Minute, f.steady)
+					f.until(2*time.Minute, f.converged)
 					f.run(time.Duration(rng.Int64N(int64(time.Second))))
 					victim := f.names[rng.IntN(n)]
 					f.stopped[victim] = true
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -167,7 +167,7 @@
 }
 
 // steady reports whether every running daemon is seen alive by all others.
-func (f *fleet) steady() bool {
+func (f *fleet) converged() bool {
 	for _, name := range f.names {
 		if !f.stopped[name] && !f.everyone(name, Alive) {
 			return false
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -54,7 +54,7 @@
 					t.Parallel()
 					is := is.New(t)
 					f := k.fleet(n, 4, seed)
-					_, ok := f.until(20*time.Second, f.steady)
+					_, ok := f.until(20*time.Second, f.converged)
 					is.True(ok) // the fleet converges
 					run(t, is, f)
 				})
@@ -81,7 +81,7 @@
 		is.True(ok)
 		is.True(took >= f.cfg.SuspectAfter && took <= 6*time.Second)
 		f.start("host-003", 2)
-		_, ok = f.until(20*time.Second, f.steady)
+		_, ok = f.until(20*time.Second, f.converged)
 		is.True(ok)
 		is.Equal(f.declared["host-003"], 0) // a new process has nothing to stop
 		e, _ := f.members["host-000"].Get("host-003")
@@ -105,7 +105,7 @@
 			}
 		}
 		f.act("host-003", f.members["host-003"].Resume(f.now))
-		_, ok = f.until(20*time.Second, f.steady)
+		_, ok = f.until(20*time.Second, f.converged)
 		is.True(ok)
 	})
 }
@@ -115,7 +115,7 @@
 	// daemons detect the pause.
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 1)
-	f.until(5*time.Second, f.steady)
+	f.until(5*time.Second, f.converged)
 	f.stopped["host-003"] = true
 	f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
 	m := f.members["host-003"]
@@ -126,7 +126,7 @@
 	}
 	f.run(3 * time.Second)
 	is.Equal(f.declared["host-003"], 1)
-	_, ok := f.until(5*time.Second, f.steady)
+	_, ok := f.until(5*time.Second, f.converged)
 	is.True(ok)
 }
 
@@ -179,7 +179,7 @@
 			is.True(e.State != Dead) // and declares no daemon dead
 		}
 		f.lost = nil
-		_, ok := f.until(60*time.Second, f.steady)
+		_, ok := f.until(60*time.Second, f.converged)
 		is.True(ok)
 	})
 }
@@ -199,7 +199,7 @@
 func TestHostListMerge(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 3)
-	f.until(5*time.Second, f.steady)
+	f.until(5*time.Second, f.converged)
 	list := f.hosts()
 	list[5].Leaving = true
 	list = append(list[:6], list[7:]...) // host-006 is absent
@@ -215,7 +215,7 @@
 func TestLaterIncarnationSupersedes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 3)
-	f.until(5*time.Second, f.steady)
+	f.until(5*time.Second, f.converged)
 	old := f.members["host-007"]
 	f.start("host-007", 2)
 	f.run(2 * time.Second)
@@ -261,7 +261,7 @@
 				delete(f.paused, name)
 			}
 			f.lost, f.loss = nil, 0
-			_, ok := f.until(90*time.Second, f.steady)
+			_, ok := f.until(90*time.Second, f.converged)
 			if !ok {
 				for _, n := range f.names {
 					t.Log(k.name, seed, n, f.states(n), f.members[n].Self(), f.members[n].Halted())
