--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -92,7 +92,7 @@
 				left = append(left, name)
 			}
 		}
-		f.within(t, recoveredWithin, "no dead daemon alive", func() bool { return !f.anyLive(dead, left) && f.allSee(left, Alive) })
+		f.within(t, recoveredWithin, "no dead daemon alive", func() bool { return !f.anyAlive(dead, left) && f.allSee(left, Alive) })
 		for _, name := range left {
 			is.Equal(f.declared[name], 0)
 		}
@@ -222,16 +222,16 @@
 					return false
 				}
 			}
-			return !f.anyLive(there, elsewhere)
+			return !f.anyAlive(there, elsewhere)
 		})
 		f.lost = nil
 		f.within(t, recoveredWithin, "converged", f.converged)
-		is.True(f.anyLive(there, elsewhere))
+		is.True(f.anyAlive(there, elsewhere))
 	})
 }
 
 // anyLive reports whether any of the others sees any of some daemons alive.
-func (f *fleet) anyLive(some, others []id.Daemon) bool {
+func (f *fleet) anyAlive(some, others []id.Daemon) bool {
 	for _, by := range others {
 		for _, about := range some {
 			if e, _ := f.members[by].Get(about); e.State == Alive {
