--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -51,7 +51,7 @@
 					start := f.now
 					f.until(30*time.Second, func() bool { return f.states(victim)[Dead] > 0 })
 					first = append(first, f.now-start)
-					f.until(30*time.Second, func() bool { return f.everyone(victim, Dead) })
+					f.until(30*time.Second, func() bool { return f.allSeeOne(victim, Dead) })
 					all = append(all, f.now-start)
 				}
 				b.ReportMetric(percentile(first, 0.5).Seconds(), "s-first-p50")
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -161,7 +161,7 @@
 }
 
 // everyone reports whether all running daemons see one daemon in a state.
-func (f *fleet) everyone(about id.Daemon, s State) bool {
+func (f *fleet) allSeeOne(about id.Daemon, s State) bool {
 	counts := f.states(about)
 	return len(counts) == 1 && counts[s] > 0
 }
@@ -169,7 +169,7 @@
 // steady reports whether every running daemon is seen alive by all others.
 func (f *fleet) converged() bool {
 	for _, name := range f.names {
-		if !f.stopped[name] && !f.everyone(name, Alive) {
+		if !f.stopped[name] && !f.allSeeOne(name, Alive) {
 			return false
 		}
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -77,7 +77,7 @@
 func TestKilledDaemonDetectedAndRestarted(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.stopped["host-003"] = true
-		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
+		took, ok := f.until(10*time.Second, func() bool { return f.allSeeOne("host-003", Dead) })
 		is.True(ok)
 		is.True(took >= f.cfg.SuspectAfter && took <= 6*time.Second)
 		f.start("host-003", 2)
@@ -93,7 +93,7 @@
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.resume = false
 		f.paused["host-003"] = true
-		_, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
+		_, ok := f.until(10*time.Second, func() bool { return f.allSeeOne("host-003", Dead) })
 		is.True(ok)
 		delete(f.paused, "host-003")
 		f.run(8 * time.Second)
@@ -117,7 +117,7 @@
 	f := newFleet(Mesh, 9, 4, 1)
 	f.until(5*time.Second, f.converged)
 	f.stopped["host-003"] = true
-	f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
+	f.until(10*time.Second, func() bool { return f.allSeeOne("host-003", Dead) })
 	m := f.members["host-003"]
 	delete(f.stopped, "host-003")
 	m.nextBeat = f.now // Tick detects no delay
@@ -187,12 +187,12 @@
 func TestLeavingIsNotReverted(t *testing.T) {
 	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.act("host-004", f.members["host-004"].Leave(f.now))
-		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-004", Leaving) })
+		took, ok := f.until(10*time.Second, func() bool { return f.allSeeOne("host-004", Leaving) })
 		is.True(ok)
 		is.True(took <= 4*time.Second)
 		old := Entry{Process: id.Process{Daemon: "host-004", Incarnation: 1}, State: Alive, Beat: 1 << 40, Epoch: 0}
 		f.act("host-000", f.members["host-000"].Receive(f.now, Message{Kind: Heartbeat, From: f.members["host-001"].Self(), Entries: []Entry{old}}))
-		is.True(f.everyone("host-004", Leaving))
+		is.True(f.allSeeOne("host-004", Leaving))
 	})
 }
 
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -42,7 +42,7 @@
 // allSee reports whether all running daemons see each named daemon in a state.
 func (f *fleet) allSee(names []id.Daemon, s State) bool {
 	for _, name := range names {
-		if !f.everyone(name, s) {
+		if !f.allSeeOne(name, s) {
 			return false
 		}
 	}
@@ -72,7 +72,7 @@
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.01
 		f.stopped["host-003"] = true
-		f.within(t, deathKnownWithin, "dead", func() bool { return f.everyone("host-003", Dead) })
+		f.within(t, deathKnownWithin, "dead", func() bool { return f.allSeeOne("host-003", Dead) })
 		for _, name := range f.names {
 			is.True(name == "host-003" || f.deaths(name) == 0)
 		}
@@ -317,7 +317,7 @@
 			return true
 		})
 		f.act("host-003", m.Leave(f.now))
-		f.within(t, 2*time.Second, "leaving", func() bool { return f.everyone("host-003", Leaving) })
+		f.within(t, 2*time.Second, "leaving", func() bool { return f.allSeeOne("host-003", Leaving) })
 	})
 }
 
--- a/core/member/timeouts_test.go
+++ b/core/member/timeouts_test.go
@@ -63,7 +63,7 @@
 	}
 	f.loss = 0
 	f.stopped["host-003"] = true
-	f.within(t, 12*time.Second, "dead", func() bool { return f.everyone("host-003", Dead) })
+	f.within(t, 12*time.Second, "dead", func() bool { return f.allSeeOne("host-003", Dead) })
 }
 
 // TestWatchedDaemonInLargeMesh checks that a watched daemon, which callers wait for,
