--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -160,13 +160,13 @@
 	return out
 }
 
-// everyone reports whether all running daemons see one daemon in a state.
+// allSeeOne reports whether all running daemons see one daemon in a state.
 func (f *fleet) allSeeOne(about id.Daemon, s State) bool {
 	counts := f.states(about)
 	return len(counts) == 1 && counts[s] > 0
 }
 
-// steady reports whether every running daemon is seen alive by all others.
+// converged reports whether every running daemon is seen alive by all others.
 func (f *fleet) converged() bool {
 	for _, name := range f.names {
 		if !f.stopped[name] && !f.allSeeOne(name, Alive) {
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -29,7 +29,7 @@
 	return m.flush()
 }
 
-// answer handles a message according to its kind.
+// handle processes a message according to its kind.
 func (m *Membership) handle(now time.Duration, p *peer, msg Message, current bool) {
 	if !current {
 		// An old incarnation still runs: it must be notified that it is superseded.
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -230,7 +230,7 @@
 	})
 }
 
-// anyLive reports whether any of the others sees any of some daemons alive.
+// anyAlive reports whether any of the others sees any of some daemons alive.
 func (f *fleet) anyAlive(some, others []id.Daemon) bool {
 	for _, by := range others {
 		for _, about := range some {
