--- a/core/member/detect.go
+++ b/core/member/detect.go
@@ -30,12 +30,12 @@
 
 // detectIsolation determines whether this daemon has lost most of the fleet at once.
 func (m *Membership) detectIsolation(now time.Duration) {
-	all, near := m.countLost(now)
-	isolated := all.mostLost() || near.mostLost()
+	all, neighbours := m.countLost(now)
+	isolated := all.mostLost() || neighbours.mostLost()
 	switch {
 	case m.cfg.Mode == Partial:
 		isolated = m.partial.failing()
-	case m.rings.enabled && m.isolated && (2*near.reached <= near.known || all.remote > 0 && near.reachedRemote == 0):
+	case m.rings.enabled && m.isolated && (2*neighbours.reached <= neighbours.known || all.remote > 0 && neighbours.reachedRemote == 0):
 		// The lost neighbours were replaced by others that have not been heard either,
 		// or by daemons of the own failure domain, which may be cut off as a whole.
 		isolated = true
@@ -77,7 +77,7 @@
 func (g group) mostLost() bool { return g.lost >= minPartition && 2*g.lost > g.known }
 
 // countLost counts all seen peers that are not dead, and the neighbours among them.
-func (m *Membership) countLost(now time.Duration) (all, near group) {
+func (m *Membership) countLost(now time.Duration) (all, neighbours group) {
 	for _, name := range m.order {
 		p := m.peers[name]
 		if !p.seen || p.entry.State == Dead {
@@ -88,10 +88,10 @@
 		remote := p.entry.Domain != m.self.Domain
 		all.add(lost, reached, remote)
 		if p.neighbour {
-			near.add(lost, reached, remote)
+			neighbours.add(lost, reached, remote)
 		}
 	}
-	return all, near
+	return all, neighbours
 }
 
 // checkPeer applies the timeouts to one peer.
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -178,24 +178,24 @@
 		return
 	}
 	unseen := 0
-	var near []*peer
+	var neighbours []*peer
 	for _, name := range m.order {
 		p := m.peers[name]
 		if !p.seen && !p.absent() {
 			unseen++
 		}
 		if p.neighbour && p.seen && p.entry.State == Alive {
-			near = append(near, p)
+			neighbours = append(neighbours, p)
 		}
 	}
-	if unseen == 0 && !rejoins || len(near) == 0 {
+	if unseen == 0 && !rejoins || len(neighbours) == 0 {
 		return
 	}
 	m.rings.syncAt = now + syncInterval
 	if 2*unseen > len(m.order) {
 		m.rings.syncAt = now + startSyncInterval
 	}
-	m.send(near[m.rng.IntN(len(near))], Message{Kind: Sync})
+	m.send(neighbours[m.rng.IntN(len(neighbours))], Message{Kind: Sync})
 }
 
 // syncReturned sends a Sync to a daemon that has returned: it may have been cut off
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -288,12 +288,12 @@
 	msg.From = m.self
 	msg.Proof = m.proof
 	if p.seen && m.mustNotify(p) {
-		told := p.entry
-		if told.State == Paused {
+		known := p.entry
+		if known.State == Paused {
 			// It has not yet responded to the declared death with a new epoch.
-			told.State = Dead
+			known.State = Dead
 		}
-		msg.Entries = append(msg.Entries, told)
+		msg.Entries = append(msg.Entries, known)
 	}
 	m.emit(Action{Send: &Send{To: p.entry.Process.Daemon, Address: p.entry.Address, Message: msg}})
 }
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -110,13 +110,13 @@
 // place on the rings that lie between them and this daemon.
 func (m *Membership) chooseOnRing(ring int) {
 	next, previous := m.adjacent(m.positions[ring], ring, nil)
-	ahead, behind := ^uint64(0), ^uint64(0)
+	toNext, toPrevious := ^uint64(0), ^uint64(0)
 	if next != nil {
 		next.neighbour, previous.neighbour = true, true
-		ahead, behind = next.positions[ring]-m.positions[ring], m.positions[ring]-previous.positions[ring]
+		toNext, toPrevious = next.positions[ring]-m.positions[ring], m.positions[ring]-previous.positions[ring]
 	}
 	for _, p := range m.peers {
-		if !m.onRings(p) && (p.positions[ring]-m.positions[ring] < ahead || m.positions[ring]-p.positions[ring] < behind) {
+		if !m.onRings(p) && (p.positions[ring]-m.positions[ring] < toNext || m.positions[ring]-p.positions[ring] < toPrevious) {
 			p.absentNeighbour = true
 		}
 	}
