--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -11,7 +11,7 @@
 
 // lapse is an entry that is kept though the store no longer has it. It was
 // removed by a change behind one version of the store and up to another.
-type lapse struct {
+type lapsedEntry struct {
 	entry           Endpoint
 	behind, missing uint64
 }
@@ -129,7 +129,7 @@
 // were any.
 func (l *List) Settle() bool {
 	spans, before := l.Uptime(), len(l.lapsed)
-	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapse) bool {
+	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool {
 		return slices.ContainsFunc(spans, func(s uptime.Span) bool {
 			return s.Covers(p.behind, p.missing) || l.overdue(s, p)
 		})
@@ -141,7 +141,7 @@
 // had for coming back after the store's return. The store must have answered for
 // all that time, since it may be gone again, and this daemon must know the list as
 // it was then.
-func (l *List) overdue(s uptime.Span, p lapse) bool {
+func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.absence.listed <= l.position && l.position <= s.Until
 	return s.Length() >= uptime.ReturnGrace && asListed && p.missing <= s.Until
 }
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -29,7 +29,7 @@
 	// position is the version of the store up to which the list is known.
 	position uint64
 	// lapsed entries are missing from the store's list and kept for now.
-	lapsed map[id.Endpoint]lapse
+	lapsed map[id.Endpoint]lapsedEntry
 	// restarted are endpoints that told of a later start than their entry, by
 	// instance, until their entry follows.
 	restarted map[id.Instance]Endpoint
@@ -46,7 +46,7 @@
 	}
 	return &List{
 		listed:    map[id.Endpoint]Endpoint{},
-		lapsed:    map[id.Endpoint]lapse{},
+		lapsed:    map[id.Endpoint]lapsedEntry{},
 		restarted: map[id.Instance]Endpoint{},
 		displaced: displaced,
 	}
@@ -96,14 +96,14 @@
 	for name, e := range old {
 		if _, still := l.listed[name]; !still && !e.Leaving {
 			e.UnlistedSince = now
-			l.lapsed[name] = lapse{entry: e, behind: behind, missing: l.position}
+			l.lapsed[name] = lapsedEntry{entry: e, behind: behind, missing: l.position}
 		}
 	}
 }
 
 // dropUnreadable drops the kept entries of instances whose entry can't be read.
 func (l *List) dropUnreadable(unreadable []id.Instance) {
-	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapse) bool { return slices.Contains(unreadable, p.entry.Instance) })
+	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool { return slices.Contains(unreadable, p.entry.Instance) })
 }
 
 // dropReplaced drops lapsed entries that are listed again, whose instance has
@@ -115,7 +115,7 @@
 		taken[e.Address] = true
 		instances[e.Instance] = e.Instance != ""
 	}
-	maps.DeleteFunc(l.lapsed, func(name id.Endpoint, p lapse) bool {
+	maps.DeleteFunc(l.lapsed, func(name id.Endpoint, p lapsedEntry) bool {
 		_, listed := l.listed[name]
 		return listed || taken[p.entry.Address] || instances[p.entry.Instance]
 	})
