--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -18,7 +18,7 @@
 
 // absence is what is known of the store's being away. That a daemon's own calls
 // fail is no proof of it: others may be served meanwhile.
-type absence struct {
+type outage struct {
 	// away is set while the store does not answer this daemon.
 	away bool
 	// until is when entries that have gone may no longer come back, where no span
@@ -41,7 +41,7 @@
 
 // possible says whether an entry that has gone now may have lapsed because the
 // store was away.
-func (a *absence) possible(now time.Duration) bool { return a.away || now < a.until }
+func (a *outage) possible(now time.Duration) bool { return a.away || now < a.until }
 
 // StoreLost notes that the store does not answer this daemon.
 func (l *List) StoreLost() { l.absence.away = true }
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -35,7 +35,7 @@
 	restarted map[id.Instance]Endpoint
 	// displaced are the places at which another process answered.
 	displaced *simplelru.LRU[place, struct{}]
-	absence   absence
+	absence   outage
 }
 
 // New returns an empty List.
