--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -41,7 +41,7 @@
 
 // possible says whether an entry that has gone now may have lapsed because the
 // store was away.
-func (a *outage) possible(now time.Duration) bool { return a.away || now < a.until }
+func (a *outage) mayHaveLapsed(now time.Duration) bool { return a.away || now < a.until }
 
 // StoreLost notes that the store does not answer this daemon.
 func (l *List) StoreLost() { l.absence.away = true }
@@ -107,7 +107,7 @@
 }
 
 // Doubts says whether entries that have gone may come back.
-func (l *List) Doubts(now time.Duration) bool { return l.absence.possible(now) }
+func (l *List) Doubts(now time.Duration) bool { return l.absence.mayHaveLapsed(now) }
 
 // Ask says whether to ask other daemons now when the store answered them, and up
 // to which of its versions their answer should reach. A daemon whose own calls
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -69,7 +69,7 @@
 		l.listed[e.Name] = e
 	}
 	l.position = position
-	if l.absence.possible(now) {
+	if l.absence.mayHaveLapsed(now) {
 		l.keepLapsed(now, old, behind)
 	}
 	l.dropUnreadable(unreadable)
