--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -23,7 +23,7 @@
 	away bool
 	// until is when entries that have gone may no longer come back, where no span
 	// says more; meaningless while away.
-	until time.Duration
+	returnUntil time.Duration
 	// ownUntil is until where this daemon found out itself, and not by others' word.
 	ownUntil time.Duration
 	// returnedAt is when the store was back, by its clock, as others told last.
@@ -41,7 +41,7 @@
 
 // possible says whether an entry that has gone now may have lapsed because the
 // store was away.
-func (a *outage) mayHaveLapsed(now time.Duration) bool { return a.away || now < a.until }
+func (a *outage) mayHaveLapsed(now time.Duration) bool { return a.away || now < a.returnUntil }
 
 // StoreLost notes that the store does not answer this daemon.
 func (l *List) StoreLost() { l.absence.away = true }
@@ -61,7 +61,7 @@
 func (l *List) Suspect(now time.Duration) {
 	a := &l.absence
 	a.ownUntil = now + uptime.ReturnGrace
-	a.until = max(a.until, a.ownUntil)
+	a.returnUntil = max(a.returnUntil, a.ownUntil)
 }
 
 // Answered notes an answer of the store to this daemon: the version of its
@@ -103,7 +103,7 @@
 		return
 	}
 	a.returnedAt = newest.Since
-	a.until = max(a.until, now+uptime.ReturnGrace-newest.Length())
+	a.returnUntil = max(a.returnUntil, now+uptime.ReturnGrace-newest.Length())
 }
 
 // Doubts says whether entries that have gone may come back.
@@ -118,7 +118,7 @@
 	if len(l.lapsed) == 0 {
 		return l.position, false
 	}
-	if !a.away && now >= a.ownUntil && now < a.until && now < a.askAt {
+	if !a.away && now >= a.ownUntil && now < a.returnUntil && now < a.askAt {
 		return l.position, false
 	}
 	a.askAt = now + pause
@@ -148,4 +148,4 @@
 
 // Due says whether the time for coming back is over for entries that are still
 // kept: what is missing is proof that the store was there for all of it.
-func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.absence.until }
+func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.absence.returnUntil }
