--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -25,7 +25,7 @@
 	// says more; meaningless while away.
 	returnUntil time.Duration
 	// ownUntil is until where this daemon found out itself, and not by others' word.
-	ownUntil time.Duration
+	ownReturnUntil time.Duration
 	// returnedAt is when the store was back, by its clock, as others told last.
 	returnedAt time.Duration
 	// askAt is when others are asked again.
@@ -60,8 +60,8 @@
 // called it meanwhile, and others that did got no answer.
 func (l *List) Suspect(now time.Duration) {
 	a := &l.absence
-	a.ownUntil = now + uptime.ReturnGrace
-	a.returnUntil = max(a.returnUntil, a.ownUntil)
+	a.ownReturnUntil = now + uptime.ReturnGrace
+	a.returnUntil = max(a.returnUntil, a.ownReturnUntil)
 }
 
 // Answered notes an answer of the store to this daemon: the version of its
@@ -118,7 +118,7 @@
 	if len(l.lapsed) == 0 {
 		return l.position, false
 	}
-	if !a.away && now >= a.ownUntil && now < a.returnUntil && now < a.askAt {
+	if !a.away && now >= a.ownReturnUntil && now < a.returnUntil && now < a.askAt {
 		return l.position, false
 	}
 	a.askAt = now + pause
