--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -29,7 +29,7 @@
 	// returnedAt is when the store was back, by its clock, as others told last.
 	returnedAt time.Duration
 	// askAt is when others are asked again.
-	askAt time.Duration
+	nextQuery time.Duration
 	// own is the span in which this daemon was served last, spans are all others,
 	// also those in which other daemons were.
 	own   uptime.Span
@@ -118,10 +118,10 @@
 	if len(l.lapsed) == 0 {
 		return l.position, false
 	}
-	if !a.away && now >= a.ownReturnUntil && now < a.returnUntil && now < a.askAt {
+	if !a.away && now >= a.ownReturnUntil && now < a.returnUntil && now < a.nextQuery {
 		return l.position, false
 	}
-	a.askAt = now + pause
+	a.nextQuery = now + pause
 	return l.position, true
 }
 
