--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -32,8 +32,8 @@
 	nextQuery time.Duration
 	// own is the span in which this daemon was served last, spans are all others,
 	// also those in which other daemons were.
-	own   uptime.Span
-	spans uptime.History
+	ownSpan uptime.Span
+	spans   uptime.History
 	// listed is the newest version of the store up to which another daemon knows the
 	// list.
 	listed uint64
@@ -69,19 +69,19 @@
 // that was answered.
 func (l *List) Answered(newest uint64, clock time.Duration, unbroken bool) {
 	a := &l.absence
-	next := a.own.Answered(newest, clock, unbroken)
-	if next.Since != a.own.Since {
-		a.spans = a.spans.Add(a.own)
+	next := a.ownSpan.Answered(newest, clock, unbroken)
+	if next.Since != a.ownSpan.Since {
+		a.spans = a.spans.Add(a.ownSpan)
 	}
-	a.own = next
+	a.ownSpan = next
 }
 
 // Current notes that the list is known up to the last answer of the store to this
 // daemon.
-func (l *List) Current() { l.position = max(l.position, l.absence.own.Until) }
+func (l *List) Current() { l.position = max(l.position, l.absence.ownSpan.Until) }
 
 // Uptime is when the store is known to have answered, to be told to others.
-func (l *List) Uptime() uptime.History { return l.absence.spans.Add(l.absence.own) }
+func (l *List) Uptime() uptime.History { return l.absence.spans.Add(l.absence.ownSpan) }
 
 // Learn takes another daemon's word of when the store answered, and up to which
 // version the list is known there. It says whether entries were dropped for it.
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -287,7 +287,7 @@
 // left, and before. Where none was, nobody can tell whether the store was there.
 func (s *simFleet) witnessed(e *simEndpoint) bool {
 	for _, d := range s.daemons {
-		own := d.absence.own
+		own := d.absence.ownSpan
 		if s.now >= d.cutUntil && own.Known() && own.Since+uptime.ReturnGrace <= e.leftAt && s.now-own.Last <= simStep {
 			return true
 		}
