--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -12,8 +12,8 @@
 // lapse is an entry that is kept though the store no longer has it. It was
 // removed by a change behind one version of the store and up to another.
 type lapsedEntry struct {
-	entry          Endpoint
-	after, missing uint64
+	entry       Endpoint
+	after, upTo uint64
 }
 
 // absence is what is known of the store's being away. That a daemon's own calls
@@ -131,7 +131,7 @@
 	spans, before := l.Uptime(), len(l.lapsed)
 	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool {
 		return slices.ContainsFunc(spans, func(s uptime.Span) bool {
-			return s.Covers(p.after, p.missing) || l.overdue(s, p)
+			return s.Covers(p.after, p.upTo) || l.overdue(s, p)
 		})
 	})
 	return len(l.lapsed) < before
@@ -143,7 +143,7 @@
 // it was then.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.absence.listed <= l.position && l.position <= s.Until
-	return s.Length() >= uptime.ReturnGrace && asListed && p.missing <= s.Until
+	return s.Length() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
 // Due says whether the time for coming back is over for entries that are still
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -96,7 +96,7 @@
 	for name, e := range old {
 		if _, still := l.listed[name]; !still && !e.Leaving {
 			e.UnlistedSince = now
-			l.lapsed[name] = lapsedEntry{entry: e, after: behind, missing: l.position}
+			l.lapsed[name] = lapsedEntry{entry: e, after: behind, upTo: l.position}
 		}
 	}
 }
