--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -44,11 +44,11 @@
 func (a *outage) mayHaveLapsed(now time.Duration) bool { return a.away || now < a.returnUntil }
 
 // StoreLost notes that the store does not answer this daemon.
-func (l *List) StoreLost() { l.absence.away = true }
+func (l *List) StoreLost() { l.outage.away = true }
 
 // StoreBack notes that the store answers this daemon again.
 func (l *List) StoreBack(now time.Duration) {
-	a := &l.absence
+	a := &l.outage
 	if !a.away {
 		return
 	}
@@ -59,7 +59,7 @@
 // Suspect notes that the store may have been away until now: this daemon has not
 // called it meanwhile, and others that did got no answer.
 func (l *List) Suspect(now time.Duration) {
-	a := &l.absence
+	a := &l.outage
 	a.ownReturnUntil = now + uptime.ReturnGrace
 	a.returnUntil = max(a.returnUntil, a.ownReturnUntil)
 }
@@ -68,7 +68,7 @@
 // newest change, and its clock. Unbroken says that the call followed another one
 // that was answered.
 func (l *List) Answered(newest uint64, clock time.Duration, unbroken bool) {
-	a := &l.absence
+	a := &l.outage
 	next := a.ownSpan.Answered(newest, clock, unbroken)
 	if next.Since != a.ownSpan.Since {
 		a.spans = a.spans.Add(a.ownSpan)
@@ -78,15 +78,15 @@
 
 // Current notes that the list is known up to the last answer of the store to this
 // daemon.
-func (l *List) Current() { l.position = max(l.position, l.absence.ownSpan.Until) }
+func (l *List) Current() { l.position = max(l.position, l.outage.ownSpan.Until) }
 
 // Uptime is when the store is known to have answered, to be told to others.
-func (l *List) Uptime() uptime.History { return l.absence.spans.Add(l.absence.ownSpan) }
+func (l *List) Uptime() uptime.History { return l.outage.spans.Add(l.outage.ownSpan) }
 
 // Learn takes another daemon's word of when the store answered, and up to which
 // version the list is known there. It says whether entries were dropped for it.
 func (l *List) Learn(told uptime.History, listed uint64) bool {
-	a := &l.absence
+	a := &l.outage
 	a.listed = max(a.listed, listed)
 	for _, s := range told {
 		a.spans = a.spans.Add(s)
@@ -98,7 +98,7 @@
 // have gone since may come back until it has answered for uptime.ReturnGrace.
 // Hearing of the same return again adds nothing.
 func (l *List) MayReturn(now time.Duration) {
-	a, newest := &l.absence, l.Uptime().Newest()
+	a, newest := &l.outage, l.Uptime().Newest()
 	if newest.Since == a.returnedAt {
 		return
 	}
@@ -107,14 +107,14 @@
 }
 
 // Doubts says whether entries that have gone may come back.
-func (l *List) Doubts(now time.Duration) bool { return l.absence.mayHaveLapsed(now) }
+func (l *List) Doubts(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
 
 // Ask says whether to ask other daemons now when the store answered them, and up
 // to which of its versions their answer should reach. A daemon whose own calls
 // failed, or whose entries are overdue, asks each time; one that keeps entries by
 // others' word, as the whole fleet may, asks with a pause between.
 func (l *List) Ask(now, pause time.Duration) (upTo uint64, ask bool) {
-	a := &l.absence
+	a := &l.outage
 	if len(l.lapsed) == 0 {
 		return l.position, false
 	}
@@ -142,10 +142,10 @@
 // all that time, since it may be gone again, and this daemon must know the list as
 // it was then.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
-	asListed := l.absence.listed <= l.position && l.position <= s.Until
+	asListed := l.outage.listed <= l.position && l.position <= s.Until
 	return s.Length() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
 // Due says whether the time for coming back is over for entries that are still
 // kept: what is missing is proof that the store was there for all of it.
-func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.absence.returnUntil }
+func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.outage.returnUntil }
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -287,7 +287,7 @@
 // left, and before. Where none was, nobody can tell whether the store was there.
 func (s *simFleet) witnessed(e *simEndpoint) bool {
 	for _, d := range s.daemons {
-		own := d.absence.ownSpan
+		own := d.outage.ownSpan
 		if s.now >= d.cutUntil && own.Known() && own.Since+uptime.ReturnGrace <= e.leftAt && s.now-own.Last <= simStep {
 			return true
 		}
@@ -357,7 +357,7 @@
 					}
 					if !d.has(e.name) {
 						t.Fatalf("seed %d: at %s daemon %d lost %s: down until %s, back at %s; %+v",
-							seed, s.now, i, e.name, s.downUntil, e.backAt, d.absence)
+							seed, s.now, i, e.name, s.downUntil, e.backAt, d.outage)
 					}
 				}
 			}
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -35,7 +35,7 @@
 	restarted map[id.Instance]Endpoint
 	// displaced are the places at which another process answered.
 	displaced *simplelru.LRU[place, struct{}]
-	absence   outage
+	outage    outage
 }
 
 // New returns an empty List.
@@ -69,7 +69,7 @@
 		l.listed[e.Name] = e
 	}
 	l.position = position
-	if l.absence.mayHaveLapsed(now) {
+	if l.outage.mayHaveLapsed(now) {
 		l.keepLapsed(now, old, behind)
 	}
 	l.dropUnreadable(unreadable)
