--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -48,12 +48,12 @@
 }
 
 // place is where an incarnation says that it can be reached.
-type place struct {
+type location struct {
 	name    id.Endpoint
 	address string
 }
 
-func (e *Endpoint) place() place { return place{name: e.Name, address: e.Address} }
+func (e *Endpoint) place() location { return location{name: e.Name, address: e.Address} }
 
 // older says whether e is an earlier start of the same instance than other.
 func (e *Endpoint) older(other *Endpoint) bool {
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -106,7 +106,7 @@
 		rows := map[id.Instance]Endpoint{}
 		born := map[id.Instance]int64{}
 		shown := map[id.Instance]int64{}
-		displaced := map[place]bool{}
+		displaced := map[location]bool{}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond
 			instance := id.Instance(fmt.Sprint("i", rapid.IntRange(0, 4).Draw(t, "instance")))
@@ -145,7 +145,7 @@
 }
 
 // checkRestarts holds the list against what it showed before.
-func checkRestarts(t *rapid.T, l *List, shown map[id.Instance]int64, displaced map[place]bool) {
+func checkRestarts(t *rapid.T, l *List, shown map[id.Instance]int64, displaced map[location]bool) {
 	there := map[id.Instance]int64{}
 	for _, e := range l.All() {
 		if _, twice := there[e.Instance]; twice {
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -34,13 +34,13 @@
 	// instance, until their entry follows.
 	restarted map[id.Instance]Endpoint
 	// displaced are the places at which another process answered.
-	displaced *simplelru.LRU[place, struct{}]
+	displaced *simplelru.LRU[location, struct{}]
 	outage    outage
 }
 
 // New returns an empty List.
 func New() *List {
-	displaced, err := simplelru.NewLRU[place, struct{}](rememberedPlaces, nil)
+	displaced, err := simplelru.NewLRU[location, struct{}](rememberedPlaces, nil)
 	if err != nil {
 		panic("registry: memory of displaced endpoints: " + err.Error())
 	}
