--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -53,7 +53,7 @@
 	address string
 }
 
-func (e *Endpoint) place() location { return location{name: e.Name, address: e.Address} }
+func (e *Endpoint) location() location { return location{name: e.Name, address: e.Address} }
 
 // older says whether e is an earlier start of the same instance than other.
 func (e *Endpoint) older(other *Endpoint) bool {
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -128,7 +128,7 @@
 			case 6:
 				for _, e := range l.Disputed() {
 					l.Displace(e)
-					displaced[e.place()] = true
+					displaced[e.location()] = true
 					break
 				}
 			default:
@@ -154,7 +154,7 @@
 		if e.Born < shown[e.Instance] {
 			t.Fatalf("%s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
 		}
-		if displaced[e.place()] {
+		if displaced[e.location()] {
 			t.Fatalf("%s was found displaced", e.Name)
 		}
 		there[e.Instance] = e.Born
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -157,8 +157,8 @@
 // Displace notes that another process answered at an endpoint's address: no
 // entry that names both counts again. It says whether that is news.
 func (l *List) Displace(e Endpoint) bool {
-	_, known := l.displaced.Get(e.place())
-	l.displaced.Add(e.place(), struct{}{})
+	_, known := l.displaced.Get(e.location())
+	l.displaced.Add(e.location(), struct{}{})
 	return !known
 }
 
@@ -187,7 +187,7 @@
 			told.UnlistedSince = e.UnlistedSince
 			e = told
 		}
-		if !l.displaced.Contains(e.place()) {
+		if !l.displaced.Contains(e.location()) {
 			out = append(out, e)
 		}
 	}
