--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -21,7 +21,7 @@
 
 // rememberedPlaces bounds what is remembered of endpoints that are not where
 // their entries say: some hours of restarts at 900 endpoints.
-const rememberedPlaces = 1024
+const maxDisplaced = 1024
 
 // List is the registry as one daemon knows it. It is not safe for concurrent use.
 type List struct {
@@ -40,7 +40,7 @@
 
 // New returns an empty List.
 func New() *List {
-	displaced, err := simplelru.NewLRU[location, struct{}](rememberedPlaces, nil)
+	displaced, err := simplelru.NewLRU[location, struct{}](maxDisplaced, nil)
 	if err != nil {
 		panic("registry: memory of displaced endpoints: " + err.Error())
 	}
