--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -75,7 +75,7 @@
 	l.dropUnreadable(unreadable)
 	l.Settle()
 	l.dropReplaced()
-	l.dropFollowed()
+	l.dropAppliedRestarts()
 }
 
 // latestStarts gives the latest known start of each instance that says when it
@@ -123,7 +123,7 @@
 
 // dropFollowed forgets the restarts that the endpoints' entries tell of by now,
 // and those of endpoints that are listed no more.
-func (l *List) dropFollowed() {
+func (l *List) dropAppliedRestarts() {
 	for instance, told := range l.restarted {
 		entry, ok := l.entry(instance)
 		if !ok || !entry.older(&told) {
