--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -107,7 +107,7 @@
 
 // trouble begins some, with the store, a daemon's way to it, or a daemon's way to
 // all.
-func (s *simFleet) trouble(outages bool) {
+func (s *simFleet) injectFaults(outages bool) {
 	if outages && !s.down() && s.rng.IntN(150) == 0 {
 		s.downSince = s.now
 		s.downUntil = s.now + s.between(time.Second, 8*time.Second)
@@ -251,7 +251,7 @@
 	if s.down() {
 		s.upSince = s.now
 	}
-	s.trouble(outages)
+	s.injectFaults(outages)
 	s.register()
 	if s.now%simChoose == 0 {
 		s.choose()
