--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -190,7 +190,7 @@
 	d.Answered(s.version, s.now, d.unbroken)
 	d.unbroken = true
 	if s.version > d.known {
-		s.take(d)
+		s.read(d)
 		s.tell(d)
 	}
 	d.Current()
@@ -207,7 +207,7 @@
 	return false
 }
 
-func (s *simFleet) take(d *simDaemon) {
+func (s *simFleet) read(d *simDaemon) {
 	d.known = s.version
 	d.Set(s.now, s.version, s.entries())
 }
@@ -227,7 +227,7 @@
 			to.MayReturn(s.now)
 		}
 		if s.version > to.known {
-			s.take(to)
+			s.read(to)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 		if other != d && other.reader && s.now >= other.cutUntil && other.known == s.version {
 			word := other.Uptime()
 			d.Learn(word, other.known)
-			s.take(d)
+			s.read(d)
 			return
 		}
 	}
