--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -191,7 +191,7 @@
 	d.unbroken = true
 	if s.version > d.known {
 		s.read(d)
-		s.tell(d)
+		s.push(d)
 	}
 	d.Current()
 }
@@ -213,7 +213,7 @@
 }
 
 // tell has a reader tell the others of changes.
-func (s *simFleet) tell(from *simDaemon) {
+func (s *simFleet) push(from *simDaemon) {
 	if !from.reader || s.now < from.cutUntil {
 		return
 	}
