--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -233,7 +233,7 @@
 }
 
 // ask has a daemon ask the readers when the store answered them.
-func (s *simFleet) ask(d *simDaemon) {
+func (s *simFleet) query(d *simDaemon) {
 	d.Settle()
 	if _, ask := d.Ask(s.now, simAsk); !ask || s.now < d.cutUntil {
 		return
@@ -265,7 +265,7 @@
 			s.tellOne(d)
 		}
 		if s.now%simAsk == 0 {
-			s.ask(d)
+			s.query(d)
 		}
 	}
 }
