--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -262,7 +262,7 @@
 		}
 		// Behind a cut a daemon catches up with what others know.
 		if s.now >= d.cutUntil && d.known < s.version && d.lost {
-			s.tellOne(d)
+			s.catchUp(d)
 		}
 		if s.now%simAsk == 0 {
 			s.query(d)
@@ -272,7 +272,7 @@
 
 // tellOne has a daemon that the store does not answer learn the table of a reader
 // that knows all.
-func (s *simFleet) tellOne(d *simDaemon) {
+func (s *simFleet) catchUp(d *simDaemon) {
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil && other.known == s.version {
 			word := other.Uptime()
