--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -130,7 +130,7 @@
 }
 
 // register moves the endpoints' entries.
-func (s *simFleet) register() {
+func (s *simFleet) updateEntries() {
 	for _, e := range s.endpoints {
 		switch {
 		case e.leftAt > 0:
@@ -252,7 +252,7 @@
 		s.upSince = s.now
 	}
 	s.injectFaults(outages)
-	s.register()
+	s.updateEntries()
 	if s.now%simChoose == 0 {
 		s.choose()
 	}
