--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -151,7 +151,7 @@
 
 // choose chooses the readers anew: the first that are served, as far as the others
 // can see.
-func (s *simFleet) choose() {
+func (s *simFleet) chooseReaders() {
 	chosen := 0
 	for _, d := range s.daemons {
 		cut := s.now < d.cutUntil && s.now-d.cutSince > simSeen
@@ -254,7 +254,7 @@
 	s.injectFaults(outages)
 	s.updateEntries()
 	if s.now%simChoose == 0 {
-		s.choose()
+		s.chooseReaders()
 	}
 	for _, d := range s.daemons {
 		if d.reader || d.lost || s.now < d.cutUntil {
