--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -15,7 +15,7 @@
 const (
 	simStep = 100 * time.Millisecond
 	// simAsk is the pause between two questions to others.
-	simAsk = 400 * time.Millisecond
+	simQueryPause = 400 * time.Millisecond
 	// simInTouch is for how long a daemon must have been without trouble for the
 	// bound on endpoints that have left to hold for it, simDrain that bound.
 	simInTouch = 3 * time.Second
@@ -235,7 +235,7 @@
 // ask has a daemon ask the readers when the store answered them.
 func (s *simFleet) query(d *simDaemon) {
 	d.Settle()
-	if _, ask := d.Ask(s.now, simAsk); !ask || s.now < d.cutUntil {
+	if _, ask := d.Ask(s.now, simQueryPause); !ask || s.now < d.cutUntil {
 		return
 	}
 	for _, other := range s.daemons {
@@ -264,7 +264,7 @@
 		if s.now >= d.cutUntil && d.known < s.version && d.lost {
 			s.catchUp(d)
 		}
-		if s.now%simAsk == 0 {
+		if s.now%simQueryPause == 0 {
 			s.query(d)
 		}
 	}
