--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -23,7 +23,7 @@
 	// simReaders of the daemons follow the store and tell the others.
 	simReaders = 3
 	// simSeen is how long the others take to see that a daemon is cut off.
-	simSeen = 1200 * time.Millisecond
+	simCutDetection = 1200 * time.Millisecond
 	// simChoose is the pause between two choices of readers.
 	simChoose = 500 * time.Millisecond
 	// simLapses is how long the store must be away for entries to lapse; simOthersLost
@@ -154,7 +154,7 @@
 func (s *simFleet) chooseReaders() {
 	chosen := 0
 	for _, d := range s.daemons {
-		cut := s.now < d.cutUntil && s.now-d.cutSince > simSeen
+		cut := s.now < d.cutUntil && s.now-d.cutSince > simCutDetection
 		reader := chosen < simReaders && !d.lost && !cut
 		if reader {
 			chosen++
