--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -25,7 +25,7 @@
 	// simSeen is how long the others take to see that a daemon is cut off.
 	simCutDetection = 1200 * time.Millisecond
 	// simChoose is the pause between two choices of readers.
-	simChoose = 500 * time.Millisecond
+	simChoosePause = 500 * time.Millisecond
 	// simLapses is how long the store must be away for entries to lapse; simOthersLost
 	// is for how long others must have been without it for a daemon to doubt.
 	simLapses     = 2400 * time.Millisecond
@@ -253,7 +253,7 @@
 	}
 	s.injectFaults(outages)
 	s.updateEntries()
-	if s.now%simChoose == 0 {
+	if s.now%simChoosePause == 0 {
 		s.chooseReaders()
 	}
 	for _, d := range s.daemons {
