--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -28,7 +28,7 @@
 	simChoosePause = 500 * time.Millisecond
 	// simLapses is how long the store must be away for entries to lapse; simOthersLost
 	// is for how long others must have been without it for a daemon to doubt.
-	simLapses     = 2400 * time.Millisecond
+	simLapseAfter = 2400 * time.Millisecond
 	simOthersLost = time.Second
 	// notYet is when an endpoint is back whose entry has lapsed while the store is
 	// still away.
@@ -134,7 +134,7 @@
 	for _, e := range s.endpoints {
 		switch {
 		case e.leftAt > 0:
-		case s.down() && s.now-s.downSince >= simLapses && e.listed && s.rng.IntN(8) == 0:
+		case s.down() && s.now-s.downSince >= simLapseAfter && e.listed && s.rng.IntN(8) == 0:
 			e.listed, e.backAt = false, notYet
 			s.version++
 		case !s.down() && !e.listed && e.backAt == notYet:
