--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -18,8 +18,8 @@
 	simQueryPause = 400 * time.Millisecond
 	// simInTouch is for how long a daemon must have been without trouble for the
 	// bound on endpoints that have left to hold for it, simDrain that bound.
-	simCalm  = 3 * time.Second
-	simDrain = 2 * time.Second
+	simCalm       = 3 * time.Second
+	simDropWithin = 2 * time.Second
 	// simReaders of the daemons follow the store and tell the others.
 	simReaders = 3
 	// simSeen is how long the others take to see that a daemon is cut off.
@@ -316,7 +316,7 @@
 			for i, d := range s.daemons {
 				for _, e := range s.endpoints {
 					calm := s.now-d.calmSince > simCalm
-					if e.leftAt == 0 || !calm || s.now-e.leftAt <= simDrain || !s.witnessed(e) {
+					if e.leftAt == 0 || !calm || s.now-e.leftAt <= simDropWithin || !s.witnessed(e) {
 						continue
 					}
 					checked++
