--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -59,7 +59,7 @@
 	// leftAt is when it left without a word; 0 for one that is there.
 	leftAt time.Duration
 	// backAt is when it registers again what lapsed with the store.
-	backAt time.Duration
+	returnsAt time.Duration
 }
 
 // simFleet is a store, endpoints and daemons.
@@ -135,11 +135,11 @@
 		switch {
 		case e.leftAt > 0:
 		case s.down() && s.now-s.downSince >= simLapseAfter && e.listed && s.rng.IntN(8) == 0:
-			e.listed, e.backAt = false, notYet
+			e.listed, e.returnsAt = false, notYet
 			s.version++
-		case !s.down() && !e.listed && e.backAt == notYet:
-			e.backAt = s.now + s.between(0, 2*time.Second)
-		case !s.down() && !e.listed && s.now >= e.backAt:
+		case !s.down() && !e.listed && e.returnsAt == notYet:
+			e.returnsAt = s.now + s.between(0, 2*time.Second)
+		case !s.down() && !e.listed && s.now >= e.returnsAt:
 			e.listed = true
 			s.version++
 		case !s.down() && e.listed && s.now-s.upSince > simCalm && s.rng.IntN(300) == 0:
@@ -357,7 +357,7 @@
 					}
 					if !d.has(e.name) {
 						t.Fatalf("seed %d: at %s daemon %d lost %s: down until %s, back at %s; %+v",
-							seed, s.now, i, e.name, s.downUntil, e.backAt, d.outage)
+							seed, s.now, i, e.name, s.downUntil, e.returnsAt, d.outage)
 					}
 				}
 			}
