--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -70,7 +70,7 @@
 }
 
 // served is a span of the store by the clock that the tests' daemons share.
-func served(from, until uint64, since, last time.Duration) uptime.History {
+func servedSpan(from, until uint64, since, last time.Duration) uptime.History {
 	return uptime.History{{From: from, Until: until, Since: since, Last: last}}
 }
 
@@ -79,7 +79,7 @@
 	l := New()
 	is.True(!l.Doubts(0))
 	l.Set(0, 10, []Endpoint{{Name: "a", Address: "1"}})
-	back := served(0, 11, time.Second, time.Second)
+	back := servedSpan(0, 11, time.Second, time.Second)
 	l.Learn(back, 0)
 	l.MayReturn(1100 * time.Millisecond)
 	l.Set(1100*time.Millisecond, 11, nil)
@@ -100,10 +100,10 @@
 		is.Equal(ask, asks.ask)
 	}
 	end := time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(served(0, 11, time.Second, end-1), 0))
-	is.True(l.Learn(served(11, 11, time.Second, end), 0))
+	is.True(!l.Learn(servedSpan(0, 11, time.Second, end-1), 0))
+	is.True(l.Learn(servedSpan(11, 11, time.Second, end), 0))
 	is.Equal(l.Lapsed(), 0)
-	l.Learn(served(11, 14, time.Second, 4*time.Second), 0) // the store was not away
+	l.Learn(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
 	l.Set(4*time.Second, 12, []Endpoint{{Name: "b", Address: "2"}})
 	l.Set(4*time.Second, 13, nil)
 	is.Equal(l.Lapsed(), 0)
@@ -117,7 +117,7 @@
 		l := New()
 		l.Set(0, 10, []Endpoint{entry("a", "1"), entry("b", "2")})
 		l.StoreLost()
-		word := served(3, 12, -time.Minute, 5*time.Second)
+		word := servedSpan(3, 12, -time.Minute, 5*time.Second)
 		if first {
 			l.Learn(word, 0)
 		}
@@ -148,9 +148,9 @@
 	is.Equal(l.Lapsed(), 1)
 	// Others were served from 8 s on.
 	end := 8*time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(served(0, 20, 8*time.Second, 10*time.Second), 0))
-	is.True(!l.Learn(served(0, 20, 8*time.Second, end-1), 0))
-	is.True(l.Learn(served(20, 20, 8*time.Second, end), 0))
+	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
+	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, end-1), 0))
+	is.True(l.Learn(servedSpan(20, 20, 8*time.Second, end), 0))
 }
 
 // TestAnEntryThatLapsedInAnOutageOfAllIsKept by a daemon that hears from others
@@ -162,12 +162,12 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	// The store was back for a second and gone again.
-	l.Learn(served(0, 12, 5*time.Second, 6*time.Second), 0)
+	l.Learn(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
 	is.True(!l.Settle())
-	is.True(!l.Learn(served(0, 14, 30*time.Second, 31*time.Second), 0))
+	is.True(!l.Learn(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
 	is.Equal(l.Lapsed(), 1)
-	is.True(l.Learn(served(14, 15, 30*time.Second, 33*time.Second), 0))
+	is.True(l.Learn(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
 	is.Equal(l.Lapsed(), 0)
 }
 
@@ -183,7 +183,7 @@
 	l.Current() // nothing has changed
 	l.Answered(25, 11*time.Second, true)
 	l.Set(11*time.Second, 25, nil)
-	l.Learn(served(0, 25, 10*time.Second, 11*time.Second), 0)
+	l.Learn(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
 	is.Equal(l.Lapsed(), 1)
 	end := 10*time.Second + uptime.ReturnGrace
 	l.Answered(25, end, true)
@@ -198,7 +198,7 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.Set(6*time.Second, 12, nil)
-	is.True(!l.Learn(served(14, 18, 5*time.Second, 9*time.Second), 15))
+	is.True(!l.Learn(servedSpan(14, 18, 5*time.Second, 9*time.Second), 15))
 	is.Equal(l.Lapsed(), 1)
 	l.Set(9*time.Second, 15, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 0)
