--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -13,15 +13,15 @@
 )
 
 // started is the entry of one start of an instance.
-func started(instance id.Instance, born int64, address string) Endpoint {
+func startedEntry(instance id.Instance, born int64, address string) Endpoint {
 	return Endpoint{Name: Incarnation(instance, born), Instance: instance, Born: born, Address: address, Role: live.RoleDecode}
 }
 
 func TestALaterStartReplacesTheFormerOne(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 100, "1")})
-	l.Set(time.Second, 1, []Endpoint{started("a", 200, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 200, "1")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
@@ -30,17 +30,17 @@
 func TestALateHeartbeatOfAFormerStartChangesNothing(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 200, "1")})
-	l.Set(time.Second, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 200, "1")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 100, "1")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
 func TestAFormerStartIsNotKeptWhileTheStoreIsAway(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
 	l.StoreLost()
-	l.Set(time.Second, 1, []Endpoint{started("a", 200, "2")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 200, "2")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
@@ -66,15 +66,15 @@
 func TestAnEndpointsOwnWordGoesBeforeItsEntry(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
 	is.True(l.Restarted("a", 200, live.RolePrefill))
 	is.True(!l.Restarted("a", 200, live.RolePrefill))
 	is.True(!l.Restarted("a", 150, live.RolePrefill))
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 	is.Equal(l.All()[0].Role, live.RolePrefill)
-	l.Set(time.Second, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 100, "1")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
-	l.Set(2*time.Second, 1, []Endpoint{started("a", 200, "1")})
+	l.Set(2*time.Second, 1, []Endpoint{startedEntry("a", 200, "1")})
 	is.Equal(l.All()[0].Role, live.RoleDecode)
 	l.Set(3*time.Second, 1, nil)
 	is.Equal(len(l.All()), 0)
@@ -86,7 +86,7 @@
 func TestAnEntryThatCanNotBeReadIsGone(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	a, b := started("a", 100, "1"), started("b", 100, "2")
+	a, b := startedEntry("a", 100, "1"), startedEntry("b", 100, "2")
 	l.Set(0, 1, []Endpoint{a, b})
 	l.StoreLost()
 	l.Set(time.Second, 1, nil, "a")
@@ -114,9 +114,9 @@
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0:
 				born[instance] += int64(rapid.IntRange(1, 5).Draw(t, "later"))
-				rows[instance] = started(instance, born[instance], address)
+				rows[instance] = startedEntry(instance, born[instance], address)
 			case 1:
-				rows[instance] = started(instance, max(1, born[instance]-1), address)
+				rows[instance] = startedEntry(instance, max(1, born[instance]-1), address)
 			case 2:
 				delete(rows, instance)
 			case 3:
