--- a/core/uptime/uptime.go
+++ b/core/uptime/uptime.go
@@ -69,7 +69,7 @@
 
 // kept is how many spans a History holds: one that follows an outage, and those
 // that tell of the removals before.
-const kept = 3
+const maxSpans = 3
 
 // History holds the newest spans, oldest first; no two overlap.
 type History []Span
@@ -90,7 +90,7 @@
 	}
 	out = append(out, s)
 	slices.SortFunc(out, func(a, b Span) int { return cmp.Compare(a.Last, b.Last) })
-	return out[max(0, len(out)-kept):]
+	return out[max(0, len(out)-maxSpans):]
 }
 
 // Newest is the last span; the zero Span where there is none.
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -62,7 +62,7 @@
 	for i := range time.Duration(9) {
 		h = h.Add(Span{Until: uint64(i + 1), Since: 10 * i * time.Second, Last: (10*i + 5) * time.Second})
 	}
-	is.Equal(len(h), kept)
+	is.Equal(len(h), maxSpans)
 	is.Equal(h[0].Until, uint64(7))
 	is.Equal(h.Newest().Until, uint64(9))
 }
