--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -69,7 +69,7 @@
 // that was answered.
 func (l *List) Answered(newest uint64, clock time.Duration, unbroken bool) {
 	a := &l.outage
-	next := a.ownSpan.Answered(newest, clock, unbroken)
+	next := a.ownSpan.Extend(newest, clock, unbroken)
 	if next.Since != a.ownSpan.Since {
 		a.spans = a.spans.Add(a.ownSpan)
 	}
--- a/core/uptime/uptime.go
+++ b/core/uptime/uptime.go
@@ -32,7 +32,7 @@
 
 // Answered adds an answer of the store to the span; unbroken says that no call
 // before it failed, and that the calls followed each other.
-func (s Span) Answered(newest uint64, clock time.Duration, unbroken bool) Span {
+func (s Span) Extend(newest uint64, clock time.Duration, unbroken bool) Span {
 	if !unbroken || !s.Known() || clock < s.Last || newest < s.Until {
 		return Span{Until: newest, Since: clock, Last: clock}
 	}
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -14,25 +14,25 @@
 	var s Span
 	is.True(!s.Known())
 	is.True(!s.Covers(0, 0))
-	s = s.Answered(10, time.Second, true)
+	s = s.Extend(10, time.Second, true)
 	is.Equal(s, Span{Until: 10, Since: time.Second, Last: time.Second})
 	is.True(!s.Covers(10, 10)) // what lapsed before it may not be back yet
-	s = s.Answered(12, time.Second+ReturnGrace, true)
-	s = s.Answered(14, 5*time.Second, true)
+	s = s.Extend(12, time.Second+ReturnGrace, true)
+	s = s.Extend(14, 5*time.Second, true)
 	is.Equal(s, Span{From: 12, Until: 14, Since: time.Second, Last: 5 * time.Second})
 	is.True(s.Covers(12, 14))
 	is.True(s.Covers(13, 14))
 	is.True(!s.Covers(11, 13))
 	is.True(!s.Covers(12, 15))
-	s = s.Answered(20, 9*time.Second, false)
+	s = s.Extend(20, 9*time.Second, false)
 	is.Equal(s, Span{Until: 20, Since: 9 * time.Second, Last: 9 * time.Second})
 }
 
 func TestAStoreWhoseClockOrVersionsBeganAnewBeginsANewSpan(t *testing.T) {
 	is := is.New(t)
-	s := Span{}.Answered(10, time.Minute, true)
-	is.Equal(s.Answered(11, time.Second, true).Since, time.Second)
-	is.Equal(s.Answered(3, 2*time.Minute, true).Since, 2*time.Minute)
+	s := Span{}.Extend(10, time.Minute, true)
+	is.Equal(s.Extend(11, time.Second, true).Since, time.Second)
+	is.Equal(s.Extend(3, 2*time.Minute, true).Since, 2*time.Minute)
 }
 
 func TestSpansThatOverlapAddUp(t *testing.T) {
@@ -99,7 +99,7 @@
 					break
 				}
 				known[d] = known[d].Add(own[d])
-				own[d] = own[d].Answered(version, clock, unbroken[d])
+				own[d] = own[d].Extend(version, clock, unbroken[d])
 				known[d] = known[d].Add(own[d])
 				unbroken[d] = true
 			case 3:
