--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -17,7 +17,7 @@
 	return Endpoint{Name: Incarnation(instance, born), Instance: instance, Born: born, Address: address, Role: live.RoleDecode}
 }
 
-func TestALaterStartReplacesTheFormerOne(t *testing.T) {
+func TestLaterStartReplacesEarlier(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
@@ -27,7 +27,7 @@
 
 // TestALateHeartbeatOfAFormerStartChangesNothing: its entry was written after
 // that of the later start.
-func TestALateHeartbeatOfAFormerStartChangesNothing(t *testing.T) {
+func TestEntryOfEarlierStartIsIgnored(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{startedEntry("a", 200, "1")})
@@ -35,7 +35,7 @@
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
-func TestAFormerStartIsNotKeptWhileTheStoreIsAway(t *testing.T) {
+func TestReplacedStartIsNotKeptDuringOutage(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
@@ -46,7 +46,7 @@
 
 // TestADisplacedEndpointStaysAway, however often its entry is written again;
 // at another address it is another matter.
-func TestADisplacedEndpointStaysAway(t *testing.T) {
+func TestDisplacedEndpointStaysDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	former, present := entry("a", "1"), entry("b", "1")
@@ -63,7 +63,7 @@
 }
 
 // TestAnEndpointsOwnWordGoesBeforeItsEntry until the entry follows.
-func TestAnEndpointsOwnWordGoesBeforeItsEntry(t *testing.T) {
+func TestRestartReportOverridesEntry(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
@@ -83,7 +83,7 @@
 
 // TestAnEntryThatCanNotBeReadIsGone also while the store is away, and the
 // others hold.
-func TestAnEntryThatCanNotBeReadIsGone(t *testing.T) {
+func TestUnreadableEntryIsDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	a, b := startedEntry("a", 100, "1"), startedEntry("b", 100, "2")
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -307,7 +307,7 @@
 // TestRandomTroubleKeepsNobodyWhoLeft: no daemon without trouble of its own still
 // uses an endpoint that left without a word while the store was there, whatever
 // refused it, or cut it off, meanwhile. Some daemon must have been served.
-func TestRandomTroubleKeepsNobodyWhoLeft(t *testing.T) {
+func TestRandomFaultsDropLeftEndpoints(t *testing.T) {
 	checked := 0
 	for seed := range uint64(60) {
 		s := newSimFleet(seed, 6)
@@ -335,7 +335,7 @@
 // TestRandomOutagesLoseNobody: an endpoint whose entry lapsed while the store was
 // away is used on by all daemons that it was known to. In a large fleet most have
 // not called the store meanwhile.
-func TestRandomOutagesLoseNobody(t *testing.T) {
+func TestRandomOutagesKeepEndpoints(t *testing.T) {
 	t.Run("6 daemons", func(t *testing.T) { randomOutages(t, 6, 60) })
 	t.Run("60 daemons", func(t *testing.T) { randomOutages(t, 60, 12) })
 }
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -20,7 +20,7 @@
 
 func entry(name id.Endpoint, address string) Endpoint { return Endpoint{Name: name, Address: address} }
 
-func TestAnEntryThatGoesWhileTheStoreIsThereIsGone(t *testing.T) {
+func TestRemovedEntryIsDroppedWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{entry("a", "1"), entry("b", "2")})
@@ -28,7 +28,7 @@
 	is.Equal(names(l), []id.Endpoint{"b"})
 }
 
-func TestLapsedEntriesAreKeptUntilTheyMayHaveComeBack(t *testing.T) {
+func TestLapsedEntriesAreKeptForReturnGrace(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{entry("a", "1"), entry("b", "2"), entry("c", "3")})
@@ -51,7 +51,7 @@
 	is.Equal(names(l), []id.Endpoint{"a"})
 }
 
-func TestALapsedEntryThatSaidItLeavesIsGone(t *testing.T) {
+func TestLeavingEntryIsNotKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{{Name: "a", Address: "1", Leaving: true}, entry("b", "2")})
@@ -60,7 +60,7 @@
 	is.Equal(names(l), []id.Endpoint{"b"})
 }
 
-func TestALapsedEntryWhoseAddressIsTakenIsGone(t *testing.T) {
+func TestLapsedEntryWithReusedAddressIsDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{entry("a", "1")})
@@ -74,7 +74,7 @@
 	return uptime.History{{From: from, Until: until, Since: since, Last: last}}
 }
 
-func TestEntriesMayReturnByAnotherDaemonsWord(t *testing.T) {
+func TestOutageReportedByAnotherDaemon(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	is.True(!l.Doubts(0))
@@ -111,7 +111,7 @@
 
 // TestADaemonThatTheStoreRefusesDropsWhatWentWhileOthersWereServed, also where it
 // hears of the removal first and of the store afterwards.
-func TestADaemonThatTheStoreRefusesDropsWhatWentWhileOthersWereServed(t *testing.T) {
+func TestRefusedDaemonDropsEntriesRemovedWhileOthersWereServed(t *testing.T) {
 	is := is.New(t)
 	for _, first := range []bool{true, false} {
 		l := New()
@@ -137,7 +137,7 @@
 
 // TestTheTimeForComingBackCountsFromTheStoresReturn, not from the daemon's own
 // first answer: it may be asked seconds later.
-func TestTheTimeForComingBackCountsFromTheStoresReturn(t *testing.T) {
+func TestReturnGraceStartsAtStoreReturn(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
@@ -156,7 +156,7 @@
 // TestAnEntryThatLapsedInAnOutageOfAllIsKept by a daemon that hears from others
 // when the store was back, until these were served for as long as entries may take
 // to return.
-func TestAnEntryThatLapsedInAnOutageOfAllIsKept(t *testing.T) {
+func TestEntryLapsedInSharedOutageIsKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
@@ -173,7 +173,7 @@
 
 // TestWhatLapsesRightBehindTheStoresReturnIsKept: its heartbeats may not have been
 // heard yet, whoever was served since.
-func TestWhatLapsesRightBehindTheStoresReturnIsKept(t *testing.T) {
+func TestEntryLapsedRightAfterStoreReturnIsKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
@@ -192,7 +192,7 @@
 
 // TestADaemonThatIsBehindKeepsWhatMayBeBack: its list does not show what has
 // registered again since.
-func TestADaemonThatIsBehindKeepsWhatMayBeBack(t *testing.T) {
+func TestLaggingDaemonKeepsEntries(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestASpanGrowsWithEachAnswerAndEndsWithAFailure(t *testing.T) {
+func TestSpanExtendsUntilFailure(t *testing.T) {
 	is := is.New(t)
 	var s Span
 	is.True(!s.Known())
@@ -28,14 +28,14 @@
 	is.Equal(s, Span{Until: 20, Since: 9 * time.Second, Last: 9 * time.Second})
 }
 
-func TestAStoreWhoseClockOrVersionsBeganAnewBeginsANewSpan(t *testing.T) {
+func TestClockOrVersionResetStartsNewSpan(t *testing.T) {
 	is := is.New(t)
 	s := Span{}.Extend(10, time.Minute, true)
 	is.Equal(s.Extend(11, time.Second, true).Since, time.Second)
 	is.Equal(s.Extend(3, 2*time.Minute, true).Since, 2*time.Minute)
 }
 
-func TestSpansThatOverlapAddUp(t *testing.T) {
+func TestOverlappingSpansAreJoined(t *testing.T) {
 	is := is.New(t)
 	early := Span{From: 10, Until: 20, Since: 1 * time.Second, Last: 5 * time.Second}
 	late := Span{From: 17, Until: 30, Since: 4 * time.Second, Last: 9 * time.Second}
@@ -55,7 +55,7 @@
 	is.Equal(History{begun}.Add(early), History{{From: 10, Until: 24, Since: 1 * time.Second, Last: 6 * time.Second}})
 }
 
-func TestAHistoryHoldsTheNewestSpans(t *testing.T) {
+func TestHistoryKeepsNewestSpans(t *testing.T) {
 	is := is.New(t)
 	var h History
 	is.True(!h.Newest().Known())
@@ -70,7 +70,7 @@
 // TestRandomSpansClaimNoOutage: daemons call a store that is away at times, fail
 // or are cut off, and join what others tell: no span covers a change that was
 // made while the store answered nobody.
-func TestRandomSpansClaimNoOutage(t *testing.T) {
+func TestRandomSpansCoverNoOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
 		var own [daemons]Span
