--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -10,36 +10,36 @@
 
 // Endpoint is one registered endpoint.
 type Endpoint struct {
-	// Name is the endpoint's incarnation: a restart has another one, so that
-	// nothing that was believed under a name outlives the process.
+	// Name is the endpoint's incarnation. A restart has a different name, so that
+	// no state kept under a name outlives the process.
 	Name id.Endpoint
-	// Instance is what the endpoint itself answers to; a restart may keep it.
+	// Instance is the name that the endpoint itself uses; a restart may keep it.
 	Instance id.Instance
-	// Born orders the incarnations of one instance: a later start has a higher
-	// one. It is the endpoint's time of day in Unix milliseconds, which no clock
-	// of this daemon's is held against; 0 where the endpoint does not say.
+	// Born is the start time by the endpoint's clock in Unix milliseconds; 0 if the
+	// endpoint does not report it. It orders the incarnations of one instance, and
+	// is never compared with a clock of this daemon.
 	Born    int64
 	Service id.Service
-	// Address is IP:port.
+	// Address has the form IP:port.
 	Address string
 	Domain  id.Domain
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the endpoint runs concurrently.
 	Slots int
 	// Role of a model engine; empty for a plain endpoint.
 	Role live.Role
-	// Leaving is the endpoint's own word that it takes no new work.
+	// Leaving is set once the endpoint has announced that it accepts no new work.
 	Leaving bool
-	// UnlistedSince is since when, by the daemon's time, the store no longer has the
-	// entry and it is kept, since it may have lapsed only because the store was away;
-	// 0 for a listed one.
+	// UnlistedSince is since when, by the daemon's clock, the store no longer has
+	// the entry while it is kept because it may have lapsed in an outage of the
+	// store; 0 for a listed entry.
 	UnlistedSince time.Duration
 }
 
-// Unlisted says whether the entry is kept though the store no longer has it.
+// Unlisted reports whether the entry is kept although the store no longer has it.
 func (e *Endpoint) Unlisted() bool { return e.UnlistedSince > 0 }
 
-// Incarnation names one start of an instance. Where endpoints do not say when
-// they started, each start has an instance of its own.
+// Incarnation returns the name of one start of an instance. Endpoints that do not
+// report a start time use a different instance for each start.
 func Incarnation(instance id.Instance, born int64) id.Endpoint {
 	if born == 0 {
 		return id.Endpoint(instance)
@@ -47,7 +47,7 @@
 	return id.Endpoint(string(instance) + "@" + strconv.FormatInt(born, 10))
 }
 
-// place is where an incarnation says that it can be reached.
+// location is an incarnation and the address that its entry names.
 type location struct {
 	name    id.Endpoint
 	address string
@@ -55,7 +55,7 @@
 
 func (e *Endpoint) location() location { return location{name: e.Name, address: e.Address} }
 
-// older says whether e is an earlier start of the same instance than other.
+// older reports whether e is an earlier start of the same instance than other.
 func (e *Endpoint) older(other *Endpoint) bool {
 	return e.Instance != "" && e.Instance == other.Instance && e.Born < other.Born
 }
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// started is the entry of one start of an instance.
+// startedEntry returns the entry of one start of an instance.
 func startedEntry(instance id.Instance, born int64, address string) Endpoint {
 	return Endpoint{Name: Incarnation(instance, born), Instance: instance, Born: born, Address: address, Role: live.RoleDecode}
 }
@@ -25,8 +25,8 @@
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
-// TestALateHeartbeatOfAFormerStartChangesNothing: its entry was written after
-// that of the later start.
+// TestEntryOfEarlierStartIsIgnored covers a late heartbeat of an earlier start, which
+// overwrites the entry of the later start.
 func TestEntryOfEarlierStartIsIgnored(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -44,8 +44,8 @@
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
-// TestADisplacedEndpointStaysAway, however often its entry is written again;
-// at another address it is another matter.
+// TestDisplacedEndpointStaysDropped checks that a displaced endpoint stays dropped
+// when its entry is written again, until the entry has another address.
 func TestDisplacedEndpointStaysDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -62,7 +62,8 @@
 	is.Equal(names(l), []id.Endpoint{"a", "b"})
 }
 
-// TestAnEndpointsOwnWordGoesBeforeItsEntry until the entry follows.
+// TestRestartReportOverridesEntry checks that an endpoint's report of a restart takes
+// precedence over its entry until the entry is updated.
 func TestRestartReportOverridesEntry(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -81,8 +82,8 @@
 	is.True(!l.Restarted("a", 300, live.RolePrefill))
 }
 
-// TestAnEntryThatCanNotBeReadIsGone also while the store is away, and the
-// others hold.
+// TestUnreadableEntryIsDropped checks that an unreadable entry is dropped even during
+// an outage, while other missing entries are kept.
 func TestUnreadableEntryIsDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -95,10 +96,10 @@
 	is.Equal(names(l), []id.Endpoint{"b@100"})
 }
 
-// TestRandomRestarts drives a list with starts, late heartbeats of former
-// starts, lost and returning entries and outages of the store: no instance is
-// ever there twice, none goes back to a former start while it is listed, and
-// none is there that was found displaced.
+// TestRandomRestarts drives a list with starts, late heartbeats of earlier starts,
+// lost and returning entries and outages of the store. It checks that no instance is
+// listed twice, that none goes back to an earlier start while it is listed, and that
+// no displaced endpoint is listed.
 func TestRandomRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
@@ -144,23 +145,23 @@
 	})
 }
 
-// checkRestarts holds the list against what it showed before.
+// checkRestarts compares the list with the starts that it contained before.
 func checkRestarts(t *rapid.T, l *List, shown map[id.Instance]int64, displaced map[location]bool) {
-	there := map[id.Instance]int64{}
+	present := map[id.Instance]int64{}
 	for _, e := range l.All() {
-		if _, twice := there[e.Instance]; twice {
-			t.Fatalf("%s is there twice", e.Instance)
+		if _, twice := present[e.Instance]; twice {
+			t.Fatalf("%s is listed twice", e.Instance)
 		}
 		if e.Born < shown[e.Instance] {
-			t.Fatalf("%s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
+			t.Fatalf("start of %s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
 		}
 		if displaced[e.location()] {
-			t.Fatalf("%s was found displaced", e.Name)
+			t.Fatalf("displaced endpoint %s is listed", e.Name)
 		}
-		there[e.Instance] = e.Born
+		present[e.Instance] = e.Born
 	}
 	clear(shown)
-	for instance, born := range there {
+	for instance, born := range present {
 		shown[instance] = born
 	}
 }
--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -9,124 +9,128 @@
 	"github.com/samphirequay/samphirequay/core/uptime"
 )
 
-// lapse is an entry that is kept though the store no longer has it. It was
-// removed by a change behind one version of the store and up to another.
+// lapsedEntry is an entry that is kept although the store no longer has it. The
+// change that removed it has a store version v with after < v <= upTo.
 type lapsedEntry struct {
 	entry       Endpoint
 	after, upTo uint64
 }
 
-// absence is what is known of the store's being away. That a daemon's own calls
-// fail is no proof of it: others may be served meanwhile.
+// outage is the state known about outages of the store. Failure of a daemon's own
+// calls does not prove an outage: other daemons may be served at the same time.
 type outage struct {
-	// away is set while the store does not answer this daemon.
+	// away is set while the store does not respond to this daemon.
 	away bool
-	// until is when entries that have gone may no longer come back, where no span
-	// says more; meaningless while away.
+	// returnUntil is until when missing entries may return, unless the spans
+	// provide better information; it has no meaning while away is set.
 	returnUntil time.Duration
-	// ownUntil is until where this daemon found out itself, and not by others' word.
+	// ownReturnUntil is the part of returnUntil that comes from this daemon's own
+	// observations, not from reports of others.
 	ownReturnUntil time.Duration
-	// returnedAt is when the store was back, by its clock, as others told last.
+	// returnedAt is the time, by the store's clock, of the last return that other
+	// daemons reported.
 	returnedAt time.Duration
-	// askAt is when others are asked again.
+	// nextQuery is when the other daemons are next queried.
 	nextQuery time.Duration
-	// own is the span in which this daemon was served last, spans are all others,
-	// also those in which other daemons were.
+	// ownSpan is the latest span in which the store served this daemon; spans holds
+	// its earlier spans and those of other daemons.
 	ownSpan uptime.Span
 	spans   uptime.History
-	// listed is the newest version of the store up to which another daemon knows the
-	// list.
+	// listed is the newest version of the store up to which any other daemon has
+	// read the list.
 	listed uint64
 }
 
-// possible says whether an entry that has gone now may have lapsed because the
-// store was away.
-func (a *outage) mayHaveLapsed(now time.Duration) bool { return a.away || now < a.returnUntil }
+// mayHaveLapsed reports whether an entry that is now missing may have lapsed because
+// of an outage.
+func (o *outage) mayHaveLapsed(now time.Duration) bool { return o.away || now < o.returnUntil }
 
-// StoreLost notes that the store does not answer this daemon.
+// StoreLost records that the store does not respond to this daemon.
 func (l *List) StoreLost() { l.outage.away = true }
 
-// StoreBack notes that the store answers this daemon again.
+// StoreBack records that the store responds to this daemon again.
 func (l *List) StoreBack(now time.Duration) {
-	a := &l.outage
-	if !a.away {
+	o := &l.outage
+	if !o.away {
 		return
 	}
-	a.away = false
+	o.away = false
 	l.Suspect(now)
 }
 
-// Suspect notes that the store may have been away until now: this daemon has not
-// called it meanwhile, and others that did got no answer.
+// Suspect records that the store may have been away until now: this daemon has not
+// called it in the meantime, and calls of others failed.
 func (l *List) Suspect(now time.Duration) {
-	a := &l.outage
-	a.ownReturnUntil = now + uptime.ReturnGrace
-	a.returnUntil = max(a.returnUntil, a.ownReturnUntil)
+	o := &l.outage
+	o.ownReturnUntil = now + uptime.ReturnGrace
+	o.returnUntil = max(o.returnUntil, o.ownReturnUntil)
 }
 
-// Answered notes an answer of the store to this daemon: the version of its
-// newest change, and its clock. Unbroken says that the call followed another one
-// that was answered.
+// Answered records a response of the store to this daemon, with the version of its
+// newest change and its clock. Set unbroken if the previous call was answered too.
 func (l *List) Answered(newest uint64, clock time.Duration, unbroken bool) {
-	a := &l.outage
-	next := a.ownSpan.Extend(newest, clock, unbroken)
-	if next.Since != a.ownSpan.Since {
-		a.spans = a.spans.Add(a.ownSpan)
+	o := &l.outage
+	next := o.ownSpan.Extend(newest, clock, unbroken)
+	if next.Since != o.ownSpan.Since {
+		o.spans = o.spans.Add(o.ownSpan)
 	}
-	a.ownSpan = next
+	o.ownSpan = next
 }
 
-// Current notes that the list is known up to the last answer of the store to this
-// daemon.
+// Current records that the list is up to date with the last response of the store to
+// this daemon.
 func (l *List) Current() { l.position = max(l.position, l.outage.ownSpan.Until) }
 
-// Uptime is when the store is known to have answered, to be told to others.
+// Uptime returns the spans in which the store is known to have responded, to be sent
+// to other daemons.
 func (l *List) Uptime() uptime.History { return l.outage.spans.Add(l.outage.ownSpan) }
 
-// Learn takes another daemon's word of when the store answered, and up to which
-// version the list is known there. It says whether entries were dropped for it.
-func (l *List) Learn(told uptime.History, listed uint64) bool {
-	a := &l.outage
-	a.listed = max(a.listed, listed)
-	for _, s := range told {
-		a.spans = a.spans.Add(s)
+// Learn merges another daemon's report of the spans in which the store responded, and
+// of the version up to which that daemon has read the list. It reports whether entries
+// were dropped as a result.
+func (l *List) Learn(reported uptime.History, listed uint64) bool {
+	o := &l.outage
+	o.listed = max(o.listed, listed)
+	for _, s := range reported {
+		o.spans = o.spans.Add(s)
 	}
 	return l.Settle()
 }
 
-// MayReturn notes by another daemon's word that the store was away: entries that
-// have gone since may come back until it has answered for uptime.ReturnGrace.
-// Hearing of the same return again adds nothing.
+// MayReturn records another daemon's report of an outage: entries that have gone
+// missing since may return until the store has responded for uptime.ReturnGrace.
+// Repeated reports of the same return do not extend that time.
 func (l *List) MayReturn(now time.Duration) {
-	a, newest := &l.outage, l.Uptime().Newest()
-	if newest.Since == a.returnedAt {
+	o, newest := &l.outage, l.Uptime().Newest()
+	if newest.Since == o.returnedAt {
 		return
 	}
-	a.returnedAt = newest.Since
-	a.returnUntil = max(a.returnUntil, now+uptime.ReturnGrace-newest.Length())
+	o.returnedAt = newest.Since
+	o.returnUntil = max(o.returnUntil, now+uptime.ReturnGrace-newest.Length())
 }
 
-// Doubts says whether entries that have gone may come back.
+// Doubts reports whether entries that go missing may return.
 func (l *List) Doubts(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
 
-// Ask says whether to ask other daemons now when the store answered them, and up
-// to which of its versions their answer should reach. A daemon whose own calls
-// failed, or whose entries are overdue, asks each time; one that keeps entries by
-// others' word, as the whole fleet may, asks with a pause between.
+// Ask reports whether to query other daemons now for the spans in which the store
+// responded to them, and the store version that their reply should reach. A daemon
+// whose own calls failed, or whose kept entries are due, queries each time. A daemon
+// that keeps entries because of others' reports, as the whole fleet may do at once,
+// queries at most once per pause.
 func (l *List) Ask(now, pause time.Duration) (upTo uint64, ask bool) {
-	a := &l.outage
+	o := &l.outage
 	if len(l.lapsed) == 0 {
 		return l.position, false
 	}
-	if !a.away && now >= a.ownReturnUntil && now < a.returnUntil && now < a.nextQuery {
+	if !o.away && now >= o.ownReturnUntil && now < o.returnUntil && now < o.nextQuery {
 		return l.position, false
 	}
-	a.nextQuery = now + pause
+	o.nextQuery = now + pause
 	return l.position, true
 }
 
-// Settle drops the kept entries that have gone for certain; it says whether there
-// were any.
+// Settle drops the kept entries that the spans prove to be removed, and reports
+// whether there were any.
 func (l *List) Settle() bool {
 	spans, before := l.Uptime(), len(l.lapsed)
 	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool {
@@ -137,15 +141,14 @@
 	return len(l.lapsed) < before
 }
 
-// overdue says whether an entry is still missing at the end of the time that it
-// had for coming back after the store's return. The store must have answered for
-// all that time, since it may be gone again, and this daemon must know the list as
-// it was then.
+// overdue reports whether an entry is still missing at the end of the return grace.
+// The store must have responded for all that time, since it may be away again, and
+// this daemon must have read the list as it was then.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.outage.listed <= l.position && l.position <= s.Until
 	return s.Length() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
-// Due says whether the time for coming back is over for entries that are still
-// kept: what is missing is proof that the store was there for all of it.
+// Due reports whether the return grace is over for entries that are still kept. They
+// are dropped once the store is proven to have responded for all of that time.
 func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.outage.returnUntil }
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -11,26 +11,28 @@
 	"github.com/samphirequay/samphirequay/core/uptime"
 )
 
-// The simulated fleet moves in steps of simStep.
+// Time parameters of the simulated fleet, which advances in steps of simStep.
 const (
 	simStep = 100 * time.Millisecond
-	// simAsk is the pause between two questions to others.
+	// simQueryPause is the pause between two queries to other daemons.
 	simQueryPause = 400 * time.Millisecond
-	// simInTouch is for how long a daemon must have been without trouble for the
-	// bound on endpoints that have left to hold for it, simDrain that bound.
+	// simCalm is for how long a daemon must have been without faults of its own
+	// before it must have dropped endpoints that left; simDropWithin is the time it
+	// has for that after an endpoint left.
 	simCalm       = 3 * time.Second
 	simDropWithin = 2 * time.Second
-	// simReaders of the daemons follow the store and tell the others.
+	// simReaders is how many daemons read the store and send changes to the others.
 	simReaders = 3
-	// simSeen is how long the others take to see that a daemon is cut off.
+	// simCutDetection is how long the others take to detect that a daemon is cut off.
 	simCutDetection = 1200 * time.Millisecond
-	// simChoose is the pause between two choices of readers.
+	// simChoosePause is the time between two choices of readers.
 	simChoosePause = 500 * time.Millisecond
-	// simLapses is how long the store must be away for entries to lapse; simOthersLost
-	// is for how long others must have been without it for a daemon to doubt.
+	// simLapseAfter is how long the store must be away for entries to lapse;
+	// simOthersLost is for how long others must have been without the store before a
+	// daemon suspects an outage.
 	simLapseAfter = 2400 * time.Millisecond
 	simOthersLost = time.Second
-	// notYet is when an endpoint is back whose entry has lapsed while the store is
+	// notYet is the return time of an endpoint whose entry lapsed while the store is
 	// still away.
 	notYet = time.Duration(math.MaxInt64)
 )
@@ -39,12 +41,13 @@
 type simDaemon struct {
 	*List
 	reader bool
-	// lost is set while its last call failed; retryAt is when it calls again.
+	// lost is set if the last call failed; retryAt is the time of the next call.
 	lost    bool
 	lostAt  time.Duration
 	retryAt time.Duration
-	// refusedUntil and cutUntil end its troubles: with the store alone, or with the
-	// other daemons as well. calmSince is when the last one ended.
+	// refusedUntil is until when the store refuses the daemon, cutUntil until when
+	// it is cut off from the other daemons as well; calmSince is when the last such
+	// fault ended.
 	refusedUntil, cutUntil, calmSince time.Duration
 	// cutSince is when the last cut began.
 	cutSince time.Duration
@@ -52,13 +55,13 @@
 	known    uint64
 }
 
-// simEndpoint is one endpoint: whether it is there, and whether it is listed.
+// simEndpoint is one endpoint: whether it is present, and whether it is listed.
 type simEndpoint struct {
 	name   id.Endpoint
 	listed bool
-	// leftAt is when it left without a word; 0 for one that is there.
+	// leftAt is when it left without an announcement; 0 while it is present.
 	leftAt time.Duration
-	// backAt is when it registers again what lapsed with the store.
+	// returnsAt is when it registers again after its entry lapsed in an outage.
 	returnsAt time.Duration
 }
 
@@ -100,13 +103,13 @@
 
 func (s *simFleet) down() bool { return s.now < s.downUntil }
 
-// between is a random time.
+// between returns a random duration in [least, most).
 func (s *simFleet) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int64N(int64(most-least)))
 }
 
-// trouble begins some, with the store, a daemon's way to it, or a daemon's way to
-// all.
+// injectFaults randomly starts outages of the store, refusals of single daemons by
+// the store, and cuts of single daemons from the store and the other daemons.
 func (s *simFleet) injectFaults(outages bool) {
 	if outages && !s.down() && s.rng.IntN(150) == 0 {
 		s.downSince = s.now
@@ -129,7 +132,7 @@
 	}
 }
 
-// register moves the endpoints' entries.
+// updateEntries lapses, restores and removes the endpoints' entries.
 func (s *simFleet) updateEntries() {
 	for _, e := range s.endpoints {
 		switch {
@@ -149,8 +152,8 @@
 	}
 }
 
-// choose chooses the readers anew: the first that are served, as far as the others
-// can see.
+// chooseReaders selects the readers again: the first daemons that the store serves,
+// according to the state that the others have detected.
 func (s *simFleet) chooseReaders() {
 	chosen := 0
 	for _, d := range s.daemons {
@@ -166,7 +169,7 @@
 	}
 }
 
-// call has a daemon call the store.
+// call simulates a daemon's call to the store.
 func (s *simFleet) call(d *simDaemon) {
 	if s.now < d.retryAt {
 		return
@@ -196,8 +199,8 @@
 	d.Current()
 }
 
-// othersLost says whether a daemon sees that others have been without the store for
-// a while.
+// othersLost reports whether a daemon sees that others have been without the store
+// for simOthersLost.
 func (s *simFleet) othersLost(d *simDaemon) bool {
 	for _, other := range s.daemons {
 		if other != d && other.lost && s.now-other.lostAt >= simOthersLost && s.now >= other.cutUntil {
@@ -212,18 +215,18 @@
 	d.Set(s.now, s.version, s.entries())
 }
 
-// tell has a reader tell the others of changes.
+// push sends changes from a reader to the other daemons.
 func (s *simFleet) push(from *simDaemon) {
 	if !from.reader || s.now < from.cutUntil {
 		return
 	}
-	word, may := from.Uptime(), from.Doubts(s.now)
+	spans, mayReturn := from.Uptime(), from.Doubts(s.now)
 	for _, to := range s.daemons {
 		if to == from || s.now < to.cutUntil {
 			continue
 		}
-		to.Learn(word, from.known)
-		if may {
+		to.Learn(spans, from.known)
+		if mayReturn {
 			to.MayReturn(s.now)
 		}
 		if s.version > to.known {
@@ -232,7 +235,8 @@
 	}
 }
 
-// ask has a daemon ask the readers when the store answered them.
+// query asks the readers, on behalf of a daemon, for the spans in which the store
+// responded to them.
 func (s *simFleet) query(d *simDaemon) {
 	d.Settle()
 	if _, ask := d.Ask(s.now, simQueryPause); !ask || s.now < d.cutUntil {
@@ -240,8 +244,8 @@
 	}
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil {
-			word := other.Uptime()
-			d.Learn(word, other.known)
+			spans := other.Uptime()
+			d.Learn(spans, other.known)
 		}
 	}
 }
@@ -260,7 +264,7 @@
 		if d.reader || d.lost || s.now < d.cutUntil {
 			s.call(d)
 		}
-		// Behind a cut a daemon catches up with what others know.
+		// After a cut, a daemon catches up with the state that the others hold.
 		if s.now >= d.cutUntil && d.known < s.version && d.lost {
 			s.catchUp(d)
 		}
@@ -270,21 +274,22 @@
 	}
 }
 
-// tellOne has a daemon that the store does not answer learn the table of a reader
-// that knows all.
+// catchUp gives a daemon that the store does not respond to the list of an up-to-date
+// reader.
 func (s *simFleet) catchUp(d *simDaemon) {
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil && other.known == s.version {
-			word := other.Uptime()
-			d.Learn(word, other.known)
+			spans := other.Uptime()
+			d.Learn(spans, other.known)
 			s.read(d)
 			return
 		}
 	}
 }
 
-// witnessed says whether some daemon was served all the while since an endpoint
-// left, and before. Where none was, nobody can tell whether the store was there.
+// witnessed reports whether some daemon was served continuously since an endpoint
+// left, and for the return grace before. Without such a daemon, an outage of the
+// store can't be ruled out.
 func (s *simFleet) witnessed(e *simEndpoint) bool {
 	for _, d := range s.daemons {
 		own := d.outage.ownSpan
@@ -304,9 +309,10 @@
 	return false
 }
 
-// TestRandomTroubleKeepsNobodyWhoLeft: no daemon without trouble of its own still
-// uses an endpoint that left without a word while the store was there, whatever
-// refused it, or cut it off, meanwhile. Some daemon must have been served.
+// TestRandomFaultsDropLeftEndpoints checks that no daemon without faults of its own
+// still lists an endpoint that left without an announcement while the store was
+// available, whichever refusals and cuts happened in the meantime. It applies only
+// while some daemon was served continuously.
 func TestRandomFaultsDropLeftEndpoints(t *testing.T) {
 	checked := 0
 	for seed := range uint64(60) {
@@ -328,13 +334,13 @@
 		}
 	}
 	if checked == 0 {
-		t.Fatal("no endpoint left")
+		t.Fatal("no departed endpoint was checked")
 	}
 }
 
-// TestRandomOutagesLoseNobody: an endpoint whose entry lapsed while the store was
-// away is used on by all daemons that it was known to. In a large fleet most have
-// not called the store meanwhile.
+// TestRandomOutagesKeepEndpoints checks that an endpoint whose entry lapsed during an
+// outage stays listed at all daemons. In a large fleet, most daemons have not called
+// the store in the meantime.
 func TestRandomOutagesKeepEndpoints(t *testing.T) {
 	t.Run("6 daemons", func(t *testing.T) { randomOutages(t, 6, 60) })
 	t.Run("60 daemons", func(t *testing.T) { randomOutages(t, 60, 12) })
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -1,10 +1,11 @@
 // Package registry keeps the list of endpoints that registered themselves in
-// the platform's store. An entry that lapses while the store is away is kept
-// until its endpoint has had time to register again; one that leaves by its own
-// word, or whose address another endpoint has taken, is dropped at once. Whether
-// the store was away is told by when it answered any daemon (core/uptime). What
-// an endpoint says itself goes before its entry: a process that has ended may
-// have its entry written once more by a late heartbeat. It is deterministic.
+// the platform's store. An entry that lapses during an outage of the store is kept
+// until its endpoint has had time to register again; an endpoint that announced its
+// leaving, or whose address another endpoint has taken, is dropped at once. Outages
+// are derived from the times at which the store responded to any daemon
+// (core/uptime). An endpoint's own report takes precedence over its entry: a late
+// heartbeat may rewrite the entry of a process that has ended. The package is
+// deterministic.
 package registry
 
 import (
@@ -19,21 +20,21 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// rememberedPlaces bounds what is remembered of endpoints that are not where
-// their entries say: some hours of restarts at 900 endpoints.
+// maxDisplaced bounds the recorded displaced endpoints, enough for some hours of
+// restarts at 900 endpoints.
 const maxDisplaced = 1024
 
-// List is the registry as one daemon knows it. It is not safe for concurrent use.
+// List is one daemon's view of the registry. It is not safe for concurrent use.
 type List struct {
 	listed map[id.Endpoint]Endpoint
-	// position is the version of the store up to which the list is known.
+	// position is the version of the store up to which the list is up to date.
 	position uint64
-	// lapsed entries are missing from the store's list and kept for now.
+	// lapsed holds entries that are missing from the store's list and kept for now.
 	lapsed map[id.Endpoint]lapsedEntry
-	// restarted are endpoints that told of a later start than their entry, by
-	// instance, until their entry follows.
+	// restarted holds, by instance, endpoints that reported a later start than that
+	// of their entry, until the entry is updated.
 	restarted map[id.Instance]Endpoint
-	// displaced are the places at which another process answered.
+	// displaced holds the locations at which another process responded.
 	displaced *simplelru.LRU[location, struct{}]
 	outage    outage
 }
@@ -42,7 +43,7 @@
 func New() *List {
 	displaced, err := simplelru.NewLRU[location, struct{}](maxDisplaced, nil)
 	if err != nil {
-		panic("registry: memory of displaced endpoints: " + err.Error())
+		panic("registry: cache of displaced endpoints: " + err.Error())
 	}
 	return &List{
 		listed:    map[id.Endpoint]Endpoint{},
@@ -52,13 +53,13 @@
 	}
 }
 
-// Set takes the store's whole list as of a position, and the instances whose
-// entries can't be read: they are gone. Entries that are missing from it are kept
-// for a while if they may have lapsed only because the store was away. An entry
-// of an earlier start than is known of its instance is that of a process which
-// has ended.
+// Set replaces the list by the store's whole list as of a position. Entries of
+// unreadable instances, those whose entry can't be decoded, are dropped. Entries
+// missing from the new list are kept for a while if they may have lapsed because of
+// an outage of the store. An entry of an earlier start than the latest known one of
+// its instance belongs to a process that has ended.
 func (l *List) Set(now time.Duration, position uint64, entries []Endpoint, unreadable ...id.Instance) {
-	old, behind := l.listed, l.position
+	old, after := l.listed, l.position
 	latest := latestStarts(l.entries())
 	l.listed = make(map[id.Endpoint]Endpoint, len(entries))
 	for _, e := range entries {
@@ -70,7 +71,7 @@
 	}
 	l.position = position
 	if l.outage.mayHaveLapsed(now) {
-		l.keepLapsed(now, old, behind)
+		l.keepLapsed(now, old, after)
 	}
 	l.dropUnreadable(unreadable)
 	l.Settle()
@@ -78,8 +79,8 @@
 	l.dropAppliedRestarts()
 }
 
-// latestStarts gives the latest known start of each instance that says when it
-// started.
+// latestStarts returns the entry with the latest start of each instance that reports
+// its start time.
 func latestStarts(entries []Endpoint) map[id.Instance]Endpoint {
 	latest := map[id.Instance]Endpoint{}
 	for _, e := range entries {
@@ -90,24 +91,24 @@
 	return latest
 }
 
-// keepLapsed moves the entries that have gone since a position, and did not say
-// so, aside.
-func (l *List) keepLapsed(now time.Duration, old map[id.Endpoint]Endpoint, behind uint64) {
+// keepLapsed moves entries that went missing after a position, and did not announce
+// their leaving, to the lapsed entries.
+func (l *List) keepLapsed(now time.Duration, old map[id.Endpoint]Endpoint, after uint64) {
 	for name, e := range old {
 		if _, still := l.listed[name]; !still && !e.Leaving {
 			e.UnlistedSince = now
-			l.lapsed[name] = lapsedEntry{entry: e, after: behind, upTo: l.position}
+			l.lapsed[name] = lapsedEntry{entry: e, after: after, upTo: l.position}
 		}
 	}
 }
 
-// dropUnreadable drops the kept entries of instances whose entry can't be read.
+// dropUnreadable drops the kept entries of instances whose entry can't be decoded.
 func (l *List) dropUnreadable(unreadable []id.Instance) {
 	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool { return slices.Contains(unreadable, p.entry.Instance) })
 }
 
 // dropReplaced drops lapsed entries that are listed again, whose instance has
-// started again, or whose address another endpoint has.
+// restarted, or whose address another endpoint uses.
 func (l *List) dropReplaced() {
 	taken := make(map[string]bool, len(l.listed))
 	instances := make(map[id.Instance]bool, len(l.listed))
@@ -121,18 +122,18 @@
 	})
 }
 
-// dropFollowed forgets the restarts that the endpoints' entries tell of by now,
-// and those of endpoints that are listed no more.
+// dropAppliedRestarts drops reported restarts that the endpoints' entries now
+// include, and those of endpoints without an entry.
 func (l *List) dropAppliedRestarts() {
-	for instance, told := range l.restarted {
+	for instance, restarted := range l.restarted {
 		entry, ok := l.entry(instance)
-		if !ok || !entry.older(&told) {
+		if !ok || !entry.older(&restarted) {
 			delete(l.restarted, instance)
 		}
 	}
 }
 
-// entries are those that are listed, and behind them those that are kept.
+// entries returns the listed entries, followed by the kept ones.
 func (l *List) entries() []Endpoint {
 	out := make([]Endpoint, 0, len(l.listed)+len(l.lapsed))
 	for _, e := range l.listed {
@@ -144,7 +145,7 @@
 	return out
 }
 
-// entry is the entry of an instance, listed or lapsed.
+// entry returns the entry of an instance, listed or lapsed.
 func (l *List) entry(instance id.Instance) (Endpoint, bool) {
 	entries := l.entries()
 	i := slices.IndexFunc(entries, func(e Endpoint) bool { return e.Instance == instance })
@@ -154,16 +155,17 @@
 	return entries[i], true
 }
 
-// Displace notes that another process answered at an endpoint's address: no
-// entry that names both counts again. It says whether that is news.
+// Displace records that another process responded at an endpoint's address: entries
+// with the same name and address are ignored from now on. It reports whether this was
+// not recorded before.
 func (l *List) Displace(e Endpoint) bool {
 	_, known := l.displaced.Get(e.location())
 	l.displaced.Add(e.location(), struct{}{})
 	return !known
 }
 
-// Restarted takes an endpoint's own word that it started later than its entry
-// says, and which role it has now. It says whether that is news.
+// Restarted records an endpoint's own report of a later start than that of its entry,
+// and of its present role. It reports whether this was not recorded before.
 func (l *List) Restarted(instance id.Instance, born int64, role live.Role) bool {
 	entry, ok := l.entry(instance)
 	if !ok || born <= entry.Born || born <= l.restarted[instance].Born {
@@ -176,16 +178,17 @@
 	return true
 }
 
-// Lapsed is how many entries are kept though the store lists them no more.
+// Lapsed returns the number of entries that are kept although the store no longer
+// lists them.
 func (l *List) Lapsed() int { return len(l.lapsed) }
 
-// All lists the endpoints that count as there, by name.
+// All lists the endpoints considered present, sorted by name.
 func (l *List) All() []Endpoint {
 	var out []Endpoint
 	for _, e := range l.entries() {
-		if told, ok := l.restarted[e.Instance]; ok && e.older(&told) {
-			told.UnlistedSince = e.UnlistedSince
-			e = told
+		if restarted, ok := l.restarted[e.Instance]; ok && e.older(&restarted) {
+			restarted.UnlistedSince = e.UnlistedSince
+			e = restarted
 		}
 		if !l.displaced.Contains(e.location()) {
 			out = append(out, e)
@@ -195,8 +198,8 @@
 	return out
 }
 
-// Disputed lists the endpoints whose address another one has as well: one of
-// them is not there, which only the process at the address can tell.
+// Disputed lists the endpoints that share an address with another one: at most one of
+// them is present, and only the process at the address can report which.
 func (l *List) Disputed() []Endpoint {
 	all := l.All()
 	claims := make(map[string]int, len(all))
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -69,7 +69,8 @@
 	is.Equal(names(l), []id.Endpoint{"z"})
 }
 
-// served is a span of the store by the clock that the tests' daemons share.
+// servedSpan returns a span of the store's uptime by the clock that all daemons of
+// the tests share.
 func servedSpan(from, until uint64, since, last time.Duration) uptime.History {
 	return uptime.History{{From: from, Until: until, Since: since, Last: last}}
 }
@@ -85,7 +86,7 @@
 	l.Set(1100*time.Millisecond, 11, nil)
 	is.Equal(l.Lapsed(), 1)
 	is.True(l.Doubts(1100 * time.Millisecond))
-	// Hearing the same again, or later from somebody else, does not add to the time.
+	// A repeated or later report of the same return does not extend the time.
 	l.Learn(back, 0)
 	l.MayReturn(3 * time.Second)
 	until := 1100*time.Millisecond + uptime.ReturnGrace
@@ -109,17 +110,17 @@
 	is.Equal(l.Lapsed(), 0)
 }
 
-// TestADaemonThatTheStoreRefusesDropsWhatWentWhileOthersWereServed, also where it
-// hears of the removal first and of the store afterwards.
+// TestRefusedDaemonDropsEntriesRemovedWhileOthersWereServed covers a daemon that the
+// store refuses. It learns of the removal and of the store's uptime in either order.
 func TestRefusedDaemonDropsEntriesRemovedWhileOthersWereServed(t *testing.T) {
 	is := is.New(t)
 	for _, first := range []bool{true, false} {
 		l := New()
 		l.Set(0, 10, []Endpoint{entry("a", "1"), entry("b", "2")})
 		l.StoreLost()
-		word := servedSpan(3, 12, -time.Minute, 5*time.Second)
+		span := servedSpan(3, 12, -time.Minute, 5*time.Second)
 		if first {
-			l.Learn(word, 0)
+			l.Learn(span, 0)
 		}
 		l.Set(5*time.Second, 12, []Endpoint{entry("b", "2")})
 		if !first {
@@ -127,7 +128,7 @@
 			upTo, ask := l.Ask(5*time.Second, 0)
 			is.True(ask)
 			is.Equal(upTo, uint64(12))
-			is.True(l.Learn(word, 0))
+			is.True(l.Learn(span, 0))
 		}
 		is.Equal(names(l), []id.Endpoint{"b"})
 		_, ask := l.Ask(5*time.Second, 0)
@@ -135,8 +136,9 @@
 	}
 }
 
-// TestTheTimeForComingBackCountsFromTheStoresReturn, not from the daemon's own
-// first answer: it may be asked seconds later.
+// TestReturnGraceStartsAtStoreReturn checks that the return grace starts at the
+// store's return, not at the first response to this daemon, which may come seconds
+// later.
 func TestReturnGraceStartsAtStoreReturn(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -146,22 +148,22 @@
 	l.Answered(20, 10*time.Second, false)
 	l.Set(10*time.Second, 20, nil)
 	is.Equal(l.Lapsed(), 1)
-	// Others were served from 8 s on.
+	// Other daemons were served from 8 s on.
 	end := 8*time.Second + uptime.ReturnGrace
 	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
 	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, end-1), 0))
 	is.True(l.Learn(servedSpan(20, 20, 8*time.Second, end), 0))
 }
 
-// TestAnEntryThatLapsedInAnOutageOfAllIsKept by a daemon that hears from others
-// when the store was back, until these were served for as long as entries may take
-// to return.
+// TestEntryLapsedInSharedOutageIsKept checks that a daemon that learns of the store's
+// return from others keeps an entry until the others were served for the return
+// grace.
 func TestEntryLapsedInSharedOutageIsKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
-	// The store was back for a second and gone again.
+	// The store responded for a second and was away again.
 	l.Learn(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
 	is.True(!l.Settle())
@@ -171,8 +173,9 @@
 	is.Equal(l.Lapsed(), 0)
 }
 
-// TestWhatLapsesRightBehindTheStoresReturnIsKept: its heartbeats may not have been
-// heard yet, whoever was served since.
+// TestEntryLapsedRightAfterStoreReturnIsKept checks that an entry that lapses right
+// after the store's return is kept, even if daemons were served since: the store may
+// not have received the endpoint's heartbeats yet.
 func TestEntryLapsedRightAfterStoreReturnIsKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -190,8 +193,8 @@
 	is.True(l.Settle())
 }
 
-// TestADaemonThatIsBehindKeepsWhatMayBeBack: its list does not show what has
-// registered again since.
+// TestLaggingDaemonKeepsEntries checks that a daemon that lags behind the store keeps
+// entries: its list does not include endpoints that have registered again since.
 func TestLaggingDaemonKeepsEntries(t *testing.T) {
 	is := is.New(t)
 	l := New()
--- a/core/uptime/uptime.go
+++ b/core/uptime/uptime.go
@@ -1,7 +1,7 @@
-// Package uptime tells for how long the platform's store has answered without a
-// break. Whether it was away is a fact about the store: one daemon whose calls
-// fail can't tell it from trouble of its own, those that were served meanwhile
-// can. It has no I/O.
+// Package uptime tracks for how long the platform's store has responded without
+// interruption. A daemon whose calls fail can't distinguish an outage of the store
+// from a fault of its own; daemons that were served in the meantime can. The package
+// performs no I/O.
 package uptime
 
 import (
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// ReturnGrace is how long after the store's return what lapsed with it may take
-// to be written again; the platform promises about two seconds.
+// ReturnGrace is how long after the store's return entries that lapsed in an outage
+// may take to be written again; the platform promises about two seconds.
 const ReturnGrace = 2300 * time.Millisecond
 
-// Span is a time in which the store answered a daemon, call after call. The
-// spans of several daemons add up.
+// Span is a time span in which the store responded to every call of a daemon.
+// Overlapping spans of several daemons can be joined.
 type Span struct {
-	// From is the version of the store's newest change once it had answered for
-	// ReturnGrace, Until that at the last answer. From is 0 before.
+	// From is the version of the store's newest change once it had responded for
+	// ReturnGrace, and 0 until then. Until is that version at the last response.
 	From  uint64 `cbor:"1,keyasint,omitempty"`
 	Until uint64 `cbor:"2,keyasint"`
-	// Since and Last are the times of the first and the last answer by the store's
+	// Since and Last are the times of the first and the last response by the store's
 	// clock.
 	Since time.Duration `cbor:"3,keyasint"`
 	Last  time.Duration `cbor:"4,keyasint"`
 }
 
-// Known says whether the span holds an answer.
+// Known reports whether the span includes a response.
 func (s Span) Known() bool { return s.Last > 0 }
 
-// Answered adds an answer of the store to the span; unbroken says that no call
-// before it failed, and that the calls followed each other.
+// Extend returns the span extended by a response of the store, or a new span if the
+// response does not continue s. Set unbroken if no call since the previous response
+// failed and the calls followed each other.
 func (s Span) Extend(newest uint64, clock time.Duration, unbroken bool) Span {
 	if !unbroken || !s.Known() || clock < s.Last || newest < s.Until {
 		return Span{Until: newest, Since: clock, Last: clock}
@@ -43,17 +44,17 @@
 	return s
 }
 
-// Covers says whether the store was there throughout all its changes behind one
-// version up to another, and for ReturnGrace before: what they removed did not
-// lapse because it had been away.
-func (s Span) Covers(behind, upTo uint64) bool {
-	return s.From > 0 && s.From <= behind && upTo <= s.Until
+// Covers reports whether the store was available throughout its changes with versions
+// after < v <= upTo, and for ReturnGrace before: entries that these changes removed
+// did not lapse because of an outage.
+func (s Span) Covers(after, upTo uint64) bool {
+	return s.From > 0 && s.From <= after && upTo <= s.Until
 }
 
-// Length is how long the store answered.
+// Length returns the time from the first to the last response.
 func (s Span) Length() time.Duration { return s.Last - s.Since }
 
-// join is the span of both, which overlap in time.
+// join returns the union of two spans that overlap in time.
 func join(a, b Span) Span {
 	if b.Last > a.Last {
 		a, b = b, a
@@ -67,15 +68,15 @@
 
 func (s Span) overlaps(o Span) bool { return s.Since <= o.Last && o.Since <= s.Last }
 
-// kept is how many spans a History holds: one that follows an outage, and those
-// that tell of the removals before.
+// maxSpans is how many spans a History holds: one that follows an outage, and those
+// needed for removals before it.
 const maxSpans = 3
 
-// History holds the newest spans, oldest first; no two overlap.
+// History holds the latest spans, oldest first; no two overlap.
 type History []Span
 
-// Add returns the history with one more span; those that overlap with it in time
-// are joined.
+// Add returns the history with one more span, joined with the spans that overlap it in
+// time.
 func (h History) Add(s Span) History {
 	if !s.Known() {
 		return h
@@ -93,7 +94,7 @@
 	return out[max(0, len(out)-maxSpans):]
 }
 
-// Newest is the last span; the zero Span where there is none.
+// Newest returns the last span, or the zero Span if there is none.
 func (h History) Newest() Span {
 	if len(h) == 0 {
 		return Span{}
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -16,7 +16,7 @@
 	is.True(!s.Covers(0, 0))
 	s = s.Extend(10, time.Second, true)
 	is.Equal(s, Span{Until: 10, Since: time.Second, Last: time.Second})
-	is.True(!s.Covers(10, 10)) // what lapsed before it may not be back yet
+	is.True(!s.Covers(10, 10)) // entries that lapsed before may not have returned yet
 	s = s.Extend(12, time.Second+ReturnGrace, true)
 	s = s.Extend(14, 5*time.Second, true)
 	is.Equal(s, Span{From: 12, Until: 14, Since: time.Second, Last: 5 * time.Second})
@@ -67,9 +67,9 @@
 	is.Equal(h.Newest().Until, uint64(9))
 }
 
-// TestRandomSpansClaimNoOutage: daemons call a store that is away at times, fail
-// or are cut off, and join what others tell: no span covers a change that was
-// made while the store answered nobody.
+// TestRandomSpansCoverNoOutage simulates daemons that call a store with outages, fail
+// or are cut off, and join the spans that others report. It checks that no span covers
+// a change that was made during an outage.
 func TestRandomSpansCoverNoOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
@@ -90,7 +90,7 @@
 				}
 			case 1:
 				if away = !away; away {
-					// Whoever calls while it is away learns it by the failure.
+					// A daemon that calls during an outage detects it by the failure.
 					unbroken = [daemons]bool{}
 				}
 			case 2:
@@ -107,7 +107,7 @@
 					known[d] = known[d].Add(s)
 				}
 			case 4:
-				unbroken[d] = false // this one alone is cut off
+				unbroken[d] = false // only this daemon is cut off
 			}
 			for _, s := range slices.Concat(known[0], known[1], known[2]) {
 				for _, v := range during {
