--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -33,7 +33,7 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newFleetWith(withRings, Mesh, n, 6, uint64(n))
-			f.within(t, convergedWithin, "converged", f.converged)
+			f.within(t, convergedWithin, "fleet converged", f.converged)
 			run(t, is, f)
 		})
 	}
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	sent := func(n int) (messages, bytes float64) {
 		f := newFleetWith(withRings, Mesh, n, 6, 1)
-		f.within(t, convergedWithin, "converged", f.converged)
+		f.within(t, convergedWithin, "fleet converged", f.converged)
 		f.run(10 * time.Second) // until the updates of the start have been sent
 		f.bytes = 0
 		messages = f.sentPerDaemon(10 * time.Second)
@@ -99,7 +99,7 @@
 		for _, name := range dead {
 			f.start(name, 2)
 		}
-		f.within(t, recoveredWithin, "converged", f.converged)
+		f.within(t, recoveredWithin, "fleet converged", f.converged)
 	})
 }
 
@@ -118,7 +118,7 @@
 			}
 			f.start(name, 2)
 		}
-		f.within(t, convergedWithin, "converged", f.converged)
+		f.within(t, convergedWithin, "fleet converged", f.converged)
 	})
 }
 
@@ -180,9 +180,9 @@
 func TestRingsLargeScaleOut(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 40, 6, 1)
-	f.within(t, convergedWithin, "converged", f.converged)
+	f.within(t, convergedWithin, "fleet converged", f.converged)
 	f.add(120, 0)
-	f.within(t, convergedWithin, "converged", f.converged)
+	f.within(t, convergedWithin, "fleet converged", f.converged)
 	for _, name := range f.names {
 		is.Equal(f.deaths(name), 0)
 	}
@@ -194,9 +194,9 @@
 func TestMeshGrowsIntoRings(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(withRings, Mesh, 15, 6, 1)
-	f.within(t, convergedWithin, "converged", f.converged)
+	f.within(t, convergedWithin, "fleet converged", f.converged)
 	f.add(25, 200*time.Millisecond)
-	f.within(t, convergedWithin, "converged", f.converged)
+	f.within(t, convergedWithin, "fleet converged", f.converged)
 	f.run(5 * time.Second)
 	for _, name := range f.names {
 		is.Equal(f.deaths(name), 0)
@@ -225,7 +225,7 @@
 			return !f.anyAlive(there, elsewhere)
 		})
 		f.lost = nil
-		f.within(t, recoveredWithin, "converged", f.converged)
+		f.within(t, recoveredWithin, "fleet converged", f.converged)
 		is.True(f.anyAlive(there, elsewhere))
 	})
 }
@@ -253,7 +253,7 @@
 		f.lost = func(from, to id.Daemon) bool { return half[from] != half[to] }
 		f.run(20 * time.Second)
 		f.lost = nil
-		f.within(t, 2*recoveredWithin, "converged", f.converged)
+		f.within(t, 2*recoveredWithin, "fleet converged", f.converged)
 	})
 }
 
