--- a/core/member/detect.go
+++ b/core/member/detect.go
@@ -117,13 +117,13 @@
 		return
 	}
 	silence, suspectAfter := m.silence(now, p), m.suspectAfter(p)
-	askAfter := suspectAfter
+	probeAfter := suspectAfter
 	if m.rings.enabled {
 		// Its other neighbours may have heard it: asking them early avoids spreading a
 		// false suspicion.
-		askAfter /= 2
+		probeAfter /= 2
 	}
-	if silence >= askAfter {
+	if silence >= probeAfter {
 		m.requestIndirectProbe(now, p)
 	}
 	if silence < suspectAfter {
