--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -7,136 +7,142 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what neighbours tell one another.
+// Bounds of the gossip between neighbours.
 const (
-	// newsRepeats is in how many heartbeats a piece of news goes to each
+	// updateRepeats is in how many heartbeats an update is sent to each
 	// neighbour: a datagram may be lost, and each daemon has several neighbours.
-	newsRepeats = 3
-	// mostNews bounds the pieces of news on one heartbeat.
-	mostNews = 24
-	// agreeWithin is how long a neighbour may know other daemons than this one
-	// before it is asked for all that it knows: news take less.
-	agreeWithin = 2 * time.Second
-	// syncPause is the least time between two such questions, startSync while
-	// most daemons were not heard of yet.
-	syncPause = 3 * time.Second
-	startSync = 400 * time.Millisecond
-	// returnedPause is the least time between two such questions to daemons that
-	// have come back.
-	returnedPause = time.Second
-	// rejoinFor is how long a daemon that was isolated asks its neighbours, one
-	// after another, for all that they know.
+	updateRepeats = 3
+	// maxUpdatesPerHeartbeat bounds the updates on one heartbeat.
+	maxUpdatesPerHeartbeat = 24
+	// digestGrace is how long a neighbour's digest may differ from this daemon's
+	// before it is sent a Sync: updates take less time to spread.
+	digestGrace = 2 * time.Second
+	// syncInterval is the minimum time between two such Syncs, and
+	// startSyncInterval that between two at startup, while most daemons have not
+	// been seen yet.
+	syncInterval      = 3 * time.Second
+	startSyncInterval = 400 * time.Millisecond
+	// returnedSyncInterval is the minimum time between two Syncs to daemons that
+	// have returned.
+	returnedSyncInterval = time.Second
+	// rejoinFor is how long a daemon that was isolated sends Syncs to randomly
+	// chosen neighbours.
 	rejoinFor = 5 * time.Second
-	// linkEvery is the time between heartbeats to all others of a daemon that
-	// keeps connections to them; connections rest for longer.
-	linkEvery = 2 * time.Second
-	// settleWatched is how long a daemon must want to be watched before it says
-	// so: one that has just started may take itself for an owner until it has
-	// heard of the others, and would connect to all of them.
-	settleWatched = 1500 * time.Millisecond
-	// tellAllFor is how long all are told that a daemon is watched no more.
-	tellAllFor = 2 * time.Second
-	// longGone is after how long a daemon that is gone is tried only every
-	// longGoneEvery: most won't come back under their name.
-	longGone      = time.Minute
-	longGoneEvery = 10 * time.Second
-	// unmetFor is how long a listed daemon that nobody has heard of is waited for.
-	unmetFor = 10 * time.Second
+	// keepaliveEvery is the time between heartbeats from a daemon that keeps
+	// connections to all others; the idle timeout of connections is longer.
+	keepaliveEvery = 2 * time.Second
+	// watchedDelay is how long a daemon must want to be watched before it announces
+	// it: a daemon that has just started may consider itself an owner until it has
+	// learnt of the others, and would connect to all of them.
+	watchedDelay = 1500 * time.Millisecond
+	// announceFor is how long heartbeats to all announce that a daemon is no longer
+	// watched.
+	announceFor = 2 * time.Second
+	// longAbsent is the absence after which a daemon is retried only every
+	// longAbsentRetry: most such daemons never return under the same name.
+	longAbsent      = time.Minute
+	longAbsentRetry = 10 * time.Second
+	// unseenTimeout is the wait for a listed daemon that no message has mentioned.
+	unseenTimeout = 10 * time.Second
 )
 
-// beatNear sends heartbeats to the neighbours, to those that watch this daemon
-// and, where it keeps connections to all others, to these.
-func (m *Membership) beatNear(now time.Duration) {
-	news := m.rings.news.take(mostNews, newsRepeats)
-	m.rings.digest = m.digest()
-	m.heardOf = 0
-	toAll := m.self.Watched || now < m.rings.tellAllUntil
-	m.rings.toldAll = m.rings.toldAll || m.self.Watched
+// sendRingHeartbeats sends heartbeats to the neighbours and to the daemons that
+// watch this one; to all others while this daemon is watched or announces that it
+// no longer is; and keepalives where it keeps connections to all others.
+func (m *Membership) sendRingHeartbeats(now time.Duration) {
+	updates := m.rings.updates.take(maxUpdatesPerHeartbeat, updateRepeats)
+	m.rings.sentDigest = m.digest()
+	m.seenPeers = 0
+	toAll := m.self.Watched || now < m.rings.announceUntil
+	m.rings.announcedToAll = m.rings.announcedToAll || m.self.Watched
 	for _, name := range m.order {
 		p := m.peers[name]
 		if !m.onRings(p) {
-			m.tryGap(now, p)
+			m.retryAbsent(now, p)
 			continue
 		}
-		if p.met {
-			m.heardOf++
+		if p.seen {
+			m.seenPeers++
 		}
 		switch {
-		case p.near || now < p.askedUntil:
-			m.sendNear(now, p, news)
-		case toAll && p.met:
-			m.sendLink(now, p)
+		case p.neighbour || now < p.heartbeatsUntil:
+			m.sendNeighbour(now, p, updates)
+		case toAll && p.seen:
+			m.sendKeepalive(now, p)
 		}
 	}
-	m.keepLinks(now)
-	if len(m.rings.news) > 0 {
-		m.due = min(m.due, now+m.cfg.SpreadPause)
+	m.keepConnections(now)
+	if len(m.rings.updates) > 0 {
+		m.nextBeat = min(m.nextBeat, now+m.cfg.GossipInterval)
 	}
 }
 
-func (m *Membership) sendNear(now time.Duration, p *peer, news []Entry) {
+func (m *Membership) sendNeighbour(now time.Duration, p *peer, updates []Entry) {
 	p.sentAt = now
-	m.send(p, Message{Kind: Heartbeat, Watching: p.near, Digest: m.rings.digest, Entries: slices.Clone(news)})
+	m.send(p, Message{Kind: Heartbeat, Watching: p.neighbour, Digest: m.rings.sentDigest, Entries: slices.Clone(updates)})
 }
 
-func (m *Membership) sendLink(now time.Duration, p *peer) {
+func (m *Membership) sendKeepalive(now time.Duration, p *peer) {
 	p.sentAt = now
 	m.send(p, Message{Kind: Heartbeat})
 }
 
-// tryGap sends a message now and then to a daemon that is gone and would be a
-// neighbour: so it learns, when it comes back, what is held of it.
-func (m *Membership) tryGap(now time.Duration, p *peer) {
-	if !p.gap || now < p.revive {
+// retryAbsent periodically sends a heartbeat to an absent daemon that would
+// otherwise be a neighbour, so that it learns its state here when it returns.
+func (m *Membership) retryAbsent(now time.Duration, p *peer) {
+	if !p.absentNeighbour || now < p.reviveAt {
 		return
 	}
-	p.revive = now + m.cfg.ReviveEvery
-	if now-p.since >= longGone {
-		p.revive = now + longGoneEvery
+	p.reviveAt = now + m.cfg.ReviveEvery
+	if now-p.stateSince >= longAbsent {
+		p.reviveAt = now + longAbsentRetry
 	}
 	m.send(p, Message{Kind: Heartbeat, Watching: true})
 }
 
-// keepLinks keeps the connections to all others alive: each gets a heartbeat
-// every linkEvery, a part of them in each period.
-func (m *Membership) keepLinks(now time.Duration) {
+// keepConnections keeps the connections to all others alive: each is sent a
+// heartbeat every keepaliveEvery, spread over the periods.
+func (m *Membership) keepConnections(now time.Duration) {
 	if !m.rings.linked || m.self.Watched || len(m.order) == 0 {
 		return
 	}
-	share := float64(m.ownPeriod()) / float64(linkEvery)
+	share := float64(m.ownPeriod()) / float64(keepaliveEvery)
 	for range min(len(m.order), 1+int(share*float64(len(m.order)))) {
-		p := m.peers[m.order[m.rings.linkAt%len(m.order)]]
-		m.rings.linkAt++
-		if p.met && !p.absent() && now-p.sentAt >= linkEvery/2 {
-			m.sendLink(now, p)
+		p := m.peers[m.order[m.rings.keepaliveIndex%len(m.order)]]
+		m.rings.keepaliveIndex++
+		if p.seen && !p.absent() && now-p.sentAt >= keepaliveEvery/2 {
+			m.sendKeepalive(now, p)
 		}
 	}
 }
 
-// tell has news of a peer sent on to the neighbours, soon.
-func (m *Membership) tell(e Entry) {
+// enqueueUpdate queues an update for the neighbours and expedites the next
+// heartbeats.
+func (m *Membership) enqueueUpdate(e Entry) {
 	if e.Process.Daemon != m.self.Process.Daemon {
-		// Each heartbeat tells of this daemon itself.
-		m.rings.news.put(e)
+		// Each heartbeat carries this daemon's own entry.
+		m.rings.updates.add(e)
 	}
-	m.hurryNews()
+	m.expediteUpdates()
 }
 
-// hurryNews brings the next heartbeats forward to when news may go out.
-func (m *Membership) hurryNews() { m.due = min(m.due, m.beatAt+m.cfg.SpreadPause) }
+// expediteUpdates brings the next heartbeats forward to the earliest time at which
+// updates may be sent.
+func (m *Membership) expediteUpdates() { m.nextBeat = min(m.nextBeat, m.lastBeat+m.cfg.GossipInterval) }
 
-// noteworthy says whether a daemon tells of itself what all others must know.
-func noteworthy(old, now Entry) bool {
+// mustSpread reports whether a daemon's report about itself has a change that all
+// others must receive.
+func mustSpread(old, now Entry) bool {
 	return old.Watched != now.Watched || old.StoreLost != now.StoreLost || old.Stale != now.Stale ||
 		(old.Revision == 0) != (now.Revision == 0) || old.CallerAddress != now.CallerAddress
 }
 
-// digest sums up who is there: equal ones mean the same daemons in the same
-// starts and epochs.
+// digest returns a hash of the present daemons: equal digests mean the same daemons
+// with the same incarnations and epochs.
 func (m *Membership) digest() uint64 {
 	sum := entryDigest(&m.self)
 	for _, p := range m.peers {
-		if p.met && !p.absent() {
+		if p.seen && !p.absent() {
 			sum ^= entryDigest(&p.entry)
 		}
 	}
@@ -149,112 +155,114 @@
 	return sum * spread
 }
 
-// compare takes a neighbour's digest. One that has differed for long has missed
-// news, or this daemon has.
-func (m *Membership) compare(now time.Duration, p *peer, digest uint64) {
-	if digest == 0 || digest == m.rings.digest {
-		p.agreedAt = now
+// compareDigest handles a neighbour's digest. If it has differed for digestGrace,
+// the neighbour or this daemon has missed updates.
+func (m *Membership) compareDigest(now time.Duration, p *peer, digest uint64) {
+	if digest == 0 || digest == m.rings.sentDigest {
+		p.digestMatchedAt = now
 		return
 	}
-	if now-p.agreedAt < agreeWithin || now < m.rings.syncAt {
+	if now-p.digestMatchedAt < digestGrace || now < m.rings.syncAt {
 		return
 	}
-	m.rings.syncAt = now + syncPause
+	m.rings.syncAt = now + syncInterval
 	m.send(p, Message{Kind: Sync})
 }
 
-// syncNear asks a neighbour for all that it knows while listed daemons were not
-// heard of: at the daemon's own start, and at that of a whole fleet.
-func (m *Membership) syncNear(now time.Duration) {
+// syncNeighbour sends a Sync to a random neighbour while listed daemons have not
+// been seen, as at the start of this daemon or of the whole fleet, and while this
+// daemon rejoins after isolation.
+func (m *Membership) syncNeighbour(now time.Duration) {
 	rejoins := now < m.rings.rejoinUntil
 	if now < m.rings.syncAt && !rejoins {
 		return
 	}
-	unmet := 0
-	var near []*peer
+	unseen := 0
+	var neighbours []*peer
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.met && !p.absent() {
-			unmet++
+		if !p.seen && !p.absent() {
+			unseen++
 		}
-		if p.near && p.met && p.entry.State == Alive {
-			near = append(near, p)
+		if p.neighbour && p.seen && p.entry.State == Alive {
+			neighbours = append(neighbours, p)
 		}
 	}
-	if unmet == 0 && !rejoins || len(near) == 0 {
+	if unseen == 0 && !rejoins || len(neighbours) == 0 {
 		return
 	}
-	m.rings.syncAt = now + syncPause
-	if 2*unmet > len(m.order) {
-		m.rings.syncAt = now + startSync
+	m.rings.syncAt = now + syncInterval
+	if 2*unseen > len(m.order) {
+		m.rings.syncAt = now + startSyncInterval
 	}
-	m.send(near[m.rng.IntN(len(near))], Message{Kind: Sync})
+	m.send(neighbours[m.rng.IntN(len(neighbours))], Message{Kind: Sync})
 }
 
-// askReturned asks a daemon that has come back for all that it knows: it may have
-// been cut off together with others.
-func (m *Membership) askReturned(now time.Duration, p *peer) {
-	if !m.rings.on || now < m.rings.returnedAskAt {
+// syncReturned sends a Sync to a daemon that has returned: it may have been cut off
+// together with others.
+func (m *Membership) syncReturned(now time.Duration, p *peer) {
+	if !m.rings.enabled || now < m.rings.returnedSyncAt {
 		return
 	}
-	m.rings.returnedAskAt = now + returnedPause
+	m.rings.returnedSyncAt = now + returnedSyncInterval
 	m.send(p, Message{Kind: Sync})
 }
 
-// noteHeartbeat notes a heartbeat of a daemon that watches this one.
+// noteHeartbeat records whether the sender of a heartbeat watches this daemon, and
+// compares the digest of a neighbour.
 func (m *Membership) noteHeartbeat(now time.Duration, p *peer, msg Message) {
-	if !m.rings.on {
+	if !m.rings.enabled {
 		return
 	}
 	if msg.Watching {
-		if now >= p.askedUntil {
-			m.hurryNews()
+		if now >= p.heartbeatsUntil {
+			m.expediteUpdates()
 		}
-		p.askedUntil = now + m.suspectAfter(p)
+		p.heartbeatsUntil = now + m.suspectAfter(p)
 	}
-	if p.near {
-		m.compare(now, p, msg.Digest)
+	if p.neighbour {
+		m.compareDigest(now, p, msg.Digest)
 	}
 }
 
-// takeWatched says that this daemon is watched once it has wanted to be for a
-// while, and that it is no more at once.
-func (m *Membership) takeWatched(now time.Duration) {
+// updateWatched sets Watched once the daemon has wanted to be watched for
+// watchedDelay (in a small fleet at once), and clears it at once.
+func (m *Membership) updateWatched(now time.Duration) {
 	r := &m.rings
 	if !r.wantsWatched {
-		r.wantedAt = 0
-	} else if r.wantedAt == 0 {
-		r.wantedAt = now
+		r.wantsWatchedSince = 0
+	} else if r.wantsWatchedSince == 0 {
+		r.wantsWatchedSince = now
 	}
-	watched := r.wantsWatched && (!r.on || now-r.wantedAt >= settleWatched)
+	watched := r.wantsWatched && (!r.enabled || now-r.wantsWatchedSince >= watchedDelay)
 	if watched == m.self.Watched {
 		return
 	}
-	if r.toldAll && !watched {
-		r.tellAllUntil = now + tellAllFor
+	if r.announcedToAll && !watched {
+		r.announceUntil = now + announceFor
 	}
-	r.toldAll = false
+	r.announcedToAll = false
 	m.self.Watched = watched
-	m.hurry()
+	m.expediteHeartbeat()
 }
 
-// judgeUnwatched moves along a peer that this daemon does not watch: those who do
-// tell of it, and are waited for.
-func (m *Membership) judgeUnwatched(now time.Duration, p *peer) {
+// checkUnwatched applies the timeouts to a peer that this daemon does not watch. The
+// daemons that watch it report its state, and are waited for.
+func (m *Membership) checkUnwatched(now time.Duration, p *peer) {
 	switch {
-	case !p.met && now-p.since >= unmetFor:
-		m.set(now, p, Dead, "listed and never heard")
-	case p.met && p.entry.State == Suspect && now-p.since >= m.unwatchedPatience():
-		m.giveUp(now, p)
-	case p.met && p.entry.State == Alive && m.isolated && now-p.heard >= m.deadAfter(p) && m.domainSilent(now, p):
-		// None of those who are left watches it.
-		m.giveUp(now, p)
+	case !p.seen && now-p.stateSince >= unseenTimeout:
+		m.set(now, p, Dead, "listed but never heard from")
+	case p.seen && p.entry.State == Suspect && now-p.stateSince >= m.unwatchedTimeout():
+		m.declareLost(now, p)
+	case p.seen && p.entry.State == Alive && m.isolated && now-p.lastHeard >= m.deadAfter(p) && m.domainSilent(now, p):
+		// None of the reachable daemons watches it.
+		m.declareLost(now, p)
 	}
 }
 
-// unwatchedPatience is how long the word of those who watch a suspect daemon is
-// waited for. Those beyond a cut can't give it.
-func (m *Membership) unwatchedPatience() time.Duration {
+// unwatchedTimeout is the wait for a report by the daemons that watch a suspect
+// peer. It is shorter while isolated: watchers beyond the partition can't report.
+func (m *Membership) unwatchedTimeout() time.Duration {
 	if m.isolated {
 		return m.cfg.DeadAfter
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -12,21 +12,21 @@
 	"github.com/samphirequay/samphirequay/core/revision/table/tabletest"
 )
 
-// kind is a kind of fleet that the failures are tried on.
-type kind struct {
+// fleetKind is a protocol variant and the fleet sizes to test it with.
+type fleetKind struct {
 	name  string
 	mode  Mode
 	rings bool
 	sizes []int
 }
 
-var kinds = []kind{
+var fleetKinds = []fleetKind{
 	{name: "mesh", mode: Mesh, sizes: []int{9}},
 	{name: "partial", mode: Partial, sizes: []int{9, 60}},
 	{name: "rings", mode: Mesh, rings: true, sizes: []int{30}},
 }
 
-// withRings has each daemon watch a few neighbours, as on the platform.
+// withRings configures each daemon to watch a few neighbours, as on the platform.
 func withRings(c *Config) {
 	c.Period = 400 * time.Millisecond
 	c.SuspectAfter = 1300 * time.Millisecond
@@ -38,24 +38,24 @@
 	c.MeshUpTo = 24
 }
 
-func (k *kind) fleet(n, domains int, seed uint64) *fleet {
+func (k *fleetKind) fleet(n, domains int, seed uint64) *fleet {
 	if k.rings {
 		return newFleetWith(withRings, k.mode, n, domains, seed)
 	}
 	return newFleet(k.mode, n, domains, seed)
 }
 
-// each runs a test on a steady fleet of each mode, size and some seeds.
-func each(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
-	for _, k := range kinds {
+// eachFleet runs a test on a converged fleet of each kind and size, with two seeds.
+func eachFleet(t *testing.T, run func(*testing.T, *is.I, *fleet)) {
+	for _, k := range fleetKinds {
 		for _, n := range k.sizes {
 			for seed := range uint64(2) {
 				t.Run(fmt.Sprintf("%s/%d/%d", k.name, n, seed), func(t *testing.T) {
 					t.Parallel()
 					is := is.New(t)
 					f := k.fleet(n, 4, seed)
-					_, ok := f.until(20*time.Second, f.steady)
-					is.True(ok) // the fleet finds itself
+					_, ok := f.until(20*time.Second, f.converged)
+					is.True(ok) // the fleet converges
 					run(t, is, f)
 				})
 			}
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestNobodyIsDeadInAQuietFleet(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestNoDeathsInHealthyFleet(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
 		f.run(30 * time.Second)
 		for _, name := range f.names {
@@ -74,14 +74,14 @@
 	})
 }
 
-func TestKilledDaemonIsDeadSoonAndItsSuccessorAlive(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestKilledDaemonDetectedAndRestarted(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.stopped["host-003"] = true
-		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
+		took, ok := f.until(10*time.Second, func() bool { return f.allSeeOne("host-003", Dead) })
 		is.True(ok)
 		is.True(took >= f.cfg.SuspectAfter && took <= 6*time.Second)
 		f.start("host-003", 2)
-		_, ok = f.until(20*time.Second, f.steady)
+		_, ok = f.until(20*time.Second, f.converged)
 		is.True(ok)
 		is.Equal(f.declared["host-003"], 0) // a new process has nothing to stop
 		e, _ := f.members["host-000"].Get("host-003")
@@ -89,11 +89,11 @@
 	})
 }
 
-func TestPausedDaemonLearnsOfItsDeathBeforeItIsLive(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestPausedDaemonHaltsBeforeRejoin(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.resume = false
 		f.paused["host-003"] = true
-		_, ok := f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
+		_, ok := f.until(10*time.Second, func() bool { return f.allSeeOne("host-003", Dead) })
 		is.True(ok)
 		delete(f.paused, "host-003")
 		f.run(8 * time.Second)
@@ -105,32 +105,33 @@
 			}
 		}
 		f.act("host-003", f.members["host-003"].Resume(f.now))
-		_, ok = f.until(20*time.Second, f.steady)
+		_, ok = f.until(20*time.Second, f.converged)
 		is.True(ok)
 	})
 }
 
-func TestClockThatHidesThePauseStillLearns(t *testing.T) {
-	// A suspended host's monotonic clock may stand still: only the others can tell.
+func TestSuspendedClockStillDeclaredDead(t *testing.T) {
+	// The monotonic clock of a suspended host may not advance: then only the other
+	// daemons detect the pause.
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 1)
-	f.until(5*time.Second, f.steady)
+	f.until(5*time.Second, f.converged)
 	f.stopped["host-003"] = true
-	f.until(10*time.Second, func() bool { return f.everyone("host-003", Dead) })
+	f.until(10*time.Second, func() bool { return f.allSeeOne("host-003", Dead) })
 	m := f.members["host-003"]
 	delete(f.stopped, "host-003")
-	m.due = f.now // no lateness is seen
+	m.nextBeat = f.now // Tick detects no delay
 	for _, p := range m.peers {
-		p.heard = f.now
+		p.lastHeard = f.now
 	}
 	f.run(3 * time.Second)
 	is.Equal(f.declared["host-003"], 1)
-	_, ok := f.until(5*time.Second, f.steady)
+	_, ok := f.until(5*time.Second, f.converged)
 	is.True(ok)
 }
 
-func TestLateTicksSuspectNobody(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestStallSuspectsNoPeers(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.paused["host-002"] = true
 		f.run(1500 * time.Millisecond) // shorter than DeadAfter
 		delete(f.paused, "host-002")
@@ -142,8 +143,8 @@
 	})
 }
 
-func TestOneWayLossKillsNobody(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestOneWayLossCausesNoDeaths(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.lost = func(from, to id.Daemon) bool { return from == "host-001" && to == "host-002" }
 		f.run(20 * time.Second)
 		is.Equal(f.deaths("host-001"), 0)
@@ -151,8 +152,8 @@
 	})
 }
 
-func TestCutOffDomainIsPartitionedAndComesBack(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestDomainPartitionAndRecovery(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		cut := f.domains["host-001"]
 		f.lost = func(from, to id.Daemon) bool { return (f.domains[from] == cut) != (f.domains[to] == cut) }
 		f.run(15 * time.Second)
@@ -171,34 +172,34 @@
 				}
 			}
 		}
-		is.True(partitioned > 4*dead)       // the rest sees a partition
-		is.True(f.isolated["host-001"] > 0) // the cut-off side knows that it is alone
+		is.True(partitioned > 4*dead)       // the other domains detect a partition
+		is.True(f.isolated["host-001"] > 0) // the cut-off domain detects its isolation
 		for _, name := range f.names {
 			e, _ := f.members["host-001"].Get(name)
-			is.True(e.State != Dead) // and calls nobody dead
+			is.True(e.State != Dead) // and declares no daemon dead
 		}
 		f.lost = nil
-		_, ok := f.until(60*time.Second, f.steady)
+		_, ok := f.until(60*time.Second, f.converged)
 		is.True(ok)
 	})
 }
 
-func TestLeavingIsSeenAndNeverRevived(t *testing.T) {
-	each(t, func(t *testing.T, is *is.I, f *fleet) {
+func TestLeavingIsNotReverted(t *testing.T) {
+	eachFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.act("host-004", f.members["host-004"].Leave(f.now))
-		took, ok := f.until(10*time.Second, func() bool { return f.everyone("host-004", Leaving) })
+		took, ok := f.until(10*time.Second, func() bool { return f.allSeeOne("host-004", Leaving) })
 		is.True(ok)
 		is.True(took <= 4*time.Second)
 		old := Entry{Process: id.Process{Daemon: "host-004", Incarnation: 1}, State: Alive, Beat: 1 << 40, Epoch: 0}
 		f.act("host-000", f.members["host-000"].Receive(f.now, Message{Kind: Heartbeat, From: f.members["host-001"].Self(), Entries: []Entry{old}}))
-		is.True(f.everyone("host-004", Leaving))
+		is.True(f.allSeeOne("host-004", Leaving))
 	})
 }
 
-func TestHostListMerges(t *testing.T) {
+func TestHostListMerge(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 3)
-	f.until(5*time.Second, f.steady)
+	f.until(5*time.Second, f.converged)
 	list := f.hosts()
 	list[5].Leaving = true
 	list = append(list[:6], list[7:]...) // host-006 is absent
@@ -206,36 +207,36 @@
 	e, _ := f.members["host-000"].Get("host-005")
 	is.Equal(e.State, Leaving)
 	e, _ = f.members["host-000"].Get("host-006")
-	is.Equal(e.State, Alive) // absent is not dead
+	is.Equal(e.State, Alive) // a daemon missing from the list is not dead
 	f.run(3 * time.Second)
 	is.Equal(f.deaths("host-006"), 0)
 }
 
-func TestLaterIncarnationEndsTheOld(t *testing.T) {
+func TestLaterIncarnationSupersedes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Mesh, 9, 4, 3)
-	f.until(5*time.Second, f.steady)
+	f.until(5*time.Second, f.converged)
 	old := f.members["host-007"]
 	f.start("host-007", 2)
 	f.run(2 * time.Second)
 	f.act("host-000", f.members["host-000"].Receive(f.now, Message{Kind: Heartbeat, From: old.Self()}))
-	var told bool
-	for _, s := range f.wire {
+	var superseded bool
+	for _, s := range f.inFlight {
 		if s.To != "host-007" || s.Message.Kind != Ack {
 			continue
 		}
 		for _, a := range old.Receive(f.now, s.Message) {
-			told = told || (a.DeclaredDead != nil && a.DeclaredDead.Superseded)
+			superseded = superseded || (a.DeclaredDead != nil && a.DeclaredDead.Superseded)
 		}
 	}
-	is.True(told)
+	is.True(superseded)
 }
 
-// TestRandomFaults brings kills, pauses, cuts and loss about at random and
-// asserts that a daemon which others took for dead is never live again in its
-// old epoch, and that the fleet finds itself when the faults end.
+// TestRandomFaults injects kills, pauses, one-way cuts and packet loss at random. It
+// checks that a daemon which was declared dead is never alive again in its old
+// epoch, and that the fleet converges after the faults end.
 func TestRandomFaults(t *testing.T) {
-	for _, k := range kinds {
+	for _, k := range fleetKinds {
 		for seed := range tabletest.Seeds(20) {
 			is := is.New(t)
 			f := k.fleet(k.sizes[0], 4, seed)
@@ -260,7 +261,7 @@
 				delete(f.paused, name)
 			}
 			f.lost, f.loss = nil, 0
-			_, ok := f.until(90*time.Second, f.steady)
+			_, ok := f.until(90*time.Second, f.converged)
 			if !ok {
 				for _, n := range f.names {
 					t.Log(k.name, seed, n, f.states(n), f.members[n].Self(), f.members[n].Halted())
@@ -274,18 +275,18 @@
 	}
 }
 
-// checkEpochs wants that nobody went straight from dead to live.
+// checkEpochs fails the test if a daemon went from dead to alive without a new epoch.
 func checkEpochs(t *testing.T, changes []Changed) {
 	for _, c := range changes {
 		if c.From == Dead && c.To == Alive && c.Reason != "a new epoch" {
-			t.Fatalf("%s came back without a new epoch: %+v", c.Process, c)
+			t.Fatalf("%s returned without a new epoch: %+v", c.Process, c)
 		}
 	}
 }
 
-// TestTheSilenceOfAWatchedDaemonIsNoticedSooner: it sends more often, and is
-// suspected by its own time limits, not by those of the others.
-func TestTheSilenceOfAWatchedDaemonIsNoticedSooner(t *testing.T) {
+// TestWatchedDaemonUsesWatchedTimeouts checks that a watched daemon sends more often
+// and is suspected by the watched timeouts instead of the default ones.
+func TestWatchedDaemonUsesWatchedTimeouts(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
 	cfg.WatchedPeriod = 100 * time.Millisecond
@@ -298,7 +299,7 @@
 		m.Receive(0, Message{Kind: Heartbeat, From: e})
 	}
 	at := func(now time.Duration, name id.Daemon) State {
-		m.due = now // no lateness is seen
+		m.nextBeat = now // Tick detects no delay
 		m.Tick(now)
 		e, ok := m.Get(name)
 		is.True(ok)
@@ -315,9 +316,9 @@
 	is.Equal(m.Next(), next+cfg.WatchedPeriod)
 }
 
-// TestADaemonIsWatchedOnlyWhileItSaysSo: one that no longer owns a pool beats
-// slowly, and must not be suspected by the limits of owners.
-func TestADaemonIsWatchedOnlyWhileItSaysSo(t *testing.T) {
+// TestUnwatchedDaemonUsesDefaultTimeouts guards against suspecting a daemon that no
+// longer owns a pool by the timeouts of owners: it sends less often.
+func TestUnwatchedDaemonUsesDefaultTimeouts(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig(Mesh)
 	cfg.WatchedPeriod = 100 * time.Millisecond
@@ -329,7 +330,7 @@
 	}
 	suspected := func() bool {
 		const now = 300 * time.Millisecond
-		m.due = now // no lateness is seen
+		m.nextBeat = now // Tick detects no delay
 		m.Tick(now)
 		e, _ := m.Get("b")
 		return e.State == Suspect
--- a/core/member/partial.go
+++ b/core/member/partial.go
@@ -10,79 +10,81 @@
 
 // Bounds of the Partial mode.
 const (
-	// resultWindow is how many of this daemon's own probes tell whether it is
-	// cut off itself.
+	// resultWindow is how many of this daemon's own latest probes decide whether
+	// it is isolated.
 	resultWindow = 8
-	// spreadFactor times the logarithm of the fleet's size is how often an
-	// update is sent on.
+	// spreadFactor times the binary logarithm of the fleet's size is how many
+	// times an update is sent.
 	spreadFactor = 3
 )
 
-// partial is the state that only the Partial mode has.
+// partial is the state used only in Partial mode.
 type partial struct {
 	// round holds the daemons still to be probed in this round, shuffled.
 	round  []id.Daemon
 	probes []probe
-	// results holds the newest probes' success.
-	results []bool
-	queue   news
-	view    []neighbour
-	sent    []id.Daemon
-	shuffle time.Duration
-	revive  time.Duration
-	sync    time.Duration
+	// results holds the success of the latest probes.
+	results   []bool
+	queue     updateQueue
+	view      []viewSlot
+	sentNames []id.Daemon
+	shuffleAt time.Duration
+	reviveAt  time.Duration
+	syncAt    time.Duration
 }
 
 // probe is one probe in flight.
 type probe struct {
 	seq    uint64
 	target id.Daemon
-	// indirect is set once peers were asked.
+	// indirect is set once indirect probes were requested.
 	indirect bool
-	ends     time.Duration
+	deadline time.Duration
 }
 
-// neighbour is one slot of the sample that shuffles exchange.
-type neighbour struct {
+// viewSlot is one slot of the partial view that shuffles exchange.
+type viewSlot struct {
 	name id.Daemon
 	age  int
 }
 
-func newPartial(now time.Duration) partial { return partial{shuffle: now, revive: now, sync: now} }
+func newPartial(now time.Duration) partial {
+	return partial{shuffleAt: now, reviveAt: now, syncAt: now}
+}
 
 func (s *partial) next() time.Duration {
 	next := time.Duration(1<<63 - 1)
 	for _, p := range s.probes {
-		next = min(next, p.ends)
+		next = min(next, p.deadline)
 	}
 	return next
 }
 
 func (s *partial) shift(late time.Duration) {
 	for i := range s.probes {
-		s.probes[i].ends += late
+		s.probes[i].deadline += late
 	}
 }
 
-// acked ends a probe well.
+// acked completes a probe as successful.
 func (s *partial) acked(name id.Daemon, seq uint64) {
 	for i, p := range s.probes {
 		if p.seq == seq && p.target == name {
 			s.probes = slices.Delete(s.probes, i, i+1)
-			s.result(true)
+			s.recordResult(true)
 			return
 		}
 	}
 }
 
-func (s *partial) result(ok bool) {
+func (s *partial) recordResult(ok bool) {
 	s.results = append(s.results, ok)
 	if over := len(s.results) - resultWindow; over > 0 {
 		s.results = slices.Delete(s.results, 0, over)
 	}
 }
 
-// failing tells whether most of this daemon's newest probes failed.
+// failing reports whether most of this daemon's latest probes failed.
 func (s *partial) failing() bool {
 	failed := 0
 	for _, ok := range s.results {
@@ -90,10 +92,11 @@
 			failed++
 		}
 	}
-	return failed >= minGroup && 2*failed > len(s.results)
+	return failed >= minPartition && 2*failed > len(s.results)
 }
 
-// probeNext probes the next daemon of a shuffled round over all that are not dead.
+// probeNext probes the next daemon of a shuffled round over all daemons that are
+// not dead.
 func (m *Membership) probeNext(now time.Duration) {
 	p := m.nextTarget()
 	if p == nil {
@@ -101,8 +104,8 @@
 	}
 	m.seq++
 	ends := now + m.cfg.ProbeTimeout
-	m.partial.probes = append(m.partial.probes, probe{seq: m.seq, target: p.entry.Process.Daemon, ends: ends})
-	m.send(p, Message{Kind: Probe, Seq: m.seq, Entries: m.updates()})
+	m.partial.probes = append(m.partial.probes, probe{seq: m.seq, target: p.entry.Process.Daemon, deadline: ends})
+	m.send(p, Message{Kind: Probe, Seq: m.seq, Entries: m.takeUpdates()})
 }
 
 func (m *Membership) nextTarget() *peer {
@@ -121,12 +124,12 @@
 	return nil
 }
 
-// reviveOne sends a probe to one dead daemon now and then.
-func (m *Membership) reviveOne(now time.Duration) {
-	if now < m.partial.revive {
+// probeDead sends a probe to one random dead daemon every Config.ReviveEvery.
+func (m *Membership) probeDead(now time.Duration) {
+	if now < m.partial.reviveAt {
 		return
 	}
-	m.partial.revive = now + m.cfg.ReviveEvery
+	m.partial.reviveAt = now + m.cfg.ReviveEvery
 	var dead []*peer
 	for _, name := range m.order {
 		if p := m.peers[name]; p.entry.State == Dead {
@@ -138,7 +141,8 @@
 	}
 }
 
-// expireProbes asks peers about daemons that did not answer, then suspects them.
+// expireProbes requests indirect probes of daemons that did not respond in time,
+// and fails the probe if these bring no evidence either.
 func (m *Membership) expireProbes(now time.Duration) {
 	s := &m.partial
 	pending := s.probes
@@ -147,12 +151,12 @@
 		p := m.peers[pr.target]
 		switch {
 		case p == nil:
-		case now < pr.ends:
+		case now < pr.deadline:
 			s.probes = append(s.probes, pr)
 		case !pr.indirect:
-			m.askAbout(now, p)
+			m.requestIndirectProbe(now, p)
 			pr.indirect = true
-			pr.ends = now + m.cfg.IndirectTimeout
+			pr.deadline = now + m.cfg.IndirectTimeout
 			s.probes = append(s.probes, pr)
 		default:
 			m.probeFailed(now, p)
@@ -160,56 +164,59 @@
 	}
 }
 
-// probeFailed ends a probe without an Ack; a Report may have come meanwhile.
+// probeFailed completes a probe without an Ack; a Report may have arrived in the
+// meantime.
 func (m *Membership) probeFailed(now time.Duration, p *peer) {
 	wait := m.cfg.ProbeTimeout + m.cfg.IndirectTimeout
-	if p.met && now-p.heard < wait {
-		m.partial.result(true)
+	if p.seen && now-p.lastHeard < wait {
+		m.partial.recordResult(true)
 		return
 	}
-	if !p.met {
-		m.set(now, p, Dead, "listed and never heard")
+	if !p.seen {
+		m.set(now, p, Dead, "listed but never heard from")
 		return
 	}
-	m.partial.result(false)
+	m.partial.recordResult(false)
 	if p.entry.State == Alive || p.entry.State == Paused {
-		m.set(now, p, Suspect, "no answer")
-		p.mine = true
+		m.set(now, p, Suspect, "no reply to probes")
+		p.suspectedLocally = true
 	}
 }
 
-// probeSuspects probes, each period, whom this daemon has made suspect, and
-// one more of the same failure domain: so a short pause ends the suspicion,
-// and a domain that is cut off is told from a dead daemon.
+// probeSuspects probes, each period, every daemon that this daemon has made
+// suspect, and one more of the same failure domain. So a suspicion ends after a
+// short pause of the daemon, and a domain that is cut off is distinguished from a
+// dead daemon.
 func (m *Membership) probeSuspects(now time.Duration) {
 	for _, name := range m.order {
 		p := m.peers[name]
-		if !p.mine || p.entry.State != Suspect {
+		if !p.suspectedLocally || p.entry.State != Suspect {
 			continue
 		}
 		m.send(p, Message{Kind: Probe})
-		if others := m.neighboursOf(p); len(others) > 0 {
+		if others := m.domainPeers(p); len(others) > 0 {
 			m.send(others[m.rng.IntN(len(others))], Message{Kind: Probe})
 		}
 	}
 }
 
-// gossips says whether changes are told from daemon to daemon.
-func (m *Membership) gossips() bool { return m.cfg.Mode == Partial || m.rings.on }
+// gossips reports whether updates are spread from daemon to daemon.
+func (m *Membership) gossips() bool { return m.cfg.Mode == Partial || m.rings.enabled }
 
-// enqueue has news sent on with the next messages.
+// enqueue queues an update for the next messages.
 func (m *Membership) enqueue(e Entry) {
-	if !m.gossips() || m.bulk {
+	if !m.gossips() || m.mergingSync {
 		return
 	}
-	if m.rings.on {
-		m.tell(e)
+	if m.rings.enabled {
+		m.enqueueUpdate(e)
 		return
 	}
-	m.partial.queue.put(e)
+	m.partial.queue.add(e)
 }
 
-// updates is what goes with one message, until all have heard of it.
-func (m *Membership) updates() []Entry {
-	return m.partial.queue.take(m.cfg.Updates, spreadFactor*bits.Len(uint(len(m.order)+1)))
+// takeUpdates returns the updates to piggyback on one message. Each is sent often
+// enough to reach all daemons.
+func (m *Membership) takeUpdates() []Entry {
+	return m.partial.queue.take(m.cfg.MaxUpdates, spreadFactor*bits.Len(uint(len(m.order)+1)))
 }
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -6,44 +6,44 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Receive takes a message that arrived from another daemon.
+// Receive handles a message that arrived from another daemon.
 func (m *Membership) Receive(now time.Duration, msg Message) []Action {
 	from := msg.From.Process.Daemon
 	if from == "" || from == m.self.Process.Daemon {
-		m.aboutSelf(msg.From, from)
+		m.handleSelfEntry(msg.From, from)
 		return m.flush()
 	}
 	current := m.merge(now, msg.From, true)
-	m.bulk = msg.Kind == SyncReply
+	m.mergingSync = msg.Kind == SyncReply
 	for _, e := range msg.Entries {
 		if e.Process.Daemon == m.self.Process.Daemon {
-			m.aboutSelf(e, from)
+			m.handleSelfEntry(e, from)
 			continue
 		}
 		m.merge(now, e, false)
 	}
-	m.bulk = false
+	m.mergingSync = false
 	if p := m.peers[from]; p != nil {
-		m.answer(now, p, msg, current)
+		m.handle(now, p, msg, current)
 	}
 	return m.flush()
 }
 
-// answer does what the kind of message asks for.
-func (m *Membership) answer(now time.Duration, p *peer, msg Message, current bool) {
+// handle processes a message according to its kind.
+func (m *Membership) handle(now time.Duration, p *peer, msg Message, current bool) {
 	if !current {
-		// An old incarnation still runs: it must learn that it is superseded.
-		m.tellStale(p, msg)
+		// An old incarnation still runs: it must be notified that it is superseded.
+		m.notifySuperseded(p, msg)
 		return
 	}
 	switch msg.Kind {
 	case Heartbeat:
 		m.noteHeartbeat(now, p, msg)
-		if m.tells(p) && p.entry.State != Suspect {
+		if m.mustNotify(p) && p.entry.State != Suspect {
 			m.send(p, Message{Kind: Ack})
 		}
 	case Probe:
-		m.send(p, Message{Kind: Ack, Seq: msg.Seq, Entries: m.updates()})
+		m.send(p, Message{Kind: Ack, Seq: msg.Seq, Entries: m.takeUpdates()})
 	case Ack:
 		m.onAck(now, p, msg)
 	case ProbeRequest:
@@ -57,14 +57,15 @@
 	}
 }
 
-// tellStale answers a process that a later incarnation has replaced.
-func (m *Membership) tellStale(p *peer, msg Message) {
+// notifySuperseded replies to a process that a later incarnation has replaced.
+func (m *Membership) notifySuperseded(p *peer, msg Message) {
 	reply := Message{Kind: Ack, From: m.self, Entries: []Entry{p.entry}}
 	m.emit(Action{Send: &Send{To: p.entry.Process.Daemon, Address: msg.From.Address, Message: reply}})
 }
 
-// aboutSelf meets what another daemon holds of this one.
-func (m *Membership) aboutSelf(e Entry, by id.Daemon) {
+// handleSelfEntry handles another daemon's entry about this daemon: it halts if
+// the entry reports a death or a later incarnation, and refutes a suspicion.
+func (m *Membership) handleSelfEntry(e Entry, by id.Daemon) {
 	if e.Process.Daemon != m.self.Process.Daemon {
 		return
 	}
@@ -87,8 +88,8 @@
 	}
 }
 
-// merge takes one entry about another daemon; direct entries come from the
-// daemon itself. It tells whether the entry is of its newest incarnation.
+// merge merges one entry about another daemon; direct entries come from the daemon
+// itself. It returns false if the entry is of a superseded incarnation.
 func (m *Membership) merge(now time.Duration, e Entry, direct bool) bool {
 	p := m.peerNamed(now, e.Process.Daemon)
 	if p == nil || e.State < Alive || e.State > Dead {
@@ -97,42 +98,42 @@
 	if e.Process.Incarnation < p.entry.Process.Incarnation {
 		return false
 	}
-	if !p.met || e.Process.Incarnation > p.entry.Process.Incarnation {
-		m.replace(now, p, e, direct)
+	if !p.seen || e.Process.Incarnation > p.entry.Process.Incarnation {
+		m.replaceIncarnation(now, p, e, direct)
 		return true
 	}
 	fresh := e.Beat > p.entry.Beat
-	news := fresh && noteworthy(p.entry, e)
+	spread := fresh && mustSpread(p.entry, e)
 	if fresh {
-		takeReport(&p.entry, e)
+		copyReport(&p.entry, e)
 	}
 	if !p.entry.Watched {
-		p.watchedAt = 0
+		p.watchedSince = 0
 	}
-	if news {
+	if spread {
 		m.enqueue(p.entry)
 	}
 	if direct {
-		p.direct = now
+		p.lastDirect = now
 		p.noteWatched(now)
 	}
-	if e.State == Leaving && !p.said {
-		p.said = true
+	if e.State == Leaving && !p.announcedLeave {
+		p.announcedLeave = true
 		m.enqueue(e)
 	}
 	m.mergeState(now, p, e, direct, fresh)
 	return true
 }
 
-// noteWatched notes since when a daemon has said to this one that it is watched.
+// noteWatched records since when a daemon has reported directly that it is watched.
 func (p *peer) noteWatched(now time.Duration) {
-	if p.entry.Watched && p.watchedAt == 0 {
-		p.watchedAt = max(now, 1)
+	if p.entry.Watched && p.watchedSince == 0 {
+		p.watchedSince = max(now, 1)
 	}
 }
 
-// takeReport copies what a daemon says of itself, but for state and epoch.
-func takeReport(to *Entry, e Entry) {
+// copyReport copies a daemon's report about itself, except for state and epoch.
+func copyReport(to *Entry, e Entry) {
 	to.Beat = e.Beat
 	to.Domain, to.Address, to.CallerAddress = e.Domain, e.Address, e.CallerAddress
 	to.Revision, to.InFlight, to.Settings = e.Revision, e.InFlight, e.Settings
@@ -140,48 +141,49 @@
 	to.Period = e.Period
 }
 
-// replace starts afresh with a new incarnation, or one that was only listed.
-func (m *Membership) replace(now time.Duration, p *peer, e Entry, direct bool) {
-	if p.met && p.entry.State != Dead {
+// replaceIncarnation resets a peer for a new incarnation, or for the first message
+// from or about a daemon that was only listed.
+func (m *Membership) replaceIncarnation(now time.Duration, p *peer, e Entry, direct bool) {
+	if p.seen && p.entry.State != Dead {
 		p.entry.State = Dead
-		p.said, p.listedLeaving = false, false
-		m.show(p, "a later incarnation started")
+		p.announcedLeave, p.listedLeaving = false, false
+		m.reportState(p, "a later incarnation started")
 	}
-	p.met = true
+	p.seen = true
 	p.entry = e
-	p.said = e.State == Leaving
-	if p.said {
+	p.announcedLeave = e.State == Leaving
+	if p.announcedLeave {
 		p.entry.State = Alive
 	}
-	p.heard, p.since = now, now
-	p.watchedAt, p.revive = 0, now
+	p.lastHeard, p.stateSince = now, now
+	p.watchedSince, p.reviveAt = 0, now
 	if direct {
-		p.direct = now
+		p.lastDirect = now
 		p.noteWatched(now)
 	}
-	p.shown = 0
-	m.rings.stale = true
+	p.reported = 0
+	m.rings.neighboursStale = true
 	m.enqueue(e)
-	m.show(p, "first heard")
+	m.reportState(p, "first heard")
 	if direct && m.cfg.Mode == Mesh && !m.halted {
-		// It has just started, and should not wait for the next heartbeats.
+		// It has just started, and should not wait for the next regular heartbeats.
 		m.send(p, Message{Kind: Heartbeat})
 	}
 }
 
-// mergeState decides the state after an entry of the same incarnation.
+// mergeState updates a peer's state from an entry of the same incarnation.
 func (m *Membership) mergeState(now time.Duration, p *peer, e Entry, direct, fresh bool) {
-	said := e.State
-	if said == Leaving {
-		said = Alive
+	reported := e.State
+	if reported == Leaving {
+		reported = Alive
 	}
 	newer := e.Epoch > p.entry.Epoch
 	if newer {
 		p.entry.Epoch = e.Epoch
-		p.heard = now
-		m.set(now, p, said, "a new epoch")
-		if m.rings.on {
-			// Also where it changes nothing here: others may hold it for suspect.
+		p.lastHeard = now
+		m.set(now, p, reported, "a new epoch")
+		if m.rings.enabled {
+			// Queued even if the state is unchanged here: others may suspect the daemon.
 			m.enqueue(p.entry)
 		}
 		return
@@ -190,72 +192,73 @@
 		return
 	}
 	if fresh || direct {
-		m.evidence(now, p, e, direct)
+		m.applyEvidence(now, p, e, direct)
 	}
-	if m.rejoins(now, p, said) {
-		p.heard = now
-		m.set(now, p, said, "reported by a peer")
+	if m.rejoins(now, p, reported) {
+		p.lastHeard = now
+		m.set(now, p, reported, "reported by a peer")
 	}
-	if !direct && m.adopts(p, e, said) {
-		m.set(now, p, said, "reported by a peer")
+	if !direct && m.acceptsReport(p, e, reported) {
+		m.set(now, p, reported, "reported by a peer")
 	}
 }
 
-// rejoins decides whether a daemon that could not be reached is alive by a peer's
-// word: this one was cut off, and the others were not.
-func (m *Membership) rejoins(now time.Duration, p *peer, said State) bool {
+// rejoins reports whether to accept a peer's report that an unreachable daemon is
+// alive: this daemon was isolated, and the others were not.
+func (m *Membership) rejoins(now time.Duration, p *peer, reported State) bool {
 	lost := p.entry.State == Partitioned || p.entry.State == Suspect && !m.watches(p)
-	return lost && said == Alive && m.bulk && now < m.rings.rejoinUntil
+	return lost && reported == Alive && m.mergingSync && now < m.rings.rejoinUntil
 }
 
-// adopts decides whether to take a peer's word about another daemon. A death
-// counts, unless this daemon is cut off, so that the daemon learns of it
-// wherever it turns; a suspicion counts unless this one has newer evidence.
-func (m *Membership) adopts(p *peer, e Entry, said State) bool {
-	if !m.gossips() || said <= p.entry.State {
+// acceptsReport reports whether to accept a peer's report about another daemon. A
+// death is accepted unless this daemon is isolated, so that every daemon notifies
+// the one declared dead; a suspicion is accepted unless this daemon has newer
+// evidence.
+func (m *Membership) acceptsReport(p *peer, e Entry, reported State) bool {
+	if !m.gossips() || reported <= p.entry.State {
 		return false
 	}
-	if m.rings.on && !m.wordCounts(p, said) {
+	if m.rings.enabled && !m.acceptsOnRings(p, reported) {
 		return false
 	}
-	if said == Dead {
+	if reported == Dead {
 		return !m.isolated
 	}
 	return e.Beat >= p.entry.Beat
 }
 
-// wordCounts says whether another daemon's word about a state is worth anything
-// in a large fleet.
-func (m *Membership) wordCounts(p *peer, said State) bool {
-	switch said {
+// acceptsOnRings reports whether, in a large fleet, another daemon's report of a
+// state may be accepted.
+func (m *Membership) acceptsOnRings(p *peer, reported State) bool {
+	switch reported {
 	case Partitioned:
-		// Who can reach a daemon differs from one to the next.
+		// Reachability differs between observers.
 		return false
 	case Suspect:
-		// An old suspicion is refuted by now, and of a daemon that is watched here
-		// its own silence tells more.
-		return !m.bulk && !m.watches(p)
+		// An old suspicion has been refuted by now, and for a daemon that is watched
+		// here, its silence towards this daemon is the better evidence.
+		return !m.mergingSync && !m.watches(p)
 	default:
 		return true
 	}
 }
 
-// evidence takes proof that the process ran. A dead one must first learn that
-// it was declared dead: it is paused until it answers with a new epoch.
-func (m *Membership) evidence(now time.Duration, p *peer, e Entry, direct bool) {
+// applyEvidence handles proof that a process ran. A dead daemon must first learn
+// that it was declared dead: it is paused until it responds with a new epoch.
+func (m *Membership) applyEvidence(now time.Duration, p *peer, e Entry, direct bool) {
 	if direct && p.absent() {
-		m.askReturned(now, p)
+		m.syncReturned(now, p)
 	}
 	switch p.entry.State {
 	case Dead:
 		if direct {
-			p.heard = now
+			p.lastHeard = now
 			m.set(now, p, Paused, "it came back")
 		}
 	case Paused:
-		p.heard = now
+		p.lastHeard = now
 	default:
-		p.heard = now
+		p.lastHeard = now
 		to := Alive
 		if direct && e.State == Paused {
 			to = Paused
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -20,7 +20,7 @@
 
 func entry(name id.Endpoint, address string) Endpoint { return Endpoint{Name: name, Address: address} }
 
-func TestAnEntryThatGoesWhileTheStoreIsThereIsGone(t *testing.T) {
+func TestRemovedEntryIsDroppedWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{entry("a", "1"), entry("b", "2")})
@@ -28,7 +28,7 @@
 	is.Equal(names(l), []id.Endpoint{"b"})
 }
 
-func TestLapsedEntriesAreKeptUntilTheyMayHaveComeBack(t *testing.T) {
+func TestLapsedEntriesAreKeptForReturnGrace(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{entry("a", "1"), entry("b", "2"), entry("c", "3")})
@@ -51,7 +51,7 @@
 	is.Equal(names(l), []id.Endpoint{"a"})
 }
 
-func TestALapsedEntryThatSaidItLeavesIsGone(t *testing.T) {
+func TestLeavingEntryIsNotKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{{Name: "a", Address: "1", Leaving: true}, entry("b", "2")})
@@ -60,7 +60,7 @@
 	is.Equal(names(l), []id.Endpoint{"b"})
 }
 
-func TestALapsedEntryWhoseAddressIsTakenIsGone(t *testing.T) {
+func TestLapsedEntryWithReusedAddressIsDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 1, []Endpoint{entry("a", "1")})
@@ -69,23 +69,24 @@
 	is.Equal(names(l), []id.Endpoint{"z"})
 }
 
-// served is a span of the store by the clock that the tests' daemons share.
-func served(from, until uint64, since, last time.Duration) uptime.History {
+// servedSpan returns a span of the store's uptime by the clock that all daemons of
+// the tests share.
+func servedSpan(from, until uint64, since, last time.Duration) uptime.History {
 	return uptime.History{{From: from, Until: until, Since: since, Last: last}}
 }
 
-func TestEntriesMayReturnByAnotherDaemonsWord(t *testing.T) {
+func TestOutageReportedByAnotherDaemon(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	is.True(!l.Doubts(0))
 	l.Set(0, 10, []Endpoint{{Name: "a", Address: "1"}})
-	back := served(0, 11, time.Second, time.Second)
+	back := servedSpan(0, 11, time.Second, time.Second)
 	l.Learn(back, 0)
 	l.MayReturn(1100 * time.Millisecond)
 	l.Set(1100*time.Millisecond, 11, nil)
 	is.Equal(l.Lapsed(), 1)
 	is.True(l.Doubts(1100 * time.Millisecond))
-	// Hearing the same again, or later from somebody else, does not add to the time.
+	// A repeated or later report of the same return does not extend the time.
 	l.Learn(back, 0)
 	l.MayReturn(3 * time.Second)
 	until := 1100*time.Millisecond + uptime.ReturnGrace
@@ -100,26 +101,26 @@
 		is.Equal(ask, asks.ask)
 	}
 	end := time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(served(0, 11, time.Second, end-1), 0))
-	is.True(l.Learn(served(11, 11, time.Second, end), 0))
+	is.True(!l.Learn(servedSpan(0, 11, time.Second, end-1), 0))
+	is.True(l.Learn(servedSpan(11, 11, time.Second, end), 0))
 	is.Equal(l.Lapsed(), 0)
-	l.Learn(served(11, 14, time.Second, 4*time.Second), 0) // the store was not away
+	l.Learn(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
 	l.Set(4*time.Second, 12, []Endpoint{{Name: "b", Address: "2"}})
 	l.Set(4*time.Second, 13, nil)
 	is.Equal(l.Lapsed(), 0)
 }
 
-// TestADaemonThatTheStoreRefusesDropsWhatWentWhileOthersWereServed, also where it
-// hears of the removal first and of the store afterwards.
-func TestADaemonThatTheStoreRefusesDropsWhatWentWhileOthersWereServed(t *testing.T) {
+// TestRefusedDaemonDropsEntriesRemovedWhileOthersWereServed covers a daemon that the
+// store refuses. It learns of the removal and of the store's uptime in either order.
+func TestRefusedDaemonDropsEntriesRemovedWhileOthersWereServed(t *testing.T) {
 	is := is.New(t)
 	for _, first := range []bool{true, false} {
 		l := New()
 		l.Set(0, 10, []Endpoint{entry("a", "1"), entry("b", "2")})
 		l.StoreLost()
-		word := served(3, 12, -time.Minute, 5*time.Second)
+		span := servedSpan(3, 12, -time.Minute, 5*time.Second)
 		if first {
-			l.Learn(word, 0)
+			l.Learn(span, 0)
 		}
 		l.Set(5*time.Second, 12, []Endpoint{entry("b", "2")})
 		if !first {
@@ -127,7 +128,7 @@
 			upTo, ask := l.Ask(5*time.Second, 0)
 			is.True(ask)
 			is.Equal(upTo, uint64(12))
-			is.True(l.Learn(word, 0))
+			is.True(l.Learn(span, 0))
 		}
 		is.Equal(names(l), []id.Endpoint{"b"})
 		_, ask := l.Ask(5*time.Second, 0)
@@ -135,9 +136,10 @@
 	}
 }
 
-// TestTheTimeForComingBackCountsFromTheStoresReturn, not from the daemon's own
-// first answer: it may be asked seconds later.
-func TestTheTimeForComingBackCountsFromTheStoresReturn(t *testing.T) {
+// TestReturnGraceStartsAtStoreReturn checks that the return grace starts at the
+// store's return, not at the first response to this daemon, which may come seconds
+// later.
+func TestReturnGraceStartsAtStoreReturn(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
@@ -146,34 +148,35 @@
 	l.Answered(20, 10*time.Second, false)
 	l.Set(10*time.Second, 20, nil)
 	is.Equal(l.Lapsed(), 1)
-	// Others were served from 8 s on.
+	// Other daemons were served from 8 s on.
 	end := 8*time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(served(0, 20, 8*time.Second, 10*time.Second), 0))
-	is.True(!l.Learn(served(0, 20, 8*time.Second, end-1), 0))
-	is.True(l.Learn(served(20, 20, 8*time.Second, end), 0))
+	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
+	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, end-1), 0))
+	is.True(l.Learn(servedSpan(20, 20, 8*time.Second, end), 0))
 }
 
-// TestAnEntryThatLapsedInAnOutageOfAllIsKept by a daemon that hears from others
-// when the store was back, until these were served for as long as entries may take
-// to return.
-func TestAnEntryThatLapsedInAnOutageOfAllIsKept(t *testing.T) {
+// TestEntryLapsedInSharedOutageIsKept checks that a daemon that learns of the store's
+// return from others keeps an entry until the others were served for the return
+// grace.
+func TestEntryLapsedInSharedOutageIsKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
-	// The store was back for a second and gone again.
-	l.Learn(served(0, 12, 5*time.Second, 6*time.Second), 0)
+	// The store responded for a second and was away again.
+	l.Learn(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
 	is.True(!l.Settle())
-	is.True(!l.Learn(served(0, 14, 30*time.Second, 31*time.Second), 0))
+	is.True(!l.Learn(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
 	is.Equal(l.Lapsed(), 1)
-	is.True(l.Learn(served(14, 15, 30*time.Second, 33*time.Second), 0))
+	is.True(l.Learn(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
 	is.Equal(l.Lapsed(), 0)
 }
 
-// TestWhatLapsesRightBehindTheStoresReturnIsKept: its heartbeats may not have been
-// heard yet, whoever was served since.
-func TestWhatLapsesRightBehindTheStoresReturnIsKept(t *testing.T) {
+// TestEntryLapsedRightAfterStoreReturnIsKept checks that an entry that lapses right
+// after the store's return is kept, even if daemons were served since: the store may
+// not have received the endpoint's heartbeats yet.
+func TestEntryLapsedRightAfterStoreReturnIsKept(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
@@ -183,22 +186,22 @@
 	l.Current() // nothing has changed
 	l.Answered(25, 11*time.Second, true)
 	l.Set(11*time.Second, 25, nil)
-	l.Learn(served(0, 25, 10*time.Second, 11*time.Second), 0)
+	l.Learn(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
 	is.Equal(l.Lapsed(), 1)
 	end := 10*time.Second + uptime.ReturnGrace
 	l.Answered(25, end, true)
 	is.True(l.Settle())
 }
 
-// TestADaemonThatIsBehindKeepsWhatMayBeBack: its list does not show what has
-// registered again since.
-func TestADaemonThatIsBehindKeepsWhatMayBeBack(t *testing.T) {
+// TestLaggingDaemonKeepsEntries checks that a daemon that lags behind the store keeps
+// entries: its list does not include endpoints that have registered again since.
+func TestLaggingDaemonKeepsEntries(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.Set(6*time.Second, 12, nil)
-	is.True(!l.Learn(served(14, 18, 5*time.Second, 9*time.Second), 15))
+	is.True(!l.Learn(servedSpan(14, 18, 5*time.Second, 9*time.Second), 15))
 	is.Equal(l.Lapsed(), 1)
 	l.Set(9*time.Second, 15, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 0)
