--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-func three() *Balancer {
+func newTestBalancer() *Balancer {
 	b := New("d1", rand.New(rand.NewPCG(1, 2)))
 	b.Configure([]registry.Endpoint{
 		{Name: "a", Service: "s", Domain: "d1", Slots: 4},
@@ -21,7 +21,7 @@
 	return b
 }
 
-// serve sends n calls one after another and counts where they went.
+// serve sends n calls one after another and counts them by endpoint.
 func serve(b *Balancer, now time.Duration, n int, outcome func(id.Endpoint) (time.Duration, Outcome)) map[id.Endpoint]int {
 	got := map[id.Endpoint]int{}
 	for range n {
@@ -30,17 +30,17 @@
 			continue
 		}
 		got[e.Name]++
-		took, how := outcome(e.Name)
-		b.Done(now, e.Name, took, how)
+		took, result := outcome(e.Name)
+		b.Done(now, e.Name, took, result)
 	}
 	return got
 }
 
-func fine(id.Endpoint) (time.Duration, Outcome) { return 15 * time.Millisecond, OK }
+func answerOK(id.Endpoint) (time.Duration, Outcome) { return 15 * time.Millisecond, OK }
 
-func TestAFailingEndpointLosesItsShare(t *testing.T) {
+func TestFailingEndpointIsEjected(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	got := serve(b, 0, 300, func(e id.Endpoint) (time.Duration, Outcome) {
 		if e == "a" {
 			return time.Millisecond, Failed
@@ -53,22 +53,22 @@
 
 func TestAnEjectedEndpointGetsWorkAgain(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	for range ejectAfter {
 		b.Done(0, "a", time.Millisecond, Failed)
 	}
 	is.Equal(b.Available(0, "s"), 2)
-	is.Equal(b.Available(ejectFirst, "s"), 3)
-	b.Done(ejectFirst, "a", time.Millisecond, OK)
+	is.Equal(b.Available(ejectMin, "s"), 3)
+	b.Done(ejectMin, "a", time.Millisecond, OK)
 	for range 50 {
-		b.Done(ejectFirst, "a", 10*time.Millisecond, OK)
+		b.Done(ejectMin, "a", 10*time.Millisecond, OK)
 	}
-	is.True(serve(b, ejectFirst, 300, fine)["a"] > 50)
+	is.True(serve(b, ejectMin, 300, answerOK)["a"] > 50)
 }
 
-func TestLeavingAndAvoidedEndpointsGetNothing(t *testing.T) {
+func TestLeavingAndAvoidedEndpointsGetNoCalls(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	b.Configure([]registry.Endpoint{{Name: "a", Service: "s", Leaving: true}, {Name: "b", Service: "s"}})
 	e, ok := b.Pick(0, "s", nil)
 	is.True(ok)
@@ -79,9 +79,9 @@
 	is.True(!ok)
 }
 
-func TestASlowEndpointGetsLess(t *testing.T) {
+func TestSlowEndpointGetsFewerCalls(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	got := serve(b, 0, 300, func(e id.Endpoint) (time.Duration, Outcome) {
 		if e == "b" {
 			return 300 * time.Millisecond, OK
@@ -93,18 +93,18 @@
 
 func TestASlowEndpointIsTriedAgainAfterAWhile(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	for range 5 {
 		b.Done(0, "a", 400*time.Millisecond, Slow)
 	}
 	is.Equal(b.Slowest()[0], id.Endpoint("a"))
-	is.Equal(serve(b, 0, 30, fine)["a"], 0)
-	is.True(serve(b, 6*relaxAfter, 300, fine)["a"] > 50) // it is tried again
+	is.Equal(serve(b, 0, 30, answerOK)["a"], 0)
+	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50)
 }
 
-func TestAllEndpointsOutIsBetterThanNone(t *testing.T) {
+func TestEjectedEndpointIsPickedIfNoOtherIsLeft(t *testing.T) {
 	is := is.New(t)
-	b := three()
+	b := newTestBalancer()
 	for _, e := range []id.Endpoint{"a", "b", "c"} {
 		b.Done(0, e, 0, Unreachable)
 	}
--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -10,9 +10,10 @@
 	"github.com/samphirequay/samphirequay/core/registry"
 )
 
-// TestARestartedEndpointIsNew: neither the calls in flight at its former start,
-// nor its latency, failures and ejection are its own.
-func TestARestartedEndpointIsNew(t *testing.T) {
+// TestRestartedEndpointStartsWithNewState checks that a restarted endpoint doesn't
+// inherit the calls in flight, latency, failures and ejection of its previous
+// incarnation.
+func TestRestartedEndpointStartsWithNewState(t *testing.T) {
 	is := is.New(t)
 	b := New("d", rand.New(rand.NewPCG(1, 2)))
 	start := func(born int64) {
@@ -34,7 +35,7 @@
 	is.Equal(b.Available(0, "s"), 1)
 	present := b.endpoints[registry.Incarnation("a", 200)]
 	is.Equal(present.inFlight, 0)
-	is.Equal(present.latency, firstLatency)
+	is.Equal(present.latency, initialLatency)
 	b.Done(0, former, time.Second, Unreachable)
 	is.Equal(b.Available(0, "s"), 1)
 }
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -8,58 +8,59 @@
 	"github.com/samphirequay/samphirequay/core/rendezvous"
 )
 
-// rings is the state that only a fleet has in which each daemon watches a few
-// neighbours, instead of all others.
+// rings is the state used in a large fleet, in which each daemon watches a few
+// neighbours instead of all others.
 type rings struct {
-	// on is set while the fleet is so large.
-	on bool
-	// stale is set when the neighbours must be chosen anew.
-	stale bool
-	// news waits to be told to the neighbours.
-	news news
-	// digest is what this daemon knows of who is there, as last told.
-	digest uint64
-	// rejoinUntil is until when this daemon, which was isolated, takes over what
-	// others know.
+	// enabled is set while the fleet is larger than Config.MeshUpTo.
+	enabled bool
+	// neighboursStale is set when the neighbours must be recomputed.
+	neighboursStale bool
+	// updates are queued for the neighbours.
+	updates updateQueue
+	// sentDigest is the membership digest on the last heartbeats.
+	sentDigest uint64
+	// rejoinUntil is until when this daemon, after isolation, adopts the state that
+	// others hold.
 	rejoinUntil time.Duration
-	// syncAt is when a neighbour may be asked for all that it knows.
+	// syncAt is when the next Sync may be sent to a neighbour.
 	syncAt time.Duration
-	// returnedAskAt is when one that has come back may be asked.
-	returnedAskAt time.Duration
-	// wantsWatched is what the daemon last said of itself, wantedAt since when;
-	// linked is set while it keeps connections to all others.
-	wantsWatched bool
-	wantedAt     time.Duration
-	linked       bool
-	// toldAll is set once all have been told that the daemon is watched, and
-	// tellAllUntil is until when they are told that it is no more.
-	toldAll      bool
-	tellAllUntil time.Duration
-	// linkAt is where in the order the next heartbeats to all others go on.
-	linkAt int
+	// returnedSyncAt is when the next Sync may be sent to a returned daemon.
+	returnedSyncAt time.Duration
+	// wantsWatched is the last Local.Watched, wantsWatchedSince since when it has
+	// been set; linked is the last Local.Linked.
+	wantsWatched      bool
+	wantsWatchedSince time.Duration
+	linked            bool
+	// announcedToAll is set once all daemons have been sent that this daemon is
+	// watched, and announceUntil is until when they are sent that it no longer is.
+	announcedToAll bool
+	announceUntil  time.Duration
+	// keepaliveIndex is the index into the order at which the next keepalives start.
+	keepaliveIndex int
 }
 
-// place is what the rings say of a peer.
-type place struct {
-	// at is the peer's position on each ring.
-	at []uint64
-	// near peers are this daemon's neighbours, which it watches since nearSince.
-	near      bool
-	nearSince time.Duration
-	// gap peers are gone, and would be neighbours if they came back.
-	gap bool
-	// askedUntil is until when the peer, which watches this daemon, is sent
+// ringState is the state of a peer on the rings.
+type ringState struct {
+	// positions holds the peer's position on each ring.
+	positions []uint64
+	// neighbour is set on this daemon's neighbours, watched since neighbourSince.
+	neighbour      bool
+	neighbourSince time.Duration
+	// absentNeighbour is set on peers that have no place on the rings and would be
+	// neighbours otherwise.
+	absentNeighbour bool
+	// heartbeatsUntil is until when the peer, which watches this daemon, is sent
 	// heartbeats.
-	askedUntil time.Duration
-	// watchedAt is when the peer first said to this daemon that it is watched.
-	watchedAt time.Duration
-	// sentAt is when the last heartbeat went to the peer.
+	heartbeatsUntil time.Duration
+	// watchedSince is when the peer first reported to this daemon that it is watched.
+	watchedSince time.Duration
+	// sentAt is when the last heartbeat was sent to the peer.
 	sentAt time.Duration
-	// agreedAt is when the peer last knew the same daemons as this one.
-	agreedAt time.Duration
+	// digestMatchedAt is when the peer's digest last matched this daemon's.
+	digestMatchedAt time.Duration
 }
 
-// positions gives a daemon's place on each ring.
+// positions returns a daemon's position on each ring.
 func (c *Config) positions(name id.Daemon) []uint64 {
 	at := make([]uint64, c.Rings)
 	for ring := range at {
@@ -68,86 +69,86 @@
 	return at
 }
 
-// absent says whether a peer is taken for gone.
+// absent reports whether a peer is dead or partitioned.
 func (p *peer) absent() bool { return p.entry.State == Dead || p.entry.State == Partitioned }
 
-// onRings says whether a peer has a place on the rings at present. For a daemon
-// that is cut off those that are suspect have none: it soon watches others, and
-// so finds out about all.
+// onRings reports whether a peer currently has a place on the rings. While this
+// daemon is isolated, suspect peers have none: it then soon watches other peers,
+// and in this way checks all of them.
 func (m *Membership) onRings(p *peer) bool {
 	return !p.absent() && !(m.isolated && p.entry.State == Suspect)
 }
 
-// chooseNeighbours finds the daemons before and behind this one on each ring.
-// All daemons that know the same others choose alike, so that those who watch a
-// daemon are those whom it watches.
+// chooseNeighbours selects the predecessor and the successor of this daemon on each
+// ring. Daemons with the same membership view make consistent choices, so that
+// neighbours watch each other.
 func (m *Membership) chooseNeighbours(now time.Duration) {
-	m.rings.stale = false
-	m.rings.on = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
+	m.rings.neighboursStale = false
+	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
 	before := make(map[*peer]bool, 2*m.cfg.Rings)
 	for _, p := range m.peers {
-		if p.near {
+		if p.neighbour {
 			before[p] = true
 		}
-		p.near, p.gap = false, false
+		p.neighbour, p.absentNeighbour = false, false
 	}
-	if !m.rings.on {
+	if !m.rings.enabled {
 		return
 	}
 	for ring := range m.cfg.Rings {
-		m.chooseOn(ring)
+		m.chooseOnRing(ring)
 	}
 	for _, p := range m.peers {
-		if p.near && !before[p] {
-			p.nearSince, p.agreedAt = now, now
-			m.hurryNews()
+		if p.neighbour && !before[p] {
+			p.neighbourSince, p.digestMatchedAt = now, now
+			m.expediteUpdates()
 		}
 	}
 }
 
-// chooseOn finds the neighbours on one ring, and those who are gone from
-// between them and this daemon.
-func (m *Membership) chooseOn(ring int) {
-	next, previous := m.nextTo(m.at[ring], ring, nil)
-	ahead, behind := ^uint64(0), ^uint64(0)
+// chooseOnRing selects the neighbours on one ring, and marks the peers without a
+// place on the rings that lie between them and this daemon.
+func (m *Membership) chooseOnRing(ring int) {
+	next, previous := m.adjacent(m.positions[ring], ring, nil)
+	toNext, toPrevious := ^uint64(0), ^uint64(0)
 	if next != nil {
-		next.near, previous.near = true, true
-		ahead, behind = next.at[ring]-m.at[ring], m.at[ring]-previous.at[ring]
+		next.neighbour, previous.neighbour = true, true
+		toNext, toPrevious = next.positions[ring]-m.positions[ring], m.positions[ring]-previous.positions[ring]
 	}
 	for _, p := range m.peers {
-		if !m.onRings(p) && (p.at[ring]-m.at[ring] < ahead || m.at[ring]-p.at[ring] < behind) {
-			p.gap = true
+		if !m.onRings(p) && (p.positions[ring]-m.positions[ring] < toNext || m.positions[ring]-p.positions[ring] < toPrevious) {
+			p.absentNeighbour = true
 		}
 	}
 }
 
-// nextTo finds the daemons that follow and precede a position of a ring, other
-// than one; nil where there are none.
-func (m *Membership) nextTo(at uint64, ring int, except *peer) (next, previous *peer) {
+// adjacent returns the peers that follow and precede a position on a ring, without
+// the peer except; nil if there are none.
+func (m *Membership) adjacent(at uint64, ring int, except *peer) (next, previous *peer) {
 	for _, name := range m.order {
 		p := m.peers[name]
 		if p == except || !m.onRings(p) {
 			continue
 		}
-		if next == nil || p.at[ring]-at < next.at[ring]-at {
+		if next == nil || p.positions[ring]-at < next.positions[ring]-at {
 			next = p
 		}
-		if previous == nil || at-p.at[ring] < at-previous.at[ring] {
+		if previous == nil || at-p.positions[ring] < at-previous.positions[ring] {
 			previous = p
 		}
 	}
 	return next, previous
 }
 
-// watchers lists the neighbours of a peer, as far as this daemon knows: they
-// hear it.
+// watchers lists the neighbours of a peer in this daemon's view, which receive its
+// heartbeats.
 func (m *Membership) watchers(p *peer) []*peer {
 	var out []*peer
 	seen := map[*peer]bool{}
 	for ring := range m.cfg.Rings {
-		next, previous := m.nextTo(p.at[ring], ring, p)
+		next, previous := m.adjacent(p.positions[ring], ring, p)
 		for _, q := range []*peer{next, previous} {
-			if q != nil && q.met && !seen[q] {
+			if q != nil && q.seen && !seen[q] {
 				seen[q] = true
 				out = append(out, q)
 			}
@@ -156,21 +157,21 @@
 	return out
 }
 
-// watches says whether this daemon judges a peer by its silence: it should hear
-// its heartbeats.
+// watches reports whether this daemon checks a peer for silence, and so expects its
+// heartbeats.
 func (m *Membership) watches(p *peer) bool {
-	return !m.rings.on || p.near || (p.entry.Watched && p.watchedAt > 0)
+	return !m.rings.enabled || p.neighbour || (p.entry.Watched && p.watchedSince > 0)
 }
 
-// silence is for how long a peer that this daemon watches was not heard.
+// silence returns for how long a watched peer has not been heard.
 func (m *Membership) silence(now time.Duration, p *peer) time.Duration {
-	heard := p.heard
-	if m.rings.on {
-		heard = max(heard, p.nearSince)
+	heard := p.lastHeard
+	if m.rings.enabled {
+		heard = max(heard, p.neighbourSince)
 	}
 	return now - heard
 }
 
-// Large says whether the fleet is so large that each daemon watches a few
-// neighbours, instead of all others.
-func (m *Membership) Large() bool { return m.rings.on }
+// Large reports whether the fleet is so large that each daemon watches a few
+// neighbours instead of all others.
+func (m *Membership) Large() bool { return m.rings.enabled }
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -12,41 +12,41 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// started is the entry of one start of an instance.
-func started(instance id.Instance, born int64, address string) Endpoint {
+// startedEntry returns the entry of one start of an instance.
+func startedEntry(instance id.Instance, born int64, address string) Endpoint {
 	return Endpoint{Name: Incarnation(instance, born), Instance: instance, Born: born, Address: address, Role: live.RoleDecode}
 }
 
-func TestALaterStartReplacesTheFormerOne(t *testing.T) {
+func TestLaterStartReplacesEarlier(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 100, "1")})
-	l.Set(time.Second, 1, []Endpoint{started("a", 200, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 200, "1")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
-// TestALateHeartbeatOfAFormerStartChangesNothing: its entry was written after
-// that of the later start.
-func TestALateHeartbeatOfAFormerStartChangesNothing(t *testing.T) {
+// TestEntryOfEarlierStartIsIgnored covers a late heartbeat of an earlier start, which
+// overwrites the entry of the later start.
+func TestEntryOfEarlierStartIsIgnored(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 200, "1")})
-	l.Set(time.Second, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 200, "1")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 100, "1")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
-func TestAFormerStartIsNotKeptWhileTheStoreIsAway(t *testing.T) {
+func TestReplacedStartIsNotKeptDuringOutage(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
 	l.StoreLost()
-	l.Set(time.Second, 1, []Endpoint{started("a", 200, "2")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 200, "2")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 }
 
-// TestADisplacedEndpointStaysAway, however often its entry is written again;
-// at another address it is another matter.
-func TestADisplacedEndpointStaysAway(t *testing.T) {
+// TestDisplacedEndpointStaysDropped checks that a displaced endpoint stays dropped
+// when its entry is written again, until the entry has another address.
+func TestDisplacedEndpointStaysDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	former, present := entry("a", "1"), entry("b", "1")
@@ -62,31 +62,32 @@
 	is.Equal(names(l), []id.Endpoint{"a", "b"})
 }
 
-// TestAnEndpointsOwnWordGoesBeforeItsEntry until the entry follows.
-func TestAnEndpointsOwnWordGoesBeforeItsEntry(t *testing.T) {
+// TestRestartReportOverridesEntry checks that an endpoint's report of a restart takes
+// precedence over its entry until the entry is updated.
+func TestRestartReportOverridesEntry(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	l.Set(0, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(0, 1, []Endpoint{startedEntry("a", 100, "1")})
 	is.True(l.Restarted("a", 200, live.RolePrefill))
 	is.True(!l.Restarted("a", 200, live.RolePrefill))
 	is.True(!l.Restarted("a", 150, live.RolePrefill))
 	is.Equal(names(l), []id.Endpoint{"a@200"})
 	is.Equal(l.All()[0].Role, live.RolePrefill)
-	l.Set(time.Second, 1, []Endpoint{started("a", 100, "1")})
+	l.Set(time.Second, 1, []Endpoint{startedEntry("a", 100, "1")})
 	is.Equal(names(l), []id.Endpoint{"a@200"})
-	l.Set(2*time.Second, 1, []Endpoint{started("a", 200, "1")})
+	l.Set(2*time.Second, 1, []Endpoint{startedEntry("a", 200, "1")})
 	is.Equal(l.All()[0].Role, live.RoleDecode)
 	l.Set(3*time.Second, 1, nil)
 	is.Equal(len(l.All()), 0)
 	is.True(!l.Restarted("a", 300, live.RolePrefill))
 }
 
-// TestAnEntryThatCanNotBeReadIsGone also while the store is away, and the
-// others hold.
-func TestAnEntryThatCanNotBeReadIsGone(t *testing.T) {
+// TestUnreadableEntryIsDropped checks that an unreadable entry is dropped even during
+// an outage, while other missing entries are kept.
+func TestUnreadableEntryIsDropped(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	a, b := started("a", 100, "1"), started("b", 100, "2")
+	a, b := startedEntry("a", 100, "1"), startedEntry("b", 100, "2")
 	l.Set(0, 1, []Endpoint{a, b})
 	l.StoreLost()
 	l.Set(time.Second, 1, nil, "a")
@@ -95,10 +96,10 @@
 	is.Equal(names(l), []id.Endpoint{"b@100"})
 }
 
-// TestRandomRestarts drives a list with starts, late heartbeats of former
-// starts, lost and returning entries and outages of the store: no instance is
-// ever there twice, none goes back to a former start while it is listed, and
-// none is there that was found displaced.
+// TestRandomRestarts drives a list with starts, late heartbeats of earlier starts,
+// lost and returning entries and outages of the store. It checks that no instance is
+// listed twice, that none goes back to an earlier start while it is listed, and that
+// no displaced endpoint is listed.
 func TestRandomRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
@@ -106,7 +107,7 @@
 		rows := map[id.Instance]Endpoint{}
 		born := map[id.Instance]int64{}
 		shown := map[id.Instance]int64{}
-		displaced := map[place]bool{}
+		displaced := map[location]bool{}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond
 			instance := id.Instance(fmt.Sprint("i", rapid.IntRange(0, 4).Draw(t, "instance")))
@@ -114,9 +115,9 @@
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0:
 				born[instance] += int64(rapid.IntRange(1, 5).Draw(t, "later"))
-				rows[instance] = started(instance, born[instance], address)
+				rows[instance] = startedEntry(instance, born[instance], address)
 			case 1:
-				rows[instance] = started(instance, max(1, born[instance]-1), address)
+				rows[instance] = startedEntry(instance, max(1, born[instance]-1), address)
 			case 2:
 				delete(rows, instance)
 			case 3:
@@ -128,7 +129,7 @@
 			case 6:
 				for _, e := range l.Disputed() {
 					l.Displace(e)
-					displaced[e.place()] = true
+					displaced[e.location()] = true
 					break
 				}
 			default:
@@ -144,23 +145,23 @@
 	})
 }
 
-// checkRestarts holds the list against what it showed before.
-func checkRestarts(t *rapid.T, l *List, shown map[id.Instance]int64, displaced map[place]bool) {
-	there := map[id.Instance]int64{}
+// checkRestarts compares the list with the starts that it contained before.
+func checkRestarts(t *rapid.T, l *List, shown map[id.Instance]int64, displaced map[location]bool) {
+	present := map[id.Instance]int64{}
 	for _, e := range l.All() {
-		if _, twice := there[e.Instance]; twice {
-			t.Fatalf("%s is there twice", e.Instance)
+		if _, twice := present[e.Instance]; twice {
+			t.Fatalf("%s is listed twice", e.Instance)
 		}
 		if e.Born < shown[e.Instance] {
-			t.Fatalf("%s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
+			t.Fatalf("start of %s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
 		}
-		if displaced[e.place()] {
-			t.Fatalf("%s was found displaced", e.Name)
+		if displaced[e.location()] {
+			t.Fatalf("displaced endpoint %s is listed", e.Name)
 		}
-		there[e.Instance] = e.Born
+		present[e.Instance] = e.Born
 	}
 	clear(shown)
-	for instance, born := range there {
+	for instance, born := range present {
 		shown[instance] = born
 	}
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// budget is a token bucket that fills by time, up to its floor, and by successes.
+// budget is a token bucket of retries. It is refilled at a constant rate, the
+// floor, and by successes.
 type budget struct {
 	tokens float64
-	// rate is the floor, in tokens a second.
+	// rate is the floor, in tokens per second.
 	rate float64
-	// most bounds tokens.
-	most float64
-	at   time.Duration
+	// capacity bounds tokens.
+	capacity   float64
+	refilledAt time.Duration
 }
 
 func newBudget(rate, burst float64) *budget {
 	b := &budget{}
 	b.setFloor(rate, burst)
-	b.tokens = b.most
+	b.tokens = b.capacity
 	return b
 }
 
 func (b *budget) setFloor(rate, burst float64) {
 	b.rate = rate
-	b.most = max(1, rate*burst)
-	b.tokens = min(b.tokens, b.most)
+	b.capacity = max(1, rate*burst)
+	b.tokens = min(b.tokens, b.capacity)
 }
 
 func (b *budget) refill(now time.Duration) {
-	if now <= b.at {
+	if now <= b.refilledAt {
 		return
 	}
-	b.tokens = min(b.most, b.tokens+b.rate*(now-b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-func (b *budget) earn(now time.Duration, tokens float64) {
+func (b *budget) add(now time.Duration, tokens float64) {
 	b.refill(now)
-	b.tokens = min(b.most, b.tokens+tokens)
+	b.tokens = min(b.capacity, b.tokens+tokens)
 }
 
-func (b *budget) has(now time.Duration) bool {
+func (b *budget) available(now time.Duration) bool {
 	b.refill(now)
 	return b.tokens >= 1
 }
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -9,33 +9,33 @@
 	"pgregory.net/rapid"
 )
 
-func TestASpanGrowsWithEachAnswerAndEndsWithAFailure(t *testing.T) {
+func TestSpanExtendsUntilFailure(t *testing.T) {
 	is := is.New(t)
 	var s Span
 	is.True(!s.Known())
 	is.True(!s.Covers(0, 0))
-	s = s.Answered(10, time.Second, true)
+	s = s.Extend(10, time.Second, true)
 	is.Equal(s, Span{Until: 10, Since: time.Second, Last: time.Second})
-	is.True(!s.Covers(10, 10)) // what lapsed before it may not be back yet
-	s = s.Answered(12, time.Second+ReturnGrace, true)
-	s = s.Answered(14, 5*time.Second, true)
+	is.True(!s.Covers(10, 10)) // entries that lapsed before may not have returned yet
+	s = s.Extend(12, time.Second+ReturnGrace, true)
+	s = s.Extend(14, 5*time.Second, true)
 	is.Equal(s, Span{From: 12, Until: 14, Since: time.Second, Last: 5 * time.Second})
 	is.True(s.Covers(12, 14))
 	is.True(s.Covers(13, 14))
 	is.True(!s.Covers(11, 13))
 	is.True(!s.Covers(12, 15))
-	s = s.Answered(20, 9*time.Second, false)
+	s = s.Extend(20, 9*time.Second, false)
 	is.Equal(s, Span{Until: 20, Since: 9 * time.Second, Last: 9 * time.Second})
 }
 
-func TestAStoreWhoseClockOrVersionsBeganAnewBeginsANewSpan(t *testing.T) {
+func TestClockOrVersionResetStartsNewSpan(t *testing.T) {
 	is := is.New(t)
-	s := Span{}.Answered(10, time.Minute, true)
-	is.Equal(s.Answered(11, time.Second, true).Since, time.Second)
-	is.Equal(s.Answered(3, 2*time.Minute, true).Since, 2*time.Minute)
+	s := Span{}.Extend(10, time.Minute, true)
+	is.Equal(s.Extend(11, time.Second, true).Since, time.Second)
+	is.Equal(s.Extend(3, 2*time.Minute, true).Since, 2*time.Minute)
 }
 
-func TestSpansThatOverlapAddUp(t *testing.T) {
+func TestOverlappingSpansAreJoined(t *testing.T) {
 	is := is.New(t)
 	early := Span{From: 10, Until: 20, Since: 1 * time.Second, Last: 5 * time.Second}
 	late := Span{From: 17, Until: 30, Since: 4 * time.Second, Last: 9 * time.Second}
@@ -55,22 +55,22 @@
 	is.Equal(History{begun}.Add(early), History{{From: 10, Until: 24, Since: 1 * time.Second, Last: 6 * time.Second}})
 }
 
-func TestAHistoryHoldsTheNewestSpans(t *testing.T) {
+func TestHistoryKeepsNewestSpans(t *testing.T) {
 	is := is.New(t)
 	var h History
 	is.True(!h.Newest().Known())
 	for i := range time.Duration(9) {
 		h = h.Add(Span{Until: uint64(i + 1), Since: 10 * i * time.Second, Last: (10*i + 5) * time.Second})
 	}
-	is.Equal(len(h), kept)
+	is.Equal(len(h), maxSpans)
 	is.Equal(h[0].Until, uint64(7))
 	is.Equal(h.Newest().Until, uint64(9))
 }
 
-// TestRandomSpansClaimNoOutage: daemons call a store that is away at times, fail
-// or are cut off, and join what others tell: no span covers a change that was
-// made while the store answered nobody.
-func TestRandomSpansClaimNoOutage(t *testing.T) {
+// TestRandomSpansCoverNoOutage simulates daemons that call a store with outages, fail
+// or are cut off, and join the spans that others report. It checks that no span covers
+// a change that was made during an outage.
+func TestRandomSpansCoverNoOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 3
 		var own [daemons]Span
@@ -90,7 +90,7 @@
 				}
 			case 1:
 				if away = !away; away {
-					// Whoever calls while it is away learns it by the failure.
+					// A daemon that calls during an outage detects it by the failure.
 					unbroken = [daemons]bool{}
 				}
 			case 2:
@@ -99,7 +99,7 @@
 					break
 				}
 				known[d] = known[d].Add(own[d])
-				own[d] = own[d].Answered(version, clock, unbroken[d])
+				own[d] = own[d].Extend(version, clock, unbroken[d])
 				known[d] = known[d].Add(own[d])
 				unbroken[d] = true
 			case 3:
@@ -107,7 +107,7 @@
 					known[d] = known[d].Add(s)
 				}
 			case 4:
-				unbroken[d] = false // this one alone is cut off
+				unbroken[d] = false // only this daemon is cut off
 			}
 			for _, s := range slices.Concat(known[0], known[1], known[2]) {
 				for _, v := range during {
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	// attemptShare of the time left is given to an attempt of a call that can
-	// still be repeated afterwards.
-	attemptShare = 0.4
-	// leastAttempt is the shortest time for an attempt: well above what a
-	// sound endpoint takes.
-	leastAttempt = 150 * time.Millisecond
-	// maxRefusals bounds how often one request is refused by endpoints before
-	// its caller is refused.
+	// attemptFraction is the fraction of the remaining time that an attempt gets
+	// if the call can still be retried afterwards.
+	attemptFraction = 0.4
+	// minAttemptTime is the shortest time for an attempt: well above the time
+	// that a healthy endpoint takes.
+	minAttemptTime = 150 * time.Millisecond
+	// maxRefusals is how many refusals by endpoints end a request with an error.
 	maxRefusals = 3
-	// callRetryAfter is advised where a service has no endpoint that takes work.
+	// callRetryAfter is the Retry-After of errors for a service that has no
+	// endpoint that takes work.
 	callRetryAfter = 200 * time.Millisecond
 )
 
-// call serves a plain call: endpoints are tried one after another for as long
-// as the request certainly has not run, or may run twice.
+// call serves a plain call: it tries endpoints one after another for as long as
+// the request has certainly not run, or may run more than once.
 func (f *Forwarder) call(ctx context.Context, r *Request, t *trace, s *route.Service) (*Reply, *verdict.Error) {
 	var avoid []id.Endpoint
 	ran, refused := 0, 0
 	var last *Reply
 	var failure *verdict.Error
 	for {
-		if err := f.stillAllowed(r, t); err != nil {
-			return orEarlier(last, failure, err)
+		if err := f.recheckKey(r, t); err != nil {
+			return finalResult(last, failure, err)
 		}
 		endpoint, err := f.pick(s.Name, avoid)
 		if err != nil {
-			return orEarlier(last, failure, err)
+			return finalResult(last, failure, err)
 		}
 		repeatable := t.route.Repeatable() && ran+1 < t.route.MaxAttempts
 		reply, err := f.try(ctx, r, t, s, endpoint, repeatable)
 		if err == nil && !reply.Failed() {
 			return reply, nil
 		}
-		arrived := err == nil || err.Verdict != verdict.NotRun
-		if arrived {
+		mayHaveRun := err == nil || err.Verdict != verdict.NotRun
+		if mayHaveRun {
 			ran++
 			last, failure = reply, err
 		} else {
 			refused++
-			failure = worse(failure, err)
+			failure = worseError(failure, err)
 		}
 		avoid = append(avoid, endpoint.Name)
-		if !f.again(ctx, r, t, s, err, ran, refused) {
-			return orEarlier(last, failure, nil)
+		if !f.mayRetry(ctx, r, t, s, err, ran, refused) {
+			return finalResult(last, failure, nil)
 		}
 	}
 }
 
-// orEarlier gives what the earlier attempts came to: an endpoint's own error
-// answer goes before an error of this daemon.
-func orEarlier(last *Reply, failure, now *verdict.Error) (*Reply, *verdict.Error) {
+// finalResult returns the result of the earlier attempts, or now if there is
+// none. An endpoint's own error answer takes precedence over an error of this
+// daemon.
+func finalResult(last *Reply, failure, now *verdict.Error) (*Reply, *verdict.Error) {
 	switch {
 	case last != nil:
 		return last, nil
@@ -74,15 +75,16 @@
 	}
 }
 
-// worse keeps the error that promises less.
-func worse(a, b *verdict.Error) *verdict.Error {
+// worseError returns the error whose verdict guarantees less about whether the
+// request has run; b if they are equal.
+func worseError(a, b *verdict.Error) *verdict.Error {
 	if a == nil || verdict.Worse(a.Verdict, b.Verdict) == b.Verdict {
 		return b
 	}
 	return a
 }
 
-// pick chooses an endpoint; the caller must end it with done.
+// pick chooses an endpoint; the caller must call done after the attempt.
 func (f *Forwarder) pick(service id.Service, avoid []id.Endpoint) (registry.Endpoint, *verdict.Error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,38 +98,39 @@
 	return e, nil
 }
 
-// try makes one attempt.
+// try sends the request to e once and reports the result to the balancer and
+// the log.
 func (f *Forwarder) try(ctx context.Context, r *Request, t *trace, s *route.Service, e registry.Endpoint, repeatable bool) (*Reply, *verdict.Error) {
-	begun := f.Now()
-	limit := f.limit(r, t.route)
+	startedAt := f.Now()
+	limit := f.deadline(r, t.route)
 	until := limit
 	if repeatable {
-		share := time.Duration(attemptShare * float64(limit-begun))
-		until = min(limit, begun+max(share, leastAttempt))
+		share := time.Duration(attemptFraction * float64(limit-startedAt))
+		until = min(limit, startedAt+max(share, minAttemptTime))
 	}
 	t.attempts++
 	t.endpoint = e.Name
-	f.noteSent(t, e)
+	f.countUnlisted(t, e)
 	reply, err := f.Endpoints.Call(ctx, &Attempt{
 		Request:     r,
 		Endpoint:    e,
-		Left:        limit - begun,
+		Left:        limit - startedAt,
 		Until:       until,
-		MaxConns:    f.connections(s),
+		MaxConns:    f.maxConns(s),
 		Once:        !t.route.Repeatable(),
 		Team:        t.teamName(),
 		Credentials: t.credentials(r),
 	})
-	t.begun = t.begun || err == nil || err.Verdict != verdict.NotRun
-	took := f.Now() - begun
-	f.done(e, begun, outcomeOf(reply, err))
+	t.mayHaveRun = t.mayHaveRun || err == nil || err.Verdict != verdict.NotRun
+	took := f.Now() - startedAt
+	f.done(e, startedAt, outcomeOf(reply, err))
 	if err != nil {
-		f.broke(r, t, e, err)
+		f.recordFailure(r, t, e, err)
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", e.Name, "took", took,
 			"verdict", err.Verdict, "code", err.Code, "why", err.Error())
 		return nil, err
 	}
-	f.survived(r, t)
+	f.clearSuspicion(r, t)
 	if reply.Failed() {
 		f.Log.Event("attempt_failed", "request", r.ID, "attempt", t.attempts, "endpoint", e.Name, "took", took,
 			"verdict", verdict.Ran, "status", reply.Status)
@@ -135,7 +138,8 @@
 	return reply, nil
 }
 
-// outcomeOf is what an attempt tells of its endpoint.
+// outcomeOf maps the result of an attempt to the balancer's outcome for its
+// endpoint.
 func outcomeOf(reply *Reply, err *verdict.Error) balance.Outcome {
 	switch {
 	case err == nil && reply.Failed():
@@ -155,10 +159,11 @@
 	}
 }
 
-// again says whether a failed attempt is followed by another. Only arrivals at
-// endpoints are paid for: a connection that was refused is none.
-func (f *Forwarder) again(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
-	if ctx.Err() != nil || f.left(r, t.route) < leastLeft {
+// mayRetry reports whether a failed attempt is followed by another. Only
+// attempts that reached an endpoint count against the retry limit: a refused
+// connection doesn't.
+func (f *Forwarder) mayRetry(ctx context.Context, r *Request, t *trace, s *route.Service, err *verdict.Error, ran, refused int) bool {
+	if ctx.Err() != nil || f.timeLeft(r, t.route) < minTimeForRetry {
 		t.reason = "no time is left"
 		return false
 	}
@@ -171,24 +176,25 @@
 		t.reason = "too many endpoints refused"
 		return false
 	}
-	if f.judge(r, t) != nil {
+	if f.checkQuarantine(r, t) != nil {
 		return false
 	}
-	if notRun && !arrivedAnyway(err) {
+	if notRun && !refusedOnArrival(err) {
 		return true
 	}
-	if !f.repeat(s.Name) {
+	if !f.takeRetry(s.Name) {
 		t.reason = "the service's bound on repeats is reached"
 		return false
 	}
 	return true
 }
 
-// leastLeft is the least time that another attempt needs to be of use.
-const leastLeft = 25 * time.Millisecond
+// minTimeForRetry is the shortest remaining time in which another attempt is
+// useful.
+const minTimeForRetry = 25 * time.Millisecond
 
-// arrivedAnyway says whether a request that has not run reached an endpoint,
-// which refused it.
-func arrivedAnyway(err *verdict.Error) bool {
+// refusedOnArrival reports whether a request that has not run reached an
+// endpoint, which refused it.
+func refusedOnArrival(err *verdict.Error) bool {
 	return slices.Contains([]verdict.Code{verdict.CodeOverloaded, verdict.CodeSuperseded, verdict.CodeKVGone}, err.Code)
 }
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -13,30 +13,31 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// readSize is how many bytes of a stream are read at once.
+// readSize is the size of the read buffer of a stream, in bytes.
 const readSize = 2048
 
-// relay passes a stream's whole events on as they come. Where the stream may be
-// resumed, it goes on at another engine behind the last whole event.
+// relay passes on the complete events of a stream as they arrive. A resumable
+// stream that breaks is continued at another engine after the last complete
+// event.
 type relay struct {
 	*generation
 	ctx    context.Context
 	cancel context.CancelFunc
 	opened *Opened
-	// pending are the bytes of an event that is not whole yet, ready the whole
-	// events that were not passed on yet.
+	// pending holds the bytes of an incomplete event, ready the complete events
+	// that were not passed on yet.
 	pending []byte
 	ready   []byte
 	events  int
-	// eventAt is when the last event came; 0 before the first.
+	// eventAt is when the last event arrived; 0 before the first.
 	eventAt time.Duration
 	ended   bool
-	broken  error
+	readErr error
 }
 
-// begin opens the stream and waits for its first event: until then a failure
-// can still be told to the caller.
-func (s *relay) begin() *verdict.Error {
+// start opens the stream and waits for its first event: until then a failure can
+// still be returned to the caller as an error.
+func (s *relay) start() *verdict.Error {
 	for {
 		opened, err := s.open(s.ctx)
 		if err != nil {
@@ -50,19 +51,20 @@
 		cause := s.fill()
 		if cause == nil || errors.Is(cause, io.EOF) {
 			now := s.f.Now()
-			s.trace.first = now - s.request.Arrived
-			s.f.stats.first.Record(s.trace.first)
+			s.trace.firstEventTime = now - s.request.Arrived
+			s.f.stats.firstEvent.Record(s.trace.firstEventTime)
 			return nil
 		}
-		s.drop(cause)
-		if s.ctx.Err() != nil || !s.mayGoOn() {
-			return s.brokenBeforeFirst(cause)
+		s.dropEngine(cause)
+		if s.ctx.Err() != nil || !s.mayResume() {
+			return s.failedBeforeFirstEvent(cause)
 		}
 	}
 }
 
-// brokenBeforeFirst tells of a stream that broke before its first event.
-func (s *relay) brokenBeforeFirst(cause error) *verdict.Error {
+// failedBeforeFirstEvent returns the error for a stream that broke before its
+// first event.
+func (s *relay) failedBeforeFirstEvent(cause error) *verdict.Error {
 	code := verdict.CodeEndpointFailed
 	switch {
 	case errors.Is(s.ctx.Err(), context.DeadlineExceeded):
@@ -77,14 +79,14 @@
 // complete.
 func (s *relay) Read(p []byte) (int, error) {
 	for len(s.ready) == 0 {
-		if s.broken != nil {
-			return 0, s.broken
+		if s.readErr != nil {
+			return 0, s.readErr
 		}
 		if s.ended {
 			return 0, io.EOF
 		}
 		if err := s.next(); err != nil {
-			s.broken = err
+			s.readErr = err
 		}
 	}
 	n := copy(p, s.ready)
@@ -92,14 +94,15 @@
 	return n, nil
 }
 
-// next reads on, at another engine if this one broke off.
+// next reads more events, from another engine if the current one failed and the
+// stream may be resumed.
 func (s *relay) next() error {
 	err := s.fill()
 	if err == nil || errors.Is(err, io.EOF) {
 		return nil
 	}
-	s.drop(err)
-	if s.ctx.Err() != nil || !s.mayGoOn() {
+	s.dropEngine(err)
+	if s.ctx.Err() != nil || !s.mayResume() {
 		return err
 	}
 	opened, failure := s.open(s.ctx)
@@ -108,44 +111,45 @@
 	}
 	if opened.Events == nil {
 		s.finish(sched.PhaseFailed)
-		return errors.New("the engine that was to go on answered with an error")
+		return errors.New("the engine for resuming the stream answered with an error")
 	}
 	s.opened.Events = opened.Events
-	s.f.stats.resumed.Inc()
-	s.f.Log.Event("stream_resumed", "request", s.request.ID, "behind", s.last, "endpoint", s.trace.endpoint,
+	s.f.stats.resumedStreams.Inc()
+	s.f.Log.Event("stream_resumed", "request", s.request.ID, "behind", s.lastEvent, "endpoint", s.trace.endpoint,
 		"tokens", s.request.PromptTokens)
 	return nil
 }
 
-// mayGoOn says whether a broken stream may be resumed, and pays for it.
-func (s *relay) mayGoOn() bool {
-	if !s.resumable() || s.f.left(s.request, s.trace.route) < leastForPrefill {
+// mayResume reports whether a broken stream may be resumed, and counts the retry
+// if so.
+func (s *relay) mayResume() bool {
+	if !s.resumable() || s.f.timeLeft(s.request, s.trace.route) < minTimeForPrefill {
 		return false
 	}
-	if s.f.judge(s.request, s.trace) != nil {
+	if s.f.checkQuarantine(s.request, s.trace) != nil {
 		return false
 	}
-	return s.f.repeat(s.service.Name)
+	return s.f.takeRetry(s.service.Name)
 }
 
-// fill reads until at least one more event is whole. io.EOF is the stream's
-// proper end.
+// fill reads until at least one more event is complete. It returns io.EOF at the
+// regular end of the stream.
 func (s *relay) fill() error {
-	var block [readSize]byte
+	var buf [readSize]byte
 	for {
-		if s.trace.route.Resumable && s.ran < s.trace.route.MaxAttempts {
-			// A failed deadline shows in the read.
-			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallAfter))
+		if s.trace.route.Resumable && s.runs < s.trace.route.MaxAttempts {
+			// If setting the deadline fails, so does the read.
+			_ = s.opened.Events.SetReadDeadline(time.Now().Add(stallTimeout))
 		}
-		n, err := s.opened.Events.Read(block[:])
-		s.pending = append(s.pending, block[:n]...)
+		n, err := s.opened.Events.Read(buf[:])
+		s.pending = append(s.pending, buf[:n]...)
 		if errors.Is(err, io.EOF) {
-			s.take(len(s.pending))
+			s.moveToReady(len(s.pending))
 			s.complete()
 			return io.EOF
 		}
-		if end := wholeEvents(s.pending); end > 0 {
-			s.take(end)
+		if end := completeEventsLen(s.pending); end > 0 {
+			s.moveToReady(end)
 			if err == nil {
 				return nil
 			}
@@ -156,22 +160,23 @@
 	}
 }
 
-// take moves bytes from pending to ready.
-func (s *relay) take(n int) {
-	whole := s.pending[:n]
-	s.note(whole)
-	s.ready = append(s.ready, whole...)
+// moveToReady moves n bytes from pending to ready.
+func (s *relay) moveToReady(n int) {
+	events := s.pending[:n]
+	s.trackEvents(events)
+	s.ready = append(s.ready, events...)
 	s.pending = append(s.pending[:0], s.pending[n:]...)
 }
 
-// eventEnd is the empty line behind an event, idField begins the line with its id.
+// eventEnd is the empty line after an event; idField starts the line with the
+// event's id.
 var (
 	eventEnd = []byte("\n\n")
 	idField  = []byte("id:")
 )
 
-// wholeEvents is the length of the whole events that the bytes begin with.
-func wholeEvents(b []byte) int {
+// completeEventsLen is the length of the complete events at the start of b.
+func completeEventsLen(b []byte) int {
 	i := bytes.LastIndex(b, eventEnd)
 	if i < 0 {
 		return 0
@@ -179,31 +184,33 @@
 	return i + len(eventEnd)
 }
 
-// note remembers the last id of whole events.
-func (s *relay) note(whole []byte) {
-	for line := range bytes.Lines(whole) {
+// trackEvents counts the events, and stores the last event id and the longest
+// pause between events.
+func (s *relay) trackEvents(events []byte) {
+	for line := range bytes.Lines(events) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
-			s.last = string(bytes.TrimSpace(value))
+			s.lastEvent = string(bytes.TrimSpace(value))
 			s.events++
 		}
 	}
 	now := s.f.Now()
 	if s.eventAt > 0 {
-		s.trace.gap = max(s.trace.gap, now-s.eventAt)
+		s.trace.maxGap = max(s.trace.maxGap, now-s.eventAt)
 	}
 	s.eventAt = now
 }
 
-// complete notes the proper end.
+// complete handles the regular end of the stream.
 func (s *relay) complete() {
 	s.ended = true
-	s.f.survived(s.request, s.trace)
+	s.f.clearSuspicion(s.request, s.trace)
 	_ = s.opened.Events.Close()
 	s.finish(sched.PhaseDone)
 }
 
-// drop ends the work at an engine that broke off, or is given up.
-func (s *relay) drop(cause error) {
+// dropEngine ends the work at an engine whose stream broke or stalled, or whose
+// request has ended.
+func (s *relay) dropEngine(cause error) {
 	_ = s.opened.Events.Close()
 	s.pending = s.pending[:0]
 	if s.ctx.Err() != nil {
@@ -212,14 +219,14 @@
 	}
 	s.avoid = append(s.avoid, s.trace.endpoint)
 	if !errors.Is(cause, os.ErrDeadlineExceeded) {
-		s.f.brokeOff(s.request, s.trace, s.trace.endpoint)
+		s.f.recordCrash(s.request, s.trace, s.trace.endpoint)
 	}
-	s.f.Log.Event("stream_broke", "request", s.request.ID, "endpoint", s.trace.endpoint, "behind", s.last, "why", cause)
+	s.f.Log.Event("stream_broke", "request", s.request.ID, "endpoint", s.trace.endpoint, "behind", s.lastEvent, "why", cause)
 	s.progress(sched.Progress{Phase: sched.PhaseFailed, Endpoint: s.trace.endpoint})
 	s.grant = sched.Grant{}
 }
 
-// finish tells the pool's owner that the granted pair is free.
+// finish reports to the pool's owner that the granted pair is free.
 func (s *relay) finish(phase sched.Phase) {
 	if s.grant.Request == id.Request("") {
 		return
@@ -228,28 +235,28 @@
 	s.grant = sched.Grant{}
 }
 
-// Close implements io.Closer: the stream has been passed on, or its caller is
-// gone.
+// Close implements io.Closer. It is called once the stream has been passed on or
+// its caller has disconnected.
 func (s *relay) Close() error {
 	if s.opened != nil && s.opened.Events != nil {
 		_ = s.opened.Events.Close()
 	}
 	s.finish(sched.PhaseCancelled)
 	s.cancel()
-	s.f.record(s.request, s.trace, &Reply{Status: s.opened.Status}, endingOf(s.ctx, s.ended, s.broken))
+	s.f.record(s.request, s.trace, &Reply{Status: s.opened.Status}, streamError(s.ctx, s.ended, s.readErr))
 	return nil
 }
 
-// endingOf is the error that a stream ended with; nil if it is complete.
-func endingOf(ctx context.Context, complete bool, broken error) *verdict.Error {
+// streamError is the error that a stream ended with; nil if it is complete.
+func streamError(ctx context.Context, complete bool, readErr error) *verdict.Error {
 	switch {
 	case complete:
 		return nil
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdict.New(verdict.Ran, verdict.CodeDeadline, "the stream was cut at its time limit")
-	case broken != nil && ctx.Err() == nil:
-		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream broke").WithCause(broken)
+		return verdict.New(verdict.Ran, verdict.CodeDeadline, "the stream reached its time limit")
+	case readErr != nil && ctx.Err() == nil:
+		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream broke").WithCause(readErr)
 	default:
-		return verdict.New(verdict.Ran, verdict.CodeCallerGone, "the caller left")
+		return verdict.New(verdict.Ran, verdict.CodeCallerGone, "the caller disconnected")
 	}
 }
--- a/daemon/upstream/connect_test.go
+++ b/daemon/upstream/connect_test.go
@@ -14,9 +14,9 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// dialSilent sends a request to an address that answers no attempt to connect;
-// during is called once the dial has begun.
-func dialSilent(t *testing.T, ctx context.Context, during func()) *verdict.Error {
+// dialUnresponsive sends a request to an address that doesn't answer attempts to
+// connect, and returns the error; during is called once the dial has begun.
+func dialUnresponsive(t *testing.T, ctx context.Context, during func()) *verdict.Error {
 	t.Helper()
 	is := is.New(t)
 	full, err := standin.NewFullBacklog("127.0.0.1:0")
@@ -36,11 +36,12 @@
 	return failure
 }
 
-// TestACallerWhoLeavesBlamesNoEndpoint: the endpoint had not failed to take the
-// connection when its caller left; blamed for it, it would get no work.
-func TestACallerWhoLeavesBlamesNoEndpoint(t *testing.T) {
+// TestCancelledDialIsNotAnEndpointFailure checks that a dial ended by the caller's
+// cancellation isn't reported as an unavailable endpoint: such an endpoint would
+// get no work although it has not failed.
+func TestCancelledDialIsNotAnEndpointFailure(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(context.Background())
-	is.Equal(dialSilent(t, ctx, leave).Code, verdict.CodeCallerGone)
-	is.Equal(dialSilent(t, context.Background(), func() {}).Code, verdict.CodeUnavailable)
+	is.Equal(dialUnresponsive(t, ctx, leave).Code, verdict.CodeCallerGone)
+	is.Equal(dialUnresponsive(t, context.Background(), func() {}).Code, verdict.CodeUnavailable)
 }
--- a/daemon/upstream/forget_test.go
+++ b/daemon/upstream/forget_test.go
@@ -12,9 +12,9 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// TestForgottenConnectionsAreNotUsedAgain: the next process at the address gets
-// connections of its own.
-func TestForgottenConnectionsAreNotUsedAgain(t *testing.T) {
+// TestForgottenConnectionsAreNotReused checks that requests to the next process
+// at an address use new connections.
+func TestForgottenConnectionsAreNotReused(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -37,7 +37,7 @@
 	call()
 	is.Equal(p.dialled.Value(), int64(1))
 	p.Forget(ln.Addr().String())
-	is.Equal(len(p.hosts), 0)
+	is.Equal(len(p.addresses), 0)
 	call()
 	is.Equal(p.dialled.Value(), int64(2))
 	p.Close()
