--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -80,7 +80,7 @@
 		if rec.Change.ID == p.change.ID {
 			return p.end(Outcome{Result: Accepted, Revision: rec.Revision})
 		}
-		o.Rivals = append(o.Rivals, Rival{
+		o.Rivals = append(o.Rivals, ConflictingChange{
 			Revision: rec.Revision,
 			ID:       rec.Change.ID,
 			Author:   rec.Change.Author,
--- a/core/revision/outcome.go
+++ b/core/revision/outcome.go
@@ -40,7 +40,7 @@
 }
 
 // Rival is an accepted change that a proposal ran into.
-type Rival struct {
+type ConflictingChange struct {
 	Revision uint64
 	ID       string
 	Author   string
@@ -57,7 +57,7 @@
 	Record *Record
 	// Rivals tell, for a Conflict, what was accepted since Expect, oldest
 	// first; bounded to the newest.
-	Rivals []Rival
+	Rivals []ConflictingChange
 	// Faults tell why the change was rejected.
 	Faults []live.Fault
 }
