--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -65,7 +65,7 @@
 	if p.head.Revision-p.change.Expect > uint64(p.cfg.Batch) {
 		first = p.head.Revision - uint64(p.cfg.Batch) + 1
 	}
-	return p.request(phaseRivals, table.Request{Keys: revisionKeys(first, p.head.Revision)})
+	return p.request(phaseConflicts, table.Request{Keys: revisionKeys(first, p.head.Revision)})
 }
 
 // onRivals names what the change ran into. A stale read that lacks some of it
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -45,7 +45,7 @@
 	phaseIdle phase = iota
 	phaseHead
 	phaseGap
-	phaseRivals
+	phaseConflicts
 	phaseCommit
 	phaseGuard
 	phaseWithdraw
@@ -153,7 +153,7 @@
 		return p.onHead(now, r)
 	case phaseGap:
 		return p.onGap(now, r)
-	case phaseRivals:
+	case phaseConflicts:
 		return p.onRivals(now, r)
 	case phaseCommit:
 		return p.onCommit(now, r)
