--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -60,7 +60,7 @@
 }
 
 // readRivals reads what was accepted since Expect, at most the newest batch.
-func (p *Proposer) readRivals() []ProposerAction {
+func (p *Proposer) readConflicts() []ProposerAction {
 	first := p.change.Expect + 1
 	if p.head.Revision-p.change.Expect > uint64(p.cfg.Batch) {
 		first = p.head.Revision - uint64(p.cfg.Batch) + 1
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -207,7 +207,7 @@
 	case expect == 0 || expect == head.Revision:
 		return p.readGap(now)
 	case expect < head.Revision:
-		return p.readRivals()
+		return p.readConflicts()
 	default:
 		return p.onFuture(now)
 	}
