--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -70,7 +70,7 @@
 
 // onRivals names what the change ran into. A stale read that lacks some of it
 // is repeated a few times, so that the operator is told.
-func (p *Proposer) onRivals(now time.Duration, r table.Reply) []ProposerAction {
+func (p *Proposer) onConflicts(now time.Duration, r table.Reply) []ProposerAction {
 	o := Outcome{Result: Conflict, Revision: p.head.Revision}
 	for _, row := range r.Rows {
 		var rec Record
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -154,7 +154,7 @@
 	case phaseGap:
 		return p.onGap(now, r)
 	case phaseConflicts:
-		return p.onRivals(now, r)
+		return p.onConflicts(now, r)
 	case phaseCommit:
 		return p.onCommit(now, r)
 	case phaseGuard, phaseWithdraw:
