--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -61,12 +61,12 @@
 	digest string
 	rng    *rand.Rand
 
-	phase    phase
-	seq      uint64
-	deadline time.Duration
-	resume   time.Duration
-	pause    time.Duration
-	future   int
+	phase       phase
+	seq         uint64
+	deadline    time.Duration
+	resume      time.Duration
+	pause       time.Duration
+	futureReads int
 	// rereads counts reads of rivals that lacked some.
 	rereads int
 	// unknown is set once a commit may have taken effect unseen.
@@ -232,8 +232,8 @@
 
 // onFuture meets a head below Expect: a stale read, or a mistake.
 func (p *Proposer) onFuture(now time.Duration) []ProposerAction {
-	p.future++
-	if p.future < p.cfg.FutureReads {
+	p.futureReads++
+	if p.futureReads < p.cfg.FutureReads {
 		return p.backOff(now)
 	}
 	fault := live.Fault{Path: "expect", Message: "the change expects a revision that does not exist yet"}
