--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -54,7 +54,7 @@
 	}
 	if r.FailedOn(KeyChange(p.change.ID)) {
 		// An earlier attempt took effect: what it became stands in its row.
-		p.unknown = true
+		p.maybeCommitted = true
 	}
 	return p.backOff(now)
 }
@@ -99,7 +99,7 @@
 // rejection must have been judged by the head that still stands.
 func (p *Proposer) settle(o Outcome) []ProposerAction {
 	p.pending = &o
-	if p.unknown {
+	if p.maybeCommitted {
 		return p.request(phaseWithdraw, table.Request{Transaction: &table.Transaction{
 			Conditions: []table.Condition{{Key: KeyChange(p.change.ID)}},
 			Puts:       []table.Put{{Key: KeyChange(p.change.ID), Value: encode(ChangeRow{Digest: p.digest})}},
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -70,7 +70,7 @@
 	// rereads counts reads of rivals that lacked some.
 	rereads int
 	// unknown is set once a commit may have taken effect unseen.
-	unknown bool
+	maybeCommitted bool
 
 	base        *live.Document
 	head        Head
@@ -94,7 +94,7 @@
 // Resent says, before Start, that the change may have been proposed before
 // under the same id. Then no outcome says "not run" before the change was
 // withdrawn in the table, whatever became of the earlier proposal.
-func (p *Proposer) Resent() { p.unknown = true }
+func (p *Proposer) Resent() { p.maybeCommitted = true }
 
 // Start begins the proposal.
 func (p *Proposer) Start(now time.Duration) []ProposerAction {
@@ -132,7 +132,7 @@
 
 // expire gives up: not run is said only where no commit is in doubt.
 func (p *Proposer) expire() []ProposerAction {
-	if p.unknown || p.phase == phaseCommit {
+	if p.maybeCommitted || p.phase == phaseCommit {
 		return p.end(Outcome{Result: Unresolved, Revision: p.head.Revision})
 	}
 	return p.end(Outcome{Result: Unavailable, Revision: p.head.Revision})
@@ -145,7 +145,7 @@
 	}
 	if r.Status != table.Done {
 		// A withdrawal in doubt needs no mark: what it guards against is in doubt already.
-		p.unknown = p.unknown || (p.phase == phaseCommit && r.Status == table.Unknown)
+		p.maybeCommitted = p.maybeCommitted || (p.phase == phaseCommit && r.Status == table.Unknown)
 		return p.backOff(now)
 	}
 	switch p.phase {
