--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -11,7 +11,7 @@
 func (p *Proposer) commit() []ProposerAction {
 	next, faults := Apply(p.base, p.change)
 	if len(faults) > 0 {
-		return p.settle(Outcome{Result: Rejected, Revision: p.head.Revision, Faults: faults})
+		return p.refuse(Outcome{Result: Rejected, Revision: p.head.Revision, Faults: faults})
 	}
 	p.next = next
 	p.record = Record{Revision: next.Revision, Change: p.change, Chain: NextChain(p.head.Chain, p.change)}
@@ -91,13 +91,13 @@
 		p.rereads++
 		return p.backOff(now)
 	}
-	return p.settle(o)
+	return p.refuse(o)
 }
 
 // settle ends with a refusal once it is certain: after a commit in doubt the
 // change is withdrawn first, so that a late effect can't contradict it; a
 // rejection must have been judged by the head that still stands.
-func (p *Proposer) settle(o Outcome) []ProposerAction {
+func (p *Proposer) refuse(o Outcome) []ProposerAction {
 	p.pending = &o
 	if p.maybeCommitted {
 		return p.request(phaseWithdraw, table.Request{Transaction: &table.Transaction{
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -237,7 +237,7 @@
 		return p.backOff(now)
 	}
 	fault := live.Fault{Path: "expect", Message: "the change expects a revision that does not exist yet"}
-	return p.settle(Outcome{Result: Rejected, Revision: p.head.Revision, Faults: []live.Fault{fault}})
+	return p.refuse(Outcome{Result: Rejected, Revision: p.head.Revision, Faults: []live.Fault{fault}})
 }
 
 // readGap brings base up to the head, a batch at a time, then commits.
