--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -191,7 +191,7 @@
 
 func (p *Proposer) onHead(now time.Duration, r table.Reply) []ProposerAction {
 	if row := r.Row(KeyChange(p.change.ID)); row.Version != 0 {
-		return p.onKnown(row)
+		return p.onExistingChange(row)
 	}
 	row := r.Row(KeyHead)
 	var head Head
@@ -214,7 +214,7 @@
 }
 
 // onKnown ends with what became of the change earlier.
-func (p *Proposer) onKnown(row table.Row) []ProposerAction {
+func (p *Proposer) onExistingChange(row table.Row) []ProposerAction {
 	var known ChangeRow
 	if json.Unmarshal(row.Value, &known) != nil || known.Digest != p.digest {
 		fault := live.Fault{Path: "id", Name: p.change.ID, Message: "the id was used for another change"}
