--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -209,7 +209,7 @@
 	case expect < head.Revision:
 		return p.readConflicts()
 	default:
-		return p.onFuture(now)
+		return p.onFutureExpect(now)
 	}
 }
 
@@ -231,7 +231,7 @@
 }
 
 // onFuture meets a head below Expect: a stale read, or a mistake.
-func (p *Proposer) onFuture(now time.Duration) []ProposerAction {
+func (p *Proposer) onFutureExpect(now time.Duration) []ProposerAction {
 	p.futureReads++
 	if p.futureReads < p.cfg.FutureReads {
 		return p.backOff(now)
