--- a/core/revision/follow_peers.go
+++ b/core/revision/follow_peers.go
@@ -37,7 +37,7 @@
 }
 
 // ask sends a Fetch to one of the peers that are furthest ahead.
-func (f *Follower) ask(now time.Duration) []FollowerAction {
+func (f *Follower) sendFetch(now time.Duration) []FollowerAction {
 	f.fetchAt = never
 	var ahead []id.Daemon
 	for peer, rev := range f.peers {
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -195,7 +195,7 @@
 		f.planFetch(now)
 	}
 	if f.fetch == nil && now >= f.fetchAt {
-		out = append(out, f.ask(now)...)
+		out = append(out, f.sendFetch(now)...)
 	}
 	return out
 }
