--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -44,7 +44,7 @@
 		}
 	}
 	out = append(out, f.installed(from)...)
-	return append(out, f.goOn(now, from)...)
+	return append(out, f.continueRead(now, from)...)
 }
 
 // noteHead keeps the highest head seen; a lower one is a stale read.
@@ -75,7 +75,7 @@
 }
 
 // goOn reads on while the head is ahead and the last read brought something.
-func (f *Follower) goOn(now time.Duration, from uint64) []FollowerAction {
+func (f *Follower) continueRead(now time.Duration, from uint64) []FollowerAction {
 	gap := f.headSeen.Revision > f.doc.Revision
 	moved := f.doc.Revision > from
 	if !gap {
