--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -38,7 +38,7 @@
 		if row.Version == 0 || row.Key == KeyHead {
 			continue
 		}
-		if d := f.takeRow(row); d != nil {
+		if d := f.applyRow(row); d != nil {
 			out = append(out, FollowerAction{Diverged: d})
 			break
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (f *Follower) takeRow(row table.Row) *Diverged {
+func (f *Follower) applyRow(row table.Row) *Diverged {
 	if row.Key == KeySnapshot(f.headSeen.Snapshot) {
 		var s Snapshot
 		if err := json.Unmarshal(row.Value, &s); err != nil {
