--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -71,7 +71,7 @@
 	if err := json.Unmarshal(row.Value, &rec); err != nil {
 		return &Diverged{Revision: f.doc.Revision + 1, Source: sourceStore, Reason: "the record can't be read: " + err.Error()}
 	}
-	return f.takeRecord(rec, sourceStore)
+	return f.applyRecord(rec, sourceStore)
 }
 
 // goOn reads on while the head is ahead and the last read brought something.
@@ -97,7 +97,7 @@
 
 // takeRecord applies the record if it is the next one; older ones are
 // skipped, and one that does not chain to what is in force is refused.
-func (f *Follower) takeRecord(rec Record, source string) *Diverged {
+func (f *Follower) applyRecord(rec Record, source string) *Diverged {
 	if rec.Revision != f.doc.Revision+1 {
 		return nil
 	}
@@ -154,7 +154,7 @@
 		f.takeSnapshot(s)
 	}
 	for _, rec := range records {
-		if d := f.takeRecord(rec, source); d != nil {
+		if d := f.applyRecord(rec, source); d != nil {
 			out = append(out, FollowerAction{Diverged: d})
 			break
 		}
