--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -64,7 +64,7 @@
 		if err := json.Unmarshal(row.Value, &s); err != nil {
 			return &Diverged{Revision: f.headSeen.Snapshot, Source: sourceStore, Reason: "the snapshot can't be read: " + err.Error()}
 		}
-		f.takeSnapshot(&s)
+		f.applySnapshot(&s)
 		return nil
 	}
 	var rec Record
@@ -118,7 +118,7 @@
 }
 
 // takeSnapshot replaces the document by a newer one.
-func (f *Follower) takeSnapshot(s *Snapshot) {
+func (f *Follower) applySnapshot(s *Snapshot) {
 	if s.Document.Revision <= f.doc.Revision {
 		return
 	}
@@ -151,7 +151,7 @@
 	from := f.doc.Revision
 	var out []FollowerAction
 	if s != nil {
-		f.takeSnapshot(s)
+		f.applySnapshot(s)
 	}
 	for _, rec := range records {
 		if d := f.applyRecord(rec, source); d != nil {
