--- a/core/revision/follow_peers.go
+++ b/core/revision/follow_peers.go
@@ -70,7 +70,7 @@
 	f.dropFetch()
 	var out []FollowerAction
 	if !r.Failed {
-		out = f.takeAll(r.Snapshot, r.Records, string(peer))
+		out = f.applyAll(r.Snapshot, r.Records, string(peer))
 	}
 	if f.doc.Revision == before && f.behind() {
 		// It had nothing after all: ask again, but not at once.
--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -144,10 +144,10 @@
 
 // Learn takes a record that this daemon's own proposer saw accepted.
 func (f *Follower) Learn(rec Record) []FollowerAction {
-	return f.takeAll(nil, []Record{rec}, sourceStore)
+	return f.applyAll(nil, []Record{rec}, sourceStore)
 }
 
-func (f *Follower) takeAll(s *Snapshot, records []Record, source string) []FollowerAction {
+func (f *Follower) applyAll(s *Snapshot, records []Record, source string) []FollowerAction {
 	from := f.doc.Revision
 	var out []FollowerAction
 	if s != nil {
