--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -30,7 +30,7 @@
 
 func (f *Follower) onRows(now time.Duration, r table.Reply) []FollowerAction {
 	if f.polling {
-		f.noteHead(r.Row(KeyHead))
+		f.updateHead(r.Row(KeyHead))
 	}
 	from := f.doc.Revision
 	var out []FollowerAction
@@ -48,7 +48,7 @@
 }
 
 // noteHead keeps the highest head seen; a lower one is a stale read.
-func (f *Follower) noteHead(row table.Row) {
+func (f *Follower) updateHead(row table.Row) {
 	var head Head
 	if row.Version != 0 && json.Unmarshal(row.Value, &head) != nil {
 		return
