--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -53,16 +53,16 @@
 	if row.Version != 0 && json.Unmarshal(row.Value, &head) != nil {
 		return
 	}
-	if head.Revision >= f.headSeen.Revision {
-		f.headSeen = head
+	if head.Revision >= f.newestHead.Revision {
+		f.newestHead = head
 	}
 }
 
 func (f *Follower) applyRow(row table.Row) *Diverged {
-	if row.Key == KeySnapshot(f.headSeen.Snapshot) {
+	if row.Key == KeySnapshot(f.newestHead.Snapshot) {
 		var s Snapshot
 		if err := json.Unmarshal(row.Value, &s); err != nil {
-			return &Diverged{Revision: f.headSeen.Snapshot, Source: sourceStore, Reason: "the snapshot can't be read: " + err.Error()}
+			return &Diverged{Revision: f.newestHead.Snapshot, Source: sourceStore, Reason: "the snapshot can't be read: " + err.Error()}
 		}
 		f.applySnapshot(&s)
 		return nil
@@ -76,7 +76,7 @@
 
 // goOn reads on while the head is ahead and the last read brought something.
 func (f *Follower) continueRead(now time.Duration, from uint64) []FollowerAction {
-	gap := f.headSeen.Revision > f.doc.Revision
+	gap := f.newestHead.Revision > f.doc.Revision
 	moved := f.doc.Revision > from
 	if !gap {
 		f.confirmed = true
@@ -88,10 +88,10 @@
 		f.planPoll(now)
 		return nil
 	}
-	if f.headSeen.Revision-f.doc.Revision > f.cfg.SnapshotGap && f.headSeen.Snapshot > f.doc.Revision {
-		return []FollowerAction{f.read([]string{KeySnapshot(f.headSeen.Snapshot)}, false)}
+	if f.newestHead.Revision-f.doc.Revision > f.cfg.SnapshotGap && f.newestHead.Snapshot > f.doc.Revision {
+		return []FollowerAction{f.read([]string{KeySnapshot(f.newestHead.Snapshot)}, false)}
 	}
-	last := min(f.headSeen.Revision, f.doc.Revision+uint64(f.cfg.Batch))
+	last := min(f.newestHead.Revision, f.doc.Revision+uint64(f.cfg.Batch))
 	return []FollowerAction{f.read(revisionKeys(f.doc.Revision+1, last), false)}
 }
 
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -106,16 +106,16 @@
 	history   []Record
 	documents []*live.Document
 
-	started   time.Duration
-	storeUp   bool
-	confirmed bool
-	failed    bool
-	seq       uint64
-	reading   bool
-	nextPoll  time.Duration
-	pause     time.Duration
-	headSeen  Head
-	polling   bool
+	started    time.Duration
+	storeUp    bool
+	confirmed  bool
+	failed     bool
+	seq        uint64
+	reading    bool
+	nextPoll   time.Duration
+	pause      time.Duration
+	newestHead Head
+	polling    bool
 
 	peers     map[id.Daemon]uint64
 	highest   uint64
