--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -20,7 +20,7 @@
 	f.reading = false
 	if r.Status != table.Done {
 		f.storeUp = false
-		f.failed = true
+		f.readFailed = true
 		f.planRetry(now)
 		return nil
 	}
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -109,7 +109,7 @@
 	started    time.Duration
 	storeUp    bool
 	confirmed  bool
-	failed     bool
+	readFailed bool
 	seq        uint64
 	reading    bool
 	nextPoll   time.Duration
@@ -163,7 +163,7 @@
 	if f.confirmed {
 		return newest || waited
 	}
-	return f.failed && waited && newest && f.doc.Revision > 0
+	return f.readFailed && waited && newest && f.doc.Revision > 0
 }
 
 // Newest tells whether no later document is known of: what this one doesn't hold
