--- a/core/revision/follow_peers.go
+++ b/core/revision/follow_peers.go
@@ -49,8 +49,8 @@
 		return nil
 	}
 	slices.Sort(ahead)
-	f.seqFetch++
-	f.fetch = &Fetch{Seq: f.seqFetch, Peer: ahead[f.rng.IntN(len(ahead))], After: f.doc.Revision}
+	f.fetchSeq++
+	f.fetch = &Fetch{Seq: f.fetchSeq, Peer: ahead[f.rng.IntN(len(ahead))], After: f.doc.Revision}
 	f.fetchEnds = now + f.cfg.PeerTimeout
 	ask := *f.fetch
 	return []FollowerAction{{Fetch: &ask}}
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -122,7 +122,7 @@
 	fetch     *Fetch
 	fetchAt   time.Duration
 	fetchEnds time.Duration
-	seqFetch  uint64
+	fetchSeq  uint64
 }
 
 // NewFollower returns a follower with the empty configuration.
