--- a/core/revision/follow_peers.go
+++ b/core/revision/follow_peers.go
@@ -51,14 +51,14 @@
 	slices.Sort(ahead)
 	f.fetchSeq++
 	f.fetch = &Fetch{Seq: f.fetchSeq, Peer: ahead[f.rng.IntN(len(ahead))], After: f.doc.Revision}
-	f.fetchEnds = now + f.cfg.PeerTimeout
+	f.fetchDeadline = now + f.cfg.PeerTimeout
 	ask := *f.fetch
 	return []FollowerAction{{Fetch: &ask}}
 }
 
 func (f *Follower) dropFetch() {
 	f.fetch = nil
-	f.fetchEnds = never
+	f.fetchDeadline = never
 }
 
 // HandlePeer takes a peer's answer to the last Fetch; others are ignored.
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -117,28 +117,28 @@
 	newestHead Head
 	polling    bool
 
-	peers     map[id.Daemon]uint64
-	highest   uint64
-	fetch     *Fetch
-	fetchAt   time.Duration
-	fetchEnds time.Duration
-	fetchSeq  uint64
+	peers         map[id.Daemon]uint64
+	highest       uint64
+	fetch         *Fetch
+	fetchAt       time.Duration
+	fetchDeadline time.Duration
+	fetchSeq      uint64
 }
 
 // NewFollower returns a follower with the empty configuration.
 func NewFollower(cfg FollowerConfig, now time.Duration, rng *rand.Rand) *Follower {
 	doc := &live.Document{}
 	return &Follower{
-		cfg:       cfg,
-		rng:       rng,
-		doc:       doc,
-		documents: []*live.Document{doc},
-		started:   now,
-		nextPoll:  now,
-		pause:     cfg.Poll,
-		peers:     map[id.Daemon]uint64{},
-		fetchAt:   never,
-		fetchEnds: never,
+		cfg:           cfg,
+		rng:           rng,
+		doc:           doc,
+		documents:     []*live.Document{doc},
+		started:       now,
+		nextPoll:      now,
+		pause:         cfg.Poll,
+		peers:         map[id.Daemon]uint64{},
+		fetchAt:       never,
+		fetchDeadline: never,
 	}
 }
 
@@ -177,7 +177,7 @@
 
 // Next is when Tick is due.
 func (f *Follower) Next() time.Duration {
-	next := min(f.fetchAt, f.fetchEnds)
+	next := min(f.fetchAt, f.fetchDeadline)
 	if !f.reading {
 		next = min(next, f.nextPoll)
 	}
@@ -190,7 +190,7 @@
 	if !f.reading && now >= f.nextPoll {
 		out = append(out, f.poll())
 	}
-	if f.fetch != nil && now >= f.fetchEnds {
+	if f.fetch != nil && now >= f.fetchDeadline {
 		f.dropFetch()
 		f.planFetch(now)
 	}
