--- a/core/revision/follow_peers.go
+++ b/core/revision/follow_peers.go
@@ -14,16 +14,16 @@
 		return
 	}
 	f.peers[peer] = rev
-	f.highest = max(f.highest, rev)
+	f.highestPeerRevision = max(f.highestPeerRevision, rev)
 	f.planFetch(now)
 }
 
 // PeerGone forgets a peer that is dead.
 func (f *Follower) PeerGone(peer id.Daemon) {
 	delete(f.peers, peer)
-	f.highest = 0
+	f.highestPeerRevision = 0
 	for _, rev := range f.peers {
-		f.highest = max(f.highest, rev)
+		f.highestPeerRevision = max(f.highestPeerRevision, rev)
 	}
 }
 
@@ -41,7 +41,7 @@
 	f.fetchAt = never
 	var ahead []id.Daemon
 	for peer, rev := range f.peers {
-		if rev == f.highest && rev > f.doc.Revision {
+		if rev == f.highestPeerRevision && rev > f.doc.Revision {
 			ahead = append(ahead, peer)
 		}
 	}
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -117,12 +117,12 @@
 	newestHead Head
 	polling    bool
 
-	peers         map[id.Daemon]uint64
-	highest       uint64
-	fetch         *Fetch
-	fetchAt       time.Duration
-	fetchDeadline time.Duration
-	fetchSeq      uint64
+	peers               map[id.Daemon]uint64
+	highestPeerRevision uint64
+	fetch               *Fetch
+	fetchAt             time.Duration
+	fetchDeadline       time.Duration
+	fetchSeq            uint64
 }
 
 // NewFollower returns a follower with the empty configuration.
@@ -173,7 +173,7 @@
 }
 
 // behind tells whether a peer has a later document.
-func (f *Follower) behind() bool { return f.highest > f.doc.Revision }
+func (f *Follower) behind() bool { return f.highestPeerRevision > f.doc.Revision }
 
 // Next is when Tick is due.
 func (f *Follower) Next() time.Duration {
