--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -20,7 +20,7 @@
 	MaxBackoff time.Duration
 	// Ahead is how many records behind the known one each poll asks for, so
 	// that a single change needs no second read.
-	Ahead int
+	ReadAhead int
 	// Batch bounds the records of one read or one answer to a peer.
 	Batch int
 	// SnapshotGap is the gap from which a snapshot is fetched instead.
@@ -43,7 +43,7 @@
 		Poll:        time.Second,
 		PollJitter:  0.5,
 		MaxBackoff:  4 * time.Second,
-		Ahead:       4,
+		ReadAhead:   4,
 		Batch:       64,
 		SnapshotGap: 128,
 		History:     1024,
@@ -217,7 +217,7 @@
 // poll reads the head and the few records behind the known one.
 func (f *Follower) poll() FollowerAction {
 	keys := []string{KeyHead}
-	keys = append(keys, revisionKeys(f.doc.Revision+1, f.doc.Revision+uint64(f.cfg.Ahead))...)
+	keys = append(keys, revisionKeys(f.doc.Revision+1, f.doc.Revision+uint64(f.cfg.ReadAhead))...)
 	return f.read(keys, true)
 }
 
