--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -21,7 +21,7 @@
 
 // planted is a fault put into the automaton's surroundings, to prove that the
 // checks can fail.
-type planted func(q *table.Request, r *table.Reply)
+type injectedFault func(q *table.Request, r *table.Reply)
 
 // configState is the sequential model: the accepted ids in order, and which
 // teams exist.
@@ -84,7 +84,7 @@
 type run struct {
 	clock   *tabletest.Clock
 	model   *tabletest.Model
-	plant   planted
+	plant   injectedFault
 	history []porcupine.Operation
 	stamp   int64
 	bases   []*Follower
@@ -193,7 +193,7 @@
 }
 
 // simulate makes a history with faults, then lets the followers come up.
-func simulate(t *testing.T, seed uint64, plant planted) *run {
+func simulate(t *testing.T, seed uint64, plant injectedFault) *run {
 	clock := tabletest.NewClock(seed)
 	r := &run{clock: clock, model: tabletest.New(clock), plant: plant}
 	r.model.Faults = tabletest.Faults{LoseRequest: 0.1, LoseReply: 0.15, Late: 0.1, Stale: 0.2}
@@ -259,7 +259,7 @@
 }
 
 func TestTheCheckFindsPlantedFaults(t *testing.T) {
-	plants := map[string]planted{
+	plants := map[string]injectedFault{
 		"a lost reply taken for not run": func(_ *table.Request, reply *table.Reply) {
 			if reply.Status == table.Unknown {
 				reply.Status = table.NotRun
