--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -84,7 +84,7 @@
 type run struct {
 	clock   *tabletest.Clock
 	model   *tabletest.Model
-	plant   injectedFault
+	fault   injectedFault
 	history []porcupine.Operation
 	stamp   int64
 	bases   []*Follower
@@ -92,8 +92,8 @@
 
 func (r *run) do(q table.Request, done func(table.Reply)) {
 	r.model.Do(q, func(reply table.Reply) {
-		if r.plant != nil {
-			r.plant(&q, &reply)
+		if r.fault != nil {
+			r.fault(&q, &reply)
 		}
 		done(reply)
 	})
@@ -195,7 +195,7 @@
 // simulate makes a history with faults, then lets the followers come up.
 func simulate(t *testing.T, seed uint64, plant injectedFault) *run {
 	clock := tabletest.NewClock(seed)
-	r := &run{clock: clock, model: tabletest.New(clock), plant: plant}
+	r := &run{clock: clock, model: tabletest.New(clock), fault: plant}
 	r.model.Faults = tabletest.Faults{LoseRequest: 0.1, LoseReply: 0.15, Late: 0.1, Stale: 0.2}
 	for range 2 {
 		f := NewFollower(DefaultFollowerConfig(), 0, clock.Random)
