--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -82,12 +82,12 @@
 
 // run is one randomised history.
 type run struct {
-	clock   *tabletest.Clock
-	model   *tabletest.Model
-	fault   injectedFault
-	history []porcupine.Operation
-	stamp   int64
-	bases   []*Follower
+	clock     *tabletest.Clock
+	model     *tabletest.Model
+	fault     injectedFault
+	history   []porcupine.Operation
+	stamp     int64
+	followers []*Follower
 }
 
 func (r *run) do(q table.Request, done func(table.Reply)) {
@@ -105,7 +105,7 @@
 func (r *run) propose(client int, c Change, resent bool, then func(Outcome)) {
 	cfg := DefaultProposerConfig()
 	cfg.Deadline, cfg.SnapshotEvery = 2*time.Second, 4
-	p := NewProposer(cfg, c, r.bases[client%len(r.bases)].Current(), r.clock.Random)
+	p := NewProposer(cfg, c, r.followers[client%len(r.followers)].Current(), r.clock.Random)
 	if resent {
 		p.Resent()
 	}
@@ -160,7 +160,7 @@
 		op = Op{Action: ActionDelete, Kind: live.KindTeam, Name: name}
 	}
 	if r.clock.Random.IntN(2) == 0 {
-		c.Expect = r.bases[client%len(r.bases)].Current().Revision
+		c.Expect = r.followers[client%len(r.followers)].Current().Revision
 	}
 	c.Ops = []Op{op}
 	return c
@@ -199,7 +199,7 @@
 	r.model.Faults = tabletest.Faults{LoseRequest: 0.1, LoseReply: 0.15, Late: 0.1, Stale: 0.2}
 	for range 2 {
 		f := NewFollower(DefaultFollowerConfig(), 0, clock.Random)
-		r.bases = append(r.bases, f)
+		r.followers = append(r.followers, f)
 		if plant == nil {
 			r.follow(t, f)
 		}
@@ -248,7 +248,7 @@
 			results[op.Output.(Outcome).Result]++
 		}
 		want := replay(t, r.model)
-		for _, f := range r.bases {
+		for _, f := range r.followers {
 			is.Equal(f.Current(), want) // every follower is at the head, with the very same document
 		}
 	}
