--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-func (r *run) next() int64 { r.stamp++; return r.stamp }
+func (r *run) nextStamp() int64 { r.stamp++; return r.stamp }
 
 // propose drives one proposer to its outcome.
 func (r *run) propose(client int, c Change, resent bool, then func(Outcome)) {
@@ -109,7 +109,7 @@
 	if resent {
 		p.Resent()
 	}
-	called := r.next()
+	called := r.nextStamp()
 	var act func([]ProposerAction)
 	arm := func() {
 		if !p.Done() {
@@ -122,7 +122,7 @@
 				r.do(*a.Request, func(reply table.Reply) { act(p.Handle(r.clock.Now(), reply)) })
 				continue
 			}
-			returned := r.next()
+			returned := r.nextStamp()
 			if a.Outcome.Result == Unresolved {
 				returned = 1 << 60 // it may take effect at any later time
 			}
