--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -49,7 +49,7 @@
 }
 
 // steps is the sequential specification of one proposal.
-func steps(state, input, output any) []any {
+func stepModel(state, input, output any) []any {
 	s, c, o := state.(configState), input.(Change), output.(Outcome)
 	next, ok := s.accept(c)
 	same := []any{s}
@@ -76,7 +76,7 @@
 
 var configModel = (&porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{configState{}} },
-	Step:  steps,
+	Step:  stepModel,
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
