--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-func fed(n int) *Follower {
+func followerAt(n int) *Follower {
 	f := NewFollower(DefaultFollowerConfig(), 0, source())
 	for _, r := range records(n) {
 		f.Learn(r)
@@ -44,7 +44,7 @@
 
 func TestApplyIsWholeOrNotAtAll(t *testing.T) {
 	is := is.New(t)
-	doc := fed(2).Current()
+	doc := followerAt(2).Current()
 	before := string(encode(doc))
 	c := putTeam(7)
 	c.Ops = append(c.Ops, Op{Action: ActionDelete, Kind: live.KindPool, Name: "none"}, Op{Action: "odd", Kind: live.KindTeam, Name: "t0"})
@@ -64,7 +64,7 @@
 
 func TestLabelsAreSetAndRemoved(t *testing.T) {
 	is := is.New(t)
-	doc := fed(1).Current()
+	doc := followerAt(1).Current()
 	label := func(l live.Labels) Change {
 		return Change{ID: "l", Ops: []Op{{Action: ActionLabel, Kind: live.KindTeam, Name: "t0", Labels: l}}}
 	}
@@ -85,7 +85,7 @@
 		is.NoErr(cbor.Unmarshal(raw, &back))
 		is.Equal(Digest(back.Records[0].Change), Digest(r.Change))
 	}
-	f := fed(3)
+	f := followerAt(3)
 	bad := records(5)[3]
 	bad.Change.Ops[0].Item = json.RawMessage(`{"weight": 3}`)
 	actions := f.Learn(bad)
@@ -95,7 +95,7 @@
 
 func TestFollowerNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	f := fed(5)
+	f := followerAt(5)
 	read := f.Tick(0)[0].Request
 	old := Head{Revision: 2, ChangeID: "c1"}
 	rows := []table.Row{{Key: KeyHead, Value: encode(old), Version: 9}, {Key: KeyRevision(2), Value: encode(records(2)[1]), Version: 8}}
@@ -104,7 +104,7 @@
 	f.PeerRevision(0, "peer", 9)
 	ask := f.Tick(time.Second)
 	fetch := ask[len(ask)-1].Fetch
-	older := fed(3)
+	older := followerAt(3)
 	snapshot := &Snapshot{Document: *older.Current(), Chain: older.Chain()}
 	is.Equal(len(f.HandlePeer(time.Second, FetchReply{Seq: fetch.Seq, Snapshot: snapshot})), 0)
 	is.Equal(f.Current().Revision, uint64(5))
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	cfg := DefaultFollowerConfig()
 	f := NewFollower(cfg, 0, source())
-	peers := map[id.Daemon]*Follower{"a": fed(10), "b": fed(200)}
+	peers := map[id.Daemon]*Follower{"a": followerAt(10), "b": followerAt(200)}
 	peers["b"].history = peers["b"].history[150:] // it no longer has them all
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
 		f.PeerRevision(now, "a", 10)
@@ -160,7 +160,7 @@
 }
 
 func BenchmarkFollowerTakesChange(b *testing.B) {
-	f := fed(900)
+	f := followerAt(900)
 	next := records(901)[900]
 	doc, chain := f.doc, f.chain
 	for b.Loop() {
