--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -15,7 +15,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func putTeam(n int) Change {
 	op := Op{Action: ActionPut, Kind: live.KindTeam, Name: fmt.Sprintf("t%d", n), Item: json.RawMessage(`{"weight": 2}`)}
@@ -35,7 +35,7 @@
 }
 
 func followerAt(n int) *Follower {
-	f := NewFollower(DefaultFollowerConfig(), 0, source())
+	f := NewFollower(DefaultFollowerConfig(), 0, newRand())
 	for _, r := range records(n) {
 		f.Learn(r)
 	}
@@ -113,7 +113,7 @@
 func TestStoreDownAtStartTakesTheNewestPeer(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultFollowerConfig()
-	f := NewFollower(cfg, 0, source())
+	f := NewFollower(cfg, 0, newRand())
 	peers := map[id.Daemon]*Follower{"a": followerAt(10), "b": followerAt(200)}
 	peers["b"].history = peers["b"].history[150:] // it no longer has them all
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
