--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -42,7 +42,7 @@
 	return f
 }
 
-func TestApplyIsWholeOrNotAtAll(t *testing.T) {
+func TestApplyIsAllOrNothing(t *testing.T) {
 	is := is.New(t)
 	doc := followerAt(2).Current()
 	before := string(encode(doc))
