--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -76,7 +76,7 @@
 	is.Equal(Overlap(label(nil), putTeam(0)), []string{"team/t0"})
 }
 
-func TestRecordsSurviveTheWireAndChain(t *testing.T) {
+func TestRecordsRoundTripAndChainIsChecked(t *testing.T) {
 	is := is.New(t)
 	for _, r := range records(3) {
 		raw, err := cbor.Marshal(FetchReply{Records: []Record{r}})
