--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -93,7 +93,7 @@
 	is.Equal(f.Current().Revision, uint64(3))
 }
 
-func TestFollowerNeverGoesBack(t *testing.T) {
+func TestFollowerNeverInstallsOlderRevision(t *testing.T) {
 	is := is.New(t)
 	f := followerAt(5)
 	read := f.Tick(0)[0].Request
