--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -110,7 +110,7 @@
 	is.Equal(f.Current().Revision, uint64(5))
 }
 
-func TestStoreDownAtStartTakesTheNewestPeer(t *testing.T) {
+func TestStoreDownAtStartUsesNewestPeer(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultFollowerConfig()
 	f := NewFollower(cfg, 0, newRand())
