--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -137,7 +137,7 @@
 	is.Equal(len(diff), 200)
 }
 
-func TestNoStampedeAfterAnOutage(t *testing.T) {
+func TestPollRateIsBoundedAfterOutage(t *testing.T) {
 	is := is.New(t)
 	const daemons = 420
 	perSecond := map[int]int{}
