--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -258,7 +258,7 @@
 	t.Logf("outcomes: %v", results)
 }
 
-func TestTheCheckFindsPlantedFaults(t *testing.T) {
+func TestCheckerDetectsInjectedFaults(t *testing.T) {
 	plants := map[string]injectedFault{
 		"a lost reply taken for not run": func(_ *table.Request, reply *table.Reply) {
 			if reply.Status == table.Unknown {
