--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-func BenchmarkFollowerTakesChange(b *testing.B) {
+func BenchmarkFollowerAppliesChange(b *testing.B) {
 	f := followerAt(900)
 	next := records(901)[900]
 	doc, chain := f.doc, f.chain
