--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -14,11 +14,11 @@
 )
 
 // seedsVariable multiplies the number of seeds of randomised tests.
-const seedsVariable = "SAMPHIREQUAY_SEEDS"
+const seedsEnv = "SAMPHIREQUAY_SEEDS"
 
 // Seeds returns n times what the environment asks for (default 1).
 func Seeds(n int) uint64 {
-	times, err := strconv.Atoi(os.Getenv(seedsVariable))
+	times, err := strconv.Atoi(os.Getenv(seedsEnv))
 	if err != nil || times < 1 {
 		times = 1
 	}
