--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -27,9 +27,9 @@
 
 // event is a function that is due.
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
 // events orders by time, then by when they were planned.
@@ -40,7 +40,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].order < e[j].order
+	return e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -74,7 +74,7 @@
 // At plans a function; one in the past runs next.
 func (c *Clock) At(at time.Duration, run func()) {
 	c.order++
-	heap.Push(&c.queue, event{at: max(at, c.now), order: c.order, run: run})
+	heap.Push(&c.queue, event{at: max(at, c.now), seq: c.order, run: run})
 }
 
 // After plans a function.
