--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -58,7 +58,7 @@
 // Clock runs events in the order of their times.
 type Clock struct {
 	now    time.Duration
-	order  uint64
+	seq    uint64
 	queue  events
 	Random *rand.Rand
 }
@@ -73,8 +73,8 @@
 
 // At plans a function; one in the past runs next.
 func (c *Clock) At(at time.Duration, run func()) {
-	c.order++
-	heap.Push(&c.queue, event{at: max(at, c.now), seq: c.order, run: run})
+	c.seq++
+	heap.Push(&c.queue, event{at: max(at, c.now), seq: c.seq, run: run})
 }
 
 // After plans a function.
