--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -116,7 +116,7 @@
 const lag = time.Second
 
 // written is one version of a row.
-type written struct {
+type rowVersion struct {
 	at  time.Duration
 	row table.Row
 }
@@ -125,12 +125,12 @@
 type Model struct {
 	Faults Faults
 	clock  *Clock
-	rows   map[string][]written
+	rows   map[string][]rowVersion
 	last   uint64
 }
 
 // New returns an empty table.
-func New(c *Clock) *Model { return &Model{clock: c, rows: map[string][]written{}} }
+func New(c *Clock) *Model { return &Model{clock: c, rows: map[string][]rowVersion{}} }
 
 // Row returns a row as it is now.
 func (m *Model) Row(key string) table.Row { return m.rowAt(key, m.clock.now) }
@@ -207,7 +207,7 @@
 		if p.Delete {
 			row = table.Row{Key: p.Key}
 		}
-		m.rows[p.Key] = append(m.rows[p.Key], written{at: m.clock.now, row: row})
+		m.rows[p.Key] = append(m.rows[p.Key], rowVersion{at: m.clock.now, row: row})
 		r.Versions = append(r.Versions, row.Version)
 	}
 	return r
