--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -110,7 +110,7 @@
 }
 
 // timeout is when a caller gives up.
-const timeout = 200 * time.Millisecond
+const callTimeout = 200 * time.Millisecond
 
 // lag bounds how old a stale read is, and how late a late effect.
 const lag = time.Second
@@ -153,20 +153,20 @@
 		if r.IntN(2) == 0 {
 			status = table.Unknown
 		}
-		m.clock.After(m.clock.Upto(timeout), func() { done(table.Reply{Seq: q.Seq, Status: status}) })
+		m.clock.After(m.clock.Upto(callTimeout), func() { done(table.Reply{Seq: q.Seq, Status: status}) })
 		return
 	}
 	lost := func() { done(table.Reply{Seq: q.Seq, Status: table.Unknown}) }
-	there, back := m.clock.Upto(timeout/8), m.clock.Upto(timeout/8)
+	there, back := m.clock.Upto(callTimeout/8), m.clock.Upto(callTimeout/8)
 	switch x := r.Float64(); {
 	case x < f.LoseRequest:
-		m.clock.After(timeout, lost)
+		m.clock.After(callTimeout, lost)
 	case x < f.LoseRequest+f.LoseReply:
 		m.clock.After(there, func() { m.run(q) })
-		m.clock.After(timeout, lost)
+		m.clock.After(callTimeout, lost)
 	case x < f.LoseRequest+f.LoseReply+f.Late:
-		m.clock.After(timeout, lost)
-		m.clock.After(timeout+m.clock.Upto(lag), func() { m.run(q) })
+		m.clock.After(callTimeout, lost)
+		m.clock.After(callTimeout+m.clock.Upto(lag), func() { m.run(q) })
 	default:
 		m.clock.After(there, func() {
 			reply := m.run(q)
