--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -113,7 +113,7 @@
 const callTimeout = 200 * time.Millisecond
 
 // lag bounds how old a stale read is, and how late a late effect.
-const lag = time.Second
+const maxLag = time.Second
 
 // written is one version of a row.
 type rowVersion struct {
@@ -166,7 +166,7 @@
 		m.clock.After(callTimeout, lost)
 	case x < f.LoseRequest+f.LoseReply+f.Late:
 		m.clock.After(callTimeout, lost)
-		m.clock.After(callTimeout+m.clock.Upto(lag), func() { m.run(q) })
+		m.clock.After(callTimeout+m.clock.Upto(maxLag), func() { m.run(q) })
 	default:
 		m.clock.After(there, func() {
 			reply := m.run(q)
@@ -181,7 +181,7 @@
 	}
 	at := m.clock.now
 	if m.clock.Random.Float64() < m.Faults.Stale {
-		at -= m.clock.Upto(lag)
+		at -= m.clock.Upto(maxLag)
 	}
 	r := table.Reply{Seq: q.Seq, Status: table.Done}
 	for _, k := range q.Keys {
