--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -123,10 +123,10 @@
 
 // Model is the table.
 type Model struct {
-	Faults Faults
-	clock  *Clock
-	rows   map[string][]rowVersion
-	last   uint64
+	Faults      Faults
+	clock       *Clock
+	rows        map[string][]rowVersion
+	lastVersion uint64
 }
 
 // New returns an empty table.
@@ -202,8 +202,8 @@
 	}
 	r.Applied = true
 	for _, p := range q.Transaction.Puts {
-		m.last++
-		row := table.Row{Key: p.Key, Value: p.Value, Version: m.last}
+		m.lastVersion++
+		row := table.Row{Key: p.Key, Value: p.Value, Version: m.lastVersion}
 		if p.Delete {
 			row = table.Row{Key: p.Key}
 		}
