--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -58,7 +58,7 @@
 }
 
 func (w *world) start(cfg Config, self id.Process) *process {
-	p := &process{w: w, self: self, offset: w.clock.Upto(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
+	p := &process{w: w, self: self, offset: w.clock.RandomDuration(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
 	p.lease = New(cfg, "placement", self, p.now(), w.clock.Random)
 	p.gate = NewOrderGate(GateConfig{LongestOrder: w.longest}, p.lease)
 	w.processes = append(w.processes, p)
@@ -123,7 +123,7 @@
 		return
 	}
 	fence := p.gate.Fence()
-	w.clock.After(w.clock.Upto(w.longest), func() {
+	w.clock.After(w.clock.RandomDuration(w.longest), func() {
 		w.endpoint.orders++
 		if fence < w.endpoint.fence {
 			w.endpoint.reverted++
@@ -171,14 +171,14 @@
 	p := w.processes[i]
 	switch r.IntN(6) {
 	case 0, 1:
-		p.paused = w.clock.Now() + w.clock.Upto(12*time.Second)
+		p.paused = w.clock.Now() + w.clock.RandomDuration(12*time.Second)
 	case 2:
 		p.dead = true
 		w.processes = append(w.processes[:i:i], w.processes[i+1:]...)
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
 	case 3:
 		w.model.Faults.Down = true
-		w.clock.After(w.clock.Upto(15*time.Second), func() { w.model.Faults.Down = false })
+		w.clock.After(w.clock.RandomDuration(15*time.Second), func() { w.model.Faults.Down = false })
 	case 4:
 		p.awake(func() { p.act(p.lease.Halt(p.now())) })
 	default:
@@ -188,7 +188,7 @@
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
 	}
 	w.check()
-	w.clock.After(w.clock.Upto(6*time.Second), func() { w.trouble(cfg, until) })
+	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.trouble(cfg, until) })
 }
 
 func history(seed uint64, cfg Config, strip bool) *world {
--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -145,10 +145,10 @@
 	}
 	r.propose(client, c, tries > 0, func(o Outcome) {
 		if o.Result == Unresolved && tries < 3 {
-			r.clock.After(r.clock.Upto(time.Second), func() { r.operator(client+1, left, tries+1, c) })
+			r.clock.After(r.clock.RandomDuration(time.Second), func() { r.operator(client+1, left, tries+1, c) })
 			return
 		}
-		r.clock.After(r.clock.Upto(time.Second), func() { r.operator(client, left-1, 0, Change{}) })
+		r.clock.After(r.clock.RandomDuration(time.Second), func() { r.operator(client, left-1, 0, Change{}) })
 	})
 }
 
@@ -205,11 +205,11 @@
 		}
 	}
 	for client := range 3 {
-		clock.After(clock.Upto(time.Second), func() { r.operator(10*client, 3, 0, Change{}) })
+		clock.After(clock.RandomDuration(time.Second), func() { r.operator(10*client, 3, 0, Change{}) })
 	}
-	down := clock.Upto(4 * time.Second)
+	down := clock.RandomDuration(4 * time.Second)
 	clock.At(down, func() { r.model.Faults.Down = true })
-	clock.At(down+clock.Upto(3*time.Second), func() { r.model.Faults.Down = false })
+	clock.At(down+clock.RandomDuration(3*time.Second), func() { r.model.Faults.Down = false })
 	// The last operator has ended by then; late effects and backoffs run out.
 	clock.At(40*time.Second, func() { r.model.Faults = tabletest.Faults{} })
 	clock.Run(50 * time.Second)
--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -81,7 +81,7 @@
 func (c *Clock) After(d time.Duration, run func()) { c.At(c.now+d, run) }
 
 // Upto returns a random duration below d.
-func (c *Clock) Upto(d time.Duration) time.Duration {
+func (c *Clock) RandomDuration(d time.Duration) time.Duration {
 	return time.Duration(c.Random.Int64N(int64(max(d, 1))))
 }
 
@@ -153,11 +153,11 @@
 		if r.IntN(2) == 0 {
 			status = table.Unknown
 		}
-		m.clock.After(m.clock.Upto(callTimeout), func() { done(table.Reply{Seq: q.Seq, Status: status}) })
+		m.clock.After(m.clock.RandomDuration(callTimeout), func() { done(table.Reply{Seq: q.Seq, Status: status}) })
 		return
 	}
 	lost := func() { done(table.Reply{Seq: q.Seq, Status: table.Unknown}) }
-	there, back := m.clock.Upto(callTimeout/8), m.clock.Upto(callTimeout/8)
+	there, back := m.clock.RandomDuration(callTimeout/8), m.clock.RandomDuration(callTimeout/8)
 	switch x := r.Float64(); {
 	case x < f.LoseRequest:
 		m.clock.After(callTimeout, lost)
@@ -166,7 +166,7 @@
 		m.clock.After(callTimeout, lost)
 	case x < f.LoseRequest+f.LoseReply+f.Late:
 		m.clock.After(callTimeout, lost)
-		m.clock.After(callTimeout+m.clock.Upto(maxLag), func() { m.run(q) })
+		m.clock.After(callTimeout+m.clock.RandomDuration(maxLag), func() { m.run(q) })
 	default:
 		m.clock.After(there, func() {
 			reply := m.run(q)
@@ -181,7 +181,7 @@
 	}
 	at := m.clock.now
 	if m.clock.Random.Float64() < m.Faults.Stale {
-		at -= m.clock.Upto(maxLag)
+		at -= m.clock.RandomDuration(maxLag)
 	}
 	r := table.Reply{Seq: q.Seq, Status: table.Done}
 	for _, k := range q.Keys {
