--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -107,7 +107,7 @@
 const (
 	phaseWait phase = iota
 	phaseRead
-	phaseTake
+	phaseAcquire
 	phaseRenew
 	phaseRelease
 	phaseStopped
@@ -273,7 +273,7 @@
 func (l *Lease) take(now time.Duration) Action {
 	l.taking = l.seen.Fence + 1
 	l.previous = l.seen
-	return l.write(now, phaseTake, Row{Holder: l.self, Fence: l.taking, TTL: l.cfg.TTL, Beat: l.seen.Beat + 1})
+	return l.write(now, phaseAcquire, Row{Holder: l.self, Fence: l.taking, TTL: l.cfg.TTL, Beat: l.seen.Beat + 1})
 }
 
 func (l *Lease) renew(now time.Duration) Action {
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -16,7 +16,7 @@
 	switch l.phase {
 	case phaseRead:
 		return l.onRead(now, r)
-	case phaseTake, phaseRenew:
+	case phaseAcquire, phaseRenew:
 		return l.onWrite(now, r)
 	case phaseRelease:
 		return l.onRelease(now, r)
