--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -270,7 +270,7 @@
 	}})
 }
 
-func (l *Lease) take(now time.Duration) Action {
+func (l *Lease) acquire(now time.Duration) Action {
 	l.taking = l.seen.Fence + 1
 	l.previous = l.seen
 	return l.write(now, phaseAcquire, Row{Holder: l.self, Fence: l.taking, TTL: l.cfg.TTL, Beat: l.seen.Beat + 1})
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -104,7 +104,7 @@
 	case l.held != 0:
 		return l.checkHeld(now)
 	case l.free(now):
-		return []Action{l.take(now)}
+		return []Action{l.acquire(now)}
 	default:
 		l.wait(now, l.watchPause(now))
 		return nil
