--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -148,8 +148,8 @@
 	doubt   bool
 	// taking is the fencing number of the last take; 0 once it was lost or
 	// given up. previous is who held the row before.
-	taking   uint64
-	previous Row
+	acquiringFence uint64
+	previous       Row
 }
 
 // New returns a contender for the duty. Its first read is due at now plus a
@@ -242,7 +242,7 @@
 
 func (l *Lease) lose(reason string) Action {
 	lost := &Lost{Fence: l.held, Reason: reason}
-	l.held, l.taking = 0, 0
+	l.held, l.acquiringFence = 0, 0
 	return Action{Lost: lost}
 }
 
@@ -271,9 +271,9 @@
 }
 
 func (l *Lease) acquire(now time.Duration) Action {
-	l.taking = l.seen.Fence + 1
+	l.acquiringFence = l.seen.Fence + 1
 	l.previous = l.seen
-	return l.write(now, phaseAcquire, Row{Holder: l.self, Fence: l.taking, TTL: l.cfg.TTL, Beat: l.seen.Beat + 1})
+	return l.write(now, phaseAcquire, Row{Holder: l.self, Fence: l.acquiringFence, TTL: l.cfg.TTL, Beat: l.seen.Beat + 1})
 }
 
 func (l *Lease) renew(now time.Duration) Action {
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -54,7 +54,7 @@
 		l.until = max(l.until, trust)
 		return nil
 	}
-	if l.taking == 0 || trust <= now {
+	if l.acquiringFence == 0 || trust <= now {
 		// A renewal for a lease that was given up meanwhile, or known too late.
 		return nil
 	}
