--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -149,7 +149,7 @@
 	// taking is the fencing number of the last take; 0 once it was lost or
 	// given up. previous is who held the row before.
 	acquiringFence uint64
-	previous       Row
+	previousRow    Row
 }
 
 // New returns a contender for the duty. Its first read is due at now plus a
@@ -272,7 +272,7 @@
 
 func (l *Lease) acquire(now time.Duration) Action {
 	l.acquiringFence = l.seen.Fence + 1
-	l.previous = l.seen
+	l.previousRow = l.seen
 	return l.write(now, phaseAcquire, Row{Holder: l.self, Fence: l.acquiringFence, TTL: l.cfg.TTL, Beat: l.seen.Beat + 1})
 }
 
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -65,12 +65,12 @@
 // acquired tells of a take that took effect, and what the former holder may yet
 // have on its way.
 func (l *Lease) acquired() *Acquired {
-	former := l.previous.Holder
+	former := l.previousRow.Holder
 	return &Acquired{
 		Fence:    l.held,
 		Previous: former,
 		Own:      former != (id.Process{}) && l.ownFormer(former),
-		Quiet:    former == (id.Process{}) && l.previous.Quiet,
+		Quiet:    former == (id.Process{}) && l.previousRow.Quiet,
 		Lapsed:   former != (id.Process{}) && former != l.self && !l.ownFormer(former),
 	}
 }
