--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -59,12 +59,12 @@
 		return nil
 	}
 	l.held, l.until = l.seen.Fence, trust
-	return []Action{{Acquired: l.acquired()}}
+	return []Action{{Acquired: l.newAcquired()}}
 }
 
 // acquired tells of a take that took effect, and what the former holder may yet
 // have on its way.
-func (l *Lease) acquired() *Acquired {
+func (l *Lease) newAcquired() *Acquired {
 	former := l.previousRow.Holder
 	return &Acquired{
 		Fence:    l.held,
