--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -139,8 +139,8 @@
 	watched bool
 
 	// held is the fencing number held; 0 for none. until is when trust ends.
-	held  uint64
-	until time.Duration
+	heldFence uint64
+	until     time.Duration
 	// wanted is the row that the last write writes; wroteAt is when it was
 	// sent, and doubt is set while its effect is unknown.
 	wanted  Row
@@ -162,10 +162,10 @@
 
 // Valid tells whether this process may act on the duty right now. It must be
 // asked right before each order, with the time read right then.
-func (l *Lease) Valid(now time.Duration) bool { return l.held != 0 && now < l.until }
+func (l *Lease) Valid(now time.Duration) bool { return l.heldFence != 0 && now < l.until }
 
 // Fence returns the fencing number held; 0 for none.
-func (l *Lease) Fence() uint64 { return l.held }
+func (l *Lease) Fence() uint64 { return l.heldFence }
 
 // Holder returns the duty's row as last seen, for status pages.
 func (l *Lease) Holder() Row { return l.seen }
@@ -179,7 +179,7 @@
 	if l.phase == phaseWait {
 		next = l.due
 	}
-	if l.held != 0 {
+	if l.heldFence != 0 {
 		next = min(next, l.until)
 	}
 	return next
@@ -188,13 +188,13 @@
 // Tick does what is due: read, renew, or stop for want of a renewal.
 func (l *Lease) Tick(now time.Duration) []Action {
 	var out []Action
-	if l.held != 0 && now >= l.until {
+	if l.heldFence != 0 && now >= l.until {
 		out = append(out, l.lose("it was not renewed in time"))
 	}
 	if l.phase != phaseWait || now < l.due {
 		return out
 	}
-	if l.held != 0 {
+	if l.heldFence != 0 {
 		return append(out, l.renew(now))
 	}
 	return append(out, l.read())
@@ -209,7 +209,7 @@
 	}
 	l.stopping = true
 	l.quiet = quiet
-	if l.held == 0 {
+	if l.heldFence == 0 {
 		if l.phase == phaseWait && !l.doubt {
 			l.phase = phaseStopped
 		}
@@ -226,7 +226,7 @@
 // Poke brings a contender's next read forward, as when the holder is known to
 // be leaving.
 func (l *Lease) Poke(now time.Duration) {
-	if l.held == 0 && l.phase == phaseWait && !l.stopping {
+	if l.heldFence == 0 && l.phase == phaseWait && !l.stopping {
 		l.due = min(l.due, now+time.Duration(l.rng.Float64()*float64(l.cfg.WatchEvery)/8))
 	}
 }
@@ -234,15 +234,15 @@
 // Halt stops trusting the lease at once, as when this process was declared
 // dead; it contends again as any other.
 func (l *Lease) Halt(now time.Duration) []Action {
-	if l.held == 0 {
+	if l.heldFence == 0 {
 		return nil
 	}
 	return []Action{l.lose("halted")}
 }
 
 func (l *Lease) lose(reason string) Action {
-	lost := &Lost{Fence: l.held, Reason: reason}
-	l.held, l.acquiringFence = 0, 0
+	lost := &Lost{Fence: l.heldFence, Reason: reason}
+	l.heldFence, l.acquiringFence = 0, 0
 	return Action{Lost: lost}
 }
 
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -50,7 +50,7 @@
 	}
 	trust := l.wroteAt + time.Duration(l.cfg.Safety*float64(l.cfg.TTL))
 	l.wait(now, l.cfg.RenewEvery)
-	if l.held != 0 {
+	if l.heldFence != 0 {
 		l.until = max(l.until, trust)
 		return nil
 	}
@@ -58,7 +58,7 @@
 		// A renewal for a lease that was given up meanwhile, or known too late.
 		return nil
 	}
-	l.held, l.until = l.seen.Fence, trust
+	l.heldFence, l.until = l.seen.Fence, trust
 	return []Action{{Acquired: l.newAcquired()}}
 }
 
@@ -67,7 +67,7 @@
 func (l *Lease) newAcquired() *Acquired {
 	former := l.previousRow.Holder
 	return &Acquired{
-		Fence:    l.held,
+		Fence:    l.heldFence,
 		Previous: former,
 		Own:      former != (id.Process{}) && l.ownFormer(former),
 		Quiet:    former == (id.Process{}) && l.previousRow.Quiet,
@@ -101,7 +101,7 @@
 		return l.written(now)
 	case l.stopping:
 		return l.settleStop(now)
-	case l.held != 0:
+	case l.heldFence != 0:
 		return l.checkHeld(now)
 	case l.free(now):
 		return []Action{l.acquire(now)}
@@ -114,7 +114,7 @@
 // checkHeld goes on after a renewal did not take effect as far as this read
 // tells: if the row is still this holder's, it renews again.
 func (l *Lease) checkHeld(now time.Duration) []Action {
-	if l.seen.Holder == l.self && l.seen.Fence == l.held {
+	if l.seen.Holder == l.self && l.seen.Fence == l.heldFence {
 		l.wait(now, l.cfg.RenewEvery/4)
 		return nil
 	}
@@ -164,7 +164,7 @@
 // retryLater backs off; a holder, or one that stops, tries again sooner.
 func (l *Lease) retryLater(now time.Duration) {
 	l.backOff(now)
-	if l.held != 0 || l.stopping {
+	if l.heldFence != 0 || l.stopping {
 		l.due = min(l.due, now+l.cfg.RenewEvery/4)
 	}
 }
