--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -139,8 +139,8 @@
 	watched bool
 
 	// held is the fencing number held; 0 for none. until is when trust ends.
-	heldFence uint64
-	until     time.Duration
+	heldFence    uint64
+	trustedUntil time.Duration
 	// wanted is the row that the last write writes; wroteAt is when it was
 	// sent, and doubt is set while its effect is unknown.
 	wanted  Row
@@ -162,7 +162,7 @@
 
 // Valid tells whether this process may act on the duty right now. It must be
 // asked right before each order, with the time read right then.
-func (l *Lease) Valid(now time.Duration) bool { return l.heldFence != 0 && now < l.until }
+func (l *Lease) Valid(now time.Duration) bool { return l.heldFence != 0 && now < l.trustedUntil }
 
 // Fence returns the fencing number held; 0 for none.
 func (l *Lease) Fence() uint64 { return l.heldFence }
@@ -180,7 +180,7 @@
 		next = l.due
 	}
 	if l.heldFence != 0 {
-		next = min(next, l.until)
+		next = min(next, l.trustedUntil)
 	}
 	return next
 }
@@ -188,7 +188,7 @@
 // Tick does what is due: read, renew, or stop for want of a renewal.
 func (l *Lease) Tick(now time.Duration) []Action {
 	var out []Action
-	if l.heldFence != 0 && now >= l.until {
+	if l.heldFence != 0 && now >= l.trustedUntil {
 		out = append(out, l.lose("it was not renewed in time"))
 	}
 	if l.phase != phaseWait || now < l.due {
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -304,7 +304,7 @@
 func TestALapseThatCoversOrdersOpensTheGateAtOnce(t *testing.T) {
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
-		l := &Lease{heldFence: 2, until: time.Hour}
+		l := &Lease{heldFence: 2, trustedUntil: time.Hour}
 		g := NewOrderGate(GateConfig{LongestOrder: 4 * time.Second, LapseCovers: covers}, l)
 		g.Acquired(time.Minute, Acquired{Fence: 2, Lapsed: true})
 		is.Equal(g.Allow(time.Minute, "e", false) == Wait, !covers)
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -51,14 +51,14 @@
 	trust := l.wroteAt + time.Duration(l.cfg.Safety*float64(l.cfg.TTL))
 	l.wait(now, l.cfg.RenewEvery)
 	if l.heldFence != 0 {
-		l.until = max(l.until, trust)
+		l.trustedUntil = max(l.trustedUntil, trust)
 		return nil
 	}
 	if l.acquiringFence == 0 || trust <= now {
 		// A renewal for a lease that was given up meanwhile, or known too late.
 		return nil
 	}
-	l.heldFence, l.until = l.seen.Fence, trust
+	l.heldFence, l.trustedUntil = l.seen.Fence, trust
 	return []Action{{Acquired: l.newAcquired()}}
 }
 
