--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -143,9 +143,9 @@
 	trustedUntil time.Duration
 	// wanted is the row that the last write writes; wroteAt is when it was
 	// sent, and doubt is set while its effect is unknown.
-	wanted  Row
-	wroteAt time.Duration
-	doubt   bool
+	pendingRow Row
+	wroteAt    time.Duration
+	doubt      bool
 	// taking is the fencing number of the last take; 0 once it was lost or
 	// given up. previous is who held the row before.
 	acquiringFence uint64
@@ -259,7 +259,7 @@
 
 // write replaces the row as last seen by wanted.
 func (l *Lease) write(now time.Duration, ph phase, wanted Row) Action {
-	l.wanted, l.wroteAt, l.doubt = wanted, now, false
+	l.pendingRow, l.wroteAt, l.doubt = wanted, now, false
 	value, err := json.Marshal(wanted)
 	if err != nil {
 		panic("lease: a row can't be encoded: " + err.Error())
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -30,7 +30,7 @@
 func (l *Lease) onWrite(now time.Duration, r table.Reply) []Action {
 	switch {
 	case r.Status == table.Done && r.Applied && len(r.Versions) > 0:
-		l.seen, l.version, l.since = l.wanted, r.Versions[0], now
+		l.seen, l.version, l.since = l.pendingRow, r.Versions[0], now
 		l.watched = true
 		return l.written(now)
 	case r.Status == table.NotRun:
@@ -97,7 +97,7 @@
 		l.seen, l.version = value, row.Version
 	}
 	switch {
-	case l.doubt && l.seen == l.wanted:
+	case l.doubt && l.seen == l.pendingRow:
 		return l.written(now)
 	case l.stopping:
 		return l.settleStop(now)
@@ -150,7 +150,7 @@
 func (l *Lease) onRelease(now time.Duration, r table.Reply) []Action {
 	switch {
 	case r.Status == table.Done && r.Applied:
-		l.seen = l.wanted
+		l.seen = l.pendingRow
 		l.phase = phaseStopped
 		return nil
 	case r.Status == table.NotRun:
