--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -145,7 +145,7 @@
 	// sent, and doubt is set while its effect is unknown.
 	pendingRow Row
 	wroteAt    time.Duration
-	doubt      bool
+	uncertain  bool
 	// taking is the fencing number of the last take; 0 once it was lost or
 	// given up. previous is who held the row before.
 	acquiringFence uint64
@@ -210,7 +210,7 @@
 	l.stopping = true
 	l.quiet = quiet
 	if l.heldFence == 0 {
-		if l.phase == phaseWait && !l.doubt {
+		if l.phase == phaseWait && !l.uncertain {
 			l.phase = phaseStopped
 		}
 		return nil
@@ -259,7 +259,7 @@
 
 // write replaces the row as last seen by wanted.
 func (l *Lease) write(now time.Duration, ph phase, wanted Row) Action {
-	l.pendingRow, l.wroteAt, l.doubt = wanted, now, false
+	l.pendingRow, l.wroteAt, l.uncertain = wanted, now, false
 	value, err := json.Marshal(wanted)
 	if err != nil {
 		panic("lease: a row can't be encoded: " + err.Error())
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -37,14 +37,14 @@
 		l.retryLater(now)
 		return nil
 	default:
-		l.doubt = r.Status == table.Unknown || r.Applied
+		l.uncertain = r.Status == table.Unknown || r.Applied
 		return []Action{l.read()}
 	}
 }
 
 // written goes on after a take or renewal took effect, at l.wroteAt or later.
 func (l *Lease) written(now time.Duration) []Action {
-	l.doubt = false
+	l.uncertain = false
 	if l.stopping {
 		return []Action{l.release(now)}
 	}
@@ -97,7 +97,7 @@
 		l.seen, l.version = value, row.Version
 	}
 	switch {
-	case l.doubt && l.seen == l.pendingRow:
+	case l.uncertain && l.seen == l.pendingRow:
 		return l.written(now)
 	case l.stopping:
 		return l.settleStop(now)
