--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -136,7 +136,7 @@
 	version uint64
 	since   time.Duration
 	// watched is set once since counts.
-	watched bool
+	observed bool
 
 	// held is the fencing number held; 0 for none. until is when trust ends.
 	heldFence    uint64
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -31,7 +31,7 @@
 	switch {
 	case r.Status == table.Done && r.Applied && len(r.Versions) > 0:
 		l.seen, l.version, l.since = l.pendingRow, r.Versions[0], now
-		l.watched = true
+		l.observed = true
 		return l.written(now)
 	case r.Status == table.NotRun:
 		l.retryLater(now)
@@ -87,13 +87,13 @@
 	row := r.Row(Key(l.duty))
 	var value Row
 	bad := row.Version != 0 && json.Unmarshal(row.Value, &value) != nil
-	if r.Status != table.Done || bad || (l.watched && row.Version < l.version) {
+	if r.Status != table.Done || bad || (l.observed && row.Version < l.version) {
 		l.retryLater(now)
 		return nil
 	}
-	if !l.watched || row.Version > l.version {
+	if !l.observed || row.Version > l.version {
 		// The row may have changed right up to the reply.
-		l.watched, l.since = true, now
+		l.observed, l.since = true, now
 		l.seen, l.version = value, row.Version
 	}
 	switch {
