--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -132,9 +132,9 @@
 
 	// seen is the row as last read, with its version; since is when that
 	// version was first seen.
-	seen    Row
-	version uint64
-	since   time.Duration
+	seen           Row
+	version        uint64
+	unchangedSince time.Duration
 	// watched is set once since counts.
 	observed bool
 
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -30,7 +30,7 @@
 func (l *Lease) onWrite(now time.Duration, r table.Reply) []Action {
 	switch {
 	case r.Status == table.Done && r.Applied && len(r.Versions) > 0:
-		l.seen, l.version, l.since = l.pendingRow, r.Versions[0], now
+		l.seen, l.version, l.unchangedSince = l.pendingRow, r.Versions[0], now
 		l.observed = true
 		return l.written(now)
 	case r.Status == table.NotRun:
@@ -93,7 +93,7 @@
 	}
 	if !l.observed || row.Version > l.version {
 		// The row may have changed right up to the reply.
-		l.observed, l.since = true, now
+		l.observed, l.unchangedSince = true, now
 		l.seen, l.version = value, row.Version
 	}
 	switch {
@@ -129,12 +129,12 @@
 	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.ownFormer(l.seen.Holder) {
 		return true
 	}
-	return now-l.since >= l.seen.TTL+l.cfg.Margin
+	return now-l.unchangedSince >= l.seen.TTL+l.cfg.Margin
 }
 
 // watchPause reads again soon enough to take a lapsed lease without delay.
 func (l *Lease) watchPause(now time.Duration) time.Duration {
-	left := l.since + l.seen.TTL + l.cfg.Margin - now
+	left := l.unchangedSince + l.seen.TTL + l.cfg.Margin - now
 	return max(min(l.cfg.WatchEvery, left), l.cfg.WatchEvery/8)
 }
 
