--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -32,7 +32,7 @@
 	case r.Status == table.Done && r.Applied && len(r.Versions) > 0:
 		l.seen, l.version, l.unchangedSince = l.pendingRow, r.Versions[0], now
 		l.observed = true
-		return l.written(now)
+		return l.onWritten(now)
 	case r.Status == table.NotRun:
 		l.retryLater(now)
 		return nil
@@ -43,7 +43,7 @@
 }
 
 // written goes on after a take or renewal took effect, at l.wroteAt or later.
-func (l *Lease) written(now time.Duration) []Action {
+func (l *Lease) onWritten(now time.Duration) []Action {
 	l.uncertain = false
 	if l.stopping {
 		return []Action{l.release(now)}
@@ -98,7 +98,7 @@
 	}
 	switch {
 	case l.uncertain && l.seen == l.pendingRow:
-		return l.written(now)
+		return l.onWritten(now)
 	case l.stopping:
 		return l.settleStop(now)
 	case l.heldFence != 0:
