--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -103,7 +103,7 @@
 		return l.settleStop(now)
 	case l.heldFence != 0:
 		return l.checkHeld(now)
-	case l.free(now):
+	case l.available(now):
 		return []Action{l.acquire(now)}
 	default:
 		l.wait(now, l.watchPause(now))
@@ -125,7 +125,7 @@
 // free tells whether the duty may be taken: never held, released, this
 // process's own or its ended predecessor's, or unchanged for the whole lease by
 // its own clock.
-func (l *Lease) free(now time.Duration) bool {
+func (l *Lease) available(now time.Duration) bool {
 	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.ownFormer(l.seen.Holder) {
 		return true
 	}
