--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -69,15 +69,15 @@
 	return &Acquired{
 		Fence:    l.heldFence,
 		Previous: former,
-		Own:      former != (id.Process{}) && l.ownFormer(former),
+		Own:      former != (id.Process{}) && l.isFormerSelf(former),
 		Quiet:    former == (id.Process{}) && l.previousRow.Quiet,
-		Lapsed:   former != (id.Process{}) && former != l.self && !l.ownFormer(former),
+		Lapsed:   former != (id.Process{}) && former != l.self && !l.isFormerSelf(former),
 	}
 }
 
 // ownFormer tells whether a process is an earlier one of this daemon, which has
 // ended.
-func (l *Lease) ownFormer(p id.Process) bool {
+func (l *Lease) isFormerSelf(p id.Process) bool {
 	return l.cfg.FormerEnded && p.Daemon == l.self.Daemon && p.Incarnation < l.self.Incarnation
 }
 
@@ -126,7 +126,7 @@
 // process's own or its ended predecessor's, or unchanged for the whole lease by
 // its own clock.
 func (l *Lease) available(now time.Duration) bool {
-	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.ownFormer(l.seen.Holder) {
+	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.isFormerSelf(l.seen.Holder) {
 		return true
 	}
 	return now-l.unchangedSince >= l.seen.TTL+l.cfg.Margin
