--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -100,7 +100,7 @@
 	case l.uncertain && l.seen == l.pendingRow:
 		return l.onWritten(now)
 	case l.stopping:
-		return l.settleStop(now)
+		return l.finishRelease(now)
 	case l.heldFence != 0:
 		return l.checkHeld(now)
 	case l.available(now):
@@ -139,7 +139,7 @@
 }
 
 // settleStop releases the row if it is this process's, else stops.
-func (l *Lease) settleStop(now time.Duration) []Action {
+func (l *Lease) finishRelease(now time.Duration) []Action {
 	if l.seen.Holder == l.self {
 		return []Action{l.release(now)}
 	}
