--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -54,8 +54,8 @@
 	cfg   GateConfig
 	lease *Lease
 	// quiet is when the last order of the former holder can have arrived.
-	quiet time.Duration
-	fence uint64
+	waitUntil time.Duration
+	fence     uint64
 	// read holds the endpoints whose state was read back under this fence.
 	read map[id.Endpoint]bool
 }
@@ -72,9 +72,9 @@
 func (g *OrderGate) Acquired(now time.Duration, a Acquired) {
 	g.fence = a.Fence
 	g.read = map[id.Endpoint]bool{}
-	g.quiet = now + g.cfg.LongestOrder
+	g.waitUntil = now + g.cfg.LongestOrder
 	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseCovers) {
-		g.quiet = now
+		g.waitUntil = now
 	}
 }
 
@@ -86,7 +86,7 @@
 		return Closed
 	case checksFencing:
 		return Open
-	case now < g.quiet:
+	case now < g.waitUntil:
 		return Wait
 	case !g.read[endpoint]:
 		return ReadBack
@@ -98,7 +98,7 @@
 // Repaired notes that the endpoint's state was read after the wait; what
 // differs from what is desired is ordered anew, which opens the gate for it.
 func (g *OrderGate) Repaired(now time.Duration, endpoint id.Endpoint) {
-	if now >= g.quiet {
+	if now >= g.waitUntil {
 		g.read[endpoint] = true
 	}
 }
