--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -57,12 +57,12 @@
 	waitUntil time.Duration
 	fence     uint64
 	// read holds the endpoints whose state was read back under this fence.
-	read map[id.Endpoint]bool
+	readBack map[id.Endpoint]bool
 }
 
 // NewOrderGate returns the gate of a lease.
 func NewOrderGate(cfg GateConfig, l *Lease) *OrderGate {
-	return &OrderGate{cfg: cfg, lease: l, read: map[id.Endpoint]bool{}}
+	return &OrderGate{cfg: cfg, lease: l, readBack: map[id.Endpoint]bool{}}
 }
 
 // Acquired starts a new holding. The former holder stopped trusting its lease
@@ -71,7 +71,7 @@
 // still be on the way, unless it says that none is.
 func (g *OrderGate) Acquired(now time.Duration, a Acquired) {
 	g.fence = a.Fence
-	g.read = map[id.Endpoint]bool{}
+	g.readBack = map[id.Endpoint]bool{}
 	g.waitUntil = now + g.cfg.LongestOrder
 	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseCovers) {
 		g.waitUntil = now
@@ -88,7 +88,7 @@
 		return Open
 	case now < g.waitUntil:
 		return Wait
-	case !g.read[endpoint]:
+	case !g.readBack[endpoint]:
 		return ReadBack
 	default:
 		return Open
@@ -99,7 +99,7 @@
 // differs from what is desired is ordered anew, which opens the gate for it.
 func (g *OrderGate) Repaired(now time.Duration, endpoint id.Endpoint) {
 	if now >= g.waitUntil {
-		g.read[endpoint] = true
+		g.readBack[endpoint] = true
 	}
 }
 
