--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -72,18 +72,18 @@
 }
 
 // awake runs a function once the process runs again, unless it died.
-func (p *process) awake(run func()) {
+func (p *process) runWhenActive(run func()) {
 	switch {
 	case p.dead:
 	case p.w.clock.Now() < p.paused:
-		p.w.clock.At(p.paused, func() { p.awake(run) })
+		p.w.clock.At(p.paused, func() { p.runWhenActive(run) })
 	default:
 		run()
 	}
 }
 
 func (p *process) tick() {
-	p.awake(func() {
+	p.runWhenActive(func() {
 		p.act(p.lease.Tick(p.now()))
 		p.order()
 	})
@@ -101,7 +101,7 @@
 				q.Transaction = &table.Transaction{Puts: q.Transaction.Puts}
 			}
 			p.w.model.Do(q, func(r table.Reply) {
-				p.awake(func() { p.act(p.lease.Handle(p.now(), r)) })
+				p.runWhenActive(func() { p.act(p.lease.Handle(p.now(), r)) })
 			})
 		case a.Acquired != nil:
 			p.acquired++
@@ -180,9 +180,9 @@
 		w.model.Faults.Down = true
 		w.clock.After(w.clock.RandomDuration(15*time.Second), func() { w.model.Faults.Down = false })
 	case 4:
-		p.awake(func() { p.act(p.lease.Halt(p.now())) })
+		p.runWhenActive(func() { p.act(p.lease.Halt(p.now())) })
 	default:
-		p.awake(func() { p.act(p.lease.Release(p.now(), false)) })
+		p.runWhenActive(func() { p.act(p.lease.Release(p.now(), false)) })
 		w.clock.After(10*time.Second, func() { p.dead = true })
 		w.processes = append(w.processes[:i:i], w.processes[i+1:]...)
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
