--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -32,7 +32,7 @@
 	fence  uint64
 	orders int
 	// reverted counts orders of a former holder that came after a later one's.
-	reverted int
+	staleOrders int
 }
 
 // world runs processes against one table and one endpoint.
@@ -126,7 +126,7 @@
 	w.clock.After(w.clock.RandomDuration(w.longest), func() {
 		w.endpoint.orders++
 		if fence < w.endpoint.fence {
-			w.endpoint.reverted++
+			w.endpoint.staleOrders++
 		}
 		w.endpoint.fence = max(w.endpoint.fence, fence)
 	})
@@ -221,7 +221,7 @@
 		w := history(seed, DefaultConfig(), false)
 		is.Equal(w.overlaps, 0)
 		is.True(w.monotone())
-		is.Equal(w.endpoint.reverted, 0)
+		is.Equal(w.endpoint.staleOrders, 0)
 		is.True(w.holder() != nil) // somebody holds it once the faults are over
 		acquired += len(w.fences)
 		orders += w.endpoint.orders
