--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -42,10 +42,10 @@
 	processes []*process
 	endpoint  endpoint
 	// strip takes the conditions off all transactions: a planted fault.
-	strip    bool
-	fences   []uint64
-	overlaps int
-	longest  time.Duration
+	dropConditions bool
+	fences         []uint64
+	overlaps       int
+	longest        time.Duration
 }
 
 func newWorld(seed uint64, cfg Config, n int) *world {
@@ -97,7 +97,7 @@
 		switch {
 		case a.Request != nil:
 			q := *a.Request
-			if p.w.strip && q.Transaction != nil {
+			if p.w.dropConditions && q.Transaction != nil {
 				q.Transaction = &table.Transaction{Puts: q.Transaction.Puts}
 			}
 			p.w.model.Do(q, func(r table.Reply) {
@@ -193,7 +193,7 @@
 
 func history(seed uint64, cfg Config, strip bool) *world {
 	w := newWorld(seed, cfg, 3)
-	w.strip = strip
+	w.dropConditions = strip
 	w.model.Faults = tabletest.Faults{LoseRequest: 0.08, LoseReply: 0.1, Late: 0.08, Stale: 0.15}
 	w.trouble(cfg, 60*time.Second)
 	w.clock.Run(90 * time.Second)
