--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -45,12 +45,12 @@
 	dropConditions bool
 	fences         []uint64
 	overlaps       int
-	longest        time.Duration
+	maxOrderDelay  time.Duration
 }
 
 func newWorld(seed uint64, cfg Config, n int) *world {
 	clock := tabletest.NewClock(seed)
-	w := &world{clock: clock, model: tabletest.New(clock), longest: 2 * time.Second}
+	w := &world{clock: clock, model: tabletest.New(clock), maxOrderDelay: 2 * time.Second}
 	for i := range n {
 		w.start(cfg, id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1})
 	}
@@ -60,7 +60,7 @@
 func (w *world) start(cfg Config, self id.Process) *process {
 	p := &process{w: w, self: self, offset: w.clock.RandomDuration(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
 	p.lease = New(cfg, "placement", self, p.now(), w.clock.Random)
-	p.gate = NewOrderGate(GateConfig{LongestOrder: w.longest}, p.lease)
+	p.gate = NewOrderGate(GateConfig{LongestOrder: w.maxOrderDelay}, p.lease)
 	w.processes = append(w.processes, p)
 	p.tick()
 	return p
@@ -123,7 +123,7 @@
 		return
 	}
 	fence := p.gate.Fence()
-	w.clock.After(w.clock.RandomDuration(w.longest), func() {
+	w.clock.After(w.clock.RandomDuration(w.maxOrderDelay), func() {
 		w.endpoint.orders++
 		if fence < w.endpoint.fence {
 			w.endpoint.staleOrders++
