--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -109,7 +109,7 @@
 			p.gate.Acquired(p.now(), *a.Acquired)
 		}
 	}
-	p.w.check()
+	p.w.checkOverlap()
 }
 
 // order gives the endpoint an order if the gate is open; it arrives late.
@@ -133,7 +133,7 @@
 }
 
 // check counts the moments at which two processes would both act.
-func (w *world) check() {
+func (w *world) checkOverlap() {
 	valid := 0
 	for _, p := range w.processes {
 		if !p.dead && p.lease.Valid(p.now()) {
@@ -187,7 +187,7 @@
 		w.processes = append(w.processes[:i:i], w.processes[i+1:]...)
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
 	}
-	w.check()
+	w.checkOverlap()
 	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.trouble(cfg, until) })
 }
 
