--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -155,7 +155,7 @@
 }
 
 // trouble pauses, kills, replaces and releases at random.
-func (w *world) trouble(cfg Config, until time.Duration) {
+func (w *world) injectFaults(cfg Config, until time.Duration) {
 	r := w.clock.Random
 	if w.clock.Now() >= until {
 		return
@@ -188,14 +188,14 @@
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
 	}
 	w.checkOverlap()
-	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.trouble(cfg, until) })
+	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.injectFaults(cfg, until) })
 }
 
 func history(seed uint64, cfg Config, strip bool) *world {
 	w := newWorld(seed, cfg, 3)
 	w.dropConditions = strip
 	w.model.Faults = tabletest.Faults{LoseRequest: 0.08, LoseReply: 0.1, Late: 0.08, Stale: 0.15}
-	w.trouble(cfg, 60*time.Second)
+	w.injectFaults(cfg, 60*time.Second)
 	w.clock.Run(90 * time.Second)
 	w.model.Faults = tabletest.Faults{}
 	for _, p := range w.processes {
