--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -205,7 +205,7 @@
 	return w
 }
 
-func (w *world) monotone() bool {
+func (w *world) fencesIncrease() bool {
 	for i := 1; i < len(w.fences); i++ {
 		if w.fences[i] <= w.fences[i-1] {
 			return false
@@ -220,7 +220,7 @@
 	for seed := range tabletest.Seeds(120) {
 		w := history(seed, DefaultConfig(), false)
 		is.Equal(w.overlaps, 0)
-		is.True(w.monotone())
+		is.True(w.fencesIncrease())
 		is.Equal(w.endpoint.staleOrders, 0)
 		is.True(w.holder() != nil) // somebody holds it once the faults are over
 		acquired += len(w.fences)
@@ -239,7 +239,7 @@
 	} {
 		found := 0
 		for seed := range uint64(20) {
-			if w := plant(seed); w.overlaps > 0 || !w.monotone() {
+			if w := plant(seed); w.overlaps > 0 || !w.fencesIncrease() {
 				found++
 			}
 		}
