--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -191,7 +191,7 @@
 	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.injectFaults(cfg, until) })
 }
 
-func history(seed uint64, cfg Config, strip bool) *world {
+func simulate(seed uint64, cfg Config, strip bool) *world {
 	w := newWorld(seed, cfg, 3)
 	w.dropConditions = strip
 	w.model.Faults = tabletest.Faults{LoseRequest: 0.08, LoseReply: 0.1, Late: 0.08, Stale: 0.15}
@@ -218,7 +218,7 @@
 	is := is.New(t)
 	acquired, orders := 0, 0
 	for seed := range tabletest.Seeds(120) {
-		w := history(seed, DefaultConfig(), false)
+		w := simulate(seed, DefaultConfig(), false)
 		is.Equal(w.overlaps, 0)
 		is.True(w.fencesIncrease())
 		is.Equal(w.endpoint.staleOrders, 0)
@@ -234,8 +234,8 @@
 	long := DefaultConfig()
 	long.Safety = 1.6 // the holder trusts its lease for longer than it lasts
 	for name, plant := range map[string]func(seed uint64) *world{
-		"no conditions": func(seed uint64) *world { return history(seed, DefaultConfig(), true) },
-		"no safety":     func(seed uint64) *world { return history(seed, long, false) },
+		"no conditions": func(seed uint64) *world { return simulate(seed, DefaultConfig(), true) },
+		"no safety":     func(seed uint64) *world { return simulate(seed, long, false) },
 	} {
 		found := 0
 		for seed := range uint64(20) {
