--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -214,7 +214,7 @@
 	return true
 }
 
-func TestAtMostOneHolderWithGrowingFences(t *testing.T) {
+func TestAtMostOneHolderAndIncreasingFences(t *testing.T) {
 	is := is.New(t)
 	acquired, orders := 0, 0
 	for seed := range tabletest.Seeds(120) {
