--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -230,7 +230,7 @@
 	t.Logf("%d acquisitions, %d orders", acquired, orders)
 }
 
-func TestTheChecksFindPlantedFaults(t *testing.T) {
+func TestChecksDetectInjectedFaults(t *testing.T) {
 	long := DefaultConfig()
 	long.Safety = 1.6 // the holder trusts its lease for longer than it lasts
 	for name, plant := range map[string]func(seed uint64) *world{
