--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+func TestReleaseHandsOverImmediately(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, DefaultConfig(), 3)
 	w.clock.Run(10 * time.Second)
