--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -268,7 +268,7 @@
 
 // TestAQuietReleaseOpensTheGateAtOnce: no order of the former holder can still
 // be on its way.
-func TestAQuietReleaseOpensTheGateAtOnce(t *testing.T) {
+func TestQuietReleaseOpensGateImmediately(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, DefaultConfig(), 3)
 	w.clock.Run(10 * time.Second)
