--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -282,7 +282,7 @@
 
 // TestAnEndedPredecessorsLeaseNeedNotLapse: a restarted daemon takes its former
 // process's lease at its first read; another daemon waits for it to lapse.
-func TestAnEndedPredecessorsLeaseNeedNotLapse(t *testing.T) {
+func TestRestartedDaemonTakesItsFormerLease(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.FormerEnded = true
