--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -301,7 +301,7 @@
 }
 
 // TestALapseThatCoversOrdersOpensTheGateAtOnce, and only then.
-func TestALapseThatCoversOrdersOpensTheGateAtOnce(t *testing.T) {
+func TestLapseCoveringOrdersOpensGateImmediately(t *testing.T) {
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
 		l := &Lease{heldFence: 2, trustedUntil: time.Hour}
