--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -326,7 +326,7 @@
 	is.True(next.lease.Fence() > h.gate.Fence())
 }
 
-func TestStoreOutageLetsTheLeaseLapseSafely(t *testing.T) {
+func TestLeaseLapsesSafelyDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	w := newWorld(3, cfg, 3)
