--- a/core/live/check.go
+++ b/core/live/check.go
@@ -67,7 +67,7 @@
 }
 
 // at starts the check of one item: its name must be proper and new.
-func (c *checker) at(kind Kind, list string, i int, name string, names map[string]bool) item {
+func (c *checker) newItem(kind Kind, list string, i int, name string, names map[string]bool) item {
 	it := item{c: c, kind: kind, path: fmt.Sprintf("%s[%d]", list, i), name: name, names: names}
 	if msg := nameFault(name); msg != "" {
 		it.fault("name", "%s", msg)
@@ -125,7 +125,7 @@
 	names := map[string]bool{}
 	hashes := map[apikey.Hash]bool{}
 	for i, t := range doc.Teams {
-		it := c.at(KindTeam, "teams", i, string(t.Name), names)
+		it := c.newItem(KindTeam, "teams", i, string(t.Name), names)
 		it.labels(t.Labels)
 		it.keyHashes(t, hashes)
 		it.between("weight", t.Weight, 0.001, 1e6)
@@ -156,7 +156,7 @@
 func (c *checker) pools(doc *Document) {
 	names := map[string]bool{}
 	for i, p := range doc.Pools {
-		it := c.at(KindPool, "pools", i, string(p.Name), names)
+		it := c.newItem(KindPool, "pools", i, string(p.Name), names)
 		it.labels(p.Labels)
 		it.selector("endpoint_selector", p.EndpointSelector)
 		if p.EndpointSelector == "" {
@@ -177,7 +177,7 @@
 	}
 	names := map[string]bool{}
 	for i, s := range doc.Services {
-		it := c.at(KindService, "services", i, string(s.Name), names)
+		it := c.newItem(KindService, "services", i, string(s.Name), names)
 		it.labels(s.Labels)
 		it.serviceType(s, pools[s.Pool])
 		it.selector("team_selector", s.TeamSelector)
@@ -210,7 +210,7 @@
 	names := map[string]bool{}
 	addresses := map[string]bool{}
 	for i, e := range doc.Endpoints {
-		it := c.at(KindEndpoint, "endpoints", i, string(e.Name), names)
+		it := c.newItem(KindEndpoint, "endpoints", i, string(e.Name), names)
 		it.labels(e.Labels)
 		it.address(e.Address, addresses)
 		if e.Domain == "" {
@@ -246,7 +246,7 @@
 func (c *checker) links(doc *Document) {
 	names := map[string]bool{}
 	for i, l := range doc.Links {
-		it := c.at(KindLink, "links", i, l.Name, names)
+		it := c.newItem(KindLink, "links", i, l.Name, names)
 		if l.From == "" || l.To == "" {
 			it.fault("from", "a link needs both failure domains")
 		}
