--- a/core/live/check.go
+++ b/core/live/check.go
@@ -85,7 +85,7 @@
 }
 
 // between wants low <= v <= high.
-func (it item) between(field string, v, low, high float64) {
+func (it item) inRange(field string, v, low, high float64) {
 	// Written so that NaN is a fault as well.
 	if !(v >= low && v <= high) {
 		it.fault(field, "%v is not between %v and %v", v, low, high)
@@ -128,13 +128,13 @@
 		it := c.newItem(KindTeam, "teams", i, string(t.Name), names)
 		it.labels(t.Labels)
 		it.keyHashes(t, hashes)
-		it.between("weight", t.Weight, 0.001, 1e6)
-		it.between("max_in_flight", float64(t.MaxInFlight), 1, 1e6)
-		it.between("max_body_bytes", float64(t.MaxBodyBytes), 1, MaxBody)
-		it.between("retry_per_second", t.RetryPerSecond, 0, 1e6)
-		it.between("limit_per_second", t.LimitPerSecond, 0, 1e12)
-		it.between("limit_burst", t.LimitBurst, 0, 1e12)
-		it.between("limit_plain_tokens", t.LimitPlainTokens, 0, 1e9)
+		it.inRange("weight", t.Weight, 0.001, 1e6)
+		it.inRange("max_in_flight", float64(t.MaxInFlight), 1, 1e6)
+		it.inRange("max_body_bytes", float64(t.MaxBodyBytes), 1, MaxBody)
+		it.inRange("retry_per_second", t.RetryPerSecond, 0, 1e6)
+		it.inRange("limit_per_second", t.LimitPerSecond, 0, 1e12)
+		it.inRange("limit_burst", t.LimitBurst, 0, 1e12)
+		it.inRange("limit_plain_tokens", t.LimitPlainTokens, 0, 1e9)
 	}
 }
 
@@ -162,8 +162,8 @@
 		if p.EndpointSelector == "" {
 			it.fault("endpoint_selector", "is empty")
 		}
-		it.between("min_prefill", float64(p.MinPrefill), 0, 1e6)
-		it.between("min_decode", float64(p.MinDecode), 0, 1e6)
+		it.inRange("min_prefill", float64(p.MinPrefill), 0, 1e6)
+		it.inRange("min_decode", float64(p.MinDecode), 0, 1e6)
 		if p.Model == "" && (p.Adapter != "" || p.Version != "") {
 			it.fault("model", "is empty but an adapter or a version is set")
 		}
@@ -181,12 +181,12 @@
 		it.labels(s.Labels)
 		it.serviceType(s, pools[s.Pool])
 		it.selector("team_selector", s.TeamSelector)
-		it.between("first_token_target_ms", float64(s.FirstTokenTargetMS), 1, MaxTimeoutMS)
-		it.between("token_pace_target_ms", float64(s.TokenPaceTargetMS), 1, MaxTimeoutMS)
-		it.between("patience_ms", float64(s.PatienceMS), 1, MaxTimeoutMS)
-		it.between("waste_weight", s.WasteWeight, 0, 1)
-		it.between("priority", float64(s.Priority), 0, MaxPriority)
-		it.between("timeout_ms", float64(s.TimeoutMS), 1, MaxTimeoutMS)
+		it.inRange("first_token_target_ms", float64(s.FirstTokenTargetMS), 1, MaxTimeoutMS)
+		it.inRange("token_pace_target_ms", float64(s.TokenPaceTargetMS), 1, MaxTimeoutMS)
+		it.inRange("patience_ms", float64(s.PatienceMS), 1, MaxTimeoutMS)
+		it.inRange("waste_weight", s.WasteWeight, 0, 1)
+		it.inRange("priority", float64(s.Priority), 0, MaxPriority)
+		it.inRange("timeout_ms", float64(s.TimeoutMS), 1, MaxTimeoutMS)
 	}
 }
 
@@ -217,9 +217,9 @@
 			it.fault("domain", "is empty")
 		}
 		it.role(e.Labels[LabelRole])
-		it.between("slots", float64(e.Slots), 1, MaxSlots)
-		it.between("prefill_tokens_per_second", e.PrefillTokensPerSecond, 1, 1e9)
-		it.between("decode_token_ms", e.DecodeTokenMS, 0.001, MaxTimeoutMS)
+		it.inRange("slots", float64(e.Slots), 1, MaxSlots)
+		it.inRange("prefill_tokens_per_second", e.PrefillTokensPerSecond, 1, 1e9)
+		it.inRange("decode_token_ms", e.DecodeTokenMS, 0.001, MaxTimeoutMS)
 	}
 }
 
@@ -250,6 +250,6 @@
 		if l.From == "" || l.To == "" {
 			it.fault("from", "a link needs both failure domains")
 		}
-		it.between("bytes_per_second", l.BytesPerSecond, 1, 1e15)
+		it.inRange("bytes_per_second", l.BytesPerSecond, 1, 1e15)
 	}
 }
