--- a/core/live/index.go
+++ b/core/live/index.go
@@ -21,7 +21,7 @@
 	pools     map[id.Pool]*Pool
 	endpoints map[id.Endpoint]*Endpoint
 	members   map[id.Pool][]*Endpoint
-	links     map[linkEnds]*Link
+	links     map[linkKey]*Link
 }
 
 type serviceRule struct {
@@ -29,7 +29,7 @@
 	teams   labels.Selector
 }
 
-type linkEnds struct{ from, to id.Domain }
+type linkKey struct{ from, to id.Domain }
 
 // HashKey returns the hash that Team.KeyHashes holds for a bearer key.
 func HashKey(key string) string { return apikey.Of([]byte(key)).String() }
@@ -45,7 +45,7 @@
 		pools:     map[id.Pool]*Pool{},
 		endpoints: map[id.Endpoint]*Endpoint{},
 		members:   map[id.Pool][]*Endpoint{},
-		links:     map[linkEnds]*Link{},
+		links:     map[linkKey]*Link{},
 	}
 	x.addTeams()
 	x.addServices()
@@ -53,7 +53,7 @@
 	x.addPools()
 	for i := range doc.Links {
 		l := &doc.Links[i]
-		x.links[linkEnds{l.From, l.To}] = l
+		x.links[linkKey{l.From, l.To}] = l
 	}
 	return x
 }
@@ -183,7 +183,7 @@
 // Link returns the link between two failure domains; the last listed one
 // applies. Without one the path is not limited.
 func (x *Index) Link(from, to id.Domain) (*Link, bool) {
-	l, ok := x.links[linkEnds{from, to}]
+	l, ok := x.links[linkKey{from, to}]
 	return l, ok
 }
 
