--- a/core/live/index.go
+++ b/core/live/index.go
@@ -14,14 +14,14 @@
 // Index answers look-ups in one Document. It is built once per Document and
 // never changes, so any number of readers may share it.
 type Index struct {
-	doc       *Document
-	keys      *apikey.Ring[*Team]
-	teams     map[id.Team]*Team
-	services  map[id.Service]serviceRule
-	pools     map[id.Pool]*Pool
-	endpoints map[id.Endpoint]*Endpoint
-	members   map[id.Pool][]*Endpoint
-	links     map[linkKey]*Link
+	doc           *Document
+	keys          *apikey.Ring[*Team]
+	teams         map[id.Team]*Team
+	services      map[id.Service]serviceRule
+	pools         map[id.Pool]*Pool
+	endpoints     map[id.Endpoint]*Endpoint
+	poolEndpoints map[id.Pool][]*Endpoint
+	links         map[linkKey]*Link
 }
 
 type serviceRule struct {
@@ -38,14 +38,14 @@
 // selector that cannot be parsed matches nothing.
 func NewIndex(doc *Document) *Index {
 	x := &Index{
-		doc:       doc,
-		keys:      apikey.NewRing[*Team](),
-		teams:     map[id.Team]*Team{},
-		services:  map[id.Service]serviceRule{},
-		pools:     map[id.Pool]*Pool{},
-		endpoints: map[id.Endpoint]*Endpoint{},
-		members:   map[id.Pool][]*Endpoint{},
-		links:     map[linkKey]*Link{},
+		doc:           doc,
+		keys:          apikey.NewRing[*Team](),
+		teams:         map[id.Team]*Team{},
+		services:      map[id.Service]serviceRule{},
+		pools:         map[id.Pool]*Pool{},
+		endpoints:     map[id.Endpoint]*Endpoint{},
+		poolEndpoints: map[id.Pool][]*Endpoint{},
+		links:         map[linkKey]*Link{},
 	}
 	x.addTeams()
 	x.addServices()
@@ -101,7 +101,7 @@
 			}
 		}
 		slices.SortFunc(found, func(a, b *Endpoint) int { return strings.Compare(string(a.Name), string(b.Name)) })
-		x.members[p.Name] = found
+		x.poolEndpoints[p.Name] = found
 	}
 }
 
@@ -178,7 +178,7 @@
 
 // Endpoints returns the endpoints of a pool in the order of their names. The
 // caller must not change the slice.
-func (x *Index) Endpoints(pool id.Pool) []*Endpoint { return x.members[pool] }
+func (x *Index) Endpoints(pool id.Pool) []*Endpoint { return x.poolEndpoints[pool] }
 
 // Link returns the link between two failure domains; the last listed one
 // applies. Without one the path is not limited.
