--- a/core/live/live_test.go
+++ b/core/live/live_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-func good() *Document {
+func validDocument() *Document {
 	return Normalize(&Document{
 		Teams: []Team{
 			{Name: "desk", Labels: Labels{"tier": "gold"}, KeyHashes: []string{HashKey("key-1")}},
@@ -49,7 +49,7 @@
 
 func TestCheckFindsEveryFault(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Check(good())), 0)
+	is.Equal(len(Check(validDocument())), 0)
 	cases := map[string]func(*Document){
 		"teams[1].name":                          func(d *Document) { d.Teams[1].Name = "desk" },
 		"teams[0].key_hashes[0]":                 func(d *Document) { d.Teams[0].KeyHashes[0] = "abc" },
@@ -80,7 +80,7 @@
 	}
 	all := 0
 	for path, damage := range cases {
-		doc := good()
+		doc := validDocument()
 		damage(doc)
 		faults := Check(doc)
 		is.Equal(len(faults), 1) // just the planted fault
@@ -89,7 +89,7 @@
 		all += len(faults)
 	}
 	is.Equal(all, len(cases))
-	doc := good()
+	doc := validDocument()
 	cases["teams[0].weight"](doc)
 	cases["endpoints[0].slots"](doc)
 	is.Equal(len(Check(doc)), 2) // every fault, not just the first
@@ -97,7 +97,7 @@
 
 func TestIndexShowsNothingOfOtherTeams(t *testing.T) {
 	is := is.New(t)
-	x := NewIndex(good())
+	x := NewIndex(validDocument())
 	desk, ok := x.TeamByKey("key-1")
 	is.True(ok)
 	is.Equal(string(desk.Name), "desk")
@@ -118,7 +118,7 @@
 
 func TestIndexSelectsEndpointsAndLinks(t *testing.T) {
 	is := is.New(t)
-	x := NewIndex(good())
+	x := NewIndex(validDocument())
 	engines := x.Endpoints("engines")
 	is.Equal(len(engines), 2)
 	is.Equal(string(engines[0].Name), "e1") // by name
