--- a/core/live/live_test.go
+++ b/core/live/live_test.go
@@ -47,7 +47,7 @@
 	is.Equal(Normalize(out), out)
 }
 
-func TestCheckFindsEveryFault(t *testing.T) {
+func TestCheckReportsEveryFault(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Check(validDocument())), 0)
 	cases := map[string]func(*Document){
