--- a/core/live/live_test.go
+++ b/core/live/live_test.go
@@ -95,7 +95,7 @@
 	is.Equal(len(Check(doc)), 2) // every fault, not just the first
 }
 
-func TestIndexShowsNothingOfOtherTeams(t *testing.T) {
+func TestIndexHidesServicesOfOtherTeams(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(validDocument())
 	desk, ok := x.TeamByKey("key-1")
