--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -20,7 +20,7 @@
 type Config struct {
 	// FirstShare is the share of the engines that read prompts until enough
 	// work was seen.
-	FirstShare float64
+	InitialPrefillShare float64
 	// Memory is over how long work is averaged.
 	Memory time.Duration
 	// EnoughWork is the engine time of prefills, within Memory, from which the
@@ -53,7 +53,7 @@
 )
 
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.FirstShare, DefaultFirstShare)
+	defaults.Set(&c.InitialPrefillShare, DefaultFirstShare)
 	defaults.Set(&c.Memory, DefaultMemory)
 	defaults.Set(&c.EnoughWork, DefaultEnoughWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
@@ -124,7 +124,7 @@
 
 // Wanted is the number of prefill engines among n that the work asks for.
 func (d *Decider) Wanted(n int) float64 {
-	share := d.cfg.FirstShare
+	share := d.cfg.InitialPrefillShare
 	if d.Measured() {
 		prefill := d.cfg.PrefillHeadroom * d.prefill
 		share = prefill / (prefill + d.decode)
