--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -42,18 +42,18 @@
 // Defaults of Config.
 const (
 	// DefaultFirstShare is about what long prompts with short answers need.
-	DefaultFirstShare      = 0.24
-	DefaultMemory          = 20 * time.Second
-	DefaultEnoughWork      = 20 * time.Second
-	DefaultPrefillHeadroom = 1.2
-	DefaultHysteresis      = 1.3
-	DefaultSettleAfter     = 1500 * time.Millisecond
-	DefaultLeastPrefills   = 1
-	DefaultLeastDecodes    = 1
+	DefaultInitialPrefillShare = 0.24
+	DefaultMemory              = 20 * time.Second
+	DefaultEnoughWork          = 20 * time.Second
+	DefaultPrefillHeadroom     = 1.2
+	DefaultHysteresis          = 1.3
+	DefaultSettleAfter         = 1500 * time.Millisecond
+	DefaultLeastPrefills       = 1
+	DefaultLeastDecodes        = 1
 )
 
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.InitialPrefillShare, DefaultFirstShare)
+	defaults.Set(&c.InitialPrefillShare, DefaultInitialPrefillShare)
 	defaults.Set(&c.Memory, DefaultMemory)
 	defaults.Set(&c.EnoughWork, DefaultEnoughWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
