--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -22,7 +22,7 @@
 	// work was seen.
 	InitialPrefillShare float64
 	// Memory is over how long work is averaged.
-	Memory time.Duration
+	AveragingTime time.Duration
 	// EnoughWork is the engine time of prefills, within Memory, from which the
 	// measured division counts.
 	EnoughWork time.Duration
@@ -54,7 +54,7 @@
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.InitialPrefillShare, DefaultInitialPrefillShare)
-	defaults.Set(&c.Memory, DefaultMemory)
+	defaults.Set(&c.AveragingTime, DefaultMemory)
 	defaults.Set(&c.EnoughWork, DefaultEnoughWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
@@ -100,7 +100,7 @@
 	}
 	passed := now - d.at
 	d.at = now
-	keep := math.Exp(-float64(passed) / float64(d.cfg.Memory))
+	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
 	d.prefill = keep*d.prefill + max(0, demand.PrefillWork-d.work).Seconds()
 	d.work = demand.PrefillWork
 	d.decode = keep*d.decode + passed.Seconds()*busyDecodes(demand)
