--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -43,7 +43,7 @@
 const (
 	// DefaultFirstShare is about what long prompts with short answers need.
 	DefaultInitialPrefillShare = 0.24
-	DefaultMemory              = 20 * time.Second
+	DefaultAveragingTime       = 20 * time.Second
 	DefaultEnoughWork          = 20 * time.Second
 	DefaultPrefillHeadroom     = 1.2
 	DefaultHysteresis          = 1.3
@@ -54,7 +54,7 @@
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.InitialPrefillShare, DefaultInitialPrefillShare)
-	defaults.Set(&c.AveragingTime, DefaultMemory)
+	defaults.Set(&c.AveragingTime, DefaultAveragingTime)
 	defaults.Set(&c.EnoughWork, DefaultEnoughWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
