--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -25,7 +25,7 @@
 	AveragingTime time.Duration
 	// EnoughWork is the engine time of prefills, within Memory, from which the
 	// measured division counts.
-	EnoughWork time.Duration
+	MinMeasuredWork time.Duration
 	// PrefillHeadroom is how much more prefill than the mean is kept: prompts
 	// come in bursts, and while they wait nothing else of a request goes on.
 	PrefillHeadroom float64
@@ -55,7 +55,7 @@
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.InitialPrefillShare, DefaultInitialPrefillShare)
 	defaults.Set(&c.AveragingTime, DefaultAveragingTime)
-	defaults.Set(&c.EnoughWork, DefaultEnoughWork)
+	defaults.Set(&c.MinMeasuredWork, DefaultEnoughWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
 	defaults.Set(&c.SettleAfter, DefaultSettleAfter)
@@ -174,7 +174,9 @@
 const firstHysteresis = 0.5
 
 // Measured says whether enough work was seen for the division to follow it.
-func (d *Decider) Measured() bool { return d.prefill >= d.cfg.EnoughWork.Seconds() && d.decode > 0 }
+func (d *Decider) Measured() bool {
+	return d.prefill >= d.cfg.MinMeasuredWork.Seconds() && d.decode > 0
+}
 
 // division counts the engines of each role. A drained one is on its way to the
 // other role.
