--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -44,7 +44,7 @@
 	// DefaultFirstShare is about what long prompts with short answers need.
 	DefaultInitialPrefillShare = 0.24
 	DefaultAveragingTime       = 20 * time.Second
-	DefaultEnoughWork          = 20 * time.Second
+	DefaultMinMeasuredWork     = 20 * time.Second
 	DefaultPrefillHeadroom     = 1.2
 	DefaultHysteresis          = 1.3
 	DefaultSettleAfter         = 1500 * time.Millisecond
@@ -55,7 +55,7 @@
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.InitialPrefillShare, DefaultInitialPrefillShare)
 	defaults.Set(&c.AveragingTime, DefaultAveragingTime)
-	defaults.Set(&c.MinMeasuredWork, DefaultEnoughWork)
+	defaults.Set(&c.MinMeasuredWork, DefaultMinMeasuredWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
 	defaults.Set(&c.SettleAfter, DefaultSettleAfter)
