--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -33,7 +33,7 @@
 	Hysteresis float64
 	// SettleAfter is the pause after a change in which no other is begun, once
 	// work was measured.
-	SettleAfter time.Duration
+	SettleTime time.Duration
 	// LeastPrefills and LeastDecodes stay in their role.
 	LeastPrefills int
 	LeastDecodes  int
@@ -58,7 +58,7 @@
 	defaults.Set(&c.MinMeasuredWork, DefaultMinMeasuredWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
-	defaults.Set(&c.SettleAfter, DefaultSettleAfter)
+	defaults.Set(&c.SettleTime, DefaultSettleAfter)
 	defaults.Set(&c.LeastPrefills, DefaultLeastPrefills)
 	defaults.Set(&c.LeastDecodes, DefaultLeastDecodes)
 	return c
@@ -137,7 +137,7 @@
 func (d *Decider) Decide(now time.Duration, demand sched.Demand) *Change {
 	prefills, decodes := division(demand)
 	n := prefills + decodes
-	settling := d.Measured() && d.changed && now-d.changedAt < d.cfg.SettleAfter
+	settling := d.Measured() && d.changed && now-d.changedAt < d.cfg.SettleTime
 	if n < d.cfg.LeastPrefills+d.cfg.LeastDecodes || settling {
 		return nil
 	}
