--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -47,7 +47,7 @@
 	DefaultMinMeasuredWork     = 20 * time.Second
 	DefaultPrefillHeadroom     = 1.2
 	DefaultHysteresis          = 1.3
-	DefaultSettleAfter         = 1500 * time.Millisecond
+	DefaultSettleTime          = 1500 * time.Millisecond
 	DefaultLeastPrefills       = 1
 	DefaultLeastDecodes        = 1
 )
@@ -58,7 +58,7 @@
 	defaults.Set(&c.MinMeasuredWork, DefaultMinMeasuredWork)
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
-	defaults.Set(&c.SettleTime, DefaultSettleAfter)
+	defaults.Set(&c.SettleTime, DefaultSettleTime)
 	defaults.Set(&c.LeastPrefills, DefaultLeastPrefills)
 	defaults.Set(&c.LeastDecodes, DefaultLeastDecodes)
 	return c
