--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -35,8 +35,8 @@
 	// work was measured.
 	SettleTime time.Duration
 	// LeastPrefills and LeastDecodes stay in their role.
-	LeastPrefills int
-	LeastDecodes  int
+	MinPrefills  int
+	LeastDecodes int
 }
 
 // Defaults of Config.
@@ -59,7 +59,7 @@
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
 	defaults.Set(&c.SettleTime, DefaultSettleTime)
-	defaults.Set(&c.LeastPrefills, DefaultLeastPrefills)
+	defaults.Set(&c.MinPrefills, DefaultLeastPrefills)
 	defaults.Set(&c.LeastDecodes, DefaultLeastDecodes)
 	return c
 }
@@ -130,7 +130,7 @@
 		share = prefill / (prefill + d.decode)
 	}
 	most := float64(max(0, n-d.cfg.LeastDecodes))
-	return min(max(share*float64(n), float64(d.cfg.LeastPrefills)), most)
+	return min(max(share*float64(n), float64(d.cfg.MinPrefills)), most)
 }
 
 // Decide gives the next change, or nil. The engine with the least work goes.
@@ -138,16 +138,16 @@
 	prefills, decodes := division(demand)
 	n := prefills + decodes
 	settling := d.Measured() && d.changed && now-d.changedAt < d.cfg.SettleTime
-	if n < d.cfg.LeastPrefills+d.cfg.LeastDecodes || settling {
+	if n < d.cfg.MinPrefills+d.cfg.LeastDecodes || settling {
 		return nil
 	}
 	wanted := d.Wanted(n)
 	change := Change{Wanted: wanted, Prefills: prefills, Decodes: decodes}
 	from := demand.Decodes
 	switch {
-	case prefills < d.cfg.LeastPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.LeastDecodes:
+	case prefills < d.cfg.MinPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.LeastDecodes:
 		change.To = live.RolePrefill
-	case decodes < d.cfg.LeastDecodes, float64(prefills) > wanted+d.hysteresis() && prefills > d.cfg.LeastPrefills:
+	case decodes < d.cfg.LeastDecodes, float64(prefills) > wanted+d.hysteresis() && prefills > d.cfg.MinPrefills:
 		change.To = live.RoleDecode
 		from = demand.Prefills
 	default:
