--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -48,7 +48,7 @@
 	DefaultPrefillHeadroom     = 1.2
 	DefaultHysteresis          = 1.3
 	DefaultSettleTime          = 1500 * time.Millisecond
-	DefaultLeastPrefills       = 1
+	DefaultMinPrefills         = 1
 	DefaultLeastDecodes        = 1
 )
 
@@ -59,7 +59,7 @@
 	defaults.Set(&c.PrefillHeadroom, DefaultPrefillHeadroom)
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
 	defaults.Set(&c.SettleTime, DefaultSettleTime)
-	defaults.Set(&c.MinPrefills, DefaultLeastPrefills)
+	defaults.Set(&c.MinPrefills, DefaultMinPrefills)
 	defaults.Set(&c.LeastDecodes, DefaultLeastDecodes)
 	return c
 }
