--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -35,8 +35,8 @@
 	// work was measured.
 	SettleTime time.Duration
 	// LeastPrefills and LeastDecodes stay in their role.
-	MinPrefills  int
-	LeastDecodes int
+	MinPrefills int
+	MinDecodes  int
 }
 
 // Defaults of Config.
@@ -60,7 +60,7 @@
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
 	defaults.Set(&c.SettleTime, DefaultSettleTime)
 	defaults.Set(&c.MinPrefills, DefaultMinPrefills)
-	defaults.Set(&c.LeastDecodes, DefaultLeastDecodes)
+	defaults.Set(&c.MinDecodes, DefaultLeastDecodes)
 	return c
 }
 
@@ -129,7 +129,7 @@
 		prefill := d.cfg.PrefillHeadroom * d.prefill
 		share = prefill / (prefill + d.decode)
 	}
-	most := float64(max(0, n-d.cfg.LeastDecodes))
+	most := float64(max(0, n-d.cfg.MinDecodes))
 	return min(max(share*float64(n), float64(d.cfg.MinPrefills)), most)
 }
 
@@ -138,16 +138,16 @@
 	prefills, decodes := division(demand)
 	n := prefills + decodes
 	settling := d.Measured() && d.changed && now-d.changedAt < d.cfg.SettleTime
-	if n < d.cfg.MinPrefills+d.cfg.LeastDecodes || settling {
+	if n < d.cfg.MinPrefills+d.cfg.MinDecodes || settling {
 		return nil
 	}
 	wanted := d.Wanted(n)
 	change := Change{Wanted: wanted, Prefills: prefills, Decodes: decodes}
 	from := demand.Decodes
 	switch {
-	case prefills < d.cfg.MinPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.LeastDecodes:
+	case prefills < d.cfg.MinPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.MinDecodes:
 		change.To = live.RolePrefill
-	case decodes < d.cfg.LeastDecodes, float64(prefills) > wanted+d.hysteresis() && prefills > d.cfg.MinPrefills:
+	case decodes < d.cfg.MinDecodes, float64(prefills) > wanted+d.hysteresis() && prefills > d.cfg.MinPrefills:
 		change.To = live.RoleDecode
 		from = demand.Prefills
 	default:
