--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -49,7 +49,7 @@
 	DefaultHysteresis          = 1.3
 	DefaultSettleTime          = 1500 * time.Millisecond
 	DefaultMinPrefills         = 1
-	DefaultLeastDecodes        = 1
+	DefaultMinDecodes          = 1
 )
 
 func (c Config) withDefaults() Config {
@@ -60,7 +60,7 @@
 	defaults.Set(&c.Hysteresis, DefaultHysteresis)
 	defaults.Set(&c.SettleTime, DefaultSettleTime)
 	defaults.Set(&c.MinPrefills, DefaultMinPrefills)
-	defaults.Set(&c.MinDecodes, DefaultLeastDecodes)
+	defaults.Set(&c.MinDecodes, DefaultMinDecodes)
 	return c
 }
 
