--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -76,8 +76,8 @@
 
 // Decider decides for one pool. It is not safe for concurrent use.
 type Decider struct {
-	cfg Config
-	at  time.Duration
+	cfg        Config
+	observedAt time.Duration
 	// prefill and decode are the faded engine seconds of the roles' work.
 	prefill, decode float64
 	// work is the pool's prefill work when last observed.
@@ -94,12 +94,12 @@
 func (d *Decider) Observe(now time.Duration, demand sched.Demand) {
 	if !d.begun {
 		d.begun = true
-		d.at = now
+		d.observedAt = now
 		d.work = demand.PrefillWork
 		return
 	}
-	passed := now - d.at
-	d.at = now
+	passed := now - d.observedAt
+	d.observedAt = now
 	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
 	d.prefill = keep*d.prefill + max(0, demand.PrefillWork-d.work).Seconds()
 	d.work = demand.PrefillWork
