--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -82,7 +82,7 @@
 	prefill, decode float64
 	// work is the pool's prefill work when last observed.
 	work      time.Duration
-	begun     bool
+	observed  bool
 	changedAt time.Duration
 	changed   bool
 }
@@ -92,8 +92,8 @@
 
 // Observe takes the present demand; call it several times a second.
 func (d *Decider) Observe(now time.Duration, demand sched.Demand) {
-	if !d.begun {
-		d.begun = true
+	if !d.observed {
+		d.observed = true
 		d.observedAt = now
 		d.work = demand.PrefillWork
 		return
