--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -79,7 +79,7 @@
 	cfg        Config
 	observedAt time.Duration
 	// prefill and decode are the faded engine seconds of the roles' work.
-	prefill, decode float64
+	prefillSeconds, decode float64
 	// work is the pool's prefill work when last observed.
 	work      time.Duration
 	observed  bool
@@ -101,7 +101,7 @@
 	passed := now - d.observedAt
 	d.observedAt = now
 	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
-	d.prefill = keep*d.prefill + max(0, demand.PrefillWork-d.work).Seconds()
+	d.prefillSeconds = keep*d.prefillSeconds + max(0, demand.PrefillWork-d.work).Seconds()
 	d.work = demand.PrefillWork
 	d.decode = keep*d.decode + passed.Seconds()*busyDecodes(demand)
 }
@@ -126,7 +126,7 @@
 func (d *Decider) Wanted(n int) float64 {
 	share := d.cfg.InitialPrefillShare
 	if d.Measured() {
-		prefill := d.cfg.PrefillHeadroom * d.prefill
+		prefill := d.cfg.PrefillHeadroom * d.prefillSeconds
 		share = prefill / (prefill + d.decode)
 	}
 	most := float64(max(0, n-d.cfg.MinDecodes))
@@ -175,7 +175,7 @@
 
 // Measured says whether enough work was seen for the division to follow it.
 func (d *Decider) Measured() bool {
-	return d.prefill >= d.cfg.MinMeasuredWork.Seconds() && d.decode > 0
+	return d.prefillSeconds >= d.cfg.MinMeasuredWork.Seconds() && d.decode > 0
 }
 
 // division counts the engines of each role. A drained one is on its way to the
