--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -79,7 +79,7 @@
 	cfg        Config
 	observedAt time.Duration
 	// prefill and decode are the faded engine seconds of the roles' work.
-	prefillSeconds, decode float64
+	prefillSeconds, decodeSeconds float64
 	// work is the pool's prefill work when last observed.
 	work      time.Duration
 	observed  bool
@@ -103,7 +103,7 @@
 	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
 	d.prefillSeconds = keep*d.prefillSeconds + max(0, demand.PrefillWork-d.work).Seconds()
 	d.work = demand.PrefillWork
-	d.decode = keep*d.decode + passed.Seconds()*busyDecodes(demand)
+	d.decodeSeconds = keep*d.decodeSeconds + passed.Seconds()*busyDecodes(demand)
 }
 
 // busyDecodes is the memory in use, in engines. What waits counts for neither
@@ -127,7 +127,7 @@
 	share := d.cfg.InitialPrefillShare
 	if d.Measured() {
 		prefill := d.cfg.PrefillHeadroom * d.prefillSeconds
-		share = prefill / (prefill + d.decode)
+		share = prefill / (prefill + d.decodeSeconds)
 	}
 	most := float64(max(0, n-d.cfg.MinDecodes))
 	return min(max(share*float64(n), float64(d.cfg.MinPrefills)), most)
@@ -175,7 +175,7 @@
 
 // Measured says whether enough work was seen for the division to follow it.
 func (d *Decider) Measured() bool {
-	return d.prefillSeconds >= d.cfg.MinMeasuredWork.Seconds() && d.decode > 0
+	return d.prefillSeconds >= d.cfg.MinMeasuredWork.Seconds() && d.decodeSeconds > 0
 }
 
 // division counts the engines of each role. A drained one is on its way to the
