--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -81,10 +81,10 @@
 	// prefill and decode are the faded engine seconds of the roles' work.
 	prefillSeconds, decodeSeconds float64
 	// work is the pool's prefill work when last observed.
-	work      time.Duration
-	observed  bool
-	changedAt time.Duration
-	changed   bool
+	prefillWork time.Duration
+	observed    bool
+	changedAt   time.Duration
+	changed     bool
 }
 
 // New returns a Decider that has seen no work.
@@ -95,14 +95,14 @@
 	if !d.observed {
 		d.observed = true
 		d.observedAt = now
-		d.work = demand.PrefillWork
+		d.prefillWork = demand.PrefillWork
 		return
 	}
 	passed := now - d.observedAt
 	d.observedAt = now
 	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
-	d.prefillSeconds = keep*d.prefillSeconds + max(0, demand.PrefillWork-d.work).Seconds()
-	d.work = demand.PrefillWork
+	d.prefillSeconds = keep*d.prefillSeconds + max(0, demand.PrefillWork-d.prefillWork).Seconds()
+	d.prefillWork = demand.PrefillWork
 	d.decodeSeconds = keep*d.decodeSeconds + passed.Seconds()*busyDecodes(demand)
 }
 
