--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -103,12 +103,12 @@
 	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
 	d.prefillSeconds = keep*d.prefillSeconds + max(0, demand.PrefillWork-d.prefillWork).Seconds()
 	d.prefillWork = demand.PrefillWork
-	d.decodeSeconds = keep*d.decodeSeconds + passed.Seconds()*busyDecodes(demand)
+	d.decodeSeconds = keep*d.decodeSeconds + passed.Seconds()*decodeEnginesInUse(demand)
 }
 
 // busyDecodes is the memory in use, in engines. What waits counts for neither
 // role: it shows that engines are short, not of which role.
-func busyDecodes(d sched.Demand) float64 {
+func decodeEnginesInUse(d sched.Demand) float64 {
 	engines := 0
 	for _, e := range d.Decodes {
 		if !e.Drained {
