--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -135,7 +135,7 @@
 
 // Decide gives the next change, or nil. The engine with the least work goes.
 func (d *Decider) Decide(now time.Duration, demand sched.Demand) *Change {
-	prefills, decodes := division(demand)
+	prefills, decodes := countRoles(demand)
 	n := prefills + decodes
 	settling := d.Measured() && d.changed && now-d.changedAt < d.cfg.SettleTime
 	if n < d.cfg.MinPrefills+d.cfg.MinDecodes || settling {
@@ -180,7 +180,7 @@
 
 // division counts the engines of each role. A drained one is on its way to the
 // other role.
-func division(demand sched.Demand) (prefills, decodes int) {
+func countRoles(demand sched.Demand) (prefills, decodes int) {
 	for _, e := range demand.Prefills {
 		if e.Drained {
 			decodes++
