--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -153,7 +153,7 @@
 	default:
 		return nil
 	}
-	chosen, ok := idlest(from)
+	chosen, ok := leastLoaded(from)
 	if !ok {
 		return nil
 	}
@@ -205,7 +205,7 @@
 }
 
 // idlest is the engine with the least work.
-func idlest(engines []sched.EngineDemand) (id.Endpoint, bool) {
+func leastLoaded(engines []sched.EngineDemand) (id.Endpoint, bool) {
 	var free []sched.EngineDemand
 	for _, e := range engines {
 		if !e.Drained {
