--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -167,11 +167,11 @@
 	if d.Measured() {
 		return d.cfg.Hysteresis
 	}
-	return firstHysteresis
+	return initialHysteresis
 }
 
 // firstHysteresis rounds the first division to whole engines.
-const firstHysteresis = 0.5
+const initialHysteresis = 0.5
 
 // Measured says whether enough work was seen for the division to follow it.
 func (d *Decider) Measured() bool {
