--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -73,7 +73,7 @@
 	p.demand.Memory = len(p.demand.Decodes) * perEngine
 }
 
-func TestTheFirstDivisionComesBeforeAnyWork(t *testing.T) {
+func TestInitialDivisionNeedsNoWork(t *testing.T) {
 	is := is.New(t)
 	p := newPool(7, 11)
 	p.run(20*time.Second, 0, 0, true)
