--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -81,7 +81,7 @@
 	is.Equal(len(p.changes), 3)
 }
 
-func TestTheDivisionFollowsTheWork(t *testing.T) {
+func TestDivisionFollowsWork(t *testing.T) {
 	is := is.New(t)
 	p := newPool(4, 14)
 	p.run(2*time.Minute, 4, 4, true)
