--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -92,7 +92,7 @@
 
 // TestAQueueDoesNotTakePrefillEnginesAway: what waits shows that the pool is
 // short of engines, not of which.
-func TestAQueueDoesNotTakePrefillEnginesAway(t *testing.T) {
+func TestQueueDoesNotReducePrefillEngines(t *testing.T) {
 	is := is.New(t)
 	p := newPool(4, 14)
 	p.demand.MemoryWanted = 20 * perEngine
