--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -100,7 +100,7 @@
 	is.Equal(len(p.demand.Prefills), 4)
 }
 
-func TestASteadyDivisionIsLeftAlone(t *testing.T) {
+func TestSmallWorkChangesKeepDivision(t *testing.T) {
 	is := is.New(t)
 	p := newPool(4, 14)
 	p.run(time.Minute, 2, 8, true)
