--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -110,7 +110,7 @@
 	is.Equal(len(p.changes), 0)
 }
 
-func TestAnEngineOnItsWayCountsAsThere(t *testing.T) {
+func TestDrainedEngineCountsForNextRole(t *testing.T) {
 	is := is.New(t)
 	p := newPool(5, 13)
 	p.demand.Prefills[0].Drained = true
