--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -118,7 +118,7 @@
 	is.Equal(len(p.changes), 0)
 }
 
-func TestARoleThatLostAllItsEnginesGetsOne(t *testing.T) {
+func TestRoleWithoutEnginesGetsOne(t *testing.T) {
 	is := is.New(t)
 	p := newPool(0, 3)
 	p.run(time.Second, 0, 0, true)
