--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -54,7 +54,7 @@
 	attempts int
 	failures int
 	// ended says that the endpoint has acknowledged the cancel.
-	ended bool
+	acknowledged bool
 }
 
 // NewCanceller returns a Canceller without orders.
@@ -103,7 +103,7 @@
 	o.attempts++
 	o.due = now + c.cfg.ReplyTimeout + c.backoff(o)
 	var out []Action
-	if !o.ended {
+	if !o.acknowledged {
 		out = append(out, Action{Cancel: &Cancel{Key: o.Key, Owner: o.Owner}})
 	}
 	if o.KV != "" {
@@ -127,7 +127,7 @@
 // Reply takes the answer to a cancel.
 func (c *Canceller) Reply(now time.Duration, k Key, state CancelState) []Action {
 	o, ok := c.orders[k]
-	if !ok || o.ended {
+	if !ok || o.acknowledged {
 		return nil
 	}
 	if state == Unknown && !c.certain(now, o) {
@@ -135,7 +135,7 @@
 		o.due = now + c.backoff(o)
 		return nil
 	}
-	o.ended = true
+	o.acknowledged = true
 	return c.endIfDone(now, o)
 }
 
@@ -155,7 +155,7 @@
 }
 
 func (c *Canceller) endIfDone(now time.Duration, o *order) []Action {
-	if !o.ended || o.KV != "" {
+	if !o.acknowledged || o.KV != "" {
 		return nil
 	}
 	return c.end(now, o, DoneAcknowledged)
