--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -71,7 +71,7 @@
 // cancel wins over a conditional one.
 func (c *Canceller) Add(now time.Duration, o Order) []Action {
 	if old, ok := c.orders[o.Key]; ok {
-		old.join(o)
+		old.merge(o)
 		return nil
 	}
 	if c.past(o) {
@@ -85,7 +85,7 @@
 	return c.send(now, added)
 }
 
-func (o *order) join(more Order) {
+func (o *order) merge(more Order) {
 	if more.Owner == nil {
 		o.Owner = nil
 	}
