--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -74,7 +74,7 @@
 		old.merge(o)
 		return nil
 	}
-	if c.past(o) {
+	if c.incarnationEnded(o) {
 		return []Action{{Done: &Done{Key: o.Key, Reason: DoneIncarnation}}}
 	}
 	if len(c.orders) >= c.cfg.MaxOrders {
@@ -95,7 +95,7 @@
 }
 
 // past says whether the order is for an incarnation that has ended.
-func (c *Canceller) past(o Order) bool {
+func (c *Canceller) incarnationEnded(o Order) bool {
 	return o.Incarnation != 0 && c.known[o.Key.Endpoint] > o.Incarnation
 }
 
@@ -183,7 +183,7 @@
 		return nil
 	}
 	c.known[e] = inc
-	return c.endAll(now, DoneIncarnation, func(o *order) bool { return o.Key.Endpoint == e && c.past(o.Order) })
+	return c.endAll(now, DoneIncarnation, func(o *order) bool { return o.Key.Endpoint == e && c.incarnationEnded(o.Order) })
 }
 
 // Remove ends all orders for an endpoint that has left the configuration.
