--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -130,7 +130,7 @@
 	if !ok || o.acknowledged {
 		return nil
 	}
-	if state == Unknown && !c.certain(now, o) {
+	if state == Unknown && !c.unknownIsFinal(now, o) {
 		o.failures++
 		o.due = now + c.backoff(o)
 		return nil
@@ -140,7 +140,7 @@
 }
 
 // certain says whether Unknown proves that nothing runs nor ever will.
-func (c *Canceller) certain(now time.Duration, o *order) bool {
+func (c *Canceller) unknownIsFinal(now time.Duration, o *order) bool {
 	return o.RunSettled || now-o.since >= c.cfg.MaxOrderDelay
 }
 
