--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -43,7 +43,7 @@
 	cfg    CancellerConfig
 	orders map[Key]*order
 	// known are the incarnations that endpoints were last seen with.
-	known map[id.Endpoint]id.Incarnation
+	incarnations map[id.Endpoint]id.Incarnation
 }
 
 // order is one Order at work.
@@ -64,7 +64,7 @@
 	defaults.Set(&cfg.ReplyTimeout, DefaultReplyTimeout)
 	defaults.Set(&cfg.MaxOrderDelay, DefaultMaxOrderDelay)
 	defaults.Set(&cfg.MaxOrders, DefaultMaxOrders)
-	return &Canceller{cfg: cfg, orders: map[Key]*order{}, known: map[id.Endpoint]id.Incarnation{}}
+	return &Canceller{cfg: cfg, orders: map[Key]*order{}, incarnations: map[id.Endpoint]id.Incarnation{}}
 }
 
 // Add takes an order. One for the same key is joined to it: an unconditional
@@ -96,7 +96,7 @@
 
 // past says whether the order is for an incarnation that has ended.
 func (c *Canceller) incarnationEnded(o Order) bool {
-	return o.Incarnation != 0 && c.known[o.Key.Endpoint] > o.Incarnation
+	return o.Incarnation != 0 && c.incarnations[o.Key.Endpoint] > o.Incarnation
 }
 
 func (c *Canceller) send(now time.Duration, o *order) []Action {
@@ -179,16 +179,16 @@
 // Incarnation tells that an endpoint was seen with that incarnation. All
 // orders for earlier ones are done: their memory is gone with them.
 func (c *Canceller) Incarnation(now time.Duration, e id.Endpoint, inc id.Incarnation) []Action {
-	if inc <= c.known[e] {
+	if inc <= c.incarnations[e] {
 		return nil
 	}
-	c.known[e] = inc
+	c.incarnations[e] = inc
 	return c.endAll(now, DoneIncarnation, func(o *order) bool { return o.Key.Endpoint == e && c.incarnationEnded(o.Order) })
 }
 
 // Remove ends all orders for an endpoint that has left the configuration.
 func (c *Canceller) Remove(now time.Duration, e id.Endpoint) []Action {
-	delete(c.known, e)
+	delete(c.incarnations, e)
 	return c.endAll(now, DoneRemoved, func(o *order) bool { return o.Key.Endpoint == e })
 }
 
