--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -118,7 +118,7 @@
 }
 
 // Settled tells that the run order of a request can't arrive any more.
-func (c *Canceller) Settled(k Key) {
+func (c *Canceller) MarkRunSettled(k Key) {
 	if o, ok := c.orders[k]; ok {
 		o.RunSettled = true
 	}
--- a/core/reap/reap_test.go
+++ b/core/reap/reap_test.go
@@ -119,7 +119,7 @@
 	c := NewCanceller(CancellerConfig{})
 	c.Add(0, Order{Key: key})
 	is.Equal(len(c.Reply(0, key, Unknown)), 0)
-	c.Settled(key)
+	c.MarkRunSettled(key)
 	is.Equal(len(c.Reply(0, key, Unknown)), 1)
 }
 
