--- a/core/reap/reaper.go
+++ b/core/reap/reaper.go
@@ -56,12 +56,12 @@
 	defaults.Set(&cfg.OwnGrace, DefaultOwnGrace)
 	defaults.Set(&cfg.MaxProcesses, DefaultMaxProcesses)
 	r := &Reaper{cfg: cfg, alive: map[id.Daemon]id.Incarnation{}}
-	r.gone = newTimes(cfg.MaxProcesses)
-	r.unheard = newTimes(cfg.MaxProcesses)
+	r.gone = newProcessTimes(cfg.MaxProcesses)
+	r.unheard = newProcessTimes(cfg.MaxProcesses)
 	return r
 }
 
-func newTimes(size int) *simplelru.LRU[id.Process, time.Duration] {
+func newProcessTimes(size int) *simplelru.LRU[id.Process, time.Duration] {
 	lru, err := simplelru.NewLRU[id.Process, time.Duration](size, nil)
 	if err != nil {
 		panic(err) // a size below 1 is a fault of the settings' check
