--- a/core/reap/reaper.go
+++ b/core/reap/reaper.go
@@ -44,8 +44,8 @@
 	alive map[id.Daemon]id.Incarnation
 	// gone holds when processes were declared dead, unheard when ones that
 	// the membership never named were first met.
-	gone    *simplelru.LRU[id.Process, time.Duration]
-	unheard *simplelru.LRU[id.Process, time.Duration]
+	gone         *simplelru.LRU[id.Process, time.Duration]
+	unknownSince *simplelru.LRU[id.Process, time.Duration]
 }
 
 // NewReaper returns a Reaper that knows only itself.
@@ -57,7 +57,7 @@
 	defaults.Set(&cfg.MaxProcesses, DefaultMaxProcesses)
 	r := &Reaper{cfg: cfg, alive: map[id.Daemon]id.Incarnation{}}
 	r.gone = newProcessTimes(cfg.MaxProcesses)
-	r.unheard = newProcessTimes(cfg.MaxProcesses)
+	r.unknownSince = newProcessTimes(cfg.MaxProcesses)
 	return r
 }
 
@@ -72,7 +72,7 @@
 // ProcessAlive tells that the membership counts the process among the living,
 // suspected or partitioned ones. Its former incarnations are gone.
 func (r *Reaper) ProcessAlive(now time.Duration, p id.Process) {
-	r.unheard.Remove(p)
+	r.unknownSince.Remove(p)
 	former, ok := r.alive[p.Daemon]
 	if ok && p.Incarnation <= former {
 		return
@@ -151,9 +151,9 @@
 // unheardTooLong handles work of a process that the membership never named,
 // as after all hosts were replaced at once.
 func (r *Reaper) unheardTooLong(now time.Duration, p id.Process) bool {
-	since, ok := r.unheard.Get(p)
+	since, ok := r.unknownSince.Get(p)
 	if !ok {
-		r.unheard.Add(p, now)
+		r.unknownSince.Add(p, now)
 		return false
 	}
 	return now-since >= r.cfg.UnknownGrace
