--- a/core/reap/reaper.go
+++ b/core/reap/reaper.go
@@ -134,7 +134,7 @@
 		r.markGone(now, run.Owner)
 		return false
 	}
-	return r.unheardTooLong(now, run.Owner)
+	return r.unknownTooLong(now, run.Owner)
 }
 
 func (r *Reaper) formerSelf(p id.Process) bool {
@@ -150,7 +150,7 @@
 
 // unheardTooLong handles work of a process that the membership never named,
 // as after all hosts were replaced at once.
-func (r *Reaper) unheardTooLong(now time.Duration, p id.Process) bool {
+func (r *Reaper) unknownTooLong(now time.Duration, p id.Process) bool {
 	since, ok := r.unknownSince.Get(p)
 	if !ok {
 		r.unknownSince.Add(p, now)
