--- a/core/reap/reaper.go
+++ b/core/reap/reaper.go
@@ -130,14 +130,14 @@
 	if at, ok := r.gone.Get(run.Owner); ok {
 		return now-at >= r.grace(run.Stage)
 	}
-	if r.alive[run.Owner.Daemon] > run.Owner.Incarnation || r.formerSelf(run.Owner) {
+	if r.alive[run.Owner.Daemon] > run.Owner.Incarnation || r.isFormerSelf(run.Owner) {
 		r.markGone(now, run.Owner)
 		return false
 	}
 	return r.unknownTooLong(now, run.Owner)
 }
 
-func (r *Reaper) formerSelf(p id.Process) bool {
+func (r *Reaper) isFormerSelf(p id.Process) bool {
 	return p.Daemon == r.cfg.Self.Daemon && p.Incarnation < r.cfg.Self.Incarnation
 }
 
