--- a/core/reap/reap_test.go
+++ b/core/reap/reap_test.go
@@ -123,7 +123,7 @@
 	is.Equal(len(c.Reply(0, key, Unknown)), 1)
 }
 
-func TestAddJoins(t *testing.T) {
+func TestAddMergesOrders(t *testing.T) {
 	is := is.New(t)
 	c := NewCanceller(CancellerConfig{})
 	owner := id.Process{Daemon: "d", Incarnation: 1}
