--- a/core/reap/reap_test.go
+++ b/core/reap/reap_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestOwnerChangedByResumeIsLeftAlone(t *testing.T) {
+func TestOtherOwnerIsNotCancelled(t *testing.T) {
 	is := is.New(t)
 	c := NewCanceller(CancellerConfig{})
 	for i := range 3 {
