--- a/core/revision/apply.go
+++ b/core/revision/apply.go
@@ -11,8 +11,8 @@
 )
 
 // Apply returns the document after the change, at the next revision and with
-// defaults filled in; or the faults for which it can't be accepted. doc is
-// left as it was.
+// defaults filled in, or the faults that prevent the change from being accepted.
+// doc is not modified.
 func Apply(doc *live.Document, c Change) (*live.Document, []live.Fault) {
 	next, faults := applyOps(doc, c)
 	if len(faults) > 0 {
@@ -24,7 +24,7 @@
 	return next, nil
 }
 
-// applyOps applies the change without checking what the document says then.
+// applyOps applies the change without checking the resulting document.
 func applyOps(doc *live.Document, c Change) (*live.Document, []live.Fault) {
 	next := live.Clone(doc)
 	var faults []live.Fault
@@ -101,13 +101,13 @@
 	d := json.NewDecoder(bytes.NewReader(op.Item))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&item); err != nil {
-		return fmt.Errorf("the item can't be read: %w", err)
+		return fmt.Errorf("the item can't be decoded: %w", err)
 	}
 	if *name(&item) == "" {
 		*name(&item) = N(op.Name)
 	}
 	if string(*name(&item)) != op.Name {
-		return fmt.Errorf("the item's name is %q", *name(&item))
+		return fmt.Errorf("the item's name %q differs from the op's", *name(&item))
 	}
 	if at >= 0 {
 		(*list)[at] = item
@@ -130,13 +130,13 @@
 	}
 }
 
-// Overlap names the items that both changes touch, as "kind/name", in a's order.
+// Overlap lists the items that both changes modify, as "kind/name", in the order of a.
 func Overlap(a, b Change) []string {
 	var out []string
 	for _, x := range a.Ops {
-		touched := func(y Op) bool { return x.Kind == y.Kind && x.Name == y.Name }
+		sameItem := func(y Op) bool { return x.Kind == y.Kind && x.Name == y.Name }
 		item := string(x.Kind) + "/" + x.Name
-		if slices.ContainsFunc(b.Ops, touched) && !slices.Contains(out, item) {
+		if slices.ContainsFunc(b.Ops, sameItem) && !slices.Contains(out, item) {
 			out = append(out, item)
 		}
 	}
--- a/core/revision/change.go
+++ b/core/revision/change.go
@@ -1,7 +1,7 @@
 // Package revision keeps the live configuration as one sequence of accepted
-// changes. A Proposer gets one change accepted in the platform's table, wholly
-// or not at all; a Follower keeps a daemon at the newest accepted revision it
-// has heard of, and never goes back.
+// changes. A Proposer commits one change to the platform's table atomically. A
+// Follower keeps a daemon at the newest accepted revision known to it and never
+// reverts to an older one.
 package revision
 
 import (
@@ -21,10 +21,10 @@
 	ActionLabel  = "label"
 )
 
-// MaxOps bounds the steps of one change.
+// MaxOps is the maximum number of ops in one change.
 const MaxOps = 1024
 
-// Op is one step of a change: put or delete an item, or set labels on one.
+// Op is one step of a change: it puts or deletes an item, or sets an item's labels.
 type Op struct {
 	// Action is ActionPut, ActionDelete or ActionLabel.
 	Action string    `json:"action" cbor:"1,keyasint"`
@@ -32,22 +32,23 @@
 	Name   string    `json:"name" cbor:"3,keyasint"`
 	// Item is the whole item for ActionPut, in the JSON of package live.
 	Item json.RawMessage `json:"item,omitempty" cbor:"4,keyasint,omitempty"`
-	// Labels to set for ActionLabel; an empty value removes the label.
+	// Labels are the labels to set for ActionLabel; an empty value removes the label.
 	Labels live.Labels `json:"labels,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
-// Change is what an operator asks for, wholly or not at all.
+// Change is an operator's change to the configuration; it is applied atomically.
 type Change struct {
-	// ID is chosen by the operator's client, so that a lost reply can be resolved.
+	// ID is chosen by the operator's client, so that the client can look up the
+	// outcome after a lost reply.
 	ID string `json:"id" cbor:"1,keyasint"`
-	// Author is for the history.
+	// Author is recorded in the history.
 	Author string `json:"author,omitempty" cbor:"2,keyasint,omitempty"`
 	// Expect is the revision the change was made against; 0 accepts any.
 	Expect uint64 `json:"expect,omitempty" cbor:"3,keyasint,omitempty"`
-	// At is the wall time of the proposal, for people only: no decision
-	// depends on it.
+	// At is the wall-clock time of the proposal. It is informational: no
+	// decision depends on it.
 	At time.Time `json:"at" cbor:"4,keyasint"`
-	// Ops in their order.
+	// Ops are applied in order.
 	Ops []Op `json:"ops" cbor:"5,keyasint"`
 }
 
@@ -55,11 +56,11 @@
 type Record struct {
 	Revision uint64 `json:"revision" cbor:"1,keyasint"`
 	Change   Change `json:"change" cbor:"2,keyasint"`
-	// Chain is the hash over this and all earlier records.
+	// Chain is the hash over this record and all earlier ones.
 	Chain string `json:"chain" cbor:"3,keyasint"`
 }
 
-// Head is the row that names the newest revision.
+// Head is the value of the row that holds the newest revision.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"change_id"`
@@ -74,43 +75,44 @@
 	Chain    string        `json:"chain" cbor:"2,keyasint"`
 }
 
-// ChangeRow tells what became of a change; it is the row that resolves lost
-// replies.
+// ChangeRow records the outcome of a change. A proposer reads it to resolve a
+// lost reply.
 type ChangeRow struct {
-	// Revision at which it was accepted; 0 when it was withdrawn.
+	// Revision at which the change was accepted; 0 if it was withdrawn.
 	Revision uint64 `json:"revision"`
-	// Digest of the change's content.
+	// Digest of the change's content; see Digest.
 	Digest string `json:"digest"`
 }
 
 // Keys of the table.
 const (
 	KeyHead = "config/head"
-	// keyGuard is deleted, and never written, by transactions that only ask
-	// whether the head is still the same.
+	// keyGuard is never written; transactions that only check whether the head
+	// is unchanged delete it.
 	keyGuard       = "config/guard"
 	prefixRevision = "config/rev/"
 	prefixChange   = "config/change/"
 	prefixSnapshot = "config/snapshot/"
 )
 
-// KeyRevision is the key of the record of a revision.
+// KeyRevision returns the key of the record of a revision.
 func KeyRevision(rev uint64) string { return fmt.Sprintf("%s%020d", prefixRevision, rev) }
 
-// KeyChange is the key of the row of a change.
+// KeyChange returns the key of the ChangeRow of a change.
 func KeyChange(id string) string { return prefixChange + id }
 
-// KeySnapshot is the key of the snapshot at a revision.
+// KeySnapshot returns the key of the snapshot at a revision.
 func KeySnapshot(rev uint64) string { return fmt.Sprintf("%s%020d", prefixSnapshot, rev) }
 
-// Digest identifies a change's content; the time of the proposal is no part
-// of it, so that a client may send the same change again.
+// Digest returns a hash of a change's content. It excludes the time of the
+// proposal, so that a client may send the same change again.
 func Digest(c Change) string { return hash("", c) }
 
-// NextChain returns the chain after a change was accepted.
+// NextChain returns the chain hash after a change is accepted.
 func NextChain(chain string, c Change) string { return hash(chain, c) }
 
-// hash covers the change but for its time, which codecs round differently.
+// hash covers chain and the change without its time, which codecs round
+// differently.
 func hash(chain string, c Change) string {
 	c.At = time.Time{}
 	sum := sha256.New()
@@ -119,7 +121,8 @@
 	return hex.EncodeToString(sum.Sum(nil)[:16])
 }
 
-// encode gives the JSON of a value made of this package's types, which can't fail.
+// encode returns the JSON of a value of this package's types; encoding those can't
+// fail.
 func encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -7,7 +7,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// commit tries the change on the head that was read.
+// commit applies the change to the head that was read and requests the commit.
 func (p *Proposer) commit() []ProposerAction {
 	next, faults := Apply(p.base, p.change)
 	if len(faults) > 0 {
@@ -18,7 +18,8 @@
 	return p.request(phaseCommit, table.Request{Transaction: p.transaction()})
 }
 
-// transaction writes record, change row and head, and now and then a snapshot.
+// transaction returns the transaction that writes the record, the change row and
+// the head, and every SnapshotEvery revisions a snapshot.
 func (p *Proposer) transaction() *table.Transaction {
 	rev := p.record.Revision
 	head := Head{Revision: rev, ChangeID: p.change.ID, Chain: p.record.Chain, Snapshot: p.head.Snapshot}
@@ -53,13 +54,13 @@
 		return p.end(Outcome{Result: Accepted, Revision: rec.Revision, Record: &rec})
 	}
 	if r.FailedOn(KeyChange(p.change.ID)) {
-		// An earlier attempt took effect: what it became stands in its row.
+		// An earlier attempt took effect: the change row holds its outcome.
 		p.maybeCommitted = true
 	}
 	return p.backOff(now)
 }
 
-// readRivals reads what was accepted since Expect, at most the newest batch.
+// readConflicts reads the records accepted since Expect, at most the newest Batch.
 func (p *Proposer) readConflicts() []ProposerAction {
 	first := p.change.Expect + 1
 	if p.head.Revision-p.change.Expect > uint64(p.cfg.Batch) {
@@ -68,8 +69,9 @@
 	return p.request(phaseConflicts, table.Request{Keys: revisionKeys(first, p.head.Revision)})
 }
 
-// onRivals names what the change ran into. A stale read that lacks some of it
-// is repeated a few times, so that the operator is told.
+// onConflicts collects the changes accepted since Expect. If a stale read lacks
+// some of them, it is repeated up to FutureReads times, so that the operator sees
+// all of them.
 func (p *Proposer) onConflicts(now time.Duration, r table.Reply) []ProposerAction {
 	o := Outcome{Result: Conflict, Revision: p.head.Revision}
 	for _, row := range r.Rows {
@@ -94,9 +96,10 @@
 	return p.refuse(o)
 }
 
-// settle ends with a refusal once it is certain: after a commit in doubt the
-// change is withdrawn first, so that a late effect can't contradict it; a
-// rejection must have been judged by the head that still stands.
+// refuse ends the proposal with a refusal once the refusal is certain. If a commit
+// may have taken effect, the change is withdrawn first, so that a late effect
+// can't contradict the refusal. A rejection is confirmed against the head first,
+// which must be unchanged since the change was checked.
 func (p *Proposer) refuse(o Outcome) []ProposerAction {
 	p.pending = &o
 	if p.maybeCommitted {
--- a/core/revision/diff.go
+++ b/core/revision/diff.go
@@ -10,12 +10,13 @@
 type Difference struct {
 	Kind live.Kind
 	Name string
-	// Action is ActionPut for an item that is new or changed, ActionDelete
-	// for one that is gone.
+	// Action is ActionPut for a new or changed item, ActionDelete for a
+	// removed one.
 	Action string
 }
 
-// Diff lists the items in which b differs from a, by kind, b's order first.
+// Diff lists the items in which b differs from a, by kind: new and changed items
+// in the order of b, then removed ones in the order of a.
 func Diff(a, b *live.Document) []Difference {
 	var out []Difference
 	out = append(out, diffItems(live.KindTeam, a.Teams, b.Teams, func(t live.Team) string { return string(t.Name) })...)
@@ -48,7 +49,7 @@
 	return out
 }
 
-// DocumentAt returns the document at a revision, if it is still kept.
+// DocumentAt returns the document at a revision, if the follower still holds it.
 func (f *Follower) DocumentAt(rev uint64) (*live.Document, bool) {
 	for _, d := range f.documents {
 		if d.Revision == rev {
@@ -58,7 +59,8 @@
 	return nil, false
 }
 
-// Diff lists what changed between two revisions that are still kept.
+// Diff lists the differences between two revisions; it returns false if the
+// follower no longer holds both documents.
 func (f *Follower) Diff(a, b uint64) ([]Difference, bool) {
 	before, ok := f.DocumentAt(a)
 	if !ok {
--- a/core/revision/follow_peers.go
+++ b/core/revision/follow_peers.go
@@ -7,8 +7,8 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// PeerRevision takes the revision that a peer says is in force at it, as its
-// heartbeats carry it.
+// PeerRevision records the revision in force at a peer, which the peer's
+// heartbeats carry.
 func (f *Follower) PeerRevision(now time.Duration, peer id.Daemon, rev uint64) {
 	if rev <= f.peers[peer] {
 		return
@@ -18,7 +18,7 @@
 	f.planFetch(now)
 }
 
-// PeerGone forgets a peer that is dead.
+// PeerGone removes a peer that was declared dead.
 func (f *Follower) PeerGone(peer id.Daemon) {
 	delete(f.peers, peer)
 	f.highestPeerRevision = 0
@@ -27,8 +27,8 @@
 	}
 }
 
-// planFetch plans to ask a peer that is ahead, after a random pause that
-// spreads the daemons.
+// planFetch schedules a Fetch from a peer with a newer revision, after a random
+// delay that spreads the requests of the daemons.
 func (f *Follower) planFetch(now time.Duration) {
 	if !f.behind() || f.fetch != nil || f.fetchAt != never {
 		return
@@ -36,7 +36,7 @@
 	f.fetchAt = now + time.Duration(f.rng.Float64()*float64(f.cfg.PeerDelay))
 }
 
-// ask sends a Fetch to one of the peers that are furthest ahead.
+// sendFetch sends a Fetch to a random one of the peers with the newest revision.
 func (f *Follower) sendFetch(now time.Duration) []FollowerAction {
 	f.fetchAt = never
 	var ahead []id.Daemon
@@ -52,8 +52,8 @@
 	f.fetchSeq++
 	f.fetch = &Fetch{Seq: f.fetchSeq, Peer: ahead[f.rng.IntN(len(ahead))], After: f.doc.Revision}
 	f.fetchDeadline = now + f.cfg.PeerTimeout
-	ask := *f.fetch
-	return []FollowerAction{{Fetch: &ask}}
+	fetch := *f.fetch
+	return []FollowerAction{{Fetch: &fetch}}
 }
 
 func (f *Follower) dropFetch() {
@@ -61,7 +61,7 @@
 	f.fetchDeadline = never
 }
 
-// HandlePeer takes a peer's answer to the last Fetch; others are ignored.
+// HandlePeer handles a peer's reply to the last Fetch and ignores other replies.
 func (f *Follower) HandlePeer(now time.Duration, r FetchReply) []FollowerAction {
 	if f.fetch == nil || r.Seq != f.fetch.Seq {
 		return nil
@@ -73,14 +73,15 @@
 		out = f.applyAll(r.Snapshot, r.Records, string(peer))
 	}
 	if f.doc.Revision == before && f.behind() {
-		// It had nothing after all: ask again, but not at once.
+		// The reply had no newer revision: fetch again, but not immediately.
 		f.fetchAt = now + f.cfg.PeerTimeout
 	}
 	f.planFetch(now)
 	return out
 }
 
-// Serve answers a peer's Fetch from what this daemon has in force.
+// Serve returns the reply to a peer's Fetch, made from the document in force and
+// the records that this daemon still holds.
 func (f *Follower) Serve(q Fetch) FetchReply {
 	r := FetchReply{Seq: q.Seq}
 	if q.After >= f.doc.Revision {
@@ -95,7 +96,8 @@
 	return r
 }
 
-// After returns the kept records after a revision, oldest first, at most limit.
+// After returns the records after a revision that the follower still holds, oldest
+// first and at most limit.
 func (f *Follower) After(rev uint64, limit int) []Record {
 	at := slices.IndexFunc(f.history, func(r Record) bool { return r.Revision > rev })
 	if at < 0 {
@@ -104,5 +106,6 @@
 	return slices.Clone(f.history[at:min(len(f.history), at+limit)])
 }
 
-// History returns the kept records, oldest first; it is bounded.
+// History returns the records that the follower still holds, oldest first and at
+// most FollowerConfig.History.
 func (f *Follower) History() []Record { return slices.Clone(f.history) }
--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -9,10 +9,10 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// sourceStore names the store in Diverged.
+// sourceStore is the value of Diverged.Source for the store.
 const sourceStore = "store"
 
-// Handle takes the store's reply to the last read; others are ignored.
+// Handle handles the store's reply to the last read and ignores other replies.
 func (f *Follower) Handle(now time.Duration, r table.Reply) []FollowerAction {
 	if !f.reading || r.Seq != f.seq {
 		return nil
@@ -47,7 +47,7 @@
 	return append(out, f.continueRead(now, from)...)
 }
 
-// noteHead keeps the highest head seen; a lower one is a stale read.
+// updateHead keeps the newest head seen; an older one comes from a stale read.
 func (f *Follower) updateHead(row table.Row) {
 	var head Head
 	if row.Version != 0 && json.Unmarshal(row.Value, &head) != nil {
@@ -62,19 +62,20 @@
 	if row.Key == KeySnapshot(f.newestHead.Snapshot) {
 		var s Snapshot
 		if err := json.Unmarshal(row.Value, &s); err != nil {
-			return &Diverged{Revision: f.newestHead.Snapshot, Source: sourceStore, Reason: "the snapshot can't be read: " + err.Error()}
+			return &Diverged{Revision: f.newestHead.Snapshot, Source: sourceStore, Reason: "the snapshot can't be decoded: " + err.Error()}
 		}
 		f.applySnapshot(&s)
 		return nil
 	}
 	var rec Record
 	if err := json.Unmarshal(row.Value, &rec); err != nil {
-		return &Diverged{Revision: f.doc.Revision + 1, Source: sourceStore, Reason: "the record can't be read: " + err.Error()}
+		return &Diverged{Revision: f.doc.Revision + 1, Source: sourceStore, Reason: "the record can't be decoded: " + err.Error()}
 	}
 	return f.applyRecord(rec, sourceStore)
 }
 
-// goOn reads on while the head is ahead and the last read brought something.
+// continueRead issues the next read while the head is newer than the document and
+// the last read made progress; otherwise it schedules the next poll.
 func (f *Follower) continueRead(now time.Duration, from uint64) []FollowerAction {
 	gap := f.newestHead.Revision > f.doc.Revision
 	moved := f.doc.Revision > from
@@ -84,7 +85,7 @@
 		return nil
 	}
 	if !moved && !f.polling {
-		// A stale read, or a snapshot that was replaced: look at the head again later.
+		// A stale read, or the snapshot was replaced: read the head again at the next poll.
 		f.planPoll(now)
 		return nil
 	}
@@ -95,18 +96,19 @@
 	return []FollowerAction{f.read(revisionKeys(f.doc.Revision+1, last), false)}
 }
 
-// takeRecord applies the record if it is the next one; older ones are
-// skipped, and one that does not chain to what is in force is refused.
+// applyRecord applies the record if it has the next revision and skips it
+// otherwise. A record whose chain hash does not continue the chain in force is
+// rejected as Diverged.
 func (f *Follower) applyRecord(rec Record, source string) *Diverged {
 	if rec.Revision != f.doc.Revision+1 {
 		return nil
 	}
 	if NextChain(f.chain, rec.Change) != rec.Chain {
-		return &Diverged{Revision: rec.Revision, Source: source, Reason: "the record does not follow from the one before it"}
+		return &Diverged{Revision: rec.Revision, Source: source, Reason: "the record's chain hash does not match the previous record"}
 	}
 	next, faults := applyOps(f.doc, rec.Change)
 	if len(faults) > 0 {
-		return &Diverged{Revision: rec.Revision, Source: source, Reason: fmt.Sprintf("the accepted change does not apply: %v", faults[0])}
+		return &Diverged{Revision: rec.Revision, Source: source, Reason: fmt.Sprintf("the accepted change can't be applied: %v", faults[0])}
 	}
 	f.doc, f.chain = next, rec.Chain
 	f.history = append(f.history, rec)
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// takeSnapshot replaces the document by a newer one.
+// applySnapshot replaces the document with the snapshot's if that is newer.
 func (f *Follower) applySnapshot(s *Snapshot) {
 	if s.Document.Revision <= f.doc.Revision {
 		return
@@ -134,7 +136,7 @@
 	}
 }
 
-// installed reports the document if it is newer than from.
+// installed returns an Installed action if the document is newer than from.
 func (f *Follower) installed(from uint64) []FollowerAction {
 	if f.doc.Revision <= from {
 		return nil
@@ -142,7 +144,7 @@
 	return []FollowerAction{{Installed: &Installed{From: from, To: f.doc.Revision, Document: f.doc}}}
 }
 
-// Learn takes a record that this daemon's own proposer saw accepted.
+// Learn applies a record whose acceptance this daemon's own proposer observed.
 func (f *Follower) Learn(rec Record) []FollowerAction {
 	return f.applyAll(nil, []Record{rec}, sourceStore)
 }
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -9,31 +9,33 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// FollowerConfig sets the pace of a follower.
+// FollowerConfig configures a follower's timing and limits.
 type FollowerConfig struct {
-	// Poll is the pause between reads of the head; each is stretched by a
-	// random part of up to PollJitter (a share of Poll).
+	// Poll is the interval between reads of the head. Each interval is
+	// lengthened by a random part of up to PollJitter, a fraction of Poll.
 	Poll       time.Duration
 	PollJitter float64
-	// MaxBackoff bounds the doubling pause while the store fails. After an
-	// outage the daemons come back spread over it.
+	// MaxBackoff bounds the exponential backoff while the store fails. After an
+	// outage the daemons' first reads are spread over it.
 	MaxBackoff time.Duration
-	// Ahead is how many records behind the known one each poll asks for, so
-	// that a single change needs no second read.
+	// ReadAhead is how many records after the current revision each poll reads,
+	// so that a single change needs no second read.
 	ReadAhead int
-	// Batch bounds the records of one read or one answer to a peer.
+	// Batch bounds the number of records in one read or one reply to a peer.
 	Batch int
-	// SnapshotGap is the gap from which a snapshot is fetched instead.
+	// SnapshotGap is the number of missing revisions above which a snapshot is
+	// used instead of records.
 	SnapshotGap uint64
-	// History is how many records are kept, and Documents how many documents.
+	// History and Documents are how many records and documents are kept in memory.
 	History   int
 	Documents int
-	// PeerDelay bounds the random pause before a peer that is ahead is asked.
+	// PeerDelay bounds the random delay before a Fetch from a peer with a newer
+	// revision.
 	PeerDelay time.Duration
-	// PeerTimeout ends the wait for a peer's answer.
+	// PeerTimeout is the timeout of a Fetch.
 	PeerTimeout time.Duration
 	// StartGrace is how long a new daemon waits for the store or for the
-	// newest peer before it takes what it has as good enough.
+	// newest revision of its peers before it uses the document that it has.
 	StartGrace time.Duration
 }
 
@@ -54,40 +56,41 @@
 	}
 }
 
-// Fetch asks a peer for what was accepted after a revision.
+// Fetch requests from a peer the changes accepted after a revision.
 type Fetch struct {
 	Seq   uint64    `cbor:"1,keyasint"`
 	Peer  id.Daemon `cbor:"2,keyasint"`
 	After uint64    `cbor:"3,keyasint"`
 }
 
-// FetchReply answers a Fetch: records from After+1 on, or a snapshot where the
-// peer no longer has them all.
+// FetchReply is the reply to a Fetch: records from After+1 on, or a snapshot if
+// the peer no longer holds all of them or more than SnapshotGap are missing.
 type FetchReply struct {
 	Seq      uint64    `cbor:"1,keyasint"`
 	Snapshot *Snapshot `cbor:"2,keyasint,omitempty"`
 	Records  []Record  `cbor:"3,keyasint,omitempty"`
-	// Failed is set by the daemon when the peer could not be asked.
+	// Failed is set by the daemon if the request to the peer failed.
 	Failed bool `cbor:"-"`
 }
 
-// Installed says that a newer document is in force at this daemon.
+// Installed reports that a newer document is in force at this daemon.
 type Installed struct {
 	From, To uint64
 	Document *live.Document
 }
 
-// Diverged says that a record or snapshot contradicts what this daemon holds:
-// the sequence of changes has split, which only a damaged or restored table
-// can cause. The follower keeps its document.
+// Diverged reports that a record or snapshot contradicts the history at this
+// daemon: the sequence of changes has forked, which only a damaged or restored
+// table can cause. The follower keeps its document.
 type Diverged struct {
 	Revision uint64
-	// Source is "store" or the peer's name.
+	// Source is "store" or the name of the peer.
 	Source string
 	Reason string
 }
 
-// FollowerAction is one thing to do for a Follower.
+// FollowerAction is an action that the caller performs for a Follower; one field
+// is set.
 type FollowerAction struct {
 	Request   *table.Request
 	Fetch     *Fetch
@@ -95,8 +98,8 @@
 	Diverged  *Diverged
 }
 
-// Follower keeps a daemon at the newest revision it has heard of. It has no
-// I/O and is not safe for concurrent use.
+// Follower keeps a daemon at the newest revision known to it. It does no I/O and
+// is not safe for concurrent use.
 type Follower struct {
 	cfg FollowerConfig
 	rng *rand.Rand
@@ -142,21 +145,22 @@
 	}
 }
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = time.Duration(1<<63 - 1)
 
-// Current returns the document in force; it must not be changed.
+// Current returns the document in force; the caller must not modify it.
 func (f *Follower) Current() *live.Document { return f.doc }
 
 // Chain returns the hash over all accepted changes up to Current.
 func (f *Follower) Chain() string { return f.chain }
 
-// StoreUp tells whether the last read of the store succeeded.
+// StoreUp reports whether the last read of the store succeeded.
 func (f *Follower) StoreUp() bool { return f.storeUp }
 
-// Ready tells whether the document may be acted on: the store has confirmed
-// it, or the store can't be asked, and nobody known is ahead of it. Once
-// StartGrace is over, the store's word is enough.
+// Ready reports whether the daemon may act on the document. If a read of the store
+// has confirmed it, no peer may have a newer revision, or StartGrace must be over.
+// If the store could not be read, StartGrace must be over, no peer may have a newer
+// revision, and the document must not be the empty one.
 func (f *Follower) Ready(now time.Duration) bool {
 	waited := now-f.started >= f.cfg.StartGrace
 	newest := !f.behind()
@@ -166,16 +170,16 @@
 	return f.readFailed && waited && newest && f.doc.Revision > 0
 }
 
-// Newest tells whether no later document is known of: what this one doesn't hold
-// doesn't exist, as far as anybody has said.
+// Newest reports whether the document is ready and no peer has a newer one, so
+// that an item missing from it does not exist as far as is known.
 func (f *Follower) Newest(now time.Duration) bool {
 	return f.Ready(now) && !f.behind()
 }
 
-// behind tells whether a peer has a later document.
+// behind reports whether a peer has a newer document.
 func (f *Follower) behind() bool { return f.highestPeerRevision > f.doc.Revision }
 
-// Next is when Tick is due.
+// Next returns the time of the next Tick.
 func (f *Follower) Next() time.Duration {
 	next := min(f.fetchAt, f.fetchDeadline)
 	if !f.reading {
@@ -184,7 +188,8 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due: a poll, the end of a Fetch that timed
+// out, and a new Fetch.
 func (f *Follower) Tick(now time.Duration) []FollowerAction {
 	var out []FollowerAction
 	if !f.reading && now >= f.nextPoll {
@@ -200,7 +205,8 @@
 	return out
 }
 
-// Poke brings the next poll forward, as after an acceptance on this daemon.
+// Poke makes the next poll due now, as after a change was accepted through this
+// daemon.
 func (f *Follower) Poke(now time.Duration) {
 	if f.storeUp {
 		f.nextPoll = min(f.nextPoll, now)
@@ -214,22 +220,22 @@
 	return FollowerAction{Request: &table.Request{Seq: f.seq, Keys: keys}}
 }
 
-// poll reads the head and the few records behind the known one.
+// poll reads the head and the ReadAhead records after the current revision.
 func (f *Follower) poll() FollowerAction {
 	keys := []string{KeyHead}
 	keys = append(keys, revisionKeys(f.doc.Revision+1, f.doc.Revision+uint64(f.cfg.ReadAhead))...)
 	return f.read(keys, true)
 }
 
-// planPoll sets the next poll after a success.
+// planPoll schedules the next poll after a successful read.
 func (f *Follower) planPoll(now time.Duration) {
 	f.pause = f.cfg.Poll
 	jitter := time.Duration(f.rng.Float64() * f.cfg.PollJitter * float64(f.cfg.Poll))
 	f.nextPoll = now + f.cfg.Poll + jitter
 }
 
-// planRetry sets the next poll after a failure: a random part of a doubling
-// pause, at least a quarter of it.
+// planRetry schedules the next poll after a failed read: a random part, at least a
+// quarter, of an exponentially growing pause.
 func (f *Follower) planRetry(now time.Duration) {
 	f.pause = min(2*f.pause, f.cfg.MaxBackoff)
 	quarter := f.pause / 4
--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -16,15 +16,15 @@
 	"github.com/samphirequay/samphirequay/core/revision/table/tabletest"
 )
 
-// teamNames are what the changes of a history touch.
+// teamNames are the teams that the changes of a history modify.
 var teamNames = []string{"t0", "t1", "t2"}
 
-// planted is a fault put into the automaton's surroundings, to prove that the
-// checks can fail.
+// injectedFault alters a reply of the table, to verify that the checks detect the
+// fault.
 type injectedFault func(q *table.Request, r *table.Reply)
 
-// configState is the sequential model: the accepted ids in order, and which
-// teams exist.
+// configState is the state of the sequential model: the accepted ids in order, and
+// the teams that exist, as a bit set.
 type configState struct {
 	ids   string
 	count uint64
@@ -35,7 +35,7 @@
 	return uint64(slices.Index(strings.Fields(s.ids), id) + 1)
 }
 
-// accept returns the state after the change, if it may be accepted.
+// accept returns the state after the change, and whether the change is acceptable.
 func (s configState) accept(c Change) (configState, bool) {
 	bit := uint8(1) << slices.Index(teamNames, c.Ops[0].Name)
 	missing := s.teams&bit == 0
@@ -48,7 +48,8 @@
 	return configState{ids: s.ids + c.ID + " ", count: s.count + 1, teams: s.teams | bit}, true
 }
 
-// steps is the sequential specification of one proposal.
+// stepModel is the sequential specification of one proposal: it returns the
+// possible states after it, or none if the output is wrong.
 func stepModel(state, input, output any) []any {
 	s, c, o := state.(configState), input.(Change), output.(Outcome)
 	next, ok := s.accept(c)
@@ -80,7 +81,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// run is one randomised history.
+// run is one randomized history.
 type run struct {
 	clock     *tabletest.Clock
 	model     *tabletest.Model
@@ -101,7 +102,7 @@
 
 func (r *run) nextStamp() int64 { r.stamp++; return r.stamp }
 
-// propose drives one proposer to its outcome.
+// propose runs one proposer until its outcome.
 func (r *run) propose(client int, c Change, resent bool, then func(Outcome)) {
 	cfg := DefaultProposerConfig()
 	cfg.Deadline, cfg.SnapshotEvery = 2*time.Second, 4
@@ -134,8 +135,8 @@
 	act(p.Start(r.clock.Now()))
 }
 
-// operator proposes changes one after the other; what is unresolved it
-// proposes again under the same id.
+// operator proposes changes one after the other; it proposes an unresolved change
+// again under the same id, up to 3 times.
 func (r *run) operator(client, left, tries int, c Change) {
 	if left == 0 {
 		return
@@ -166,7 +167,7 @@
 	return c
 }
 
-// follow drives a follower; peers are asked without loss but with delay.
+// follow runs a follower with the store as its only source.
 func (r *run) follow(t *testing.T, f *Follower) {
 	var act func([]FollowerAction)
 	act = func(actions []FollowerAction) {
@@ -192,15 +193,16 @@
 	tick()
 }
 
-// simulate makes a history with faults, then lets the followers come up.
-func simulate(t *testing.T, seed uint64, plant injectedFault) *run {
+// simulate runs a history with faults, then lets the followers catch up without
+// faults.
+func simulate(t *testing.T, seed uint64, fault injectedFault) *run {
 	clock := tabletest.NewClock(seed)
-	r := &run{clock: clock, model: tabletest.New(clock), fault: plant}
+	r := &run{clock: clock, model: tabletest.New(clock), fault: fault}
 	r.model.Faults = tabletest.Faults{LoseRequest: 0.1, LoseReply: 0.15, Late: 0.1, Stale: 0.2}
 	for range 2 {
 		f := NewFollower(DefaultFollowerConfig(), 0, clock.Random)
 		r.followers = append(r.followers, f)
-		if plant == nil {
+		if fault == nil {
 			r.follow(t, f)
 		}
 	}
@@ -210,13 +212,14 @@
 	down := clock.RandomDuration(4 * time.Second)
 	clock.At(down, func() { r.model.Faults.Down = true })
 	clock.At(down+clock.RandomDuration(3*time.Second), func() { r.model.Faults.Down = false })
-	// The last operator has ended by then; late effects and backoffs run out.
+	// All operators have ended by then; late effects and backoffs end in the
+	// remaining time.
 	clock.At(40*time.Second, func() { r.model.Faults = tabletest.Faults{} })
 	clock.Run(50 * time.Second)
 	return r
 }
 
-// replay builds the document from the table's own records.
+// replay builds the document from the records in the table.
 func replay(t *testing.T, m *tabletest.Model) *live.Document {
 	doc := &live.Document{}
 	for {
@@ -249,39 +252,39 @@
 		}
 		want := replay(t, r.model)
 		for _, f := range r.followers {
-			is.Equal(f.Current(), want) // every follower is at the head, with the very same document
+			is.Equal(f.Current(), want) // every follower is at the head with an equal document
 		}
 	}
 	for _, kind := range []Result{Accepted, Conflict, Rejected, Unavailable, Unresolved} {
-		is.True(results[kind] > 0) // each outcome occurred
+		is.True(results[kind] > 0) // each result occurred
 	}
 	t.Logf("outcomes: %v", results)
 }
 
 func TestCheckerDetectsInjectedFaults(t *testing.T) {
-	plants := map[string]injectedFault{
-		"a lost reply taken for not run": func(_ *table.Request, reply *table.Reply) {
+	faults := map[string]injectedFault{
+		"a lost reply reported as not run": func(_ *table.Request, reply *table.Reply) {
 			if reply.Status == table.Unknown {
 				reply.Status = table.NotRun
 			}
 		},
-		"a refused commit taken for applied": func(q *table.Request, reply *table.Reply) {
+		"a failed commit reported as applied": func(q *table.Request, reply *table.Reply) {
 			if q.Transaction != nil && len(q.Transaction.Puts) > 1 && reply.Status == table.Done {
 				reply.Applied = true
 			}
 		},
 	}
-	for name, plant := range plants {
+	for name, fault := range faults {
 		found := 0
 		for seed := range uint64(100) {
-			r := simulate(t, seed, plant)
+			r := simulate(t, seed, fault)
 			if porcupine.CheckOperationsTimeout(configModel, r.history, 5*time.Second) == porcupine.Illegal {
 				found++
 			}
 		}
 		if found == 0 {
-			t.Errorf("%s: found in no history", name)
+			t.Errorf("%s: not detected in any history", name)
 		}
-		t.Logf("%s: found in %d of 100 histories", name, found)
+		t.Logf("%s: detected in %d of 100 histories", name, found)
 	}
 }
--- a/core/revision/outcome.go
+++ b/core/revision/outcome.go
@@ -5,19 +5,19 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// Result says how a proposal ended.
+// Result is the result of a proposal.
 type Result uint8
 
 const (
 	// Accepted: the change is in force from Outcome.Revision on.
 	Accepted Result = iota + 1
-	// Conflict: the head had moved past the change's Expect; not run.
+	// Conflict: the head is newer than the change's Expect; not run.
 	Conflict
 	// Rejected: the change has faults; not run.
 	Rejected
 	// Unavailable: the store could not be reached in time; not run.
 	Unavailable
-	// Unresolved: the change may have been accepted; ask again under the same id.
+	// Unresolved: the change may have been accepted; propose it again under the same id.
 	Unresolved
 )
 
@@ -39,31 +39,31 @@
 	}
 }
 
-// Rival is an accepted change that a proposal ran into.
+// ConflictingChange is a change that was accepted after the Expect of a proposal.
 type ConflictingChange struct {
 	Revision uint64
 	ID       string
 	Author   string
-	// Overlap names the items that both touch, as "kind/name".
+	// Overlap lists the items that both changes modify, as "kind/name".
 	Overlap []string
 }
 
-// Outcome ends a proposal.
+// Outcome is the outcome of a proposal.
 type Outcome struct {
 	Result Result
-	// Revision at which the change was accepted; else the head it was held against.
+	// Revision at which the change was accepted; otherwise the last head read.
 	Revision uint64
-	// Record is set for an acceptance that this proposer saw itself.
+	// Record is set if this proposer's own commit was confirmed.
 	Record *Record
-	// Rivals tell, for a Conflict, what was accepted since Expect, oldest
-	// first; bounded to the newest.
+	// Rivals lists, for a Conflict, the changes accepted since Expect, oldest
+	// first and at most the newest ProposerConfig.Batch.
 	Rivals []ConflictingChange
-	// Faults tell why the change was rejected.
+	// Faults lists why the change was rejected.
 	Faults []live.Fault
 }
 
-// ProposerAction is one thing to do for a Proposer: call the table, or tell
-// the operator the outcome.
+// ProposerAction is an action that the caller performs for a Proposer: send a
+// request to the table, or return the outcome to the operator.
 type ProposerAction struct {
 	Request *table.Request
 	Outcome *Outcome
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -9,20 +9,21 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// ProposerConfig sets the pace of proposals.
+// ProposerConfig configures a proposer's timing and limits.
 type ProposerConfig struct {
-	// Deadline bounds a proposal, from Start.
+	// Deadline bounds the duration of a proposal, from Start.
 	Deadline time.Duration
-	// Backoff is the first pause after a failure; it doubles, with jitter, up
-	// to MaxBackoff.
+	// Backoff is the initial backoff after a failure; it doubles, with jitter,
+	// up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
 	// SnapshotEvery is the number of revisions between snapshots.
 	SnapshotEvery uint64
-	// Batch bounds the rows of one read.
+	// Batch bounds the number of records in one read.
 	Batch int
-	// FutureReads is how many reads must show a head below Expect before the
-	// change is rejected as made against a revision that does not exist.
+	// FutureReads is how many reads must return a head below Expect before the
+	// change is rejected because the expected revision does not exist. It also
+	// bounds how often a read of conflicting changes that lacks some is repeated.
 	FutureReads int
 }
 
@@ -38,7 +39,7 @@
 	}
 }
 
-// phase is what a proposer waits for.
+// phase is the state of a proposer: the reply or time that it waits for.
 type phase uint8
 
 const (
@@ -53,8 +54,8 @@
 	phaseDone
 )
 
-// Proposer gets one change accepted. It has no I/O: Start and Handle return
-// what is to be done. It is not safe for concurrent use.
+// Proposer commits one change. It does no I/O: Start, Handle and Tick return the
+// actions to perform. It is not safe for concurrent use.
 type Proposer struct {
 	cfg    ProposerConfig
 	change Change
@@ -67,9 +68,9 @@
 	resume      time.Duration
 	pause       time.Duration
 	futureReads int
-	// rereads counts reads of rivals that lacked some.
+	// rereads counts reads of conflicting changes that lacked some of them.
 	rereads int
-	// unknown is set once a commit may have taken effect unseen.
+	// maybeCommitted is set once a commit may have taken effect without a reply.
 	maybeCommitted bool
 
 	base        *live.Document
@@ -80,20 +81,21 @@
 	pending     *Outcome
 }
 
-// NewProposer returns a proposer of change. base is the daemon's current
-// document: a starting point only, the head decides.
+// NewProposer returns a proposer of change. base is the daemon's current document.
+// It may be older than the head; the proposer reads the missing revisions.
 func NewProposer(cfg ProposerConfig, change Change, base *live.Document, rng *rand.Rand) *Proposer {
 	if base == nil {
 		base = &live.Document{}
 	}
-	// Whole seconds survive every codec.
+	// Every codec preserves whole seconds.
 	change.At = change.At.UTC().Truncate(time.Second)
 	return &Proposer{cfg: cfg, change: change, digest: Digest(change), base: base, rng: rng, pause: cfg.Backoff}
 }
 
-// Resent says, before Start, that the change may have been proposed before
-// under the same id. Then no outcome says "not run" before the change was
-// withdrawn in the table, whatever became of the earlier proposal.
+// Resent records, before Start, that the change may have been proposed before
+// under the same id. The proposer then withdraws the change in the table before it
+// reports the change as not run, so that the earlier proposal can't take effect
+// afterwards.
 func (p *Proposer) Resent() { p.maybeCommitted = true }
 
 // Start begins the proposal.
@@ -105,10 +107,10 @@
 	return p.readHead()
 }
 
-// Done tells whether the outcome was given.
+// Done reports whether the outcome was returned.
 func (p *Proposer) Done() bool { return p.phase == phaseDone }
 
-// Next is when Tick is due.
+// Next returns the time of the next Tick.
 func (p *Proposer) Next() time.Duration {
 	if p.phase == phaseBackoff {
 		return min(p.resume, p.deadline)
@@ -116,7 +118,7 @@
 	return p.deadline
 }
 
-// Tick ends a pause, or the proposal at its deadline.
+// Tick ends a backoff, or ends the proposal at its deadline.
 func (p *Proposer) Tick(now time.Duration) []ProposerAction {
 	switch {
 	case p.phase == phaseDone || p.phase == phaseIdle:
@@ -130,7 +132,8 @@
 	}
 }
 
-// expire gives up: not run is said only where no commit is in doubt.
+// expire ends the proposal at its deadline. It reports the change as not run only
+// if no commit can have taken effect.
 func (p *Proposer) expire() []ProposerAction {
 	if p.maybeCommitted || p.phase == phaseCommit {
 		return p.end(Outcome{Result: Unresolved, Revision: p.head.Revision})
@@ -138,13 +141,14 @@
 	return p.end(Outcome{Result: Unavailable, Revision: p.head.Revision})
 }
 
-// Handle takes the table's reply to the last request; others are ignored.
+// Handle handles the table's reply to the last request and ignores other replies.
 func (p *Proposer) Handle(now time.Duration, r table.Reply) []ProposerAction {
 	if r.Seq != p.seq || p.phase == phaseDone || p.phase == phaseBackoff {
 		return nil
 	}
 	if r.Status != table.Done {
-		// A withdrawal in doubt needs no mark: what it guards against is in doubt already.
+		// A withdrawal with an unknown effect needs no flag: maybeCommitted is set
+		// before every withdrawal.
 		p.maybeCommitted = p.maybeCommitted || (p.phase == phaseCommit && r.Status == table.Unknown)
 		return p.backOff(now)
 	}
@@ -176,7 +180,8 @@
 	return []ProposerAction{{Outcome: &o}}
 }
 
-// backOff pauses for a random part of the doubling pause, at least a half.
+// backOff waits for a random part, at least half, of an exponentially growing
+// pause before the proposer reads the head again.
 func (p *Proposer) backOff(now time.Duration) []ProposerAction {
 	p.phase = phaseBackoff
 	half := int64(p.pause / 2)
@@ -199,7 +204,7 @@
 		return p.backOff(now)
 	}
 	if head.Revision < p.base.Revision {
-		// The read is older than what this daemon has in force.
+		// A stale read: the head is older than this daemon's document.
 		return p.backOff(now)
 	}
 	p.head, p.headVersion = head, row.Version
@@ -213,7 +218,8 @@
 	}
 }
 
-// onKnown ends with what became of the change earlier.
+// onExistingChange ends the proposal with the outcome in the change's row, which
+// an earlier attempt or this proposer's withdrawal has written.
 func (p *Proposer) onExistingChange(row table.Row) []ProposerAction {
 	var known ChangeRow
 	if json.Unmarshal(row.Value, &known) != nil || known.Digest != p.digest {
@@ -230,7 +236,8 @@
 	return p.end(Outcome{Result: Rejected, Faults: []live.Fault{fault}})
 }
 
-// onFuture meets a head below Expect: a stale read, or a mistake.
+// onFutureExpect handles a head below Expect, which comes from a stale read or a
+// wrong Expect. It rejects the change after FutureReads such reads.
 func (p *Proposer) onFutureExpect(now time.Duration) []ProposerAction {
 	p.futureReads++
 	if p.futureReads < p.cfg.FutureReads {
@@ -240,7 +247,8 @@
 	return p.refuse(Outcome{Result: Rejected, Revision: p.head.Revision, Faults: []live.Fault{fault}})
 }
 
-// readGap brings base up to the head, a batch at a time, then commits.
+// readGap reads the revisions between base and the head, a batch at a time, and
+// commits once base is at the head.
 func (p *Proposer) readGap(now time.Duration) []ProposerAction {
 	if p.base.Revision == p.head.Revision {
 		return p.commit()
@@ -271,7 +279,8 @@
 	return p.readGap(now)
 }
 
-// advance applies a row, a record or the snapshot, to doc.
+// advance returns the document after a row, which holds the next record or a newer
+// snapshot. It returns false for any other row.
 func advance(doc *live.Document, row table.Row, snapshot uint64) (*live.Document, bool) {
 	if row.Version == 0 {
 		return nil, false
--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -22,7 +22,7 @@
 	return Change{ID: fmt.Sprintf("c%d", n), At: time.Unix(int64(n), 0).UTC(), Ops: []Op{op}}
 }
 
-// records makes the first n accepted changes.
+// records returns the records of the first n accepted changes.
 func records(n int) []Record {
 	var out []Record
 	chain := ""
@@ -50,7 +50,7 @@
 	c.Ops = append(c.Ops, Op{Action: ActionDelete, Kind: live.KindPool, Name: "none"}, Op{Action: "odd", Kind: live.KindTeam, Name: "t0"})
 	next, faults := Apply(doc, c)
 	is.True(next == nil)
-	is.Equal(len(faults), 2) // both, with their places
+	is.Equal(len(faults), 2) // both bad ops, each with its path
 	is.Equal(faults[0].Path, "ops[1]")
 	is.Equal(faults[1].Path, "ops[2]")
 	c.Ops = []Op{{Action: ActionPut, Kind: live.KindService, Name: "s", Item: json.RawMessage(`{"type": "model", "pool": "none"}`)}}
@@ -89,7 +89,7 @@
 	bad := records(5)[3]
 	bad.Change.Ops[0].Item = json.RawMessage(`{"weight": 3}`)
 	actions := f.Learn(bad)
-	is.True(actions[0].Diverged != nil) // another history is refused
+	is.True(actions[0].Diverged != nil) // a record of another history is rejected
 	is.Equal(f.Current().Revision, uint64(3))
 }
 
@@ -102,8 +102,8 @@
 	is.Equal(len(f.Handle(0, table.Reply{Seq: read.Seq, Status: table.Done, Rows: rows})), 0)
 	is.Equal(f.Current().Revision, uint64(5))
 	f.PeerRevision(0, "peer", 9)
-	ask := f.Tick(time.Second)
-	fetch := ask[len(ask)-1].Fetch
+	actions := f.Tick(time.Second)
+	fetch := actions[len(actions)-1].Fetch
 	older := followerAt(3)
 	snapshot := &Snapshot{Document: *older.Current(), Chain: older.Chain()}
 	is.Equal(len(f.HandlePeer(time.Second, FetchReply{Seq: fetch.Seq, Snapshot: snapshot})), 0)
@@ -115,7 +115,7 @@
 	cfg := DefaultFollowerConfig()
 	f := NewFollower(cfg, 0, newRand())
 	peers := map[id.Daemon]*Follower{"a": followerAt(10), "b": followerAt(200)}
-	peers["b"].history = peers["b"].history[150:] // it no longer has them all
+	peers["b"].history = peers["b"].history[150:] // the peer has dropped old records
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
 		f.PeerRevision(now, "a", 10)
 		f.PeerRevision(now, "b", 200)
@@ -127,7 +127,7 @@
 				f.HandlePeer(now, peers[a.Fetch.Peer].Serve(*a.Fetch))
 			}
 		}
-		is.True(!f.Ready(now) || f.Current().Revision == 200) // never ready on less than the newest
+		is.True(!f.Ready(now) || f.Current().Revision == 200) // not ready before the newest revision is installed
 	}
 	is.True(f.Ready(4 * time.Second))
 	is.Equal(f.Current(), peers["b"].Current())
@@ -155,7 +155,7 @@
 		}
 	}
 	for second := 60; second < 70; second++ {
-		is.True(perSecond[second] <= daemons) // never above the normal rate of one poll a second each
+		is.True(perSecond[second] <= daemons) // at most the normal rate of one poll per second and daemon
 	}
 }
 
--- a/core/revision/table/table.go
+++ b/core/revision/table/table.go
@@ -1,11 +1,11 @@
-// Package table holds the messages between the core's state automata and the
-// platform's transactional table: requests as actions, replies as events. The
-// daemon's adapter turns them into calls.
+// Package table defines the messages between the state machines of the core and the
+// platform's transactional table: requests and replies. The daemon's adapter
+// performs the requests as calls to the table.
 package table
 
 import "time"
 
-// Row is one row; Version 0 means that it does not exist.
+// Row is one row; Version 0 means that the row does not exist.
 type Row struct {
 	Key     string `cbor:"1,keyasint"`
 	Value   []byte `cbor:"2,keyasint"`
@@ -19,28 +19,28 @@
 	Version uint64
 }
 
-// Put writes a row, or deletes it.
+// Put writes a row, or deletes it if Delete is set.
 type Put struct {
 	Key    string
 	Value  []byte
 	Delete bool
 }
 
-// Transaction applies all puts if all conditions hold, else none.
+// Transaction applies all puts if all conditions hold, otherwise none.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 }
 
-// Status tells what is known about a call's outcome.
+// Status is what is known about the outcome of a call.
 type Status uint8
 
 const (
-	// Done: the reply came.
+	// Done: the table has replied.
 	Done Status = iota + 1
-	// NotRun: the call certainly had no effect and never will.
+	// NotRun: the call certainly had no effect and will have none.
 	NotRun
-	// Unknown: the call may have had, or may yet have, its effect.
+	// Unknown: the call may have taken effect, or may still do so.
 	Unknown
 )
 
@@ -58,34 +58,35 @@
 	}
 }
 
-// Request asks the table for one call: a read of Keys, or the Transaction.
+// Request is one call to the table: a read of Keys, or a Transaction.
 type Request struct {
-	// Seq pairs the reply with the request, within one automaton.
+	// Seq matches the reply to the request, within one state machine.
 	Seq uint64
-	// Keys to read; empty for a transaction.
+	// Keys are the keys to read; empty for a transaction.
 	Keys []string
-	// Transaction to run; nil for a read.
+	// Transaction is the transaction to run; nil for a read.
 	Transaction *Transaction
 }
 
-// Reply answers a Request.
+// Reply is the reply to a Request.
 type Reply struct {
 	Seq    uint64
 	Status Status
-	// Rows answer a read, in the order of its keys; rows that do not exist
-	// have version 0. The rows may be from an earlier state of the table.
+	// Rows are the rows of a read, in the order of its keys; rows that do not
+	// exist have version 0. The rows may be from an earlier state of the table.
 	Rows []Row
-	// Applied tells whether the transaction's conditions held.
+	// Applied reports whether the transaction's conditions held.
 	Applied bool
-	// Failed lists the keys whose condition did not hold.
+	// Failed lists the keys whose conditions did not hold.
 	Failed []string
-	// Versions are those of the written rows, in the order of the puts.
+	// Versions are the versions of the written rows, in the order of the puts.
 	Versions []uint64
-	// Clock is the table's own steady clock at the answer; 0 if it tells none.
+	// Clock is the table's own monotonic clock at the time of the reply; 0 if the
+	// table reports none.
 	Clock time.Duration
 }
 
-// Row returns the row of key, with version 0 when it is not in the reply.
+// Row returns the row of key, with version 0 if it is not in the reply.
 func (r *Reply) Row(key string) Row {
 	for _, row := range r.Rows {
 		if row.Key == key {
@@ -95,7 +96,7 @@
 	return Row{Key: key}
 }
 
-// FailedOn tells whether the condition on key did not hold.
+// FailedOn reports whether the condition on key did not hold.
 func (r *Reply) FailedOn(key string) bool {
 	for _, k := range r.Failed {
 		if k == key {
--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -1,6 +1,7 @@
-// Package tabletest is a model of the platform's table for randomised tests of
-// automata: a clock that only events move, and a table that loses requests and
-// replies, answers late, answers from the past, and has outages.
+// Package tabletest is a model of the platform's table for randomized tests of
+// state machines: a simulated clock that advances from event to event, and a table
+// that loses requests and replies, applies calls late, returns stale rows, and has
+// outages.
 package tabletest
 
 import (
@@ -13,10 +14,11 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// seedsVariable multiplies the number of seeds of randomised tests.
+// seedsEnv is the environment variable that multiplies the number of seeds of
+// randomized tests.
 const seedsEnv = "SAMPHIREQUAY_SEEDS"
 
-// Seeds returns n times what the environment asks for (default 1).
+// Seeds returns n times the value of SAMPHIREQUAY_SEEDS (default 1).
 func Seeds(n int) uint64 {
 	times, err := strconv.Atoi(os.Getenv(seedsEnv))
 	if err != nil || times < 1 {
@@ -25,14 +27,14 @@
 	return uint64(n * times)
 }
 
-// event is a function that is due.
+// event is a scheduled function.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
-// events orders by time, then by when they were planned.
+// events is a heap ordered by time, then by the order of scheduling.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -63,24 +65,24 @@
 	Random *rand.Rand
 }
 
-// NewClock returns a clock at zero with a random source of its own.
+// NewClock returns a clock at zero with its own random source.
 func NewClock(seed uint64) *Clock {
 	return &Clock{Random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
 }
 
-// Now is the time of the event that runs.
+// Now returns the time of the running event.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At plans a function; one in the past runs next.
+// At schedules a function; a time in the past counts as now.
 func (c *Clock) At(at time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.queue, event{at: max(at, c.now), seq: c.seq, run: run})
 }
 
-// After plans a function.
+// After schedules a function d from now.
 func (c *Clock) After(d time.Duration, run func()) { c.At(c.now+d, run) }
 
-// Upto returns a random duration below d.
+// RandomDuration returns a random duration below d, or 0 if d is not positive.
 func (c *Clock) RandomDuration(d time.Duration) time.Duration {
 	return time.Duration(c.Random.Int64N(int64(max(d, 1))))
 }
@@ -95,33 +97,33 @@
 	c.now = until
 }
 
-// Faults are the shares, 0 to 1, of calls that each fault meets.
+// Faults sets the probability, 0 to 1, of each fault for a call.
 type Faults struct {
-	// LoseRequest: the call has no effect, and its caller learns nothing.
+	// LoseRequest: the call has no effect, and the caller gets no reply.
 	LoseRequest float64
-	// LoseReply: it has its effect, and its caller learns nothing.
+	// LoseReply: the call takes effect, but the caller gets no reply.
 	LoseReply float64
-	// Late: it has its effect up to a second after its caller gave up.
+	// Late: the call takes effect up to a second after the caller's timeout.
 	Late float64
-	// Stale: a read is answered from up to a second ago.
+	// Stale: a read returns rows that are up to a second old.
 	Stale float64
-	// Down: calls are refused without effect.
+	// Down: every call fails without effect.
 	Down bool
 }
 
-// timeout is when a caller gives up.
+// callTimeout is the caller's timeout of a call.
 const callTimeout = 200 * time.Millisecond
 
-// lag bounds how old a stale read is, and how late a late effect.
+// maxLag bounds the age of a stale read and the delay of a late effect.
 const maxLag = time.Second
 
-// written is one version of a row.
+// rowVersion is one version of a row.
 type rowVersion struct {
 	at  time.Duration
 	row table.Row
 }
 
-// Model is the table.
+// Model is a model of the table.
 type Model struct {
 	Faults      Faults
 	clock       *Clock
@@ -132,7 +134,7 @@
 // New returns an empty table.
 func New(c *Clock) *Model { return &Model{clock: c, rows: map[string][]rowVersion{}} }
 
-// Row returns a row as it is now.
+// Row returns the current version of a row.
 func (m *Model) Row(key string) table.Row { return m.rowAt(key, m.clock.now) }
 
 func (m *Model) rowAt(key string, at time.Duration) table.Row {
@@ -145,7 +147,7 @@
 	return table.Row{Key: key}
 }
 
-// Do runs a request with the faults of now and calls done with the reply.
+// Do runs a request with the current faults and calls done with the reply.
 func (m *Model) Do(q table.Request, done func(table.Reply)) {
 	f, r := m.Faults, m.clock.Random
 	if f.Down {
@@ -157,20 +159,20 @@
 		return
 	}
 	lost := func() { done(table.Reply{Seq: q.Seq, Status: table.Unknown}) }
-	there, back := m.clock.RandomDuration(callTimeout/8), m.clock.RandomDuration(callTimeout/8)
+	requestDelay, replyDelay := m.clock.RandomDuration(callTimeout/8), m.clock.RandomDuration(callTimeout/8)
 	switch x := r.Float64(); {
 	case x < f.LoseRequest:
 		m.clock.After(callTimeout, lost)
 	case x < f.LoseRequest+f.LoseReply:
-		m.clock.After(there, func() { m.run(q) })
+		m.clock.After(requestDelay, func() { m.run(q) })
 		m.clock.After(callTimeout, lost)
 	case x < f.LoseRequest+f.LoseReply+f.Late:
 		m.clock.After(callTimeout, lost)
 		m.clock.After(callTimeout+m.clock.RandomDuration(maxLag), func() { m.run(q) })
 	default:
-		m.clock.After(there, func() {
+		m.clock.After(requestDelay, func() {
 			reply := m.run(q)
-			m.clock.After(back, func() { done(reply) })
+			m.clock.After(replyDelay, func() { done(reply) })
 		})
 	}
 }
