--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -6,17 +6,17 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Passage is what an OrderGate allows towards one endpoint.
+// Passage is the state of an OrderGate for one endpoint.
 type Passage uint8
 
 const (
-	// Closed: this process may not give orders.
+	// Closed: this process may not send orders.
 	Closed Passage = iota
-	// Wait: an order of the former holder may still arrive there.
+	// Wait: an order of the former holder may still arrive at the endpoint.
 	Wait
-	// ReadBack: read the endpoint's state first, then call Repaired.
+	// ReadBack: the caller must read the endpoint's state and call Repaired.
 	ReadBack
-	// Open: orders may go out.
+	// Open: this process may send orders.
 	Open
 )
 
@@ -36,39 +36,41 @@
 	}
 }
 
-// GateConfig sets an OrderGate's time.
+// GateConfig configures an OrderGate.
 type GateConfig struct {
-	// LongestOrder is the longest that an order may be on its way: the
-	// sender's timeout plus what networks and endpoints may hold it back.
+	// LongestOrder is the maximum time that an order may be in flight: the
+	// sender's timeout plus the delays of networks and endpoints.
 	LongestOrder time.Duration
-	// LapseCovers says that a lease lapses for others so long after its holder
-	// stopped trusting it that no order of the holder can still be on its way.
+	// LapseCovers is set if the time between a holder's last trust in its lease
+	// and the lapse of that lease for others is at least LongestOrder, so that no
+	// order of the former holder is in flight after a lapse.
 	LapseCovers bool
 }
 
-// OrderGate says when the orders of a duty's holder may go to an endpoint. An
-// endpoint that checks fencing numbers refuses old orders itself. Towards one
-// that does not, a new holder waits until no order of the former holder can
-// still arrive, and reads the state back before it orders.
+// OrderGate decides when the holder of a duty may send orders to an endpoint. An
+// endpoint that checks fencing numbers rejects old orders itself. For an endpoint
+// that does not, a new holder waits until no order of the former holder can still
+// arrive, and then reads the endpoint's state back before it sends orders.
 type OrderGate struct {
 	cfg   GateConfig
 	lease *Lease
-	// quiet is when the last order of the former holder can have arrived.
+	// waitUntil is the latest time at which an order of the former holder can
+	// arrive.
 	waitUntil time.Duration
 	fence     uint64
-	// read holds the endpoints whose state was read back under this fence.
+	// readBack holds the endpoints whose state was read back under this fence.
 	readBack map[id.Endpoint]bool
 }
 
-// NewOrderGate returns the gate of a lease.
+// NewOrderGate returns the gate for a lease.
 func NewOrderGate(cfg GateConfig, l *Lease) *OrderGate {
 	return &OrderGate{cfg: cfg, lease: l, readBack: map[id.Endpoint]bool{}}
 }
 
-// Acquired starts a new holding. The former holder stopped trusting its lease
-// before this process could take it, so its last order was sent before now; a
-// former holder that released had stopped as well, but its last order may
-// still be on the way, unless it says that none is.
+// Acquired starts a new term of the lease. The former holder stopped trusting the
+// lease before this process could acquire it, so its last order was sent before now.
+// This also holds after a release, but the last order may still be in flight unless
+// the released row has Quiet set.
 func (g *OrderGate) Acquired(now time.Duration, a Acquired) {
 	g.fence = a.Fence
 	g.readBack = map[id.Endpoint]bool{}
@@ -78,8 +80,8 @@
 	}
 }
 
-// Allow tells what may go to an endpoint right now. It must be asked right
-// before each order.
+// Allow returns whether orders may be sent to an endpoint at this moment. The
+// caller must call it immediately before each order.
 func (g *OrderGate) Allow(now time.Duration, endpoint id.Endpoint, checksFencing bool) Passage {
 	switch {
 	case !g.lease.Valid(now) || g.lease.Fence() != g.fence:
@@ -95,13 +97,14 @@
 	}
 }
 
-// Repaired notes that the endpoint's state was read after the wait; what
-// differs from what is desired is ordered anew, which opens the gate for it.
+// Repaired records that the endpoint's state was read back after the wait, which
+// opens the gate for the endpoint. The caller then orders again whatever differs
+// from the desired state.
 func (g *OrderGate) Repaired(now time.Duration, endpoint id.Endpoint) {
 	if now >= g.waitUntil {
 		g.readBack[endpoint] = true
 	}
 }
 
-// Fence returns the fencing number that orders must carry.
+// Fence returns the fencing number that every order must carry.
 func (g *OrderGate) Fence() uint64 { return g.fence }
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,8 +1,9 @@
-// Package lease holds duties by leases in the platform's table. A lease row
-// carries a fencing number that grows with every acquisition. The holder stops
-// by its own monotonic clock well before the lease can lapse for others; a
-// contender waits by its own clock until the row has stood unchanged for the
-// whole lease. No two clocks are ever compared.
+// Package lease elects the holder of a duty, a task that one process performs for
+// the whole fleet, by a lease in the platform's table. A lease row has a fencing
+// number that increases with every acquisition. The holder stops acting by its own
+// monotonic clock well before the lease can lapse for others. A contender waits by
+// its own monotonic clock until the row has been unchanged for the TTL and a margin.
+// Clocks of different processes are never compared.
 package lease
 
 import (
@@ -14,52 +15,54 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// prefix of the keys of lease rows.
+// prefix is the prefix of the keys of lease rows.
 const prefix = "lease/"
 
-// Key is the key of the row of a duty.
+// Key returns the key of the lease row of a duty.
 func Key(duty string) string { return prefix + duty }
 
 // Row is the value of a lease row.
 type Row struct {
 	// Holder is the process that holds the duty; empty after a release.
 	Holder id.Process `json:"holder"`
-	// Fence is the fencing number; it grows with every acquisition.
+	// Fence is the fencing number; it increases with every acquisition.
 	Fence uint64 `json:"fence"`
-	// TTL is how long the row must stand unchanged before another takes over.
+	// TTL is how long the row must be unchanged before another process may
+	// acquire the lease.
 	TTL time.Duration `json:"ttl"`
-	// Beat counts renewals, so that each changes the row.
+	// Beat counts the writes, so that each renewal changes the row.
 	Beat uint64 `json:"beat"`
-	// Quiet, in a released row, says that no order of the former holder can
-	// still be on its way.
+	// Quiet, in a released row, is set if no order of the former holder can
+	// still be in flight.
 	Quiet bool `json:"quiet,omitempty"`
 }
 
-// Config sets the times of a lease.
+// Config configures the timing of a lease.
 type Config struct {
-	// TTL is the time after which a lease that is not renewed lapses.
+	// TTL is the time after which an unrenewed lease lapses.
 	TTL time.Duration
-	// Margin is what a contender waits on top, for clocks that run at
-	// slightly different rates.
+	// Margin is the time that a contender waits in addition to TTL, since clocks
+	// run at slightly different rates.
 	Margin time.Duration
-	// Safety is the share of TTL for which the holder trusts a lease, from
-	// before the request that got it was sent.
+	// Safety is the fraction of TTL for which the holder trusts the lease,
+	// measured from the time at which the acquisition or renewal was sent.
 	Safety float64
-	// RenewEvery is the pause between renewals; each is cut by a random part
-	// of up to RenewJitter (a share of RenewEvery).
+	// RenewEvery is the interval between renewals. Each interval is shortened by
+	// a random part of up to RenewJitter, a fraction of RenewEvery.
 	RenewEvery  time.Duration
 	RenewJitter float64
-	// WatchEvery is the pause between a contender's reads, with the same jitter.
+	// WatchEvery is the interval between a contender's reads, with the same jitter.
 	WatchEvery time.Duration
-	// MaxBackoff bounds the doubling pause while the store fails.
+	// MaxBackoff bounds the exponential backoff while the store fails.
 	MaxBackoff time.Duration
-	// FormerEnded says that an earlier process of the same daemon has ended for
-	// certain, so that its lease need not lapse: it held the same port.
+	// FormerEnded is set if earlier processes of the same daemon have certainly
+	// ended, so that this process need not wait for their lease to lapse: they
+	// held the same port.
 	FormerEnded bool
 }
 
-// DefaultConfig returns the defaults: a duty is taken over within about 8
-// seconds of its holder's death, and at once after a release.
+// DefaultConfig returns the defaults: another process acquires the lease within
+// about 8 seconds after its holder's death, and at its next read after a release.
 func DefaultConfig() Config {
 	return Config{
 		TTL:         5 * time.Second,
@@ -72,36 +75,37 @@
 	}
 }
 
-// Acquired says that this process holds the duty from now on.
+// Acquired reports that this process holds the duty from now on.
 type Acquired struct {
 	Fence uint64
-	// Previous is the process that held it last; empty for none.
+	// Previous is the last holder; empty for none.
 	Previous id.Process
-	// Own is set by whoever knows that this process was the last holder: only
-	// orders of its own can still be on the way.
+	// Own is set if an earlier process of this daemon, which has ended, was the
+	// last holder. A caller sets it too if it knows that this process was the last
+	// holder. Only this daemon's own orders can then still be in flight.
 	Own bool
-	// Quiet tells that the previous holder gave it up itself when no order of
-	// its could still be on the way.
+	// Quiet is set if the last holder released the lease when none of its orders
+	// could still be in flight.
 	Quiet bool
-	// Lapsed tells that the previous holder did not renew it: the whole TTL has
-	// passed since.
+	// Lapsed is set if the last holder did not renew the lease, so that the whole
+	// TTL has passed since its last write.
 	Lapsed bool
 }
 
-// Lost says that this process holds the duty no more.
+// Lost reports that this process no longer holds the duty.
 type Lost struct {
 	Fence  uint64
 	Reason string
 }
 
-// Action is one thing to do or to know.
+// Action is a request that the caller sends, or a change of the lease's state.
 type Action struct {
 	Request  *table.Request
 	Acquired *Acquired
 	Lost     *Lost
 }
 
-// phase is what a Lease waits for.
+// phase is the state of a Lease: the reply or time that it waits for.
 type phase uint8
 
 const (
@@ -113,8 +117,8 @@
 	phaseStopped
 )
 
-// Lease contends for one duty and holds it: the one automaton is Contender
-// and Holder in turn. It has no I/O and is not safe for concurrent use.
+// Lease contends for one duty and holds it. It does no I/O and is not safe for
+// concurrent use.
 type Lease struct {
 	cfg  Config
 	duty string
@@ -125,55 +129,58 @@
 	seq   uint64
 	due   time.Duration
 	pause time.Duration
-	// stopping is set once the lease is to be released for good.
+	// stopping is set once Release was called; the process no longer contends.
 	stopping bool
-	// quiet is what the release says of orders on their way.
+	// quiet is the value of Row.Quiet in the release.
 	quiet bool
 
-	// seen is the row as last read, with its version; since is when that
-	// version was first seen.
+	// seen is the row as last read or written, with its version; unchangedSince
+	// is when that version was first seen.
 	seen           Row
 	version        uint64
 	unchangedSince time.Duration
-	// watched is set once since counts.
+	// observed is set once the row was read or written, so that unchangedSince is
+	// valid.
 	observed bool
 
-	// held is the fencing number held; 0 for none. until is when trust ends.
+	// heldFence is the fencing number of the lease held; 0 for none. trustedUntil
+	// is when the holder stops acting unless the lease is renewed.
 	heldFence    uint64
 	trustedUntil time.Duration
-	// wanted is the row that the last write writes; wroteAt is when it was
-	// sent, and doubt is set while its effect is unknown.
+	// pendingRow is the row of the last write; wroteAt is when that write was
+	// sent, and uncertain is set while its effect is unknown.
 	pendingRow Row
 	wroteAt    time.Duration
 	uncertain  bool
-	// taking is the fencing number of the last take; 0 once it was lost or
-	// given up. previous is who held the row before.
+	// acquiringFence is the fencing number of the last acquisition; 0 once the
+	// lease was lost, released or halted. previousRow is the row that the
+	// acquisition replaced.
 	acquiringFence uint64
 	previousRow    Row
 }
 
-// New returns a contender for the duty. Its first read is due at now plus a
-// random part of WatchEvery, so that a fleet that starts at once is spread.
+// New returns a contender for the duty. Its first read is due at now plus a random
+// part of WatchEvery, which spreads the reads of processes that start together.
 func New(cfg Config, duty string, self id.Process, now time.Duration, rng *rand.Rand) *Lease {
 	l := &Lease{cfg: cfg, duty: duty, self: self, rng: rng, pause: cfg.WatchEvery}
 	l.due = now + time.Duration(rng.Float64()*float64(cfg.WatchEvery))
 	return l
 }
 
-// Valid tells whether this process may act on the duty right now. It must be
-// asked right before each order, with the time read right then.
+// Valid reports whether this process may act as the holder at this moment. The
+// caller must call it immediately before each order, with the current time.
 func (l *Lease) Valid(now time.Duration) bool { return l.heldFence != 0 && now < l.trustedUntil }
 
-// Fence returns the fencing number held; 0 for none.
+// Fence returns the fencing number of the lease held; 0 for none.
 func (l *Lease) Fence() uint64 { return l.heldFence }
 
-// Holder returns the duty's row as last seen, for status pages.
+// Holder returns the lease row as last seen, for status pages.
 func (l *Lease) Holder() Row { return l.seen }
 
-// Stopped tells whether a Release has ended.
+// Stopped reports whether a Release is complete.
 func (l *Lease) Stopped() bool { return l.phase == phaseStopped }
 
-// Next is when Tick is due.
+// Next returns the time of the next Tick.
 func (l *Lease) Next() time.Duration {
 	next := time.Duration(1<<63 - 1)
 	if l.phase == phaseWait {
@@ -185,7 +192,8 @@
 	return next
 }
 
-// Tick does what is due: read, renew, or stop for want of a renewal.
+// Tick performs the actions that are due: a read, a renewal, or the loss of a lease
+// that was not renewed in time.
 func (l *Lease) Tick(now time.Duration) []Action {
 	var out []Action
 	if l.heldFence != 0 && now >= l.trustedUntil {
@@ -200,9 +208,9 @@
 	return append(out, l.read())
 }
 
-// Release gives the duty up at once, so that another need not wait for it to
-// lapse. The caller must have stopped acting on it; quiet says that no order of
-// its can still be on the way.
+// Release releases the lease, so that another process need not wait for it to
+// lapse. The caller must have stopped acting as the holder. quiet is true if none
+// of its orders can still be in flight.
 func (l *Lease) Release(now time.Duration, quiet bool) []Action {
 	if l.stopping {
 		return nil
@@ -217,13 +225,13 @@
 	}
 	lost := l.lose("released")
 	if l.phase != phaseWait {
-		// The request in flight decides the row's version: release behind it.
+		// The request in flight determines the row's version: release after its reply.
 		return []Action{lost}
 	}
 	return []Action{lost, l.release(now)}
 }
 
-// Poke brings a contender's next read forward, as when the holder is known to
+// Poke schedules a contender's next read earlier, as when the holder is known to
 // be leaving.
 func (l *Lease) Poke(now time.Duration) {
 	if l.heldFence == 0 && l.phase == phaseWait && !l.stopping {
@@ -231,8 +239,8 @@
 	}
 }
 
-// Halt stops trusting the lease at once, as when this process was declared
-// dead; it contends again as any other.
+// Halt stops trusting the lease immediately, as when this process was declared
+// dead. The process then contends again like any other.
 func (l *Lease) Halt(now time.Duration) []Action {
 	if l.heldFence == 0 {
 		return nil
@@ -257,12 +265,12 @@
 	return l.request(phaseRead, table.Request{Keys: []string{Key(l.duty)}})
 }
 
-// write replaces the row as last seen by wanted.
-func (l *Lease) write(now time.Duration, ph phase, wanted Row) Action {
-	l.pendingRow, l.wroteAt, l.uncertain = wanted, now, false
-	value, err := json.Marshal(wanted)
+// write requests that the row as last seen be replaced with row.
+func (l *Lease) write(now time.Duration, ph phase, row Row) Action {
+	l.pendingRow, l.wroteAt, l.uncertain = row, now, false
+	value, err := json.Marshal(row)
 	if err != nil {
-		panic("lease: a row can't be encoded: " + err.Error())
+		panic("lease: can't encode a row: " + err.Error())
 	}
 	return l.request(ph, table.Request{Transaction: &table.Transaction{
 		Conditions: []table.Condition{{Key: Key(l.duty), Version: l.version}},
@@ -277,25 +285,26 @@
 }
 
 func (l *Lease) renew(now time.Duration) Action {
-	wanted := l.seen
-	wanted.TTL = l.cfg.TTL
-	wanted.Beat++
-	return l.write(now, phaseRenew, wanted)
+	row := l.seen
+	row.TTL = l.cfg.TTL
+	row.Beat++
+	return l.write(now, phaseRenew, row)
 }
 
 func (l *Lease) release(now time.Duration) Action {
 	return l.write(now, phaseRelease, Row{Fence: l.seen.Fence, Beat: l.seen.Beat + 1, Quiet: l.quiet})
 }
 
-// wait plans the next step after a success.
+// wait schedules the next read or renewal after a success.
 func (l *Lease) wait(now, every time.Duration) {
 	l.phase = phaseWait
 	l.pause = l.cfg.WatchEvery
 	l.due = now + every - time.Duration(l.rng.Float64()*l.cfg.RenewJitter*float64(every))
 }
 
-// backOff plans the next step after a failure: a random part of a doubling
-// pause, at least a quarter. A holder tries again sooner.
+// backOff schedules the next read or renewal after a failure: a random part, at
+// least a quarter, of an exponentially growing pause. retryLater shortens it for a
+// holder.
 func (l *Lease) backOff(now time.Duration) {
 	l.phase = phaseWait
 	quarter := l.pause / 4
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table/tabletest"
 )
 
-// process is one contender with a clock of its own.
+// process is one contender with its own clock.
 type process struct {
 	w      *world
 	self   id.Process
@@ -21,27 +21,28 @@
 	offset time.Duration
 	rate   float64
 	dead   bool
-	// paused is until when the process does not run.
+	// paused is the time until which the process does not run.
 	paused time.Duration
-	// acquired counts.
+	// acquired counts the acquisitions.
 	acquired int
 }
 
-// endpoint is one that checks no fencing numbers.
+// endpoint is an endpoint that does not check fencing numbers.
 type endpoint struct {
 	fence  uint64
 	orders int
-	// reverted counts orders of a former holder that came after a later one's.
+	// staleOrders counts orders of a former holder that arrived after an order of
+	// a later holder.
 	staleOrders int
 }
 
-// world runs processes against one table and one endpoint.
+// world simulates processes with one table and one endpoint.
 type world struct {
 	clock     *tabletest.Clock
 	model     *tabletest.Model
 	processes []*process
 	endpoint  endpoint
-	// strip takes the conditions off all transactions: a planted fault.
+	// dropConditions removes the conditions of all transactions, to inject a fault.
 	dropConditions bool
 	fences         []uint64
 	overlaps       int
@@ -66,12 +67,12 @@
 	return p
 }
 
-// now is the process's own clock.
+// now returns the time of the process's own clock.
 func (p *process) now() time.Duration {
 	return p.offset + time.Duration(p.rate*float64(p.w.clock.Now()))
 }
 
-// awake runs a function once the process runs again, unless it died.
+// runWhenActive runs a function once the process is not paused, unless it is dead.
 func (p *process) runWhenActive(run func()) {
 	switch {
 	case p.dead:
@@ -112,7 +113,8 @@
 	p.w.checkOverlap()
 }
 
-// order gives the endpoint an order if the gate is open; it arrives late.
+// order sends the endpoint an order if the gate is open. It arrives after a random
+// delay of up to maxOrderDelay.
 func (p *process) order() {
 	w, now := p.w, p.now()
 	passage := p.gate.Allow(now, "e", false)
@@ -132,7 +134,7 @@
 	})
 }
 
-// check counts the moments at which two processes would both act.
+// checkOverlap counts the moments at which more than one process holds the lease.
 func (w *world) checkOverlap() {
 	valid := 0
 	for _, p := range w.processes {
@@ -154,7 +156,8 @@
 	return nil
 }
 
-// trouble pauses, kills, replaces and releases at random.
+// injectFaults pauses, kills and restarts processes, takes the table down, and halts
+// and releases leases, at random until a time.
 func (w *world) injectFaults(cfg Config, until time.Duration) {
 	r := w.clock.Random
 	if w.clock.Now() >= until {
@@ -222,31 +225,31 @@
 		is.Equal(w.overlaps, 0)
 		is.True(w.fencesIncrease())
 		is.Equal(w.endpoint.staleOrders, 0)
-		is.True(w.holder() != nil) // somebody holds it once the faults are over
+		is.True(w.holder() != nil) // one process holds the lease after the faults have ended
 		acquired += len(w.fences)
 		orders += w.endpoint.orders
 	}
-	is.True(acquired > 120*3 && orders > 120*100) // the histories were eventful
+	is.True(acquired > 120*3 && orders > 120*100) // the histories have enough acquisitions and orders
 	t.Logf("%d acquisitions, %d orders", acquired, orders)
 }
 
 func TestChecksDetectInjectedFaults(t *testing.T) {
-	long := DefaultConfig()
-	long.Safety = 1.6 // the holder trusts its lease for longer than it lasts
-	for name, plant := range map[string]func(seed uint64) *world{
+	unsafe := DefaultConfig()
+	unsafe.Safety = 1.6 // the holder trusts its lease for longer than the TTL
+	for name, inject := range map[string]func(seed uint64) *world{
 		"no conditions": func(seed uint64) *world { return simulate(seed, DefaultConfig(), true) },
-		"no safety":     func(seed uint64) *world { return simulate(seed, long, false) },
+		"no safety":     func(seed uint64) *world { return simulate(seed, unsafe, false) },
 	} {
 		found := 0
 		for seed := range uint64(20) {
-			if w := plant(seed); w.overlaps > 0 || !w.fencesIncrease() {
+			if w := inject(seed); w.overlaps > 0 || !w.fencesIncrease() {
 				found++
 			}
 		}
 		if found == 0 {
-			t.Errorf("%s: found in no history", name)
+			t.Errorf("%s: not detected in any history", name)
 		}
-		t.Logf("%s: found in %d of 20 histories", name, found)
+		t.Logf("%s: detected in %d of 20 histories", name, found)
 	}
 }
 
@@ -257,17 +260,17 @@
 	h := w.holder()
 	is.True(h != nil)
 	h.act(h.lease.Release(h.now(), false))
-	is.True(!h.lease.Valid(h.now())) // it stops before the table knows
+	is.True(!h.lease.Valid(h.now())) // the holder stops before the release is written
 	w.clock.Run(w.clock.Now() + 1500*time.Millisecond)
 	is.True(h.lease.Stopped())
 	next := w.holder()
 	is.True(next != nil && next != h)
-	is.Equal(next.gate.Allow(next.now(), "e", true), Open)  // checks fencing
-	is.Equal(next.gate.Allow(next.now(), "e", false), Wait) // an order may still be on its way
+	is.Equal(next.gate.Allow(next.now(), "e", true), Open)  // the endpoint checks fencing numbers
+	is.Equal(next.gate.Allow(next.now(), "e", false), Wait) // an order may still be in flight
 }
 
-// TestAQuietReleaseOpensTheGateAtOnce: no order of the former holder can still
-// be on its way.
+// TestQuietReleaseOpensGateImmediately: after a release with quiet, the new holder
+// need not wait, since no order of the former holder can still be in flight.
 func TestQuietReleaseOpensGateImmediately(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, DefaultConfig(), 3)
@@ -280,8 +283,8 @@
 	is.True(next.gate.Allow(next.now(), "e", false) != Wait)
 }
 
-// TestAnEndedPredecessorsLeaseNeedNotLapse: a restarted daemon takes its former
-// process's lease at its first read; another daemon waits for it to lapse.
+// TestRestartedDaemonTakesItsFormerLease: a restarted daemon acquires the lease of
+// its former process at its first read; another daemon waits for the lease to lapse.
 func TestRestartedDaemonTakesItsFormerLease(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -300,7 +303,8 @@
 	is.True(again.gate.Allow(again.now(), "e", false) != Wait)
 }
 
-// TestALapseThatCoversOrdersOpensTheGateAtOnce, and only then.
+// TestLapseCoveringOrdersOpensGateImmediately: after a lapse the gate waits unless
+// LapseCovers is set.
 func TestLapseCoveringOrdersOpensGateImmediately(t *testing.T) {
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
@@ -320,7 +324,7 @@
 	h.paused = w.clock.Now() + 30*time.Second
 	w.clock.Run(w.clock.Now() + cfg.TTL + cfg.Margin + 2*cfg.WatchEvery)
 	next := w.holder()
-	is.True(next != nil && next != h) // taken over within the lease, the margin and a read
+	is.True(next != nil && next != h) // acquired by another process within TTL, margin and two reads
 	is.True(!h.lease.Valid(h.now()))
 	is.Equal(h.gate.Allow(h.now(), "e", true), Closed)
 	is.True(next.lease.Fence() > h.gate.Fence())
@@ -334,7 +338,7 @@
 	h := w.holder()
 	w.model.Faults.Down = true
 	w.clock.Run(w.clock.Now() + cfg.TTL)
-	is.True(w.holder() == nil) // nobody acts
+	is.True(w.holder() == nil) // no process acts as the holder
 	w.clock.Run(w.clock.Now() + 10*time.Minute)
 	w.model.Faults.Down = false
 	w.clock.Run(w.clock.Now() + cfg.MaxBackoff + cfg.TTL + cfg.Margin + 2*cfg.WatchEvery)
--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// Handle takes the table's reply to the last request; others are ignored.
+// Handle handles the table's reply to the last request and ignores other replies.
 func (l *Lease) Handle(now time.Duration, r table.Reply) []Action {
 	if r.Seq != l.seq {
 		return nil
@@ -25,8 +25,8 @@
 	}
 }
 
-// onWrite takes the reply to a take or a renewal. One in doubt, or refused
-// because the row changed, is resolved by reading the row.
+// onWrite handles the reply to an acquisition or a renewal. If its effect is
+// unknown, or it failed because the row had changed, the row is read.
 func (l *Lease) onWrite(now time.Duration, r table.Reply) []Action {
 	switch {
 	case r.Status == table.Done && r.Applied && len(r.Versions) > 0:
@@ -42,7 +42,8 @@
 	}
 }
 
-// written goes on after a take or renewal took effect, at l.wroteAt or later.
+// onWritten continues after an acquisition or a renewal took effect, at l.wroteAt or
+// later.
 func (l *Lease) onWritten(now time.Duration) []Action {
 	l.uncertain = false
 	if l.stopping {
@@ -55,15 +56,16 @@
 		return nil
 	}
 	if l.acquiringFence == 0 || trust <= now {
-		// A renewal for a lease that was given up meanwhile, or known too late.
+		// The lease was lost, released or halted in the meantime, or the write was
+		// confirmed only after the trust had ended.
 		return nil
 	}
 	l.heldFence, l.trustedUntil = l.seen.Fence, trust
 	return []Action{{Acquired: l.newAcquired()}}
 }
 
-// acquired tells of a take that took effect, and what the former holder may yet
-// have on its way.
+// newAcquired returns the Acquired of an acquisition that took effect, with what is
+// known of the former holder's orders in flight.
 func (l *Lease) newAcquired() *Acquired {
 	former := l.previousRow.Holder
 	return &Acquired{
@@ -75,14 +77,14 @@
 	}
 }
 
-// ownFormer tells whether a process is an earlier one of this daemon, which has
-// ended.
+// isFormerSelf reports whether a process is an earlier one of this daemon that has
+// certainly ended.
 func (l *Lease) isFormerSelf(p id.Process) bool {
 	return l.cfg.FormerEnded && p.Daemon == l.self.Daemon && p.Incarnation < l.self.Incarnation
 }
 
-// onRead takes the row. A read may be stale: a version below the newest seen
-// is ignored.
+// onRead handles a read of the row. A read may be stale: a version below the newest
+// one seen is ignored.
 func (l *Lease) onRead(now time.Duration, r table.Reply) []Action {
 	row := r.Row(Key(l.duty))
 	var value Row
@@ -92,7 +94,8 @@
 		return nil
 	}
 	if !l.observed || row.Version > l.version {
-		// The row may have changed right up to the reply.
+		// The row may have changed as late as at the reply, so the time counts from
+		// now.
 		l.observed, l.unchangedSince = true, now
 		l.seen, l.version = value, row.Version
 	}
@@ -111,20 +114,21 @@
 	}
 }
 
-// checkHeld goes on after a renewal did not take effect as far as this read
-// tells: if the row is still this holder's, it renews again.
+// checkHeld continues after a read shows that a renewal has not taken effect. If
+// the row still belongs to this holder, it renews again soon; otherwise the lease is
+// lost.
 func (l *Lease) checkHeld(now time.Duration) []Action {
 	if l.seen.Holder == l.self && l.seen.Fence == l.heldFence {
 		l.wait(now, l.cfg.RenewEvery/4)
 		return nil
 	}
 	l.wait(now, l.cfg.WatchEvery)
-	return []Action{l.lose("another process holds the row")}
+	return []Action{l.lose("another process holds the lease")}
 }
 
-// free tells whether the duty may be taken: never held, released, this
-// process's own or its ended predecessor's, or unchanged for the whole lease by
-// its own clock.
+// available reports whether this process may acquire the lease: it was never held,
+// was released, belongs to this process or to an earlier process of this daemon that
+// has ended, or its row was unchanged for TTL and Margin by this process's clock.
 func (l *Lease) available(now time.Duration) bool {
 	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.isFormerSelf(l.seen.Holder) {
 		return true
@@ -132,13 +136,15 @@
 	return now-l.unchangedSince >= l.seen.TTL+l.cfg.Margin
 }
 
-// watchPause reads again soon enough to take a lapsed lease without delay.
+// watchPause returns the time until the next read: WatchEvery, or less if the lease
+// lapses earlier, but at least WatchEvery/8.
 func (l *Lease) watchPause(now time.Duration) time.Duration {
 	left := l.unchangedSince + l.seen.TTL + l.cfg.Margin - now
 	return max(min(l.cfg.WatchEvery, left), l.cfg.WatchEvery/8)
 }
 
-// settleStop releases the row if it is this process's, else stops.
+// finishRelease releases the lease if the row belongs to this process; otherwise it
+// stops.
 func (l *Lease) finishRelease(now time.Duration) []Action {
 	if l.seen.Holder == l.self {
 		return []Action{l.release(now)}
@@ -161,7 +167,7 @@
 	}
 }
 
-// retryLater backs off; a holder, or one that stops, tries again sooner.
+// retryLater backs off. A holder, or a process that is stopping, retries sooner.
 func (l *Lease) retryLater(now time.Duration) {
 	l.backOff(now)
 	if l.heldFence != 0 || l.stopping {
