--- a/core/live/check.go
+++ b/core/live/check.go
@@ -12,28 +12,29 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Bounds of what a document may hold.
+// Bounds of the fields of a document.
 const (
-	// MaxNameBytes bounds the name of an item, in bytes.
+	// MaxNameBytes is the maximum length of an item's name, in bytes.
 	MaxNameBytes = 128
 	// MaxPriority is the highest priority of a service.
 	MaxPriority = 9
-	// MaxTimeoutMS bounds every time in a service, in milliseconds: one hour.
+	// MaxTimeoutMS is the maximum of every duration in a service, in
+	// milliseconds: one hour.
 	MaxTimeoutMS = 3600 * 1000
-	// MaxBody bounds Team.MaxBodyBytes, in bytes.
+	// MaxBody is the maximum of Team.MaxBodyBytes, in bytes.
 	MaxBody = 64 << 20
-	// MaxSlots bounds Endpoint.Slots.
+	// MaxSlots is the maximum of Endpoint.Slots.
 	MaxSlots = 1 << 16
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one validation error of a document or a change.
 type Fault struct {
-	// Path leads to the field, as in "services[2].pool".
+	// Path is the path of the field, as in "services[2].pool".
 	Path string `json:"path"`
-	// Kind and Name are the item's.
+	// Kind and Name identify the item.
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Message says what is wrong, for a person.
+	// Message describes the fault for an operator.
 	Message string `json:"message"`
 }
 
@@ -42,8 +43,8 @@
 	return fmt.Sprintf("%s (%s %q): %s", f.Path, f.Kind, f.Name, f.Message)
 }
 
-// Check returns every fault of doc, in the document's order; none means that
-// doc may be accepted. It expects a normalized document.
+// Check returns all faults of doc, by the kind of item and in the document's order;
+// a document without faults may be accepted. It expects a normalized document.
 func Check(doc *Document) []Fault {
 	c := &checker{}
 	c.teams(doc)
@@ -57,7 +58,7 @@
 // checker collects faults.
 type checker struct{ faults []Fault }
 
-// item is where a fault is found.
+// item is the item being checked.
 type item struct {
 	c     *checker
 	kind  Kind
@@ -66,14 +67,14 @@
 	names map[string]bool
 }
 
-// at starts the check of one item: its name must be proper and new.
+// newItem starts the check of one item: its name must be valid and unique.
 func (c *checker) newItem(kind Kind, list string, i int, name string, names map[string]bool) item {
 	it := item{c: c, kind: kind, path: fmt.Sprintf("%s[%d]", list, i), name: name, names: names}
 	if msg := nameFault(name); msg != "" {
 		it.fault("name", "%s", msg)
 	}
 	if names[name] {
-		it.fault("name", "the name is used twice")
+		it.fault("name", "the name is not unique")
 	}
 	names[name] = true
 	return it
@@ -84,9 +85,9 @@
 	it.c.faults = append(it.c.faults, f)
 }
 
-// between wants low <= v <= high.
+// inRange reports a fault unless low <= v <= high.
 func (it item) inRange(field string, v, low, high float64) {
-	// Written so that NaN is a fault as well.
+	// The negated condition makes NaN a fault as well.
 	if !(v >= low && v <= high) {
 		it.fault(field, "%v is not between %v and %v", v, low, high)
 	}
@@ -101,7 +102,7 @@
 func (it item) labels(l Labels) {
 	for k := range l {
 		if msg := nameFault(k); msg != "" {
-			it.fault("labels", "a label's key: %s", msg)
+			it.fault("labels", "a label key %s", msg)
 			return
 		}
 	}
@@ -114,9 +115,9 @@
 	if len(name) > MaxNameBytes {
 		return fmt.Sprintf("is longer than %d bytes", MaxNameBytes)
 	}
-	odd := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
-	if strings.ContainsFunc(name, odd) {
-		return "holds a space or a character that cannot be printed"
+	invalid := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
+	if strings.ContainsFunc(name, invalid) {
+		return "contains a space or a non-printable character"
 	}
 	return ""
 }
@@ -147,7 +148,7 @@
 			continue
 		}
 		if seen[hash] {
-			it.fault(field, "the key is in use already")
+			it.fault(field, "the key is already in use")
 		}
 		seen[hash] = true
 	}
@@ -226,11 +227,11 @@
 func (it item) address(address string, seen map[string]bool) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
-		it.fault("address", "%q is not an IP number and a port", address)
+		it.fault("address", "%q is not an IP address and a port", address)
 		return
 	}
 	if seen[ap.String()] {
-		it.fault("address", "%q is used twice", address)
+		it.fault("address", "%q is already in use", address)
 	}
 	seen[ap.String()] = true
 }
--- a/core/live/fuzz_test.go
+++ b/core/live/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzCheck: a document that is accepted can be indexed, and read back from its
-// own JSON it is the same and accepted again.
+// FuzzCheck checks that an accepted document can be indexed, and that a round trip
+// through JSON yields the same document, which is accepted again.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(`{"revision":3,"teams":[{"name":"t","key_hashes":[],"labels":{"a":"b"}}],
 		"pools":[{"name":"p","endpoint_selector":"pool in (p,q)"}],
@@ -40,13 +40,13 @@
 	for i := range doc.Pools {
 		for _, e := range index.Endpoints(doc.Pools[i].Name) {
 			if known, ok := index.Endpoint(e.Name); !ok || known != e {
-				t.Fatalf("pool %s has an endpoint %q of its own", doc.Pools[i].Name, e.Name)
+				t.Fatalf("pool %s has an endpoint %q that is not in the index", doc.Pools[i].Name, e.Name)
 			}
 		}
 	}
 	data, err := json.Marshal(doc)
 	if err != nil {
-		t.Fatalf("an accepted document can't be written: %v", err)
+		t.Fatalf("an accepted document can't be encoded: %v", err)
 	}
 	back := &Document{}
 	if err := json.Unmarshal(data, back); err != nil {
@@ -54,10 +54,10 @@
 	}
 	back = Normalize(back)
 	if faults := Check(back); len(faults) > 0 {
-		t.Fatalf("read back: %v", faults)
+		t.Fatalf("the decoded document has faults: %v", faults)
 	}
 	again, err := json.Marshal(back)
 	if err != nil || !reflect.DeepEqual(data, again) {
-		t.Fatalf("read back as %s, was %s (%v)", again, data, err)
+		t.Fatalf("encoded again as %s, want %s (%v)", again, data, err)
 	}
 }
--- a/core/live/index.go
+++ b/core/live/index.go
@@ -11,8 +11,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Index answers look-ups in one Document. It is built once per Document and
-// never changes, so any number of readers may share it.
+// Index is an immutable index of one Document. It is safe for concurrent use.
 type Index struct {
 	doc           *Document
 	keys          *apikey.Ring[*Team]
@@ -31,11 +30,11 @@
 
 type linkKey struct{ from, to id.Domain }
 
-// HashKey returns the hash that Team.KeyHashes holds for a bearer key.
+// HashKey returns the hash of a bearer key in the form used in Team.KeyHashes.
 func HashKey(key string) string { return apikey.Of([]byte(key)).String() }
 
-// NewIndex builds the index of a normalized document without faults. A
-// selector that cannot be parsed matches nothing.
+// NewIndex builds the index of a normalized document without faults. A selector
+// that can't be parsed matches nothing.
 func NewIndex(doc *Document) *Index {
 	x := &Index{
 		doc:           doc,
@@ -64,7 +63,7 @@
 		x.teams[t.Name] = t
 		for _, text := range t.KeyHashes {
 			if h, err := apikey.Parse(text); err == nil {
-				// A document without faults has no key twice.
+				// Keys are unique in a document without faults.
 				_ = x.keys.Add(h, t)
 			}
 		}
@@ -113,8 +112,8 @@
 	return s
 }
 
-// EndpointLabels returns what selectors see of an endpoint: its labels, and
-// its failure domain as LabelDomain where no label says otherwise.
+// EndpointLabels returns the labels that selectors match for an endpoint: its own
+// labels, and LabelDomain set to its failure domain unless it has that label itself.
 func EndpointLabels(e *Endpoint) labels.Set {
 	set := make(labels.Set, len(e.Labels)+1)
 	set[LabelDomain] = string(e.Domain)
@@ -124,7 +123,7 @@
 	return set
 }
 
-// Document returns the document that the index was built from.
+// Document returns the indexed document.
 func (x *Index) Document() *Document { return x.doc }
 
 // TeamByKey returns the team that a presented bearer key belongs to.
@@ -136,9 +135,9 @@
 	return t, ok
 }
 
-// ServiceFor returns the service that team asks for by name. A service that
-// does not exist and one that the team may not use give the same error, so
-// that the answer shows nothing of other teams.
+// ServiceFor returns the service that team requests by name. The error is the same
+// for a service that does not exist and for one that the team may not use, so that
+// it discloses nothing about other teams.
 func (x *Index) ServiceFor(team *Team, name id.Service) (*Service, *verdict.Error) {
 	rule, ok := x.services[name]
 	if !ok || !rule.teams.Matches(labels.Set(team.Labels)) {
@@ -158,7 +157,8 @@
 	return out
 }
 
-// Service returns a service by name, for operators and duties.
+// Service returns a service by name without a check of the team, for operators and
+// duties.
 func (x *Index) Service(name id.Service) (*Service, bool) {
 	rule, ok := x.services[name]
 	return rule.service, ok
@@ -176,16 +176,16 @@
 	return e, ok
 }
 
-// Endpoints returns the endpoints of a pool in the order of their names. The
-// caller must not change the slice.
+// Endpoints returns the endpoints of a pool, sorted by name. The caller must not
+// modify the slice.
 func (x *Index) Endpoints(pool id.Pool) []*Endpoint { return x.poolEndpoints[pool] }
 
-// Link returns the link between two failure domains; the last listed one
-// applies. Without one the path is not limited.
+// Link returns the link from one failure domain to another; if there are several,
+// the last one in the document. A path without a link has no rate limit.
 func (x *Index) Link(from, to id.Domain) (*Link, bool) {
 	l, ok := x.links[linkKey{from, to}]
 	return l, ok
 }
 
-// IsLeaving tells whether the endpoint's label drains it.
+// IsLeaving reports whether the label LabelLeaving drains the endpoint.
 func IsLeaving(e *Endpoint) bool { return e.Labels[LabelLeaving] == "true" }
--- a/core/live/live.go
+++ b/core/live/live.go
@@ -1,6 +1,6 @@
-// Package live holds the live configuration: what operators change while the
-// daemons run. It is a set of named items with labels; see package revision
-// for how changes are ordered and spread.
+// Package live defines the live configuration, which operators change while the
+// daemons run. It is a set of named items with labels. Package revision orders and
+// distributes its changes.
 package live
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/core/quota"
 )
 
-// Kind names the kind of an item.
+// Kind is the kind of an item.
 type Kind string
 
 // The kinds of items.
@@ -22,11 +22,11 @@
 	KindLink     Kind = "link"
 )
 
-// Labels are the key and value pairs that selectors match, in the grammar of
+// Labels are the key-value pairs that selectors match. Selectors use the syntax of
 // k8s.io/apimachinery/pkg/labels.
 type Labels map[string]string
 
-// Well-known labels. Operators steer by them.
+// Well-known labels, by which operators control the system.
 const (
 	// LabelLeaving set to "true" on an endpoint drains it.
 	LabelLeaving = "samphirequay/leaving"
@@ -35,18 +35,18 @@
 	// LabelModel is the model an endpoint should serve.
 	LabelModel = "samphirequay/model"
 	// LabelVersion and LabelAdapter are the version and the adapter of the model
-	// that an endpoint should serve. On a pool they stand for all its endpoints,
-	// and go before its own fields.
+	// that an endpoint should serve. On a pool they apply to all its endpoints
+	// and take precedence over the pool's own fields.
 	LabelVersion = "samphirequay/version"
 	LabelAdapter = "samphirequay/adapter"
 	// LabelDomain is the failure domain of an endpoint.
 	LabelDomain = "samphirequay/domain"
-	// LabelLiftQuarantine on a service holds the fingerprint of a quarantined
-	// request that operators set free; "all" frees every one.
+	// LabelLiftQuarantine on a service is the fingerprint of a request whose
+	// quarantine operators lift; "all" lifts every quarantine.
 	LabelLiftQuarantine = "samphirequay/lift-quarantine"
 )
 
-// Role is what an endpoint does.
+// Role is the role of an endpoint.
 type Role string
 
 // The roles of endpoints.
@@ -54,51 +54,52 @@
 	RolePrefill Role = "prefill"
 	RoleDecode  Role = "decode"
 	RolePlain   Role = "plain"
-	// RoleWhole engines read prompts and write answers.
+	// RoleWhole is the role of engines that run both prefill and decode.
 	RoleWhole Role = "whole"
 )
 
-// Team is a party that sends requests and trusts no other team.
+// Team is a party that sends requests; teams do not trust each other.
 type Team struct {
 	// Name of the team, unique.
 	Name id.Team `json:"name"`
-	// Labels that a service's team selector matches.
+	// Labels of the team; a service's team selector matches them.
 	Labels Labels `json:"labels,omitempty"`
 	// KeyHashes are SHA-256 hashes, in hex, of the team's bearer keys. The
 	// keys themselves are never stored.
 	KeyHashes []string `json:"key_hashes"`
-	// Weight is the team's share against others under contention. Default 1.
+	// Weight is the team's share of capacity relative to other teams under
+	// contention. Default 1.
 	Weight float64 `json:"weight,omitempty"`
-	// MaxInFlight bounds the team's requests in the system at once, over all
-	// daemons. Default 256.
+	// MaxInFlight bounds the team's concurrent requests over all daemons.
+	// Default 256.
 	MaxInFlight int `json:"max_in_flight,omitempty"`
 	// MaxBodyBytes bounds the body of one request, in bytes. Default 1 MiB.
 	MaxBodyBytes int `json:"max_body_bytes,omitempty"`
 	// RetryPerSecond bounds the retries that the system makes for the team.
 	// Default 5 a second.
 	RetryPerSecond float64 `json:"retry_per_second,omitempty"`
-	// LimitPerSecond is how many units the team may have run in a second, over all
-	// daemons together: requests, or tokens where LimitByTokens is set. Default: no
-	// limit.
+	// LimitPerSecond is the team's rate limit over all daemons, in requests per
+	// second, or in tokens per second if LimitByTokens is set. Default: no limit.
 	LimitPerSecond float64 `json:"limit_per_second,omitempty"`
-	// LimitBurst is how many units may come at once beyond that. Default: as many
-	// as LimitPerSecond.
+	// LimitBurst is the burst size of the rate limit, in the same units. Default:
+	// the value of LimitPerSecond.
 	LimitBurst float64 `json:"limit_burst,omitempty"`
-	// LimitByTokens counts a completion as the tokens of its prompt and the most of
-	// its answer, and a plain call as LimitPlainTokens.
+	// LimitByTokens counts a completion as the tokens of its prompt plus its
+	// maximum output tokens, and a plain call as LimitPlainTokens.
 	LimitByTokens bool `json:"limit_by_tokens,omitempty"`
-	// LimitPlainTokens is what a plain call counts. Default 200.
+	// LimitPlainTokens is the number of tokens that a plain call counts as.
+	// Default 200.
 	LimitPlainTokens float64 `json:"limit_plain_tokens,omitempty"`
 }
 
-// Limit is the team's limit over all daemons.
+// Limit returns the team's rate limit over all daemons.
 func (t *Team) Limit() quota.Limit {
 	return quota.Limit{
 		Rate: t.LimitPerSecond, Burst: t.LimitBurst, ByTokens: t.LimitByTokens, PlainTokens: t.LimitPlainTokens,
 	}
 }
 
-// ServiceType tells a model service from a plain one.
+// ServiceType is the type of a service: model or plain.
 type ServiceType string
 
 // The types of services.
@@ -107,7 +108,7 @@
 	ServicePlain ServiceType = "plain"
 )
 
-// Service is what callers name in a request.
+// Service is the target that callers name in a request.
 type Service struct {
 	// Name of the service; a model service's name is the "model" of a completion.
 	Name id.Service `json:"name"`
@@ -115,47 +116,51 @@
 	Labels Labels `json:"labels,omitempty"`
 	// Type is "model" or "plain".
 	Type ServiceType `json:"type"`
-	// Pool whose endpoints serve it.
+	// Pool whose endpoints serve the service.
 	Pool id.Pool `json:"pool"`
-	// TeamSelector chooses the teams that may use it, by their labels.
+	// TeamSelector selects, by labels, the teams that may use the service.
 	// Default: every team.
 	TeamSelector string `json:"team_selector,omitempty"`
-	// FirstTokenTarget is the target for the first output, in milliseconds. Default 360.
+	// FirstTokenTargetMS is the target for the time to first token, in
+	// milliseconds. Default 360.
 	FirstTokenTargetMS int `json:"first_token_target_ms,omitempty"`
-	// TokenPaceTarget is the target between outputs, in milliseconds. Default 50.
+	// TokenPaceTargetMS is the target for the time between tokens, in
+	// milliseconds. Default 50.
 	TokenPaceTargetMS int `json:"token_pace_target_ms,omitempty"`
-	// PatienceMS is how long a request may wait for its first output before it
-	// is refused, in milliseconds. Default: the first-token target.
+	// PatienceMS is how long a request may wait for its first token before it is
+	// rejected, in milliseconds. Default: the first-token target.
 	PatienceMS int `json:"patience_ms,omitempty"`
-	// WasteWeight weighs wasted prefill against goodput, 0 to 1: 0 starts work
-	// early and accepts waste, 1 waits until waste is unlikely. Default 0.5.
+	// WasteWeight weighs wasted prefill work against goodput, from 0 to 1: 0
+	// starts prefills early and accepts waste, 1 delays them until waste is
+	// unlikely. Default 0.5.
 	WasteWeight float64 `json:"waste_weight,omitempty"`
-	// Priority of its requests, 0 (lowest) to 9. Default 5.
+	// Priority of the service's requests, 0 (lowest) to 9. Default 5.
 	Priority int `json:"priority,omitempty"`
-	// NonIdempotent marks every call of a plain service as not repeatable; a
-	// call can also say so itself by the Idempotency-Key header.
+	// NonIdempotent marks every call of a plain service as not idempotent; the
+	// header Idempotency-Key does so for a single call.
 	NonIdempotent bool `json:"non_idempotent,omitempty"`
-	// TimeoutMS bounds a whole call, in milliseconds. Default 30000.
+	// TimeoutMS bounds the duration of a whole call, in milliseconds. Default 30000.
 	TimeoutMS int `json:"timeout_ms,omitempty"`
 }
 
-// Pool is a set of endpoints chosen by labels.
+// Pool is a set of endpoints selected by labels.
 type Pool struct {
 	// Name of the pool, unique.
 	Name id.Pool `json:"name"`
 	// Labels of the pool.
 	Labels Labels `json:"labels,omitempty"`
-	// EndpointSelector chooses the endpoints, by their labels.
+	// EndpointSelector selects the endpoints by their labels.
 	EndpointSelector string `json:"endpoint_selector"`
 	// Model, Adapter and Version that placement keeps loaded on the pool's
 	// endpoints. Empty for plain pools.
 	Model   string `json:"model,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
-	// MinPrefill and MinDecode are the least warm endpoints of each role. Default 1.
+	// MinPrefill and MinDecode are the minimum numbers of warm endpoints of each
+	// role. Default 1.
 	MinPrefill int `json:"min_prefill,omitempty"`
 	MinDecode  int `json:"min_decode,omitempty"`
-	// FixedRoles keeps placement from changing roles. Default false.
+	// FixedRoles prevents placement from changing roles. Default false.
 	FixedRoles bool `json:"fixed_roles,omitempty"`
 }
 
@@ -163,45 +168,46 @@
 type Endpoint struct {
 	// Name of the endpoint, unique.
 	Name id.Endpoint `json:"name"`
-	// Labels; LabelRole, LabelDomain and LabelModel steer the system.
+	// Labels of the endpoint; LabelRole, LabelDomain and LabelModel control the
+	// system.
 	Labels Labels `json:"labels"`
-	// Address is host:port, by IP number.
+	// Address is host:port with an IP address as the host.
 	Address string `json:"address"`
-	// Domain is the failure domain.
+	// Domain is the failure domain of the endpoint.
 	Domain id.Domain `json:"domain"`
-	// Slots is how many requests a decode engine holds at once, or how many
-	// calls a plain endpoint takes at once. Default 4.
+	// Slots is the maximum number of concurrent requests of a decode engine, or
+	// of concurrent calls of a plain endpoint. Default 4.
 	Slots int `json:"slots,omitempty"`
-	// KVTokens is an engine's memory for KV cache, in tokens. Default 0: not
-	// known, slots alone bound what it holds.
+	// KVTokens is the capacity of an engine's KV cache, in tokens. Default 0:
+	// unknown, so that only Slots limits the engine's requests.
 	KVTokens int `json:"kv_tokens,omitempty"`
-	// PrefillTokensPerSecond is the first estimate of an engine's prefill
-	// rate; reports correct it. Default 20000.
+	// PrefillTokensPerSecond is the initial estimate of an engine's prefill
+	// rate; the engine's reports refine it. Default 20000.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second,omitempty"`
-	// DecodeTokenMS is the first estimate of the time for one output token, in
+	// DecodeTokenMS is the initial estimate of the time for one output token, in
 	// milliseconds. Default 20.
 	DecodeTokenMS float64 `json:"decode_token_ms,omitempty"`
-	// ChecksFencing says that the endpoint refuses orders with an old fencing
+	// ChecksFencing is set if the endpoint rejects orders with an old fencing
 	// number. Default false.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
-// Link is a rate-limited path between failure domains; within a domain From
-// and To are the same. The last listed one that fits applies.
+// Link is a rate-limited path from one failure domain to another, or within one if
+// From and To are the same. If several match, the last one listed applies.
 type Link struct {
 	// Name of the link, unique.
 	Name string `json:"name"`
 	// From and To are failure domains.
 	From id.Domain `json:"from"`
 	To   id.Domain `json:"to"`
-	// BytesPerSecond is the rate shared by all transfers.
+	// BytesPerSecond is the total rate of all transfers on the link.
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
-// Document is the whole live configuration at one revision. It is never
-// changed after it was built: a new revision is a new Document.
+// Document is the whole live configuration at one revision. It is immutable: a new
+// revision is a new Document.
 type Document struct {
-	// Revision counts accepted changes; 0 is the empty configuration.
+	// Revision is the number of accepted changes; 0 is the empty configuration.
 	Revision  uint64     `json:"revision"`
 	Teams     []Team     `json:"teams"`
 	Services  []Service  `json:"services"`
@@ -210,7 +216,7 @@
 	Links     []Link     `json:"links"`
 }
 
-// Defaults of the live configuration; units are in the names of the fields.
+// Defaults of the live configuration, in the units that the field names state.
 const (
 	DefaultWeight           = 1.0
 	DefaultMaxInFlight      = 256
@@ -227,22 +233,22 @@
 	DefaultDecodeTokenMS    = 20.0
 )
 
-// FirstTokenTarget returns the first-token target.
+// FirstTokenTarget returns the target for the time to first token.
 func (s *Service) FirstTokenTarget() time.Duration {
 	return time.Duration(s.FirstTokenTargetMS) * time.Millisecond
 }
 
-// TokenPaceTarget returns the target between tokens.
+// TokenPaceTarget returns the target for the time between tokens.
 func (s *Service) TokenPaceTarget() time.Duration {
 	return time.Duration(s.TokenPaceTargetMS) * time.Millisecond
 }
 
-// Patience returns how long a request may wait for its first output.
+// Patience returns how long a request may wait for its first token.
 func (s *Service) Patience() time.Duration {
 	return time.Duration(s.PatienceMS) * time.Millisecond
 }
 
-// Timeout returns the bound on a whole call.
+// Timeout returns the maximum duration of a whole call.
 func (s *Service) Timeout() time.Duration {
 	return time.Duration(s.TimeoutMS) * time.Millisecond
 }
--- a/core/live/live_test.go
+++ b/core/live/live_test.go
@@ -79,11 +79,11 @@
 		"endpoints[0].prefill_tokens_per_second": func(d *Document) { d.Endpoints[0].PrefillTokensPerSecond = -1 },
 	}
 	all := 0
-	for path, damage := range cases {
+	for path, corrupt := range cases {
 		doc := validDocument()
-		damage(doc)
+		corrupt(doc)
 		faults := Check(doc)
-		is.Equal(len(faults), 1) // just the planted fault
+		is.Equal(len(faults), 1) // only the injected fault
 		is.Equal(faults[0].Path, path)
 		is.True(faults[0].Message != "")
 		all += len(faults)
@@ -92,7 +92,7 @@
 	doc := validDocument()
 	cases["teams[0].weight"](doc)
 	cases["endpoints[0].slots"](doc)
-	is.Equal(len(Check(doc)), 2) // every fault, not just the first
+	is.Equal(len(Check(doc)), 2) // all faults, not only the first
 }
 
 func TestIndexHidesServicesOfOtherTeams(t *testing.T) {
@@ -111,7 +111,7 @@
 	is.Equal(string(s.Pool), "engines")
 	_, forbidden := x.ServiceFor(trek, "summary")
 	_, missing := x.ServiceFor(trek, "nothing")
-	is.Equal(forbidden, missing) // the same answer
+	is.Equal(forbidden, missing) // the same error
 	is.Equal(missing.Verdict, verdict.NotRun)
 	is.Equal(len(x.ServicesFor(trek)), 1)
 }
@@ -121,12 +121,12 @@
 	x := NewIndex(validDocument())
 	engines := x.Endpoints("engines")
 	is.Equal(len(engines), 2)
-	is.Equal(string(engines[0].Name), "e1") // by name
+	is.Equal(string(engines[0].Name), "e1") // sorted by name
 	is.True(IsLeaving(engines[0]))
-	is.Equal(len(x.Endpoints("desks")), 1) // by the implied label of the domain
+	is.Equal(len(x.Endpoints("desks")), 1) // matched by the implicit domain label
 	l, ok := x.Link("kuryk", "bautino")
 	is.True(ok)
-	is.Equal(l.Name, "b") // the last one that fits
+	is.Equal(l.Name, "b") // the last matching link
 	_, ok = x.Link("bautino", "kuryk")
 	is.True(!ok)
 }
--- a/core/live/normalize.go
+++ b/core/live/normalize.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// orDefault returns v, or def where v is the zero value.
+// orDefault returns v, or def if v is the zero value.
 func orDefault[T comparable](v, def T) T {
 	var zero T
 	if v == zero {
