--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -1,7 +1,8 @@
 // Package roles decides how a pool's engines are divided between prefill and
-// decode. It follows the engine time that each role's work takes, not the
-// queues: a change takes seconds, longer than most bursts, so the division must
-// fit before they come. It is deterministic. See docs/design/roles.md.
+// decode. It uses the engine time that the work of each role takes, not the queue
+// lengths: a role change takes seconds, longer than most bursts, so the division
+// must be right before a burst arrives. It is deterministic. See
+// docs/design/roles.md.
 package roles
 
 import (
@@ -16,32 +17,36 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// Config are the tunables; zero fields take the defaults.
+// Config configures a Decider; zero fields take the defaults.
 type Config struct {
-	// FirstShare is the share of the engines that read prompts until enough
-	// work was seen.
+	// InitialPrefillShare is the fraction of the engines that are prefill engines
+	// until enough work was measured.
 	InitialPrefillShare float64
-	// Memory is over how long work is averaged.
+	// AveragingTime is the time constant of the exponentially decaying sums of
+	// work.
 	AveragingTime time.Duration
-	// EnoughWork is the engine time of prefills, within Memory, from which the
-	// measured division counts.
+	// MinMeasuredWork is the decayed sum of prefill engine time from which the
+	// measured division is used.
 	MinMeasuredWork time.Duration
-	// PrefillHeadroom is how much more prefill than the mean is kept: prompts
-	// come in bursts, and while they wait nothing else of a request goes on.
+	// PrefillHeadroom is the factor by which the measured prefill work is
+	// multiplied: prompts arrive in bursts, and no other work of a request can
+	// proceed while its prompt waits.
 	PrefillHeadroom float64
-	// Hysteresis is by how many engines the division must be off.
+	// Hysteresis is the number of engines by which the measured division must
+	// differ from the current one before a change.
 	Hysteresis float64
-	// SettleAfter is the pause after a change in which no other is begun, once
-	// work was measured.
+	// SettleTime is the time after a change in which no other one is started,
+	// once enough work was measured.
 	SettleTime time.Duration
-	// LeastPrefills and LeastDecodes stay in their role.
+	// MinPrefills and MinDecodes are the minimum numbers of engines of each role.
 	MinPrefills int
 	MinDecodes  int
 }
 
 // Defaults of Config.
 const (
-	// DefaultFirstShare is about what long prompts with short answers need.
+	// DefaultInitialPrefillShare is about the share that long prompts with short
+	// answers need.
 	DefaultInitialPrefillShare = 0.24
 	DefaultAveragingTime       = 20 * time.Second
 	DefaultMinMeasuredWork     = 20 * time.Second
@@ -64,33 +69,34 @@
 	return c
 }
 
-// Change has one engine change its role.
+// Change is the change of one engine's role.
 type Change struct {
 	Endpoint id.Endpoint
 	To       live.Role
-	// Wanted is the number of prefill engines that is aimed at, Prefills and
-	// Decodes those that there are.
+	// Wanted is the target number of prefill engines. Prefills and Decodes are
+	// the current numbers of engines.
 	Wanted            float64
 	Prefills, Decodes int
 }
 
-// Decider decides for one pool. It is not safe for concurrent use.
+// Decider decides the role changes of one pool. It is not safe for concurrent use.
 type Decider struct {
 	cfg        Config
 	observedAt time.Duration
-	// prefill and decode are the faded engine seconds of the roles' work.
+	// prefillSeconds and decodeSeconds are the exponentially decaying sums of each
+	// role's work, in engine seconds.
 	prefillSeconds, decodeSeconds float64
-	// work is the pool's prefill work when last observed.
+	// prefillWork is the pool's cumulative prefill work at the last observation.
 	prefillWork time.Duration
 	observed    bool
 	changedAt   time.Duration
 	changed     bool
 }
 
-// New returns a Decider that has seen no work.
+// New returns a Decider without observations.
 func New(cfg Config) *Decider { return &Decider{cfg: cfg.withDefaults()} }
 
-// Observe takes the present demand; call it several times a second.
+// Observe records the current demand; the caller calls it several times a second.
 func (d *Decider) Observe(now time.Duration, demand sched.Demand) {
 	if !d.observed {
 		d.observed = true
@@ -98,16 +104,17 @@
 		d.prefillWork = demand.PrefillWork
 		return
 	}
-	passed := now - d.observedAt
+	elapsed := now - d.observedAt
 	d.observedAt = now
-	keep := math.Exp(-float64(passed) / float64(d.cfg.AveragingTime))
-	d.prefillSeconds = keep*d.prefillSeconds + max(0, demand.PrefillWork-d.prefillWork).Seconds()
+	decay := math.Exp(-float64(elapsed) / float64(d.cfg.AveragingTime))
+	d.prefillSeconds = decay*d.prefillSeconds + max(0, demand.PrefillWork-d.prefillWork).Seconds()
 	d.prefillWork = demand.PrefillWork
-	d.decodeSeconds = keep*d.decodeSeconds + passed.Seconds()*decodeEnginesInUse(demand)
+	d.decodeSeconds = decay*d.decodeSeconds + elapsed.Seconds()*decodeEnginesInUse(demand)
 }
 
-// busyDecodes is the memory in use, in engines. What waits counts for neither
-// role: it shows that engines are short, not of which role.
+// decodeEnginesInUse returns the memory in use in the decode engines, as a number
+// of engines. Waiting requests count for neither role: a queue shows a shortage of
+// engines, but not of which role.
 func decodeEnginesInUse(d sched.Demand) float64 {
 	engines := 0
 	for _, e := range d.Decodes {
@@ -122,18 +129,20 @@
 	return float64(d.MemoryHeld) / perEngine
 }
 
-// Wanted is the number of prefill engines among n that the work asks for.
+// Wanted returns the number of prefill engines, out of n engines, that the work
+// requires.
 func (d *Decider) Wanted(n int) float64 {
 	share := d.cfg.InitialPrefillShare
 	if d.Measured() {
 		prefill := d.cfg.PrefillHeadroom * d.prefillSeconds
 		share = prefill / (prefill + d.decodeSeconds)
 	}
-	most := float64(max(0, n-d.cfg.MinDecodes))
-	return min(max(share*float64(n), float64(d.cfg.MinPrefills)), most)
+	limit := float64(max(0, n-d.cfg.MinDecodes))
+	return min(max(share*float64(n), float64(d.cfg.MinPrefills)), limit)
 }
 
-// Decide gives the next change, or nil. The engine with the least work goes.
+// Decide returns the next change, or nil if none is needed. It chooses the engine
+// with the least work.
 func (d *Decider) Decide(now time.Duration, demand sched.Demand) *Change {
 	prefills, decodes := countRoles(demand)
 	n := prefills + decodes
@@ -161,8 +170,8 @@
 	return &change
 }
 
-// hysteresis is by how many engines the division must be off: once work is
-// measured, more than before there is any.
+// hysteresis returns the number of engines by which the division must differ before
+// a change: Hysteresis once enough work was measured, initialHysteresis before.
 func (d *Decider) hysteresis() float64 {
 	if d.Measured() {
 		return d.cfg.Hysteresis
@@ -170,16 +179,16 @@
 	return initialHysteresis
 }
 
-// firstHysteresis rounds the first division to whole engines.
+// initialHysteresis rounds the initial division to whole engines.
 const initialHysteresis = 0.5
 
-// Measured says whether enough work was seen for the division to follow it.
+// Measured reports whether enough work was observed to base the division on it.
 func (d *Decider) Measured() bool {
 	return d.prefillSeconds >= d.cfg.MinMeasuredWork.Seconds() && d.decodeSeconds > 0
 }
 
-// division counts the engines of each role. A drained one is on its way to the
-// other role.
+// countRoles counts the engines of each role. A drained engine is changing its role
+// and counts for the other one.
 func countRoles(demand sched.Demand) (prefills, decodes int) {
 	for _, e := range demand.Prefills {
 		if e.Drained {
@@ -198,13 +207,14 @@
 	return prefills, decodes
 }
 
-// Changed notes that a change was begun.
+// Changed records that a change was started.
 func (d *Decider) Changed(now time.Duration) {
 	d.changed = true
 	d.changedAt = now
 }
 
-// idlest is the engine with the least work.
+// leastLoaded returns the engine with the least work among those not drained, and
+// false if there is none.
 func leastLoaded(engines []sched.EngineDemand) (id.Endpoint, bool) {
 	var free []sched.EngineDemand
 	for _, e := range engines {
--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -22,7 +22,7 @@
 
 const perEngine = 1000
 
-// pool is a pool whose work the test sets.
+// pool is a pool whose work is set by the test.
 type pool struct {
 	d       *Decider
 	demand  sched.Demand
@@ -38,8 +38,8 @@
 	}}
 }
 
-// run has the given numbers of engines at work for a while; changes take effect
-// at once if applied.
+// run simulates length of time with the given numbers of busy prefill and decode
+// engines. If apply is set, changes take effect immediately.
 func (p *pool) run(length time.Duration, prefills, decodes float64, apply bool) {
 	const step = 200 * time.Millisecond
 	for end := p.now + length; p.now < end; p.now += step {
@@ -90,8 +90,8 @@
 	is.True(len(p.demand.Prefills) <= 4)
 }
 
-// TestAQueueDoesNotTakePrefillEnginesAway: what waits shows that the pool is
-// short of engines, not of which.
+// TestQueueDoesNotReducePrefillEngines: waiting requests show a shortage of engines,
+// but not of which role, so they must not change the division.
 func TestQueueDoesNotReducePrefillEngines(t *testing.T) {
 	is := is.New(t)
 	p := newPool(4, 14)
@@ -128,5 +128,5 @@
 	is.Equal(len(p.demand.Decodes), 1)
 	p = newPool(1, 0)
 	p.run(time.Second, 0, 0, true)
-	is.Equal(len(p.changes), 0) // one engine can't be both
+	is.Equal(len(p.changes), 0) // one engine can't have both roles
 }
