--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -10,21 +10,23 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Never is what Next returns when nothing is due.
+// Never is the result of Next when nothing is scheduled.
 const Never = time.Duration(math.MaxInt64)
 
-// CancellerConfig sets the bounds; zero fields take the defaults.
+// CancellerConfig configures a Canceller; zero fields take the defaults.
 type CancellerConfig struct {
-	// BackoffMin and BackoffMax bound the wait between two cancels of one
-	// request; it doubles. Default 50 ms and 5 s.
+	// BackoffMin and BackoffMax bound the exponential backoff between two
+	// cancels of one request. Default 50 ms and 5 s.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// ReplyTimeout is when a cancel without a reply counts as failed. Default 1 s.
+	// ReplyTimeout is the time after which a cancel without a reply counts as
+	// failed. Default 1 s.
 	ReplyTimeout time.Duration
-	// MaxOrderDelay is the longest time a run order can be under way. Before
-	// that, Unknown proves nothing. Default 10 s.
+	// MaxOrderDelay is the maximum time that a run order can be in flight. Before
+	// it has passed, the reply Unknown does not prove that the request will not
+	// run. Default 10 s.
 	MaxOrderDelay time.Duration
-	// MaxOrders bounds the orders at work. Default 8192.
+	// MaxOrders bounds the number of pending orders. Default 8192.
 	MaxOrders int
 }
 
@@ -37,23 +39,23 @@
 	DefaultMaxOrders     = 8192
 )
 
-// Canceller repeats cancels until it is certain that nothing is held. It is
-// not safe for concurrent use.
+// Canceller repeats each cancel until it is certain that the endpoint holds nothing
+// for the request. It is not safe for concurrent use.
 type Canceller struct {
 	cfg    CancellerConfig
 	orders map[Key]*order
-	// known are the incarnations that endpoints were last seen with.
+	// incarnations holds the newest incarnation seen of each endpoint.
 	incarnations map[id.Endpoint]id.Incarnation
 }
 
-// order is one Order at work.
+// order is one pending Order.
 type order struct {
 	Order
 	since    time.Duration
 	due      time.Duration
 	attempts int
 	failures int
-	// ended says that the endpoint has acknowledged the cancel.
+	// acknowledged is set once the endpoint has acknowledged the cancel.
 	acknowledged bool
 }
 
@@ -67,8 +69,8 @@
 	return &Canceller{cfg: cfg, orders: map[Key]*order{}, incarnations: map[id.Endpoint]id.Incarnation{}}
 }
 
-// Add takes an order. One for the same key is joined to it: an unconditional
-// cancel wins over a conditional one.
+// Add adds an order. If an order for the same key is pending, the two are merged: an
+// unconditional cancel takes precedence over a conditional one.
 func (c *Canceller) Add(now time.Duration, o Order) []Action {
 	if old, ok := c.orders[o.Key]; ok {
 		old.merge(o)
@@ -94,7 +96,7 @@
 	o.RunSettled = o.RunSettled || more.RunSettled
 }
 
-// past says whether the order is for an incarnation that has ended.
+// incarnationEnded reports whether the order is for an incarnation that has ended.
 func (c *Canceller) incarnationEnded(o Order) bool {
 	return o.Incarnation != 0 && c.incarnations[o.Key.Endpoint] > o.Incarnation
 }
@@ -117,14 +119,14 @@
 	return time.Duration(min(wait, float64(c.cfg.BackoffMax)))
 }
 
-// Settled tells that the run order of a request can't arrive any more.
+// MarkRunSettled records that the run order of a request can no longer arrive.
 func (c *Canceller) MarkRunSettled(k Key) {
 	if o, ok := c.orders[k]; ok {
 		o.RunSettled = true
 	}
 }
 
-// Reply takes the answer to a cancel.
+// Reply handles the reply to a cancel.
 func (c *Canceller) Reply(now time.Duration, k Key, state CancelState) []Action {
 	o, ok := c.orders[k]
 	if !ok || o.acknowledged {
@@ -139,12 +141,13 @@
 	return c.endIfDone(now, o)
 }
 
-// certain says whether Unknown proves that nothing runs nor ever will.
+// unknownIsFinal reports whether the reply Unknown proves that the request does not
+// run and never will.
 func (c *Canceller) unknownIsFinal(now time.Duration, o *order) bool {
 	return o.RunSettled || now-o.since >= c.cfg.MaxOrderDelay
 }
 
-// Released tells that the endpoint freed the KV cache, or does not hold it.
+// Released records that the endpoint freed the KV cache, or does not hold it.
 func (c *Canceller) Released(now time.Duration, k Key) []Action {
 	o, ok := c.orders[k]
 	if !ok {
@@ -166,7 +169,7 @@
 	return []Action{{Done: &Done{Key: o.Key, Reason: reason, Attempts: o.attempts, After: now - o.since}}}
 }
 
-// Failed tells that a cancel or release gave no answer.
+// Failed records that a cancel or release got no reply.
 func (c *Canceller) Failed(now time.Duration, k Key) {
 	o, ok := c.orders[k]
 	if !ok {
@@ -176,8 +179,8 @@
 	o.due = now + c.backoff(o)
 }
 
-// Incarnation tells that an endpoint was seen with that incarnation. All
-// orders for earlier ones are done: their memory is gone with them.
+// Incarnation records that an endpoint was seen with an incarnation. All orders for
+// its earlier incarnations are done, since their memory was lost with them.
 func (c *Canceller) Incarnation(now time.Duration, e id.Endpoint, inc id.Incarnation) []Action {
 	if inc <= c.incarnations[e] {
 		return nil
@@ -217,7 +220,8 @@
 	return out
 }
 
-// Tick sends what is due; call it at Next or earlier.
+// Tick returns the cancels and releases that are due. The caller calls it at Next
+// at the latest.
 func (c *Canceller) Tick(now time.Duration) []Action {
 	var out []Action
 	for _, o := range c.sorted(func(o *order) bool { return o.due <= now }) {
@@ -226,7 +230,7 @@
 	return out
 }
 
-// Next is when Tick is due; Never when nothing is at work.
+// Next returns the time of the next Tick, or Never if no order is pending.
 func (c *Canceller) Next() time.Duration {
 	next := Never
 	for _, o := range c.orders {
@@ -235,5 +239,5 @@
 	return next
 }
 
-// Working counts the orders at work.
+// Working returns the number of pending orders.
 func (c *Canceller) Working() int { return len(c.orders) }
--- a/core/reap/reap_test.go
+++ b/core/reap/reap_test.go
@@ -50,7 +50,7 @@
 	is.Equal(c.Working(), 0)
 }
 
-// engine models an endpoint whose tombstones may be lost.
+// engine is a model of an endpoint that may lose its tombstones.
 type engine struct {
 	held, tombstones map[id.Request]bool
 	keepsTombstones  bool
@@ -73,8 +73,9 @@
 	return Unknown
 }
 
-// TestCancelOvertakesRun lets run orders arrive late, cancels be lost and
-// tombstones be dropped: nothing is held in the end.
+// TestCancelOvertakesRun delays run orders, loses cancels and their replies, and
+// drops tombstones. In the end the endpoint must hold nothing, also if a cancel
+// arrives before the run order.
 func TestCancelOvertakesRun(t *testing.T) {
 	is := is.New(t)
 	overtaken := 0
@@ -109,7 +110,7 @@
 			e.run(key.Request)
 		}
 		is.Equal(c.Working(), 0)
-		is.Equal(len(e.held), 0) // nothing is held for the caller that is gone
+		is.Equal(len(e.held), 0) // the endpoint holds nothing for the disconnected caller
 	}
 	is.True(overtaken > 500)
 }
@@ -144,8 +145,9 @@
 		owner id.Process
 		stage Stage
 		age   time.Duration
-		tell  func(r *Reaper)
-		// from is when the work may first be reaped; Never if it must not be.
+		setup func(r *Reaper)
+		// from is the first time at which the work may be reaped; Never if it must
+		// not be.
 		from time.Duration
 	}{
 		{"own and active", self, StageDecode, time.Hour, nil, Never},
@@ -154,17 +156,17 @@
 		{"own former", former, StageImport, 0, nil, DefaultGrace},
 		{"alive", peer, StageDecode, time.Hour, func(r *Reaper) { r.ProcessAlive(0, peer) }, Never},
 		{"dead", peer, StageDecode, 0, func(r *Reaper) { r.ProcessAlive(0, peer); r.ProcessGone(0, peer) }, DefaultGrace},
-		{"dead, told twice", peer, StageDecode, 0, func(r *Reaper) { r.ProcessGone(0, peer); r.ProcessGone(time.Second, peer) }, DefaultGrace},
+		{"dead, reported twice", peer, StageDecode, 0, func(r *Reaper) { r.ProcessGone(0, peer); r.ProcessGone(time.Second, peer) }, DefaultGrace},
 		{"dead, finished", peer, StageFinished, 0, func(r *Reaper) { r.ProcessGone(0, peer) }, DefaultFinishedGrace},
 		{"restarted", peer, StageDecode, 0, func(r *Reaper) { r.ProcessAlive(0, peer); r.ProcessAlive(0, restarted) }, DefaultGrace},
-		{"never heard of", stranger, StageDecode, time.Hour, nil, DefaultUnknownGrace},
+		{"unknown process", stranger, StageDecode, time.Hour, nil, DefaultUnknownGrace},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := NewReaper(ReaperConfig{Self: self})
-			if c.tell != nil {
-				c.tell(r)
+			if c.setup != nil {
+				c.setup(r)
 			}
 			active := func(id.Request) bool { return c.name == "own and active" }
 			list := List{Endpoint: "e", Incarnation: 9, Requests: []Running{{Request: "r", Owner: c.owner, Stage: c.stage, Age: c.age}}}
@@ -172,7 +174,7 @@
 				orders := r.List(now, list, active)
 				is.Equal(len(orders) == 1, now >= c.from)
 				if len(orders) == 1 {
-					is.Equal(*orders[0].Owner, c.owner) // a caller that came back changed it
+					is.Equal(*orders[0].Owner, c.owner) // conditional, since a resumed request has another owner
 					is.Equal(orders[0].Incarnation, id.Incarnation(9))
 				}
 			}
--- a/core/reap/reaper.go
+++ b/core/reap/reaper.go
@@ -9,22 +9,24 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// ReaperConfig sets the bounds; zero fields take the defaults.
+// ReaperConfig configures a Reaper; zero fields take the defaults.
 type ReaperConfig struct {
-	// Self is the process that reaps. Required.
+	// Self is this process. Required.
 	Self id.Process
-	// Grace is how long the work of a dead process stays, so that its caller
-	// can come back through another daemon. Default 2 s.
+	// Grace is how long the work of a dead process is kept, so that its caller
+	// can resume it through another daemon. Default 2 s.
 	Grace time.Duration
-	// FinishedGrace is the same for finished answers kept for resume. Default 10 s.
+	// FinishedGrace is the same for finished answers that are kept for resume.
+	// Default 10 s.
 	FinishedGrace time.Duration
-	// UnknownGrace is how long the work of a process that this one never heard
-	// of stays. Default 30 s.
+	// UnknownGrace is how long the work of a process that the membership never
+	// reported is kept. Default 30 s.
 	UnknownGrace time.Duration
-	// OwnGrace is how old own work must be before its absence from the active
-	// set counts. It covers the lag of the list. Default 2 s.
+	// OwnGrace is the minimum age at which this process's own work is reaped if
+	// it is not active. It covers the delay of the endpoint's list. Default 2 s.
 	OwnGrace time.Duration
-	// MaxProcesses bounds the processes remembered. Default 4096.
+	// MaxProcesses bounds the number of dead and of unknown processes kept.
+	// Default 4096.
 	MaxProcesses int
 }
 
@@ -37,18 +39,20 @@
 	DefaultMaxProcesses  = 4096
 )
 
-// Reaper finds work whose owner is gone. It is not safe for concurrent use.
+// Reaper finds orphaned work at endpoints: work whose owner process is dead or
+// unknown, or no longer has the request. It is not safe for concurrent use.
 type Reaper struct {
 	cfg ReaperConfig
-	// alive holds the newest incarnation known of each daemon.
+	// alive holds the newest live incarnation known of each daemon.
 	alive map[id.Daemon]id.Incarnation
-	// gone holds when processes were declared dead, unheard when ones that
-	// the membership never named were first met.
+	// gone holds the times at which processes were declared dead. unknownSince
+	// holds the times at which processes that the membership never reported were
+	// first seen in a list.
 	gone         *simplelru.LRU[id.Process, time.Duration]
 	unknownSince *simplelru.LRU[id.Process, time.Duration]
 }
 
-// NewReaper returns a Reaper that knows only itself.
+// NewReaper returns a Reaper without knowledge of other processes.
 func NewReaper(cfg ReaperConfig) *Reaper {
 	defaults.Set(&cfg.Grace, DefaultGrace)
 	defaults.Set(&cfg.FinishedGrace, DefaultFinishedGrace)
@@ -64,13 +68,13 @@
 func newProcessTimes(size int) *simplelru.LRU[id.Process, time.Duration] {
 	lru, err := simplelru.NewLRU[id.Process, time.Duration](size, nil)
 	if err != nil {
-		panic(err) // a size below 1 is a fault of the settings' check
+		panic(err) // the size is below 1, which the settings' check must reject
 	}
 	return lru
 }
 
-// ProcessAlive tells that the membership counts the process among the living,
-// suspected or partitioned ones. Its former incarnations are gone.
+// ProcessAlive records that the membership reports the process as alive, suspected
+// or partitioned. Its former incarnations are dead.
 func (r *Reaper) ProcessAlive(now time.Duration, p id.Process) {
 	r.unknownSince.Remove(p)
 	former, ok := r.alive[p.Daemon]
@@ -83,7 +87,7 @@
 	r.alive[p.Daemon] = p.Incarnation
 }
 
-// ProcessGone tells that the membership has declared the process dead.
+// ProcessGone records that the membership has declared the process dead.
 func (r *Reaper) ProcessGone(now time.Duration, p id.Process) {
 	r.markGone(now, p)
 	if r.alive[p.Daemon] == p.Incarnation {
@@ -97,10 +101,10 @@
 	}
 }
 
-// List takes what an endpoint holds and returns cancels for the orphans, each
-// conditional on the owner that the list named: a caller that came back
-// through another daemon has changed it. active says whether one of this
-// process's own requests is still at work.
+// List handles an endpoint's list and returns orders to cancel the orphaned
+// requests. Each order is conditional on the owner in the list, since a caller that
+// has resumed through another daemon has changed the owner. active reports whether
+// one of this process's own requests is still active.
 func (r *Reaper) List(now time.Duration, l List, active func(id.Request) bool) []Order {
 	var out []Order
 	for _, run := range l.Requests {
@@ -120,8 +124,8 @@
 
 func (r *Reaper) orphaned(now time.Duration, run Running, active func(id.Request) bool) bool {
 	if run.Owner == r.cfg.Self {
-		// A finished answer is no leftover: the endpoint keeps it a while for a
-		// caller that lost the end.
+		// A finished answer is not orphaned: the endpoint keeps it for some time for
+		// a caller that did not receive its end.
 		return run.Stage != StageFinished && run.Age >= r.cfg.OwnGrace && !active(run.Request)
 	}
 	if r.alive[run.Owner.Daemon] == run.Owner.Incarnation && run.Owner.Incarnation != 0 {
@@ -148,8 +152,9 @@
 	return r.cfg.Grace
 }
 
-// unheardTooLong handles work of a process that the membership never named,
-// as after all hosts were replaced at once.
+// unknownTooLong reports whether UnknownGrace has passed since a process that the
+// membership never reported was first seen in a list. Such processes occur after
+// all hosts were replaced at once.
 func (r *Reaper) unknownTooLong(now time.Duration, p id.Process) bool {
 	since, ok := r.unknownSince.Get(p)
 	if !ok {
--- a/core/reap/types.go
+++ b/core/reap/types.go
@@ -1,6 +1,6 @@
-// Package reap frees what endpoints hold for requests that nobody waits for:
-// the Canceller repeats a cancel until it is certain, the Reaper finds the
-// work of processes that are gone. See docs/design/orphans.md.
+// Package reap frees the memory that endpoints hold for abandoned requests. The
+// Canceller repeats a cancel until its effect is certain; the Reaper finds the work
+// of dead processes. See docs/design/orphans.md.
 package reap
 
 import (
@@ -9,48 +9,52 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Key names one request at one endpoint.
+// Key identifies one request at one endpoint.
 type Key struct {
 	Endpoint id.Endpoint
 	Request  id.Request
 }
 
-// Order asks for a request to be ended, or its exported KV cache to be freed.
+// Order is the task of ending a request at an endpoint and of freeing its exported
+// KV cache, if KV is set.
 type Order struct {
 	Key Key
 	// Incarnation of the endpoint that took the request; 0 if unknown.
 	Incarnation id.Incarnation
-	// Owner, if set, restricts the cancel to work that the process still owns.
+	// Owner, if set, makes the cancel conditional: it applies only while that
+	// process owns the request.
 	Owner *id.Process
-	// KV, if set, names an exported KV cache to be released as well.
+	// KV, if set, is the name of an exported KV cache to release as well.
 	KV string
-	// RunSettled says that the run order can't arrive any more: its reply or
-	// its certain failure has come.
+	// RunSettled is set if the run order can no longer arrive, since its reply
+	// was received or its failure is certain.
 	RunSettled bool
 }
 
-// CancelState is the endpoint's answer to a cancel.
+// CancelState is the endpoint's reply to a cancel.
 type CancelState string
 
-// The answers to a cancel.
+// The replies to a cancel.
 const (
 	// Cancelled: the work was ended.
 	Cancelled CancelState = "cancelled"
 	// Unknown: the endpoint does not know the request and left a tombstone.
 	Unknown CancelState = "unknown"
-	// Finished: the work had ended.
+	// Finished: the work had already ended.
 	Finished CancelState = "finished"
 	// OtherOwner: another process has taken the request over.
 	OtherOwner CancelState = "other_owner"
 )
 
-// Action is what the caller of a Canceller shall do. Exactly one field is set.
+// Action is an action that the caller of a Canceller must perform. Exactly one field
+// is set.
 type Action struct {
-	// Cancel asks to send a cancel; the reply goes to Reply or Failed.
+	// Cancel is a cancel to send; the caller passes the result to Reply or Failed.
 	Cancel *Cancel
-	// Release asks to send a KV release; the reply goes to Released or Failed.
+	// Release is a KV release to send; the caller passes the result to Released or
+	// Failed.
 	Release *Release
-	// Done says that nothing is held any more.
+	// Done reports the end of an order.
 	Done *Done
 }
 
@@ -66,31 +70,31 @@
 	KV  string
 }
 
-// Done ends an Order.
+// Done is the end of an Order.
 type Done struct {
 	Key Key
-	// Reason tells why, for the log.
+	// Reason is the reason for the end, for the log.
 	Reason DoneReason
-	// Attempts counts the cancels sent.
+	// Attempts is the number of times that the cancel or release was sent.
 	Attempts int
-	// After is the time since the order.
+	// After is the time since the order was added.
 	After time.Duration
 }
 
-// DoneReason tells how an Order ended.
+// DoneReason is the reason for the end of an Order.
 type DoneReason string
 
-// The reasons of Done.
+// The values of Done.Reason.
 const (
 	DoneAcknowledged DoneReason = "acknowledged"
 	DoneIncarnation  DoneReason = "incarnation_ended"
 	DoneRemoved      DoneReason = "endpoint_removed"
-	// DoneOverflow: there was no room for the order; the Reaper finds the
-	// work again by the endpoint's list.
+	// DoneOverflow: MaxOrders orders were pending, so the order was not added. The
+	// Reaper finds the work again in the endpoint's list.
 	DoneOverflow DoneReason = "overflow"
 )
 
-// Stage is how far a request has come at an endpoint.
+// Stage is the stage of a request at an endpoint.
 type Stage string
 
 // The stages of a request at an endpoint.
@@ -107,11 +111,12 @@
 	Request id.Request
 	Owner   id.Process
 	Stage   Stage
-	// Age since the stage was entered or the request came, as the endpoint says.
+	// Age is the time since the stage began or the request arrived, as reported by
+	// the endpoint.
 	Age time.Duration
 }
 
-// List is what one endpoint holds.
+// List lists the requests that one endpoint holds memory for.
 type List struct {
 	Endpoint    id.Endpoint
 	Incarnation id.Incarnation
