--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -194,9 +194,9 @@
 	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.injectFaults(cfg, until) })
 }
 
-func simulate(seed uint64, cfg Config, strip bool) *world {
+func simulate(seed uint64, cfg Config, dropConditions bool) *world {
 	w := newWorld(seed, cfg, 3)
-	w.dropConditions = strip
+	w.dropConditions = dropConditions
 	w.model.Faults = tabletest.Faults{LoseRequest: 0.08, LoseReply: 0.1, Late: 0.08, Stale: 0.15}
 	w.injectFaults(cfg, 60*time.Second)
 	w.clock.Run(90 * time.Second)
