--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -117,8 +117,8 @@
 // maxLag bounds the age of a stale read and the delay of a late effect.
 const maxLag = time.Second
 
-// rowVersion is one version of a row.
-type rowVersion struct {
+// versionedRow is one version of a row.
+type versionedRow struct {
 	at  time.Duration
 	row table.Row
 }
@@ -127,12 +127,12 @@
 type Model struct {
 	Faults      Faults
 	clock       *Clock
-	rows        map[string][]rowVersion
+	rows        map[string][]versionedRow
 	lastVersion uint64
 }
 
 // New returns an empty table.
-func New(c *Clock) *Model { return &Model{clock: c, rows: map[string][]rowVersion{}} }
+func New(c *Clock) *Model { return &Model{clock: c, rows: map[string][]versionedRow{}} }
 
 // Row returns the current version of a row.
 func (m *Model) Row(key string) table.Row { return m.rowAt(key, m.clock.now) }
@@ -209,7 +209,7 @@
 		if p.Delete {
 			row = table.Row{Key: p.Key}
 		}
-		m.rows[p.Key] = append(m.rows[p.Key], rowVersion{at: m.clock.now, row: row})
+		m.rows[p.Key] = append(m.rows[p.Key], versionedRow{at: m.clock.now, row: row})
 		r.Versions = append(r.Versions, row.Version)
 	}
 	return r
