--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table/tabletest"
 )
 
-// process is one contender with a clock of its own.
+// process is one contender with its own clock.
 type process struct {
 	w      *world
 	self   id.Process
@@ -21,36 +21,37 @@
 	offset time.Duration
 	rate   float64
 	dead   bool
-	// paused is until when the process does not run.
+	// paused is the time until which the process does not run.
 	paused time.Duration
-	// acquired counts.
+	// acquired counts the acquisitions.
 	acquired int
 }
 
-// endpoint is one that checks no fencing numbers.
+// endpoint is an endpoint that does not check fencing numbers.
 type endpoint struct {
 	fence  uint64
 	orders int
-	// reverted counts orders of a former holder that came after a later one's.
-	reverted int
+	// staleOrders counts orders of a former holder that arrived after an order of
+	// a later holder.
+	staleOrders int
 }
 
-// world runs processes against one table and one endpoint.
+// world simulates processes with one table and one endpoint.
 type world struct {
 	clock     *tabletest.Clock
 	model     *tabletest.Model
 	processes []*process
 	endpoint  endpoint
-	// strip takes the conditions off all transactions: a planted fault.
-	strip    bool
-	fences   []uint64
-	overlaps int
-	longest  time.Duration
+	// dropConditions removes the conditions of all transactions, to inject a fault.
+	dropConditions bool
+	fences         []uint64
+	overlaps       int
+	maxOrderDelay  time.Duration
 }
 
 func newWorld(seed uint64, cfg Config, n int) *world {
 	clock := tabletest.NewClock(seed)
-	w := &world{clock: clock, model: tabletest.New(clock), longest: 2 * time.Second}
+	w := &world{clock: clock, model: tabletest.New(clock), maxOrderDelay: 2 * time.Second}
 	for i := range n {
 		w.start(cfg, id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1})
 	}
@@ -58,32 +59,32 @@
 }
 
 func (w *world) start(cfg Config, self id.Process) *process {
-	p := &process{w: w, self: self, offset: w.clock.Upto(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
+	p := &process{w: w, self: self, offset: w.clock.RandomDuration(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
 	p.lease = New(cfg, "placement", self, p.now(), w.clock.Random)
-	p.gate = NewOrderGate(GateConfig{LongestOrder: w.longest}, p.lease)
+	p.gate = NewOrderGate(GateConfig{LongestOrder: w.maxOrderDelay}, p.lease)
 	w.processes = append(w.processes, p)
 	p.tick()
 	return p
 }
 
-// now is the process's own clock.
+// now returns the time of the process's own clock.
 func (p *process) now() time.Duration {
 	return p.offset + time.Duration(p.rate*float64(p.w.clock.Now()))
 }
 
-// awake runs a function once the process runs again, unless it died.
-func (p *process) awake(run func()) {
+// runWhenActive runs a function once the process is not paused, unless it is dead.
+func (p *process) runWhenActive(run func()) {
 	switch {
 	case p.dead:
 	case p.w.clock.Now() < p.paused:
-		p.w.clock.At(p.paused, func() { p.awake(run) })
+		p.w.clock.At(p.paused, func() { p.runWhenActive(run) })
 	default:
 		run()
 	}
 }
 
 func (p *process) tick() {
-	p.awake(func() {
+	p.runWhenActive(func() {
 		p.act(p.lease.Tick(p.now()))
 		p.order()
 	})
@@ -97,11 +98,11 @@
 		switch {
 		case a.Request != nil:
 			q := *a.Request
-			if p.w.strip && q.Transaction != nil {
+			if p.w.dropConditions && q.Transaction != nil {
 				q.Transaction = &table.Transaction{Puts: q.Transaction.Puts}
 			}
 			p.w.model.Do(q, func(r table.Reply) {
-				p.awake(func() { p.act(p.lease.Handle(p.now(), r)) })
+				p.runWhenActive(func() { p.act(p.lease.Handle(p.now(), r)) })
 			})
 		case a.Acquired != nil:
 			p.acquired++
@@ -109,10 +110,11 @@
 			p.gate.Acquired(p.now(), *a.Acquired)
 		}
 	}
-	p.w.check()
+	p.w.checkOverlap()
 }
 
-// order gives the endpoint an order if the gate is open; it arrives late.
+// order sends the endpoint an order if the gate is open. It arrives after a random
+// delay of up to maxOrderDelay.
 func (p *process) order() {
 	w, now := p.w, p.now()
 	passage := p.gate.Allow(now, "e", false)
@@ -123,17 +125,17 @@
 		return
 	}
 	fence := p.gate.Fence()
-	w.clock.After(w.clock.Upto(w.longest), func() {
+	w.clock.After(w.clock.RandomDuration(w.maxOrderDelay), func() {
 		w.endpoint.orders++
 		if fence < w.endpoint.fence {
-			w.endpoint.reverted++
+			w.endpoint.staleOrders++
 		}
 		w.endpoint.fence = max(w.endpoint.fence, fence)
 	})
 }
 
-// check counts the moments at which two processes would both act.
-func (w *world) check() {
+// checkOverlap counts the moments at which more than one process holds the lease.
+func (w *world) checkOverlap() {
 	valid := 0
 	for _, p := range w.processes {
 		if !p.dead && p.lease.Valid(p.now()) {
@@ -154,8 +156,9 @@
 	return nil
 }
 
-// trouble pauses, kills, replaces and releases at random.
-func (w *world) trouble(cfg Config, until time.Duration) {
+// injectFaults pauses, kills and restarts processes, takes the table down, and halts
+// and releases leases, at random until a time.
+func (w *world) injectFaults(cfg Config, until time.Duration) {
 	r := w.clock.Random
 	if w.clock.Now() >= until {
 		return
@@ -171,31 +174,31 @@
 	p := w.processes[i]
 	switch r.IntN(6) {
 	case 0, 1:
-		p.paused = w.clock.Now() + w.clock.Upto(12*time.Second)
+		p.paused = w.clock.Now() + w.clock.RandomDuration(12*time.Second)
 	case 2:
 		p.dead = true
 		w.processes = append(w.processes[:i:i], w.processes[i+1:]...)
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
 	case 3:
 		w.model.Faults.Down = true
-		w.clock.After(w.clock.Upto(15*time.Second), func() { w.model.Faults.Down = false })
+		w.clock.After(w.clock.RandomDuration(15*time.Second), func() { w.model.Faults.Down = false })
 	case 4:
-		p.awake(func() { p.act(p.lease.Halt(p.now())) })
+		p.runWhenActive(func() { p.act(p.lease.Halt(p.now())) })
 	default:
-		p.awake(func() { p.act(p.lease.Release(p.now(), false)) })
+		p.runWhenActive(func() { p.act(p.lease.Release(p.now(), false)) })
 		w.clock.After(10*time.Second, func() { p.dead = true })
 		w.processes = append(w.processes[:i:i], w.processes[i+1:]...)
 		w.start(cfg, id.Process{Daemon: p.self.Daemon, Incarnation: p.self.Incarnation + 1})
 	}
-	w.check()
-	w.clock.After(w.clock.Upto(6*time.Second), func() { w.trouble(cfg, until) })
+	w.checkOverlap()
+	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.injectFaults(cfg, until) })
 }
 
-func history(seed uint64, cfg Config, strip bool) *world {
+func simulate(seed uint64, cfg Config, dropConditions bool) *world {
 	w := newWorld(seed, cfg, 3)
-	w.strip = strip
+	w.dropConditions = dropConditions
 	w.model.Faults = tabletest.Faults{LoseRequest: 0.08, LoseReply: 0.1, Late: 0.08, Stale: 0.15}
-	w.trouble(cfg, 60*time.Second)
+	w.injectFaults(cfg, 60*time.Second)
 	w.clock.Run(90 * time.Second)
 	w.model.Faults = tabletest.Faults{}
 	for _, p := range w.processes {
@@ -205,7 +208,7 @@
 	return w
 }
 
-func (w *world) monotone() bool {
+func (w *world) fencesIncrease() bool {
 	for i := 1; i < len(w.fences); i++ {
 		if w.fences[i] <= w.fences[i-1] {
 			return false
@@ -214,61 +217,61 @@
 	return true
 }
 
-func TestAtMostOneHolderWithGrowingFences(t *testing.T) {
+func TestAtMostOneHolderAndIncreasingFences(t *testing.T) {
 	is := is.New(t)
 	acquired, orders := 0, 0
 	for seed := range tabletest.Seeds(120) {
-		w := history(seed, DefaultConfig(), false)
+		w := simulate(seed, DefaultConfig(), false)
 		is.Equal(w.overlaps, 0)
-		is.True(w.monotone())
-		is.Equal(w.endpoint.reverted, 0)
-		is.True(w.holder() != nil) // somebody holds it once the faults are over
+		is.True(w.fencesIncrease())
+		is.Equal(w.endpoint.staleOrders, 0)
+		is.True(w.holder() != nil) // one process holds the lease after the faults have ended
 		acquired += len(w.fences)
 		orders += w.endpoint.orders
 	}
-	is.True(acquired > 120*3 && orders > 120*100) // the histories were eventful
+	is.True(acquired > 120*3 && orders > 120*100) // the histories have enough acquisitions and orders
 	t.Logf("%d acquisitions, %d orders", acquired, orders)
 }
 
-func TestTheChecksFindPlantedFaults(t *testing.T) {
-	long := DefaultConfig()
-	long.Safety = 1.6 // the holder trusts its lease for longer than it lasts
-	for name, plant := range map[string]func(seed uint64) *world{
-		"no conditions": func(seed uint64) *world { return history(seed, DefaultConfig(), true) },
-		"no safety":     func(seed uint64) *world { return history(seed, long, false) },
+func TestChecksDetectInjectedFaults(t *testing.T) {
+	unsafe := DefaultConfig()
+	unsafe.Safety = 1.6 // the holder trusts its lease for longer than the TTL
+	for name, inject := range map[string]func(seed uint64) *world{
+		"no conditions": func(seed uint64) *world { return simulate(seed, DefaultConfig(), true) },
+		"no safety":     func(seed uint64) *world { return simulate(seed, unsafe, false) },
 	} {
 		found := 0
 		for seed := range uint64(20) {
-			if w := plant(seed); w.overlaps > 0 || !w.monotone() {
+			if w := inject(seed); w.overlaps > 0 || !w.fencesIncrease() {
 				found++
 			}
 		}
 		if found == 0 {
-			t.Errorf("%s: found in no history", name)
+			t.Errorf("%s: not detected in any history", name)
 		}
-		t.Logf("%s: found in %d of 20 histories", name, found)
+		t.Logf("%s: detected in %d of 20 histories", name, found)
 	}
 }
 
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+func TestReleaseHandsOverImmediately(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, DefaultConfig(), 3)
 	w.clock.Run(10 * time.Second)
 	h := w.holder()
 	is.True(h != nil)
 	h.act(h.lease.Release(h.now(), false))
-	is.True(!h.lease.Valid(h.now())) // it stops before the table knows
+	is.True(!h.lease.Valid(h.now())) // the holder stops before the release is written
 	w.clock.Run(w.clock.Now() + 1500*time.Millisecond)
 	is.True(h.lease.Stopped())
 	next := w.holder()
 	is.True(next != nil && next != h)
-	is.Equal(next.gate.Allow(next.now(), "e", true), Open)  // checks fencing
-	is.Equal(next.gate.Allow(next.now(), "e", false), Wait) // an order may still be on its way
+	is.Equal(next.gate.Allow(next.now(), "e", true), Open)  // the endpoint checks fencing numbers
+	is.Equal(next.gate.Allow(next.now(), "e", false), Wait) // an order may still be in flight
 }
 
-// TestAQuietReleaseOpensTheGateAtOnce: no order of the former holder can still
-// be on its way.
-func TestAQuietReleaseOpensTheGateAtOnce(t *testing.T) {
+// TestQuietReleaseOpensGateImmediately: after a release with quiet, the new holder
+// need not wait, since no order of the former holder can still be in flight.
+func TestQuietReleaseOpensGateImmediately(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, DefaultConfig(), 3)
 	w.clock.Run(10 * time.Second)
@@ -280,9 +283,9 @@
 	is.True(next.gate.Allow(next.now(), "e", false) != Wait)
 }
 
-// TestAnEndedPredecessorsLeaseNeedNotLapse: a restarted daemon takes its former
-// process's lease at its first read; another daemon waits for it to lapse.
-func TestAnEndedPredecessorsLeaseNeedNotLapse(t *testing.T) {
+// TestRestartedDaemonTakesItsFormerLease: a restarted daemon acquires the lease of
+// its former process at its first read; another daemon waits for the lease to lapse.
+func TestRestartedDaemonTakesItsFormerLease(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.FormerEnded = true
@@ -300,11 +303,12 @@
 	is.True(again.gate.Allow(again.now(), "e", false) != Wait)
 }
 
-// TestALapseThatCoversOrdersOpensTheGateAtOnce, and only then.
-func TestALapseThatCoversOrdersOpensTheGateAtOnce(t *testing.T) {
+// TestLapseCoveringOrdersOpensGateImmediately: after a lapse the gate waits unless
+// LapseCovers is set.
+func TestLapseCoveringOrdersOpensGateImmediately(t *testing.T) {
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
-		l := &Lease{held: 2, until: time.Hour}
+		l := &Lease{heldFence: 2, trustedUntil: time.Hour}
 		g := NewOrderGate(GateConfig{LongestOrder: 4 * time.Second, LapseCovers: covers}, l)
 		g.Acquired(time.Minute, Acquired{Fence: 2, Lapsed: true})
 		is.Equal(g.Allow(time.Minute, "e", false) == Wait, !covers)
@@ -320,13 +324,13 @@
 	h.paused = w.clock.Now() + 30*time.Second
 	w.clock.Run(w.clock.Now() + cfg.TTL + cfg.Margin + 2*cfg.WatchEvery)
 	next := w.holder()
-	is.True(next != nil && next != h) // taken over within the lease, the margin and a read
+	is.True(next != nil && next != h) // acquired by another process within TTL, margin and two reads
 	is.True(!h.lease.Valid(h.now()))
 	is.Equal(h.gate.Allow(h.now(), "e", true), Closed)
 	is.True(next.lease.Fence() > h.gate.Fence())
 }
 
-func TestStoreOutageLetsTheLeaseLapseSafely(t *testing.T) {
+func TestLeaseLapsesSafelyDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	w := newWorld(3, cfg, 3)
@@ -334,7 +338,7 @@
 	h := w.holder()
 	w.model.Faults.Down = true
 	w.clock.Run(w.clock.Now() + cfg.TTL)
-	is.True(w.holder() == nil) // nobody acts
+	is.True(w.holder() == nil) // no process acts as the holder
 	w.clock.Run(w.clock.Now() + 10*time.Minute)
 	w.model.Faults.Down = false
 	w.clock.Run(w.clock.Now() + cfg.MaxBackoff + cfg.TTL + cfg.Margin + 2*cfg.WatchEvery)
--- a/core/live/check.go
+++ b/core/live/check.go
@@ -12,28 +12,29 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Bounds of what a document may hold.
+// Bounds of the fields of a document.
 const (
-	// MaxNameBytes bounds the name of an item, in bytes.
+	// MaxNameBytes is the maximum length of an item's name, in bytes.
 	MaxNameBytes = 128
 	// MaxPriority is the highest priority of a service.
 	MaxPriority = 9
-	// MaxTimeoutMS bounds every time in a service, in milliseconds: one hour.
+	// MaxTimeoutMS is the maximum of every duration in a service, in
+	// milliseconds: one hour.
 	MaxTimeoutMS = 3600 * 1000
-	// MaxBody bounds Team.MaxBodyBytes, in bytes.
+	// MaxBody is the maximum of Team.MaxBodyBytes, in bytes.
 	MaxBody = 64 << 20
-	// MaxSlots bounds Endpoint.Slots.
+	// MaxSlots is the maximum of Endpoint.Slots.
 	MaxSlots = 1 << 16
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one validation error of a document or a change.
 type Fault struct {
-	// Path leads to the field, as in "services[2].pool".
+	// Path is the path of the field, as in "services[2].pool".
 	Path string `json:"path"`
-	// Kind and Name are the item's.
+	// Kind and Name identify the item.
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Message says what is wrong, for a person.
+	// Message describes the fault for an operator.
 	Message string `json:"message"`
 }
 
@@ -42,8 +43,8 @@
 	return fmt.Sprintf("%s (%s %q): %s", f.Path, f.Kind, f.Name, f.Message)
 }
 
-// Check returns every fault of doc, in the document's order; none means that
-// doc may be accepted. It expects a normalized document.
+// Check returns all faults of doc, by the kind of item and in the document's order;
+// a document without faults may be accepted. It expects a normalized document.
 func Check(doc *Document) []Fault {
 	c := &checker{}
 	c.teams(doc)
@@ -57,7 +58,7 @@
 // checker collects faults.
 type checker struct{ faults []Fault }
 
-// item is where a fault is found.
+// item is the item being checked.
 type item struct {
 	c     *checker
 	kind  Kind
@@ -66,14 +67,14 @@
 	names map[string]bool
 }
 
-// at starts the check of one item: its name must be proper and new.
-func (c *checker) at(kind Kind, list string, i int, name string, names map[string]bool) item {
+// newItem starts the check of one item: its name must be valid and unique.
+func (c *checker) newItem(kind Kind, list string, i int, name string, names map[string]bool) item {
 	it := item{c: c, kind: kind, path: fmt.Sprintf("%s[%d]", list, i), name: name, names: names}
 	if msg := nameFault(name); msg != "" {
 		it.fault("name", "%s", msg)
 	}
 	if names[name] {
-		it.fault("name", "the name is used twice")
+		it.fault("name", "the name is not unique")
 	}
 	names[name] = true
 	return it
@@ -84,9 +85,9 @@
 	it.c.faults = append(it.c.faults, f)
 }
 
-// between wants low <= v <= high.
-func (it item) between(field string, v, low, high float64) {
-	// Written so that NaN is a fault as well.
+// inRange reports a fault unless low <= v <= high.
+func (it item) inRange(field string, v, low, high float64) {
+	// The negated condition makes NaN a fault as well.
 	if !(v >= low && v <= high) {
 		it.fault(field, "%v is not between %v and %v", v, low, high)
 	}
@@ -101,7 +102,7 @@
 func (it item) labels(l Labels) {
 	for k := range l {
 		if msg := nameFault(k); msg != "" {
-			it.fault("labels", "a label's key: %s", msg)
+			it.fault("labels", "a label key %s", msg)
 			return
 		}
 	}
@@ -114,9 +115,9 @@
 	if len(name) > MaxNameBytes {
 		return fmt.Sprintf("is longer than %d bytes", MaxNameBytes)
 	}
-	odd := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
-	if strings.ContainsFunc(name, odd) {
-		return "holds a space or a character that cannot be printed"
+	invalid := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
+	if strings.ContainsFunc(name, invalid) {
+		return "contains a space or a non-printable character"
 	}
 	return ""
 }
@@ -125,16 +126,16 @@
 	names := map[string]bool{}
 	hashes := map[apikey.Hash]bool{}
 	for i, t := range doc.Teams {
-		it := c.at(KindTeam, "teams", i, string(t.Name), names)
+		it := c.newItem(KindTeam, "teams", i, string(t.Name), names)
 		it.labels(t.Labels)
 		it.keyHashes(t, hashes)
-		it.between("weight", t.Weight, 0.001, 1e6)
-		it.between("max_in_flight", float64(t.MaxInFlight), 1, 1e6)
-		it.between("max_body_bytes", float64(t.MaxBodyBytes), 1, MaxBody)
-		it.between("retry_per_second", t.RetryPerSecond, 0, 1e6)
-		it.between("limit_per_second", t.LimitPerSecond, 0, 1e12)
-		it.between("limit_burst", t.LimitBurst, 0, 1e12)
-		it.between("limit_plain_tokens", t.LimitPlainTokens, 0, 1e9)
+		it.inRange("weight", t.Weight, 0.001, 1e6)
+		it.inRange("max_in_flight", float64(t.MaxInFlight), 1, 1e6)
+		it.inRange("max_body_bytes", float64(t.MaxBodyBytes), 1, MaxBody)
+		it.inRange("retry_per_second", t.RetryPerSecond, 0, 1e6)
+		it.inRange("limit_per_second", t.LimitPerSecond, 0, 1e12)
+		it.inRange("limit_burst", t.LimitBurst, 0, 1e12)
+		it.inRange("limit_plain_tokens", t.LimitPlainTokens, 0, 1e9)
 	}
 }
 
@@ -147,7 +148,7 @@
 			continue
 		}
 		if seen[hash] {
-			it.fault(field, "the key is in use already")
+			it.fault(field, "the key is already in use")
 		}
 		seen[hash] = true
 	}
@@ -156,14 +157,14 @@
 func (c *checker) pools(doc *Document) {
 	names := map[string]bool{}
 	for i, p := range doc.Pools {
-		it := c.at(KindPool, "pools", i, string(p.Name), names)
+		it := c.newItem(KindPool, "pools", i, string(p.Name), names)
 		it.labels(p.Labels)
 		it.selector("endpoint_selector", p.EndpointSelector)
 		if p.EndpointSelector == "" {
 			it.fault("endpoint_selector", "is empty")
 		}
-		it.between("min_prefill", float64(p.MinPrefill), 0, 1e6)
-		it.between("min_decode", float64(p.MinDecode), 0, 1e6)
+		it.inRange("min_prefill", float64(p.MinPrefill), 0, 1e6)
+		it.inRange("min_decode", float64(p.MinDecode), 0, 1e6)
 		if p.Model == "" && (p.Adapter != "" || p.Version != "") {
 			it.fault("model", "is empty but an adapter or a version is set")
 		}
@@ -177,16 +178,16 @@
 	}
 	names := map[string]bool{}
 	for i, s := range doc.Services {
-		it := c.at(KindService, "services", i, string(s.Name), names)
+		it := c.newItem(KindService, "services", i, string(s.Name), names)
 		it.labels(s.Labels)
 		it.serviceType(s, pools[s.Pool])
 		it.selector("team_selector", s.TeamSelector)
-		it.between("first_token_target_ms", float64(s.FirstTokenTargetMS), 1, MaxTimeoutMS)
-		it.between("token_pace_target_ms", float64(s.TokenPaceTargetMS), 1, MaxTimeoutMS)
-		it.between("patience_ms", float64(s.PatienceMS), 1, MaxTimeoutMS)
-		it.between("waste_weight", s.WasteWeight, 0, 1)
-		it.between("priority", float64(s.Priority), 0, MaxPriority)
-		it.between("timeout_ms", float64(s.TimeoutMS), 1, MaxTimeoutMS)
+		it.inRange("first_token_target_ms", float64(s.FirstTokenTargetMS), 1, MaxTimeoutMS)
+		it.inRange("token_pace_target_ms", float64(s.TokenPaceTargetMS), 1, MaxTimeoutMS)
+		it.inRange("patience_ms", float64(s.PatienceMS), 1, MaxTimeoutMS)
+		it.inRange("waste_weight", s.WasteWeight, 0, 1)
+		it.inRange("priority", float64(s.Priority), 0, MaxPriority)
+		it.inRange("timeout_ms", float64(s.TimeoutMS), 1, MaxTimeoutMS)
 	}
 }
 
@@ -210,27 +211,27 @@
 	names := map[string]bool{}
 	addresses := map[string]bool{}
 	for i, e := range doc.Endpoints {
-		it := c.at(KindEndpoint, "endpoints", i, string(e.Name), names)
+		it := c.newItem(KindEndpoint, "endpoints", i, string(e.Name), names)
 		it.labels(e.Labels)
 		it.address(e.Address, addresses)
 		if e.Domain == "" {
 			it.fault("domain", "is empty")
 		}
 		it.role(e.Labels[LabelRole])
-		it.between("slots", float64(e.Slots), 1, MaxSlots)
-		it.between("prefill_tokens_per_second", e.PrefillTokensPerSecond, 1, 1e9)
-		it.between("decode_token_ms", e.DecodeTokenMS, 0.001, MaxTimeoutMS)
+		it.inRange("slots", float64(e.Slots), 1, MaxSlots)
+		it.inRange("prefill_tokens_per_second", e.PrefillTokensPerSecond, 1, 1e9)
+		it.inRange("decode_token_ms", e.DecodeTokenMS, 0.001, MaxTimeoutMS)
 	}
 }
 
 func (it item) address(address string, seen map[string]bool) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
-		it.fault("address", "%q is not an IP number and a port", address)
+		it.fault("address", "%q is not an IP address and a port", address)
 		return
 	}
 	if seen[ap.String()] {
-		it.fault("address", "%q is used twice", address)
+		it.fault("address", "%q is already in use", address)
 	}
 	seen[ap.String()] = true
 }
@@ -246,10 +247,10 @@
 func (c *checker) links(doc *Document) {
 	names := map[string]bool{}
 	for i, l := range doc.Links {
-		it := c.at(KindLink, "links", i, l.Name, names)
+		it := c.newItem(KindLink, "links", i, l.Name, names)
 		if l.From == "" || l.To == "" {
 			it.fault("from", "a link needs both failure domains")
 		}
-		it.between("bytes_per_second", l.BytesPerSecond, 1, 1e15)
+		it.inRange("bytes_per_second", l.BytesPerSecond, 1, 1e15)
 	}
 }
--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -9,10 +9,10 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// sourceStore names the store in Diverged.
+// sourceStore is the value of Diverged.Source for the store.
 const sourceStore = "store"
 
-// Handle takes the store's reply to the last read; others are ignored.
+// Handle handles the store's reply to the last read and ignores other replies.
 func (f *Follower) Handle(now time.Duration, r table.Reply) []FollowerAction {
 	if !f.reading || r.Seq != f.seq {
 		return nil
@@ -20,7 +20,7 @@
 	f.reading = false
 	if r.Status != table.Done {
 		f.storeUp = false
-		f.failed = true
+		f.readFailed = true
 		f.planRetry(now)
 		return nil
 	}
@@ -30,7 +30,7 @@
 
 func (f *Follower) onRows(now time.Duration, r table.Reply) []FollowerAction {
 	if f.polling {
-		f.noteHead(r.Row(KeyHead))
+		f.updateHead(r.Row(KeyHead))
 	}
 	from := f.doc.Revision
 	var out []FollowerAction
@@ -38,45 +38,46 @@
 		if row.Version == 0 || row.Key == KeyHead {
 			continue
 		}
-		if d := f.takeRow(row); d != nil {
+		if d := f.applyRow(row); d != nil {
 			out = append(out, FollowerAction{Diverged: d})
 			break
 		}
 	}
 	out = append(out, f.installed(from)...)
-	return append(out, f.goOn(now, from)...)
+	return append(out, f.continueRead(now, from)...)
 }
 
-// noteHead keeps the highest head seen; a lower one is a stale read.
-func (f *Follower) noteHead(row table.Row) {
+// updateHead keeps the newest head seen; an older one comes from a stale read.
+func (f *Follower) updateHead(row table.Row) {
 	var head Head
 	if row.Version != 0 && json.Unmarshal(row.Value, &head) != nil {
 		return
 	}
-	if head.Revision >= f.headSeen.Revision {
-		f.headSeen = head
+	if head.Revision >= f.newestHead.Revision {
+		f.newestHead = head
 	}
 }
 
-func (f *Follower) takeRow(row table.Row) *Diverged {
-	if row.Key == KeySnapshot(f.headSeen.Snapshot) {
+func (f *Follower) applyRow(row table.Row) *Diverged {
+	if row.Key == KeySnapshot(f.newestHead.Snapshot) {
 		var s Snapshot
 		if err := json.Unmarshal(row.Value, &s); err != nil {
-			return &Diverged{Revision: f.headSeen.Snapshot, Source: sourceStore, Reason: "the snapshot can't be read: " + err.Error()}
+			return &Diverged{Revision: f.newestHead.Snapshot, Source: sourceStore, Reason: "the snapshot can't be decoded: " + err.Error()}
 		}
-		f.takeSnapshot(&s)
+		f.applySnapshot(&s)
 		return nil
 	}
 	var rec Record
 	if err := json.Unmarshal(row.Value, &rec); err != nil {
-		return &Diverged{Revision: f.doc.Revision + 1, Source: sourceStore, Reason: "the record can't be read: " + err.Error()}
+		return &Diverged{Revision: f.doc.Revision + 1, Source: sourceStore, Reason: "the record can't be decoded: " + err.Error()}
 	}
-	return f.takeRecord(rec, sourceStore)
+	return f.applyRecord(rec, sourceStore)
 }
 
-// goOn reads on while the head is ahead and the last read brought something.
-func (f *Follower) goOn(now time.Duration, from uint64) []FollowerAction {
-	gap := f.headSeen.Revision > f.doc.Revision
+// continueRead issues the next read while the head is newer than the document and
+// the last read made progress; otherwise it schedules the next poll.
+func (f *Follower) continueRead(now time.Duration, from uint64) []FollowerAction {
+	gap := f.newestHead.Revision > f.doc.Revision
 	moved := f.doc.Revision > from
 	if !gap {
 		f.confirmed = true
@@ -84,29 +85,30 @@
 		return nil
 	}
 	if !moved && !f.polling {
-		// A stale read, or a snapshot that was replaced: look at the head again later.
+		// A stale read, or the snapshot was replaced: read the head again at the next poll.
 		f.planPoll(now)
 		return nil
 	}
-	if f.headSeen.Revision-f.doc.Revision > f.cfg.SnapshotGap && f.headSeen.Snapshot > f.doc.Revision {
-		return []FollowerAction{f.read([]string{KeySnapshot(f.headSeen.Snapshot)}, false)}
+	if f.newestHead.Revision-f.doc.Revision > f.cfg.SnapshotGap && f.newestHead.Snapshot > f.doc.Revision {
+		return []FollowerAction{f.read([]string{KeySnapshot(f.newestHead.Snapshot)}, false)}
 	}
-	last := min(f.headSeen.Revision, f.doc.Revision+uint64(f.cfg.Batch))
+	last := min(f.newestHead.Revision, f.doc.Revision+uint64(f.cfg.Batch))
 	return []FollowerAction{f.read(revisionKeys(f.doc.Revision+1, last), false)}
 }
 
-// takeRecord applies the record if it is the next one; older ones are
-// skipped, and one that does not chain to what is in force is refused.
-func (f *Follower) takeRecord(rec Record, source string) *Diverged {
+// applyRecord applies the record if it has the next revision and skips it
+// otherwise. A record whose chain hash does not continue the chain in force is
+// rejected as Diverged.
+func (f *Follower) applyRecord(rec Record, source string) *Diverged {
 	if rec.Revision != f.doc.Revision+1 {
 		return nil
 	}
 	if NextChain(f.chain, rec.Change) != rec.Chain {
-		return &Diverged{Revision: rec.Revision, Source: source, Reason: "the record does not follow from the one before it"}
+		return &Diverged{Revision: rec.Revision, Source: source, Reason: "the record's chain hash does not match the previous record"}
 	}
 	next, faults := applyOps(f.doc, rec.Change)
 	if len(faults) > 0 {
-		return &Diverged{Revision: rec.Revision, Source: source, Reason: fmt.Sprintf("the accepted change does not apply: %v", faults[0])}
+		return &Diverged{Revision: rec.Revision, Source: source, Reason: fmt.Sprintf("the accepted change can't be applied: %v", faults[0])}
 	}
 	f.doc, f.chain = next, rec.Chain
 	f.history = append(f.history, rec)
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// takeSnapshot replaces the document by a newer one.
-func (f *Follower) takeSnapshot(s *Snapshot) {
+// applySnapshot replaces the document with the snapshot's if that is newer.
+func (f *Follower) applySnapshot(s *Snapshot) {
 	if s.Document.Revision <= f.doc.Revision {
 		return
 	}
@@ -134,7 +136,7 @@
 	}
 }
 
-// installed reports the document if it is newer than from.
+// installed returns an Installed action if the document is newer than from.
 func (f *Follower) installed(from uint64) []FollowerAction {
 	if f.doc.Revision <= from {
 		return nil
@@ -142,19 +144,19 @@
 	return []FollowerAction{{Installed: &Installed{From: from, To: f.doc.Revision, Document: f.doc}}}
 }
 
-// Learn takes a record that this daemon's own proposer saw accepted.
+// Learn applies a record whose acceptance this daemon's own proposer observed.
 func (f *Follower) Learn(rec Record) []FollowerAction {
-	return f.takeAll(nil, []Record{rec}, sourceStore)
+	return f.applyAll(nil, []Record{rec}, sourceStore)
 }
 
-func (f *Follower) takeAll(s *Snapshot, records []Record, source string) []FollowerAction {
+func (f *Follower) applyAll(s *Snapshot, records []Record, source string) []FollowerAction {
 	from := f.doc.Revision
 	var out []FollowerAction
 	if s != nil {
-		f.takeSnapshot(s)
+		f.applySnapshot(s)
 	}
 	for _, rec := range records {
-		if d := f.takeRecord(rec, source); d != nil {
+		if d := f.applyRecord(rec, source); d != nil {
 			out = append(out, FollowerAction{Diverged: d})
 			break
 		}
--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -15,14 +15,14 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func putTeam(n int) Change {
 	op := Op{Action: ActionPut, Kind: live.KindTeam, Name: fmt.Sprintf("t%d", n), Item: json.RawMessage(`{"weight": 2}`)}
 	return Change{ID: fmt.Sprintf("c%d", n), At: time.Unix(int64(n), 0).UTC(), Ops: []Op{op}}
 }
 
-// records makes the first n accepted changes.
+// records returns the records of the first n accepted changes.
 func records(n int) []Record {
 	var out []Record
 	chain := ""
@@ -34,23 +34,23 @@
 	return out
 }
 
-func fed(n int) *Follower {
-	f := NewFollower(DefaultFollowerConfig(), 0, source())
+func followerAt(n int) *Follower {
+	f := NewFollower(DefaultFollowerConfig(), 0, newRand())
 	for _, r := range records(n) {
 		f.Learn(r)
 	}
 	return f
 }
 
-func TestApplyIsWholeOrNotAtAll(t *testing.T) {
+func TestApplyIsAllOrNothing(t *testing.T) {
 	is := is.New(t)
-	doc := fed(2).Current()
+	doc := followerAt(2).Current()
 	before := string(encode(doc))
 	c := putTeam(7)
 	c.Ops = append(c.Ops, Op{Action: ActionDelete, Kind: live.KindPool, Name: "none"}, Op{Action: "odd", Kind: live.KindTeam, Name: "t0"})
 	next, faults := Apply(doc, c)
 	is.True(next == nil)
-	is.Equal(len(faults), 2) // both, with their places
+	is.Equal(len(faults), 2) // both bad ops, each with its path
 	is.Equal(faults[0].Path, "ops[1]")
 	is.Equal(faults[1].Path, "ops[2]")
 	c.Ops = []Op{{Action: ActionPut, Kind: live.KindService, Name: "s", Item: json.RawMessage(`{"type": "model", "pool": "none"}`)}}
@@ -64,7 +64,7 @@
 
 func TestLabelsAreSetAndRemoved(t *testing.T) {
 	is := is.New(t)
-	doc := fed(1).Current()
+	doc := followerAt(1).Current()
 	label := func(l live.Labels) Change {
 		return Change{ID: "l", Ops: []Op{{Action: ActionLabel, Kind: live.KindTeam, Name: "t0", Labels: l}}}
 	}
@@ -76,7 +76,7 @@
 	is.Equal(Overlap(label(nil), putTeam(0)), []string{"team/t0"})
 }
 
-func TestRecordsSurviveTheWireAndChain(t *testing.T) {
+func TestRecordsRoundTripAndChainIsChecked(t *testing.T) {
 	is := is.New(t)
 	for _, r := range records(3) {
 		raw, err := cbor.Marshal(FetchReply{Records: []Record{r}})
@@ -85,37 +85,37 @@
 		is.NoErr(cbor.Unmarshal(raw, &back))
 		is.Equal(Digest(back.Records[0].Change), Digest(r.Change))
 	}
-	f := fed(3)
+	f := followerAt(3)
 	bad := records(5)[3]
 	bad.Change.Ops[0].Item = json.RawMessage(`{"weight": 3}`)
 	actions := f.Learn(bad)
-	is.True(actions[0].Diverged != nil) // another history is refused
+	is.True(actions[0].Diverged != nil) // a record of another history is rejected
 	is.Equal(f.Current().Revision, uint64(3))
 }
 
-func TestFollowerNeverGoesBack(t *testing.T) {
+func TestFollowerNeverInstallsOlderRevision(t *testing.T) {
 	is := is.New(t)
-	f := fed(5)
+	f := followerAt(5)
 	read := f.Tick(0)[0].Request
 	old := Head{Revision: 2, ChangeID: "c1"}
 	rows := []table.Row{{Key: KeyHead, Value: encode(old), Version: 9}, {Key: KeyRevision(2), Value: encode(records(2)[1]), Version: 8}}
 	is.Equal(len(f.Handle(0, table.Reply{Seq: read.Seq, Status: table.Done, Rows: rows})), 0)
 	is.Equal(f.Current().Revision, uint64(5))
 	f.PeerRevision(0, "peer", 9)
-	ask := f.Tick(time.Second)
-	fetch := ask[len(ask)-1].Fetch
-	older := fed(3)
+	actions := f.Tick(time.Second)
+	fetch := actions[len(actions)-1].Fetch
+	older := followerAt(3)
 	snapshot := &Snapshot{Document: *older.Current(), Chain: older.Chain()}
 	is.Equal(len(f.HandlePeer(time.Second, FetchReply{Seq: fetch.Seq, Snapshot: snapshot})), 0)
 	is.Equal(f.Current().Revision, uint64(5))
 }
 
-func TestStoreDownAtStartTakesTheNewestPeer(t *testing.T) {
+func TestStoreDownAtStartUsesNewestPeer(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultFollowerConfig()
-	f := NewFollower(cfg, 0, source())
-	peers := map[id.Daemon]*Follower{"a": fed(10), "b": fed(200)}
-	peers["b"].history = peers["b"].history[150:] // it no longer has them all
+	f := NewFollower(cfg, 0, newRand())
+	peers := map[id.Daemon]*Follower{"a": followerAt(10), "b": followerAt(200)}
+	peers["b"].history = peers["b"].history[150:] // the peer has dropped old records
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
 		f.PeerRevision(now, "a", 10)
 		f.PeerRevision(now, "b", 200)
@@ -127,7 +127,7 @@
 				f.HandlePeer(now, peers[a.Fetch.Peer].Serve(*a.Fetch))
 			}
 		}
-		is.True(!f.Ready(now) || f.Current().Revision == 200) // never ready on less than the newest
+		is.True(!f.Ready(now) || f.Current().Revision == 200) // not ready before the newest revision is installed
 	}
 	is.True(f.Ready(4 * time.Second))
 	is.Equal(f.Current(), peers["b"].Current())
@@ -137,7 +137,7 @@
 	is.Equal(len(diff), 200)
 }
 
-func TestNoStampedeAfterAnOutage(t *testing.T) {
+func TestPollRateIsBoundedAfterOutage(t *testing.T) {
 	is := is.New(t)
 	const daemons = 420
 	perSecond := map[int]int{}
@@ -155,12 +155,12 @@
 		}
 	}
 	for second := 60; second < 70; second++ {
-		is.True(perSecond[second] <= daemons) // never above the normal rate of one poll a second each
+		is.True(perSecond[second] <= daemons) // at most the normal rate of one poll per second and daemon
 	}
 }
 
-func BenchmarkFollowerTakesChange(b *testing.B) {
-	f := fed(900)
+func BenchmarkFollowerAppliesChange(b *testing.B) {
+	f := followerAt(900)
 	next := records(901)[900]
 	doc, chain := f.doc, f.chain
 	for b.Loop() {
