--- a/daemon/peer/peer.go
+++ b/daemon/peer/peer.go
@@ -112,8 +112,8 @@
 	// DialsAtOnce bounds the dials that are under way at once, and DialTurn is
 	// after how long one makes room for the next, ended or not: a peer that is gone
 	// gives no answer up to DialTimeout.
-	DialsAtOnce int
-	DialTurn    time.Duration
+	MaxConcurrentDials int
+	DialTurn           time.Duration
 	// WriteTimeout is how long a peer may leave its one-way stream unread
 	// before the connection is given up.
 	WriteTimeout time.Duration
@@ -133,7 +133,7 @@
 	defaults.Set(&c.IdleTimeout, DefaultIdleTimeout)
 	defaults.Set(&c.DialTimeout, DefaultDialTimeout)
 	defaults.Set(&c.WriteTimeout, DefaultWriteTimeout)
-	defaults.Set(&c.DialsAtOnce, DefaultDialsAtOnce)
+	defaults.Set(&c.MaxConcurrentDials, DefaultDialsAtOnce)
 	defaults.Set(&c.DialTurn, DefaultDialTurn)
 	defaults.Set(&c.BackoffMin, DefaultBackoffMin)
 	defaults.Set(&c.BackoffMax, DefaultBackoffMax)
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -73,7 +73,7 @@
 		socket:  socket,
 		calls:   calls,
 		traffic: newTraffic(cfg.Registry, cfg.KindName),
-		dials:   make(chan struct{}, cfg.DialsAtOnce),
+		dials:   make(chan struct{}, cfg.MaxConcurrentDials),
 		remotes: make(map[id.Daemon]*remote),
 		conns:   make(map[*conn]struct{}),
 	}
