--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -77,7 +77,7 @@
 // profile with 42 in 100 in handshakes.
 func TestADaemonDialsFewPeersAtOnce(t *testing.T) {
 	is := is.New(t)
-	peers := dialAll(t, 40, DefaultDialsAtOnce, func(c *Config) {
+	peers := dialAll(t, 40, DefaultMaxConcurrentDials, func(c *Config) {
 		c.DialTimeout = time.Hour
 		c.DialTurn = time.Hour
 	})
@@ -87,7 +87,7 @@
 			dialled++
 		}
 	}
-	is.Equal(dialled, DefaultDialsAtOnce)
+	is.Equal(dialled, DefaultMaxConcurrentDials)
 }
 
 // TestPeersThatAreGoneHoldNobodyUp: of those that give no answer, each makes room
--- a/daemon/peer/peer.go
+++ b/daemon/peer/peer.go
@@ -68,8 +68,8 @@
 	// DefaultDialsAtOnce and DefaultDialTurn: each handshake costs processor time at
 	// either end, and where many daemons start together those that take too long are
 	// thrown away and begun again.
-	DefaultDialsAtOnce = 4
-	DefaultDialTurn    = 500 * time.Millisecond
+	DefaultMaxConcurrentDials = 4
+	DefaultDialTurn           = 500 * time.Millisecond
 )
 
 // Config of a Transport.
@@ -133,7 +133,7 @@
 	defaults.Set(&c.IdleTimeout, DefaultIdleTimeout)
 	defaults.Set(&c.DialTimeout, DefaultDialTimeout)
 	defaults.Set(&c.WriteTimeout, DefaultWriteTimeout)
-	defaults.Set(&c.MaxConcurrentDials, DefaultDialsAtOnce)
+	defaults.Set(&c.MaxConcurrentDials, DefaultMaxConcurrentDials)
 	defaults.Set(&c.DialTurn, DefaultDialTurn)
 	defaults.Set(&c.BackoffMin, DefaultBackoffMin)
 	defaults.Set(&c.BackoffMax, DefaultBackoffMax)
