--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -131,7 +131,7 @@
 // dialTurn returns what ends a turn that was given; it ends by itself, too.
 func (r *remote) dialTurn() func() {
 	end := sync.OnceFunc(func() { <-r.t.dials })
-	timer := time.AfterFunc(r.t.cfg.DialTurn, end)
+	timer := time.AfterFunc(r.t.cfg.DialSlotTimeout, end)
 	return func() {
 		timer.Stop()
 		end()
--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	peers := dialAll(t, 40, DefaultMaxConcurrentDials, func(c *Config) {
 		c.DialTimeout = time.Hour
-		c.DialTurn = time.Hour
+		c.DialSlotTimeout = time.Hour
 	})
 	dialled := 0
 	for _, p := range peers {
@@ -95,6 +95,6 @@
 func TestPeersThatAreGoneHoldNobodyUp(t *testing.T) {
 	dialAll(t, 40, 40, func(c *Config) {
 		c.DialTimeout = time.Hour
-		c.DialTurn = time.Millisecond
+		c.DialSlotTimeout = time.Millisecond
 	})
 }
--- a/daemon/peer/peer.go
+++ b/daemon/peer/peer.go
@@ -113,7 +113,7 @@
 	// after how long one makes room for the next, ended or not: a peer that is gone
 	// gives no answer up to DialTimeout.
 	MaxConcurrentDials int
-	DialTurn           time.Duration
+	DialSlotTimeout    time.Duration
 	// WriteTimeout is how long a peer may leave its one-way stream unread
 	// before the connection is given up.
 	WriteTimeout time.Duration
@@ -134,7 +134,7 @@
 	defaults.Set(&c.DialTimeout, DefaultDialTimeout)
 	defaults.Set(&c.WriteTimeout, DefaultWriteTimeout)
 	defaults.Set(&c.MaxConcurrentDials, DefaultMaxConcurrentDials)
-	defaults.Set(&c.DialTurn, DefaultDialTurn)
+	defaults.Set(&c.DialSlotTimeout, DefaultDialTurn)
 	defaults.Set(&c.BackoffMin, DefaultBackoffMin)
 	defaults.Set(&c.BackoffMax, DefaultBackoffMax)
 	defaults.Set(&c.CallWorkers, DefaultCallWorkers)
