--- a/daemon/peer/peer.go
+++ b/daemon/peer/peer.go
@@ -69,7 +69,7 @@
 	// either end, and where many daemons start together those that take too long are
 	// thrown away and begun again.
 	DefaultMaxConcurrentDials = 4
-	DefaultDialTurn           = 500 * time.Millisecond
+	DefaultDialSlotTimeout    = 500 * time.Millisecond
 )
 
 // Config of a Transport.
@@ -134,7 +134,7 @@
 	defaults.Set(&c.DialTimeout, DefaultDialTimeout)
 	defaults.Set(&c.WriteTimeout, DefaultWriteTimeout)
 	defaults.Set(&c.MaxConcurrentDials, DefaultMaxConcurrentDials)
-	defaults.Set(&c.DialSlotTimeout, DefaultDialTurn)
+	defaults.Set(&c.DialSlotTimeout, DefaultDialSlotTimeout)
 	defaults.Set(&c.BackoffMin, DefaultBackoffMin)
 	defaults.Set(&c.BackoffMax, DefaultBackoffMax)
 	defaults.Set(&c.CallWorkers, DefaultCallWorkers)
