--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -112,11 +112,11 @@
 func (r *remote) enterDial() (leave func(), ok bool) {
 	for r.live() == nil {
 		select {
-		case r.t.dials <- struct{}{}:
+		case r.t.dialSlots <- struct{}{}:
 			if r.t.ctx.Err() != nil {
 				// A dial that the end of the transport ended gave its turn back; this
 				// peer's own context may end a moment later.
-				<-r.t.dials
+				<-r.t.dialSlots
 				return nil, false
 			}
 			return r.dialTurn(), true
@@ -130,7 +130,7 @@
 
 // dialTurn returns what ends a turn that was given; it ends by itself, too.
 func (r *remote) dialTurn() func() {
-	end := sync.OnceFunc(func() { <-r.t.dials })
+	end := sync.OnceFunc(func() { <-r.t.dialSlots })
 	timer := time.AfterFunc(r.t.cfg.DialSlotTimeout, end)
 	return func() {
 		timer.Stop()
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -40,7 +40,7 @@
 	traffic  *traffic
 	faults   faults
 	// dials holds a token for each dial that has its turn.
-	dials chan struct{}
+	dialSlots chan struct{}
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -69,13 +69,13 @@
 		return nil, err
 	}
 	t := &Transport{
-		cfg:     cfg,
-		socket:  socket,
-		calls:   calls,
-		traffic: newTraffic(cfg.Registry, cfg.KindName),
-		dials:   make(chan struct{}, cfg.MaxConcurrentDials),
-		remotes: make(map[id.Daemon]*remote),
-		conns:   make(map[*conn]struct{}),
+		cfg:       cfg,
+		socket:    socket,
+		calls:     calls,
+		traffic:   newTraffic(cfg.Registry, cfg.KindName),
+		dialSlots: make(chan struct{}, cfg.MaxConcurrentDials),
+		remotes:   make(map[id.Daemon]*remote),
+		conns:     make(map[*conn]struct{}),
 	}
 	t.declareWire(cfg.Registry)
 	t.ctx, t.cancel = context.WithCancel(context.Background())
