--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -51,7 +51,7 @@
 	}
 	r.rest()
 	r.giveWay()
-	leave, ok := r.enterDial()
+	leave, ok := r.acquireDialSlot()
 	if !ok {
 		return r.live()
 	}
@@ -109,7 +109,7 @@
 // Where all daemons of a fleet start at once, each dials many others. All at the
 // same time they take longer than a dial may, so that what was spent on them is
 // thrown away and they are dialled once more.
-func (r *remote) enterDial() (leave func(), ok bool) {
+func (r *remote) acquireDialSlot() (leave func(), ok bool) {
 	for r.live() == nil {
 		select {
 		case r.t.dialSlots <- struct{}{}:
