--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -119,7 +119,7 @@
 				<-r.t.dialSlots
 				return nil, false
 			}
-			return r.dialTurn(), true
+			return r.dialSlotRelease(), true
 		case <-r.changed:
 		case <-r.ctx.Done():
 			return nil, false
@@ -129,7 +129,7 @@
 }
 
 // dialTurn returns what ends a turn that was given; it ends by itself, too.
-func (r *remote) dialTurn() func() {
+func (r *remote) dialSlotRelease() func() {
 	end := sync.OnceFunc(func() { <-r.t.dialSlots })
 	timer := time.AfterFunc(r.t.cfg.DialSlotTimeout, end)
 	return func() {
