--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -11,7 +11,7 @@
 
 // giveWayTime is long against a handshake between hosts, and short against
 // the time for which a message may wait.
-const giveWayTime = 50 * time.Millisecond
+const dialDeferral = 50 * time.Millisecond
 
 func (r *remote) answerLocked(o outcome) {
 	for _, w := range r.waiting {
@@ -90,7 +90,7 @@
 	if r.name > r.t.cfg.Self.Daemon {
 		return
 	}
-	timer := time.NewTimer(giveWayTime)
+	timer := time.NewTimer(dialDeferral)
 	defer timer.Stop()
 	for r.live() == nil {
 		select {
