--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -50,7 +50,7 @@
 		return c
 	}
 	r.rest()
-	r.giveWay()
+	r.deferDial()
 	leave, ok := r.acquireDialSlot()
 	if !ok {
 		return r.live()
@@ -86,7 +86,7 @@
 
 // giveWay lets a peer with a lower name dial first, as two daemons that begin
 // to talk at the same time would else keep two connections.
-func (r *remote) giveWay() {
+func (r *remote) deferDial() {
 	if r.name > r.t.cfg.Self.Daemon {
 		return
 	}
