--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -49,7 +49,7 @@
 	if c := r.live(); c != nil {
 		return c
 	}
-	r.rest()
+	r.waitBackoff()
 	r.deferDial()
 	leave, ok := r.acquireDialSlot()
 	if !ok {
@@ -70,7 +70,7 @@
 
 // rest waits for the time of the next dial, or until a connection or an
 // address has come.
-func (r *remote) rest() {
+func (r *remote) waitBackoff() {
 	wait := time.Until(r.notBefore)
 	if wait <= 0 {
 		return
