--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -57,21 +57,21 @@
 	}
 	defer leave()
 	if err := r.dial(); err != nil {
-		r.notBefore = time.Now().Add(r.backoff.NextBackOff())
+		r.nextDial = time.Now().Add(r.backoff.NextBackOff())
 		r.mu.Lock()
 		r.answerLocked(outcome{err: err})
 		r.mu.Unlock()
 		return nil
 	}
 	r.backoff.Reset()
-	r.notBefore = time.Time{}
+	r.nextDial = time.Time{}
 	return r.live()
 }
 
 // rest waits for the time of the next dial, or until a connection or an
 // address has come.
 func (r *remote) waitBackoff() {
-	wait := time.Until(r.notBefore)
+	wait := time.Until(r.nextDial)
 	if wait <= 0 {
 		return
 	}
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -29,8 +29,8 @@
 	cancel context.CancelFunc
 
 	// backoff and notBefore belong to the goroutine that dials.
-	backoff   *backoff.ExponentialBackOff
-	notBefore time.Time
+	backoff  *backoff.ExponentialBackOff
+	nextDial time.Time
 
 	mu          sync.Mutex
 	address     string
