--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -13,7 +13,7 @@
 // the time for which a message may wait.
 const dialDeferral = 50 * time.Millisecond
 
-func (r *remote) answerLocked(o outcome) {
+func (r *remote) answerLocked(o dialResult) {
 	for _, w := range r.waiting {
 		w <- o
 	}
@@ -28,7 +28,7 @@
 		r.mu.Unlock()
 		return c, nil
 	}
-	answer := make(chan outcome, 1)
+	answer := make(chan dialResult, 1)
 	r.waiting = append(r.waiting, answer)
 	r.mu.Unlock()
 	signal(r.wanted)
@@ -59,7 +59,7 @@
 	if err := r.dial(); err != nil {
 		r.nextDial = time.Now().Add(r.backoff.NextBackOff())
 		r.mu.Lock()
-		r.answerLocked(outcome{err: err})
+		r.answerLocked(dialResult{err: err})
 		r.mu.Unlock()
 		return nil
 	}
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -37,7 +37,7 @@
 	incarnation id.Incarnation
 	current     *conn
 	conns       map[*conn]struct{}
-	waiting     []chan outcome
+	waiting     []chan dialResult
 	datagramsOn bool
 
 	// usedAt is when something was last to be sent to the peer, in Unix
@@ -46,7 +46,7 @@
 }
 
 // outcome of waiting for a connection.
-type outcome struct {
+type dialResult struct {
 	conn *conn
 	err  error
 }
@@ -173,7 +173,7 @@
 		r.current = c
 	}
 	if r.current != nil {
-		r.answerLocked(outcome{conn: r.current})
+		r.answerLocked(dialResult{conn: r.current})
 	}
 	return old
 }
