--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -13,7 +13,7 @@
 // the time for which a message may wait.
 const dialDeferral = 50 * time.Millisecond
 
-func (r *remote) answerLocked(o dialResult) {
+func (r *remote) notifyWaitersLocked(o dialResult) {
 	for _, w := range r.waiting {
 		w <- o
 	}
@@ -59,7 +59,7 @@
 	if err := r.dial(); err != nil {
 		r.nextDial = time.Now().Add(r.backoff.NextBackOff())
 		r.mu.Lock()
-		r.answerLocked(dialResult{err: err})
+		r.notifyWaitersLocked(dialResult{err: err})
 		r.mu.Unlock()
 		return nil
 	}
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -173,7 +173,7 @@
 		r.current = c
 	}
 	if r.current != nil {
-		r.answerLocked(dialResult{conn: r.current})
+		r.notifyWaitersLocked(dialResult{conn: r.current})
 	}
 	return old
 }
