--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -14,10 +14,10 @@
 const dialDeferral = 50 * time.Millisecond
 
 func (r *remote) notifyWaitersLocked(o dialResult) {
-	for _, w := range r.waiting {
+	for _, w := range r.waiters {
 		w <- o
 	}
-	r.waiting = nil
+	r.waiters = nil
 }
 
 // connection returns the live connection, or waits for the outcome of the next
@@ -29,7 +29,7 @@
 		return c, nil
 	}
 	answer := make(chan dialResult, 1)
-	r.waiting = append(r.waiting, answer)
+	r.waiters = append(r.waiters, answer)
 	r.mu.Unlock()
 	signal(r.wanted)
 	select {
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -37,7 +37,7 @@
 	incarnation id.Incarnation
 	current     *conn
 	conns       map[*conn]struct{}
-	waiting     []chan dialResult
+	waiters     []chan dialResult
 	datagramsOn bool
 
 	// usedAt is when something was last to be sent to the peer, in Unix
