--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	if r.live() == nil {
-		signal(r.wanted)
+		signal(r.dialRequested)
 		return eris.Wrapf(ErrNotConnected, "peer %s", to)
 	}
 	r.startDatagrams()
--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -31,7 +31,7 @@
 	answer := make(chan dialResult, 1)
 	r.waiters = append(r.waiters, answer)
 	r.mu.Unlock()
-	signal(r.wanted)
+	signal(r.dialRequested)
 	select {
 	case o := <-answer:
 		return o.conn, o.err
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -22,8 +22,8 @@
 	datagrams *ring.Ring[*outgoing]
 	// wanted asks for a connection; changed tells a waiting dialler that a
 	// connection or an address has come.
-	wanted  chan struct{}
-	changed chan struct{}
+	dialRequested chan struct{}
+	changed       chan struct{}
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -53,14 +53,14 @@
 
 func newRemote(t *Transport, name id.Daemon) *remote {
 	r := &remote{
-		t:         t,
-		name:      name,
-		messages:  ring.New[*outgoing]("peer_messages", t.cfg.RingSize, ring.Reject, nil),
-		datagrams: ring.New[*outgoing]("peer_datagrams", datagramRingSize, ring.DropOldest, nil),
-		wanted:    make(chan struct{}, 1),
-		changed:   make(chan struct{}, 1),
-		conns:     make(map[*conn]struct{}),
-		backoff:   backoff.NewExponentialBackOff(),
+		t:             t,
+		name:          name,
+		messages:      ring.New[*outgoing]("peer_messages", t.cfg.RingSize, ring.Reject, nil),
+		datagrams:     ring.New[*outgoing]("peer_datagrams", datagramRingSize, ring.DropOldest, nil),
+		dialRequested: make(chan struct{}, 1),
+		changed:       make(chan struct{}, 1),
+		conns:         make(map[*conn]struct{}),
+		backoff:       backoff.NewExponentialBackOff(),
 	}
 	r.backoff.InitialInterval = t.cfg.BackoffMin
 	r.backoff.MaxInterval = t.cfg.BackoffMax
--- a/daemon/peer/sender.go
+++ b/daemon/peer/sender.go
@@ -77,7 +77,7 @@
 	select {
 	case item := <-r.messages.Chan():
 		return item
-	case <-r.wanted:
+	case <-r.dialRequested:
 		r.connect()
 	case <-r.ctx.Done():
 	}
