--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -194,7 +194,7 @@
 	r.mu.Lock()
 	delete(r.conns, c)
 	if r.current == c {
-		r.current = r.otherLocked()
+		r.current = r.findLiveLocked()
 	}
 	r.mu.Unlock()
 	r.t.forget(r)
@@ -203,7 +203,7 @@
 	}
 }
 
-func (r *remote) otherLocked() *conn {
+func (r *remote) findLiveLocked() *conn {
 	for c := range r.conns {
 		if isReady(c) && c.alive() && c.incarnation == r.incarnation {
 			return c
