--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -54,7 +54,7 @@
 	c.close(codeFault, errorText(err))
 	readers.Wait()
 	t.drop(c)
-	c.remote.lost(c, err)
+	c.remote.connEnded(c, err)
 }
 
 // errorText is cut to what fits a QUIC close frame.
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -190,7 +190,7 @@
 // lost forgets a connection that has ended and falls back on another one of
 // the same process, if there is one. A peer that came by itself and has no
 // connection left is forgotten.
-func (r *remote) lost(c *conn, cause error) {
+func (r *remote) connEnded(c *conn, cause error) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	if r.current == c {
