--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -114,7 +114,7 @@
 		return err
 	}
 	c.incarnation = greeting.Incarnation
-	c.remote.adopt(c)
+	c.remote.helloReceived(c)
 	for {
 		var f frame
 		size, err := reader.next(&f)
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -146,7 +146,7 @@
 
 // adopt takes a connection whose hello has come, and marks it ready. A newer process of the peer
 // ends the connections of older ones.
-func (r *remote) adopt(c *conn) {
+func (r *remote) helloReceived(c *conn) {
 	old := r.adoptLocked(c)
 	for _, o := range old {
 		o.close(codeOld, "a newer process of this daemon has connected")
