--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -147,7 +147,7 @@
 // adopt takes a connection whose hello has come, and marks it ready. A newer process of the peer
 // ends the connections of older ones.
 func (r *remote) helloReceived(c *conn) {
-	old := r.adoptLocked(c)
+	old := r.markReadyLocked(c)
 	for _, o := range old {
 		o.close(codeOld, "a newer process of this daemon has connected")
 	}
@@ -155,7 +155,7 @@
 	r.t.cfg.Report("peer_connected", "peer", r.name, "incarnation", uint64(c.incarnation), "origin", c.origin)
 }
 
-func (r *remote) adoptLocked(c *conn) []*conn {
+func (r *remote) markReadyLocked(c *conn) []*conn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(c.ready)
