--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -101,7 +101,7 @@
 	if !ok {
 		return t.lookUpLocked(name)
 	}
-	r.used()
+	r.touch()
 	return r, nil
 }
 
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -65,12 +65,12 @@
 	r.backoff.InitialInterval = t.cfg.BackoffMin
 	r.backoff.MaxInterval = t.cfg.BackoffMax
 	r.ctx, r.cancel = context.WithCancel(t.ctx)
-	r.used()
+	r.touch()
 	return r
 }
 
 // used notes that something is to be sent to the peer.
-func (r *remote) used() { r.usedAt.Store(time.Now().UnixNano()) }
+func (r *remote) touch() { r.usedAt.Store(time.Now().UnixNano()) }
 
 // unusedSince says whether the peer has no connection, and nothing was to be
 // sent to it since then.
