--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -42,7 +42,7 @@
 
 	// usedAt is when something was last to be sent to the peer, in Unix
 	// nanoseconds.
-	usedAt atomic.Int64
+	lastUsed atomic.Int64
 }
 
 // outcome of waiting for a connection.
@@ -70,14 +70,14 @@
 }
 
 // used notes that something is to be sent to the peer.
-func (r *remote) touch() { r.usedAt.Store(time.Now().UnixNano()) }
+func (r *remote) touch() { r.lastUsed.Store(time.Now().UnixNano()) }
 
 // unusedSince says whether the peer has no connection, and nothing was to be
 // sent to it since then.
 func (r *remote) unusedSince(then time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.conns) == 0 && r.messages.Len() == 0 && r.usedAt.Load() < then.UnixNano()
+	return len(r.conns) == 0 && r.messages.Len() == 0 && r.lastUsed.Load() < then.UnixNano()
 }
 
 // signal leaves a token in a channel of size one.
