--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -85,7 +85,7 @@
 func (t *Transport) forget(r *remote) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.remotes[r.name] == r && r.idle() {
+	if t.remotes[r.name] == r && r.removable() {
 		delete(t.remotes, r.name)
 		r.cancel()
 	}
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -106,7 +106,7 @@
 }
 
 // idle reports whether the peer came by itself and has no connection.
-func (r *remote) idle() bool {
+func (r *remote) removable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.address == "" && len(r.conns) == 0
