--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -52,8 +52,8 @@
 // startDatagrams starts the peer's sender of datagrams on first use.
 func (r *remote) startDatagrams() {
 	r.mu.Lock()
-	started := r.datagramsOn
-	r.datagramsOn = true
+	started := r.datagramSenderStarted
+	r.datagramSenderStarted = true
 	r.mu.Unlock()
 	if !started {
 		r.t.spawn(r.sendDatagrams)
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -32,13 +32,13 @@
 	backoff  *backoff.ExponentialBackOff
 	nextDial time.Time
 
-	mu          sync.Mutex
-	address     string
-	incarnation id.Incarnation
-	current     *conn
-	conns       map[*conn]struct{}
-	waiters     []chan dialResult
-	datagramsOn bool
+	mu                    sync.Mutex
+	address               string
+	incarnation           id.Incarnation
+	current               *conn
+	conns                 map[*conn]struct{}
+	waiters               []chan dialResult
+	datagramSenderStarted bool
 
 	// usedAt is when something was last to be sent to the peer, in Unix
 	// nanoseconds.
