--- a/daemon/peer/sender.go
+++ b/daemon/peer/sender.go
@@ -89,7 +89,7 @@
 func (r *remote) sendBatch(first *outgoing) *outgoing {
 	c := r.connect()
 	if c == nil {
-		return r.keepYoung(first)
+		return r.dropExpired(first)
 	}
 	now := time.Now()
 	batch := &batch{remote: r, now: now}
@@ -108,7 +108,7 @@
 }
 
 // keepYoung drops a message that has waited too long for a connection.
-func (r *remote) keepYoung(item *outgoing) *outgoing {
+func (r *remote) dropExpired(item *outgoing) *outgoing {
 	if time.Since(item.due) <= r.t.cfg.MaxAge {
 		return item
 	}
