--- a/daemon/peer/answer.go
+++ b/daemon/peer/answer.go
@@ -133,7 +133,7 @@
 		return
 	}
 	data, err := Encode(reply)
-	if err != nil || !c.remote.wait(stream.Context()) {
+	if err != nil || !c.remote.simulateLatency(stream.Context()) {
 		abandon(stream, streamFailed)
 		return
 	}
--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return notRun(to, err)
 	}
-	if !r.wait(ctx) {
+	if !r.simulateLatency(ctx) {
 		return notRun(to, ctx.Err())
 	}
 	answer, err := c.call(ctx, kind, body)
--- a/daemon/peer/sender.go
+++ b/daemon/peer/sender.go
@@ -175,6 +175,6 @@
 }
 
 // wait pauses for the latency that a hook adds on the way to the peer.
-func (r *remote) wait(ctx context.Context) bool {
+func (r *remote) simulateLatency(ctx context.Context) bool {
 	return pause(ctx, r.t.faults.latency(r.name))
 }
