--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -80,7 +80,7 @@
 	packet := append([]byte{byte(item.kind)}, item.body...)
 	if err := c.quic.SendDatagram(packet); err != nil {
 		t.traffic.countLost(item.kind)
-		r.reportDatagram(err)
+		r.reportDatagramError(err)
 		return
 	}
 	t.traffic.countSent(item.kind, len(packet))
@@ -88,7 +88,7 @@
 
 // reportDatagram tells of datagrams that do not fit the path; other errors mean
 // that the connection is gone, which is reported elsewhere.
-func (r *remote) reportDatagram(err error) {
+func (r *remote) reportDatagramError(err error) {
 	var tooLarge *quic.DatagramTooLargeError
 	if errors.As(err, &tooLarge) {
 		r.t.cfg.Report("peer_datagram_too_large", "peer", r.name, "bound", tooLarge.MaxDatagramPayloadSize)
