--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -82,7 +82,7 @@
 }
 
 // forget drops a peer that was never set and has no connection left.
-func (t *Transport) forget(r *remote) {
+func (t *Transport) removeIfUnset(r *remote) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.remotes[r.name] == r && r.removable() {
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -197,7 +197,7 @@
 		r.current = r.findLiveLocked()
 	}
 	r.mu.Unlock()
-	r.t.forget(r)
+	r.t.removeIfUnset(r)
 	if isReady(c) {
 		r.t.cfg.Report("peer_disconnected", "peer", r.name, "incarnation", uint64(c.incarnation), "cause", cause)
 	}
