--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -99,14 +99,14 @@
 	}
 	r, ok := t.remotes[name]
 	if !ok {
-		return t.lookUpLocked(name)
+		return t.resolveLocked(name)
 	}
 	r.touch()
 	return r, nil
 }
 
 // lookUpLocked adds a peer whose address is known elsewhere.
-func (t *Transport) lookUpLocked(name id.Daemon) (*remote, error) {
+func (t *Transport) resolveLocked(name id.Daemon) (*remote, error) {
 	address := ""
 	if t.cfg.Address != nil && name != t.cfg.Self.Daemon {
 		address = t.cfg.Address(name)
