--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -132,7 +132,7 @@
 
 // forgetUnusedPeers drops peers that were not used for a while and are not
 // connected, until the transport is closed.
-func (t *Transport) forgetUnusedPeers() {
+func (t *Transport) removeUnusedPeers() {
 	ticker := time.NewTicker(forgetLook)
 	defer ticker.Stop()
 	for {
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -85,7 +85,7 @@
 	}
 	t.spawn(t.accept)
 	if cfg.Address != nil {
-		t.spawn(t.forgetUnusedPeers)
+		t.spawn(t.removeUnusedPeers)
 	}
 	return t, nil
 }
