--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -228,15 +228,15 @@
 	is.Equal(next(t, atB.notes).text, "hello")
 
 	later := time.Now().Add(time.Hour)
-	a.forgetUnusedBefore(later)
+	a.removeUnusedBefore(later)
 	is.Equal(len(a.Peers()), 1) // it is connected
 	for _, c := range a.connections() {
 		c.close(codeClosed, "test")
 	}
 	waitDisconnected(t, a, 1)
-	a.forgetUnusedBefore(time.Now().Add(-time.Hour))
+	a.removeUnusedBefore(time.Now().Add(-time.Hour))
 	is.Equal(len(a.Peers()), 1) // it was used
-	a.forgetUnusedBefore(later)
+	a.removeUnusedBefore(later)
 	is.Equal(len(a.Peers()), 0)
 	is.NoErr(a.Send("b", kindNote, "again"))
 	is.Equal(next(t, atB.notes).text, "again")
--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -140,12 +140,12 @@
 		case <-t.ctx.Done():
 			return
 		case <-ticker.C:
-			t.forgetUnusedBefore(time.Now().Add(-forgetUnused))
+			t.removeUnusedBefore(time.Now().Add(-forgetUnused))
 		}
 	}
 }
 
-func (t *Transport) forgetUnusedBefore(then time.Time) {
+func (t *Transport) removeUnusedBefore(then time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, r := range t.remotes {
