--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -126,8 +126,8 @@
 const (
 	// forgetUnused is how long a peer without a connection may be unused, and
 	// forgetLook how often unused ones are looked for.
-	forgetUnused = 15 * time.Second
-	forgetLook   = 5 * time.Second
+	unusedPeerTTL = 15 * time.Second
+	forgetLook    = 5 * time.Second
 )
 
 // forgetUnusedPeers drops peers that were not used for a while and are not
@@ -140,7 +140,7 @@
 		case <-t.ctx.Done():
 			return
 		case <-ticker.C:
-			t.removeUnusedBefore(time.Now().Add(-forgetUnused))
+			t.removeUnusedBefore(time.Now().Add(-unusedPeerTTL))
 		}
 	}
 }
