--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -126,14 +126,14 @@
 const (
 	// forgetUnused is how long a peer without a connection may be unused, and
 	// forgetLook how often unused ones are looked for.
-	unusedPeerTTL = 15 * time.Second
-	forgetLook    = 5 * time.Second
+	unusedPeerTTL          = 15 * time.Second
+	unusedPeerScanInterval = 5 * time.Second
 )
 
 // forgetUnusedPeers drops peers that were not used for a while and are not
 // connected, until the transport is closed.
 func (t *Transport) removeUnusedPeers() {
-	ticker := time.NewTicker(forgetLook)
+	ticker := time.NewTicker(unusedPeerScanInterval)
 	defer ticker.Stop()
 	for {
 		select {
