--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -53,7 +53,7 @@
 	}
 	c.close(codeFault, errorText(err))
 	readers.Wait()
-	t.drop(c)
+	t.removeConn(c)
 	c.remote.connEnded(c, err)
 }
 
@@ -127,7 +127,7 @@
 }
 
 // drop takes a connection that has ended off the list and keeps its counts.
-func (t *Transport) drop(c *conn) {
+func (t *Transport) removeConn(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.conns[c]; !ok {
