--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -135,5 +135,5 @@
 	}
 	delete(t.conns, c)
 	t.endedCount++
-	t.ended.add(c.quic.ConnectionStats())
+	t.closedTraffic.add(c.quic.ConnectionStats())
 }
--- a/daemon/peer/traffic.go
+++ b/daemon/peer/traffic.go
@@ -98,7 +98,7 @@
 func (t *Transport) Wire() WireTraffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	total := t.ended
+	total := t.closedTraffic
 	for c := range t.conns {
 		total.add(c.quic.ConnectionStats())
 		total.Connections++
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -51,8 +51,8 @@
 	remotes map[id.Daemon]*remote
 	conns   map[*conn]struct{}
 	// ended sums up the connections that are gone, endedCount counts them.
-	ended      WireTraffic
-	endedCount int
+	closedTraffic WireTraffic
+	endedCount    int
 }
 
 // Listen opens the socket and begins to accept peers.
