--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -134,6 +134,6 @@
 		return
 	}
 	delete(t.conns, c)
-	t.endedCount++
+	t.closedConns++
 	t.closedTraffic.add(c.quic.ConnectionStats())
 }
--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -160,7 +160,7 @@
 	ctx := bounded(t)
 	for ctx.Err() == nil {
 		tr.mu.Lock()
-		gone := tr.endedCount >= ended
+		gone := tr.closedConns >= ended
 		tr.mu.Unlock()
 		if gone {
 			return
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -52,7 +52,7 @@
 	conns   map[*conn]struct{}
 	// ended sums up the connections that are gone, endedCount counts them.
 	closedTraffic WireTraffic
-	endedCount    int
+	closedConns   int
 }
 
 // Listen opens the socket and begins to accept peers.
