--- a/daemon/peer/traffic.go
+++ b/daemon/peer/traffic.go
@@ -107,7 +107,7 @@
 }
 
 // declareWire shows the packets as metrics.
-func (t *Transport) declareWire(registry *metrics.Registry) {
+func (t *Transport) registerWireMetrics(registry *metrics.Registry) {
 	gauge := func(name string, unit metrics.Unit, help string, value func(WireTraffic) float64) {
 		registry.GaugeFunc(name, unit, help, func() float64 { return value(t.Wire()) })
 	}
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -77,7 +77,7 @@
 		remotes:   make(map[id.Daemon]*remote),
 		conns:     make(map[*conn]struct{}),
 	}
-	t.declareWire(cfg.Registry)
+	t.registerWireMetrics(cfg.Registry)
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	if err := t.listen(); err != nil {
 		t.Close()
