--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -47,7 +47,7 @@
 	var readers sync.WaitGroup
 	readers.Go(c.acceptCalls)
 	readers.Go(c.readDatagrams)
-	err := c.greet()
+	err := c.sendHello()
 	if err == nil {
 		err = c.readOneWay()
 	}
@@ -68,7 +68,7 @@
 }
 
 // greet opens the one-way stream and sends the hello on it.
-func (c *conn) greet() error {
+func (c *conn) sendHello() error {
 	t := c.remote.t
 	ctx, cancel := context.WithTimeout(c.quic.Context(), t.cfg.DialTimeout)
 	defer cancel()
