--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -29,7 +29,7 @@
 	incarnation id.Incarnation
 	ready       chan struct{}
 
-	writing sync.Mutex
+	writeMu sync.Mutex
 	oneWay  *quic.SendStream
 }
 
@@ -76,9 +76,9 @@
 	if err != nil {
 		return err
 	}
-	c.writing.Lock()
+	c.writeMu.Lock()
 	c.oneWay = stream
-	c.writing.Unlock()
+	c.writeMu.Unlock()
 	if t.faults.loses(c.remote.name) {
 		return nil
 	}
@@ -92,8 +92,8 @@
 // write sends bytes on the one-way stream. It waits for a peer that is slow to
 // read, up to the write timeout.
 func (c *conn) write(data []byte) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if err := c.oneWay.SetWriteDeadline(time.Now().Add(c.remote.t.cfg.WriteTimeout)); err != nil {
 		return err
 	}
