--- a/daemon/peer/answer.go
+++ b/daemon/peer/answer.go
@@ -127,7 +127,7 @@
 
 func (c *conn) reply(stream *quic.Stream, kind Kind, reply answer) {
 	t := c.remote.t
-	if t.faults.loses(c.remote.name) {
+	if t.faults.drops(c.remote.name) {
 		t.traffic.countLost(kind)
 		<-stream.Context().Done()
 		return
--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return notRun(to, err)
 	}
-	if t.faults.loses(to) {
+	if t.faults.drops(to) {
 		t.traffic.countLost(kind)
 		<-ctx.Done()
 		return mayHaveRun(to, ctx.Err())
--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -79,7 +79,7 @@
 	c.writeMu.Lock()
 	c.oneWay = stream
 	c.writeMu.Unlock()
-	if t.faults.loses(c.remote.name) {
+	if t.faults.drops(c.remote.name) {
 		return nil
 	}
 	greeting, err := Encode(hello{Version: helloVersion, Incarnation: t.cfg.Self.Incarnation})
--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -36,7 +36,7 @@
 	if len(body) > MaxDatagram {
 		return eris.Wrapf(ErrTooLarge, "peer %s: datagram %T of %d bytes, bound %d", to, msg, len(body), MaxDatagram)
 	}
-	if t.faults.loses(to) {
+	if t.faults.drops(to) {
 		t.traffic.countLost(kind)
 		return nil
 	}
--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -146,7 +146,7 @@
 	if address == "" {
 		return eris.Wrapf(ErrNotConnected, "peer %s has no address", r.name)
 	}
-	if r.t.faults.loses(r.name) {
+	if r.t.faults.drops(r.name) {
 		return eris.Wrapf(ErrNotConnected, "peer %s at %s", r.name, address)
 	}
 	udp, err := net.ResolveUDPAddr("udp", address)
--- a/daemon/peer/fault.go
+++ b/daemon/peer/fault.go
@@ -44,7 +44,7 @@
 	t.faults.delay.Store(&delay)
 }
 
-func (f *faults) loses(to id.Daemon) bool {
+func (f *faults) drops(to id.Daemon) bool {
 	drop := f.drop.Load()
 	return drop != nil && (*drop)(to) == Lose
 }
--- a/daemon/peer/sender.go
+++ b/daemon/peer/sender.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	if t.faults.loses(to) {
+	if t.faults.drops(to) {
 		t.traffic.countLost(kind)
 		return nil
 	}
