--- a/daemon/peer/answer.go
+++ b/daemon/peer/answer.go
@@ -12,7 +12,7 @@
 // Codes with which a call's stream is reset.
 const (
 	// streamAbandoned: the caller does not wait any more.
-	streamAbandoned quic.StreamErrorCode = 1
+	streamCancelled quic.StreamErrorCode = 1
 	// streamRefused: the call has not run and won't.
 	streamRefused quic.StreamErrorCode = 2
 	// streamTooLarge: the call is over the bound; it has not run and won't.
