--- a/daemon/peer/answer.go
+++ b/daemon/peer/answer.go
@@ -52,7 +52,7 @@
 	return e.WithRetryAfter(f.RetryAfter)
 }
 
-func abandon(stream *quic.Stream, code quic.StreamErrorCode) {
+func resetStream(stream *quic.Stream, code quic.StreamErrorCode) {
 	stream.CancelRead(code)
 	stream.CancelWrite(code)
 }
@@ -65,7 +65,7 @@
 			return
 		}
 		if !c.remote.t.calls.Submit(func() { c.serveCall(stream) }) {
-			abandon(stream, streamRefused)
+			resetStream(stream, streamRefused)
 		}
 	}
 }
@@ -76,16 +76,16 @@
 	t := c.remote.t
 	data, err := c.readRequest(stream)
 	if errors.Is(err, ErrTooLarge) {
-		abandon(stream, streamTooLarge)
+		resetStream(stream, streamTooLarge)
 		return
 	}
 	if err != nil {
-		abandon(stream, streamRefused)
+		resetStream(stream, streamRefused)
 		return
 	}
 	var request frame
 	if err := Decode(data, &request); err != nil {
-		abandon(stream, streamRefused)
+		resetStream(stream, streamRefused)
 		return
 	}
 	t.traffic.countReceived(request.Kind, len(data))
@@ -99,7 +99,7 @@
 	finished := false
 	defer func() {
 		if !finished {
-			abandon(stream, streamFailed)
+			resetStream(stream, streamFailed)
 		}
 	}()
 	reply := answer{}
@@ -134,12 +134,12 @@
 	}
 	data, err := Encode(reply)
 	if err != nil || !c.remote.simulateLatency(stream.Context()) {
-		abandon(stream, streamFailed)
+		resetStream(stream, streamFailed)
 		return
 	}
 	if _, err := stream.Write(data); err != nil {
 		t.traffic.countLost(kind)
-		abandon(stream, streamFailed)
+		resetStream(stream, streamFailed)
 		return
 	}
 	if err := stream.Close(); err != nil {
--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -66,20 +66,20 @@
 	if err != nil {
 		return nil, notRun(to, err)
 	}
-	stop := context.AfterFunc(ctx, func() { abandon(stream, streamCancelled) })
+	stop := context.AfterFunc(ctx, func() { resetStream(stream, streamCancelled) })
 	defer stop()
 	if _, err := stream.Write(request); err != nil {
-		abandon(stream, streamCancelled)
+		resetStream(stream, streamCancelled)
 		return nil, notRun(to, err)
 	}
 	if err := stream.Close(); err != nil {
-		abandon(stream, streamCancelled)
+		resetStream(stream, streamCancelled)
 		return nil, mayHaveRun(to, err)
 	}
 	t.traffic.countSent(kind, len(request))
 	answer, err := readBounded(stream, t.cfg.MaxMessage)
 	if err != nil {
-		abandon(stream, streamCancelled)
+		resetStream(stream, streamCancelled)
 		return nil, unanswered(ctx, to, err)
 	}
 	t.traffic.countReceived(kind, len(answer))
