--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -12,10 +12,10 @@
 
 // Codes with which a connection is closed.
 const (
-	codeClosed  quic.ApplicationErrorCode = 1
-	codeRefused quic.ApplicationErrorCode = 2
-	codeFault   quic.ApplicationErrorCode = 3
-	codeOld     quic.ApplicationErrorCode = 4
+	codeClosed     quic.ApplicationErrorCode = 1
+	codeRefused    quic.ApplicationErrorCode = 2
+	codeFault      quic.ApplicationErrorCode = 3
+	codeSuperseded quic.ApplicationErrorCode = 4
 )
 
 // conn is one connection to or from a peer. Each side opens one one-way stream
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -149,7 +149,7 @@
 func (r *remote) helloReceived(c *conn) {
 	old := r.markReadyLocked(c)
 	for _, o := range old {
-		o.close(codeOld, "a newer process of this daemon has connected")
+		o.close(codeSuperseded, "a newer process of this daemon has connected")
 	}
 	signal(r.changed)
 	r.t.cfg.Report("peer_connected", "peer", r.name, "incarnation", uint64(c.incarnation), "origin", c.origin)
