--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -14,7 +14,7 @@
 const (
 	codeClosed     quic.ApplicationErrorCode = 1
 	codeRefused    quic.ApplicationErrorCode = 2
-	codeFault      quic.ApplicationErrorCode = 3
+	codeFailed     quic.ApplicationErrorCode = 3
 	codeSuperseded quic.ApplicationErrorCode = 4
 )
 
@@ -51,7 +51,7 @@
 	if err == nil {
 		err = c.readOneWay()
 	}
-	c.close(codeFault, errorText(err))
+	c.close(codeFailed, errorText(err))
 	readers.Wait()
 	t.removeConn(c)
 	c.remote.connEnded(c, err)
--- a/daemon/peer/sender.go
+++ b/daemon/peer/sender.go
@@ -99,7 +99,7 @@
 		return held
 	}
 	if err := c.write(batch.data); err != nil {
-		c.close(codeFault, errorText(err))
+		c.close(codeFailed, errorText(err))
 		batch.countLost()
 		return held
 	}
