--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -80,14 +80,14 @@
 	answer, err := readBounded(stream, t.cfg.MaxMessage)
 	if err != nil {
 		resetStream(stream, streamCancelled)
-		return nil, unanswered(ctx, to, err)
+		return nil, callError(ctx, to, err)
 	}
 	t.traffic.countReceived(kind, len(answer))
 	return answer, nil
 }
 
 // unanswered tells a peer that refused the call from one that may have run it.
-func unanswered(ctx context.Context, to id.Daemon, err error) error {
+func callError(ctx context.Context, to id.Daemon, err error) error {
 	var reset *quic.StreamError
 	if errors.As(err, &reset) && reset.Remote {
 		switch reset.ErrorCode {
