--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -16,7 +16,7 @@
 
 // quietVariable keeps quic-go from writing about small UDP buffers to the
 // standard logger; see its page on UDP buffer sizes.
-const quietVariable = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
+const bufferWarningVariable = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 
 var quietOnce sync.Once
 
@@ -57,7 +57,7 @@
 
 // Listen opens the socket and begins to accept peers.
 func Listen(cfg Config) (*Transport, error) {
-	quietOnce.Do(func() { _ = os.Setenv(quietVariable, "true") })
+	quietOnce.Do(func() { _ = os.Setenv(bufferWarningVariable, "true") })
 	cfg = cfg.withDefaults()
 	socket, err := openSocket(cfg.Listen)
 	if err != nil {
