--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -18,7 +18,7 @@
 // standard logger; see its page on UDP buffer sizes.
 const bufferWarningVariable = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 
-var quietOnce sync.Once
+var bufferWarningOnce sync.Once
 
 // maxIncomingCalls bounds the call streams that one connection may hold open.
 const maxIncomingCalls = 256
@@ -57,7 +57,7 @@
 
 // Listen opens the socket and begins to accept peers.
 func Listen(cfg Config) (*Transport, error) {
-	quietOnce.Do(func() { _ = os.Setenv(bufferWarningVariable, "true") })
+	bufferWarningOnce.Do(func() { _ = os.Setenv(bufferWarningVariable, "true") })
 	cfg = cfg.withDefaults()
 	socket, err := openSocket(cfg.Listen)
 	if err != nil {
