--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -15,7 +15,7 @@
 const datagramRingSize = 64
 
 // datagramHead is the kind, one byte before the body.
-const datagramHead = 1
+const datagramHeaderSize = 1
 
 // MaxDatagram bounds the body of a datagram, in bytes, so that it fits the
 // smallest QUIC packet.
@@ -102,11 +102,11 @@
 		if err != nil {
 			return
 		}
-		if len(packet) < datagramHead {
+		if len(packet) < datagramHeaderSize {
 			continue
 		}
 		kind := Kind(packet[0])
 		t.traffic.countReceived(kind, len(packet))
-		t.cfg.Handler.HandleDatagram(c.remote.name, kind, packet[datagramHead:])
+		t.cfg.Handler.HandleDatagram(c.remote.name, kind, packet[datagramHeaderSize:])
 	}
 }
