--- a/daemon/peer/bench_test.go
+++ b/daemon/peer/bench_test.go
@@ -79,11 +79,11 @@
 	b.ReportMetric(float64(after.goroutines-before.goroutines)/n, "goroutines/conn")
 }
 
-type used struct{ heap, stack, goroutines int64 }
+type resourceUsage struct{ heap, stack, goroutines int64 }
 
-func usage() used {
+func usage() resourceUsage {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return used{int64(m.HeapInuse), int64(m.StackInuse), int64(runtime.NumGoroutine())}
+	return resourceUsage{int64(m.HeapInuse), int64(m.StackInuse), int64(runtime.NumGoroutine())}
 }
