--- a/daemon/peer/bench_test.go
+++ b/daemon/peer/bench_test.go
@@ -66,13 +66,13 @@
 		}
 		peers = append(peers, t)
 	}
-	before := usage()
+	before := measureUsage()
 	b.ResetTimer()
 	for _, t := range peers {
 		callUntilUp(b, t, "hub")
 	}
 	b.StopTimer()
-	after := usage()
+	after := measureUsage()
 	n := float64(b.N)
 	b.ReportMetric(float64(after.heap-before.heap)/n, "heap-B/conn")
 	b.ReportMetric(float64(after.stack-before.stack)/n, "stack-B/conn")
@@ -81,7 +81,7 @@
 
 type resourceUsage struct{ heap, stack, goroutines int64 }
 
-func usage() resourceUsage {
+func measureUsage() resourceUsage {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
