--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -37,7 +37,7 @@
 	notes     chan received
 	datagrams chan received
 	hanging   chan struct{}
-	gaveUp    chan struct{}
+	cancelled chan struct{}
 }
 
 func newRecorder() *recorder {
@@ -45,7 +45,7 @@
 		notes:     make(chan received, 4096),
 		datagrams: make(chan received, 64),
 		hanging:   make(chan struct{}, 64),
-		gaveUp:    make(chan struct{}, 64),
+		cancelled: make(chan struct{}, 64),
 	}
 }
 
@@ -64,7 +64,7 @@
 	case kindHang:
 		r.hanging <- struct{}{}
 		<-ctx.Done()
-		r.gaveUp <- struct{}{}
+		r.cancelled <- struct{}{}
 		return nil, ctx.Err()
 	case kindPanic:
 		panic("broken handler")
--- a/daemon/peer/peer_test.go
+++ b/daemon/peer/peer_test.go
@@ -78,7 +78,7 @@
 	<-atB.hanging
 	cancel()
 	is.Equal(verdict.Of(<-failed), verdict.MayHaveRun)
-	<-atB.gaveUp // the handler's context has ended
+	<-atB.cancelled // the handler's context has ended
 }
 
 func TestUnreachablePeerIsNotRun(t *testing.T) {
