--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -14,19 +14,19 @@
 
 // silence listens and never answers, as a host that is gone or has no processor
 // time to spare.
-type silence struct {
+type silentPeer struct {
 	address string
 	dialled atomic.Bool
 }
 
-func newSilence(t *testing.T, reached chan<- struct{}) *silence {
+func newSilence(t *testing.T, reached chan<- struct{}) *silentPeer {
 	t.Helper()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = socket.Close() })
-	s := &silence{address: socket.LocalAddr().String()}
+	s := &silentPeer{address: socket.LocalAddr().String()}
 	go func() {
 		var packet [2048]byte
 		for {
@@ -43,12 +43,12 @@
 
 // dialAll has a daemon want a connection to each of n silent peers and returns
 // once so many have been dialled.
-func dialAll(t *testing.T, n, until int, change func(*Config)) []*silence {
+func dialAll(t *testing.T, n, until int, change func(*Config)) []*silentPeer {
 	t.Helper()
 	is := is.New(t)
 	transport, _ := newFleet(t).listen("d0", change)
 	reached := make(chan struct{}, n)
-	var peers []*silence
+	var peers []*silentPeer
 	for i := range n {
 		s := newSilence(t, reached)
 		peers = append(peers, s)
