--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -19,7 +19,7 @@
 	dialled atomic.Bool
 }
 
-func newSilence(t *testing.T, reached chan<- struct{}) *silentPeer {
+func newSilentPeer(t *testing.T, reached chan<- struct{}) *silentPeer {
 	t.Helper()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	reached := make(chan struct{}, n)
 	var peers []*silentPeer
 	for i := range n {
-		s := newSilence(t, reached)
+		s := newSilentPeer(t, reached)
 		peers = append(peers, s)
 		name := id.Daemon(fmt.Sprintf("e%d", i))
 		is.NoErr(transport.SetPeer(name, s.address))
