--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -30,7 +30,7 @@
 	is.NoErr(b.Send("a", kindNote, "arrives"))
 	is.Equal(next(t, atA.notes).text, "arrives")
 
-	ctx, cancel := context.WithCancel(bounded(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	failed := make(chan error, 1)
 	go func() { failed <- b.Call(ctx, "a", kindHang, "x", nil) }()
 	<-atA.hanging // the call arrives, its answer would not
@@ -90,13 +90,13 @@
 	a, _ := f.listen("a", nil)
 	stranger, _ := foreign.listen("b", short)
 	is.NoErr(stranger.SetPeer("a", a.Address()))
-	is.Equal(verdict.Of(stranger.Call(bounded(t), "a", kindEcho, "x", nil)), verdict.NotRun)
+	is.Equal(verdict.Of(stranger.Call(testContext(t), "a", kindEcho, "x", nil)), verdict.NotRun)
 	is.Equal(len(a.Peers()), 0)
 
 	// A daemon that answers under another name is refused too.
 	c, _ := f.listen("c", short)
 	is.NoErr(c.SetPeer("b", a.Address()))
-	is.Equal(verdict.Of(c.Call(bounded(t), "b", kindEcho, "x", nil)), verdict.NotRun)
+	is.Equal(verdict.Of(c.Call(testContext(t), "b", kindEcho, "x", nil)), verdict.NotRun)
 }
 
 func TestFullRingIsAnError(t *testing.T) {
@@ -126,7 +126,7 @@
 	is.NoErr(a.Send("b", kindNote, "late"))
 	is.Equal(next(t, atB.notes).text, "late")
 	is.True(time.Since(began) >= delay) // a lower bound holds however slow the run
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for len(atB.datagrams) == 0 && ctx.Err() == nil {
 		is.NoErr(a.Datagram("b", kindNote, "datagram"))
 		pause(ctx, 5*time.Millisecond)
@@ -154,7 +154,7 @@
 	registry := metrics.New("b")
 	b, _ := f.listen("b", func(c *Config) { c.Registry = registry })
 	is.NoErr(a.SetPeer("b", b.Address()))
-	is.Equal(verdict.Of(a.Call(bounded(t), "b", kindPanic, "x", nil)), verdict.MayHaveRun)
+	is.Equal(verdict.Of(a.Call(testContext(t), "b", kindPanic, "x", nil)), verdict.MayHaveRun)
 	callUntilUp(t, a, "b") // the connection goes on
 	b.Close()              // waits for the worker, which counts its panic
 	is.Equal(registry.Violations(), uint64(1))
@@ -169,7 +169,7 @@
 	callUntilUp(t, guest, "a")
 	is.Equal(len(a.Peers()), 1)
 	guest.Close()
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for len(a.Peers()) > 0 && ctx.Err() == nil {
 		pause(ctx, time.Millisecond)
 	}
@@ -182,12 +182,12 @@
 	a, _ := f.listen("a", nil)
 	b, atB := f.listen("b", func(c *Config) { c.CallWorkers = 1 })
 	is.NoErr(a.SetPeer("b", b.Address()))
-	ctx, cancel := context.WithCancel(bounded(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	failed := make(chan error, 1)
 	go func() { failed <- a.Call(ctx, "b", kindHang, "x", nil) }()
 	<-atB.hanging
 	var refused *verdict.Error
-	is.True(errors.As(a.Call(bounded(t), "b", kindEcho, "x", nil), &refused))
+	is.True(errors.As(a.Call(testContext(t), "b", kindEcho, "x", nil), &refused))
 	is.Equal(refused.Verdict, verdict.NotRun)
 	is.Equal(refused.Code, verdict.CodeOverloaded)
 	cancel()
--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -120,7 +120,7 @@
 	return transport, handler
 }
 
-func bounded(t testing.TB) context.Context {
+func testContext(t testing.TB) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testBound)
 	t.Cleanup(cancel)
@@ -141,7 +141,7 @@
 // callUntilUp calls until the peer is reached; a peer may need a few dials.
 func callUntilUp(t testing.TB, from *Transport, to id.Daemon) {
 	t.Helper()
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for {
 		var echo string
 		err := from.Call(ctx, to, kindEcho, "up", &echo)
@@ -157,7 +157,7 @@
 // waitDisconnected waits until as many of the transport's connections have ended.
 func waitDisconnected(t *testing.T, tr *Transport, ended int) {
 	t.Helper()
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for ctx.Err() == nil {
 		tr.mu.Lock()
 		gone := tr.closedConns >= ended
--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -56,7 +56,7 @@
 		is.NoErr(transport.SetPeer(name, s.address))
 		is.True(transport.Datagram(name, kindNote, "x") != nil) // wanted, not there yet
 	}
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for range until {
 		select {
 		case <-reached:
--- a/daemon/peer/peer_test.go
+++ b/daemon/peer/peer_test.go
@@ -49,7 +49,7 @@
 	a, _ := f.listen("a", nil)
 	b, _ := f.listen("b", nil)
 	is.NoErr(a.SetPeer("b", b.Address()))
-	ctx := bounded(t)
+	ctx := testContext(t)
 
 	var echo string
 	is.NoErr(a.Call(ctx, "b", kindEcho, "hello", &echo))
@@ -72,7 +72,7 @@
 	a, _ := f.listen("a", nil)
 	b, atB := f.listen("b", nil)
 	is.NoErr(a.SetPeer("b", b.Address()))
-	ctx, cancel := context.WithCancel(bounded(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	failed := make(chan error, 1)
 	go func() { failed <- a.Call(ctx, "b", kindHang, "x", nil) }()
 	<-atB.hanging
@@ -88,8 +88,8 @@
 	gone, _ := f.listen("gone", nil)
 	is.NoErr(a.SetPeer("gone", gone.Address()))
 	gone.Close()
-	is.Equal(verdict.Of(a.Call(bounded(t), "gone", kindEcho, "x", nil)), verdict.NotRun)
-	is.Equal(verdict.Of(a.Call(bounded(t), "nobody", kindEcho, "x", nil)), verdict.NotRun)
+	is.Equal(verdict.Of(a.Call(testContext(t), "gone", kindEcho, "x", nil)), verdict.NotRun)
+	is.Equal(verdict.Of(a.Call(testContext(t), "nobody", kindEcho, "x", nil)), verdict.NotRun)
 	is.True(errors.Is(a.Send("nobody", kindNote, "x"), ErrUnknownPeer))
 	is.True(errors.Is(a.Datagram("gone", kindNote, "x"), ErrNotConnected))
 }
@@ -105,13 +105,13 @@
 
 	is.True(errors.Is(a.Send("b", kindNote, huge), ErrTooLarge))
 	is.True(errors.Is(a.Datagram("b", kindNote, strings.Repeat("x", MaxDatagram)), ErrTooLarge))
-	err := a.Call(bounded(t), "b", kindEcho, huge, nil)
+	err := a.Call(testContext(t), "b", kindEcho, huge, nil)
 	is.True(errors.Is(err, ErrTooLarge))
 	is.Equal(verdict.Of(err), verdict.NotRun)
 
 	// A sender with a larger bound does not get past the receiver's.
 	var refused *verdict.Error
-	is.True(errors.As(a.Call(bounded(t), "b", kindEcho, over, nil), &refused))
+	is.True(errors.As(a.Call(testContext(t), "b", kindEcho, over, nil), &refused))
 	is.Equal(refused.Verdict, verdict.NotRun)
 	is.Equal(refused.Code, verdict.CodeTooLarge)
 	is.NoErr(a.Send("b", kindNote, over))
