--- a/daemon/peer/bench_test.go
+++ b/daemon/peer/bench_test.go
@@ -49,7 +49,7 @@
 	if err := from.SetPeer("b", to.Address()); err != nil {
 		b.Fatal(err)
 	}
-	callUntilUp(b, from, "b")
+	callUntilConnected(b, from, "b")
 	return from, to
 }
 
@@ -69,7 +69,7 @@
 	before := measureUsage()
 	b.ResetTimer()
 	for _, t := range peers {
-		callUntilUp(b, t, "hub")
+		callUntilConnected(b, t, "hub")
 	}
 	b.StopTimer()
 	after := measureUsage()
--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -21,7 +21,7 @@
 	b, atB := f.listen("b", nil)
 	is.NoErr(a.SetPeer("b", b.Address()))
 	is.NoErr(b.SetPeer("a", a.Address()))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 
 	a.SetFault(func(to id.Daemon) Drop { return to == "b" })
 	is.NoErr(a.Send("b", kindNote, "dropped"))
@@ -52,7 +52,7 @@
 	b1, _ := f.listen("b", sameKeys)
 	address := b1.Address()
 	is.NoErr(a.SetPeer("b", address))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	is.Equal(a.Peers()[0].Process, id.Process{Daemon: "b", Incarnation: 1})
 
 	b1.Close()
@@ -61,7 +61,7 @@
 		c.Listen = address
 		c.Self.Incarnation = 2
 	})
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	is.Equal(a.Peers()[0].Process.Incarnation, id.Incarnation(2))
 	is.NoErr(b2.Send("a", kindNote, "from the new process"))
 	is.Equal(next(t, atA.notes), received{"b", "from the new process"})
@@ -73,11 +73,11 @@
 	a, _ := f.listen("a", nil)
 	old, _ := f.listen("b", nil)
 	is.NoErr(old.SetPeer("a", a.Address()))
-	callUntilUp(t, old, "a")
+	callUntilConnected(t, old, "a")
 	// The old process is still there, as if paused, when its successor comes.
 	successor, atSuccessor := f.listen("b", func(c *Config) { c.Self.Incarnation = 2 })
 	is.NoErr(successor.SetPeer("a", a.Address()))
-	callUntilUp(t, successor, "a")
+	callUntilConnected(t, successor, "a")
 	waitDisconnected(t, a, 1)
 	is.NoErr(a.Send("b", kindNote, "to the successor"))
 	is.Equal(next(t, atSuccessor.notes).text, "to the successor")
@@ -119,7 +119,7 @@
 	a, _ := f.listen("a", nil)
 	b, atB := f.listen("b", nil)
 	is.NoErr(a.SetPeer("b", b.Address()))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	const delay = 30 * time.Millisecond
 	a.SetDelay(func(id.Daemon) time.Duration { return delay })
 	began := time.Now()
@@ -155,8 +155,8 @@
 	b, _ := f.listen("b", func(c *Config) { c.Registry = registry })
 	is.NoErr(a.SetPeer("b", b.Address()))
 	is.Equal(verdict.Of(a.Call(testContext(t), "b", kindPanic, "x", nil)), verdict.MayHaveRun)
-	callUntilUp(t, a, "b") // the connection goes on
-	b.Close()              // waits for the worker, which counts its panic
+	callUntilConnected(t, a, "b") // the connection goes on
+	b.Close()                     // waits for the worker, which counts its panic
 	is.Equal(registry.Violations(), uint64(1))
 }
 
@@ -166,7 +166,7 @@
 	a, _ := f.listen("a", nil)
 	guest, _ := f.listen("guest", nil)
 	is.NoErr(guest.SetPeer("a", a.Address()))
-	callUntilUp(t, guest, "a")
+	callUntilConnected(t, guest, "a")
 	is.Equal(len(a.Peers()), 1)
 	guest.Close()
 	ctx := testContext(t)
@@ -204,9 +204,9 @@
 	a, _ := f.listen("a", quiet)
 	b, _ := f.listen("b", quiet)
 	is.NoErr(a.SetPeer("b", b.Address()))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	waitDisconnected(t, a, 1)
-	callUntilUp(t, a, "b") // made again on use
+	callUntilConnected(t, a, "b") // made again on use
 }
 
 // TestAPeerIsConnectedToOnUseAndForgottenAfter: in a large fleet a daemon must not
--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -139,7 +139,7 @@
 }
 
 // callUntilUp calls until the peer is reached; a peer may need a few dials.
-func callUntilUp(t testing.TB, from *Transport, to id.Daemon) {
+func callUntilConnected(t testing.TB, from *Transport, to id.Daemon) {
 	t.Helper()
 	ctx := testContext(t)
 	for {
--- a/daemon/peer/peer_test.go
+++ b/daemon/peer/peer_test.go
@@ -117,7 +117,7 @@
 	is.NoErr(a.Send("b", kindNote, over))
 	is.NoErr(a.Send("b", kindNote, "lost with the connection or sent on the next"))
 	waitDisconnected(t, a, 1)
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	is.NoErr(a.Send("b", kindNote, "last"))
 	for next(t, atB.notes).text != "last" {
 	}
