--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -160,7 +160,7 @@
 	is.Equal(registry.Violations(), uint64(1))
 }
 
-func TestPeerThatCameByItselfIsForgotten(t *testing.T) {
+func TestIncomingPeerIsRemovedAfterDisconnect(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	a, _ := f.listen("a", nil)
