--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -92,7 +92,7 @@
 
 // TestPeersThatAreGoneHoldNobodyUp: of those that give no answer, each makes room
 // for the next long before its dial ends.
-func TestPeersThatAreGoneHoldNobodyUp(t *testing.T) {
+func TestUnreachablePeersDoNotBlockOtherDials(t *testing.T) {
 	dialAll(t, 40, 40, func(c *Config) {
 		c.DialTimeout = time.Hour
 		c.DialSlotTimeout = time.Millisecond
