--- a/daemon/peer/herd_test.go
+++ b/daemon/peer/herd_test.go
@@ -75,7 +75,7 @@
 // 47 s of processor time. What showed it are the lines of connections that came
 // and went (event=peer_connected origin=accepted, event=peer_disconnected) and a
 // profile with 42 in 100 in handshakes.
-func TestADaemonDialsFewPeersAtOnce(t *testing.T) {
+func TestConcurrentDialsAreBounded(t *testing.T) {
 	is := is.New(t)
 	peers := dialAll(t, 40, DefaultMaxConcurrentDials, func(c *Config) {
 		c.DialTimeout = time.Hour
