--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -211,7 +211,7 @@
 
 // TestAPeerIsConnectedToOnUseAndForgottenAfter: in a large fleet a daemon must not
 // hold something for each other one.
-func TestAPeerIsConnectedToOnUseAndForgottenAfter(t *testing.T) {
+func TestResolvedPeerIsConnectedOnUseAndRemovedWhenUnused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	b, atB := f.listen("b", nil)
