--- a/daemon/peer/peer_test.go
+++ b/daemon/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-func TestOneWayMessagesComeInOrderBothWays(t *testing.T) {
+func TestOneWayMessagesArriveInOrderBothWays(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	a, atA := f.listen("a", nil)
