--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -42,7 +42,7 @@
 	is.Equal(next(t, atB.notes).text, "healed")
 }
 
-func TestRestartedPeerIsFoundAgain(t *testing.T) {
+func TestReconnectsToRestartedPeer(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	a, atA := f.listen("a", nil)
