--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -29,8 +29,8 @@
 	interrupt context.CancelFunc
 	// whole asks for a whole read next, forgotten says that it is since the store no
 	// longer has the changes.
-	whole, forgotten bool
-	lost             bool
+	fullRead, forgotten bool
+	lost                bool
 	// idle is set while other daemons tell of the changes.
 	idle bool
 	// begun is set when it stops being idle: the next call does not wait, so
@@ -62,13 +62,13 @@
 // Start starts to follow a table.
 func Start(cfg Config) *Follower {
 	f := &Follower{
-		cfg:   cfg,
-		rows:  map[string]table.Row{},
-		whole: true,
-		idle:  cfg.Idle,
-		done:  make(chan struct{}),
-		wake:  make(chan struct{}, 1),
-		wait:  cfg.Wait,
+		cfg:      cfg,
+		rows:     map[string]table.Row{},
+		fullRead: true,
+		idle:     cfg.Idle,
+		done:     make(chan struct{}),
+		wake:     make(chan struct{}, 1),
+		wait:     cfg.Wait,
 	}
 	f.state.Name = cfg.Name
 	f.ctx, f.stop = context.WithCancel(context.Background())
@@ -184,20 +184,20 @@
 func (f *Follower) wholeDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.whole
+	return f.fullRead
 }
 
 // step makes one call, or waits where none is due. It says whether the call
 // brought changes; one that was interrupted is no failure.
 func (f *Follower) step() (changed bool, err error) {
 	f.mu.Lock()
-	if f.idle && !f.whole && !f.lost {
+	if f.idle && !f.fullRead && !f.lost {
 		f.mu.Unlock()
 		f.calls.broken()
 		f.rest()
 		return false, nil
 	}
-	whole, after := f.whole, f.state.Position
+	whole, after := f.fullRead, f.state.Position
 	ctx, cancel := context.WithCancel(f.ctx)
 	if !whole {
 		f.interrupt = cancel
@@ -233,7 +233,7 @@
 	f.answered(begun, readTimeout, snapshot.Position, snapshot.Clock)
 	defer f.confirm(begun)
 	f.mu.Lock()
-	f.whole = false
+	f.fullRead = false
 	if f.known && snapshot.Position < f.state.Position {
 		// Another daemon told of something newer while the answer was on its way.
 		f.mu.Unlock()
@@ -288,7 +288,7 @@
 	delta, err := f.cfg.Source.Changes(ctx, f.cfg.Name, after, wait)
 	if errors.Is(err, ErrHistoryGone) {
 		f.mu.Lock()
-		f.whole, f.forgotten = true, true
+		f.fullRead, f.forgotten = true, true
 		f.mu.Unlock()
 		f.calls.ended(f.now())
 		return false, nil
--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -43,7 +43,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if f.idle || f.whole || f.lost || f.begun || now < f.pollAt {
+	if f.idle || f.fullRead || f.lost || f.begun || now < f.pollAt {
 		return
 	}
 	f.pollAt = now + pollPause
@@ -61,7 +61,7 @@
 
 // readNext has the table read whole next; the lock is held.
 func (f *Follower) readNext() {
-	f.whole = true
+	f.fullRead = true
 	f.interruptWait()
 	f.endRest()
 }
@@ -91,7 +91,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.whole || f.known && n.Position <= f.state.Position {
+	if f.fullRead || f.known && n.Position <= f.state.Position {
 		return false, nil
 	}
 	f.readNext()
