--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -29,8 +29,8 @@
 	interrupt context.CancelFunc
 	// whole asks for a whole read next, forgotten says that it is since the store no
 	// longer has the changes.
-	fullRead, forgotten bool
-	lost                bool
+	fullRead, historyGone bool
+	lost                  bool
 	// idle is set while other daemons tell of the changes.
 	idle bool
 	// begun is set when it stops being idle: the next call does not wait, so
@@ -240,7 +240,7 @@
 		return nil
 	}
 	news := f.difference(snapshot)
-	f.forgotten = false
+	f.historyGone = false
 	f.install(snapshot.Rows, snapshot.Position)
 	for _, c := range news.Changes {
 		f.state.Version = max(f.state.Version, c.Version)
@@ -260,7 +260,7 @@
 // The lock is held.
 func (f *Follower) difference(s Snapshot) News {
 	n := News{Name: f.cfg.Name, After: f.state.Position, Position: s.Position}
-	if !f.known || f.idle || !f.forgotten {
+	if !f.known || f.idle || !f.historyGone {
 		return n
 	}
 	gone := maps.Clone(f.rows)
@@ -288,7 +288,7 @@
 	delta, err := f.cfg.Source.Changes(ctx, f.cfg.Name, after, wait)
 	if errors.Is(err, ErrHistoryGone) {
 		f.mu.Lock()
-		f.fullRead, f.forgotten = true, true
+		f.fullRead, f.historyGone = true, true
 		f.mu.Unlock()
 		f.calls.ended(f.now())
 		return false, nil
