--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -35,7 +35,7 @@
 	idle bool
 	// begun is set when it stops being idle: the next call does not wait, so
 	// that a store that does not answer is noticed soon.
-	begun bool
+	skipWait bool
 	// pollAt is when the next poll may begin.
 	pollAt time.Duration
 	// wake ends an idle wait.
@@ -332,8 +332,8 @@
 func (f *Follower) patience() (wait, limit time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost || f.begun {
-		f.begun = false
+	if f.lost || f.skipWait {
+		f.skipWait = false
 		return 0, lostTimeout
 	}
 	half := f.wait / 2
--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -21,7 +21,7 @@
 	}
 	f.idle = idle
 	if !idle {
-		f.begun = true
+		f.skipWait = true
 		f.endRest()
 	}
 }
@@ -43,11 +43,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if f.idle || f.fullRead || f.lost || f.begun || now < f.pollAt {
+	if f.idle || f.fullRead || f.lost || f.skipWait || now < f.pollAt {
 		return
 	}
 	f.pollAt = now + pollPause
-	f.begun = true
+	f.skipWait = true
 	f.interruptWait()
 }
 
