--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -37,7 +37,7 @@
 	// that a store that does not answer is noticed soon.
 	skipWait bool
 	// pollAt is when the next poll may begin.
-	pollAt time.Duration
+	nextPoll time.Duration
 	// wake ends an idle wait.
 	wake chan struct{}
 	// wait is the longest that one call waits for changes.
--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -43,10 +43,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if f.idle || f.fullRead || f.lost || f.skipWait || now < f.pollAt {
+	if f.idle || f.fullRead || f.lost || f.skipWait || now < f.nextPoll {
 		return
 	}
-	f.pollAt = now + pollPause
+	f.nextPoll = now + pollPause
 	f.skipWait = true
 	f.interruptWait()
 }
