--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -152,12 +152,12 @@
 		if !f.pause(pause/2+time.Duration(f.cfg.Rand.Int64N(int64(pause))), f.wake) {
 			return
 		}
-		pause = min(2*pause, f.mostPause())
+		pause = min(2*pause, f.maxPause())
 	}
 }
 
 // mostPause bounds the pause after a failed call.
-func (f *Follower) mostPause() time.Duration {
+func (f *Follower) maxPause() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.idle && f.known && f.cfg.IdleRetry > 0 {
--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -179,10 +179,10 @@
 	f := follow(t, s)
 	f.cfg.IdleRetry = time.Hour
 	f.SetIdle(true)
-	is.Equal(f.mostPause(), f.cfg.Retry) // it knows nothing yet
+	is.Equal(f.maxPause(), f.cfg.Retry) // it knows nothing yet
 	give(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
-	is.Equal(f.mostPause(), time.Hour)
+	is.Equal(f.maxPause(), time.Hour)
 	f.SetIdle(false)
-	is.Equal(f.mostPause(), f.cfg.Retry)
+	is.Equal(f.maxPause(), f.cfg.Retry)
 }
