--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -144,7 +144,7 @@
 		changed, err := f.step()
 		if err == nil {
 			pause = firstRetry
-			if changed && !f.wholeDue() && !f.pause(f.cfg.Gather, nil) {
+			if changed && !f.fullReadDue() && !f.pause(f.cfg.Gather, nil) {
 				return
 			}
 			continue
@@ -181,7 +181,7 @@
 }
 
 // wholeDue says whether the table is to be read whole next.
-func (f *Follower) wholeDue() bool {
+func (f *Follower) fullReadDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fullRead
