--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -205,7 +205,7 @@
 	f.mu.Unlock()
 	defer cancel()
 	if whole {
-		err = f.readWhole(ctx)
+		err = f.readTable(ctx)
 	} else {
 		changed, err = f.readChanges(ctx, after)
 	}
@@ -221,7 +221,7 @@
 	return changed, err
 }
 
-func (f *Follower) readWhole(ctx context.Context) error {
+func (f *Follower) readTable(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	begun := f.now()
