--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -217,7 +217,7 @@
 	if err != nil {
 		f.calls.broken()
 	}
-	f.note(err)
+	f.reportReachability(err)
 	return changed, err
 }
 
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	f.note(nil)
+	f.reportReachability(nil)
 	f.answered(begun, readTimeout, snapshot.Position, snapshot.Clock)
 	defer f.confirm(begun)
 	f.mu.Lock()
@@ -296,7 +296,7 @@
 	if err != nil {
 		return false, err
 	}
-	f.note(nil)
+	f.reportReachability(nil)
 	f.answered(begun, limit, delta.Position, delta.Clock)
 	if len(delta.Changes) == 0 {
 		f.confirm(begun)
@@ -342,7 +342,7 @@
 }
 
 // note tells when the store stops or begins again to answer.
-func (f *Follower) note(err error) {
+func (f *Follower) reportReachability(err error) {
 	f.mu.Lock()
 	was := f.lost
 	f.lost = err != nil
