--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -281,7 +281,7 @@
 // none the position stays at the last change: only so do the news of one
 // daemon go on where those of another ended.
 func (f *Follower) readChanges(parent context.Context, after uint64) (changed bool, err error) {
-	wait, limit := f.patience()
+	wait, limit := f.callTimeouts()
 	ctx, cancel := context.WithTimeout(parent, limit)
 	defer cancel()
 	begun := f.now()
@@ -329,7 +329,7 @@
 }
 
 // patience is how long the next call waits for changes, and how long it may take.
-func (f *Follower) patience() (wait, limit time.Duration) {
+func (f *Follower) callTimeouts() (wait, limit time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lost || f.skipWait {
