--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -194,7 +194,7 @@
 	if f.idle && !f.fullRead && !f.lost {
 		f.mu.Unlock()
 		f.calls.broken()
-		f.rest()
+		f.waitWhileIdle()
 		return false, nil
 	}
 	whole, after := f.fullRead, f.state.Position
--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -152,7 +152,7 @@
 }
 
 // rest waits until a call may be due.
-func (f *Follower) rest() {
+func (f *Follower) waitWhileIdle() {
 	select {
 	case <-f.ctx.Done():
 	case <-f.wake:
