--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -22,7 +22,7 @@
 	f.idle = idle
 	if !idle {
 		f.skipWait = true
-		f.endRest()
+		f.wakeUp()
 	}
 }
 
@@ -63,7 +63,7 @@
 func (f *Follower) readNext() {
 	f.fullRead = true
 	f.interruptWait()
-	f.endRest()
+	f.wakeUp()
 }
 
 // Adopt takes what another daemon knows, if that is newer.
@@ -144,7 +144,7 @@
 }
 
 // endRest ends an idle wait; the lock is held.
-func (f *Follower) endRest() {
+func (f *Follower) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
