--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -56,11 +56,11 @@
 func (f *Follower) Refresh() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.readNext()
+	f.requestFullRead()
 }
 
 // readNext has the table read whole next; the lock is held.
-func (f *Follower) readNext() {
+func (f *Follower) requestFullRead() {
 	f.fullRead = true
 	f.interruptWait()
 	f.wakeUp()
@@ -94,7 +94,7 @@
 	if f.fullRead || f.known && n.Position <= f.state.Position {
 		return false, nil
 	}
-	f.readNext()
+	f.requestFullRead()
 	return false, nil
 }
 
