--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -117,7 +117,7 @@
 }
 
 // install replaces all rows; the lock is held.
-func (f *Follower) install(rows []table.Row, position uint64) {
+func (f *Follower) replaceRows(rows []table.Row, position uint64) {
 	f.rows = make(map[string]table.Row, len(rows))
 	for _, r := range rows {
 		f.rows[r.Key] = r
@@ -241,7 +241,7 @@
 	}
 	news := f.difference(snapshot)
 	f.historyGone = false
-	f.install(snapshot.Rows, snapshot.Position)
+	f.replaceRows(snapshot.Rows, snapshot.Position)
 	for _, c := range news.Changes {
 		f.state.Version = max(f.state.Version, c.Version)
 	}
--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -73,7 +73,7 @@
 		f.mu.Unlock()
 		return false
 	}
-	f.install(s.Rows, s.Position)
+	f.replaceRows(s.Rows, s.Position)
 	f.state.Version = s.Version
 	told := f.snapshot()
 	f.interruptWait()
