--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -239,7 +239,7 @@
 		f.mu.Unlock()
 		return nil
 	}
-	news := f.difference(snapshot)
+	news := f.diff(snapshot)
 	f.historyGone = false
 	f.replaceRows(snapshot.Rows, snapshot.Position)
 	for _, c := range news.Changes {
@@ -258,7 +258,7 @@
 // where the store has forgotten them and others rely on this follower: they hear of
 // a removed row from nobody else. In other whole reads it learns what others know.
 // The lock is held.
-func (f *Follower) difference(s Snapshot) News {
+func (f *Follower) diff(s Snapshot) News {
 	n := News{Name: f.cfg.Name, After: f.state.Position, Position: s.Position}
 	if !f.known || f.idle || !f.historyGone {
 		return n
