--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -113,7 +113,7 @@
 	}
 	for _, c := range n.Changes {
 		if c.Version > known {
-			f.applyOne(c)
+			f.applyChange(c)
 			fresh = true
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // applyOne takes one changed row; the lock is held.
-func (f *Follower) applyOne(c Change) {
+func (f *Follower) applyChange(c Change) {
 	f.state.Version = max(f.state.Version, c.Version)
 	if c.Removed {
 		delete(f.rows, c.Key)
