--- a/daemon/feed/calls.go
+++ b/daemon/feed/calls.go
@@ -4,7 +4,7 @@
 
 // mostBetween is the longest pause between two calls to the store that counts as
 // none: much less than what an endpoint's entry lives without a heartbeat.
-const mostBetween = time.Second
+const maxCallGap = time.Second
 
 // calls tells whether calls to the store followed each other and none failed.
 type calls struct {
@@ -22,7 +22,7 @@
 // whether the call followed an answered one. A call that took longer was held up
 // with this process, which tells nothing of the store.
 func (c *calls) answered(begun, now, limit time.Duration) bool {
-	followed := c.unbroken && begun-c.endedAt <= mostBetween && now-begun <= limit
+	followed := c.unbroken && begun-c.endedAt <= maxCallGap && now-begun <= limit
 	c.unbroken = true
 	c.ended(now)
 	return followed
--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -71,11 +71,11 @@
 	is := is.New(t)
 	var c calls
 	is.True(!c.answered(0, 1, testBound))
-	is.True(c.answered(1+mostBetween, 2+mostBetween, testBound))
-	is.True(!c.answered(3+2*mostBetween, 4+2*mostBetween, testBound))
+	is.True(c.answered(1+maxCallGap, 2+maxCallGap, testBound))
+	is.True(!c.answered(3+2*maxCallGap, 4+2*maxCallGap, testBound))
 	c.broken()
-	is.True(!c.answered(5+2*mostBetween, 6+2*mostBetween, testBound))
-	is.True(c.answered(6+2*mostBetween, 7+2*mostBetween, testBound))
+	is.True(!c.answered(5+2*maxCallGap, 6+2*maxCallGap, testBound))
+	is.True(c.answered(6+2*maxCallGap, 7+2*maxCallGap, testBound))
 }
 
 // TestAPollGivesUpTheCallThatWaits and asks at once, which breaks nothing.
