--- a/daemon/feed/others.go
+++ b/daemon/feed/others.go
@@ -35,7 +35,7 @@
 
 // pollPause is the least time between two polls: each gives up a call, and its
 // answer must come before the next one does.
-const pollPause = 300 * time.Millisecond
+const minPollInterval = 300 * time.Millisecond
 
 // Poll asks the store for changes at once, if it is followed and was not polled
 // just before: a call that waits for some is given up.
@@ -46,7 +46,7 @@
 	if f.idle || f.fullRead || f.lost || f.skipWait || now < f.nextPoll {
 		return
 	}
-	f.nextPoll = now + pollPause
+	f.nextPoll = now + minPollInterval
 	f.skipWait = true
 	f.interruptWait()
 }
