--- a/daemon/feed/calls.go
+++ b/daemon/feed/calls.go
@@ -7,21 +7,21 @@
 const maxCallGap = time.Second
 
 // calls tells whether calls to the store followed each other and none failed.
-type calls struct {
+type callSequence struct {
 	unbroken bool
 	endedAt  time.Duration
 }
 
 // ended notes the end of a call that did not fail.
-func (c *calls) ended(now time.Duration) { c.endedAt = now }
+func (c *callSequence) ended(now time.Duration) { c.endedAt = now }
 
 // broken notes that a call failed, or that none is made for a while.
-func (c *calls) broken() { c.unbroken = false }
+func (c *callSequence) broken() { c.unbroken = false }
 
 // answered notes the answer to a call that was to take limit at most; it says
 // whether the call followed an answered one. A call that took longer was held up
 // with this process, which tells nothing of the store.
-func (c *calls) answered(begun, now, limit time.Duration) bool {
+func (c *callSequence) answered(begun, now, limit time.Duration) bool {
 	followed := c.unbroken && begun-c.endedAt <= maxCallGap && now-begun <= limit
 	c.unbroken = true
 	c.ended(now)
--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -69,7 +69,7 @@
 // TestCallsThatWereNotMadeBreakTheRow: nobody was asked meanwhile.
 func TestCallsThatWereNotMadeBreakTheRow(t *testing.T) {
 	is := is.New(t)
-	var c calls
+	var c callSequence
 	is.True(!c.answered(0, 1, testBound))
 	is.True(c.answered(1+maxCallGap, 2+maxCallGap, testBound))
 	is.True(!c.answered(3+2*maxCallGap, 4+2*maxCallGap, testBound))
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -44,7 +44,7 @@
 	wait time.Duration
 	// calls are those to the store, one after another; used by the goroutine that
 	// makes them.
-	calls calls
+	calls callSequence
 }
 
 const (
