--- a/daemon/feed/calls.go
+++ b/daemon/feed/calls.go
@@ -13,7 +13,7 @@
 }
 
 // ended notes the end of a call that did not fail.
-func (c *callSequence) ended(now time.Duration) { c.endedAt = now }
+func (c *callSequence) callEnded(now time.Duration) { c.endedAt = now }
 
 // broken notes that a call failed, or that none is made for a while.
 func (c *callSequence) broken() { c.unbroken = false }
@@ -24,7 +24,7 @@
 func (c *callSequence) answered(begun, now, limit time.Duration) bool {
 	followed := c.unbroken && begun-c.endedAt <= maxCallGap && now-begun <= limit
 	c.unbroken = true
-	c.ended(now)
+	c.callEnded(now)
 	return followed
 }
 
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -211,7 +211,7 @@
 	}
 	interrupted := err != nil && ctx.Err() != nil
 	if interrupted || f.ctx.Err() != nil {
-		f.calls.ended(f.now())
+		f.calls.callEnded(f.now())
 		return changed, nil
 	}
 	if err != nil {
@@ -290,7 +290,7 @@
 		f.mu.Lock()
 		f.fullRead, f.historyGone = true, true
 		f.mu.Unlock()
-		f.calls.ended(f.now())
+		f.calls.callEnded(f.now())
 		return false, nil
 	}
 	if err != nil {
