--- a/daemon/feed/calls.go
+++ b/daemon/feed/calls.go
@@ -16,7 +16,7 @@
 func (c *callSequence) callEnded(now time.Duration) { c.endedAt = now }
 
 // broken notes that a call failed, or that none is made for a while.
-func (c *callSequence) broken() { c.unbroken = false }
+func (c *callSequence) interrupted() { c.unbroken = false }
 
 // answered notes the answer to a call that was to take limit at most; it says
 // whether the call followed an answered one. A call that took longer was held up
--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -73,7 +73,7 @@
 	is.True(!c.answered(0, 1, testBound))
 	is.True(c.answered(1+maxCallGap, 2+maxCallGap, testBound))
 	is.True(!c.answered(3+2*maxCallGap, 4+2*maxCallGap, testBound))
-	c.broken()
+	c.interrupted()
 	is.True(!c.answered(5+2*maxCallGap, 6+2*maxCallGap, testBound))
 	is.True(c.answered(6+2*maxCallGap, 7+2*maxCallGap, testBound))
 }
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -193,7 +193,7 @@
 	f.mu.Lock()
 	if f.idle && !f.fullRead && !f.lost {
 		f.mu.Unlock()
-		f.calls.broken()
+		f.calls.interrupted()
 		f.waitWhileIdle()
 		return false, nil
 	}
@@ -215,7 +215,7 @@
 		return changed, nil
 	}
 	if err != nil {
-		f.calls.broken()
+		f.calls.interrupted()
 	}
 	f.reportReachability(err)
 	return changed, err
