--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -10,15 +10,15 @@
 )
 
 // timed is a Follower whose time the test hands in, and whose answers it reads.
-type timed struct {
+type timedFollower struct {
 	*Follower
 	now     atomic.Int64
 	answers chan Answer
 }
 
-func followTimed(t *testing.T, s *source) *timed {
+func followTimed(t *testing.T, s *source) *timedFollower {
 	t.Helper()
-	f := &timed{answers: make(chan Answer, 16)}
+	f := &timedFollower{answers: make(chan Answer, 16)}
 	f.Follower = Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
 		Now:      func() time.Duration { return time.Duration(f.now.Load()) },
@@ -32,7 +32,7 @@
 	return f
 }
 
-func (f *timed) pass(d time.Duration) { f.now.Add(int64(d)) }
+func (f *timedFollower) pass(d time.Duration) { f.now.Add(int64(d)) }
 
 // delta is an answer without changes; first is done before.
 func delta(newest uint64, clock time.Duration, first func()) func() (Delta, error) {
