--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -32,7 +32,7 @@
 	return f
 }
 
-func (f *timedFollower) pass(d time.Duration) { f.now.Add(int64(d)) }
+func (f *timedFollower) advance(d time.Duration) { f.now.Add(int64(d)) }
 
 // delta is an answer without changes; first is done before.
 func delta(newest uint64, clock time.Duration, first func()) func() (Delta, error) {
@@ -52,14 +52,14 @@
 	f := followTimed(t, s)
 	give(t, s.reads, read(9, row("a", 3)))
 	is.Equal(next(t, f.answers), Answer{Newest: 9})
-	give(t, s.changes, delta(12, time.Minute, func() { f.pass(time.Second) }))
+	give(t, s.changes, delta(12, time.Minute, func() { f.advance(time.Second) }))
 	is.Equal(next(t, f.answers), Answer{Newest: 12, Clock: time.Minute, Unbroken: true})
 
 	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("refused") })
 	give(t, s.changes, delta(13, time.Minute, nothing))
 	is.True(!next(t, f.answers).Unbroken)
 
-	give(t, s.changes, delta(13, time.Minute, func() { f.pass(2 * testBound) }))
+	give(t, s.changes, delta(13, time.Minute, func() { f.advance(2 * testBound) }))
 	is.True(!next(t, f.answers).Unbroken) // it took longer than it may
 
 	give(t, s.changes, delta(13, time.Minute, nothing))
