--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -61,16 +61,16 @@
 }
 
 // followed is a Follower whose callbacks a test reads.
-type followed struct {
+type testFollower struct {
 	*Follower
 	states chan State
 	lost   chan error
 	back   chan struct{}
 }
 
-func follow(t *testing.T, s *source) *followed {
+func follow(t *testing.T, s *source) *testFollower {
 	t.Helper()
-	f := &followed{states: make(chan State, 16), lost: make(chan error, 16), back: make(chan struct{}, 16)}
+	f := &testFollower{states: make(chan State, 16), lost: make(chan error, 16), back: make(chan struct{}, 16)}
 	f.Follower = Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
 		Changed: func(s State) { f.states <- s },
--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -15,7 +15,7 @@
 }
 
 // idleAt returns a follower that knows the rows at a position and rests.
-func idleAt(t *testing.T, s *source, position uint64, rows ...table.Row) *followed {
+func idleAt(t *testing.T, s *source, position uint64, rows ...table.Row) *testFollower {
 	t.Helper()
 	f := follow(t, s)
 	f.SetIdle(true)
