--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func nothing() {}
+func noop() {}
 
 // TestAnAnswerIsUnbrokenOnlyBehindAnother: not behind a failure, a rest, or time in
 // which the process was held up.
@@ -56,13 +56,13 @@
 	is.Equal(next(t, f.answers), Answer{Newest: 12, Clock: time.Minute, Unbroken: true})
 
 	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("refused") })
-	give(t, s.changes, delta(13, time.Minute, nothing))
+	give(t, s.changes, delta(13, time.Minute, noop))
 	is.True(!next(t, f.answers).Unbroken)
 
 	give(t, s.changes, delta(13, time.Minute, func() { f.advance(2 * testBound) }))
 	is.True(!next(t, f.answers).Unbroken) // it took longer than it may
 
-	give(t, s.changes, delta(13, time.Minute, nothing))
+	give(t, s.changes, delta(13, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
@@ -85,14 +85,14 @@
 	f := followTimed(t, s)
 	give(t, s.reads, read(9, row("a", 3)))
 	next(t, f.answers)
-	give(t, s.changes, delta(9, time.Minute, nothing))
+	give(t, s.changes, delta(9, time.Minute, noop))
 	next(t, f.answers)
 	s.awaitCalls(t, 2)
 	is.True(s.lastWait() > 0)
 	f.Poll()
 	s.awaitCalls(t, 3)
 	is.Equal(s.lastWait(), time.Duration(0))
-	give(t, s.changes, delta(9, time.Minute, nothing))
+	give(t, s.changes, delta(9, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
