--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -50,19 +50,19 @@
 	is := is.New(t)
 	s := newSource()
 	f := followTimed(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	is.Equal(next(t, f.answers), Answer{Newest: 9})
-	give(t, s.changes, delta(12, time.Minute, func() { f.advance(time.Second) }))
+	serve(t, s.changes, delta(12, time.Minute, func() { f.advance(time.Second) }))
 	is.Equal(next(t, f.answers), Answer{Newest: 12, Clock: time.Minute, Unbroken: true})
 
-	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("refused") })
-	give(t, s.changes, delta(13, time.Minute, noop))
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("refused") })
+	serve(t, s.changes, delta(13, time.Minute, noop))
 	is.True(!next(t, f.answers).Unbroken)
 
-	give(t, s.changes, delta(13, time.Minute, func() { f.advance(2 * testBound) }))
+	serve(t, s.changes, delta(13, time.Minute, func() { f.advance(2 * testBound) }))
 	is.True(!next(t, f.answers).Unbroken) // it took longer than it may
 
-	give(t, s.changes, delta(13, time.Minute, noop))
+	serve(t, s.changes, delta(13, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
@@ -83,16 +83,16 @@
 	is := is.New(t)
 	s := newSource()
 	f := followTimed(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.answers)
-	give(t, s.changes, delta(9, time.Minute, noop))
+	serve(t, s.changes, delta(9, time.Minute, noop))
 	next(t, f.answers)
 	s.awaitCalls(t, 2)
 	is.True(s.lastWait() > 0)
 	f.Poll()
 	s.awaitCalls(t, 3)
 	is.Equal(s.lastWait(), time.Duration(0))
-	give(t, s.changes, delta(9, time.Minute, noop))
+	serve(t, s.changes, delta(9, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func give[T any](t *testing.T, to chan T, v T) {
+func serve[T any](t *testing.T, to chan T, v T) {
 	t.Helper()
 	select {
 	case to <- v:
@@ -124,9 +124,9 @@
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
-	give(t, s.reads, read(9, row("a", 3), row("b", 5)))
+	serve(t, s.reads, read(9, row("a", 3), row("b", 5)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 3, "b": 5})
-	give(t, s.changes, func() (Delta, error) {
+	serve(t, s.changes, func() (Delta, error) {
 		return Delta{Position: 12, Changes: []Change{{Row: row("a", 11)}, {Row: row("b", 12), Removed: true}}}, nil
 	})
 	got := next(t, f.states)
@@ -139,10 +139,10 @@
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
-	give(t, s.changes, func() (Delta, error) { return Delta{}, ErrHistoryGone })
-	give(t, s.reads, read(20, row("b", 15)))
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, ErrHistoryGone })
+	serve(t, s.reads, read(20, row("b", 15)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 15})
 	is.Equal(len(f.lost), 0)
 }
@@ -153,13 +153,13 @@
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
-	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("away") })
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("away") })
 	is.Equal(next(t, f.lost).Error(), "away")
-	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("still away") })
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("still away") })
 	is.Equal(s.lastWait(), time.Duration(0))
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
 	next(t, f.back)
 	is.Equal(len(f.lost), 0) // told once
 }
@@ -168,13 +168,13 @@
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
 	is.True(!f.Adopt(State{Name: "t", Rows: []table.Row{row("old", 3)}, Position: 30, Version: 3}))
 	is.True(f.Adopt(State{Name: "t", Rows: []table.Row{row("b", 21)}, Position: 25, Version: 21}))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 21})
 	// The following goes on behind what was adopted.
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 26, Changes: []Change{{Row: row("c", 26)}}}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 26, Changes: []Change{{Row: row("c", 26)}}}, nil })
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 21, "c": 26})
 }
 
@@ -182,10 +182,10 @@
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
 	f.Refresh()
-	give(t, s.reads, read(10, row("a", 10)))
+	serve(t, s.reads, read(10, row("a", 10)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 10})
 	is.Equal(len(f.lost), 0)
 }
@@ -203,9 +203,9 @@
 		Rand:    testRand(),
 	})
 	t.Cleanup(f.Close)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, states)
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 12, Changes: []Change{{Row: row("a", 11)}}}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 12, Changes: []Change{{Row: row("a", 11)}}}, nil })
 	is.Equal(keys(next(t, states)), map[string]uint64{"a": 11})
 	select {
 	case s.changes <- func() (Delta, error) { return Delta{}, nil }:
@@ -226,16 +226,16 @@
 		Lost: func(error) {}, Back: func() {}, Rand: testRand(),
 	})
 	t.Cleanup(f.Close)
-	give(t, s.reads, read(9, row("a", 3), row("b", 5), row("c", 8)))
-	give(t, s.changes, func() (Delta, error) { return Delta{}, ErrHistoryGone })
-	give(t, s.reads, read(14, row("a", 3), row("c", 12)))
+	serve(t, s.reads, read(9, row("a", 3), row("b", 5), row("c", 8)))
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, ErrHistoryGone })
+	serve(t, s.reads, read(14, row("a", 3), row("c", 12)))
 	is.Equal(next(t, told), News{Name: "t", After: 9, Position: 14, Changes: []Change{
 		{Row: row("c", 12)}, {Row: table.Row{Key: "b", Version: 14}, Removed: true},
 	}})
 	is.Equal(f.Version(), uint64(14))
 	f.Refresh() // since others know more: there is nothing to tell them
-	give(t, s.reads, read(16, row("a", 3), row("c", 12), row("d", 15)))
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 16}, nil })
+	serve(t, s.reads, read(16, row("a", 3), row("c", 12), row("d", 15)))
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 16}, nil })
 	is.Equal(len(told), 0)
 
 	other := idleAt(t, newSource(), 9, row("a", 3), row("b", 5), row("c", 8))
--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	f := follow(t, s)
 	f.SetIdle(true)
-	give(t, s.reads, read(position, rows...))
+	serve(t, s.reads, read(position, rows...))
 	next(t, f.states)
 	return f
 }
@@ -66,7 +66,7 @@
 	is.Equal(f.Version(), uint64(3))
 	// The store tells what is missing.
 	f.Refresh()
-	give(t, s.reads, read(12, row("a", 3), row("c", 10), row("b", 12)))
+	serve(t, s.reads, read(12, row("a", 3), row("c", 10), row("b", 12)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 3, "b": 12, "c": 10})
 }
 
@@ -78,7 +78,7 @@
 		_, err := f.Take(news(9, 12))
 		is.NoErr(err)
 	}
-	give(t, s.reads, read(12, row("a", 12)))
+	serve(t, s.reads, read(12, row("a", 12)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12})
 	_, err := f.Take(news(9, 12))
 	is.NoErr(err)
@@ -98,7 +98,7 @@
 	asked := make(chan struct{})
 	answer := make(chan struct{})
 	f.Refresh()
-	give(t, s.reads, func() (Snapshot, error) {
+	serve(t, s.reads, func() (Snapshot, error) {
 		close(asked)
 		<-answer
 		return Snapshot{Rows: []table.Row{row("a", 3)}, Position: 9}, nil
@@ -110,7 +110,7 @@
 	close(answer)
 	// The following goes on behind the news.
 	f.SetIdle(false)
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 13, Changes: []Change{{Row: row("b", 13)}}}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 13, Changes: []Change{{Row: row("b", 13)}}}, nil })
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12, "b": 13})
 }
 
@@ -119,8 +119,8 @@
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
 	f.SetIdle(false)
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	is.Equal(s.waits[0], time.Duration(0))
@@ -131,12 +131,12 @@
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
-	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("away") })
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("away") })
 	next(t, f.lost)
 	f.SetIdle(true)
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
 	next(t, f.back)
 	is.True(!f.Lost())
 }
@@ -154,8 +154,8 @@
 		Rand:    testRand(),
 	})
 	t.Cleanup(f.Close)
-	give(t, s.reads, read(9, row("a", 3)))
-	give(t, s.changes, func() (Delta, error) { return Delta{Position: 12, Changes: []Change{{Row: row("b", 12)}}}, nil })
+	serve(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 12, Changes: []Change{{Row: row("b", 12)}}}, nil })
 	is.Equal(next(t, told), news(9, 12, Change{Row: row("b", 12)}))
 	_, err := f.Take(news(12, 14, Change{Row: row("c", 14)}))
 	is.NoErr(err)
@@ -180,7 +180,7 @@
 	f.cfg.IdleRetry = time.Hour
 	f.SetIdle(true)
 	is.Equal(f.maxPause(), f.cfg.Retry) // it knows nothing yet
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
 	is.Equal(f.maxPause(), time.Hour)
 	f.SetIdle(false)
