--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -24,7 +24,7 @@
 	return f
 }
 
-func TestAnIdleFollowerAsksNothingAndTakesNews(t *testing.T) {
+func TestIdleFollowerAppliesNewsWithoutCalls(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
