--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -41,7 +41,7 @@
 
 // TestNewsThatOverlapCountOnce: several daemons tell the same changes, gathered
 // in different parts.
-func TestNewsThatOverlapCountOnce(t *testing.T) {
+func TestOverlappingNewsAreAppliedOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
