--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -57,7 +57,7 @@
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 11, "c": 15}) // a stays removed
 }
 
-func TestNewsBehindAGapAreNotTaken(t *testing.T) {
+func TestNewsAfterAGapAreRejected(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
