--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -70,7 +70,7 @@
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 3, "b": 12, "c": 10})
 }
 
-func TestNewsWithoutChangesHaveTheTableReadOnce(t *testing.T) {
+func TestNewsWithoutChangesCauseOneFullRead(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
