--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -91,7 +91,7 @@
 
 // TestAnAnswerOnItsWayDoesNotUndoNews: the table was read before a change that
 // another daemon told of.
-func TestAnAnswerOnItsWayDoesNotUndoNews(t *testing.T) {
+func TestReadInFlightDoesNotRevertNews(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
