--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -114,7 +114,7 @@
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12, "b": 13})
 }
 
-func TestAFollowerThatBeginsToReadAsksWithoutWaiting(t *testing.T) {
+func TestFirstCallAfterIdleDoesNotWait(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
