--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -127,7 +127,7 @@
 	is.True(s.waits[1] > 0)
 }
 
-func TestALostStoreIsAskedThoughOthersTell(t *testing.T) {
+func TestIdleFollowerRetriesUnreachableStore(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
