--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -141,7 +141,7 @@
 	is.True(!f.Lost())
 }
 
-func TestWhatTheStoreToldIsToldOn(t *testing.T) {
+func TestOnlyChangesFromTheStoreAreReported(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	told := make(chan News, 16)
