--- a/daemon/feed/others_test.go
+++ b/daemon/feed/others_test.go
@@ -173,7 +173,7 @@
 
 // TestAFollowerThatOthersTellAsksARefusingStoreSeldom, once it knows the table:
 // those that the others rely on, or that know nothing yet, ask as often as ever.
-func TestAFollowerThatOthersTellAsksARefusingStoreSeldom(t *testing.T) {
+func TestIdleFollowerUsesIdleRetry(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
