--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -120,7 +120,7 @@
 	return out
 }
 
-func TestATableIsReadOnceAndThenFollowed(t *testing.T) {
+func TestTableIsReadOnceAndThenFollowed(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
