--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -135,7 +135,7 @@
 	is.True(s.lastWait() >= testBound/2)
 }
 
-func TestForgottenChangesHaveTheTableReadAgain(t *testing.T) {
+func TestDiscardedHistoryCausesFullRead(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
