--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -149,7 +149,7 @@
 
 // TestALostStoreIsAskedByShortCalls: one long call that hangs would hide the
 // store's return.
-func TestALostStoreIsAskedByShortCalls(t *testing.T) {
+func TestUnreachableStoreIsPolledWithShortCalls(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
