--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -164,7 +164,7 @@
 	is.Equal(len(f.lost), 0) // told once
 }
 
-func TestWhatAnotherDaemonKnowsIsAdoptedIfItIsNewer(t *testing.T) {
+func TestNewerStateOfAnotherDaemonIsAdopted(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
