--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -178,7 +178,7 @@
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 21, "c": 26})
 }
 
-func TestARefreshReadsTheTableThoughACallHangs(t *testing.T) {
+func TestRefreshReadsTableDuringPendingCall(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
