--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -191,7 +191,7 @@
 }
 
 // TestChangesThatComeTogetherAreGathered: behind changes the next call waits.
-func TestChangesThatComeTogetherAreGathered(t *testing.T) {
+func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	states := make(chan State, 16)
