--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -216,7 +216,7 @@
 
 // TestAFollowerTellsWhatAWholeReadChanged: the store has forgotten its changes, and
 // those who rely on this one hear of a removed row from nobody else.
-func TestAFollowerTellsWhatAWholeReadChanged(t *testing.T) {
+func TestDifferenceOfAFullReadIsReported(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	told := make(chan News, 16)
