--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -46,7 +46,7 @@
 
 // TestAnAnswerIsUnbrokenOnlyBehindAnother: not behind a failure, a rest, or time in
 // which the process was held up.
-func TestAnAnswerIsUnbrokenOnlyBehindAnother(t *testing.T) {
+func TestAnswerIsUnbrokenOnlyAfterAnotherAnswer(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := followTimed(t, s)
