--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestCallsThatWereNotMadeBreakTheRow: nobody was asked meanwhile.
-func TestCallsThatWereNotMadeBreakTheRow(t *testing.T) {
+func TestGapBetweenCallsBreaksTheSequence(t *testing.T) {
 	is := is.New(t)
 	var c callSequence
 	is.True(!c.answered(0, 1, testBound))
