--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -79,7 +79,7 @@
 }
 
 // TestAPollGivesUpTheCallThatWaits and asks at once, which breaks nothing.
-func TestAPollGivesUpTheCallThatWaits(t *testing.T) {
+func TestPollCancelsThePendingCall(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := followTimed(t, s)
