--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -159,12 +159,12 @@
 
 // relays is to how many daemons evidence that was learnt is passed on. The first
 // sending goes to all; this one makes up for what it missed.
-const relays = 2
+const evidenceFanout = 2
 
 // RelayEvidence passes evidence on to a few of the given daemons, at random.
 func (s Sender) RelayEvidence(among []id.Daemon, state poison.State) {
 	rand.Shuffle(len(among), func(i, j int) { among[i], among[j] = among[j], among[i] })
-	s.SendEvidence(among[:min(relays, len(among))], state)
+	s.SendEvidence(among[:min(evidenceFanout, len(among))], state)
 }
 
 // SendEvidence sends evidence to the given daemons. What is lost comes again
