--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -97,19 +97,19 @@
 			h.Receiver.Quota(from, &e)
 		}
 	case KindMember:
-		h.member(from, body)
+		h.receiveMember(from, body)
 	}
 }
 
 // HandleDatagram implements that method of peer.Handler.
 func (h *Handler) HandleDatagram(from id.Daemon, kind peer.Kind, body []byte) {
 	if h.Open() && kind == KindMember {
-		h.member(from, body)
+		h.receiveMember(from, body)
 	}
 }
 
 // member takes a membership message; the sender must be who it says.
-func (h *Handler) member(from id.Daemon, body []byte) {
+func (h *Handler) receiveMember(from id.Daemon, body []byte) {
 	var m member.Message
 	if !h.decode(from, body, &m) {
 		return
