--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -232,12 +232,12 @@
 	}
 	old := m.snapshot.Swap(v)
 	if old != nil {
-		m.tellForgotten(old, v)
+		m.notifyForgotten(old, v)
 	}
 }
 
 // tellForgotten tells the listener of daemons that are no longer kept.
-func (m *Members) tellForgotten(old, now *view) {
+func (m *Members) notifyForgotten(old, now *view) {
 	for _, e := range old.entries {
 		d := e.Process.Daemon
 		if _, kept := now.states[d]; !kept {
