--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -171,7 +171,7 @@
 		// Not at each look of the duty: copying the view of a large fleet costs
 		// more than all its messages. Changes are published as they come.
 		m.publish()
-		m.tellLive()
+		m.notifyLive()
 	}
 	return m.core.Next()
 }
@@ -184,7 +184,7 @@
 	}
 	if changed {
 		// Not at each message: a look at the whole view costs more than the message.
-		m.tellLive()
+		m.notifyLive()
 	}
 }
 
@@ -248,7 +248,7 @@
 }
 
 // tellLive tells the listener when the daemons that take part have changed.
-func (m *Members) tellLive() {
+func (m *Members) notifyLive() {
 	live := m.core.Ready()
 	if slices.Equal(live, m.live) {
 		return
