--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -113,7 +113,7 @@
 func (m *Members) Receive(msg member.Message) {
 	m.duty.Post(func(now time.Duration) {
 		m.perform(m.core.Receive(now, msg))
-		m.tellRevision(msg.From)
+		m.notifyRevision(msg.From)
 	})
 }
 
@@ -258,7 +258,7 @@
 	m.cfg.Listener.Live(live)
 }
 
-func (m *Members) tellRevision(e member.Entry) {
+func (m *Members) notifyRevision(e member.Entry) {
 	d := e.Process.Daemon
 	if m.revisions[d] == e.Revision {
 		return
