--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -74,7 +74,7 @@
 	core *member.Membership
 	live []id.Daemon
 	// revisions are those that were last told on.
-	revisions map[id.Daemon]uint64
+	reportedRevisions map[id.Daemon]uint64
 	// snapshot is the view for readers outside the duty.
 	snapshot atomic.Pointer[view]
 	changes  *metrics.CounterMap
@@ -91,11 +91,11 @@
 // Start starts the duty.
 func Start(cfg Config) *Members {
 	m := &Members{
-		cfg:       cfg,
-		core:      member.New(cfg.Core, cfg.Self, cfg.Now(), cfg.Rand),
-		revisions: make(map[id.Daemon]uint64),
-		changes:   cfg.Metrics.CounterMap("member_changes", metrics.UnitCount, "changes of daemons' states, by new state"),
-		stalls:    cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon was not run for a while"),
+		cfg:               cfg,
+		core:              member.New(cfg.Core, cfg.Self, cfg.Now(), cfg.Rand),
+		reportedRevisions: make(map[id.Daemon]uint64),
+		changes:           cfg.Metrics.CounterMap("member_changes", metrics.UnitCount, "changes of daemons' states, by new state"),
+		stalls:            cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon was not run for a while"),
 	}
 	m.publish()
 	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, Behind: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
@@ -211,7 +211,7 @@
 	m.publish()
 	if c.To == member.Dead {
 		// When it comes back, its revision is news, also an unchanged one.
-		delete(m.revisions, c.Process.Daemon)
+		delete(m.reportedRevisions, c.Process.Daemon)
 		m.cfg.Listener.Gone(c.Process)
 	}
 }
@@ -241,7 +241,7 @@
 	for _, e := range old.entries {
 		d := e.Process.Daemon
 		if _, kept := now.states[d]; !kept {
-			delete(m.revisions, d)
+			delete(m.reportedRevisions, d)
 			m.cfg.Listener.Forgotten(d)
 		}
 	}
@@ -260,10 +260,10 @@
 
 func (m *Members) notifyRevision(e member.Entry) {
 	d := e.Process.Daemon
-	if m.revisions[d] == e.Revision {
+	if m.reportedRevisions[d] == e.Revision {
 		return
 	}
-	m.revisions[d] = e.Revision
+	m.reportedRevisions[d] = e.Revision
 	m.cfg.Listener.PeerRevision(d, e.Revision)
 }
 
