--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -83,9 +83,9 @@
 
 // view is an immutable copy of the membership.
 type view struct {
-	entries []member.Entry
-	states  map[id.Daemon]member.Entry
-	large   bool
+	entries  []member.Entry
+	byDaemon map[id.Daemon]member.Entry
+	large    bool
 }
 
 // Start starts the duty.
@@ -142,7 +142,7 @@
 }
 
 // Address is where a daemon is reached; empty if that is not known.
-func (m *Members) Address(d id.Daemon) string { return m.snapshot.Load().states[d].Address }
+func (m *Members) Address(d id.Daemon) string { return m.snapshot.Load().byDaemon[d].Address }
 
 // Large says whether the fleet is so large that daemons exchange heartbeats with
 // their neighbours only, and are not connected to all others.
@@ -150,7 +150,7 @@
 
 // Alive says whether a process may still act: it is not known to have ended.
 func (m *Members) Alive(p id.Process) bool {
-	e, ok := m.snapshot.Load().states[p.Daemon]
+	e, ok := m.snapshot.Load().byDaemon[p.Daemon]
 	if !ok {
 		return false
 	}
@@ -159,7 +159,7 @@
 
 // Known says whether the membership has heard of a daemon.
 func (m *Members) Known(d id.Daemon) bool {
-	_, ok := m.snapshot.Load().states[d]
+	_, ok := m.snapshot.Load().byDaemon[d]
 	return ok
 }
 
@@ -226,9 +226,9 @@
 
 func (m *Members) publish() {
 	entries := m.core.View()
-	v := &view{entries: entries, states: make(map[id.Daemon]member.Entry, len(entries)), large: m.core.Large()}
+	v := &view{entries: entries, byDaemon: make(map[id.Daemon]member.Entry, len(entries)), large: m.core.Large()}
 	for _, e := range entries {
-		v.states[e.Process.Daemon] = e
+		v.byDaemon[e.Process.Daemon] = e
 	}
 	old := m.snapshot.Swap(v)
 	if old != nil {
@@ -240,7 +240,7 @@
 func (m *Members) notifyForgotten(old, now *view) {
 	for _, e := range old.entries {
 		d := e.Process.Daemon
-		if _, kept := now.states[d]; !kept {
+		if _, kept := now.byDaemon[d]; !kept {
 			delete(m.reportedRevisions, d)
 			m.cfg.Listener.Forgotten(d)
 		}
