--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -20,7 +20,7 @@
 
 const (
 	// hostListEvery is the mean pause between reads of the host list.
-	hostListEvery = 2 * time.Second
+	hostListInterval = 2 * time.Second
 	// stateLeaving is the host list's word for a host that leaves.
 	stateLeaving = "leaving"
 )
@@ -274,7 +274,7 @@
 	rng := rand.New(rand.NewPCG(uint64(m.cfg.Self.Process.Incarnation), 1))
 	for {
 		m.readHostsOnce(ctx)
-		pause := hostListEvery/2 + time.Duration(rng.Int64N(int64(hostListEvery)))
+		pause := hostListInterval/2 + time.Duration(rng.Int64N(int64(hostListInterval)))
 		select {
 		case <-ctx.Done():
 			return
