--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -16,27 +16,27 @@
 const testBound = 30 * time.Second
 
 // told records what the duty tells.
-type told struct {
+type recorder struct {
 	revisions, gone, forgotten chan id.Daemon
 }
 
-func newTold() *told {
-	return &told{
+func newTold() *recorder {
+	return &recorder{
 		revisions: make(chan id.Daemon, 16),
 		gone:      make(chan id.Daemon, 16),
 		forgotten: make(chan id.Daemon, 16),
 	}
 }
 
-func (l *told) Live([]id.Daemon)                                    {}
-func (l *told) Gone(p id.Process)                                   { l.gone <- p.Daemon }
-func (l *told) Forgotten(d id.Daemon)                               { l.forgotten <- d }
-func (l *told) PeerRevision(d id.Daemon, _ uint64)                  { l.revisions <- d }
-func (l *told) StopActing(bool)                                     {}
-func (l *told) SendMember(_ id.Daemon, _ string, _ *member.Message) {}
+func (l *recorder) Live([]id.Daemon)                                    {}
+func (l *recorder) Gone(p id.Process)                                   { l.gone <- p.Daemon }
+func (l *recorder) Forgotten(d id.Daemon)                               { l.forgotten <- d }
+func (l *recorder) PeerRevision(d id.Daemon, _ uint64)                  { l.revisions <- d }
+func (l *recorder) StopActing(bool)                                     {}
+func (l *recorder) SendMember(_ id.Daemon, _ string, _ *member.Message) {}
 
 // startTest starts the duty with waits that are short, as nothing is measured.
-func startTest(t *testing.T, forget time.Duration) (*Members, *told) {
+func startTest(t *testing.T, forget time.Duration) (*Members, *recorder) {
 	t.Helper()
 	core := member.DefaultConfig(member.Mesh)
 	core.Period = 5 * time.Millisecond
