--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -20,7 +20,7 @@
 	revisions, gone, forgotten chan id.Daemon
 }
 
-func newTold() *recorder {
+func newRecorder() *recorder {
 	return &recorder{
 		revisions: make(chan id.Daemon, 16),
 		gone:      make(chan id.Daemon, 16),
@@ -45,7 +45,7 @@
 	core.StallAfter = time.Hour
 	core.Forget = forget
 	begun := time.Now()
-	l := newTold()
+	l := newRecorder()
 	m := Start(Config{
 		Core:     core,
 		Self:     member.Entry{Process: id.Process{Daemon: "a", Incarnation: 1}, Domain: "north", Address: "a:1"},
