--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -81,7 +81,7 @@
 
 // TestRevisionOfOneThatCameBackIsTold: whoever listens forgets a dead daemon's
 // revision, so an unchanged one must be told again.
-func TestRevisionOfOneThatCameBackIsTold(t *testing.T) {
+func TestRevisionOfReturnedDaemonIsReported(t *testing.T) {
 	m, l := startTest(t, time.Hour)
 	m.Receive(heartbeat(0))
 	await(t, l.revisions, "the revision")
