--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -90,7 +90,7 @@
 	await(t, l.revisions, "the revision after the return")
 }
 
-func TestForgottenIsTold(t *testing.T) {
+func TestForgottenDaemonIsReported(t *testing.T) {
 	is := is.New(t)
 	m, l := startTest(t, time.Millisecond)
 	m.Receive(heartbeat(0))
