--- a/daemon/peer/answer.go
+++ b/daemon/peer/answer.go
@@ -9,26 +9,28 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Codes with which a call's stream is reset.
+// Error codes of reset call streams.
 const (
-	// streamAbandoned: the caller does not wait any more.
+	// streamCancelled: the caller has cancelled the call or its deadline has
+	// passed.
 	streamCancelled quic.StreamErrorCode = 1
-	// streamRefused: the call has not run and won't.
+	// streamRefused: the call was not run and will not be.
 	streamRefused quic.StreamErrorCode = 2
-	// streamTooLarge: the call is over the bound; it has not run and won't.
+	// streamTooLarge: the call exceeds the size limit; it was not run and will not
+	// be.
 	streamTooLarge quic.StreamErrorCode = 4
 	// streamFailed: the call may have run; there is no answer.
 	streamFailed quic.StreamErrorCode = 3
 )
 
-// answer is what comes back on a call's stream.
+// answer is the response on a call's stream.
 type answer struct {
 	_       struct{} `cbor:",toarray"`
 	Failure *failure
 	Body    []byte
 }
 
-// failure is a verdict.Error on the wire; its cause stays behind.
+// failure is the wire form of a verdict.Error. The error's cause is not sent.
 type failure struct {
 	_          struct{} `cbor:",toarray"`
 	Verdict    verdict.Verdict
@@ -42,7 +44,8 @@
 	return &failure{Verdict: e.Verdict, Code: e.Code, Message: e.Message, RetryAfter: e.RetryAfter}
 }
 
-// asError reads a peer's failure. A verdict that there is not promises nothing.
+// asError converts a peer's failure to an error. An unknown verdict becomes
+// MayHaveRun.
 func (f *failure) asError() *verdict.Error {
 	v := f.Verdict
 	if v < verdict.NotRun || v > verdict.Ran {
@@ -57,7 +60,7 @@
 	stream.CancelWrite(code)
 }
 
-// acceptCalls hands each call of the peer to a worker.
+// acceptCalls accepts the peer's calls and submits each to a worker.
 func (c *conn) acceptCalls() {
 	for {
 		stream, err := c.quic.AcceptStream(c.quic.Context())
@@ -70,8 +73,8 @@
 	}
 }
 
-// serveCall answers one call. Its context ends when the caller gives up, as the
-// stream's does.
+// serveCall answers one call. Its context is the stream's, which ends when the
+// caller cancels the call.
 func (c *conn) serveCall(stream *quic.Stream) {
 	t := c.remote.t
 	data, err := c.readRequest(stream)
@@ -92,8 +95,8 @@
 	c.answerRequest(stream, request)
 }
 
-// answerRequest runs the handler and sends what it gives. A handler that
-// panics leaves the caller without an answer, not waiting for one.
+// answerRequest runs the handler and sends its result. If the handler panics, the
+// stream is reset so that the caller does not wait for an answer.
 func (c *conn) answerRequest(stream *quic.Stream, request frame) {
 	t, from := c.remote.t, c.remote.name
 	finished := false
@@ -108,7 +111,7 @@
 	case err != nil:
 		reply.Failure = failureOf(err)
 	case len(body) > t.cfg.MaxMessage:
-		reply.Failure = failureOf(verdict.New(verdict.Ran, verdict.CodeTooLarge, "answer of %d bytes, bound %d", len(body), t.cfg.MaxMessage))
+		reply.Failure = failureOf(verdict.New(verdict.Ran, verdict.CodeTooLarge, "answer of %d bytes exceeds the limit of %d", len(body), t.cfg.MaxMessage))
 	default:
 		reply.Body = body
 	}
@@ -116,7 +119,8 @@
 	finished = true
 }
 
-// readRequest bounds the time for which a slow caller holds a worker.
+// readRequest reads the request with a deadline, so that a slow caller holds a
+// worker for a bounded time only.
 func (c *conn) readRequest(stream *quic.Stream) ([]byte, error) {
 	t := c.remote.t
 	if err := stream.SetReadDeadline(time.Now().Add(t.cfg.WriteTimeout)); err != nil {
--- a/daemon/peer/bench_test.go
+++ b/daemon/peer/bench_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// BenchmarkSend measures one-way messages of 100 bytes until they are handled.
+// BenchmarkSend measures one-way messages of 100 bytes, from sending until they are
+// handled.
 func BenchmarkSend(b *testing.B) {
 	from, to := benchPair(b)
 	handler := to.cfg.Handler.(*recorder)
@@ -53,8 +54,8 @@
 	return from, to
 }
 
-// BenchmarkConnections measures what one more connected peer costs both ends
-// together: memory and goroutines.
+// BenchmarkConnections measures the memory and goroutines that each further
+// connected peer uses at both ends together.
 func BenchmarkConnections(b *testing.B) {
 	f := newFleet(b)
 	hub, _ := f.listen("hub", nil)
--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -10,10 +10,10 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Call asks the peer and reads its answer into resp, which may be nil. Its
-// error is always a *verdict.Error: NotRun says that the peer's handler has not
-// run and won't, MayHaveRun that it may have. An error of the handler itself
-// comes back with the handler's verdict.
+// Call sends a request to the peer and decodes its answer into resp, which may be
+// nil. The error is always a *verdict.Error: NotRun means that the peer's handler
+// has not run and will not, MayHaveRun that it may have run. An error of the
+// handler itself is returned with the handler's verdict.
 func (t *Transport) Call(ctx context.Context, to id.Daemon, kind Kind, req, resp any) error {
 	r, err := t.find(to)
 	if err != nil {
@@ -47,15 +47,15 @@
 	if errors.Is(cause, ErrTooLarge) {
 		code = verdict.CodeTooLarge
 	}
-	return verdict.New(verdict.NotRun, code, "daemon %s was not reached", to).WithCause(cause)
+	return verdict.New(verdict.NotRun, code, "daemon %s could not be reached", to).WithCause(cause)
 }
 
 func mayHaveRun(to id.Daemon, cause error) error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "daemon %s gave no answer", to).WithCause(cause)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "daemon %s did not answer", to).WithCause(cause)
 }
 
-// call runs one call on a stream of its own. The peer acts only on a request
-// that is whole, so that nothing has run as long as its end was not sent.
+// call runs one call on a stream of its own. The peer handles only complete
+// requests, so the call has not run as long as the end of the stream was not sent.
 func (c *conn) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
 	t, to := c.remote.t, c.remote.name
 	request, err := Encode(frame{Kind: kind, Body: body})
@@ -86,7 +86,8 @@
 	return answer, nil
 }
 
-// unanswered tells a peer that refused the call from one that may have run it.
+// callError returns the error of a call that got no answer: NotRun if the peer
+// refused the call, else MayHaveRun.
 func callError(ctx context.Context, to id.Daemon, err error) error {
 	var reset *quic.StreamError
 	if errors.As(err, &reset) && reset.Remote {
@@ -106,7 +107,7 @@
 func readAnswer(to id.Daemon, data []byte, resp any) error {
 	var a answer
 	if err := Decode(data, &a); err != nil {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "daemon %s gave a broken answer", to).WithCause(err)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "daemon %s sent an answer that cannot be decoded", to).WithCause(err)
 	}
 	if a.Failure != nil {
 		return a.Failure.asError()
@@ -115,7 +116,7 @@
 		return nil
 	}
 	if err := Decode(a.Body, resp); err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeInternal, "daemon %s gave an answer of another type", to).WithCause(err)
+		return verdict.New(verdict.Ran, verdict.CodeInternal, "daemon %s sent an answer of an unexpected type", to).WithCause(err)
 	}
 	return nil
 }
--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Codes with which a connection is closed.
+// Error codes of closed connections.
 const (
 	codeClosed     quic.ApplicationErrorCode = 1
 	codeRefused    quic.ApplicationErrorCode = 2
@@ -18,14 +18,14 @@
 	codeSuperseded quic.ApplicationErrorCode = 4
 )
 
-// conn is one connection to or from a peer. Each side opens one one-way stream
-// and begins it with its hello.
+// conn is one connection to or from a peer. Each side opens one unidirectional
+// stream and sends its hello on it first.
 type conn struct {
 	remote *remote
 	quic   *quic.Conn
 	origin string
 
-	// incarnation of the peer's process; set before adopt closes ready.
+	// incarnation of the peer's process; set before helloReceived closes ready.
 	incarnation id.Incarnation
 	ready       chan struct{}
 
@@ -34,14 +34,14 @@
 }
 
 func (c *conn) close(code quic.ApplicationErrorCode, reason string) {
-	// The error would only say that the connection was closed before.
+	// An error only means that the connection was already closed.
 	_ = c.quic.CloseWithError(code, reason)
 }
 
-// alive reports whether the connection has not ended.
+// alive reports whether the connection is still open.
 func (c *conn) alive() bool { return c.quic.Context().Err() == nil }
 
-// serve reads all that the peer sends until the connection ends.
+// serve reads the peer's messages, calls and datagrams until the connection ends.
 func (c *conn) serve() {
 	t := c.remote.t
 	var readers sync.WaitGroup
@@ -57,7 +57,8 @@
 	c.remote.connEnded(c, err)
 }
 
-// errorText is cut to what fits a QUIC close frame.
+// errorText returns the error's text, truncated to fit in a QUIC CONNECTION_CLOSE
+// frame.
 func errorText(err error) string {
 	const longest = 200
 	if err == nil {
@@ -67,7 +68,7 @@
 	return text[:min(len(text), longest)]
 }
 
-// greet opens the one-way stream and sends the hello on it.
+// sendHello opens the one-way stream and sends the hello on it.
 func (c *conn) sendHello() error {
 	t := c.remote.t
 	ctx, cancel := context.WithTimeout(c.quic.Context(), t.cfg.DialTimeout)
@@ -82,15 +83,15 @@
 	if t.faults.drops(c.remote.name) {
 		return nil
 	}
-	greeting, err := Encode(hello{Version: helloVersion, Incarnation: t.cfg.Self.Incarnation})
+	encoded, err := Encode(hello{Version: helloVersion, Incarnation: t.cfg.Self.Incarnation})
 	if err != nil {
 		return err
 	}
-	return c.write(greeting)
+	return c.write(encoded)
 }
 
-// write sends bytes on the one-way stream. It waits for a peer that is slow to
-// read, up to the write timeout.
+// write sends data on the one-way stream. It blocks while the peer is slow to read,
+// for at most the write timeout.
 func (c *conn) write(data []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -109,11 +110,11 @@
 		return err
 	}
 	reader := newFrameReader(stream, t.cfg.MaxMessage)
-	var greeting hello
-	if _, err := reader.next(&greeting); err != nil {
+	var peerHello hello
+	if _, err := reader.next(&peerHello); err != nil {
 		return err
 	}
-	c.incarnation = greeting.Incarnation
+	c.incarnation = peerHello.Incarnation
 	c.remote.helloReceived(c)
 	for {
 		var f frame
@@ -126,7 +127,8 @@
 	}
 }
 
-// drop takes a connection that has ended off the list and keeps its counts.
+// removeConn removes a closed connection and adds its packets to the total of
+// closed connections.
 func (t *Transport) removeConn(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -10,20 +10,20 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// datagramRingSize is how many datagrams may wait for one peer; the oldest go
-// first.
+// datagramRingSize is the number of datagrams that can be queued for one peer; when
+// the ring is full the oldest is dropped.
 const datagramRingSize = 64
 
-// datagramHead is the kind, one byte before the body.
+// datagramHeaderSize is the size of the header, in bytes: the kind.
 const datagramHeaderSize = 1
 
-// MaxDatagram bounds the body of a datagram, in bytes, so that it fits the
+// MaxDatagram is the maximum size of a datagram's body, in bytes. It fits into the
 // smallest QUIC packet.
 const MaxDatagram = 1100
 
-// Datagram sends a message that may be lost or reordered and is never repeated.
-// It does not wait: without a connection it asks for one and gives
-// ErrNotConnected.
+// Datagram sends a message that may be lost or reordered and is never
+// retransmitted. It does not block: without a connection it requests one and
+// returns ErrNotConnected.
 func (t *Transport) Datagram(to id.Daemon, kind Kind, msg any) error {
 	r, err := t.find(to)
 	if err != nil {
@@ -34,7 +34,7 @@
 		return err
 	}
 	if len(body) > MaxDatagram {
-		return eris.Wrapf(ErrTooLarge, "peer %s: datagram %T of %d bytes, bound %d", to, msg, len(body), MaxDatagram)
+		return eris.Wrapf(ErrTooLarge, "peer %s: datagram %T of %d bytes exceeds the limit of %d", to, msg, len(body), MaxDatagram)
 	}
 	if t.faults.drops(to) {
 		t.traffic.countLost(kind)
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// startDatagrams starts the peer's sender of datagrams on first use.
+// startDatagrams starts the goroutine that sends the peer's datagrams, on first
+// use.
 func (r *remote) startDatagrams() {
 	r.mu.Lock()
 	started := r.datagramSenderStarted
@@ -86,8 +87,8 @@
 	t.traffic.countSent(item.kind, len(packet))
 }
 
-// reportDatagram tells of datagrams that do not fit the path; other errors mean
-// that the connection is gone, which is reported elsewhere.
+// reportDatagramError reports datagrams that exceed the path's packet size. Other
+// errors mean that the connection has ended, which connEnded reports.
 func (r *remote) reportDatagramError(err error) {
 	var tooLarge *quic.DatagramTooLargeError
 	if errors.As(err, &tooLarge) {
--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -9,8 +9,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// giveWayTime is long against a handshake between hosts, and short against
-// the time for which a message may wait.
+// dialDeferral is how long a daemon leaves the dial to a peer with a lower name. It
+// is longer than a handshake between hosts, and shorter than the time for which a
+// message may wait.
 const dialDeferral = 50 * time.Millisecond
 
 func (r *remote) notifyWaitersLocked(o dialResult) {
@@ -20,20 +21,19 @@
 	r.waiters = nil
 }
 
-// connection returns the live connection, or waits for the outcome of the next
-// dial.
+// connection returns the live connection, or waits for the result of the next dial.
 func (r *remote) connection(ctx context.Context) (*conn, error) {
 	r.mu.Lock()
 	if c := r.liveLocked(); c != nil {
 		r.mu.Unlock()
 		return c, nil
 	}
-	answer := make(chan dialResult, 1)
-	r.waiters = append(r.waiters, answer)
+	result := make(chan dialResult, 1)
+	r.waiters = append(r.waiters, result)
 	r.mu.Unlock()
 	signal(r.dialRequested)
 	select {
-	case o := <-answer:
+	case o := <-result:
 		return o.conn, o.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -42,20 +42,19 @@
 	}
 }
 
-// connect returns the live connection, or dials once. After a dial that failed
-// it first waits, with backoff and jitter. It returns nil when there is no
-// connection.
+// connect returns the live connection, or dials once. After a failed dial it first
+// waits, with backoff and jitter. It returns nil if there is no connection.
 func (r *remote) connect() *conn {
 	if c := r.live(); c != nil {
 		return c
 	}
 	r.waitBackoff()
 	r.deferDial()
-	leave, ok := r.acquireDialSlot()
+	release, ok := r.acquireDialSlot()
 	if !ok {
 		return r.live()
 	}
-	defer leave()
+	defer release()
 	if err := r.dial(); err != nil {
 		r.nextDial = time.Now().Add(r.backoff.NextBackOff())
 		r.mu.Lock()
@@ -68,8 +67,8 @@
 	return r.live()
 }
 
-// rest waits for the time of the next dial, or until a connection or an
-// address has come.
+// waitBackoff waits until the next dial is allowed, or until there is a connection
+// or a new address.
 func (r *remote) waitBackoff() {
 	wait := time.Until(r.nextDial)
 	if wait <= 0 {
@@ -84,8 +83,8 @@
 	}
 }
 
-// giveWay lets a peer with a lower name dial first, as two daemons that begin
-// to talk at the same time would else keep two connections.
+// deferDial lets a peer with a lower name dial first. Otherwise two daemons that
+// start to communicate at the same time would keep two connections.
 func (r *remote) deferDial() {
 	if r.name > r.t.cfg.Self.Daemon {
 		return
@@ -103,19 +102,19 @@
 	}
 }
 
-// enterDial waits for this peer's turn to be dialled; ok is false where a
-// connection has come meanwhile, or the peer is closed. leave ends the turn.
+// acquireDialSlot waits for a dial slot; ok is false if a connection was made in
+// the meantime or the peer is closed. release frees the slot.
 //
-// Where all daemons of a fleet start at once, each dials many others. All at the
-// same time they take longer than a dial may, so that what was spent on them is
-// thrown away and they are dialled once more.
-func (r *remote) acquireDialSlot() (leave func(), ok bool) {
+// If all daemons of a fleet start at once, each dials many others. Without a limit
+// the concurrent handshakes take longer than the dial timeout, so that their work
+// is wasted and the peers are dialled again.
+func (r *remote) acquireDialSlot() (release func(), ok bool) {
 	for r.live() == nil {
 		select {
 		case r.t.dialSlots <- struct{}{}:
 			if r.t.ctx.Err() != nil {
-				// A dial that the end of the transport ended gave its turn back; this
-				// peer's own context may end a moment later.
+				// A dial that was cancelled by the transport's end released its
+				// slot; this peer's own context may be cancelled slightly later.
 				<-r.t.dialSlots
 				return nil, false
 			}
@@ -128,7 +127,8 @@
 	return nil, false
 }
 
-// dialTurn returns what ends a turn that was given; it ends by itself, too.
+// dialSlotRelease returns a function that releases the dial slot. The slot is also
+// released after DialSlotTimeout.
 func (r *remote) dialSlotRelease() func() {
 	end := sync.OnceFunc(func() { <-r.t.dialSlots })
 	timer := time.AfterFunc(r.t.cfg.DialSlotTimeout, end)
--- a/daemon/peer/dial_limit_test.go
+++ b/daemon/peer/dial_limit_test.go
@@ -12,8 +12,8 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// silence listens and never answers, as a host that is gone or has no processor
-// time to spare.
+// silentPeer receives packets and never answers, like a host that is down or has no
+// processor time left.
 type silentPeer struct {
 	address string
 	dialled atomic.Bool
@@ -41,8 +41,8 @@
 	return s
 }
 
-// dialAll has a daemon want a connection to each of n silent peers and returns
-// once so many have been dialled.
+// dialAll starts a daemon that needs a connection to each of n silent peers, and
+// returns once the number of dialled peers is until.
 func dialAll(t *testing.T, n, until int, change func(*Config)) []*silentPeer {
 	t.Helper()
 	is := is.New(t)
@@ -54,7 +54,7 @@
 		peers = append(peers, s)
 		name := id.Daemon(fmt.Sprintf("e%d", i))
 		is.NoErr(transport.SetPeer(name, s.address))
-		is.True(transport.Datagram(name, kindNote, "x") != nil) // wanted, not there yet
+		is.True(transport.Datagram(name, kindNote, "x") != nil) // requests a connection; not connected yet
 	}
 	ctx := testContext(t)
 	for range until {
@@ -68,13 +68,13 @@
 	return peers
 }
 
-// Where all daemons of a fleet started at once, each dialled all others at the
-// same time. On four processors the handshakes of 60 took longer than a dial may,
-// were thrown away and begun once more; 2,381 of 4,456 connections that were
-// accepted had been given up by the dialler, and the mesh was whole after 12 s and
-// 47 s of processor time. What showed it are the lines of connections that came
-// and went (event=peer_connected origin=accepted, event=peer_disconnected) and a
-// profile with 42 in 100 in handshakes.
+// TestConcurrentDialsAreBounded guards against a dial storm: when all daemons of a
+// fleet started at once, each dialled all others at the same time. With 60 daemons
+// on four processors the handshakes took longer than the dial timeout and were
+// repeated: the dialler had given up 2,381 of 4,456 accepted connections, and the
+// mesh was complete after 12 s and 47 s of processor time. The failure shows as
+// lines event=peer_connected origin=accepted followed by event=peer_disconnected,
+// and as handshakes that take 42% of a processor profile.
 func TestConcurrentDialsAreBounded(t *testing.T) {
 	is := is.New(t)
 	peers := dialAll(t, 40, DefaultMaxConcurrentDials, func(c *Config) {
@@ -90,8 +90,7 @@
 	is.Equal(dialled, DefaultMaxConcurrentDials)
 }
 
-// TestPeersThatAreGoneHoldNobodyUp: of those that give no answer, each makes room
-// for the next long before its dial ends.
+// Each dial to an unreachable peer releases its slot long before the dial ends.
 func TestUnreachablePeersDoNotBlockOtherDials(t *testing.T) {
 	dialAll(t, 40, 40, func(c *Config) {
 		c.DialTimeout = time.Hour
--- a/daemon/peer/fault.go
+++ b/daemon/peer/fault.go
@@ -8,25 +8,26 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Drop says what a fault does to outgoing traffic.
+// Drop is whether a fault drops outgoing traffic.
 type Drop bool
 
-// The outcomes of a fault.
+// The values of Drop.
 const (
 	// Pass lets the traffic through.
 	Pass Drop = false
-	// Lose drops it without telling the sender.
+	// Lose drops it without an error to the sender.
 	Lose Drop = true
 )
 
-// faults holds the hooks of tests and experiments.
+// faults holds the fault injection hooks of tests and experiments.
 type faults struct {
 	drop  atomic.Pointer[func(id.Daemon) Drop]
 	delay atomic.Pointer[func(id.Daemon) time.Duration]
 }
 
-// SetFault drops outgoing messages, calls, answers, datagrams and new dials to
-// the chosen peers: one-way loss. What they send still arrives. nil ends it.
+// SetFault drops outgoing messages, calls, answers, datagrams and new dials to the
+// peers for which drop returns Lose. The loss is one-way: traffic from these peers
+// still arrives. A nil drop ends it.
 func (t *Transport) SetFault(drop func(to id.Daemon) Drop) {
 	if drop == nil {
 		t.faults.drop.Store(nil)
@@ -35,7 +36,7 @@
 	t.faults.drop.Store(&drop)
 }
 
-// SetDelay adds one-way latency to everything sent to a peer. nil ends it.
+// SetDelay adds one-way latency to all traffic to a peer. A nil delay ends it.
 func (t *Transport) SetDelay(delay func(to id.Daemon) time.Duration) {
 	if delay == nil {
 		t.faults.delay.Store(nil)
@@ -57,7 +58,7 @@
 	return (*delay)(to)
 }
 
-// pause waits for d; it returns false when ctx ends first.
+// pause waits for d; it returns false if ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(testContext(t))
 	failed := make(chan error, 1)
 	go func() { failed <- b.Call(ctx, "a", kindHang, "x", nil) }()
-	<-atA.hanging // the call arrives, its answer would not
+	<-atA.hanging // the call arrives; its answer would be dropped
 	cancel()
 	is.Equal(verdict.Of(<-failed), verdict.MayHaveRun)
 
@@ -74,7 +74,8 @@
 	old, _ := f.listen("b", nil)
 	is.NoErr(old.SetPeer("a", a.Address()))
 	callUntilConnected(t, old, "a")
-	// The old process is still there, as if paused, when its successor comes.
+	// The old process still runs, for instance after a pause, when its successor
+	// connects.
 	successor, atSuccessor := f.listen("b", func(c *Config) { c.Self.Incarnation = 2 })
 	is.NoErr(successor.SetPeer("a", a.Address()))
 	callUntilConnected(t, successor, "a")
@@ -88,12 +89,12 @@
 	f, foreign := newFleet(t), newFleet(t)
 	short := func(c *Config) { c.DialTimeout = 300 * time.Millisecond }
 	a, _ := f.listen("a", nil)
-	stranger, _ := foreign.listen("b", short)
-	is.NoErr(stranger.SetPeer("a", a.Address()))
-	is.Equal(verdict.Of(stranger.Call(testContext(t), "a", kindEcho, "x", nil)), verdict.NotRun)
+	untrusted, _ := foreign.listen("b", short)
+	is.NoErr(untrusted.SetPeer("a", a.Address()))
+	is.Equal(verdict.Of(untrusted.Call(testContext(t), "a", kindEcho, "x", nil)), verdict.NotRun)
 	is.Equal(len(a.Peers()), 0)
 
-	// A daemon that answers under another name is refused too.
+	// A daemon that presents a certificate for another name is refused too.
 	c, _ := f.listen("c", short)
 	is.NoErr(c.SetPeer("b", a.Address()))
 	is.Equal(verdict.Of(c.Call(testContext(t), "b", kindEcho, "x", nil)), verdict.NotRun)
@@ -103,7 +104,7 @@
 	is := is.New(t)
 	f := newFleet(t)
 	a, _ := f.listen("a", func(c *Config) { c.RingSize = 4 })
-	is.NoErr(a.SetPeer("b", "")) // without an address nothing is taken off the ring for long
+	is.NoErr(a.SetPeer("b", "")) // without an address there is no connection, so the ring fills up
 	var err error
 	for range 64 {
 		if err = a.Send("b", kindNote, "x"); err != nil {
@@ -125,7 +126,7 @@
 	began := time.Now()
 	is.NoErr(a.Send("b", kindNote, "late"))
 	is.Equal(next(t, atB.notes).text, "late")
-	is.True(time.Since(began) >= delay) // a lower bound holds however slow the run
+	is.True(time.Since(began) >= delay) // a lower bound holds on a slow machine too
 	ctx := testContext(t)
 	for len(atB.datagrams) == 0 && ctx.Err() == nil {
 		is.NoErr(a.Datagram("b", kindNote, "datagram"))
@@ -155,8 +156,8 @@
 	b, _ := f.listen("b", func(c *Config) { c.Registry = registry })
 	is.NoErr(a.SetPeer("b", b.Address()))
 	is.Equal(verdict.Of(a.Call(testContext(t), "b", kindPanic, "x", nil)), verdict.MayHaveRun)
-	callUntilConnected(t, a, "b") // the connection goes on
-	b.Close()                     // waits for the worker, which counts its panic
+	callUntilConnected(t, a, "b") // the connection stays open
+	b.Close()                     // waits for the worker, which counts the panic
 	is.Equal(registry.Violations(), uint64(1))
 }
 
@@ -206,11 +207,10 @@
 	is.NoErr(a.SetPeer("b", b.Address()))
 	callUntilConnected(t, a, "b")
 	waitDisconnected(t, a, 1)
-	callUntilConnected(t, a, "b") // made again on use
+	callUntilConnected(t, a, "b") // connects again on use
 }
 
-// TestAPeerIsConnectedToOnUseAndForgottenAfter: in a large fleet a daemon must not
-// hold something for each other one.
+// In a large fleet a daemon must not hold state for every other daemon.
 func TestResolvedPeerIsConnectedOnUseAndRemovedWhenUnused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -224,25 +224,25 @@
 		}
 	})
 	is.True(errors.Is(a.Send("c", kindNote, "x"), ErrUnknownPeer))
-	is.NoErr(a.Send("b", kindNote, "hello")) // nobody has set b
+	is.NoErr(a.Send("b", kindNote, "hello")) // SetPeer was not called for b
 	is.Equal(next(t, atB.notes).text, "hello")
 
 	later := time.Now().Add(time.Hour)
 	a.removeUnusedBefore(later)
-	is.Equal(len(a.Peers()), 1) // it is connected
+	is.Equal(len(a.Peers()), 1) // kept: still connected
 	for _, c := range a.connections() {
 		c.close(codeClosed, "test")
 	}
 	waitDisconnected(t, a, 1)
 	a.removeUnusedBefore(time.Now().Add(-time.Hour))
-	is.Equal(len(a.Peers()), 1) // it was used
+	is.Equal(len(a.Peers()), 1) // kept: used since then
 	a.removeUnusedBefore(later)
 	is.Equal(len(a.Peers()), 0)
 	is.NoErr(a.Send("b", kindNote, "again"))
 	is.Equal(next(t, atB.notes).text, "again")
 }
 
-// connections lists the open connections.
+// connections returns the open connections.
 func (t *Transport) connections() []*conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -20,7 +20,7 @@
 	kindPanic
 )
 
-// testBound ends a test that would wait for ever; no verdict depends on it.
+// testBound fails a test that would otherwise hang; no result depends on it.
 const testBound = 30 * time.Second
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	text string
 }
 
-// recorder is a Handler that keeps what it gets.
+// recorder is a Handler that records what it receives.
 type recorder struct {
 	notes     chan received
 	datagrams chan received
@@ -60,7 +60,7 @@
 func (r *recorder) HandleCall(ctx context.Context, _ id.Daemon, kind Kind, body []byte) ([]byte, error) {
 	switch kind {
 	case kindFail:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "no room").WithRetryAfter(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "handler is overloaded").WithRetryAfter(time.Second)
 	case kindHang:
 		r.hanging <- struct{}{}
 		<-ctx.Done()
@@ -81,7 +81,7 @@
 	return text
 }
 
-// fleet makes transports that trust one another.
+// fleet creates transports with certificates of one CA.
 type fleet struct {
 	t  testing.TB
 	ca *keys.DevCA
@@ -138,7 +138,8 @@
 	}
 }
 
-// callUntilUp calls until the peer is reached; a peer may need a few dials.
+// callUntilConnected calls the peer until a call succeeds; the connection may need
+// several dials.
 func callUntilConnected(t testing.TB, from *Transport, to id.Daemon) {
 	t.Helper()
 	ctx := testContext(t)
@@ -149,12 +150,13 @@
 			return
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("%s never reached %s: %v", from.Self(), to, err)
+			t.Fatalf("%s could not reach %s: %v", from.Self(), to, err)
 		}
 	}
 }
 
-// waitDisconnected waits until as many of the transport's connections have ended.
+// waitDisconnected waits until the given number of the transport's connections have
+// ended.
 func waitDisconnected(t *testing.T, tr *Transport, ended int) {
 	t.Helper()
 	ctx := testContext(t)
--- a/daemon/peer/frame.go
+++ b/daemon/peer/frame.go
@@ -9,10 +9,10 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// frameOverhead bounds what a frame adds to its body, in bytes.
+// frameOverhead is the maximum size that a frame adds to its body, in bytes.
 const frameOverhead = 16
 
-// helloVersion is the version of the frames on a connection.
+// helloVersion is the version of the frame format.
 const helloVersion = 1
 
 // hello is the first item on a one-way stream.
@@ -22,15 +22,15 @@
 	Incarnation id.Incarnation
 }
 
-// frame is one message. The body is a byte string, so that finding its end
-// needs no look inside.
+// frame is one message. The body is a byte string, so that the end of a frame is
+// found without decoding the body.
 type frame struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
 	Body []byte
 }
 
-// Encode gives the CBOR of a message, as Send does.
+// Encode returns the CBOR encoding of a message, as Send uses it.
 func Encode(msg any) ([]byte, error) {
 	body, err := cbor.Marshal(msg)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return body, nil
 }
 
-// Decode reads a body into the message that msg points to.
+// Decode decodes a body into the message that msg points to.
 func Decode(body []byte, msg any) error {
 	if err := cbor.Unmarshal(body, msg); err != nil {
 		return eris.Wrapf(err, "peer: decode %T", msg)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// frameReader reads a sequence of items, each of a bounded size.
+// frameReader reads a sequence of CBOR items, each of a bounded size.
 type frameReader struct {
 	limited *io.LimitedReader
 	decoder *cbor.Decoder
@@ -63,8 +63,8 @@
 	}
 }
 
-// next reads one item and gives its size in bytes. A sender that goes over the
-// bound gets ErrTooLarge: the decoder has then taken at most twice the bound.
+// next reads one item and returns its size in bytes. It returns ErrTooLarge for an
+// item over the limit; the decoder has then read at most twice the limit.
 func (f *frameReader) next(item any) (int, error) {
 	f.limited.N = f.limit
 	before := f.decoder.NumBytesRead()
@@ -73,12 +73,12 @@
 		return f.decoder.NumBytesRead() - before, nil
 	}
 	if f.limited.N <= 0 {
-		return 0, eris.Wrapf(ErrTooLarge, "item over %d bytes", f.limit)
+		return 0, eris.Wrapf(ErrTooLarge, "item exceeds %d bytes", f.limit)
 	}
 	return 0, err
 }
 
-// readBounded reads r to its end.
+// readBounded reads r to its end. It returns ErrTooLarge if that exceeds the limit.
 func readBounded(r io.Reader, maxMessage int) ([]byte, error) {
 	limit := int64(maxMessage + frameOverhead)
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
--- a/daemon/peer/fuzz_test.go
+++ b/daemon/peer/fuzz_test.go
@@ -17,8 +17,8 @@
 	return data
 }
 
-// FuzzFrames: whatever a peer sends on a one-way stream, each frame that is
-// read is within the bound and no byte is read twice.
+// FuzzFrames checks that for any input on a one-way stream each frame is within the
+// size limit and no byte is read twice.
 func FuzzFrames(f *testing.F) {
 	first := encoded(f, hello{Version: helloVersion, Incarnation: 9})
 	one := encoded(f, frame{Kind: 1, Body: []byte("abc")})
@@ -30,15 +30,15 @@
 	f.Add(bytes.Repeat([]byte{0x81}, 64))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newFrameReader(bytes.NewReader(data), fuzzMessage)
-		var greeting hello
-		read, err := r.next(&greeting)
+		var peerHello hello
+		read, err := r.next(&peerHello)
 		for err == nil {
 			var item frame
 			var n int
 			n, err = r.next(&item)
 			read += n
 			if err == nil && (n < 1 || len(item.Body) > fuzzMessage+frameOverhead) {
-				t.Fatalf("a frame of %d bytes with a body of %d", n, len(item.Body))
+				t.Fatalf("frame of %d bytes with a body of %d bytes", n, len(item.Body))
 			}
 		}
 		if read > len(data) {
@@ -47,8 +47,8 @@
 	})
 }
 
-// FuzzCall: whatever comes on a call's stream, a request or an answer, is
-// bounded; a failure has a verdict that callers can rely on.
+// FuzzCall checks that the size of any input on a call's stream, request or answer,
+// is bounded, and that the error of a failure has a valid verdict.
 func FuzzCall(f *testing.F) {
 	f.Add(encoded(f, frame{Kind: 1, Body: []byte("q")}))
 	f.Add(encoded(f, answer{Body: []byte{0x61, 'x'}}))
@@ -65,7 +65,7 @@
 		var text string
 		err = readAnswer("d2", whole, &text)
 		if v := verdict.Of(err); err != nil && (v < verdict.NotRun || v > verdict.Ran) {
-			t.Fatalf("an answer with verdict %d: %v", v, err)
+			t.Fatalf("answer with invalid verdict %d: %v", v, err)
 		}
 	})
 }
--- a/daemon/peer/peer.go
+++ b/daemon/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between daemons over QUIC with mutual TLS:
-// one-way messages in order, calls with an answer, and datagrams. Bodies are
-// CBOR. It delivers at most once; what must arrive is repeated by its sender.
+// Package peer carries messages between daemons over QUIC with mutual TLS: ordered
+// one-way messages, calls with an answer, and datagrams. Bodies are CBOR. Messages
+// are delivered at most once; a sender that needs delivery has to retry.
 package peer
 
 import (
@@ -16,37 +16,39 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// ALPN names the protocol between daemons in the TLS handshake.
+// ALPN is the TLS protocol name of the protocol between daemons.
 const ALPN = "samphirequay-peer/1"
 
-// Kind tells the handler what a body holds. Kinds of one-way messages, calls
-// and datagrams share one number space.
+// Kind is the type of a message's body. Kinds of one-way messages, calls and
+// datagrams share one number space.
 type Kind uint8
 
-// Handler takes what peers send. Its methods are called from several
-// goroutines; one-way messages of one connection come in order, one at a time.
-// Bodies are the handler's to keep; Decode reads them.
+// Handler handles the messages of peers. Its methods are called from several
+// goroutines; the one-way messages of one connection are handled in order, one at a
+// time. The handler owns the bodies and decodes them with Decode.
 type Handler interface {
-	// HandleOneWay must return quickly: later messages of that peer wait.
+	// HandleOneWay must return quickly: it blocks later messages of that peer.
 	HandleOneWay(from id.Daemon, kind Kind, body []byte)
-	// HandleCall answers a call. ctx ends when the caller gives up. An error
-	// that holds a *verdict.Error reaches the caller with its verdict.
+	// HandleCall answers a call. ctx ends when the caller cancels the call. An
+	// error that wraps a *verdict.Error is sent to the caller with its verdict.
 	HandleCall(ctx context.Context, from id.Daemon, kind Kind, body []byte) ([]byte, error)
 	// HandleDatagram must return quickly. Datagrams may be lost or reordered.
 	HandleDatagram(from id.Daemon, kind Kind, body []byte)
 }
 
-// Errors that Send, Call and Datagram give, wrapped with the peer's name.
+// Errors of Send, Call and Datagram, wrapped with the peer's name.
 var (
-	// ErrUnknownPeer: the daemon was never set as a peer, nor has it connected.
+	// ErrUnknownPeer: the daemon is neither set as a peer nor connected, and its
+	// address is not known.
 	ErrUnknownPeer = eris.New("unknown peer")
-	// ErrRingFull: too many messages wait for the peer; this one was not sent.
+	// ErrRingFull: too many messages are queued for the peer; this one was not
+	// sent.
 	ErrRingFull = eris.New("outgoing ring full")
-	// ErrTooLarge: the message is over the bound; it was not sent.
+	// ErrTooLarge: the message exceeds the size limit; it was not sent.
 	ErrTooLarge = eris.New("message too large")
-	// ErrNotConnected: a datagram found no connection; it was not sent.
+	// ErrNotConnected: there is no connection for a datagram; it was not sent.
 	ErrNotConnected = eris.New("not connected")
-	// ErrTooManyPeers: the bound on peers is reached.
+	// ErrTooManyPeers: the maximum number of peers is reached.
 	ErrTooManyPeers = eris.New("too many peers")
 	// ErrClosed: the transport is closed.
 	ErrClosed = eris.New("transport closed")
@@ -65,63 +67,69 @@
 	DefaultCallWorkers  = 512
 	DefaultMaxPeers     = 1024
 	DefaultWriteTimeout = 5 * time.Second
-	// DefaultDialsAtOnce and DefaultDialTurn: each handshake costs processor time at
-	// either end, and where many daemons start together those that take too long are
-	// thrown away and begun again.
+	// DefaultMaxConcurrentDials and DefaultDialSlotTimeout limit concurrent
+	// handshakes. Each handshake costs processor time at both ends; if many daemons
+	// start together, handshakes that exceed the dial timeout are discarded and
+	// repeated.
 	DefaultMaxConcurrentDials = 4
 	DefaultDialSlotTimeout    = 500 * time.Millisecond
 )
 
 // Config of a Transport.
 type Config struct {
-	// Self is this process; its daemon name must be the one in the certificate.
+	// Self is this process. Its daemon name must be that of the certificate.
 	Self id.Process
-	// Listen is the UDP address, IP:port; port 0 takes a free one.
+	// Listen is the UDP address, IP:port; port 0 selects a free port.
 	Listen string
-	// Keys holds the certificates of mutual TLS.
+	// Keys holds the certificates for mutual TLS.
 	Keys *keys.Store
-	// Handler takes what peers send.
+	// Handler handles the messages of peers.
 	Handler Handler
-	// KindName names kinds in metrics. Default "kind-N".
+	// KindName returns the name of a kind in metrics. Default "kind-N".
 	KindName func(Kind) string
-	// Registry takes the metrics.
+	// Registry registers the metrics.
 	Registry *metrics.Registry
-	// Address gives the address of a daemon that was not set as a peer, empty if it
-	// is not known; may be nil. Such a peer is connected to on use, and forgotten
-	// once it was not used for a while: a daemon then holds as much as it talks to
-	// others, however many there are.
+	// Address returns the address of a daemon that was not set as a peer, or an
+	// empty string if it is not known; may be nil. Such a peer is connected on use
+	// and removed after it was unused for a while, so that a daemon's memory
+	// depends on the number of peers it communicates with and not on the size of
+	// the fleet.
 	Address func(name id.Daemon) string
-	// Report is told of connections that begin and end; may be nil.
+	// Report receives events of connections that begin and end, and of datagrams
+	// that exceed the path's packet size; may be nil.
 	Report func(event string, kv ...any)
 
-	// RingSize is how many one-way messages may wait for one peer.
+	// RingSize is the number of one-way messages that can be queued for one peer.
 	RingSize int
-	// MaxMessage bounds the body of one message, in bytes.
+	// MaxMessage is the maximum size of a message's body, in bytes.
 	MaxMessage int
-	// MaxAge is how long a one-way message may wait for a connection before it is dropped.
+	// MaxAge is how long a one-way message can wait for a connection before it is
+	// dropped.
 	MaxAge time.Duration
-	// Keepalive is the time between keepalive packets on an idle connection.
-	// Negative sends none: connections that are not used then end after
-	// IdleTimeout, and are made again on use. That is cheaper where each daemon
-	// talks to a few others at a time.
+	// Keepalive is the interval between keepalive packets on an idle connection. A
+	// negative value disables them: unused connections then end after IdleTimeout
+	// and are made again on use, which costs less if each daemon communicates with
+	// few others at a time.
 	Keepalive time.Duration
-	// IdleTimeout is after how much silence a connection is given up.
+	// IdleTimeout is how long a connection may receive nothing before it is closed.
 	IdleTimeout time.Duration
-	// DialTimeout bounds one dial, hello included.
+	// DialTimeout bounds one dial, including the peer's hello.
 	DialTimeout time.Duration
-	// DialsAtOnce bounds the dials that are under way at once, and DialTurn is
-	// after how long one makes room for the next, ended or not: a peer that is gone
-	// gives no answer up to DialTimeout.
+	// MaxConcurrentDials is the maximum number of dial slots in use. A dial that
+	// has not ended after DialSlotTimeout releases its slot and goes on, because a
+	// dial to an unreachable peer lasts up to DialTimeout.
 	MaxConcurrentDials int
 	DialSlotTimeout    time.Duration
-	// WriteTimeout is how long a peer may leave its one-way stream unread
-	// before the connection is given up.
+	// WriteTimeout is how long a write on the one-way stream may block on a peer
+	// that does not read before the connection is closed. It also bounds the
+	// reading of a call's request.
 	WriteTimeout time.Duration
-	// BackoffMin and BackoffMax bound the time between dials; jitter is added.
+	// BackoffMin and BackoffMax bound the backoff between dials; jitter is added.
 	BackoffMin, BackoffMax time.Duration
-	// CallWorkers bounds the incoming calls that run at once.
+	// CallWorkers is the maximum number of incoming calls that run concurrently.
 	CallWorkers int
-	// MaxPeers bounds the peers, set ones and those that connect by themselves.
+	// MaxPeers is the maximum number of peers, both those that were set and those
+	// that connected to this daemon.
 	MaxPeers int
 }
 
--- a/daemon/peer/peer_test.go
+++ b/daemon/peer/peer_test.go
@@ -62,7 +62,7 @@
 	is.Equal(failed.Code, verdict.CodeOverloaded)
 	is.Equal(failed.RetryAfter, time.Second)
 
-	is.NoErr(b.Call(ctx, "a", kindEcho, "back", &echo)) // over a's connection: b has no address for a
+	is.NoErr(b.Call(ctx, "a", kindEcho, "back", &echo)) // over the connection that a opened: b has no address for a
 	is.Equal(echo, "back")
 }
 
@@ -109,7 +109,7 @@
 	is.True(errors.Is(err, ErrTooLarge))
 	is.Equal(verdict.Of(err), verdict.NotRun)
 
-	// A sender with a larger bound does not get past the receiver's.
+	// The receiver enforces its own limit on a sender with a larger one.
 	var refused *verdict.Error
 	is.True(errors.As(a.Call(testContext(t), "b", kindEcho, over, nil), &refused))
 	is.Equal(refused.Verdict, verdict.NotRun)
--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -8,8 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// SetPeer adds a peer or changes its address. The connection is made when
-// something is to be sent.
+// SetPeer adds a peer or changes its address. The connection is made on first use.
 func (t *Transport) SetPeer(name id.Daemon, address string) error {
 	if name == t.cfg.Self.Daemon {
 		return eris.Errorf("peer: %s is this daemon itself", name)
@@ -24,7 +23,7 @@
 	return nil
 }
 
-// RemovePeer forgets a peer, closes its connections and drops what waits for it.
+// RemovePeer removes a peer, closes its connections and drops its queued messages.
 func (t *Transport) RemovePeer(name id.Daemon) {
 	t.mu.Lock()
 	r := t.remotes[name]
@@ -35,14 +34,14 @@
 	}
 }
 
-// PeerState is what the transport knows of one peer.
+// PeerState is the transport's view of one peer.
 type PeerState struct {
 	Process   id.Process
 	Address   string
 	Connected bool
 }
 
-// Peers lists the peers, in no order.
+// Peers returns the peers in unspecified order.
 func (t *Transport) Peers() []PeerState {
 	t.mu.Lock()
 	remotes := make([]*remote, 0, len(t.remotes))
@@ -57,8 +56,8 @@
 	return states
 }
 
-// remoteFor returns the peer of that name, adding it without an address if it
-// is new.
+// remoteFor returns the peer of that name and adds it without an address if it is
+// new.
 func (t *Transport) remoteFor(name id.Daemon) (*remote, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +80,7 @@
 	return r, nil
 }
 
-// forget drops a peer that was never set and has no connection left.
+// removeIfUnset removes a peer that was never set and has no connection left.
 func (t *Transport) removeIfUnset(r *remote) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +104,7 @@
 	return r, nil
 }
 
-// lookUpLocked adds a peer whose address is known elsewhere.
+// resolveLocked adds a peer whose address Config.Address returns.
 func (t *Transport) resolveLocked(name id.Daemon) (*remote, error) {
 	address := ""
 	if t.cfg.Address != nil && name != t.cfg.Self.Daemon {
@@ -122,16 +121,16 @@
 	return r, nil
 }
 
-// Bounds of what is kept of peers that are not talked to.
+// Removal of unused peers.
 const (
-	// forgetUnused is how long a peer without a connection may be unused, and
-	// forgetLook how often unused ones are looked for.
+	// unusedPeerTTL is how long a peer without a connection is kept after its last
+	// use, and unusedPeerScanInterval the interval between scans for such peers.
 	unusedPeerTTL          = 15 * time.Second
 	unusedPeerScanInterval = 5 * time.Second
 )
 
-// forgetUnusedPeers drops peers that were not used for a while and are not
-// connected, until the transport is closed.
+// removeUnusedPeers periodically removes peers that are unused and not connected,
+// until the transport is closed.
 func (t *Transport) removeUnusedPeers() {
 	ticker := time.NewTicker(unusedPeerScanInterval)
 	defer ticker.Stop()
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -13,22 +13,22 @@
 	"github.com/samphirequay/samphirequay/daemon/ring"
 )
 
-// remote is one peer: its connections and what waits to be sent to it.
+// remote is one peer: its connections and its outgoing queues.
 type remote struct {
 	t    *Transport
 	name id.Daemon
 
 	messages  *ring.Ring[*outgoing]
 	datagrams *ring.Ring[*outgoing]
-	// wanted asks for a connection; changed tells a waiting dialler that a
-	// connection or an address has come.
+	// dialRequested requests a connection; changed signals a waiting dialler that
+	// there is a new connection or address.
 	dialRequested chan struct{}
 	changed       chan struct{}
 
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// backoff and notBefore belong to the goroutine that dials.
+	// backoff and nextDial are used only by the goroutine that dials.
 	backoff  *backoff.ExponentialBackOff
 	nextDial time.Time
 
@@ -40,12 +40,11 @@
 	waiters               []chan dialResult
 	datagramSenderStarted bool
 
-	// usedAt is when something was last to be sent to the peer, in Unix
-	// nanoseconds.
+	// lastUsed is the time of the last send to the peer, in Unix nanoseconds.
 	lastUsed atomic.Int64
 }
 
-// outcome of waiting for a connection.
+// dialResult is sent to callers that wait for a connection.
 type dialResult struct {
 	conn *conn
 	err  error
@@ -69,18 +68,18 @@
 	return r
 }
 
-// used notes that something is to be sent to the peer.
+// touch records the time at which something is sent to the peer.
 func (r *remote) touch() { r.lastUsed.Store(time.Now().UnixNano()) }
 
-// unusedSince says whether the peer has no connection, and nothing was to be
-// sent to it since then.
+// unusedSince reports whether the peer has no connection and no queued messages and
+// was not used since then.
 func (r *remote) unusedSince(then time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns) == 0 && r.messages.Len() == 0 && r.lastUsed.Load() < then.UnixNano()
 }
 
-// signal leaves a token in a channel of size one.
+// signal sends on a channel of capacity 1 without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -105,7 +104,7 @@
 	}
 }
 
-// idle reports whether the peer came by itself and has no connection.
+// removable reports whether the peer was never set and has no connection.
 func (r *remote) removable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,8 +124,8 @@
 	}
 }
 
-// start serves a new QUIC connection; it is used for sending once the peer's
-// hello has come.
+// start serves a new QUIC connection. It is used for sending once the peer's hello
+// has been received.
 func (r *remote) start(q *quic.Conn, origin string) *conn {
 	c := &conn{remote: r, quic: q, origin: origin, ready: make(chan struct{})}
 	t := r.t
@@ -144,8 +143,8 @@
 	return c
 }
 
-// adopt takes a connection whose hello has come, and marks it ready. A newer process of the peer
-// ends the connections of older ones.
+// helloReceived marks a connection as ready after the peer's hello. If it belongs
+// to a newer process of the peer, the connections of older processes are closed.
 func (r *remote) helloReceived(c *conn) {
 	old := r.markReadyLocked(c)
 	for _, o := range old {
@@ -187,9 +186,9 @@
 	}
 }
 
-// lost forgets a connection that has ended and falls back on another one of
-// the same process, if there is one. A peer that came by itself and has no
-// connection left is forgotten.
+// connEnded removes a connection that has ended and switches to another one of the
+// same process, if there is one. A peer that was never set and has no connection
+// left is removed.
 func (r *remote) connEnded(c *conn, cause error) {
 	r.mu.Lock()
 	delete(r.conns, c)
--- a/daemon/peer/sender.go
+++ b/daemon/peer/sender.go
@@ -9,20 +9,21 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// batchBytes is about how many bytes of one-way messages are written at once.
+// batchBytes is the approximate number of bytes of one-way messages in one write.
 const batchBytes = 32 << 10
 
-// outgoing is a message that waits to be sent. Rings hold pointers, so that an
-// empty one is small: there are two for each peer.
+// outgoing is a queued message. Rings hold pointers so that an empty ring is small:
+// each peer has two.
 type outgoing struct {
 	kind Kind
 	body []byte
-	// due is when it may be sent; it is dropped a while after that.
+	// due is the earliest time at which the message may be sent. It is dropped if
+	// it is still queued MaxAge later.
 	due time.Time
 }
 
-// Send hands over a one-way message. It never waits: an error says that the
-// message was not sent, no error that it may arrive, in order, at most once.
+// Send queues a one-way message and never blocks. An error means that the message
+// was not sent; without an error it may arrive, in order and at most once.
 func (t *Transport) Send(to id.Daemon, kind Kind, msg any) error {
 	r, err := t.find(to)
 	if err != nil {
@@ -43,36 +44,38 @@
 	return nil
 }
 
-// encode gives the message's body if it is within the bound.
+// encode returns the message's encoded body, or ErrTooLarge if that exceeds the
+// size limit.
 func (t *Transport) encode(to id.Daemon, msg any) ([]byte, error) {
 	body, err := Encode(msg)
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > t.cfg.MaxMessage {
-		return nil, eris.Wrapf(ErrTooLarge, "peer %s: %T of %d bytes, bound %d", to, msg, len(body), t.cfg.MaxMessage)
+		return nil, eris.Wrapf(ErrTooLarge, "peer %s: %T of %d bytes exceeds the limit of %d", to, msg, len(body), t.cfg.MaxMessage)
 	}
 	return body, nil
 }
 
-// run sends what waits for the peer, in order.
+// run sends the peer's queued messages in order.
 func (r *remote) run() {
-	var held *outgoing
+	var pending *outgoing
 	for r.ctx.Err() == nil {
-		if held == nil {
-			held = r.nextMessage()
+		if pending == nil {
+			pending = r.nextMessage()
 		}
-		if held == nil {
+		if pending == nil {
 			continue
 		}
-		if !pause(r.ctx, time.Until(held.due)) {
+		if !pause(r.ctx, time.Until(pending.due)) {
 			return
 		}
-		held = r.sendBatch(held)
+		pending = r.sendBatch(pending)
 	}
 }
 
-// nextMessage waits for a message; it makes connections for others meanwhile.
+// nextMessage waits for a message. Meanwhile it dials if a call or datagram needs a
+// connection; it then returns nil.
 func (r *remote) nextMessage() *outgoing {
 	select {
 	case item := <-r.messages.Chan():
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// sendBatch writes first and what else is due, and returns a message that was
-// taken and is still to be sent.
+// sendBatch writes first and the other messages that are due. It returns a message
+// that was taken from the queue and is still to be sent.
 func (r *remote) sendBatch(first *outgoing) *outgoing {
 	c := r.connect()
 	if c == nil {
@@ -94,20 +97,21 @@
 	now := time.Now()
 	batch := &batch{remote: r, now: now}
 	batch.add(first)
-	held := batch.fill()
+	pending := batch.fill()
 	if len(batch.data) == 0 {
-		return held
+		return pending
 	}
 	if err := c.write(batch.data); err != nil {
 		c.close(codeFailed, errorText(err))
 		batch.countLost()
-		return held
+		return pending
 	}
 	batch.countSent()
-	return held
+	return pending
 }
 
-// keepYoung drops a message that has waited too long for a connection.
+// dropExpired drops a message that has waited for a connection longer than MaxAge,
+// and else returns it.
 func (r *remote) dropExpired(item *outgoing) *outgoing {
 	if time.Since(item.due) <= r.t.cfg.MaxAge {
 		return item
@@ -116,7 +120,7 @@
 	return nil
 }
 
-// batch is a run of frames that is written at once.
+// batch is a sequence of frames that is sent in one write.
 type batch struct {
 	remote *remote
 	now    time.Time
@@ -124,14 +128,14 @@
 	sent   []sentFrame
 }
 
-// sentFrame is what is counted of a frame.
+// sentFrame is the kind and size of a frame, for the counters.
 type sentFrame struct {
 	kind  Kind
 	bytes int
 }
 
-// fill adds waiting messages until the batch is large enough, and returns one
-// that was taken but is not due.
+// fill adds queued messages until the batch is large enough. It returns a message
+// that was taken from the queue but is not due.
 func (b *batch) fill() *outgoing {
 	for len(b.data) < batchBytes {
 		item, ok := b.remote.messages.TryTake()
@@ -146,7 +150,7 @@
 	return nil
 }
 
-// add appends a frame, unless the message has waited too long.
+// add appends a frame, unless the message has waited longer than MaxAge.
 func (b *batch) add(item *outgoing) {
 	t := b.remote.t
 	if b.now.Sub(item.due) > t.cfg.MaxAge {
@@ -174,7 +178,7 @@
 	}
 }
 
-// wait pauses for the latency that a hook adds on the way to the peer.
+// simulateLatency waits for the latency that SetDelay injects.
 func (r *remote) simulateLatency(ctx context.Context) bool {
 	return pause(ctx, r.t.faults.latency(r.name))
 }
--- a/daemon/peer/traffic.go
+++ b/daemon/peer/traffic.go
@@ -8,22 +8,22 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// kindCount is how many kinds there can be.
+// kindCount is the number of possible kinds.
 const kindCount = 1 << 8
 
-// KindTraffic counts the traffic of one kind since the start. Bytes are those
+// KindTraffic counts the traffic of one kind since the start. Byte counts are those
 // of frames, before encryption and packet headers.
 type KindTraffic struct {
 	Sent          uint64 `json:"sent"`
 	SentBytes     uint64 `json:"sent_bytes"`
 	Received      uint64 `json:"received"`
 	ReceivedBytes uint64 `json:"received_bytes"`
-	// Lost counts what was taken for sending and then dropped.
+	// Lost counts messages that were accepted for sending and then dropped.
 	Lost uint64 `json:"lost"`
 }
 
-// WireTraffic counts QUIC packets since the start, with all their overhead but
-// the UDP and IP headers.
+// WireTraffic counts QUIC packets since the start, with all overhead except UDP and
+// IP headers.
 type WireTraffic struct {
 	SentBytes       uint64 `json:"sent_bytes"`
 	SentPackets     uint64 `json:"sent_packets"`
@@ -75,7 +75,7 @@
 	t.kinds[kind].lost.Add(1)
 }
 
-// Traffic returns the counts of every kind that was seen.
+// Traffic returns the counts of each kind with any traffic.
 func (t *Transport) Traffic() map[Kind]KindTraffic {
 	seen := make(map[Kind]KindTraffic)
 	for kind := range t.traffic.kinds {
@@ -94,7 +94,7 @@
 	return seen
 }
 
-// Wire returns the packets of all connections since the start.
+// Wire returns the packet counts of all connections since the start.
 func (t *Transport) Wire() WireTraffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +106,7 @@
 	return total
 }
 
-// declareWire shows the packets as metrics.
+// registerWireMetrics registers the packet counts as metrics.
 func (t *Transport) registerWireMetrics(registry *metrics.Registry) {
 	gauge := func(name string, unit metrics.Unit, help string, value func(WireTraffic) float64) {
 		registry.GaugeFunc(name, unit, help, func() float64 { return value(t.Wire()) })
--- a/daemon/peer/transport.go
+++ b/daemon/peer/transport.go
@@ -14,23 +14,25 @@
 	"github.com/samphirequay/samphirequay/daemon/workpool"
 )
 
-// quietVariable keeps quic-go from writing about small UDP buffers to the
-// standard logger; see its page on UDP buffer sizes.
+// bufferWarningVariable is the environment variable that stops quic-go from logging
+// a warning about small UDP buffers to the standard logger; see quic-go's page on
+// UDP buffer sizes.
 const bufferWarningVariable = "QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING"
 
 var bufferWarningOnce sync.Once
 
-// maxIncomingCalls bounds the call streams that one connection may hold open.
+// maxIncomingCalls is the maximum number of open call streams on one connection.
 const maxIncomingCalls = 256
 
-// Bounds of what a peer may have sent that was not read yet, in bytes.
+// Flow control windows: the maximum number of bytes that a peer may send before
+// they are read.
 const (
 	maxStreamWindow     = 2 << 20
 	maxConnectionWindow = 4 << 20
 )
 
-// Transport is one daemon's end of the traffic with its peers, on a UDP socket
-// of its own.
+// Transport is one daemon's end of the connections with its peers. It has its own
+// UDP socket.
 type Transport struct {
 	cfg      Config
 	socket   *net.UDPConn
@@ -39,7 +41,7 @@
 	calls    *workpool.Pool
 	traffic  *traffic
 	faults   faults
-	// dials holds a token for each dial that has its turn.
+	// dialSlots holds a token for each dial slot in use.
 	dialSlots chan struct{}
 
 	ctx    context.Context
@@ -50,12 +52,13 @@
 	closed  bool
 	remotes map[id.Daemon]*remote
 	conns   map[*conn]struct{}
-	// ended sums up the connections that are gone, endedCount counts them.
+	// closedTraffic is the total traffic of closed connections, closedConns their
+	// number.
 	closedTraffic WireTraffic
 	closedConns   int
 }
 
-// Listen opens the socket and begins to accept peers.
+// Listen opens the socket and starts to accept connections of peers.
 func Listen(cfg Config) (*Transport, error) {
 	bufferWarningOnce.Do(func() { _ = os.Setenv(bufferWarningVariable, "true") })
 	cfg = cfg.withDefaults()
@@ -130,14 +133,14 @@
 	}
 }
 
-// Address is where the transport listens.
+// Address returns the address on which the transport listens.
 func (t *Transport) Address() string { return t.socket.LocalAddr().String() }
 
-// Self is the process that the transport speaks for.
+// Self returns the process that the transport belongs to.
 func (t *Transport) Self() id.Process { return t.cfg.Self }
 
-// Close ends all connections and waits for the transport's goroutines; running
-// handlers see their context end.
+// Close closes all connections and waits for the transport's goroutines. The
+// contexts of running handlers end.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	if t.closed {
@@ -159,8 +162,8 @@
 	t.calls.Close()
 }
 
-// closeSocket ignores errors: there is nothing left to do about a socket that
-// does not close.
+// closeSocket closes the listener and the socket. Errors are ignored because
+// nothing can be done about them.
 func (t *Transport) closeSocket() {
 	if t.listener != nil {
 		_ = t.listener.Close()
@@ -171,7 +174,8 @@
 	_ = t.socket.Close()
 }
 
-// spawn runs f on a goroutine that Close waits for, unless Close has begun.
+// spawn runs f on a goroutine that Close waits for. It returns false if Close has
+// been called.
 func (t *Transport) spawn(f func()) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
