--- a/daemon/feed/calls.go
+++ b/daemon/feed/calls.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// mostBetween is the longest pause between two calls to the store that counts as
-// none: much less than what an endpoint's entry lives without a heartbeat.
+// maxCallGap is the longest gap between two calls to the store that does not break
+// their sequence. It is much shorter than the lifetime of an endpoint's entry
+// without a heartbeat.
 const maxCallGap = time.Second
 
-// calls tells whether calls to the store followed each other and none failed.
+// callSequence tracks whether calls to the store were made without a gap and
+// without a failure.
 type callSequence struct {
 	unbroken bool
 	endedAt  time.Duration
 }
 
-// ended notes the end of a call that did not fail.
+// callEnded records the end of a call that did not fail.
 func (c *callSequence) callEnded(now time.Duration) { c.endedAt = now }
 
-// broken notes that a call failed, or that none is made for a while.
+// interrupted records that a call failed, or that no calls are made for a while.
 func (c *callSequence) interrupted() { c.unbroken = false }
 
-// answered notes the answer to a call that was to take limit at most; it says
-// whether the call followed an answered one. A call that took longer was held up
-// with this process, which tells nothing of the store.
+// answered records the answer to a call with the timeout limit. It reports whether
+// the call followed an answered one. A call that took longer than limit was delayed
+// with this process, which is no sign of a failure of the store.
 func (c *callSequence) answered(begun, now, limit time.Duration) bool {
 	followed := c.unbroken && begun-c.endedAt <= maxCallGap && now-begun <= limit
 	c.unbroken = true
@@ -28,7 +30,7 @@
 	return followed
 }
 
-// answered tells of an answer of the store.
+// answered reports an answer of the store.
 func (f *Follower) answered(begun, limit time.Duration, newest uint64, clock time.Duration) {
 	unbroken := f.calls.answered(begun, f.now(), limit)
 	if f.cfg.Answered != nil {
--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// timed is a Follower whose time the test hands in, and whose answers it reads.
+// timedFollower is a Follower with a test clock, whose answers the test receives.
 type timedFollower struct {
 	*Follower
 	now     atomic.Int64
@@ -34,7 +34,7 @@
 
 func (f *timedFollower) advance(d time.Duration) { f.now.Add(int64(d)) }
 
-// delta is an answer without changes; first is done before.
+// delta returns an answer without changes that calls first before it is given.
 func delta(newest uint64, clock time.Duration, first func()) func() (Delta, error) {
 	return func() (Delta, error) {
 		first()
@@ -44,8 +44,8 @@
 
 func noop() {}
 
-// TestAnAnswerIsUnbrokenOnlyBehindAnother: not behind a failure, a rest, or time in
-// which the process was held up.
+// An answer is not unbroken after a failed call, after an idle time, or if the
+// process was paused during the call.
 func TestAnswerIsUnbrokenOnlyAfterAnotherAnswer(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
@@ -60,13 +60,13 @@
 	is.True(!next(t, f.answers).Unbroken)
 
 	serve(t, s.changes, delta(13, time.Minute, func() { f.advance(2 * testBound) }))
-	is.True(!next(t, f.answers).Unbroken) // it took longer than it may
+	is.True(!next(t, f.answers).Unbroken) // the call took longer than its timeout
 
 	serve(t, s.changes, delta(13, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
-// TestCallsThatWereNotMadeBreakTheRow: nobody was asked meanwhile.
+// Nothing is known of the store during a gap between calls.
 func TestGapBetweenCallsBreaksTheSequence(t *testing.T) {
 	is := is.New(t)
 	var c callSequence
@@ -78,7 +78,8 @@
 	is.True(c.answered(6+2*maxCallGap, 7+2*maxCallGap, testBound))
 }
 
-// TestAPollGivesUpTheCallThatWaits and asks at once, which breaks nothing.
+// A poll cancels the pending call and calls again at once. The sequence of calls
+// stays unbroken.
 func TestPollCancelsThePendingCall(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
@@ -96,7 +97,7 @@
 	is.True(next(t, f.answers).Unbroken)
 }
 
-// awaitCalls waits until n calls for changes were begun.
+// awaitCalls waits until n calls for changes have begun.
 func (s *source) awaitCalls(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(testBound); ; time.Sleep(time.Millisecond) {
@@ -107,7 +108,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d calls were begun, not %d", begun, n)
+			t.Fatalf("%d calls have begun, want %d", begun, n)
 		}
 	}
 }
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -1,7 +1,7 @@
-// Package feed follows tables of the platform's store: each is read whole once
-// and then followed by its changes, or by the news of another daemon that
-// follows it. When the store can't be reached, or a connection to it has gone
-// silent, what another daemon knows is adopted.
+// Package feed follows tables of the platform's store. Each table is read once as a
+// whole and then followed by its changes, which come from the store or from the
+// news of another daemon that reads the store. If the store cannot be reached, or a
+// connection to it has stopped responding, the state of another daemon is adopted.
 package feed
 
 import (
@@ -25,41 +25,44 @@
 	rows  map[string]table.Row
 	state State
 	known bool
-	// interrupt ends the call that waits for changes.
+	// interrupt cancels the call that waits for changes.
 	interrupt context.CancelFunc
-	// whole asks for a whole read next, forgotten says that it is since the store no
-	// longer has the changes.
+	// fullRead requests a full read as the next call; historyGone means that the
+	// reason is ErrHistoryGone.
 	fullRead, historyGone bool
 	lost                  bool
-	// idle is set while other daemons tell of the changes.
+	// idle is set while other daemons send the changes.
 	idle bool
-	// begun is set when it stops being idle: the next call does not wait, so
-	// that a store that does not answer is noticed soon.
+	// skipWait is set when the follower stops being idle or is polled: the next
+	// call does not wait for changes, so that an unresponsive store is detected
+	// soon.
 	skipWait bool
-	// pollAt is when the next poll may begin.
+	// nextPoll is the earliest time of the next poll.
 	nextPoll time.Duration
-	// wake ends an idle wait.
+	// wake ends the wait of an idle follower or the pause after a failed call.
 	wake chan struct{}
 	// wait is the longest that one call waits for changes.
 	wait time.Duration
-	// calls are those to the store, one after another; used by the goroutine that
-	// makes them.
+	// calls tracks the sequence of calls to the store; used only by the goroutine
+	// that makes them.
 	calls callSequence
 }
 
 const (
-	// CallSlack is what an answer may take beyond the time it was told to wait.
+	// CallSlack is the time that an answer may take in addition to the requested
+	// wait.
 	CallSlack = 700 * time.Millisecond
-	// readTimeout bounds the reading of a whole table.
+	// readTimeout is the timeout of a full read.
 	readTimeout = 1200 * time.Millisecond
 	// firstRetry is the first pause after a failed call.
 	firstRetry = 50 * time.Millisecond
-	// lostTimeout bounds a call to a store that did not answer the last one: it
-	// does not wait for changes then, so that the store's return is seen soon.
+	// lostTimeout is the timeout of a call to a store that did not answer the last
+	// one, and of other calls that do not wait for changes. Calls to a lost store
+	// do not wait, so that its return is detected soon.
 	lostTimeout = 800 * time.Millisecond
 )
 
-// Start starts to follow a table.
+// Start starts a follower of a table.
 func Start(cfg Config) *Follower {
 	f := &Follower{
 		cfg:      cfg,
@@ -76,23 +79,24 @@
 	return f
 }
 
-// Close ends the following.
+// Close stops the follower and waits for its goroutine.
 func (f *Follower) Close() {
 	f.stop()
 	<-f.done
 }
 
-// Name is that of the table.
+// Name returns the name of the table.
 func (f *Follower) Name() string { return f.cfg.Name }
 
-// State returns what is known; ok is false before the first read.
+// State returns the current state; ok is false before the first read.
 func (f *Follower) State() (s State, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot(), f.known
 }
 
-// Version is that of the newest change seen; 0 before the first read.
+// Version returns the version of the newest change received; 0 before the first
+// read.
 func (f *Follower) Version() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,21 +106,22 @@
 	return f.state.Version
 }
 
-// Position is that up to which the table is known; 0 before the first read.
+// Position returns the position up to which the table is known; 0 before the first
+// read.
 func (f *Follower) Position() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.Position
 }
 
-// Lost says whether the store did not answer the last call.
+// Lost reports whether the store did not answer the last call.
 func (f *Follower) Lost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lost
 }
 
-// install replaces all rows; the lock is held.
+// replaceRows replaces all rows; the lock must be held.
 func (f *Follower) replaceRows(rows []table.Row, position uint64) {
 	f.rows = make(map[string]table.Row, len(rows))
 	for _, r := range rows {
@@ -127,7 +132,7 @@
 	f.known = true
 }
 
-// snapshot copies the state; the lock is held.
+// snapshot copies the state; the lock must be held.
 func (f *Follower) snapshot() State {
 	s := f.state
 	s.Rows = make([]table.Row, 0, len(f.rows))
@@ -156,7 +161,7 @@
 	}
 }
 
-// mostPause bounds the pause after a failed call.
+// maxPause returns the maximum pause after a failed call.
 func (f *Follower) maxPause() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,8 +171,8 @@
 	return f.cfg.Retry
 }
 
-// pause waits, less once a call is asked for by way of wake. It says false once the
-// follower ends.
+// pause waits for d or until a signal on wake. It returns false once the follower
+// is closed.
 func (f *Follower) pause(d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -180,15 +185,15 @@
 	return true
 }
 
-// wholeDue says whether the table is to be read whole next.
+// fullReadDue reports whether the next call reads the whole table.
 func (f *Follower) fullReadDue() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fullRead
 }
 
-// step makes one call, or waits where none is due. It says whether the call
-// brought changes; one that was interrupted is no failure.
+// step makes one call, or waits if none is due. It reports whether the call
+// returned changes. An interrupted call is not an error.
 func (f *Follower) step() (changed bool, err error) {
 	f.mu.Lock()
 	if f.idle && !f.fullRead && !f.lost {
@@ -235,7 +240,7 @@
 	f.mu.Lock()
 	f.fullRead = false
 	if f.known && snapshot.Position < f.state.Position {
-		// Another daemon told of something newer while the answer was on its way.
+		// News from another daemon were applied while this read was in flight.
 		f.mu.Unlock()
 		return nil
 	}
@@ -254,10 +259,11 @@
 	return nil
 }
 
-// difference gives the changes that lead from what is known to a whole table,
-// where the store has forgotten them and others rely on this follower: they hear of
-// a removed row from nobody else. In other whole reads it learns what others know.
-// The lock is held.
+// diff returns the changes that lead from the known rows to a full read. It returns
+// changes only if the store has discarded them and other daemons rely on this
+// follower, as they learn of a removed row from no other source. In other full
+// reads the follower catches up with changes that the other daemons already have.
+// The lock must be held.
 func (f *Follower) diff(s Snapshot) News {
 	n := News{Name: f.cfg.Name, After: f.state.Position, Position: s.Position}
 	if !f.known || f.idle || !f.historyGone {
@@ -271,15 +277,15 @@
 		delete(gone, row.Key)
 	}
 	for key := range gone {
-		// The version at which it was removed is not known.
+		// The version of the removal is not known.
 		n.Changes = append(n.Changes, Change{Row: table.Row{Key: key, Version: s.Position}, Removed: true})
 	}
 	return n
 }
 
-// readChanges waits for changes and says whether there were any. Where there are
-// none the position stays at the last change: only so do the news of one
-// daemon go on where those of another ended.
+// readChanges waits for changes and reports whether there were any. Without changes
+// the position stays at the last change: only then do the news of one daemon
+// continue where those of another ended.
 func (f *Follower) readChanges(parent context.Context, after uint64) (changed bool, err error) {
 	wait, limit := f.callTimeouts()
 	ctx, cancel := context.WithTimeout(parent, limit)
@@ -313,7 +319,7 @@
 	return changed, nil
 }
 
-// now is the daemon's time; 0 where nobody asks for it.
+// now returns the daemon's time, or 0 if Config.Now is nil.
 func (f *Follower) now() time.Duration {
 	if f.cfg.Now == nil {
 		return 0
@@ -321,14 +327,16 @@
 	return f.cfg.Now()
 }
 
-// confirm tells that all that the store had when a call began is known.
+// confirm reports that the follower has all changes that the store had when a call
+// began.
 func (f *Follower) confirm(begun time.Duration) {
 	if f.cfg.Confirmed != nil {
 		f.cfg.Confirmed(begun)
 	}
 }
 
-// patience is how long the next call waits for changes, and how long it may take.
+// callTimeouts returns how long the next call waits for changes, and the timeout of
+// the call.
 func (f *Follower) callTimeouts() (wait, limit time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -341,7 +349,8 @@
 	return wait, wait + CallSlack
 }
 
-// note tells when the store stops or begins again to answer.
+// reportReachability records the result of a call and calls Lost or Back if the
+// store has stopped answering or answers again.
 func (f *Follower) reportReachability(err error) {
 	f.mu.Lock()
 	was := f.lost
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testBound ends a test that would wait for ever; no verdict depends on it.
+// testBound fails a test that would otherwise hang; no result depends on it.
 const testBound = 30 * time.Second
 
-// source is a Source whose answers a test hands in, one for each call.
+// source is a Source whose answers the test supplies, one for each call.
 type source struct {
 	reads   chan func() (Snapshot, error)
 	changes chan func() (Delta, error)
@@ -60,7 +60,7 @@
 	return s.waits[len(s.waits)-1]
 }
 
-// followed is a Follower whose callbacks a test reads.
+// testFollower is a Follower whose callbacks send to channels.
 type testFollower struct {
 	*Follower
 	states chan State
@@ -98,7 +98,7 @@
 	case v := <-from:
 		return v
 	case <-time.After(testBound):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value")
 		panic("unreachable")
 	}
 }
@@ -108,7 +108,7 @@
 	select {
 	case to <- v:
 	case <-time.After(testBound):
-		t.Fatal("nobody asked")
+		t.Fatal("timed out waiting for a call")
 	}
 }
 
@@ -131,7 +131,7 @@
 	})
 	got := next(t, f.states)
 	is.Equal(keys(got), map[string]uint64{"a": 11})
-	is.Equal(got.Version, uint64(12)) // a removal counts
+	is.Equal(got.Version, uint64(12)) // a removal changes the version too
 	is.True(s.lastWait() >= testBound/2)
 }
 
@@ -147,8 +147,7 @@
 	is.Equal(len(f.lost), 0)
 }
 
-// TestALostStoreIsAskedByShortCalls: one long call that hangs would hide the
-// store's return.
+// One long call that hangs would delay the detection of the store's return.
 func TestUnreachableStoreIsPolledWithShortCalls(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
@@ -161,7 +160,7 @@
 	is.Equal(s.lastWait(), time.Duration(0))
 	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 9}, nil })
 	next(t, f.back)
-	is.Equal(len(f.lost), 0) // told once
+	is.Equal(len(f.lost), 0) // reported only once
 }
 
 func TestNewerStateOfAnotherDaemonIsAdopted(t *testing.T) {
@@ -173,7 +172,7 @@
 	is.True(!f.Adopt(State{Name: "t", Rows: []table.Row{row("old", 3)}, Position: 30, Version: 3}))
 	is.True(f.Adopt(State{Name: "t", Rows: []table.Row{row("b", 21)}, Position: 25, Version: 21}))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 21})
-	// The following goes on behind what was adopted.
+	// Following continues after the adopted position.
 	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 26, Changes: []Change{{Row: row("c", 26)}}}, nil })
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 21, "c": 26})
 }
@@ -190,7 +189,7 @@
 	is.Equal(len(f.lost), 0)
 }
 
-// TestChangesThatComeTogetherAreGathered: behind changes the next call waits.
+// After changes the follower pauses for Config.Gather before the next call.
 func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
@@ -209,34 +208,35 @@
 	is.Equal(keys(next(t, states)), map[string]uint64{"a": 11})
 	select {
 	case s.changes <- func() (Delta, error) { return Delta{}, nil }:
-		t.Fatal("it asked again at once")
+		t.Fatal("the store was called again without a pause")
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// TestAFollowerTellsWhatAWholeReadChanged: the store has forgotten its changes, and
-// those who rely on this one hear of a removed row from nobody else.
+// If the store has discarded changes, a full read must report their difference,
+// also removed rows: the daemons that rely on this follower learn of a removed row
+// from no other source.
 func TestDifferenceOfAFullReadIsReported(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
-	told := make(chan News, 16)
+	reported := make(chan News, 16)
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
-		Changed: func(State) {}, Learnt: func(n News) { told <- n },
+		Changed: func(State) {}, Learnt: func(n News) { reported <- n },
 		Lost: func(error) {}, Back: func() {}, Rand: testRand(),
 	})
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3), row("b", 5), row("c", 8)))
 	serve(t, s.changes, func() (Delta, error) { return Delta{}, ErrHistoryGone })
 	serve(t, s.reads, read(14, row("a", 3), row("c", 12)))
-	is.Equal(next(t, told), News{Name: "t", After: 9, Position: 14, Changes: []Change{
+	is.Equal(next(t, reported), News{Name: "t", After: 9, Position: 14, Changes: []Change{
 		{Row: row("c", 12)}, {Row: table.Row{Key: "b", Version: 14}, Removed: true},
 	}})
 	is.Equal(f.Version(), uint64(14))
-	f.Refresh() // since others know more: there is nothing to tell them
+	f.Refresh() // after a gap in the news; the other daemons already have these changes
 	serve(t, s.reads, read(16, row("a", 3), row("c", 12), row("d", 15)))
 	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 16}, nil })
-	is.Equal(len(told), 0)
+	is.Equal(len(reported), 0)
 
 	other := idleAt(t, newSource(), 9, row("a", 3), row("b", 5), row("c", 8))
 	fresh, err := other.Take(News{Name: "t", After: 9, Position: 14, Changes: []Change{{Row: table.Row{Key: "b", Version: 14}, Removed: true}}})
--- a/daemon/feed/news.go
+++ b/daemon/feed/news.go
@@ -7,12 +7,13 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// ErrGap says that changes are missing between what is known and some news.
-var ErrGap = errors.New("changes before these are not known")
+// ErrGap means that changes are missing between the known position and the start of
+// the news.
+var ErrGap = errors.New("changes before these are missing")
 
-// SetIdle says whether other daemons tell of the table's changes, so that the
-// store need not be asked. One that the store does not answer goes on asking
-// until it does.
+// SetIdle sets whether other daemons send the table's changes, so that the store
+// need not be called. While the store does not answer, an idle follower keeps
+// calling it until it does.
 func (f *Follower) SetIdle(idle bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,19 +27,21 @@
 	}
 }
 
-// SetWait bounds how long a call waits for changes, from the next call on.
+// SetWait sets the longest that a call waits for changes, from the next call on.
 func (f *Follower) SetWait(wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wait = wait
 }
 
-// pollPause is the least time between two polls: each gives up a call, and its
-// answer must come before the next one does.
+// minPollInterval is the minimum interval between two polls. Each poll cancels a
+// call, so its answer must arrive before the next poll.
 const minPollInterval = 300 * time.Millisecond
 
-// Poll asks the store for changes at once, if it is followed and was not polled
-// just before: a call that waits for some is given up.
+// Poll calls the store for changes at once, unless the follower is idle, the store
+// does not answer, a full read or a call without a wait is already due, or
+// minPollInterval has not passed since the last poll. A call that waits for changes
+// is cancelled.
 func (f *Follower) Poll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,22 +54,22 @@
 	f.interruptWait()
 }
 
-// Refresh reads the table whole at once, on another connection than the one
-// that waits for changes.
+// Refresh reads the whole table at once, over another connection than the call that
+// waits for changes, which is cancelled.
 func (f *Follower) Refresh() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requestFullRead()
 }
 
-// readNext has the table read whole next; the lock is held.
+// requestFullRead makes the next call read the whole table; the lock must be held.
 func (f *Follower) requestFullRead() {
 	f.fullRead = true
 	f.interruptWait()
 	f.wakeUp()
 }
 
-// Adopt takes what another daemon knows, if that is newer.
+// Adopt replaces the state by another daemon's, if that is newer.
 func (f *Follower) Adopt(s State) bool {
 	f.mu.Lock()
 	if f.known && s.Version <= f.state.Version {
@@ -75,16 +78,16 @@
 	}
 	f.replaceRows(s.Rows, s.Position)
 	f.state.Version = s.Version
-	told := f.snapshot()
+	state := f.snapshot()
 	f.interruptWait()
 	f.mu.Unlock()
-	f.cfg.Changed(told)
+	f.cfg.Changed(state)
 	return true
 }
 
-// Take applies another daemon's news; fresh says whether there was anything
-// new in them. ErrGap is returned where changes before them are missing. News
-// without changes have the table read.
+// Take applies another daemon's news; fresh reports whether there were any new
+// changes. It returns ErrGap if changes before the news are missing. News without
+// changes make the follower read the table.
 func (f *Follower) Take(n News) (fresh bool, err error) {
 	if len(n.Changes) > 0 {
 		return f.apply(n)
@@ -98,8 +101,8 @@
 	return false, nil
 }
 
-// apply takes changes that lead from one position to another, from the store
-// or from another daemon; those that are known already are passed over.
+// apply applies changes from one position to another, from the store or from
+// another daemon. Changes that are already known are skipped.
 func (f *Follower) apply(n News) (fresh bool, err error) {
 	f.mu.Lock()
 	known := f.state.Position
@@ -118,15 +121,15 @@
 		}
 	}
 	f.state.Position = n.Position
-	told := f.snapshot()
+	state := f.snapshot()
 	f.mu.Unlock()
 	if fresh {
-		f.cfg.Changed(told)
+		f.cfg.Changed(state)
 	}
 	return fresh, nil
 }
 
-// applyOne takes one changed row; the lock is held.
+// applyChange applies one changed row; the lock must be held.
 func (f *Follower) applyChange(c Change) {
 	f.state.Version = max(f.state.Version, c.Version)
 	if c.Removed {
@@ -136,14 +139,15 @@
 	f.rows[c.Key] = table.Row{Key: c.Key, Value: c.Value, Version: c.Version}
 }
 
-// interruptWait ends a call that waits for changes; the lock is held.
+// interruptWait cancels a call that waits for changes; the lock must be held.
 func (f *Follower) interruptWait() {
 	if f.interrupt != nil {
 		f.interrupt()
 	}
 }
 
-// endRest ends an idle wait; the lock is held.
+// wakeUp ends the wait of an idle follower or the pause after a failed call; the
+// lock must be held.
 func (f *Follower) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
@@ -151,7 +155,7 @@
 	}
 }
 
-// rest waits until a call may be due.
+// waitWhileIdle waits until a call may be due.
 func (f *Follower) waitWhileIdle() {
 	select {
 	case <-f.ctx.Done():
--- a/daemon/feed/news_test.go
+++ b/daemon/feed/news_test.go
@@ -14,7 +14,7 @@
 	return News{Name: "t", After: after, Position: position, Changes: changes}
 }
 
-// idleAt returns a follower that knows the rows at a position and rests.
+// idleAt returns an idle follower that knows the rows at a position.
 func idleAt(t *testing.T, s *source, position uint64, rows ...table.Row) *testFollower {
 	t.Helper()
 	f := follow(t, s)
@@ -34,13 +34,12 @@
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 3, "b": 12})
 	select {
 	case s.changes <- func() (Delta, error) { return Delta{}, nil }:
-		t.Fatal("it asked the store")
+		t.Fatal("the idle follower called the store")
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// TestNewsThatOverlapCountOnce: several daemons tell the same changes, gathered
-// in different parts.
+// Several daemons may send the same changes in batches that overlap.
 func TestOverlappingNewsAreAppliedOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
@@ -54,7 +53,7 @@
 	fresh, err = f.Take(news(10, 15, Change{Row: row("b", 11)}, Change{Row: row("c", 15)}))
 	is.NoErr(err)
 	is.True(fresh)
-	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 11, "c": 15}) // a stays removed
+	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 11, "c": 15}) // row a stays removed
 }
 
 func TestNewsAfterAGapAreRejected(t *testing.T) {
@@ -64,7 +63,7 @@
 	_, err := f.Take(news(11, 12, Change{Row: row("b", 12)}))
 	is.True(errors.Is(err, ErrGap))
 	is.Equal(f.Version(), uint64(3))
-	// The store tells what is missing.
+	// A full read returns the missing changes.
 	f.Refresh()
 	serve(t, s.reads, read(12, row("a", 3), row("c", 10), row("b", 12)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 3, "b": 12, "c": 10})
@@ -84,31 +83,31 @@
 	is.NoErr(err)
 	select {
 	case s.reads <- read(12, row("a", 12)):
-		t.Fatal("it read the table again")
+		t.Fatal("the table was read again")
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// TestAnAnswerOnItsWayDoesNotUndoNews: the table was read before a change that
-// another daemon told of.
+// The table is read before a change and the answer arrives after another daemon's
+// news of this change.
 func TestReadInFlightDoesNotRevertNews(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
-	asked := make(chan struct{})
+	called := make(chan struct{})
 	answer := make(chan struct{})
 	f.Refresh()
 	serve(t, s.reads, func() (Snapshot, error) {
-		close(asked)
+		close(called)
 		<-answer
 		return Snapshot{Rows: []table.Row{row("a", 3)}, Position: 9}, nil
 	})
-	await(t, asked)
+	await(t, called)
 	_, err := f.Take(news(9, 12, Change{Row: row("a", 12)}))
 	is.NoErr(err)
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12})
 	close(answer)
-	// The following goes on behind the news.
+	// Following continues after the position of the news.
 	f.SetIdle(false)
 	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 13, Changes: []Change{{Row: row("b", 13)}}}, nil })
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12, "b": 13})
@@ -144,11 +143,11 @@
 func TestOnlyChangesFromTheStoreAreReported(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
-	told := make(chan News, 16)
+	reported := make(chan News, 16)
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
 		Changed: func(State) {},
-		Learnt:  func(n News) { told <- n },
+		Learnt:  func(n News) { reported <- n },
 		Lost:    func(error) {},
 		Back:    func() {},
 		Rand:    testRand(),
@@ -156,10 +155,10 @@
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3)))
 	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 12, Changes: []Change{{Row: row("b", 12)}}}, nil })
-	is.Equal(next(t, told), news(9, 12, Change{Row: row("b", 12)}))
+	is.Equal(next(t, reported), news(9, 12, Change{Row: row("b", 12)}))
 	_, err := f.Take(news(12, 14, Change{Row: row("c", 14)}))
 	is.NoErr(err)
-	is.Equal(len(told), 0) // another daemon's news are not told on
+	is.Equal(len(reported), 0) // news of another daemon are not reported
 }
 
 func await(t *testing.T, c <-chan struct{}) {
@@ -167,19 +166,19 @@
 	select {
 	case <-c:
 	case <-time.After(testBound):
-		t.Fatal("nothing came")
+		t.Fatal("timed out")
 	}
 }
 
-// TestAFollowerThatOthersTellAsksARefusingStoreSeldom, once it knows the table:
-// those that the others rely on, or that know nothing yet, ask as often as ever.
+// An idle follower uses IdleRetry once it knows the table. Followers that other
+// daemons rely on, or that do not know the table yet, use Retry.
 func TestIdleFollowerUsesIdleRetry(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := follow(t, s)
 	f.cfg.IdleRetry = time.Hour
 	f.SetIdle(true)
-	is.Equal(f.maxPause(), f.cfg.Retry) // it knows nothing yet
+	is.Equal(f.maxPause(), f.cfg.Retry) // the table is not known yet
 	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.states)
 	is.Equal(f.maxPause(), time.Hour)
--- a/daemon/feed/types.go
+++ b/daemon/feed/types.go
@@ -9,71 +9,72 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// ErrHistoryGone says that the store has forgotten the changes behind a
-// position: the table must be read whole.
+// ErrHistoryGone means that the store no longer has the changes after a position:
+// the whole table must be read.
 var ErrHistoryGone = errors.New("the store no longer has these changes")
 
 // Change is one changed row of a table.
 type Change struct {
 	table.Row
-	// Removed rows have no value.
+	// Removed is set if the row was removed. Such a change has no value.
 	Removed bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Snapshot is a whole table.
+// Snapshot is the content of a whole table.
 type Snapshot struct {
 	Rows []table.Row
-	// Position is behind which the changes follow.
+	// Position is the position of the snapshot; later changes follow it.
 	Position uint64
-	// Clock is what the store's clock showed.
+	// Clock is the store's time at the answer.
 	Clock time.Duration
 }
 
-// Delta holds the changes behind a position, oldest first.
+// Delta holds the changes after a position, oldest first.
 type Delta struct {
 	Changes  []Change
 	Position uint64
-	// Clock is what the store's clock showed.
+	// Clock is the store's time at the answer.
 	Clock time.Duration
 }
 
-// Answer is what an answer of the store tells of the store itself.
+// Answer is the state of the store as reported by one of its answers.
 type Answer struct {
-	// Newest is the version of its newest change.
+	// Newest is the version of the store's newest change.
 	Newest uint64
-	// Clock is what its clock showed.
+	// Clock is the store's time at the answer.
 	Clock time.Duration
-	// Unbroken says that the call followed another one that was answered, or that
-	// was given up before its time, with no pause to speak of between.
+	// Unbroken reports that the previous call was answered or was interrupted
+	// before its timeout, with no significant pause between the two calls.
 	Unbroken bool
 }
 
-// Source reads tables.
+// Source reads the store's tables.
 type Source interface {
-	// Read reads a whole table as of one moment.
+	// Read reads a whole table as of one point in time.
 	Read(ctx context.Context, name string) (Snapshot, error)
-	// Changes waits up to wait for changes behind a position.
+	// Changes returns the changes after a position. It waits for at most wait until
+	// there are any.
 	Changes(ctx context.Context, name string, after uint64, wait time.Duration) (Delta, error)
 }
 
-// State is what one daemon knows of a table. It is handed on as a whole.
+// State is one daemon's copy of a table. It is sent to other daemons as a whole.
 type State struct {
 	Name string      `cbor:"1,keyasint"`
 	Rows []table.Row `cbor:"2,keyasint"`
-	// Position is where the changes go on.
+	// Position is the position after which further changes follow.
 	Position uint64 `cbor:"3,keyasint"`
-	// Version is that of the newest change that was seen.
+	// Version is the version of the newest change received.
 	Version uint64 `cbor:"4,keyasint"`
 }
 
-// News is what one daemon tells the others of a table: all changes behind one
-// position up to another.
+// News is a message from one daemon to others with all changes of a table from one
+// position to another.
 type News struct {
 	Name     string `cbor:"1,keyasint"`
 	After    uint64 `cbor:"2,keyasint"`
 	Position uint64 `cbor:"3,keyasint"`
-	// Changes, oldest first; none where they are too many to be sent: the table
-	// must be read then.
+	// Changes, oldest first. Empty if they are too large to be sent: the receiver
+	// must then read the table.
 	Changes []Change `cbor:"4,keyasint,omitempty"`
 }
 
@@ -83,35 +84,37 @@
 	Name   string
 	Source Source
 	// Wait is the longest that one call waits for changes; a connection that has
-	// gone silent is noticed a little later. Calls wait for between half of it
-	// and all, so that the calls of a fleet, which a change ends at the same
-	// moment, are not all silent together.
+	// stopped responding is detected slightly later. The wait of each call is
+	// random between half of Wait and Wait. Otherwise the calls of a fleet, which a
+	// change ends at the same time, would all go silent at the same time.
 	Wait time.Duration
-	// Gather is the pause after changes, so that those that come together cost
-	// one more call and not one each.
+	// Gather is the pause after changes, so that changes in quick succession are
+	// read by one more call and not by one call each.
 	Gather time.Duration
-	// Retry bounds the pause after a failed call; the pause doubles up to it.
+	// Retry is the maximum pause after a failed call; the pause doubles up to it.
 	Retry time.Duration
-	// IdleRetry takes its place once the table is known and while other daemons
-	// tell of the changes: a store that serves them and refuses this one is not
-	// asked more often than needed to see that it answers again. Default Retry.
+	// IdleRetry replaces Retry once the table is known and while other daemons send
+	// the changes: if the store serves them and refuses this daemon, calls are
+	// needed only to detect that the store answers again. Default Retry.
 	IdleRetry time.Duration
-	// Changed is told of each new state; it must not block for long.
+	// Changed is called with each new state; it must not block for long.
 	Changed func(s State)
-	// Learnt is told of the changes that came from the store itself, after
-	// Changed, also of those that it had forgotten and a whole read brought. Nil if
-	// nobody is to be told.
+	// Learnt is called after Changed with changes that were read from the store,
+	// including those that the store had discarded and that a full read revealed.
+	// May be nil.
 	Learnt func(n News)
-	// Answered, if set, is told of each answer of the store, before Changed.
+	// Answered, if set, is called for each answer of the store, before Changed.
 	Answered func(a Answer)
-	// Confirmed, if set, is told after Changed that the store, when a call to it
-	// began, had nothing newer than what is known; by Now.
+	// Confirmed, if set, is called after Changed with the time, by Now, at which a
+	// call to the store began: the store had no newer changes then than the
+	// follower now has.
 	Confirmed func(since time.Duration)
-	// Now is the daemon's time.
+	// Now returns the daemon's time. May be nil.
 	Now func() time.Duration
-	// Idle has the table read once and then followed only when SetIdle says so.
+	// Idle makes the follower read the table once and then follow it only after
+	// SetIdle(false).
 	Idle bool
-	// Lost and Back are told when the store stops and begins again to answer.
+	// Lost is called when the store stops answering, Back when it answers again.
 	Lost func(err error)
 	Back func()
 	Rand *rand.Rand
