--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -1,5 +1,5 @@
-// Package leaving takes a daemon through a planned stop: it serves on until no
-// caller needs it, and then closes.
+// Package leaving runs the planned stop of a daemon: the daemon continues to serve
+// until no caller needs it, and then closes.
 package leaving
 
 import (
@@ -10,29 +10,29 @@
 	"github.com/samphirequay/samphirequay/core/entry"
 )
 
-// Stop is a planned stop under way. It is safe for concurrent use.
+// Stop is a planned stop in progress. It is safe for concurrent use.
 type Stop struct {
 	began time.Duration
 	mu    sync.Mutex
 	plan  *entry.StopPlan
 }
 
-// Begin begins a planned stop at now.
+// Begin starts a planned stop at now.
 func Begin(cfg entry.StopConfig, now time.Duration) *Stop {
 	return &Stop{began: now, plan: entry.NewStopPlan(cfg, now)}
 }
 
-// Began is when it began.
+// Began returns the time at which the stop began.
 func (s *Stop) Began() time.Duration { return s.began }
 
-// Named notes that an answer named the daemon even so.
+// Named records that an answer still named this daemon.
 func (s *Stop) Named(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan.Named(now)
 }
 
-// Caller notes that a caller still came.
+// Caller records that a new caller still arrived.
 func (s *Stop) Caller(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +45,8 @@
 	return s.plan.MayClose(now, inFlight)
 }
 
-// Wait looks every so often whether the daemon may close, and returns why. ok
-// is false if ctx ended first.
+// Wait checks at the interval every whether the daemon may close, and returns the
+// reason once it may. ok is false if ctx ended first.
 func (s *Stop) Wait(ctx context.Context, every time.Duration, now func() time.Duration, inFlight func() int) (why entry.StopReason, ok bool) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries the messages that every fleet of daemons exchanges, over
-// the peers' transport: those of pools, of the membership, of teams' limits, and
-// evidence about requests that crash endpoints.
+// Package link defines the messages that the daemons of every fleet exchange over
+// the peer transport: messages about pools, membership messages, messages about
+// teams' limits, and evidence about requests that crash endpoints.
 package link
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/samphirequay/samphirequay/daemon/quotas"
 )
 
-// The kinds of messages that this package carries.
+// Kinds of messages in this package.
 const (
 	KindBroker   peer.Kind = iota + 1 // one-way: broker.Envelope
 	KindMember                        // datagram: member.Message
 	KindEvidence                      // one-way: poison.State
 	KindQuota                         // one-way: quotas.Envelope
-	// FirstFree is the first kind for other messages.
+	// FirstFree is the first kind that other packages may use.
 	FirstFree peer.Kind = 16
 )
 
-// kindNames name the kinds in metrics.
+// kindNames holds the names of the kinds in metrics.
 var kindNames = map[peer.Kind]string{
 	KindBroker:   "broker",
 	KindMember:   "member",
@@ -34,7 +34,8 @@
 	KindQuota:    "quota",
 }
 
-// KindName names a kind in metrics; others names those from FirstFree on.
+// KindName returns a function that returns the name of a kind in metrics. The names
+// of kinds from FirstFree on are taken from others.
 func KindName(others map[peer.Kind]string) func(peer.Kind) string {
 	return func(k peer.Kind) string {
 		if name, ok := kindNames[k]; ok {
@@ -44,28 +45,30 @@
 	}
 }
 
-// Receiver takes the messages of other daemons.
+// Receiver handles the messages of other daemons.
 type Receiver interface {
-	// Broker takes a message about a pool.
+	// Broker handles a message about a pool.
 	Broker(from id.Daemon, e *broker.Envelope)
-	// Member takes a message of the membership.
+	// Member handles a membership message.
 	Member(m member.Message)
-	// Evidence takes evidence about requests that crash endpoints.
+	// Evidence handles evidence about requests that crash endpoints.
 	Evidence(s poison.State)
-	// Quota takes a message about teams' limits.
+	// Quota handles a message about teams' limits.
 	Quota(from id.Daemon, e *quotas.Envelope)
-	// Refused is told of a message that can't be taken.
+	// Refused is called for a message that is rejected because it cannot be decoded
+	// or names another sender.
 	Refused(from id.Daemon, why error)
 }
 
-// Handler passes messages on to a Receiver once the daemon is put together.
+// Handler decodes messages and passes them to a Receiver once the daemon is fully
+// initialised.
 type Handler struct {
 	Receiver Receiver
-	// Wired is closed once messages may be passed on; until then they are dropped.
+	// Wired is closed once the Receiver is ready; messages are dropped until then.
 	Wired <-chan struct{}
 }
 
-// Open says whether messages are passed on.
+// Open reports whether messages are passed on.
 func (h *Handler) Open() bool {
 	select {
 	case <-h.Wired:
@@ -75,7 +78,7 @@
 	}
 }
 
-// HandleOneWay implements that method of peer.Handler.
+// HandleOneWay implements the method of peer.Handler.
 func (h *Handler) HandleOneWay(from id.Daemon, kind peer.Kind, body []byte) {
 	if !h.Open() {
 		return
@@ -101,21 +104,22 @@
 	}
 }
 
-// HandleDatagram implements that method of peer.Handler.
+// HandleDatagram implements the method of peer.Handler.
 func (h *Handler) HandleDatagram(from id.Daemon, kind peer.Kind, body []byte) {
 	if h.Open() && kind == KindMember {
 		h.receiveMember(from, body)
 	}
 }
 
-// member takes a membership message; the sender must be who it says.
+// receiveMember handles a membership message. Its From field must name the daemon
+// that sent it.
 func (h *Handler) receiveMember(from id.Daemon, body []byte) {
 	var m member.Message
 	if !h.decode(from, body, &m) {
 		return
 	}
 	if m.From.Process.Daemon != from {
-		h.Receiver.Refused(from, eris.Errorf("it says that it is %s", m.From.Process.Daemon))
+		h.Receiver.Refused(from, eris.Errorf("membership message names daemon %s as its sender", m.From.Process.Daemon))
 		return
 	}
 	h.Receiver.Member(m)
@@ -137,13 +141,14 @@
 	return s.Transport.Send(to, KindBroker, e)
 }
 
-// SendQuota sends a message about teams' limits, as quotas.Config asks for.
+// SendQuota sends a message about teams' limits; it can be used as the send
+// function of quotas.Config.
 func (s Sender) SendQuota(to id.Daemon, e *quotas.Envelope) error {
 	return s.Transport.Send(to, KindQuota, e)
 }
 
-// SendMember implements members.Sender. A message too large for a datagram
-// goes by the one-way stream. Errors are not handled: the membership repeats
+// SendMember implements members.Sender. A message that is too large for a datagram
+// is sent as a one-way message. Errors are ignored because the membership repeats
 // its messages.
 func (s Sender) SendMember(to id.Daemon, address string, m *member.Message) {
 	if address != "" {
@@ -157,18 +162,20 @@
 	}
 }
 
-// relays is to how many daemons evidence that was learnt is passed on. The first
-// sending goes to all; this one makes up for what it missed.
+// evidenceFanout is the number of daemons to which received evidence is relayed.
+// The original sender sends it to all daemons; relaying reaches those that missed
+// it.
 const evidenceFanout = 2
 
-// RelayEvidence passes evidence on to a few of the given daemons, at random.
+// RelayEvidence sends evidence to a few randomly selected daemons among the given
+// ones. It reorders among.
 func (s Sender) RelayEvidence(among []id.Daemon, state poison.State) {
 	rand.Shuffle(len(among), func(i, j int) { among[i], among[j] = among[j], among[i] })
 	s.SendEvidence(among[:min(evidenceFanout, len(among))], state)
 }
 
-// SendEvidence sends evidence to the given daemons. What is lost comes again
-// with the next crash.
+// SendEvidence sends evidence to the given daemons. Errors are ignored because lost
+// evidence is sent again with the next crash.
 func (s Sender) SendEvidence(to []id.Daemon, state poison.State) {
 	for _, d := range to {
 		_ = s.Transport.Send(d, KindEvidence, &state)
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -1,6 +1,6 @@
-// Package members is the duty that keeps the membership: it drives
-// core/member, sends its messages as datagrams, reads the platform's host list
-// and tells the other duties who lives.
+// Package members runs the membership as a duty: it drives core/member, sends its
+// messages as datagrams, reads the platform's host list and reports the alive
+// daemons to the other duties.
 package members
 
 import (
@@ -19,34 +19,36 @@
 )
 
 const (
-	// hostListEvery is the mean pause between reads of the host list.
+	// hostListInterval is the mean interval between reads of the host list.
 	hostListInterval = 2 * time.Second
-	// stateLeaving is the host list's word for a host that leaves.
+	// stateLeaving is the state of a leaving host in the host list.
 	stateLeaving = "leaving"
 )
 
-// Sender sends a membership message without guarantee.
+// Sender sends membership messages without a delivery guarantee.
 type Sender interface {
 	SendMember(to id.Daemon, address string, m *member.Message)
 }
 
-// Listener is told of changes, within the duty; it must not block.
+// Listener is called on changes, on the duty's goroutine. Its methods must not
+// block.
 type Listener interface {
-	// Live is called with the daemons that take part, sorted, this one among
-	// them, whenever they change.
+	// Live is called with the sorted names of the alive daemons that have a
+	// configuration, whenever they change. This daemon is among them unless it is
+	// leaving, is halted or has no configuration.
 	Live(daemons []id.Daemon)
-	// Gone is called when a process is taken as ended.
+	// Gone is called when a process is considered dead.
 	Gone(p id.Process)
-	// Forgotten is called with a daemon that the membership no longer keeps.
+	// Forgotten is called with a daemon that was removed from the membership.
 	Forgotten(d id.Daemon)
-	// PeerRevision is called with the configuration revision that a peer tells.
+	// PeerRevision is called with the configuration revision that a peer reports.
 	PeerRevision(d id.Daemon, revision uint64)
-	// StopActing is called when this daemon may have been declared dead. When
-	// it returns, nothing acts any longer on what the daemon held before.
+	// StopActing is called when other daemons may have declared this daemon dead.
+	// When it returns, nothing acts any longer on what the daemon held before.
 	StopActing(superseded bool)
 }
 
-// Config is what the duty works with.
+// Config configures the duty.
 type Config struct {
 	Core     member.Config
 	Self     member.Entry
@@ -55,15 +57,15 @@
 	Sender   Sender
 	Listener Listener
 	Metrics  *metrics.Registry
-	// Local gives what the daemon tells of itself.
+	// Local returns the state that this daemon reports about itself.
 	Local func() member.Local
-	// Log takes one line an event.
+	// Log writes one line for each event.
 	Log  func(event string, kv ...any)
 	Now  func() time.Duration
 	Rand *rand.Rand
-	// Behind, if set, is told how long work waits for the duty.
+	// Behind, if set, is called with the time that work waits in the duty's queue.
 	Behind func(late time.Duration)
-	// Ready holds the duty back until it is closed.
+	// Ready delays the duty's start until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -73,9 +75,9 @@
 	duty *duty.Duty
 	core *member.Membership
 	live []id.Daemon
-	// revisions are those that were last told on.
+	// reportedRevisions holds the revisions last reported to the listener.
 	reportedRevisions map[id.Daemon]uint64
-	// snapshot is the view for readers outside the duty.
+	// snapshot is the view for readers on other goroutines.
 	snapshot atomic.Pointer[view]
 	changes  *metrics.CounterMap
 	stalls   *metrics.Counter
@@ -106,10 +108,10 @@
 	return m
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (m *Members) Close() { m.duty.Close() }
 
-// Receive takes a message from another daemon.
+// Receive handles a message from another daemon.
 func (m *Members) Receive(msg member.Message) {
 	m.duty.Post(func(now time.Duration) {
 		m.perform(m.core.Receive(now, msg))
@@ -117,20 +119,20 @@
 	})
 }
 
-// Leave tells the others that this daemon stops soon.
+// Leave announces to the other daemons that this daemon will stop soon.
 func (m *Members) Leave() {
 	m.duty.Post(func(now time.Duration) { m.perform(m.core.Leave(now)) })
 }
 
-// SetHosts takes a host list that was read elsewhere.
+// SetHosts applies a host list that was read elsewhere.
 func (m *Members) SetHosts(hosts []member.Host) {
 	m.duty.Post(func(now time.Duration) { m.perform(m.core.Hosts(now, hosts)) })
 }
 
-// Entries returns the view, this daemon first.
+// Entries returns the entries of the view, this daemon's included, sorted by name.
 func (m *Members) Entries() []member.Entry { return m.snapshot.Load().entries }
 
-// Others lists the other daemons that are not dead.
+// Others returns the other daemons that are not dead.
 func (m *Members) Others() []id.Daemon {
 	var out []id.Daemon
 	for _, e := range m.Entries() {
@@ -141,14 +143,15 @@
 	return out
 }
 
-// Address is where a daemon is reached; empty if that is not known.
+// Address returns a daemon's address, or an empty string if it is not known.
 func (m *Members) Address(d id.Daemon) string { return m.snapshot.Load().byDaemon[d].Address }
 
-// Large says whether the fleet is so large that daemons exchange heartbeats with
-// their neighbours only, and are not connected to all others.
+// Large reports whether the fleet is so large that daemons exchange heartbeats only
+// with their neighbours and are not connected to all others.
 func (m *Members) Large() bool { return m.snapshot.Load().large }
 
-// Alive says whether a process may still act: it is not known to have ended.
+// Alive reports whether a process may still act, that is, whether it is not known
+// to have ended.
 func (m *Members) Alive(p id.Process) bool {
 	e, ok := m.snapshot.Load().byDaemon[p.Daemon]
 	if !ok {
@@ -157,7 +160,7 @@
 	return e.Process.Incarnation == p.Incarnation && e.State != member.Dead
 }
 
-// Known says whether the membership has heard of a daemon.
+// Known reports whether the membership contains a daemon.
 func (m *Members) Known(d id.Daemon) bool {
 	_, ok := m.snapshot.Load().byDaemon[d]
 	return ok
@@ -168,8 +171,8 @@
 	m.core.SetLocal(m.cfg.Local())
 	m.perform(m.core.Tick(now))
 	if due {
-		// Not at each look of the duty: copying the view of a large fleet costs
-		// more than all its messages. Changes are published as they come.
+		// Not on each tick: copying the view of a large fleet costs more than all
+		// its messages. Changes are published as they occur.
 		m.publish()
 		m.notifyLive()
 	}
@@ -183,7 +186,8 @@
 		changed = changed || a.Changed != nil || a.DeclaredDead != nil
 	}
 	if changed {
-		// Not at each message: a look at the whole view costs more than the message.
+		// Not for each message: comparing the whole view costs more than handling
+		// the message.
 		m.notifyLive()
 	}
 }
@@ -210,7 +214,8 @@
 		"domain", c.Domain, "from", c.From, "to", c.To, "why", c.Reason)
 	m.publish()
 	if c.To == member.Dead {
-		// When it comes back, its revision is news, also an unchanged one.
+		// If the daemon returns, its revision must be reported again even if it is
+		// unchanged.
 		delete(m.reportedRevisions, c.Process.Daemon)
 		m.cfg.Listener.Gone(c.Process)
 	}
@@ -236,7 +241,7 @@
 	}
 }
 
-// tellForgotten tells the listener of daemons that are no longer kept.
+// notifyForgotten notifies the listener of daemons that were removed.
 func (m *Members) notifyForgotten(old, now *view) {
 	for _, e := range old.entries {
 		d := e.Process.Daemon
@@ -247,7 +252,8 @@
 	}
 }
 
-// tellLive tells the listener when the daemons that take part have changed.
+// notifyLive notifies the listener if the alive daemons that have a configuration
+// have changed.
 func (m *Members) notifyLive() {
 	live := m.core.Ready()
 	if slices.Equal(live, m.live) {
@@ -267,8 +273,8 @@
 	m.cfg.Listener.PeerRevision(d, e.Revision)
 }
 
-// readHosts reads the platform's host list again and again, with jitter so
-// that the fleet does not ask at once.
+// readHosts reads the platform's host list periodically, with jitter so that the
+// daemons of the fleet do not call at the same time.
 func (m *Members) readHosts() {
 	ctx := m.duty.Context()
 	rng := rand.New(rand.NewPCG(uint64(m.cfg.Self.Process.Incarnation), 1))
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -12,10 +12,10 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// testBound ends a test that would wait for ever; no verdict depends on it.
+// testBound fails a test that would otherwise hang; no result depends on it.
 const testBound = 30 * time.Second
 
-// told records what the duty tells.
+// recorder records the calls of the duty's Listener and ignores sent messages.
 type recorder struct {
 	revisions, gone, forgotten chan id.Daemon
 }
@@ -35,7 +35,7 @@
 func (l *recorder) StopActing(bool)                                     {}
 func (l *recorder) SendMember(_ id.Daemon, _ string, _ *member.Message) {}
 
-// startTest starts the duty with waits that are short, as nothing is measured.
+// startTest starts the duty with short intervals, as the tests measure no time.
 func startTest(t *testing.T, forget time.Duration) (*Members, *recorder) {
 	t.Helper()
 	core := member.DefaultConfig(member.Mesh)
@@ -61,7 +61,7 @@
 	return m, l
 }
 
-// heartbeat is what a peer of the own failure domain says.
+// heartbeat returns a heartbeat of a peer in the same failure domain.
 func heartbeat(epoch uint32) member.Message {
 	return member.Message{Kind: member.Heartbeat, From: member.Entry{
 		Process: id.Process{Daemon: "b", Incarnation: 1}, State: member.Alive,
@@ -75,12 +75,12 @@
 	case d := <-c:
 		is.New(t).Equal(d, id.Daemon("b"))
 	case <-time.After(testBound):
-		t.Fatalf("never told: %s", what)
+		t.Fatalf("not reported in time: %s", what)
 	}
 }
 
-// TestRevisionOfOneThatCameBackIsTold: whoever listens forgets a dead daemon's
-// revision, so an unchanged one must be told again.
+// Listeners drop a dead daemon's revision, so an unchanged revision must be
+// reported again when the daemon returns.
 func TestRevisionOfReturnedDaemonIsReported(t *testing.T) {
 	m, l := startTest(t, time.Hour)
 	m.Receive(heartbeat(0))
@@ -95,6 +95,6 @@
 	m, l := startTest(t, time.Millisecond)
 	m.Receive(heartbeat(0))
 	await(t, l.gone, "the death")
-	await(t, l.forgotten, "that it is forgotten")
+	await(t, l.forgotten, "the removal")
 	is.True(!m.Known("b"))
 }
