--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -45,10 +45,10 @@
 	return s.plan.MayClose(now, inFlight)
 }
 
-// Wait checks at the interval every whether the daemon may close, and returns the
+// Wait checks at the given interval whether the daemon may close, and returns the
 // reason once it may. ok is false if ctx ended first.
-func (s *Stop) Wait(ctx context.Context, every time.Duration, now func() time.Duration, inFlight func() int) (why entry.StopReason, ok bool) {
-	ticker := time.NewTicker(every)
+func (s *Stop) Wait(ctx context.Context, interval time.Duration, now func() time.Duration, inFlight func() int) (reason entry.StopReason, ok bool) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -56,8 +56,8 @@
 			return "", false
 		case <-ticker.C:
 		}
-		if ok, why := s.mayClose(now(), inFlight()); ok {
-			return why, true
+		if ok, reason := s.mayClose(now(), inFlight()); ok {
+			return reason, true
 		}
 	}
 }
--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -57,7 +57,7 @@
 	Quota(from id.Daemon, e *quotas.Envelope)
 	// Refused is called for a message that is rejected because it cannot be decoded
 	// or names another sender.
-	Refused(from id.Daemon, why error)
+	Refused(from id.Daemon, cause error)
 }
 
 // Handler decodes messages and passes them to a Receiver once the daemon is fully
--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -144,11 +144,11 @@
 	}
 }
 
-func (t *Transport) removeUnusedBefore(then time.Time) {
+func (t *Transport) removeUnusedBefore(cutoff time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, r := range t.remotes {
-		if r.unusedSince(then) {
+		if r.unusedSince(cutoff) {
 			delete(t.remotes, name)
 			r.cancel()
 		}
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -72,11 +72,11 @@
 func (r *remote) touch() { r.lastUsed.Store(time.Now().UnixNano()) }
 
 // unusedSince reports whether the peer has no connection and no queued messages and
-// was not used since then.
-func (r *remote) unusedSince(then time.Time) bool {
+// was not used since cutoff.
+func (r *remote) unusedSince(cutoff time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.conns) == 0 && r.messages.Len() == 0 && r.lastUsed.Load() < then.UnixNano()
+	return len(r.conns) == 0 && r.messages.Len() == 0 && r.lastUsed.Load() < cutoff.UnixNano()
 }
 
 // signal sends on a channel of capacity 1 without blocking.
