--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -10,54 +10,55 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Codes with which a connection is closed.
+// Error codes of closed connections.
 const (
-	codeClosed  quic.ApplicationErrorCode = 1
-	codeRefused quic.ApplicationErrorCode = 2
-	codeFault   quic.ApplicationErrorCode = 3
-	codeOld     quic.ApplicationErrorCode = 4
+	codeClosed     quic.ApplicationErrorCode = 1
+	codeRefused    quic.ApplicationErrorCode = 2
+	codeFailed     quic.ApplicationErrorCode = 3
+	codeSuperseded quic.ApplicationErrorCode = 4
 )
 
-// conn is one connection to or from a peer. Each side opens one one-way stream
-// and begins it with its hello.
+// conn is one connection to or from a peer. Each side opens one unidirectional
+// stream and sends its hello on it first.
 type conn struct {
 	remote *remote
 	quic   *quic.Conn
 	origin string
 
-	// incarnation of the peer's process; set before adopt closes ready.
+	// incarnation of the peer's process; set before helloReceived closes ready.
 	incarnation id.Incarnation
 	ready       chan struct{}
 
-	writing sync.Mutex
+	writeMu sync.Mutex
 	oneWay  *quic.SendStream
 }
 
 func (c *conn) close(code quic.ApplicationErrorCode, reason string) {
-	// The error would only say that the connection was closed before.
+	// An error only means that the connection was already closed.
 	_ = c.quic.CloseWithError(code, reason)
 }
 
-// alive reports whether the connection has not ended.
+// alive reports whether the connection is still open.
 func (c *conn) alive() bool { return c.quic.Context().Err() == nil }
 
-// serve reads all that the peer sends until the connection ends.
+// serve reads the peer's messages, calls and datagrams until the connection ends.
 func (c *conn) serve() {
 	t := c.remote.t
 	var readers sync.WaitGroup
 	readers.Go(c.acceptCalls)
 	readers.Go(c.readDatagrams)
-	err := c.greet()
+	err := c.sendHello()
 	if err == nil {
 		err = c.readOneWay()
 	}
-	c.close(codeFault, errorText(err))
+	c.close(codeFailed, errorText(err))
 	readers.Wait()
-	t.drop(c)
-	c.remote.lost(c, err)
+	t.removeConn(c)
+	c.remote.connEnded(c, err)
 }
 
-// errorText is cut to what fits a QUIC close frame.
+// errorText returns the error's text, truncated to fit in a QUIC CONNECTION_CLOSE
+// frame.
 func errorText(err error) string {
 	const longest = 200
 	if err == nil {
@@ -67,8 +68,8 @@
 	return text[:min(len(text), longest)]
 }
 
-// greet opens the one-way stream and sends the hello on it.
-func (c *conn) greet() error {
+// sendHello opens the one-way stream and sends the hello on it.
+func (c *conn) sendHello() error {
 	t := c.remote.t
 	ctx, cancel := context.WithTimeout(c.quic.Context(), t.cfg.DialTimeout)
 	defer cancel()
@@ -76,24 +77,24 @@
 	if err != nil {
 		return err
 	}
-	c.writing.Lock()
+	c.writeMu.Lock()
 	c.oneWay = stream
-	c.writing.Unlock()
-	if t.faults.loses(c.remote.name) {
+	c.writeMu.Unlock()
+	if t.faults.drops(c.remote.name) {
 		return nil
 	}
-	greeting, err := Encode(hello{Version: helloVersion, Incarnation: t.cfg.Self.Incarnation})
+	encoded, err := Encode(hello{Version: helloVersion, Incarnation: t.cfg.Self.Incarnation})
 	if err != nil {
 		return err
 	}
-	return c.write(greeting)
+	return c.write(encoded)
 }
 
-// write sends bytes on the one-way stream. It waits for a peer that is slow to
-// read, up to the write timeout.
+// write sends data on the one-way stream. It blocks while the peer is slow to read,
+// for at most the write timeout.
 func (c *conn) write(data []byte) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if err := c.oneWay.SetWriteDeadline(time.Now().Add(c.remote.t.cfg.WriteTimeout)); err != nil {
 		return err
 	}
@@ -109,12 +110,12 @@
 		return err
 	}
 	reader := newFrameReader(stream, t.cfg.MaxMessage)
-	var greeting hello
-	if _, err := reader.next(&greeting); err != nil {
+	var peerHello hello
+	if _, err := reader.next(&peerHello); err != nil {
 		return err
 	}
-	c.incarnation = greeting.Incarnation
-	c.remote.adopt(c)
+	c.incarnation = peerHello.Incarnation
+	c.remote.helloReceived(c)
 	for {
 		var f frame
 		size, err := reader.next(&f)
@@ -126,14 +127,15 @@
 	}
 }
 
-// drop takes a connection that has ended off the list and keeps its counts.
-func (t *Transport) drop(c *conn) {
+// removeConn removes a closed connection and adds its packets to the total of
+// closed connections.
+func (t *Transport) removeConn(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.conns[c]; !ok {
 		return
 	}
 	delete(t.conns, c)
-	t.endedCount++
-	t.ended.add(c.quic.ConnectionStats())
+	t.closedConns++
+	t.closedTraffic.add(c.quic.ConnectionStats())
 }
--- a/daemon/peer/datagram.go
+++ b/daemon/peer/datagram.go
@@ -10,20 +10,20 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// datagramRingSize is how many datagrams may wait for one peer; the oldest go
-// first.
+// datagramRingSize is the number of datagrams that can be queued for one peer; when
+// the ring is full the oldest is dropped.
 const datagramRingSize = 64
 
-// datagramHead is the kind, one byte before the body.
-const datagramHead = 1
+// datagramHeaderSize is the size of the header, in bytes: the kind.
+const datagramHeaderSize = 1
 
-// MaxDatagram bounds the body of a datagram, in bytes, so that it fits the
+// MaxDatagram is the maximum size of a datagram's body, in bytes. It fits into the
 // smallest QUIC packet.
 const MaxDatagram = 1100
 
-// Datagram sends a message that may be lost or reordered and is never repeated.
-// It does not wait: without a connection it asks for one and gives
-// ErrNotConnected.
+// Datagram sends a message that may be lost or reordered and is never
+// retransmitted. It does not block: without a connection it requests one and
+// returns ErrNotConnected.
 func (t *Transport) Datagram(to id.Daemon, kind Kind, msg any) error {
 	r, err := t.find(to)
 	if err != nil {
@@ -34,14 +34,14 @@
 		return err
 	}
 	if len(body) > MaxDatagram {
-		return eris.Wrapf(ErrTooLarge, "peer %s: datagram %T of %d bytes, bound %d", to, msg, len(body), MaxDatagram)
+		return eris.Wrapf(ErrTooLarge, "peer %s: datagram %T of %d bytes exceeds the limit of %d", to, msg, len(body), MaxDatagram)
 	}
-	if t.faults.loses(to) {
+	if t.faults.drops(to) {
 		t.traffic.countLost(kind)
 		return nil
 	}
 	if r.live() == nil {
-		signal(r.wanted)
+		signal(r.dialRequested)
 		return eris.Wrapf(ErrNotConnected, "peer %s", to)
 	}
 	r.startDatagrams()
@@ -49,11 +49,12 @@
 	return nil
 }
 
-// startDatagrams starts the peer's sender of datagrams on first use.
+// startDatagrams starts the goroutine that sends the peer's datagrams, on first
+// use.
 func (r *remote) startDatagrams() {
 	r.mu.Lock()
-	started := r.datagramsOn
-	r.datagramsOn = true
+	started := r.datagramSenderStarted
+	r.datagramSenderStarted = true
 	r.mu.Unlock()
 	if !started {
 		r.t.spawn(r.sendDatagrams)
@@ -80,15 +81,15 @@
 	packet := append([]byte{byte(item.kind)}, item.body...)
 	if err := c.quic.SendDatagram(packet); err != nil {
 		t.traffic.countLost(item.kind)
-		r.reportDatagram(err)
+		r.reportDatagramError(err)
 		return
 	}
 	t.traffic.countSent(item.kind, len(packet))
 }
 
-// reportDatagram tells of datagrams that do not fit the path; other errors mean
-// that the connection is gone, which is reported elsewhere.
-func (r *remote) reportDatagram(err error) {
+// reportDatagramError reports datagrams that exceed the path's packet size. Other
+// errors mean that the connection has ended, which connEnded reports.
+func (r *remote) reportDatagramError(err error) {
 	var tooLarge *quic.DatagramTooLargeError
 	if errors.As(err, &tooLarge) {
 		r.t.cfg.Report("peer_datagram_too_large", "peer", r.name, "bound", tooLarge.MaxDatagramPayloadSize)
@@ -102,11 +103,11 @@
 		if err != nil {
 			return
 		}
-		if len(packet) < datagramHead {
+		if len(packet) < datagramHeaderSize {
 			continue
 		}
 		kind := Kind(packet[0])
 		t.traffic.countReceived(kind, len(packet))
-		t.cfg.Handler.HandleDatagram(c.remote.name, kind, packet[datagramHead:])
+		t.cfg.Handler.HandleDatagram(c.remote.name, kind, packet[datagramHeaderSize:])
 	}
 }
--- a/daemon/peer/dial.go
+++ b/daemon/peer/dial.go
@@ -9,31 +9,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// giveWayTime is long against a handshake between hosts, and short against
-// the time for which a message may wait.
-const giveWayTime = 50 * time.Millisecond
+// dialDeferral is how long a daemon leaves the dial to a peer with a lower name. It
+// is longer than a handshake between hosts, and shorter than the time for which a
+// message may wait.
+const dialDeferral = 50 * time.Millisecond
 
-func (r *remote) answerLocked(o outcome) {
-	for _, w := range r.waiting {
+func (r *remote) notifyWaitersLocked(o dialResult) {
+	for _, w := range r.waiters {
 		w <- o
 	}
-	r.waiting = nil
+	r.waiters = nil
 }
 
-// connection returns the live connection, or waits for the outcome of the next
-// dial.
+// connection returns the live connection, or waits for the result of the next dial.
 func (r *remote) connection(ctx context.Context) (*conn, error) {
 	r.mu.Lock()
 	if c := r.liveLocked(); c != nil {
 		r.mu.Unlock()
 		return c, nil
 	}
-	answer := make(chan outcome, 1)
-	r.waiting = append(r.waiting, answer)
+	result := make(chan dialResult, 1)
+	r.waiters = append(r.waiters, result)
 	r.mu.Unlock()
-	signal(r.wanted)
+	signal(r.dialRequested)
 	select {
-	case o := <-answer:
+	case o := <-result:
 		return o.conn, o.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -42,36 +42,35 @@
 	}
 }
 
-// connect returns the live connection, or dials once. After a dial that failed
-// it first waits, with backoff and jitter. It returns nil when there is no
-// connection.
+// connect returns the live connection, or dials once. After a failed dial it first
+// waits, with backoff and jitter. It returns nil if there is no connection.
 func (r *remote) connect() *conn {
 	if c := r.live(); c != nil {
 		return c
 	}
-	r.rest()
-	r.giveWay()
-	leave, ok := r.enterDial()
+	r.waitBackoff()
+	r.deferDial()
+	release, ok := r.acquireDialSlot()
 	if !ok {
 		return r.live()
 	}
-	defer leave()
+	defer release()
 	if err := r.dial(); err != nil {
-		r.notBefore = time.Now().Add(r.backoff.NextBackOff())
+		r.nextDial = time.Now().Add(r.backoff.NextBackOff())
 		r.mu.Lock()
-		r.answerLocked(outcome{err: err})
+		r.notifyWaitersLocked(dialResult{err: err})
 		r.mu.Unlock()
 		return nil
 	}
 	r.backoff.Reset()
-	r.notBefore = time.Time{}
+	r.nextDial = time.Time{}
 	return r.live()
 }
 
-// rest waits for the time of the next dial, or until a connection or an
-// address has come.
-func (r *remote) rest() {
-	wait := time.Until(r.notBefore)
+// waitBackoff waits until the next dial is allowed, or until there is a connection
+// or a new address.
+func (r *remote) waitBackoff() {
+	wait := time.Until(r.nextDial)
 	if wait <= 0 {
 		return
 	}
@@ -84,13 +83,13 @@
 	}
 }
 
-// giveWay lets a peer with a lower name dial first, as two daemons that begin
-// to talk at the same time would else keep two connections.
-func (r *remote) giveWay() {
+// deferDial lets a peer with a lower name dial first. Otherwise two daemons that
+// start to communicate at the same time would keep two connections.
+func (r *remote) deferDial() {
 	if r.name > r.t.cfg.Self.Daemon {
 		return
 	}
-	timer := time.NewTimer(giveWayTime)
+	timer := time.NewTimer(dialDeferral)
 	defer timer.Stop()
 	for r.live() == nil {
 		select {
@@ -103,23 +102,23 @@
 	}
 }
 
-// enterDial waits for this peer's turn to be dialled; ok is false where a
-// connection has come meanwhile, or the peer is closed. leave ends the turn.
+// acquireDialSlot waits for a dial slot; ok is false if a connection was made in
+// the meantime or the peer is closed. release frees the slot.
 //
-// Where all daemons of a fleet start at once, each dials many others. All at the
-// same time they take longer than a dial may, so that what was spent on them is
-// thrown away and they are dialled once more.
-func (r *remote) enterDial() (leave func(), ok bool) {
+// If all daemons of a fleet start at once, each dials many others. Without a limit
+// the concurrent handshakes take longer than the dial timeout, so that their work
+// is wasted and the peers are dialled again.
+func (r *remote) acquireDialSlot() (release func(), ok bool) {
 	for r.live() == nil {
 		select {
-		case r.t.dials <- struct{}{}:
+		case r.t.dialSlots <- struct{}{}:
 			if r.t.ctx.Err() != nil {
-				// A dial that the end of the transport ended gave its turn back; this
-				// peer's own context may end a moment later.
-				<-r.t.dials
+				// A dial that was cancelled by the transport's end released its
+				// slot; this peer's own context may be cancelled slightly later.
+				<-r.t.dialSlots
 				return nil, false
 			}
-			return r.dialTurn(), true
+			return r.dialSlotRelease(), true
 		case <-r.changed:
 		case <-r.ctx.Done():
 			return nil, false
@@ -128,10 +127,11 @@
 	return nil, false
 }
 
-// dialTurn returns what ends a turn that was given; it ends by itself, too.
-func (r *remote) dialTurn() func() {
-	end := sync.OnceFunc(func() { <-r.t.dials })
-	timer := time.AfterFunc(r.t.cfg.DialTurn, end)
+// dialSlotRelease returns a function that releases the dial slot. The slot is also
+// released after DialSlotTimeout.
+func (r *remote) dialSlotRelease() func() {
+	end := sync.OnceFunc(func() { <-r.t.dialSlots })
+	timer := time.AfterFunc(r.t.cfg.DialSlotTimeout, end)
 	return func() {
 		timer.Stop()
 		end()
@@ -146,7 +146,7 @@
 	if address == "" {
 		return eris.Wrapf(ErrNotConnected, "peer %s has no address", r.name)
 	}
-	if r.t.faults.loses(r.name) {
+	if r.t.faults.drops(r.name) {
 		return eris.Wrapf(ErrNotConnected, "peer %s at %s", r.name, address)
 	}
 	udp, err := net.ResolveUDPAddr("udp", address)
--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -21,7 +21,7 @@
 	b, atB := f.listen("b", nil)
 	is.NoErr(a.SetPeer("b", b.Address()))
 	is.NoErr(b.SetPeer("a", a.Address()))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 
 	a.SetFault(func(to id.Daemon) Drop { return to == "b" })
 	is.NoErr(a.Send("b", kindNote, "dropped"))
@@ -30,10 +30,10 @@
 	is.NoErr(b.Send("a", kindNote, "arrives"))
 	is.Equal(next(t, atA.notes).text, "arrives")
 
-	ctx, cancel := context.WithCancel(bounded(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	failed := make(chan error, 1)
 	go func() { failed <- b.Call(ctx, "a", kindHang, "x", nil) }()
-	<-atA.hanging // the call arrives, its answer would not
+	<-atA.hanging // the call arrives; its answer would be dropped
 	cancel()
 	is.Equal(verdict.Of(<-failed), verdict.MayHaveRun)
 
@@ -42,7 +42,7 @@
 	is.Equal(next(t, atB.notes).text, "healed")
 }
 
-func TestRestartedPeerIsFoundAgain(t *testing.T) {
+func TestReconnectsToRestartedPeer(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	a, atA := f.listen("a", nil)
@@ -52,7 +52,7 @@
 	b1, _ := f.listen("b", sameKeys)
 	address := b1.Address()
 	is.NoErr(a.SetPeer("b", address))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	is.Equal(a.Peers()[0].Process, id.Process{Daemon: "b", Incarnation: 1})
 
 	b1.Close()
@@ -61,7 +61,7 @@
 		c.Listen = address
 		c.Self.Incarnation = 2
 	})
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	is.Equal(a.Peers()[0].Process.Incarnation, id.Incarnation(2))
 	is.NoErr(b2.Send("a", kindNote, "from the new process"))
 	is.Equal(next(t, atA.notes), received{"b", "from the new process"})
@@ -73,11 +73,12 @@
 	a, _ := f.listen("a", nil)
 	old, _ := f.listen("b", nil)
 	is.NoErr(old.SetPeer("a", a.Address()))
-	callUntilUp(t, old, "a")
-	// The old process is still there, as if paused, when its successor comes.
+	callUntilConnected(t, old, "a")
+	// The old process still runs, for instance after a pause, when its successor
+	// connects.
 	successor, atSuccessor := f.listen("b", func(c *Config) { c.Self.Incarnation = 2 })
 	is.NoErr(successor.SetPeer("a", a.Address()))
-	callUntilUp(t, successor, "a")
+	callUntilConnected(t, successor, "a")
 	waitDisconnected(t, a, 1)
 	is.NoErr(a.Send("b", kindNote, "to the successor"))
 	is.Equal(next(t, atSuccessor.notes).text, "to the successor")
@@ -88,22 +89,22 @@
 	f, foreign := newFleet(t), newFleet(t)
 	short := func(c *Config) { c.DialTimeout = 300 * time.Millisecond }
 	a, _ := f.listen("a", nil)
-	stranger, _ := foreign.listen("b", short)
-	is.NoErr(stranger.SetPeer("a", a.Address()))
-	is.Equal(verdict.Of(stranger.Call(bounded(t), "a", kindEcho, "x", nil)), verdict.NotRun)
+	untrusted, _ := foreign.listen("b", short)
+	is.NoErr(untrusted.SetPeer("a", a.Address()))
+	is.Equal(verdict.Of(untrusted.Call(testContext(t), "a", kindEcho, "x", nil)), verdict.NotRun)
 	is.Equal(len(a.Peers()), 0)
 
-	// A daemon that answers under another name is refused too.
+	// A daemon that presents a certificate for another name is refused too.
 	c, _ := f.listen("c", short)
 	is.NoErr(c.SetPeer("b", a.Address()))
-	is.Equal(verdict.Of(c.Call(bounded(t), "b", kindEcho, "x", nil)), verdict.NotRun)
+	is.Equal(verdict.Of(c.Call(testContext(t), "b", kindEcho, "x", nil)), verdict.NotRun)
 }
 
 func TestFullRingIsAnError(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	a, _ := f.listen("a", func(c *Config) { c.RingSize = 4 })
-	is.NoErr(a.SetPeer("b", "")) // without an address nothing is taken off the ring for long
+	is.NoErr(a.SetPeer("b", "")) // without an address there is no connection, so the ring fills up
 	var err error
 	for range 64 {
 		if err = a.Send("b", kindNote, "x"); err != nil {
@@ -119,14 +120,14 @@
 	a, _ := f.listen("a", nil)
 	b, atB := f.listen("b", nil)
 	is.NoErr(a.SetPeer("b", b.Address()))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	const delay = 30 * time.Millisecond
 	a.SetDelay(func(id.Daemon) time.Duration { return delay })
 	began := time.Now()
 	is.NoErr(a.Send("b", kindNote, "late"))
 	is.Equal(next(t, atB.notes).text, "late")
-	is.True(time.Since(began) >= delay) // a lower bound holds however slow the run
-	ctx := bounded(t)
+	is.True(time.Since(began) >= delay) // a lower bound holds on a slow machine too
+	ctx := testContext(t)
 	for len(atB.datagrams) == 0 && ctx.Err() == nil {
 		is.NoErr(a.Datagram("b", kindNote, "datagram"))
 		pause(ctx, 5*time.Millisecond)
@@ -154,22 +155,22 @@
 	registry := metrics.New("b")
 	b, _ := f.listen("b", func(c *Config) { c.Registry = registry })
 	is.NoErr(a.SetPeer("b", b.Address()))
-	is.Equal(verdict.Of(a.Call(bounded(t), "b", kindPanic, "x", nil)), verdict.MayHaveRun)
-	callUntilUp(t, a, "b") // the connection goes on
-	b.Close()              // waits for the worker, which counts its panic
+	is.Equal(verdict.Of(a.Call(testContext(t), "b", kindPanic, "x", nil)), verdict.MayHaveRun)
+	callUntilConnected(t, a, "b") // the connection stays open
+	b.Close()                     // waits for the worker, which counts the panic
 	is.Equal(registry.Violations(), uint64(1))
 }
 
-func TestPeerThatCameByItselfIsForgotten(t *testing.T) {
+func TestIncomingPeerIsRemovedAfterDisconnect(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	a, _ := f.listen("a", nil)
 	guest, _ := f.listen("guest", nil)
 	is.NoErr(guest.SetPeer("a", a.Address()))
-	callUntilUp(t, guest, "a")
+	callUntilConnected(t, guest, "a")
 	is.Equal(len(a.Peers()), 1)
 	guest.Close()
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for len(a.Peers()) > 0 && ctx.Err() == nil {
 		pause(ctx, time.Millisecond)
 	}
@@ -182,12 +183,12 @@
 	a, _ := f.listen("a", nil)
 	b, atB := f.listen("b", func(c *Config) { c.CallWorkers = 1 })
 	is.NoErr(a.SetPeer("b", b.Address()))
-	ctx, cancel := context.WithCancel(bounded(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	failed := make(chan error, 1)
 	go func() { failed <- a.Call(ctx, "b", kindHang, "x", nil) }()
 	<-atB.hanging
 	var refused *verdict.Error
-	is.True(errors.As(a.Call(bounded(t), "b", kindEcho, "x", nil), &refused))
+	is.True(errors.As(a.Call(testContext(t), "b", kindEcho, "x", nil), &refused))
 	is.Equal(refused.Verdict, verdict.NotRun)
 	is.Equal(refused.Code, verdict.CodeOverloaded)
 	cancel()
@@ -204,14 +205,13 @@
 	a, _ := f.listen("a", quiet)
 	b, _ := f.listen("b", quiet)
 	is.NoErr(a.SetPeer("b", b.Address()))
-	callUntilUp(t, a, "b")
+	callUntilConnected(t, a, "b")
 	waitDisconnected(t, a, 1)
-	callUntilUp(t, a, "b") // made again on use
+	callUntilConnected(t, a, "b") // connects again on use
 }
 
-// TestAPeerIsConnectedToOnUseAndForgottenAfter: in a large fleet a daemon must not
-// hold something for each other one.
-func TestAPeerIsConnectedToOnUseAndForgottenAfter(t *testing.T) {
+// In a large fleet a daemon must not hold state for every other daemon.
+func TestResolvedPeerIsConnectedOnUseAndRemovedWhenUnused(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
 	b, atB := f.listen("b", nil)
@@ -224,25 +224,25 @@
 		}
 	})
 	is.True(errors.Is(a.Send("c", kindNote, "x"), ErrUnknownPeer))
-	is.NoErr(a.Send("b", kindNote, "hello")) // nobody has set b
+	is.NoErr(a.Send("b", kindNote, "hello")) // SetPeer was not called for b
 	is.Equal(next(t, atB.notes).text, "hello")
 
 	later := time.Now().Add(time.Hour)
-	a.forgetUnusedBefore(later)
-	is.Equal(len(a.Peers()), 1) // it is connected
+	a.removeUnusedBefore(later)
+	is.Equal(len(a.Peers()), 1) // kept: still connected
 	for _, c := range a.connections() {
 		c.close(codeClosed, "test")
 	}
 	waitDisconnected(t, a, 1)
-	a.forgetUnusedBefore(time.Now().Add(-time.Hour))
-	is.Equal(len(a.Peers()), 1) // it was used
-	a.forgetUnusedBefore(later)
+	a.removeUnusedBefore(time.Now().Add(-time.Hour))
+	is.Equal(len(a.Peers()), 1) // kept: used since then
+	a.removeUnusedBefore(later)
 	is.Equal(len(a.Peers()), 0)
 	is.NoErr(a.Send("b", kindNote, "again"))
 	is.Equal(next(t, atB.notes).text, "again")
 }
 
-// connections lists the open connections.
+// connections returns the open connections.
 func (t *Transport) connections() []*conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -20,7 +20,7 @@
 	kindPanic
 )
 
-// testBound ends a test that would wait for ever; no verdict depends on it.
+// testBound fails a test that would otherwise hang; no result depends on it.
 const testBound = 30 * time.Second
 
 func TestMain(m *testing.M) {
@@ -32,12 +32,12 @@
 	text string
 }
 
-// recorder is a Handler that keeps what it gets.
+// recorder is a Handler that records what it receives.
 type recorder struct {
 	notes     chan received
 	datagrams chan received
 	hanging   chan struct{}
-	gaveUp    chan struct{}
+	cancelled chan struct{}
 }
 
 func newRecorder() *recorder {
@@ -45,7 +45,7 @@
 		notes:     make(chan received, 4096),
 		datagrams: make(chan received, 64),
 		hanging:   make(chan struct{}, 64),
-		gaveUp:    make(chan struct{}, 64),
+		cancelled: make(chan struct{}, 64),
 	}
 }
 
@@ -60,11 +60,11 @@
 func (r *recorder) HandleCall(ctx context.Context, _ id.Daemon, kind Kind, body []byte) ([]byte, error) {
 	switch kind {
 	case kindFail:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "no room").WithRetryAfter(time.Second)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "handler is overloaded").WithRetryAfter(time.Second)
 	case kindHang:
 		r.hanging <- struct{}{}
 		<-ctx.Done()
-		r.gaveUp <- struct{}{}
+		r.cancelled <- struct{}{}
 		return nil, ctx.Err()
 	case kindPanic:
 		panic("broken handler")
@@ -81,7 +81,7 @@
 	return text
 }
 
-// fleet makes transports that trust one another.
+// fleet creates transports with certificates of one CA.
 type fleet struct {
 	t  testing.TB
 	ca *keys.DevCA
@@ -120,7 +120,7 @@
 	return transport, handler
 }
 
-func bounded(t testing.TB) context.Context {
+func testContext(t testing.TB) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testBound)
 	t.Cleanup(cancel)
@@ -138,10 +138,11 @@
 	}
 }
 
-// callUntilUp calls until the peer is reached; a peer may need a few dials.
-func callUntilUp(t testing.TB, from *Transport, to id.Daemon) {
+// callUntilConnected calls the peer until a call succeeds; the connection may need
+// several dials.
+func callUntilConnected(t testing.TB, from *Transport, to id.Daemon) {
 	t.Helper()
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for {
 		var echo string
 		err := from.Call(ctx, to, kindEcho, "up", &echo)
@@ -149,18 +150,19 @@
 			return
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("%s never reached %s: %v", from.Self(), to, err)
+			t.Fatalf("%s could not reach %s: %v", from.Self(), to, err)
 		}
 	}
 }
 
-// waitDisconnected waits until as many of the transport's connections have ended.
+// waitDisconnected waits until the given number of the transport's connections have
+// ended.
 func waitDisconnected(t *testing.T, tr *Transport, ended int) {
 	t.Helper()
-	ctx := bounded(t)
+	ctx := testContext(t)
 	for ctx.Err() == nil {
 		tr.mu.Lock()
-		gone := tr.endedCount >= ended
+		gone := tr.closedConns >= ended
 		tr.mu.Unlock()
 		if gone {
 			return
--- a/daemon/peer/peers.go
+++ b/daemon/peer/peers.go
@@ -8,8 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// SetPeer adds a peer or changes its address. The connection is made when
-// something is to be sent.
+// SetPeer adds a peer or changes its address. The connection is made on first use.
 func (t *Transport) SetPeer(name id.Daemon, address string) error {
 	if name == t.cfg.Self.Daemon {
 		return eris.Errorf("peer: %s is this daemon itself", name)
@@ -24,7 +23,7 @@
 	return nil
 }
 
-// RemovePeer forgets a peer, closes its connections and drops what waits for it.
+// RemovePeer removes a peer, closes its connections and drops its queued messages.
 func (t *Transport) RemovePeer(name id.Daemon) {
 	t.mu.Lock()
 	r := t.remotes[name]
@@ -35,14 +34,14 @@
 	}
 }
 
-// PeerState is what the transport knows of one peer.
+// PeerState is the transport's view of one peer.
 type PeerState struct {
 	Process   id.Process
 	Address   string
 	Connected bool
 }
 
-// Peers lists the peers, in no order.
+// Peers returns the peers in unspecified order.
 func (t *Transport) Peers() []PeerState {
 	t.mu.Lock()
 	remotes := make([]*remote, 0, len(t.remotes))
@@ -57,8 +56,8 @@
 	return states
 }
 
-// remoteFor returns the peer of that name, adding it without an address if it
-// is new.
+// remoteFor returns the peer of that name and adds it without an address if it is
+// new.
 func (t *Transport) remoteFor(name id.Daemon) (*remote, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,11 +80,11 @@
 	return r, nil
 }
 
-// forget drops a peer that was never set and has no connection left.
-func (t *Transport) forget(r *remote) {
+// removeIfUnset removes a peer that was never set and has no connection left.
+func (t *Transport) removeIfUnset(r *remote) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.remotes[r.name] == r && r.idle() {
+	if t.remotes[r.name] == r && r.removable() {
 		delete(t.remotes, r.name)
 		r.cancel()
 	}
@@ -99,14 +98,14 @@
 	}
 	r, ok := t.remotes[name]
 	if !ok {
-		return t.lookUpLocked(name)
+		return t.resolveLocked(name)
 	}
-	r.used()
+	r.touch()
 	return r, nil
 }
 
-// lookUpLocked adds a peer whose address is known elsewhere.
-func (t *Transport) lookUpLocked(name id.Daemon) (*remote, error) {
+// resolveLocked adds a peer whose address Config.Address returns.
+func (t *Transport) resolveLocked(name id.Daemon) (*remote, error) {
 	address := ""
 	if t.cfg.Address != nil && name != t.cfg.Self.Daemon {
 		address = t.cfg.Address(name)
@@ -122,34 +121,34 @@
 	return r, nil
 }
 
-// Bounds of what is kept of peers that are not talked to.
+// Removal of unused peers.
 const (
-	// forgetUnused is how long a peer without a connection may be unused, and
-	// forgetLook how often unused ones are looked for.
-	forgetUnused = 15 * time.Second
-	forgetLook   = 5 * time.Second
+	// unusedPeerTTL is how long a peer without a connection is kept after its last
+	// use, and unusedPeerScanInterval the interval between scans for such peers.
+	unusedPeerTTL          = 15 * time.Second
+	unusedPeerScanInterval = 5 * time.Second
 )
 
-// forgetUnusedPeers drops peers that were not used for a while and are not
-// connected, until the transport is closed.
-func (t *Transport) forgetUnusedPeers() {
-	ticker := time.NewTicker(forgetLook)
+// removeUnusedPeers periodically removes peers that are unused and not connected,
+// until the transport is closed.
+func (t *Transport) removeUnusedPeers() {
+	ticker := time.NewTicker(unusedPeerScanInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-t.ctx.Done():
 			return
 		case <-ticker.C:
-			t.forgetUnusedBefore(time.Now().Add(-forgetUnused))
+			t.removeUnusedBefore(time.Now().Add(-unusedPeerTTL))
 		}
 	}
 }
 
-func (t *Transport) forgetUnusedBefore(then time.Time) {
+func (t *Transport) removeUnusedBefore(cutoff time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, r := range t.remotes {
-		if r.unusedSince(then) {
+		if r.unusedSince(cutoff) {
 			delete(t.remotes, name)
 			r.cancel()
 		}
