--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -46,8 +46,8 @@
 	// settling are the outcomes that other daemons wait to be stored.
 	settling map[claim.Token]chan<- bool
 	// writers are the daemons that write claims; none: each its own.
-	writers atomic.Pointer[[]id.Daemon]
-	unkept  *metrics.Counter
+	writers  atomic.Pointer[[]id.Daemon]
+	unstored *metrics.Counter
 }
 
 // result ends a Begin; one field is set.
@@ -64,7 +64,7 @@
 		core:     claim.New(claim.Config{OwnerAlive: cfg.OwnerAlive}),
 		waiting:  make(map[claim.Token]chan<- result),
 		settling: make(map[claim.Token]chan<- bool),
-		unkept:   cfg.Metrics.Counter("claims_unkept", metrics.UnitCount, "outcomes of claimed calls that could not be stored in time"),
+		unstored: cfg.Metrics.Counter("claims_unkept", metrics.UnitCount, "outcomes of claimed calls that could not be stored in time"),
 	}
 	c.duty = duty.Start(duty.Config{Name: "claims", Now: cfg.Now, Tick: c.tick, Metrics: cfg.Metrics})
 	return c
@@ -191,7 +191,7 @@
 // settle ends a Finish or a Release.
 func (c *Claims) settle(s *claim.Settled) {
 	if !s.Stored {
-		c.unkept.Inc()
+		c.unstored.Inc()
 	}
 	if ch, ok := c.settling[s.Token]; ok {
 		delete(c.settling, s.Token)
