--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -102,7 +102,7 @@
 	case r := <-results:
 		return r
 	case <-ctx.Done():
-		c.giveUp(b)
+		c.abandon(b)
 		return result{err: callerGone()}
 	case <-c.duty.Context().Done():
 		return result{err: stopping()}
@@ -135,7 +135,7 @@
 }
 
 // giveUp releases a claim that nobody waits for, also one that was just won.
-func (c *Claims) giveUp(b claim.Begin) {
+func (c *Claims) abandon(b claim.Begin) {
 	c.duty.Post(func(now time.Duration) {
 		delete(c.waiting, b.Token)
 		c.perform(c.core.Release(now, claim.Claim{
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -59,7 +59,7 @@
 	case held != nil && held.Token == b.Token && held.Owner == b.Owner && held.Row == claim.RowKey(b.Team, b.Service, b.Key):
 		return result{claim: held}
 	}
-	c.giveUp(b)
+	c.abandon(b)
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeInternal, "the reply of a claim's writer is of another claim")}
 }
 
@@ -67,7 +67,7 @@
 // may have left a write under way and may end before it has released it.
 func (c *Claims) refused(b claim.Begin, err *verdict.Error) result {
 	if err.Code == verdict.CodeClaimUnavailable || err.Code == verdict.CodeCallerGone {
-		c.giveUp(b)
+		c.abandon(b)
 	}
 	return result{err: err}
 }
@@ -76,7 +76,7 @@
 // written, or will be; this daemon does not dispatch under it, so that it may
 // release it.
 func (c *Claims) unsure(ctx context.Context, b claim.Begin, to id.Daemon, cause error) result {
-	c.giveUp(b)
+	c.abandon(b)
 	if ctx.Err() != nil {
 		return result{err: callerGone()}
 	}
