--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -103,13 +103,13 @@
 		return r
 	case <-ctx.Done():
 		c.abandon(b)
-		return result{err: callerGone()}
+		return result{err: callerGoneError()}
 	case <-c.duty.Context().Done():
 		return result{err: stopping()}
 	}
 }
 
-func callerGone() *verdict.Error {
+func callerGoneError() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller is gone")
 }
 
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -78,7 +78,7 @@
 func (c *Claims) unsure(ctx context.Context, b claim.Begin, to id.Daemon, cause error) result {
 	c.abandon(b)
 	if ctx.Err() != nil {
-		return result{err: callerGone()}
+		return result{err: callerGoneError()}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
 		"daemon %s, which writes the claim, gave no answer", to).WithRetryAfter(unsureRetryAfter).WithCause(cause)}
