--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -96,7 +96,7 @@
 		c.perform(c.core.Begin(now, c.cfg.Wall(), b))
 	})
 	if !posted {
-		return result{err: stopping()}
+		return result{err: stoppingError()}
 	}
 	select {
 	case r := <-results:
@@ -105,7 +105,7 @@
 		c.abandon(b)
 		return result{err: callerGoneError()}
 	case <-c.duty.Context().Done():
-		return result{err: stopping()}
+		return result{err: stoppingError()}
 	}
 }
 
@@ -113,7 +113,7 @@
 	return verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller is gone")
 }
 
-func stopping() *verdict.Error {
+func stoppingError() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable, "this daemon takes no claims now")
 }
 
--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -203,7 +203,7 @@
 	r := newRig(t, 4)
 	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 		_, err := r.writers[0].InProcess.Begin(ctx, to, call)
-		return BeginReply{Refusal: refusalOf(stopping())}, err
+		return BeginReply{Refusal: refusalOf(stoppingError())}, err
 	}
 	_, _, err := r.begin(0, "k")
 	is.Equal(err.Verdict, verdict.NotRun)
