--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -13,7 +13,7 @@
 	// ownWriters is the largest fleet in which each daemon writes its own
 	// claims: beyond it the gap between two transactions of one daemon would
 	// be too long a wait.
-	ownWriters = 24
+	maxSelfWriters = 24
 	// writerCount is how many daemons write claims in a larger fleet.
 	writerCount = 4
 	// writerBudget is the number of transactions a second that the writers
@@ -36,7 +36,7 @@
 
 // chooseWriters names the writers; none means that each daemon is its own.
 func chooseWriters(members []id.Daemon, reachable bool) []id.Daemon {
-	if !reachable || len(members) <= ownWriters {
+	if !reachable || len(members) <= maxSelfWriters {
 		return nil
 	}
 	return claim.Writers(members, writerCount)
--- a/daemon/claims/members_test.go
+++ b/daemon/claims/members_test.go
@@ -25,7 +25,7 @@
 		is := is.New(t)
 		members := fleet(n)
 		writers := chooseWriters(members, true)
-		is.Equal(len(writers) == 0, n <= ownWriters)
+		is.Equal(len(writers) == 0, n <= maxSelfWriters)
 		rate := 0.0
 		for _, d := range members {
 			rate += 1 / gapOf(d, n, writers).Seconds()
