--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -21,7 +21,7 @@
 	writerBudget = 240
 	// otherBudget is what the other daemons of a larger fleet share, for the
 	// releases and outcomes that no writer took.
-	otherBudget = 40
+	nonWriterBudget = 40
 )
 
 // SetMembers takes the live daemons, this one among them: it chooses the
@@ -50,7 +50,7 @@
 	case slices.Contains(writers, self):
 		return claim.GapFor(writerBudget, len(writers))
 	default:
-		return claim.GapFor(otherBudget, members-len(writers))
+		return claim.GapFor(nonWriterBudget, members-len(writers))
 	}
 }
 
--- a/daemon/claims/members_test.go
+++ b/daemon/claims/members_test.go
@@ -30,7 +30,7 @@
 		for _, d := range members {
 			rate += 1 / gapOf(d, n, writers).Seconds()
 		}
-		is.True(rate < writerBudget+otherBudget+1)
+		is.True(rate < writerBudget+nonWriterBudget+1)
 		for _, d := range writers {
 			is.True(gapOf(d, n, writers) < 20*time.Millisecond)
 		}
