--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -83,13 +83,13 @@
 func (c *Claims) Begin(ctx context.Context, b claim.Begin) (*claim.Claim, *claim.Answer, *verdict.Error) {
 	writers := c.writersOf(claim.RowKey(b.Team, b.Service, b.Key))
 	if len(writers) == 0 {
-		return c.resolve(ctx, c.beginHere(ctx, b))
+		return c.resolve(ctx, c.beginLocally(ctx, b))
 	}
 	return c.resolve(ctx, c.beginAt(ctx, writers, b))
 }
 
 // beginHere claims a call by this daemon's own writes.
-func (c *Claims) beginHere(ctx context.Context, b claim.Begin) result {
+func (c *Claims) beginLocally(ctx context.Context, b claim.Begin) result {
 	results := make(chan result, 1)
 	posted := c.duty.PostContext(ctx, func(now time.Duration) {
 		c.waiting[b.Token] = results
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -28,7 +28,7 @@
 func (c *Claims) beginAt(ctx context.Context, writers []id.Daemon, b claim.Begin) result {
 	for _, to := range writers {
 		if to == c.cfg.Self.Daemon {
-			return c.beginHere(ctx, b)
+			return c.beginLocally(ctx, b)
 		}
 		reply, err := c.callBegin(ctx, to, b)
 		if err == nil {
@@ -102,7 +102,7 @@
 		return BeginReply{Refusal: refusalOf(verdict.New(verdict.NotRun, verdict.CodeBadRequest,
 			"daemon %s can't claim for %s", from, b.Owner))}
 	}
-	r := c.beginHere(ctx, b)
+	r := c.beginLocally(ctx, b)
 	if r.err != nil {
 		return BeginReply{Refusal: refusalOf(r.err)}
 	}
