--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -85,7 +85,7 @@
 	if len(writers) == 0 {
 		return c.resolve(ctx, c.beginLocally(ctx, b))
 	}
-	return c.resolve(ctx, c.beginAt(ctx, writers, b))
+	return c.resolve(ctx, c.beginRemotely(ctx, writers, b))
 }
 
 // beginHere claims a call by this daemon's own writes.
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -25,7 +25,7 @@
 // beginAt claims a call through the writers. The next one is asked only if the
 // call was certainly not sent to the one before: once a writer may have it, that
 // writer may also release it again, so no other's word for it could be trusted.
-func (c *Claims) beginAt(ctx context.Context, writers []id.Daemon, b claim.Begin) result {
+func (c *Claims) beginRemotely(ctx context.Context, writers []id.Daemon, b claim.Begin) result {
 	for _, to := range writers {
 		if to == c.cfg.Self.Daemon {
 			return c.beginLocally(ctx, b)
