--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -151,15 +151,15 @@
 func (c *Claims) Finish(held claim.Claim, o claim.Outcome) {
 	writers := c.writersOf(held.Row)
 	if len(writers) == 0 || len(outcomeBody(o)) > maxSentBody {
-		c.finishHere(held, o)
+		c.finishLocally(held, o)
 		return
 	}
 	if !c.cfg.Work.Submit(func() { c.finishAt(writers[0], held, o) }) {
-		c.finishHere(held, o)
+		c.finishLocally(held, o)
 	}
 }
 
-func (c *Claims) finishHere(held claim.Claim, o claim.Outcome) {
+func (c *Claims) finishLocally(held claim.Claim, o claim.Outcome) {
 	c.duty.Post(func(now time.Duration) { c.perform(c.core.Finish(now, held, o)) })
 }
 
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -91,7 +91,7 @@
 	defer cancel()
 	reply, err := c.cfg.Writers.Finish(ctx, to, &FinishCall{Claim: held, Outcome: o})
 	if err != nil || !reply.Stored {
-		c.finishHere(held, o)
+		c.finishLocally(held, o)
 	}
 }
 
