--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -154,7 +154,7 @@
 		c.finishLocally(held, o)
 		return
 	}
-	if !c.cfg.Work.Submit(func() { c.finishAt(writers[0], held, o) }) {
+	if !c.cfg.Work.Submit(func() { c.finishRemotely(writers[0], held, o) }) {
 		c.finishLocally(held, o)
 	}
 }
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -86,7 +86,7 @@
 
 // finishAt stores an outcome through the row's first writer, and from here if
 // that does not confirm it. Both may write it: the row takes it once.
-func (c *Claims) finishAt(to id.Daemon, held claim.Claim, o claim.Outcome) {
+func (c *Claims) finishRemotely(to id.Daemon, held claim.Claim, o claim.Outcome) {
 	ctx, cancel := context.WithTimeout(c.duty.Context(), finishTimeout)
 	defer cancel()
 	reply, err := c.cfg.Writers.Finish(ctx, to, &FinishCall{Claim: held, Outcome: o})
