--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -32,7 +32,7 @@
 		}
 		reply, err := c.callBegin(ctx, to, b)
 		if err == nil {
-			return c.replied(b, reply)
+			return c.handleReply(b, reply)
 		}
 		if verdict.Of(err) != verdict.NotRun {
 			return c.unsure(ctx, b, to, err)
@@ -49,7 +49,7 @@
 }
 
 // replied reads a writer's reply. A claim counts only if it is for this attempt.
-func (c *Claims) replied(b claim.Begin, reply BeginReply) result {
+func (c *Claims) handleReply(b claim.Begin, reply BeginReply) result {
 	held := reply.Claim
 	switch {
 	case reply.Refusal != nil:
