--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -53,7 +53,7 @@
 	held := reply.Claim
 	switch {
 	case reply.Refusal != nil:
-		return c.refused(b, reply.Refusal.asError())
+		return c.handleRefusal(b, reply.Refusal.asError())
 	case reply.Answer != nil:
 		return result{answer: reply.Answer}
 	case held != nil && held.Token == b.Token && held.Owner == b.Owner && held.Row == claim.RowKey(b.Team, b.Service, b.Key):
@@ -65,7 +65,7 @@
 
 // refused hands a writer's refusal on. One that could not have the claim stored
 // may have left a write under way and may end before it has released it.
-func (c *Claims) refused(b claim.Begin, err *verdict.Error) result {
+func (c *Claims) handleRefusal(b claim.Begin, err *verdict.Error) result {
 	if err.Code == verdict.CodeClaimUnavailable || err.Code == verdict.CodeCallerGone {
 		c.abandon(b)
 	}
