--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -35,7 +35,7 @@
 			return c.handleReply(b, reply)
 		}
 		if verdict.Of(err) != verdict.NotRun {
-			return c.unsure(ctx, b, to, err)
+			return c.handleLostReply(ctx, b, to, err)
 		}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
@@ -75,7 +75,7 @@
 // unsure ends an attempt whose writer gave no answer. Its claim may have been
 // written, or will be; this daemon does not dispatch under it, so that it may
 // release it.
-func (c *Claims) unsure(ctx context.Context, b claim.Begin, to id.Daemon, cause error) result {
+func (c *Claims) handleLostReply(ctx context.Context, b claim.Begin, to id.Daemon, cause error) result {
 	c.abandon(b)
 	if ctx.Err() != nil {
 		return result{err: callerGoneError()}
