--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -19,7 +19,7 @@
 	// bytes; a larger one goes to the object store from here.
 	maxSentBody = claim.DefaultMaxInline
 	// unsureRetryAfter is advised when a writer gave no answer.
-	unsureRetryAfter = time.Second
+	writerRetryAfter = time.Second
 )
 
 // beginAt claims a call through the writers. The next one is asked only if the
@@ -39,7 +39,7 @@
 		}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"no daemon that writes claims can be reached").WithRetryAfter(unsureRetryAfter)}
+		"no daemon that writes claims can be reached").WithRetryAfter(writerRetryAfter)}
 }
 
 func (c *Claims) callBegin(ctx context.Context, to id.Daemon, b claim.Begin) (BeginReply, error) {
@@ -81,7 +81,7 @@
 		return result{err: callerGoneError()}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"daemon %s, which writes the claim, gave no answer", to).WithRetryAfter(unsureRetryAfter).WithCause(cause)}
+		"daemon %s, which writes the claim, gave no answer", to).WithRetryAfter(writerRetryAfter).WithCause(cause)}
 }
 
 // finishAt stores an outcome through the row's first writer, and from here if
