--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -150,7 +150,7 @@
 // Finish stores the outcome of a claimed call; it does not wait.
 func (c *Claims) Finish(held claim.Claim, o claim.Outcome) {
 	writers := c.writersOf(held.Row)
-	if len(writers) == 0 || len(outcomeBody(o)) > maxSentBody {
+	if len(writers) == 0 || len(outcomeBody(o)) > maxForwardedBody {
 		c.finishLocally(held, o)
 		return
 	}
--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -277,7 +277,7 @@
 	r := newRig(t, 4)
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil)
-	body := make([]byte, maxSentBody+1)
+	body := make([]byte, maxForwardedBody+1)
 	body[7] = 'x'
 	r.daemons[0].Finish(*held, answered(string(body)))
 	_, answer := r.until(1, "k")
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -17,7 +17,7 @@
 	finishTimeout = time.Second
 	// maxSentBody bounds the body of an answer that goes to another daemon, in
 	// bytes; a larger one goes to the object store from here.
-	maxSentBody = claim.DefaultMaxInline
+	maxForwardedBody = claim.DefaultMaxInline
 	// unsureRetryAfter is advised when a writer gave no answer.
 	writerRetryAfter = time.Second
 )
@@ -111,7 +111,7 @@
 
 // HandleFinish stores an outcome for another daemon and waits until that is done.
 func (c *Claims) HandleFinish(ctx context.Context, from id.Daemon, call *FinishCall) FinishReply {
-	if call.Claim.Owner.Daemon != from || call.Claim.Token == "" || len(outcomeBody(call.Outcome)) > maxSentBody {
+	if call.Claim.Owner.Daemon != from || call.Claim.Token == "" || len(outcomeBody(call.Outcome)) > maxForwardedBody {
 		return FinishReply{}
 	}
 	settled := make(chan bool, 1)
