--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -20,7 +20,7 @@
 )
 
 // patience bounds every wait of a test; no test passes by it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // rig is a few daemons' claims on one stand-in table.
 type rig struct {
@@ -117,7 +117,7 @@
 }
 
 func (r *rig) attempt(daemon int, key string, token claim.Token) (*claim.Claim, *claim.Answer, *verdict.Error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return r.daemons[daemon].Begin(ctx, claim.Begin{
 		Team: "t", Service: "stems", Key: key, Token: token, Owner: r.daemons[daemon].cfg.Self,
@@ -130,7 +130,7 @@
 // patience.
 func (r *rig) until(daemon int, key string) (*claim.Claim, *claim.Answer) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		held, answer, err := r.begin(daemon, key)
 		if err == nil {
 			return held, answer
@@ -226,7 +226,7 @@
 	_, _, err := r.begin(0, "k")
 	is.Equal(err.Verdict, verdict.NotRun)
 	released := r.table.Counters().Applied
-	for end := time.Now().Add(patience); released == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); released == 0 && time.Now().Before(end); {
 		_, _, err = r.begin(0, "another") // the owner's next writes go behind its release
 		is.Equal(err.Verdict, verdict.NotRun)
 		released = r.table.Counters().Applied
