--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -23,7 +23,7 @@
 const testTimeout = 20 * time.Second
 
 // rig is a few daemons' claims on one stand-in table.
-type rig struct {
+type harness struct {
 	t       *testing.T
 	table   *standin.Table
 	daemons []*Claims
@@ -62,9 +62,9 @@
 }
 
 // newRig starts daemons; the last two are the writers of all.
-func newRig(t *testing.T, count int) *rig {
+func newRig(t *testing.T, count int) *harness {
 	t.Helper()
-	r := &rig{t: t, table: standin.NewTable(standin.TableConfig{Seed: 1, WritesPerSecond: 1e6, ReadsPerSecond: 1e6})}
+	r := &harness{t: t, table: standin.NewTable(standin.TableConfig{Seed: 1, WritesPerSecond: 1e6, ReadsPerSecond: 1e6})}
 	tableServer, err := r.table.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -111,12 +111,12 @@
 }
 
 // begin makes an attempt of a daemon under a key.
-func (r *rig) begin(daemon int, key string) (*claim.Claim, *claim.Answer, *verdict.Error) {
+func (r *harness) begin(daemon int, key string) (*claim.Claim, *claim.Answer, *verdict.Error) {
 	r.tokens++
 	return r.attempt(daemon, key, claim.Token(fmt.Sprint("t", r.tokens)))
 }
 
-func (r *rig) attempt(daemon int, key string, token claim.Token) (*claim.Claim, *claim.Answer, *verdict.Error) {
+func (r *harness) attempt(daemon int, key string, token claim.Token) (*claim.Claim, *claim.Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return r.daemons[daemon].Begin(ctx, claim.Begin{
@@ -128,7 +128,7 @@
 // until repeats an attempt as long as it hears not run or that a call runs, and
 // returns its claim or answer. There are at most as many tries as fit the
 // patience.
-func (r *rig) until(daemon int, key string) (*claim.Claim, *claim.Answer) {
+func (r *harness) until(daemon int, key string) (*claim.Claim, *claim.Answer) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		held, answer, err := r.begin(daemon, key)
@@ -145,7 +145,7 @@
 }
 
 // writerOf is the index of the row's writer among the daemons.
-func (r *rig) writerOf(key string) int {
+func (r *harness) writerOf(key string) int {
 	first := r.daemons[0].writersOf(claim.RowKey("t", "stems", key))[0]
 	for i, name := range r.names {
 		if name == first {
