--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -62,7 +62,7 @@
 }
 
 // newRig starts daemons; the last two are the writers of all.
-func newRig(t *testing.T, count int) *harness {
+func newHarness(t *testing.T, count int) *harness {
 	t.Helper()
 	r := &harness{t: t, table: standin.NewTable(standin.TableConfig{Seed: 1, WritesPerSecond: 1e6, ReadsPerSecond: 1e6})}
 	tableServer, err := r.table.Start("127.0.0.1:0")
@@ -158,7 +158,7 @@
 
 func TestClaimThroughItsWriter(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil)
 	is.Equal(held.Owner, r.daemons[0].cfg.Self)
@@ -179,7 +179,7 @@
 // owner refuses, and the key gets free again.
 func TestReplyLostBehindTheCommit(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	committed := false
 	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 		reply, err := r.writers[0].InProcess.Begin(ctx, to, call)
@@ -200,7 +200,7 @@
 // write behind it.
 func TestWriterThatStopsIsReleased(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 		_, err := r.writers[0].InProcess.Begin(ctx, to, call)
 		return BeginReply{Refusal: refusalOf(stoppingError())}, err
@@ -215,7 +215,7 @@
 // gave it up; what it then writes must not block the key.
 func TestBeginThatArrivesBehindItsRelease(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	var late *BeginCall
 	r.writers[0].begin = func(_ context.Context, _ id.Daemon, call *BeginCall) (BeginReply, error) {
 		if late == nil {
@@ -240,7 +240,7 @@
 
 func TestUnreachableWriterIsPassedOver(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	first := r.names[r.writerOf("k")]
 	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 		if to == first {
@@ -261,7 +261,7 @@
 
 func TestOutcomeIsStoredWithoutItsWriter(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil)
 	r.writers[0].finish = func(context.Context, id.Daemon, *FinishCall) (FinishReply, error) {
@@ -274,7 +274,7 @@
 
 func TestLargeAnswerGoesToTheObjectStore(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 4)
+	r := newHarness(t, 4)
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil)
 	body := make([]byte, maxForwardedBody+1)
@@ -286,7 +286,7 @@
 
 func TestForeignClaimsAreRefused(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 3)
+	r := newHarness(t, 3)
 	call := &BeginCall{Begin: claim.Begin{Team: "t", Service: "s", Key: "k", Token: "t", Owner: r.daemons[0].cfg.Self}}
 	reply := r.daemons[2].HandleBegin(context.Background(), "d1", call)
 	is.Equal(reply.Refusal.Verdict, verdict.NotRun)
@@ -301,7 +301,7 @@
 
 func TestReplyOfAnotherClaimIsNoClaim(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 3)
+	r := newHarness(t, 3)
 	other, _, err := r.begin(0, "other")
 	is.True(err == nil)
 	for _, reply := range []BeginReply{{}, {Claim: other}} {
--- a/daemon/claims/members_test.go
+++ b/daemon/claims/members_test.go
@@ -40,7 +40,7 @@
 
 func TestSetMembersChoosesWriters(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 3)
+	r := newHarness(t, 3)
 	c := r.daemons[0]
 	c.SetMembers(fleet(100))
 	is.Equal(len(*c.writers.Load()), writerCount)
--- a/daemon/claims/random_test.go
+++ b/daemon/claims/random_test.go
@@ -33,7 +33,7 @@
 // answer of that run.
 func TestAtMostOnceWithLostCalls(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 6)
+	r := newHarness(t, 6)
 	share := 0.3
 	r.table.Inject(wire.Fault{Target: "table", LoseReplies: &share, StaleReads: &share})
 	d := &dice{rng: rand.New(rand.NewPCG(1, 2))}
