--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -128,7 +128,7 @@
 // until repeats an attempt as long as it hears not run or that a call runs, and
 // returns its claim or answer. There are at most as many tries as fit the
 // patience.
-func (r *harness) until(daemon int, key string) (*claim.Claim, *claim.Answer) {
+func (r *harness) retryBegin(daemon int, key string) (*claim.Claim, *claim.Answer) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		held, answer, err := r.begin(daemon, key)
@@ -170,7 +170,7 @@
 	}
 	r.daemons[0].Finish(*held, answered("held"))
 	for daemon := range r.daemons {
-		_, answer := r.until(daemon, "k")
+		_, answer := r.retryBegin(daemon, "k")
 		is.Equal(string(answer.Body), "held")
 	}
 }
@@ -192,7 +192,7 @@
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.Equal(err.Code, verdict.CodeClaimUnavailable)
 	is.True(err.RetryAfter > 0)
-	held, _ = r.until(1, "k")
+	held, _ = r.retryBegin(1, "k")
 	is.True(held != nil)
 }
 
@@ -207,7 +207,7 @@
 	}
 	_, _, err := r.begin(0, "k")
 	is.Equal(err.Verdict, verdict.NotRun)
-	held, _ := r.until(1, "k")
+	held, _ := r.retryBegin(1, "k")
 	is.True(held != nil)
 }
 
@@ -234,7 +234,7 @@
 	reply := r.daemons[r.writerOf("k")].HandleBegin(context.Background(), "d0", late)
 	is.True(reply.Claim == nil)
 	is.Equal(reply.Refusal.Verdict, verdict.NotRun)
-	held, _ := r.until(1, "k")
+	held, _ := r.retryBegin(1, "k")
 	is.True(held != nil)
 }
 
@@ -268,7 +268,7 @@
 		return FinishReply{}, verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
 	}
 	r.daemons[0].Finish(*held, answered("held"))
-	_, answer := r.until(1, "k")
+	_, answer := r.retryBegin(1, "k")
 	is.Equal(string(answer.Body), "held")
 }
 
@@ -280,7 +280,7 @@
 	body := make([]byte, maxForwardedBody+1)
 	body[7] = 'x'
 	r.daemons[0].Finish(*held, answered(string(body)))
-	_, answer := r.until(1, "k")
+	_, answer := r.retryBegin(1, "k")
 	is.Equal(answer.Body, body)
 }
 
@@ -295,7 +295,7 @@
 	is.True(err == nil)
 	is.True(!r.daemons[2].HandleFinish(context.Background(), "d1", &FinishCall{Claim: *held, Outcome: answered("forged")}).Stored)
 	r.daemons[0].Finish(*held, answered("true"))
-	_, answer := r.until(1, "k")
+	_, answer := r.retryBegin(1, "k")
 	is.Equal(string(answer.Body), "true")
 }
 
