--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -27,13 +27,13 @@
 	t       *testing.T
 	table   *standin.Table
 	daemons []*Claims
-	writers []*lossy
+	writers []*lossyWriters
 	names   []id.Daemon
 	tokens  int
 }
 
 // lossy passes calls on to other daemons as the test says.
-type lossy struct {
+type lossyWriters struct {
 	InProcess
 	// begin and finish may replace a call; nil passes it on.
 	begin  func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error)
@@ -43,7 +43,7 @@
 }
 
 // Begin implements Writers.
-func (l *lossy) Begin(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
+func (l *lossyWriters) Begin(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 	l.mu.Lock()
 	l.begun = append(l.begun, to)
 	l.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // Finish implements Writers.
-func (l *lossy) Finish(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error) {
+func (l *lossyWriters) Finish(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error) {
 	if l.finish != nil {
 		return l.finish(ctx, to, call)
 	}
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &lossy{InProcess: InProcess{From: name, Peers: peers}}
+		w := &lossyWriters{InProcess: InProcess{From: name, Peers: peers}}
 		c := Start(Config{
 			Self:       id.Process{Daemon: name, Incarnation: 1},
 			Writers:    w,
