--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -36,16 +36,16 @@
 type lossyWriters struct {
 	InProcess
 	// begin and finish may replace a call; nil passes it on.
-	begin  func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error)
-	finish func(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error)
-	mu     sync.Mutex
-	begun  []id.Daemon
+	begin        func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error)
+	finish       func(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error)
+	mu           sync.Mutex
+	beginTargets []id.Daemon
 }
 
 // Begin implements Writers.
 func (l *lossyWriters) Begin(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 	l.mu.Lock()
-	l.begun = append(l.begun, to)
+	l.beginTargets = append(l.beginTargets, to)
 	l.mu.Unlock()
 	if l.begin != nil {
 		return l.begin(ctx, to, call)
@@ -162,7 +162,7 @@
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil)
 	is.Equal(held.Owner, r.daemons[0].cfg.Self)
-	is.Equal(r.writers[0].begun, []id.Daemon{r.names[r.writerOf("k")]})
+	is.Equal(r.writers[0].beginTargets, []id.Daemon{r.names[r.writerOf("k")]})
 	for daemon := range r.daemons {
 		_, _, err = r.begin(daemon, "k")
 		is.Equal(err.Verdict, verdict.MayHaveRun) // the first one may be running
@@ -250,7 +250,7 @@
 	}
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil && held != nil)
-	is.Equal(len(r.writers[0].begun), 2)
+	is.Equal(len(r.writers[0].beginTargets), 2)
 	r.writers[0].begin = func(context.Context, id.Daemon, *BeginCall) (BeginReply, error) {
 		return BeginReply{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no connection")
 	}
