--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -140,7 +140,7 @@
 	return nil, nil
 }
 
-func answered(text string) claim.Outcome {
+func answerOutcome(text string) claim.Outcome {
 	return claim.Outcome{Answer: &claim.Answer{Status: 200, Body: []byte(text)}}
 }
 
@@ -168,7 +168,7 @@
 		is.Equal(err.Verdict, verdict.MayHaveRun) // the first one may be running
 		is.Equal(err.Code, verdict.CodeClaimed)
 	}
-	r.daemons[0].Finish(*held, answered("held"))
+	r.daemons[0].Finish(*held, answerOutcome("held"))
 	for daemon := range r.daemons {
 		_, answer := r.retryBegin(daemon, "k")
 		is.Equal(string(answer.Body), "held")
@@ -267,7 +267,7 @@
 	r.writers[0].finish = func(context.Context, id.Daemon, *FinishCall) (FinishReply, error) {
 		return FinishReply{}, verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
 	}
-	r.daemons[0].Finish(*held, answered("held"))
+	r.daemons[0].Finish(*held, answerOutcome("held"))
 	_, answer := r.retryBegin(1, "k")
 	is.Equal(string(answer.Body), "held")
 }
@@ -279,7 +279,7 @@
 	is.True(err == nil)
 	body := make([]byte, maxForwardedBody+1)
 	body[7] = 'x'
-	r.daemons[0].Finish(*held, answered(string(body)))
+	r.daemons[0].Finish(*held, answerOutcome(string(body)))
 	_, answer := r.retryBegin(1, "k")
 	is.Equal(answer.Body, body)
 }
@@ -293,8 +293,8 @@
 	is.Equal(reply.Refusal.Code, verdict.CodeBadRequest)
 	held, _, err := r.begin(0, "k")
 	is.True(err == nil)
-	is.True(!r.daemons[2].HandleFinish(context.Background(), "d1", &FinishCall{Claim: *held, Outcome: answered("forged")}).Stored)
-	r.daemons[0].Finish(*held, answered("true"))
+	is.True(!r.daemons[2].HandleFinish(context.Background(), "d1", &FinishCall{Claim: *held, Outcome: answerOutcome("forged")}).Stored)
+	r.daemons[0].Finish(*held, answerOutcome("true"))
 	_, answer := r.retryBegin(1, "k")
 	is.Equal(string(answer.Body), "true")
 }
--- a/daemon/claims/random_test.go
+++ b/daemon/claims/random_test.go
@@ -86,7 +86,7 @@
 					t.Errorf("%s replays %q, ran as %q", key, answer.Body, ran)
 				}
 				if held != nil {
-					r.daemons[(n+try)%len(r.daemons)].Finish(*held, answered(string(token)))
+					r.daemons[(n+try)%len(r.daemons)].Finish(*held, answerOutcome(string(token)))
 				}
 			}
 		})
