--- a/daemon/claims/random_test.go
+++ b/daemon/claims/random_test.go
@@ -16,12 +16,12 @@
 )
 
 // dice is a seeded source that the daemons share.
-type dice struct {
+type sharedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func (d *dice) below(p float64) bool {
+func (d *sharedRand) below(p float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rng.Float64() < p
@@ -36,7 +36,7 @@
 	r := newHarness(t, 6)
 	share := 0.3
 	r.table.Inject(wire.Fault{Target: "table", LoseReplies: &share, StaleReads: &share})
-	d := &dice{rng: rand.New(rand.NewPCG(1, 2))}
+	d := &sharedRand{rng: rand.New(rand.NewPCG(1, 2))}
 	lost := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
 	for _, w := range r.writers {
 		w.begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
