--- a/daemon/claims/random_test.go
+++ b/daemon/claims/random_test.go
@@ -21,7 +21,7 @@
 	rng *rand.Rand
 }
 
-func (d *sharedRand) below(p float64) bool {
+func (d *sharedRand) chance(p float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rng.Float64() < p
@@ -40,21 +40,21 @@
 	lost := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
 	for _, w := range r.writers {
 		w.begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
-			if d.below(0.1) {
+			if d.chance(0.1) {
 				return BeginReply{}, lost
 			}
 			reply, err := w.InProcess.Begin(ctx, to, call)
-			if d.below(0.2) {
+			if d.chance(0.2) {
 				return BeginReply{}, lost
 			}
 			return reply, err
 		}
 		w.finish = func(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error) {
-			if d.below(0.1) {
+			if d.chance(0.1) {
 				return FinishReply{}, lost
 			}
 			reply, err := w.InProcess.Finish(ctx, to, call)
-			if d.below(0.2) {
+			if d.chance(0.2) {
 				return FinishReply{}, lost
 			}
 			return reply, err
