--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -177,7 +177,7 @@
 
 // TestReplyLostBehindTheCommit: the writer dies between commit and reply. The
 // owner refuses, and the key gets free again.
-func TestReplyLostBehindTheCommit(t *testing.T) {
+func TestReplyLostAfterCommit(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 4)
 	committed := false
