--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -198,7 +198,7 @@
 
 // TestWriterThatStopsIsReleased: the writer refuses since it stops, with its
 // write behind it.
-func TestWriterThatStopsIsReleased(t *testing.T) {
+func TestClaimOfStoppingWriterIsReleased(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 4)
 	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
