--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -238,7 +238,7 @@
 	is.True(held != nil)
 }
 
-func TestUnreachableWriterIsPassedOver(t *testing.T) {
+func TestUnreachableWriterIsSkipped(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 4)
 	first := r.names[r.writerOf("k")]
