--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -299,7 +299,7 @@
 	is.Equal(string(answer.Body), "true")
 }
 
-func TestReplyOfAnotherClaimIsNoClaim(t *testing.T) {
+func TestReplyForAnotherClaimIsRejected(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 3)
 	other, _, err := r.begin(0, "other")
