--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -259,7 +259,7 @@
 	is.Equal(err.Code, verdict.CodeClaimUnavailable)
 }
 
-func TestOutcomeIsStoredWithoutItsWriter(t *testing.T) {
+func TestOutcomeIsStoredWhenWriterFails(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 4)
 	held, _, err := r.begin(0, "k")
