--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -156,7 +156,7 @@
 	return -1
 }
 
-func TestClaimThroughItsWriter(t *testing.T) {
+func TestClaimThroughRemoteWriter(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 4)
 	held, _, err := r.begin(0, "k")
