--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -119,7 +119,7 @@
 	ts, err := a.Engines.Decode(ctx, a.decode, a.decodeRequest())
 	if err != nil {
 		failure := asVerdict(err)
-		if ts = a.takeUp(ctx, failure); ts == nil {
+		if ts = a.resumeDecode(ctx, failure); ts == nil {
 			return a.decodeRefused(ctx, failure)
 		}
 	}
@@ -129,7 +129,7 @@
 // takeUp asks the engine for an answer whose beginning was lost or late, or whose
 // connection broke: what may have run can't be sent again, but if the engine
 // holds it, it can be followed. nil if the engine doesn't.
-func (a *attempt) takeUp(ctx context.Context, failure *verdict.Error) TokenStream {
+func (a *attempt) resumeDecode(ctx context.Context, failure *verdict.Error) TokenStream {
 	if failure.Verdict == verdict.NotRun || ctx.Err() != nil {
 		return nil
 	}
@@ -252,7 +252,7 @@
 	if failure.Code != verdict.CodeEndpointFailed || a.p.seq.Delivered() == resumedAt {
 		return nil
 	}
-	ts := a.takeUp(ctx, failure)
+	ts := a.resumeDecode(ctx, failure)
 	if ts == nil {
 		return nil
 	}
