--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -23,7 +23,7 @@
 	prefill      *live.Endpoint
 	decode       *live.Endpoint
 	exported     *wire.PrefillResponse
-	prefillBegan time.Duration
+	prefillStart time.Duration
 	prefillTook  time.Duration
 }
 
@@ -64,13 +64,13 @@
 
 func (a *attempt) runPrefill(ctx context.Context) *verdict.Error {
 	a.report(sched.Progress{Phase: sched.PhasePrefilling})
-	a.prefillBegan = a.Now()
+	a.prefillStart = a.Now()
 	resp, err := a.Engines.Prefill(ctx, a.prefill, a.prefillRequest())
 	if err != nil {
 		return a.prefillFailed(ctx, asVerdict(err))
 	}
 	a.exported = resp
-	a.prefillTook = a.Now() - a.prefillBegan
+	a.prefillTook = a.Now() - a.prefillStart
 	// What the owner learns from: it refuses later requests by this.
 	a.Recorder.Decision("request", string(a.p.job.ID), "prefilled",
 		"attempt", a.want.Request, "endpoint", a.prefill.Name, "owner", a.grant.Owner.Daemon,
