--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -24,7 +24,7 @@
 	decode       *live.Endpoint
 	exported     *wire.PrefillResponse
 	prefillStart time.Duration
-	prefillTook  time.Duration
+	prefillTime  time.Duration
 }
 
 func (a *attempt) run(ctx context.Context) *verdict.Error {
@@ -70,16 +70,16 @@
 		return a.prefillFailed(ctx, asVerdict(err))
 	}
 	a.exported = resp
-	a.prefillTook = a.Now() - a.prefillStart
+	a.prefillTime = a.Now() - a.prefillStart
 	// What the owner learns from: it refuses later requests by this.
 	a.Recorder.Decision("request", string(a.p.job.ID), "prefilled",
 		"attempt", a.want.Request, "endpoint", a.prefill.Name, "owner", a.grant.Owner.Daemon,
-		"took", a.prefillTook, "tokens", resp.PromptTokens, "cached", resp.CachedTokens)
+		"took", a.prefillTime, "tokens", resp.PromptTokens, "cached", resp.CachedTokens)
 	a.report(sched.Progress{
 		Phase:        sched.PhaseTransferring,
 		CachedTokens: resp.CachedTokens,
 		PromptTokens: resp.PromptTokens,
-		PrefillTime:  a.prefillTook,
+		PrefillTime:  a.prefillTime,
 		KVBytes:      resp.KVBytes,
 	})
 	return nil
