--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -106,7 +106,7 @@
 		a.release(sched.Progress{Phase: sched.PhaseCancelled})
 		return err
 	}
-	a.blame(a.prefill.Name, err)
+	a.recordFailure(a.prefill.Name, err)
 	a.release(sched.Failure(a.prefill.Name, err))
 	return err
 }
@@ -190,7 +190,7 @@
 func (a *attempt) decodeRefused(ctx context.Context, err *verdict.Error) *verdict.Error {
 	a.Cancels.ReleaseKV(a.prefill, a.want.Request, a.exported.KV)
 	if err.Verdict == verdict.NotRun {
-		a.blame(a.decode.Name, err)
+		a.recordFailure(a.decode.Name, err)
 		a.release(sched.Failure(a.decode.Name, err))
 		return err
 	}
@@ -203,7 +203,7 @@
 func (a *attempt) cancelDecode(ctx context.Context, err *verdict.Error) {
 	p := sched.Progress{Phase: sched.PhaseCancelled}
 	if ctx.Err() == nil {
-		a.blame(a.decode.Name, err)
+		a.recordFailure(a.decode.Name, err)
 		p = sched.Failure(a.decode.Name, err)
 	}
 	a.Cancels.Cancel(a.decode, a.want.Request, func() { a.release(p) })
@@ -316,7 +316,7 @@
 }
 
 // blame keeps the job's next attempts off an endpoint that failed it.
-func (a *attempt) blame(e id.Endpoint, err *verdict.Error) {
+func (a *attempt) recordFailure(e id.Endpoint, err *verdict.Error) {
 	a.p.avoid = append(a.p.avoid, e)
 	if err.Code == verdict.CodeEndpointFailed && err.Verdict != verdict.NotRun {
 		a.p.suspect = true
