--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -123,7 +123,7 @@
 			return a.decodeRefused(ctx, failure)
 		}
 	}
-	return a.follow(ctx, ts, sent)
+	return a.relayTokens(ctx, ts, sent)
 }
 
 // takeUp asks the engine for an answer whose beginning was lost or late, or whose
@@ -212,7 +212,7 @@
 // follow delivers the stream's tokens until its end, and closes it. The owner is
 // told how many came by this attempt: what others wrote before tells nothing
 // about its pace.
-func (a *attempt) follow(ctx context.Context, ts TokenStream, sent time.Duration) *verdict.Error {
+func (a *attempt) relayTokens(ctx context.Context, ts TokenStream, sent time.Duration) *verdict.Error {
 	defer func() { _ = ts.Close() }()
 	a.p.seq.Switch(a.want.Request)
 	began := false
--- a/daemon/completion/rejoin.go
+++ b/daemon/completion/rejoin.go
@@ -30,5 +30,5 @@
 	a.grant = sched.Grant{Request: rp.Attempt, Decode: endpoint.Name, Owner: r.Self}
 	r.Pairer.Resume(a.want, a.grant)
 	r.Recorder.Decision("request", string(p.job.ID), "resumed", "attempt", rp.Attempt, "decode", endpoint.Name, "after", rp.Delivered)
-	return a.follow(ctx, ts, r.Now())
+	return a.relayTokens(ctx, ts, r.Now())
 }
