--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -66,7 +66,7 @@
 		if !canContinue(job, p, err) {
 			return r.fail(ctx, p, err)
 		}
-		r.restart(p)
+		r.restartWait(p)
 	}
 	return r.attempts(ctx, p)
 }
@@ -109,7 +109,7 @@
 		if ctx.Err() != nil {
 			return r.fail(ctx, p, err)
 		}
-		r.restart(p)
+		r.restartWait(p)
 		retry := r.Retries.Decide(p.job.Team, err, n, r.patience(p))
 		r.Recorder.Decision("request", string(p.job.ID), "retry",
 			"again", retry.Again, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
@@ -125,7 +125,7 @@
 // restart begins the wait for another pair anew where output was delivered: the
 // time that an answer has taken so far is no wait for its first token, and the
 // pool's owner must not refuse its rest for that.
-func (r *Runner) restart(p *progress) {
+func (r *Runner) restartWait(p *progress) {
 	if p.seq.Delivered() > 0 {
 		p.since = r.Now()
 	}
