--- a/daemon/completion/rejoin.go
+++ b/daemon/completion/rejoin.go
@@ -10,7 +10,7 @@
 // rejoin goes on with a stream that another connection, perhaps at another
 // daemon, began: the engine still writes it or keeps its end. It takes
 // ownership at the engine, so that no survivor reaps the request as an orphan.
-func (r *Runner) rejoin(ctx context.Context, p *progress) *verdict.Error {
+func (r *Runner) resumeStream(ctx context.Context, p *progress) *verdict.Error {
 	rp := p.job.Resume
 	endpoint, ok := r.Catalog.Endpoint(rp.Endpoint)
 	if !ok {
--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -59,7 +59,7 @@
 	p := &progress{job: job, worst: verdict.NotRun, sink: sink, since: job.Arrived}
 	p.seq = newSequencer(job)
 	if job.Resume != nil {
-		err := r.rejoin(ctx, p)
+		err := r.resumeStream(ctx, p)
 		if err == nil {
 			return nil
 		}
