--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -49,14 +49,14 @@
 	suspect bool
 	// since is when the wait for the present pair began: the arrival, later where
 	// this daemon was held up, or where an answer that was begun broke off.
-	since time.Duration
-	sink  Sink
+	waitStart time.Duration
+	sink      Sink
 }
 
 // Run serves the job to its end. A nil error means that the whole answer was
 // delivered. The verdict of an error covers all attempts.
 func (r *Runner) Run(ctx context.Context, job *Job, sink Sink) *verdict.Error {
-	p := &progress{job: job, worst: verdict.NotRun, sink: sink, since: job.Arrived}
+	p := &progress{job: job, worst: verdict.NotRun, sink: sink, waitStart: job.Arrived}
 	p.seq = newSequencer(job)
 	if job.Resume != nil {
 		err := r.resumeStream(ctx, p)
@@ -98,7 +98,7 @@
 }
 
 func (r *Runner) attempts(ctx context.Context, p *progress) *verdict.Error {
-	p.since = pairing.WaitsSince(p.since, r.Now(), p.job.Service.Patience())
+	p.waitStart = pairing.WaitsSince(p.waitStart, r.Now(), p.job.Service.Patience())
 	for n := 1; ; n++ {
 		err := r.attempt(ctx, p, n)
 		if err == nil {
@@ -127,7 +127,7 @@
 // pool's owner must not refuse its rest for that.
 func (r *Runner) restartWait(p *progress) {
 	if p.seq.Delivered() > 0 {
-		p.since = r.Now()
+		p.waitStart = r.Now()
 	}
 }
 
@@ -166,7 +166,7 @@
 	if p.seq.Delivered() > 0 {
 		return r.remaining(p.job)
 	}
-	return p.job.Service.Patience() - (r.Now() - p.since)
+	return p.job.Service.Patience() - (r.Now() - p.waitStart)
 }
 
 // attempt runs the pipeline once: pair, wait, prefill, decode.
@@ -196,7 +196,7 @@
 		Service:      job.Service.Name,
 		Pool:         job.Service.Pool,
 		From:         r.Self,
-		Age:          r.Now() - p.since,
+		Age:          r.Now() - p.waitStart,
 		PromptTokens: prefixhash.EstimateTokens(prompt),
 		OutputTokens: job.MaxTokens - p.seq.Delivered(),
 		Prefix:       prefixhash.Blocks(string(job.Team.Name), prompt),
@@ -206,7 +206,7 @@
 		Attempt:      n,
 		Suspect:      p.suspect,
 		Fingerprint:  job.Fingerprint,
-		Lifetime:     r.Now() - p.since + r.remaining(job),
+		Lifetime:     r.Now() - p.waitStart + r.remaining(job),
 	}
 }
 
