--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -143,7 +143,7 @@
 	final := *err
 	final.Verdict = v
 	if p.seq.Delivered() > 0 && final.RetryAfter == 0 && resumable(final.Code) {
-		final.RetryAfter = resumeAfter
+		final.RetryAfter = resumeRetryAfter
 	}
 	final.Advise()
 	return &final
@@ -151,7 +151,7 @@
 
 // resumeAfter is advised where an answer that was begun broke off and nothing
 // better is known: its caller should come back for the rest.
-const resumeAfter = 200 * time.Millisecond
+const resumeRetryAfter = 200 * time.Millisecond
 
 // resumable tells whether the rest of an answer may be had by a later resume.
 func resumable(code verdict.Code) bool { return code != verdict.CodeQuarantined }
