--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -32,7 +32,7 @@
 		a.release(sched.Progress{Phase: sched.PhaseFailed})
 		return err
 	}
-	if !pause(ctx, a.grant.StartIn) {
+	if !sleep(ctx, a.grant.StartIn) {
 		a.release(sched.Progress{Phase: sched.PhaseCancelled})
 		return verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller is gone")
 	}
--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -116,7 +116,7 @@
 		if !retry.Again {
 			return r.fail(ctx, p, err)
 		}
-		if !pause(ctx, retry.Delay) {
+		if !sleep(ctx, retry.Delay) {
 			return r.fail(ctx, p, err)
 		}
 	}
@@ -219,7 +219,7 @@
 	return p.job.Service.Priority
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
