--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -20,7 +20,7 @@
 type fakes struct {
 	refuse *verdict.Error
 	// refuseRead is what the prefill engine says.
-	refuseRead *verdict.Error
+	prefillErr *verdict.Error
 	// unknown keeps the granted endpoints out of the configuration.
 	unknown bool
 	wants   []sched.Want
@@ -47,8 +47,8 @@
 func (f *fakes) Progress(p sched.Progress)                     { f.progress = append(f.progress, p) }
 
 func (f *fakes) Prefill(context.Context, *live.Endpoint, *wire.PrefillRequest) (*wire.PrefillResponse, error) {
-	if f.refuseRead != nil {
-		return nil, f.refuseRead
+	if f.prefillErr != nil {
+		return nil, f.prefillErr
 	}
 	return &wire.PrefillResponse{KV: "kv"}, nil
 }
@@ -171,7 +171,7 @@
 	} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
-			f := &fakes{refuseRead: verdict.New(verdict.NotRun, code, "not now")}
+			f := &fakes{prefillErr: verdict.New(verdict.NotRun, code, "not now")}
 			err := f.run(nil)
 			is.Equal(err.Code, code)
 			is.Equal(err.Verdict, verdict.NotRun)
