--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -18,7 +18,7 @@
 // fakes stand for all that a Runner works with: the engine writes the tokens
 // that it is told to and then breaks or ends.
 type fakes struct {
-	refuse *verdict.Error
+	pairErr *verdict.Error
 	// refuseRead is what the prefill engine says.
 	prefillErr *verdict.Error
 	// unknown keeps the granted endpoints out of the configuration.
@@ -36,8 +36,8 @@
 
 func (f *fakes) Pair(_ context.Context, w sched.Want, _ time.Duration) (sched.Grant, *verdict.Error) {
 	f.wants = append(f.wants, w)
-	if f.refuse != nil {
-		return sched.Grant{}, f.refuse
+	if f.pairErr != nil {
+		return sched.Grant{}, f.pairErr
 	}
 	return sched.Grant{Prefill: "p", Decode: "d"}, nil
 }
@@ -131,7 +131,7 @@
 
 	refused := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")
 	gone := &ResumePoint{Attempt: "a", Endpoint: "d", Incarnation: 6, Delivered: 3, Text: "t t t ", HasText: true}
-	err = (&fakes{refuse: refused}).run(gone)
+	err = (&fakes{pairErr: refused}).run(gone)
 	is.Equal(err.Code, verdict.CodeOverloaded)
 	is.Equal(err.Verdict, verdict.Ran)
 	is.True(err.RetryAfter > 0)
@@ -140,7 +140,7 @@
 // TestUnbegunAnswerGivesNoAdviceOfItsOwn keeps what the owner said.
 func TestUnbegunAnswerGivesNoAdviceOfItsOwn(t *testing.T) {
 	is := is.New(t)
-	err := (&fakes{refuse: verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "none")}).run(nil)
+	err := (&fakes{pairErr: verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "none")}).run(nil)
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.Equal(err.RetryAfter, time.Duration(0))
 }
@@ -152,7 +152,7 @@
 	for _, code := range []verdict.Code{verdict.CodeKVGone, verdict.CodeDeadline, verdict.CodeUnavailable} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
-			err := (&fakes{refuse: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
+			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
 			is.Equal(err.Verdict, verdict.NotRun)
 			is.Equal(err.RetryAfter, verdict.PassingRetryAfter)
 		})
