--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -28,10 +28,10 @@
 	// step is how long each token takes.
 	step time.Duration
 	// again is how often a failed attempt is repeated.
-	again    int
-	tokens   int
-	finish   bool
-	progress []sched.Progress
+	maxRetries int
+	tokens     int
+	finish     bool
+	progress   []sched.Progress
 }
 
 func (f *fakes) Pair(_ context.Context, w sched.Want, _ time.Duration) (sched.Grant, *verdict.Error) {
@@ -72,7 +72,7 @@
 func (f *fakes) ReleaseKV(*live.Endpoint, id.Request, string) {}
 
 func (f *fakes) Decide(_ *live.Team, _ *verdict.Error, n int, _ time.Duration) Retry {
-	return Retry{Again: n <= f.again}
+	return Retry{Again: n <= f.maxRetries}
 }
 func (f *fakes) Success(*live.Team)                      {}
 func (f *fakes) Decision(string, string, string, ...any) {}
@@ -206,13 +206,13 @@
 // owner refuses it as too late.
 func TestBrokenAnswerWaitsAnew(t *testing.T) {
 	is := is.New(t)
-	f := &fakes{tokens: 3, step: time.Second, again: 1}
+	f := &fakes{tokens: 3, step: time.Second, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(len(f.wants), 2)
 	is.Equal(f.wants[1].Age, time.Duration(0))
 
 	// One that was not begun keeps its age.
-	f = &fakes{tokens: 0, step: time.Second / 2, again: 1}
+	f = &fakes{tokens: 0, step: time.Second / 2, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(f.wants[1].Age, time.Second/2)
 }
