--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -26,7 +26,7 @@
 	wants   []sched.Want
 	now     time.Duration
 	// step is how long each token takes.
-	step time.Duration
+	tokenTime time.Duration
 	// again is how often a failed attempt is repeated.
 	maxRetries int
 	tokens     int
@@ -92,7 +92,7 @@
 func (s *fakeStream) Next() (wire.TokenEvent, error) {
 	s.at++
 	s.sent++
-	s.now += s.step
+	s.now += s.tokenTime
 	if s.sent <= s.tokens {
 		return wire.TokenEvent{Request: s.request, Seq: s.at, Text: "t "}, nil
 	}
@@ -206,13 +206,13 @@
 // owner refuses it as too late.
 func TestBrokenAnswerWaitsAnew(t *testing.T) {
 	is := is.New(t)
-	f := &fakes{tokens: 3, step: time.Second, maxRetries: 1}
+	f := &fakes{tokens: 3, tokenTime: time.Second, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(len(f.wants), 2)
 	is.Equal(f.wants[1].Age, time.Duration(0))
 
 	// One that was not begun keeps its age.
-	f = &fakes{tokens: 0, step: time.Second / 2, maxRetries: 1}
+	f = &fakes{tokens: 0, tokenTime: time.Second / 2, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(f.wants[1].Age, time.Second/2)
 }
