--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -22,9 +22,9 @@
 	// refuseRead is what the prefill engine says.
 	prefillErr *verdict.Error
 	// unknown keeps the granted endpoints out of the configuration.
-	unknown bool
-	wants   []sched.Want
-	now     time.Duration
+	noEndpoints bool
+	wants       []sched.Want
+	now         time.Duration
 	// step is how long each token takes.
 	tokenTime time.Duration
 	// again is how often a failed attempt is repeated.
@@ -77,7 +77,7 @@
 func (f *fakes) Success(*live.Team)                      {}
 func (f *fakes) Decision(string, string, string, ...any) {}
 func (f *fakes) Endpoint(name id.Endpoint) (*live.Endpoint, bool) {
-	return &live.Endpoint{Name: name}, !f.unknown
+	return &live.Endpoint{Name: name}, !f.noEndpoints
 }
 
 func (f *fakes) Deliver(context.Context, Event) error { return nil }
@@ -184,7 +184,7 @@
 // daemon's configuration does not hold; a change is on its way to one of them.
 func TestAnEndpointThatIsNotKnownYetIsNoEnd(t *testing.T) {
 	is := is.New(t)
-	err := (&fakes{unknown: true}).run(nil)
+	err := (&fakes{noEndpoints: true}).run(nil)
 	is.Equal(err.Code, verdict.CodeUnavailable)
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.True(err.RetryAfter > 0)
