--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -14,7 +14,7 @@
 )
 
 // headless engines take a decode order whose answer's head never comes.
-type headless struct {
+type lostHeaderEngines struct {
 	fakeEngines
 	// decode is how the order ended.
 	decode *verdict.Error
@@ -24,12 +24,12 @@
 	decodes int
 }
 
-func (h *headless) Decode(context.Context, *live.Endpoint, *wire.DecodeRequest) (TokenStream, error) {
+func (h *lostHeaderEngines) Decode(context.Context, *live.Endpoint, *wire.DecodeRequest) (TokenStream, error) {
 	h.decodes++
 	return nil, h.decode
 }
 
-func (h *headless) Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error) {
+func (h *lostHeaderEngines) Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error) {
 	h.resumed = append(h.resumed, attempt)
 	if h.resume != nil {
 		return nil, h.resume
@@ -38,7 +38,7 @@
 }
 
 // runHeadless serves one job.
-func runHeadless(h *headless) *verdict.Error {
+func runHeadless(h *lostHeaderEngines) *verdict.Error {
 	r := New(h.fakes.deps(h))
 	return r.Run(context.Background(), testJob(nil), h.fakes)
 }
@@ -51,7 +51,7 @@
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
 			f := &fakes{tokens: 3, finish: true}
-			h := &headless{fakeEngines: fakeEngines{f}, decode: verdict.New(verdict.MayHaveRun, code, "no head")}
+			h := &lostHeaderEngines{fakeEngines: fakeEngines{f}, decode: verdict.New(verdict.MayHaveRun, code, "no head")}
 			is.True(runHeadless(h) == nil)
 			is.Equal(h.resumed, []id.Request{"attempt"})
 			last := f.progress[len(f.progress)-1]
@@ -66,7 +66,7 @@
 func TestWhatIsNotHeldIsNotTakenUp(t *testing.T) {
 	is := is.New(t)
 	unknown := verdict.New(verdict.MayHaveRun, "unknown_request", "the engine holds no such request")
-	h := &headless{
+	h := &lostHeaderEngines{
 		fakeEngines: fakeEngines{&fakes{}}, resume: unknown,
 		decode: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no head"),
 	}
@@ -75,7 +75,7 @@
 	is.Equal(err.Verdict, verdict.MayHaveRun)
 	is.Equal(len(h.resumed), 1)
 
-	h = &headless{fakeEngines: fakeEngines{&fakes{}}, decode: verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")}
+	h = &lostHeaderEngines{fakeEngines: fakeEngines{&fakes{}}, decode: verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")}
 	is.Equal(runHeadless(h).Verdict, verdict.NotRun)
 	is.Equal(len(h.resumed), 0)
 }
