--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -17,7 +17,7 @@
 type lostHeaderEngines struct {
 	fakeEngines
 	// decode is how the order ended.
-	decode *verdict.Error
+	decodeErr *verdict.Error
 	// resume is how a resume ends; nil for the answer.
 	resume  *verdict.Error
 	resumed []id.Request
@@ -26,7 +26,7 @@
 
 func (h *lostHeaderEngines) Decode(context.Context, *live.Endpoint, *wire.DecodeRequest) (TokenStream, error) {
 	h.decodes++
-	return nil, h.decode
+	return nil, h.decodeErr
 }
 
 func (h *lostHeaderEngines) Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error) {
@@ -51,7 +51,7 @@
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
 			f := &fakes{tokens: 3, finish: true}
-			h := &lostHeaderEngines{fakeEngines: fakeEngines{f}, decode: verdict.New(verdict.MayHaveRun, code, "no head")}
+			h := &lostHeaderEngines{fakeEngines: fakeEngines{f}, decodeErr: verdict.New(verdict.MayHaveRun, code, "no head")}
 			is.True(runHeadless(h) == nil)
 			is.Equal(h.resumed, []id.Request{"attempt"})
 			last := f.progress[len(f.progress)-1]
@@ -68,14 +68,14 @@
 	unknown := verdict.New(verdict.MayHaveRun, "unknown_request", "the engine holds no such request")
 	h := &lostHeaderEngines{
 		fakeEngines: fakeEngines{&fakes{}}, resume: unknown,
-		decode: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no head"),
+		decodeErr: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no head"),
 	}
 	err := runHeadless(h)
 	is.Equal(err.Code, verdict.CodeDeadline)
 	is.Equal(err.Verdict, verdict.MayHaveRun)
 	is.Equal(len(h.resumed), 1)
 
-	h = &lostHeaderEngines{fakeEngines: fakeEngines{&fakes{}}, decode: verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")}
+	h = &lostHeaderEngines{fakeEngines: fakeEngines{&fakes{}}, decodeErr: verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")}
 	is.Equal(runHeadless(h).Verdict, verdict.NotRun)
 	is.Equal(len(h.resumed), 0)
 }
