--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -19,9 +19,9 @@
 	// decode is how the order ended.
 	decodeErr *verdict.Error
 	// resume is how a resume ends; nil for the answer.
-	resume  *verdict.Error
-	resumed []id.Request
-	decodes int
+	resumeErr *verdict.Error
+	resumed   []id.Request
+	decodes   int
 }
 
 func (h *lostHeaderEngines) Decode(context.Context, *live.Endpoint, *wire.DecodeRequest) (TokenStream, error) {
@@ -31,8 +31,8 @@
 
 func (h *lostHeaderEngines) Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error) {
 	h.resumed = append(h.resumed, attempt)
-	if h.resume != nil {
-		return nil, h.resume
+	if h.resumeErr != nil {
+		return nil, h.resumeErr
 	}
 	return h.fakeEngines.Resume(ctx, e, attempt, after, owner)
 }
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	unknown := verdict.New(verdict.MayHaveRun, "unknown_request", "the engine holds no such request")
 	h := &lostHeaderEngines{
-		fakeEngines: fakeEngines{&fakes{}}, resume: unknown,
+		fakeEngines: fakeEngines{&fakes{}}, resumeErr: unknown,
 		decodeErr: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no head"),
 	}
 	err := runHeadless(h)
