--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -38,7 +38,7 @@
 }
 
 // runHeadless serves one job.
-func runHeadless(h *lostHeaderEngines) *verdict.Error {
+func runWithLostHeader(h *lostHeaderEngines) *verdict.Error {
 	r := New(h.fakes.deps(h))
 	return r.Run(context.Background(), testJob(nil), h.fakes)
 }
@@ -52,7 +52,7 @@
 			is := is.New(t)
 			f := &fakes{tokens: 3, finish: true}
 			h := &lostHeaderEngines{fakeEngines: fakeEngines{f}, decodeErr: verdict.New(verdict.MayHaveRun, code, "no head")}
-			is.True(runHeadless(h) == nil)
+			is.True(runWithLostHeader(h) == nil)
 			is.Equal(h.resumed, []id.Request{"attempt"})
 			last := f.progress[len(f.progress)-1]
 			is.Equal(last.Phase, sched.PhaseDone)
@@ -70,13 +70,13 @@
 		fakeEngines: fakeEngines{&fakes{}}, resumeErr: unknown,
 		decodeErr: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no head"),
 	}
-	err := runHeadless(h)
+	err := runWithLostHeader(h)
 	is.Equal(err.Code, verdict.CodeDeadline)
 	is.Equal(err.Verdict, verdict.MayHaveRun)
 	is.Equal(len(h.resumed), 1)
 
 	h = &lostHeaderEngines{fakeEngines: fakeEngines{&fakes{}}, decodeErr: verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")}
-	is.Equal(runHeadless(h).Verdict, verdict.NotRun)
+	is.Equal(runWithLostHeader(h).Verdict, verdict.NotRun)
 	is.Equal(len(h.resumed), 0)
 }
 
