--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -84,13 +84,13 @@
 // what they hold can be followed to its end.
 type breakingEngines struct {
 	fakeEngines
-	behind  int
-	err     *verdict.Error
-	resumes []int
+	breakAfter int
+	err        *verdict.Error
+	resumes    []int
 }
 
 func (b *breakingEngines) Decode(_ context.Context, _ *live.Endpoint, r *wire.DecodeRequest) (TokenStream, error) {
-	return &breaking{fakeStream: fakeStream{fakes: b.fakes, request: r.Request, at: r.Continue}, behind: b.behind, err: b.err}, nil
+	return &breaking{fakeStream: fakeStream{fakes: b.fakes, request: r.Request, at: r.Continue}, behind: b.breakAfter, err: b.err}, nil
 }
 
 func (b *breakingEngines) Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error) {
@@ -118,7 +118,7 @@
 func TestAnAnswerWhoseConnectionBreaksIsFollowed(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 5, finish: true}
-	b := &breakingEngines{fakeEngines: fakeEngines{f}, behind: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "reset")}
+	b := &breakingEngines{fakeEngines: fakeEngines{f}, breakAfter: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "reset")}
 	is.True(New(f.deps(b)).Run(context.Background(), testJob(nil), f) == nil)
 	is.Equal(b.resumes, []int{2})
 	is.Equal(len(f.wants), 1) // no other pair was asked for
@@ -130,7 +130,7 @@
 func TestAnEngineThatStallsIsLeft(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 5}
-	b := &breakingEngines{fakeEngines: fakeEngines{f}, behind: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "silent")}
+	b := &breakingEngines{fakeEngines: fakeEngines{f}, breakAfter: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "silent")}
 	is.True(New(f.deps(b)).Run(context.Background(), testJob(nil), f) != nil)
 	is.Equal(len(b.resumes), 0)
 }
