--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -90,7 +90,7 @@
 }
 
 func (b *breakingEngines) Decode(_ context.Context, _ *live.Endpoint, r *wire.DecodeRequest) (TokenStream, error) {
-	return &breakingStream{fakeStream: fakeStream{fakes: b.fakes, request: r.Request, at: r.Continue}, behind: b.breakAfter, err: b.err}, nil
+	return &breakingStream{fakeStream: fakeStream{fakes: b.fakes, request: r.Request, at: r.Continue}, breakAfter: b.breakAfter, err: b.err}, nil
 }
 
 func (b *breakingEngines) Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error) {
@@ -101,12 +101,12 @@
 // breaking is a stream that ends with an error behind some tokens.
 type breakingStream struct {
 	fakeStream
-	behind int
-	err    *verdict.Error
+	breakAfter int
+	err        *verdict.Error
 }
 
 func (s *breakingStream) Next() (wire.TokenEvent, error) {
-	if s.sent == s.behind {
+	if s.sent == s.breakAfter {
 		return wire.TokenEvent{}, s.err
 	}
 	return s.fakeStream.Next()
