--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -46,7 +46,7 @@
 // TestAnAnswerWhoseHeadDidNotComeIsTakenUp: the engine runs the request, and the
 // daemon or the engine was held up past the time limit, or the connection broke.
 // Given up, the request may have run, so that nobody may send it again.
-func TestAnAnswerWhoseHeadDidNotComeIsTakenUp(t *testing.T) {
+func TestLostResponseHeaderIsRecoveredByResume(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeDeadline, verdict.CodeEndpointFailed} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
