--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -63,7 +63,7 @@
 
 // TestWhatIsNotHeldIsNotTakenUp: one question is asked, and the failure stays
 // what it was; what has certainly not run is not asked for.
-func TestWhatIsNotHeldIsNotTakenUp(t *testing.T) {
+func TestFailedResumeKeepsTheFirstError(t *testing.T) {
 	is := is.New(t)
 	unknown := verdict.New(verdict.MayHaveRun, "unknown_request", "the engine holds no such request")
 	h := &lostHeaderEngines{
