--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -115,7 +115,7 @@
 // TestAnAnswerWhoseConnectionBreaksIsFollowed: the engine writes on behind a
 // broken connection. Read again elsewhere, the prompt would have been read in
 // vain here.
-func TestAnAnswerWhoseConnectionBreaksIsFollowed(t *testing.T) {
+func TestBrokenConnectionIsResumed(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 5, finish: true}
 	b := &breakingEngines{fakeEngines: fakeEngines{f}, breakAfter: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "reset")}
