--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/takeup_test.go
@@ -127,7 +127,7 @@
 
 // TestAnEngineThatStallsIsLeft: one that sends nothing for the time between two
 // tokens is not waited for once more.
-func TestAnEngineThatStallsIsLeft(t *testing.T) {
+func TestStalledEngineIsNotResumed(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 5}
 	b := &breakingEngines{fakeEngines: fakeEngines{f}, breakAfter: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "silent")}
