--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestUnbegunAnswerGivesNoAdviceOfItsOwn keeps what the owner said.
-func TestUnbegunAnswerGivesNoAdviceOfItsOwn(t *testing.T) {
+func TestUnstartedAnswerAddsNoRetryAfter(t *testing.T) {
 	is := is.New(t)
 	err := (&fakes{pairErr: verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "none")}).run(nil)
 	is.Equal(err.Verdict, verdict.NotRun)
