--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -148,7 +148,7 @@
 // TestWhatPassesIsAdvisedToComeBack: where processors are short, KV caches lapse
 // before they are handed over, in all attempts. The request has not run, and its
 // caller has to know when to send it again.
-func TestWhatPassesIsAdvisedToComeBack(t *testing.T) {
+func TestTransientErrorsCarryRetryAfter(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeKVGone, verdict.CodeDeadline, verdict.CodeUnavailable} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
