--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -164,7 +164,7 @@
 // refusal, where its slots or its queue were taken by work that the owner did not
 // know of, and the daemon's where it has no connection left. So it is with the
 // other reasons that pass.
-func TestAFullEngineIsNoEnd(t *testing.T) {
+func TestEngineRefusalsCarryRetryAfter(t *testing.T) {
 	for _, code := range []verdict.Code{
 		verdict.CodeOverloaded, verdict.CodeLeaving, verdict.CodeTeamLimit,
 		verdict.CodeClaimUnavailable, verdict.CodeEndpointFailed, verdict.CodeSuperseded,
