--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -182,7 +182,7 @@
 
 // TestAnEndpointThatIsNotKnownYetIsNoEnd: the pool's owner grants one that this
 // daemon's configuration does not hold; a change is on its way to one of them.
-func TestAnEndpointThatIsNotKnownYetIsNoEnd(t *testing.T) {
+func TestUnknownEndpointCarriesRetryAfter(t *testing.T) {
 	is := is.New(t)
 	err := (&fakes{noEndpoints: true}).run(nil)
 	is.Equal(err.Code, verdict.CodeUnavailable)
