--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -191,7 +191,7 @@
 }
 
 // TestContinuationGoesBeforeNewRequests compares the priorities of the two.
-func TestContinuationGoesBeforeNewRequests(t *testing.T) {
+func TestContinuationHasPriorityOverNewRequests(t *testing.T) {
 	is := is.New(t)
 	fresh := &fakes{finish: true}
 	is.True(fresh.run(nil) == nil)
