--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -204,7 +204,7 @@
 // TestBrokenAnswerWaitsAnew breaks an answer off long after its first-token
 // target: the want for its rest must not carry that time as its age, or the
 // owner refuses it as too late.
-func TestBrokenAnswerWaitsAnew(t *testing.T) {
+func TestBrokenAnswerRestartsTheWait(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 3, tokenTime: time.Second, maxRetries: 1}
 	is.True(f.run(nil) != nil)
