--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -219,7 +219,7 @@
 
 // TestOwnerIsToldOfThisAttemptsTokens resumes an answer behind five tokens: the
 // owner must not take them for the engine's work in the time since.
-func TestOwnerIsToldOfThisAttemptsTokens(t *testing.T) {
+func TestOutputTokensCountOnlyThisAttempt(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 2, finish: true}
 	err := f.run(&ResumePoint{Attempt: "a", Endpoint: "d", Incarnation: 7, Delivered: 5, Text: "t t t t t ", HasText: true})
