--- a/daemon/completion/heldup_test.go
+++ b/daemon/completion/heldup_test.go
@@ -12,7 +12,7 @@
 // TestARequestThatItsDaemonCameToLateIsAskedFor: the daemon got no processor for
 // longer than the service's patience right behind the arrival. Engines may be
 // free, which only the pool's owner knows.
-func TestARequestThatItsDaemonCameToLateIsAskedFor(t *testing.T) {
+func TestRequestDelayedInItsDaemonStillAsksForAPair(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 3, finish: true, now: 2 * time.Second} // arrived at 0, patience 1 s
 	is.True(f.run(nil) == nil)
