--- a/daemon/completion/heldup_test.go
+++ b/daemon/completion/heldup_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestARequestWhoseWholeTimeIsOverIsRefused: its caller has left by then.
-func TestARequestWhoseWholeTimeIsOverIsRefused(t *testing.T) {
+func TestRequestPastItsTimeoutIsRefused(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 3, finish: true, now: 10 * time.Second} // the service's timeout
 	err := f.run(nil)
