--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -9,7 +9,7 @@
 
 // mostAnswered is how many answers the keeper remembers: those of a second and
 // more, within which a question may come again.
-const mostAnswered = 2048
+const maxAnswered = 2048
 
 // reply answers another daemon; a lost answer is asked for again.
 func (q *Quotas) reply(to id.Daemon, e *Envelope) {
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -116,7 +116,7 @@
 
 // New returns a Quotas whose duty is running.
 func New(cfg Config) *Quotas {
-	answered, err := simplelru.NewLRU[question, *Reply](mostAnswered, nil)
+	answered, err := simplelru.NewLRU[question, *Reply](maxAnswered, nil)
 	if err != nil {
 		panic("quotas: memory of answers: " + err.Error())
 	}
