--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -59,7 +59,7 @@
 		a.answer <- Reply{Granted: true}
 	case answer == quota.Refused:
 		a.answer <- Reply{Back: wait, keeper: q.keeper, remembered: true}
-	case len(q.asked) >= mostAsked:
+	case len(q.asked) >= maxPending:
 		a.answer <- Reply{notAsked: true}
 	default:
 		q.asked[a.ask.Seq] = a
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -34,7 +34,7 @@
 	// the keeper may have changed, or the message is lost.
 	askAgain = 150 * time.Millisecond
 	// mostAsked bounds the requests that wait for the keeper.
-	mostAsked = 4096
+	maxPending = 4096
 	// ringSize bounds the work that waits for the duty.
 	ringSize = 1024
 )
