--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -29,7 +29,7 @@
 	// keeper, together with what comes meanwhile.
 	settleEvery = 500 * time.Millisecond
 	// lookEvery is the time between two counts of the daemons.
-	lookEvery = 250 * time.Millisecond
+	countEvery = 250 * time.Millisecond
 	// askAgain is how long an answer may take before the question is sent again:
 	// the keeper may have changed, or the message is lost.
 	askAgain = 150 * time.Millisecond
@@ -198,7 +198,7 @@
 	if now < q.lookAt {
 		return
 	}
-	q.lookAt = now + lookEvery
+	q.lookAt = now + countEvery
 	f := q.cfg.Fleet()
 	daemons := float64(max(1, f.Daemons))
 	q.share = min(1, float64(max(1, f.Reached))/daemons)
