--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -32,7 +32,7 @@
 	countEvery = 250 * time.Millisecond
 	// askAgain is how long an answer may take before the question is sent again:
 	// the keeper may have changed, or the message is lost.
-	askAgain = 150 * time.Millisecond
+	resendAfter = 150 * time.Millisecond
 	// mostAsked bounds the requests that wait for the keeper.
 	maxPending = 4096
 	// ringSize bounds the work that waits for the duty.
@@ -184,10 +184,10 @@
 		next = q.settleAt
 	}
 	for _, a := range q.asked {
-		if now-a.sentAt >= askAgain {
+		if now-a.sentAt >= resendAfter {
 			q.ask(now, a)
 		}
-		next = min(next, a.sentAt+askAgain)
+		next = min(next, a.sentAt+resendAfter)
 	}
 	return next
 }
