--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -14,7 +14,7 @@
 
 const (
 	// silentRetryAfter is advised where the keeper does not answer.
-	silentRetryAfter = 200 * time.Millisecond
+	keeperRetryAfter = 200 * time.Millisecond
 	// leastSpread is the shortest spread of callers who are told to come back.
 	leastSpread = 100 * time.Millisecond
 )
@@ -46,7 +46,7 @@
 func (q *Quotas) notKnown(team id.Team) *verdict.Error {
 	q.silent.Inc()
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "what team %s may still have run is not known", team).
-		WithRetryAfter(silentRetryAfter)
+		WithRetryAfter(keeperRetryAfter)
 }
 
 // begin pays for a request ahead, or asks the keeper.
