--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -16,7 +16,7 @@
 	// silentRetryAfter is advised where the keeper does not answer.
 	keeperRetryAfter = 200 * time.Millisecond
 	// leastSpread is the shortest spread of callers who are told to come back.
-	leastSpread = 100 * time.Millisecond
+	minRetrySpread = 100 * time.Millisecond
 )
 
 // Pay charges a request to its team, or refuses it. patience bounds the wait for
@@ -93,7 +93,7 @@
 	after := r.Back
 	if r.remembered {
 		// Others here are told the same.
-		after += time.Duration(rand.Int64N(int64(max(r.Back, leastSpread))))
+		after += time.Duration(rand.Int64N(int64(max(r.Back, minRetrySpread))))
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeTeamLimit, "team %s is at its limit", team).
 		WithRetryAfter(after).WithCause(r.why())
