--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -23,7 +23,7 @@
 // the keeper.
 func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	answers := make(chan Reply, 1)
-	a := &asked{ask: Ask{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
+	a := &pendingCharge{ask: Ask{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
 	if !q.duty.PostContext(ctx, func(now time.Duration) { q.begin(now, a) }) {
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
 	}
@@ -50,7 +50,7 @@
 }
 
 // begin pays for a request ahead, or asks the keeper.
-func (q *Quotas) begin(now time.Duration, a *asked) {
+func (q *Quotas) begin(now time.Duration, a *pendingCharge) {
 	q.look(now)
 	answer, wait := q.purse.Spend(now, a.ask.Team, a.ask.Cost)
 	switch {
@@ -77,7 +77,7 @@
 
 // forget drops a question whose answer nobody waits for. What the keeper may
 // have granted stays charged: it is not known.
-func (q *Quotas) forget(a *asked) {
+func (q *Quotas) forget(a *pendingCharge) {
 	q.duty.PostLater(func(time.Duration) { delete(q.asked, a.ask.Seq) })
 }
 
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -92,7 +92,7 @@
 	purse   *quota.Purse
 	// share is the part of the limits that this daemon may grant as the keeper.
 	share float64
-	asked map[uint64]*asked
+	asked map[uint64]*pendingCharge
 	seq   atomic.Uint64
 	// answered are the last answers that this daemon gave as the keeper.
 	answered *simplelru.LRU[question, *Reply]
@@ -108,7 +108,7 @@
 }
 
 // asked is a request that waits for the keeper.
-type asked struct {
+type pendingCharge struct {
 	ask    Ask
 	sentAt time.Duration
 	answer chan<- Reply
@@ -126,7 +126,7 @@
 		key:      DefaultKey,
 		ledger:   quota.NewLedger(cfg.Tolerance),
 		purse:    quota.NewPurse(),
-		asked:    map[uint64]*asked{},
+		asked:    map[uint64]*pendingCharge{},
 		refusals: cfg.Metrics.Counter("quota_refusals", metrics.UnitCount, "Requests that were refused since their team is at its limit."),
 		silent:   cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
 	}
@@ -228,7 +228,7 @@
 }
 
 // ask asks the keeper, or answers where that is this daemon.
-func (q *Quotas) ask(now time.Duration, a *asked) {
+func (q *Quotas) ask(now time.Duration, a *pendingCharge) {
 	a.sentAt = now
 	switch q.keeper {
 	case "":
