--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -59,10 +59,10 @@
 		a.answer <- Reply{Granted: true}
 	case answer == quota.Refused:
 		a.answer <- Reply{Back: wait, keeper: q.keeper, remembered: true}
-	case len(q.asked) >= maxPending:
+	case len(q.pending) >= maxPending:
 		a.answer <- Reply{notAsked: true}
 	default:
-		q.asked[a.ask.Seq] = a
+		q.pending[a.ask.Seq] = a
 		q.ask(now, a)
 	}
 }
@@ -78,7 +78,7 @@
 // forget drops a question whose answer nobody waits for. What the keeper may
 // have granted stays charged: it is not known.
 func (q *Quotas) forget(a *pendingCharge) {
-	q.duty.PostLater(func(time.Duration) { delete(q.asked, a.ask.Seq) })
+	q.duty.PostLater(func(time.Duration) { delete(q.pending, a.ask.Seq) })
 }
 
 // verdict is what the keeper's word means for a request.
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -91,9 +91,9 @@
 	ledger  *quota.Ledger
 	purse   *quota.Purse
 	// share is the part of the limits that this daemon may grant as the keeper.
-	share float64
-	asked map[uint64]*pendingCharge
-	seq   atomic.Uint64
+	share   float64
+	pending map[uint64]*pendingCharge
+	seq     atomic.Uint64
 	// answered are the last answers that this daemon gave as the keeper.
 	answered *simplelru.LRU[question, *Reply]
 	// owes is set while something was paid ahead, settleAt is when it is settled.
@@ -126,7 +126,7 @@
 		key:      DefaultKey,
 		ledger:   quota.NewLedger(cfg.Tolerance),
 		purse:    quota.NewPurse(),
-		asked:    map[uint64]*pendingCharge{},
+		pending:  map[uint64]*pendingCharge{},
 		refusals: cfg.Metrics.Counter("quota_refusals", metrics.UnitCount, "Requests that were refused since their team is at its limit."),
 		silent:   cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
 	}
@@ -170,7 +170,7 @@
 	// What other keepers grant meanwhile is not known here.
 	q.ledger = quota.NewLedger(q.cfg.Tolerance)
 	q.purse.Open()
-	for _, a := range q.asked {
+	for _, a := range q.pending {
 		q.ask(now, a)
 	}
 }
@@ -183,7 +183,7 @@
 	if q.owes {
 		next = q.settleAt
 	}
-	for _, a := range q.asked {
+	for _, a := range q.pending {
 		if now-a.sentAt >= resendAfter {
 			q.ask(now, a)
 		}
@@ -264,11 +264,11 @@
 
 // takeReply hands the keeper's word to the request that waits for it.
 func (q *Quotas) takeReply(now time.Duration, r *Reply) {
-	a := q.asked[r.Seq]
+	a := q.pending[r.Seq]
 	if a == nil {
 		return
 	}
-	delete(q.asked, r.Seq)
+	delete(q.pending, r.Seq)
 	if !r.Granted {
 		q.purse.Shut(now, a.ask.Team, quota.Refusal{Wait: r.Wait, Back: r.Back})
 	}
