--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -30,7 +30,7 @@
 }
 
 // question names one question of one daemon.
-type question struct {
+type requestKey struct {
 	from id.Daemon
 	seq  uint64
 }
@@ -38,7 +38,7 @@
 // decideOnce answers a question. One that comes again, since its answer was late
 // or lost, is not charged again.
 func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, a *Ask) *Reply {
-	asked := question{from: from, seq: a.Seq}
+	asked := requestKey{from: from, seq: a.Seq}
 	if before, known := q.answered.Get(asked); known {
 		return before
 	}
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -95,7 +95,7 @@
 	pending map[uint64]*pendingCharge
 	seq     atomic.Uint64
 	// answered are the last answers that this daemon gave as the keeper.
-	answered *simplelru.LRU[question, *Reply]
+	answered *simplelru.LRU[requestKey, *Reply]
 	// owes is set while something was paid ahead, settleAt is when it is settled.
 	owes     bool
 	settleAt time.Duration
@@ -116,7 +116,7 @@
 
 // New returns a Quotas whose duty is running.
 func New(cfg Config) *Quotas {
-	answered, err := simplelru.NewLRU[question, *Reply](maxAnswered, nil)
+	answered, err := simplelru.NewLRU[requestKey, *Reply](maxAnswered, nil)
 	if err != nil {
 		panic("quotas: memory of answers: " + err.Error())
 	}
