--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -44,7 +44,7 @@
 
 // notKnown refuses a request whose team's account can't be asked about.
 func (q *Quotas) notKnown(team id.Team) *verdict.Error {
-	q.silent.Inc()
+	q.unanswered.Inc()
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "what team %s may still have run is not known", team).
 		WithRetryAfter(keeperRetryAfter)
 }
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -102,9 +102,9 @@
 	// lookAt is when the daemons are counted next.
 	lookAt time.Duration
 
-	accounts *metrics.Gauge
-	refusals *metrics.Counter
-	silent   *metrics.Counter
+	accounts   *metrics.Gauge
+	refusals   *metrics.Counter
+	unanswered *metrics.Counter
 }
 
 // asked is a request that waits for the keeper.
@@ -121,14 +121,14 @@
 		panic("quotas: memory of answers: " + err.Error())
 	}
 	q := &Quotas{
-		answered: answered,
-		cfg:      cfg,
-		key:      DefaultKey,
-		ledger:   quota.NewLedger(cfg.Tolerance),
-		purse:    quota.NewPurse(),
-		pending:  map[uint64]*pendingCharge{},
-		refusals: cfg.Metrics.Counter("quota_refusals", metrics.UnitCount, "Requests that were refused since their team is at its limit."),
-		silent:   cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
+		answered:   answered,
+		cfg:        cfg,
+		key:        DefaultKey,
+		ledger:     quota.NewLedger(cfg.Tolerance),
+		purse:      quota.NewPurse(),
+		pending:    map[uint64]*pendingCharge{},
+		refusals:   cfg.Metrics.Counter("quota_refusals", metrics.UnitCount, "Requests that were refused since their team is at its limit."),
+		unanswered: cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
 	}
 	q.accounts = cfg.Metrics.Gauge("quota_accounts", metrics.UnitCount, "Accounts of teams that this daemon keeps.")
 	// A daemon that starts again must not go on with the numbers that it had.
