--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -21,7 +21,7 @@
 // charge fills in what the ledger must know; ok is false for a team without a
 // limit.
 func (q *Quotas) charge(now time.Duration, team id.Team, cost float64, known *quota.Limit) (c quota.Charge, ok bool) {
-	q.look(now)
+	q.refreshFleet(now)
 	limit, found := q.cfg.Limit(team)
 	if !found && known != nil {
 		limit = *known
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -51,7 +51,7 @@
 
 // begin pays for a request ahead, or asks the keeper.
 func (q *Quotas) begin(now time.Duration, a *pendingCharge) {
-	q.look(now)
+	q.refreshFleet(now)
 	answer, wait := q.purse.Spend(now, a.ask.Team, a.ask.Cost)
 	switch {
 	case answer == quota.Paid:
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -194,7 +194,7 @@
 
 // look takes how many daemons there are, now and then: only while there are
 // requests.
-func (q *Quotas) look(now time.Duration) {
+func (q *Quotas) refreshFleet(now time.Duration) {
 	if now < q.lookAt {
 		return
 	}
