--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -100,7 +100,7 @@
 	owes     bool
 	settleAt time.Duration
 	// lookAt is when the daemons are counted next.
-	lookAt time.Duration
+	nextCount time.Duration
 
 	accounts   *metrics.Gauge
 	refusals   *metrics.Counter
@@ -195,10 +195,10 @@
 // look takes how many daemons there are, now and then: only while there are
 // requests.
 func (q *Quotas) refreshFleet(now time.Duration) {
-	if now < q.lookAt {
+	if now < q.nextCount {
 		return
 	}
-	q.lookAt = now + countEvery
+	q.nextCount = now + countEvery
 	f := q.cfg.Fleet()
 	daemons := float64(max(1, f.Daemons))
 	q.share = min(1, float64(max(1, f.Reached))/daemons)
