--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -69,8 +69,8 @@
 
 // settleSoon has what was paid ahead settled in a while.
 func (q *Quotas) settleSoon(now time.Duration) {
-	if !q.owes {
-		q.owes = true
+	if !q.hasDebts {
+		q.hasDebts = true
 		q.settleAt = now + settleEvery
 	}
 }
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -97,7 +97,7 @@
 	// answered are the last answers that this daemon gave as the keeper.
 	answered *simplelru.LRU[requestKey, *Reply]
 	// owes is set while something was paid ahead, settleAt is when it is settled.
-	owes     bool
+	hasDebts bool
 	settleAt time.Duration
 	// lookAt is when the daemons are counted next.
 	nextCount time.Duration
@@ -176,11 +176,11 @@
 }
 
 func (q *Quotas) tick(now time.Duration) time.Duration {
-	if q.owes && now >= q.settleAt {
+	if q.hasDebts && now >= q.settleAt {
 		q.settle(now)
 	}
 	next := duty.Never
-	if q.owes {
+	if q.hasDebts {
 		next = q.settleAt
 	}
 	for _, a := range q.pending {
@@ -212,7 +212,7 @@
 		q.settleAt = now + settleEvery
 		return
 	}
-	q.owes = false
+	q.hasDebts = false
 	debts := q.purse.Settle(now)
 	if len(debts) == 0 {
 		return
