--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -219,7 +219,7 @@
 	}
 	settle := &Settle{Debts: debts}
 	if q.keeper == q.cfg.Self {
-		q.takeShut(now, q.owe(now, settle))
+		q.takeShut(now, q.chargeDebts(now, settle))
 		return
 	}
 	if err := q.cfg.Send(q.keeper, &Envelope{Settle: settle}); err != nil {
@@ -250,7 +250,7 @@
 	case e.Ask != nil:
 		q.reply(from, &Envelope{Reply: q.decideOnce(now, from, e.Ask)})
 	case e.Settle != nil:
-		if shut := q.owe(now, e.Settle); len(shut.Teams) > 0 {
+		if shut := q.chargeDebts(now, e.Settle); len(shut.Teams) > 0 {
 			q.reply(from, &Envelope{Shut: shut})
 		}
 	case e.Return != nil:
