--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -74,7 +74,7 @@
 }
 
 // giveBack takes back what was granted for nothing, as the keeper.
-func (q *Quotas) giveBack(now time.Duration, r *Return) {
+func (q *Quotas) refund(now time.Duration, r *Return) {
 	if c, limited := q.charge(now, r.Team, r.Cost, nil); limited {
 		q.ledger.Return(now, c)
 	}
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -109,7 +109,7 @@
 		switch q.keeper {
 		case "":
 		case q.cfg.Self:
-			q.giveBack(now, back)
+			q.refund(now, back)
 		default:
 			if err := q.cfg.Send(q.keeper, &Envelope{Return: back}); err != nil {
 				q.cfg.Log("quota_not_returned", "keeper", q.keeper, "team", team, "why", err)
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -254,7 +254,7 @@
 			q.reply(from, &Envelope{Shut: shut})
 		}
 	case e.Return != nil:
-		q.giveBack(now, e.Return)
+		q.refund(now, e.Return)
 	case e.Reply != nil:
 		q.takeReply(now, e.Reply)
 	case e.Shut != nil:
