--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -233,7 +233,7 @@
 	switch q.keeper {
 	case "":
 	case q.cfg.Self:
-		q.takeReply(now, q.decide(now, &a.ask))
+		q.handleReply(now, q.decide(now, &a.ask))
 	default:
 		// What can't be sent is asked again.
 		_ = q.cfg.Send(q.keeper, &Envelope{Ask: &a.ask})
@@ -256,14 +256,14 @@
 	case e.Return != nil:
 		q.refund(now, e.Return)
 	case e.Reply != nil:
-		q.takeReply(now, e.Reply)
+		q.handleReply(now, e.Reply)
 	case e.Shut != nil:
 		q.takeShut(now, e.Shut)
 	}
 }
 
 // takeReply hands the keeper's word to the request that waits for it.
-func (q *Quotas) takeReply(now time.Duration, r *Reply) {
+func (q *Quotas) handleReply(now time.Duration, r *Reply) {
 	a := q.pending[r.Seq]
 	if a == nil {
 		return
