--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -219,7 +219,7 @@
 	}
 	settle := &Settle{Debts: debts}
 	if q.keeper == q.cfg.Self {
-		q.takeShut(now, q.chargeDebts(now, settle))
+		q.handleDebtNotice(now, q.chargeDebts(now, settle))
 		return
 	}
 	if err := q.cfg.Send(q.keeper, &Envelope{Settle: settle}); err != nil {
@@ -258,7 +258,7 @@
 	case e.Reply != nil:
 		q.handleReply(now, e.Reply)
 	case e.Shut != nil:
-		q.takeShut(now, e.Shut)
+		q.handleDebtNotice(now, e.Shut)
 	}
 }
 
@@ -277,7 +277,7 @@
 	a.answer <- answer
 }
 
-func (q *Quotas) takeShut(now time.Duration, s *Shut) {
+func (q *Quotas) handleDebtNotice(now time.Duration, s *Shut) {
 	for _, t := range s.Teams {
 		q.purse.Shut(now, t.Team, quota.Refusal{Wait: t.Wait, Back: t.Wait})
 	}
