--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -20,7 +20,7 @@
 
 // charge fills in what the ledger must know; ok is false for a team without a
 // limit.
-func (q *Quotas) charge(now time.Duration, team id.Team, cost float64, known *quota.Limit) (c quota.Charge, ok bool) {
+func (q *Quotas) newCharge(now time.Duration, team id.Team, cost float64, known *quota.Limit) (c quota.Charge, ok bool) {
 	q.refreshFleet(now)
 	limit, found := q.cfg.Limit(team)
 	if !found && known != nil {
@@ -49,7 +49,7 @@
 
 // decide answers a question, as the keeper.
 func (q *Quotas) decide(now time.Duration, a *Ask) *Reply {
-	c, limited := q.charge(now, a.Team, a.Cost, &a.Limit)
+	c, limited := q.newCharge(now, a.Team, a.Cost, &a.Limit)
 	if !limited {
 		return &Reply{Seq: a.Seq, Granted: true}
 	}
@@ -62,7 +62,7 @@
 func (q *Quotas) chargeDebts(now time.Duration, s *Settle) *Shut {
 	shut := &Shut{}
 	for _, d := range s.Debts {
-		c, limited := q.charge(now, d.Team, d.Cost, nil)
+		c, limited := q.newCharge(now, d.Team, d.Cost, nil)
 		if !limited {
 			continue
 		}
@@ -75,7 +75,7 @@
 
 // giveBack takes back what was granted for nothing, as the keeper.
 func (q *Quotas) refund(now time.Duration, r *Return) {
-	if c, limited := q.charge(now, r.Team, r.Cost, nil); limited {
+	if c, limited := q.newCharge(now, r.Team, r.Cost, nil); limited {
 		q.ledger.Return(now, c)
 	}
 }
