--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -24,7 +24,7 @@
 func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	answers := make(chan Reply, 1)
 	a := &pendingCharge{ask: Ask{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
-	if !q.duty.PostContext(ctx, func(now time.Duration) { q.begin(now, a) }) {
+	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, a) }) {
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
 	}
 	timer := time.NewTimer(patience)
@@ -50,7 +50,7 @@
 }
 
 // begin pays for a request ahead, or asks the keeper.
-func (q *Quotas) begin(now time.Duration, a *pendingCharge) {
+func (q *Quotas) startCharge(now time.Duration, a *pendingCharge) {
 	q.refreshFleet(now)
 	answer, wait := q.purse.Spend(now, a.ask.Team, a.ask.Cost)
 	switch {
