--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -39,11 +39,11 @@
 	case <-q.duty.Context().Done():
 	}
 	q.forget(a)
-	return q.notKnown(team)
+	return q.accountUnknown(team)
 }
 
 // notKnown refuses a request whose team's account can't be asked about.
-func (q *Quotas) notKnown(team id.Team) *verdict.Error {
+func (q *Quotas) accountUnknown(team id.Team) *verdict.Error {
 	q.unanswered.Inc()
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "what team %s may still have run is not known", team).
 		WithRetryAfter(keeperRetryAfter)
@@ -87,7 +87,7 @@
 	case r.Granted:
 		return nil
 	case r.notAsked:
-		return q.notKnown(team)
+		return q.accountUnknown(team)
 	}
 	q.refusals.Inc()
 	after := r.Back
