--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -63,7 +63,7 @@
 		a.answer <- Reply{notAsked: true}
 	default:
 		q.pending[a.ask.Seq] = a
-		q.ask(now, a)
+		q.sendRequest(now, a)
 	}
 }
 
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -171,7 +171,7 @@
 	q.ledger = quota.NewLedger(q.cfg.Tolerance)
 	q.purse.Open()
 	for _, a := range q.pending {
-		q.ask(now, a)
+		q.sendRequest(now, a)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	for _, a := range q.pending {
 		if now-a.sentAt >= resendAfter {
-			q.ask(now, a)
+			q.sendRequest(now, a)
 		}
 		next = min(next, a.sentAt+resendAfter)
 	}
@@ -228,7 +228,7 @@
 }
 
 // ask asks the keeper, or answers where that is this daemon.
-func (q *Quotas) ask(now time.Duration, a *pendingCharge) {
+func (q *Quotas) sendRequest(now time.Duration, a *pendingCharge) {
 	a.sentAt = now
 	switch q.keeper {
 	case "":
