--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -55,7 +55,7 @@
 	answer, wait := q.purse.Spend(now, a.ask.Team, a.ask.Cost)
 	switch {
 	case answer == quota.Paid:
-		q.settleSoon(now)
+		q.scheduleSettlement(now)
 		a.answer <- Reply{Granted: true}
 	case answer == quota.Refused:
 		a.answer <- Reply{Back: wait, keeper: q.keeper, remembered: true}
@@ -68,7 +68,7 @@
 }
 
 // settleSoon has what was paid ahead settled in a while.
-func (q *Quotas) settleSoon(now time.Duration) {
+func (q *Quotas) scheduleSettlement(now time.Duration) {
 	if !q.hasDebts {
 		q.hasDebts = true
 		q.settleAt = now + settleEvery
