--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -33,12 +33,12 @@
 	case r := <-answers:
 		return q.verdict(team, r)
 	case <-ctx.Done():
-		q.forget(a)
+		q.dropPending(a)
 		return verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller is gone").WithCause(context.Cause(ctx))
 	case <-timer.C:
 	case <-q.duty.Context().Done():
 	}
-	q.forget(a)
+	q.dropPending(a)
 	return q.accountUnknown(team)
 }
 
@@ -77,7 +77,7 @@
 
 // forget drops a question whose answer nobody waits for. What the keeper may
 // have granted stays charged: it is not known.
-func (q *Quotas) forget(a *pendingCharge) {
+func (q *Quotas) dropPending(a *pendingCharge) {
 	q.duty.PostLater(func(time.Duration) { delete(q.pending, a.ask.Seq) })
 }
 
