--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -144,7 +144,7 @@
 func (q *Quotas) SetMembers(members []id.Daemon) {
 	q.duty.Post(func(now time.Duration) {
 		q.members = members
-		q.choose(now)
+		q.chooseKeeper(now)
 	})
 }
 
@@ -155,12 +155,12 @@
 		q.key = key
 		// A new configuration may have raised limits.
 		q.purse.Open()
-		q.choose(now)
+		q.chooseKeeper(now)
 	})
 }
 
 // choose finds the keeper. One that has changed is asked again what waits.
-func (q *Quotas) choose(now time.Duration) {
+func (q *Quotas) chooseKeeper(now time.Duration) {
 	keeper := rendezvous.Owner(q.key, q.members)
 	if keeper == q.keeper {
 		return
