--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -96,7 +96,7 @@
 		after += time.Duration(rand.Int64N(int64(max(r.Back, minRetrySpread))))
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeTeamLimit, "team %s is at its limit", team).
-		WithRetryAfter(after).WithCause(r.why())
+		WithRetryAfter(after).WithCause(r.cause())
 }
 
 // Return gives back what was paid for a request that has not run.
@@ -119,7 +119,7 @@
 }
 
 // why tells on-call engineers who refused, and by what.
-func (r *Reply) why() error {
+func (r *Reply) cause() error {
 	if r.remembered {
 		return eris.Errorf("%s, which keeps its account, said so a moment ago", r.keeper)
 	}
