--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -58,7 +58,7 @@
 		q.scheduleSettlement(now)
 		a.answer <- Reply{Granted: true}
 	case answer == quota.Refused:
-		a.answer <- Reply{Back: wait, keeper: q.keeper, remembered: true}
+		a.answer <- Reply{Back: wait, keeper: q.keeper, repeated: true}
 	case len(q.pending) >= maxPending:
 		a.answer <- Reply{notAsked: true}
 	default:
@@ -91,7 +91,7 @@
 	}
 	q.refusals.Inc()
 	after := r.Back
-	if r.remembered {
+	if r.repeated {
 		// Others here are told the same.
 		after += time.Duration(rand.Int64N(int64(max(r.Back, minRetrySpread))))
 	}
@@ -120,7 +120,7 @@
 
 // why tells on-call engineers who refused, and by what.
 func (r *Reply) cause() error {
-	if r.remembered {
+	if r.repeated {
 		return eris.Errorf("%s, which keeps its account, said so a moment ago", r.keeper)
 	}
 	return eris.Errorf("its account at %s holds %.0f", r.keeper, r.Balance)
