--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -40,9 +40,9 @@
 	Balance float64 `cbor:"4,keyasint,omitempty"`
 	// keeper is whose word it is, filled in where it is received; remembered is set
 	// on one that repeats an earlier word, notAsked where too many questions wait.
-	keeper   id.Daemon
-	repeated bool
-	notAsked bool
+	keeper     id.Daemon
+	repeated   bool
+	overloaded bool
 }
 
 // Settle tells the keeper what was spent ahead of its word.
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -60,7 +60,7 @@
 	case answer == quota.Refused:
 		a.answer <- Reply{Back: wait, keeper: q.keeper, repeated: true}
 	case len(q.pending) >= maxPending:
-		a.answer <- Reply{notAsked: true}
+		a.answer <- Reply{overloaded: true}
 	default:
 		q.pending[a.ask.Seq] = a
 		q.sendRequest(now, a)
@@ -86,7 +86,7 @@
 	switch {
 	case r.Granted:
 		return nil
-	case r.notAsked:
+	case r.overloaded:
 		return q.accountUnknown(team)
 	}
 	q.refusals.Inc()
