--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -55,7 +55,7 @@
 	}
 	granted, refused := q.ledger.Take(now, c)
 	balance, _ := q.ledger.Balance(a.Team)
-	return &Reply{Seq: a.Seq, Granted: granted, Wait: refused.Wait, Back: refused.Back, Balance: balance}
+	return &Reply{Seq: a.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
 }
 
 // owe takes what was spent ahead, as the keeper, and tells who is in debt.
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -35,7 +35,7 @@
 	// Wait is how long it takes until there is room, where nothing was granted.
 	Wait time.Duration `cbor:"3,keyasint,omitempty"`
 	// Back is when the refused request should come back.
-	Back time.Duration `cbor:"5,keyasint,omitempty"`
+	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 	// Balance of the team's account, in the limit's units.
 	Balance float64 `cbor:"4,keyasint,omitempty"`
 	// keeper is whose word it is, filled in where it is received; remembered is set
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -58,7 +58,7 @@
 		q.scheduleSettlement(now)
 		a.answer <- Reply{Granted: true}
 	case answer == quota.Refused:
-		a.answer <- Reply{Back: wait, keeper: q.keeper, repeated: true}
+		a.answer <- Reply{RetryAfter: wait, keeper: q.keeper, repeated: true}
 	case len(q.pending) >= maxPending:
 		a.answer <- Reply{overloaded: true}
 	default:
@@ -90,10 +90,10 @@
 		return q.accountUnknown(team)
 	}
 	q.refusals.Inc()
-	after := r.Back
+	after := r.RetryAfter
 	if r.repeated {
 		// Others here are told the same.
-		after += time.Duration(rand.Int64N(int64(max(r.Back, minRetrySpread))))
+		after += time.Duration(rand.Int64N(int64(max(r.RetryAfter, minRetrySpread))))
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeTeamLimit, "team %s is at its limit", team).
 		WithRetryAfter(after).WithCause(r.cause())
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -270,7 +270,7 @@
 	}
 	delete(q.pending, r.Seq)
 	if !r.Granted {
-		q.purse.Shut(now, a.ask.Team, quota.Refusal{Wait: r.Wait, Back: r.Back})
+		q.purse.Shut(now, a.ask.Team, quota.Refusal{Wait: r.Wait, Back: r.RetryAfter})
 	}
 	answer := *r
 	answer.keeper = q.keeper
