--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -37,7 +37,7 @@
 
 // decideOnce answers a question. One that comes again, since its answer was late
 // or lost, is not charged again.
-func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, a *Ask) *Reply {
+func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, a *ChargeRequest) *Reply {
 	asked := requestKey{from: from, seq: a.Seq}
 	if before, known := q.answered.Get(asked); known {
 		return before
@@ -48,7 +48,7 @@
 }
 
 // decide answers a question, as the keeper.
-func (q *Quotas) decide(now time.Duration, a *Ask) *Reply {
+func (q *Quotas) decide(now time.Duration, a *ChargeRequest) *Reply {
 	c, limited := q.newCharge(now, a.Team, a.Cost, &a.Limit)
 	if !limited {
 		return &Reply{Seq: a.Seq, Granted: true}
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -10,15 +10,15 @@
 // Envelope is what daemons send one another about teams' limits. One field is
 // set.
 type Envelope struct {
-	Ask    *Ask    `cbor:"1,keyasint,omitempty"`
-	Reply  *Reply  `cbor:"2,keyasint,omitempty"`
-	Settle *Settle `cbor:"3,keyasint,omitempty"`
-	Shut   *Shut   `cbor:"4,keyasint,omitempty"`
-	Return *Return `cbor:"5,keyasint,omitempty"`
+	Ask    *ChargeRequest `cbor:"1,keyasint,omitempty"`
+	Reply  *Reply         `cbor:"2,keyasint,omitempty"`
+	Settle *Settle        `cbor:"3,keyasint,omitempty"`
+	Shut   *Shut          `cbor:"4,keyasint,omitempty"`
+	Return *Return        `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask asks the keeper to charge a request to a team.
-type Ask struct {
+type ChargeRequest struct {
 	// Seq pairs the reply with the question, within the asker.
 	Seq  uint64  `cbor:"1,keyasint"`
 	Team id.Team `cbor:"2,keyasint"`
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -23,7 +23,7 @@
 // the keeper.
 func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	answers := make(chan Reply, 1)
-	a := &pendingCharge{ask: Ask{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
+	a := &pendingCharge{ask: ChargeRequest{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
 	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, a) }) {
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
 	}
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -109,7 +109,7 @@
 
 // asked is a request that waits for the keeper.
 type pendingCharge struct {
-	ask    Ask
+	ask    ChargeRequest
 	sentAt time.Duration
 	answer chan<- Reply
 }
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -173,7 +173,7 @@
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	keeper, other := f.keeper()
-	ask := &Ask{Seq: 7, Team: desk, Limit: f.limit, Cost: 1}
+	ask := &ChargeRequest{Seq: 7, Team: desk, Limit: f.limit, Cost: 1}
 	balance := 0.0
 	for range 5 {
 		f.duties[keeper].duty.Query(func(now time.Duration) {
