--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -10,7 +10,7 @@
 // Envelope is what daemons send one another about teams' limits. One field is
 // set.
 type Envelope struct {
-	Ask    *ChargeRequest `cbor:"1,keyasint,omitempty"`
+	Charge *ChargeRequest `cbor:"1,keyasint,omitempty"`
 	Reply  *Reply         `cbor:"2,keyasint,omitempty"`
 	Settle *Settle        `cbor:"3,keyasint,omitempty"`
 	Shut   *Shut          `cbor:"4,keyasint,omitempty"`
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -236,7 +236,7 @@
 		q.handleReply(now, q.decide(now, &a.ask))
 	default:
 		// What can't be sent is asked again.
-		_ = q.cfg.Send(q.keeper, &Envelope{Ask: &a.ask})
+		_ = q.cfg.Send(q.keeper, &Envelope{Charge: &a.ask})
 	}
 }
 
@@ -247,8 +247,8 @@
 
 func (q *Quotas) handle(now time.Duration, from id.Daemon, e *Envelope) {
 	switch {
-	case e.Ask != nil:
-		q.reply(from, &Envelope{Reply: q.decideOnce(now, from, e.Ask)})
+	case e.Charge != nil:
+		q.reply(from, &Envelope{Reply: q.decideOnce(now, from, e.Charge)})
 	case e.Settle != nil:
 		if shut := q.chargeDebts(now, e.Settle); len(shut.Teams) > 0 {
 			q.reply(from, &Envelope{Shut: shut})
