--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -37,7 +37,7 @@
 
 // decideOnce answers a question. One that comes again, since its answer was late
 // or lost, is not charged again.
-func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, a *ChargeRequest) *Reply {
+func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, a *ChargeRequest) *ChargeReply {
 	asked := requestKey{from: from, seq: a.Seq}
 	if before, known := q.answered.Get(asked); known {
 		return before
@@ -48,14 +48,14 @@
 }
 
 // decide answers a question, as the keeper.
-func (q *Quotas) decide(now time.Duration, a *ChargeRequest) *Reply {
+func (q *Quotas) decide(now time.Duration, a *ChargeRequest) *ChargeReply {
 	c, limited := q.newCharge(now, a.Team, a.Cost, &a.Limit)
 	if !limited {
-		return &Reply{Seq: a.Seq, Granted: true}
+		return &ChargeReply{Seq: a.Seq, Granted: true}
 	}
 	granted, refused := q.ledger.Take(now, c)
 	balance, _ := q.ledger.Balance(a.Team)
-	return &Reply{Seq: a.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
+	return &ChargeReply{Seq: a.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
 }
 
 // owe takes what was spent ahead, as the keeper, and tells who is in debt.
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -11,7 +11,7 @@
 // set.
 type Envelope struct {
 	Charge *ChargeRequest `cbor:"1,keyasint,omitempty"`
-	Reply  *Reply         `cbor:"2,keyasint,omitempty"`
+	Reply  *ChargeReply   `cbor:"2,keyasint,omitempty"`
 	Settle *Settle        `cbor:"3,keyasint,omitempty"`
 	Shut   *Shut          `cbor:"4,keyasint,omitempty"`
 	Return *Return        `cbor:"5,keyasint,omitempty"`
@@ -29,7 +29,7 @@
 }
 
 // Reply answers an Ask.
-type Reply struct {
+type ChargeReply struct {
 	Seq     uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint,omitempty"`
 	// Wait is how long it takes until there is room, where nothing was granted.
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -22,7 +22,7 @@
 // Pay charges a request to its team, or refuses it. patience bounds the wait for
 // the keeper.
 func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
-	answers := make(chan Reply, 1)
+	answers := make(chan ChargeReply, 1)
 	a := &pendingCharge{ask: ChargeRequest{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
 	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, a) }) {
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
@@ -56,11 +56,11 @@
 	switch {
 	case answer == quota.Paid:
 		q.scheduleSettlement(now)
-		a.answer <- Reply{Granted: true}
+		a.answer <- ChargeReply{Granted: true}
 	case answer == quota.Refused:
-		a.answer <- Reply{RetryAfter: wait, keeper: q.keeper, repeated: true}
+		a.answer <- ChargeReply{RetryAfter: wait, keeper: q.keeper, repeated: true}
 	case len(q.pending) >= maxPending:
-		a.answer <- Reply{overloaded: true}
+		a.answer <- ChargeReply{overloaded: true}
 	default:
 		q.pending[a.ask.Seq] = a
 		q.sendRequest(now, a)
@@ -82,7 +82,7 @@
 }
 
 // verdict is what the keeper's word means for a request.
-func (q *Quotas) verdict(team id.Team, r Reply) *verdict.Error {
+func (q *Quotas) verdict(team id.Team, r ChargeReply) *verdict.Error {
 	switch {
 	case r.Granted:
 		return nil
@@ -119,7 +119,7 @@
 }
 
 // why tells on-call engineers who refused, and by what.
-func (r *Reply) cause() error {
+func (r *ChargeReply) cause() error {
 	if r.repeated {
 		return eris.Errorf("%s, which keeps its account, said so a moment ago", r.keeper)
 	}
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -95,7 +95,7 @@
 	pending map[uint64]*pendingCharge
 	seq     atomic.Uint64
 	// answered are the last answers that this daemon gave as the keeper.
-	answered *simplelru.LRU[requestKey, *Reply]
+	answered *simplelru.LRU[requestKey, *ChargeReply]
 	// owes is set while something was paid ahead, settleAt is when it is settled.
 	hasDebts bool
 	settleAt time.Duration
@@ -111,12 +111,12 @@
 type pendingCharge struct {
 	ask    ChargeRequest
 	sentAt time.Duration
-	answer chan<- Reply
+	answer chan<- ChargeReply
 }
 
 // New returns a Quotas whose duty is running.
 func New(cfg Config) *Quotas {
-	answered, err := simplelru.NewLRU[requestKey, *Reply](maxAnswered, nil)
+	answered, err := simplelru.NewLRU[requestKey, *ChargeReply](maxAnswered, nil)
 	if err != nil {
 		panic("quotas: memory of answers: " + err.Error())
 	}
@@ -263,7 +263,7 @@
 }
 
 // takeReply hands the keeper's word to the request that waits for it.
-func (q *Quotas) handleReply(now time.Duration, r *Reply) {
+func (q *Quotas) handleReply(now time.Duration, r *ChargeReply) {
 	a := q.pending[r.Seq]
 	if a == nil {
 		return
