--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -59,7 +59,7 @@
 }
 
 // owe takes what was spent ahead, as the keeper, and tells who is in debt.
-func (q *Quotas) chargeDebts(now time.Duration, s *Settle) *Shut {
+func (q *Quotas) chargeDebts(now time.Duration, s *Settlement) *Shut {
 	shut := &Shut{}
 	for _, d := range s.Debts {
 		c, limited := q.newCharge(now, d.Team, d.Cost, nil)
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -12,7 +12,7 @@
 type Envelope struct {
 	Charge *ChargeRequest `cbor:"1,keyasint,omitempty"`
 	Reply  *ChargeReply   `cbor:"2,keyasint,omitempty"`
-	Settle *Settle        `cbor:"3,keyasint,omitempty"`
+	Settle *Settlement    `cbor:"3,keyasint,omitempty"`
 	Shut   *Shut          `cbor:"4,keyasint,omitempty"`
 	Return *Return        `cbor:"5,keyasint,omitempty"`
 }
@@ -46,7 +46,7 @@
 }
 
 // Settle tells the keeper what was spent ahead of its word.
-type Settle struct {
+type Settlement struct {
 	Debts []quota.Debt `cbor:"1,keyasint"`
 }
 
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -217,7 +217,7 @@
 	if len(debts) == 0 {
 		return
 	}
-	settle := &Settle{Debts: debts}
+	settle := &Settlement{Debts: debts}
 	if q.keeper == q.cfg.Self {
 		q.handleDebtNotice(now, q.chargeDebts(now, settle))
 		return
