--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -10,11 +10,11 @@
 // Envelope is what daemons send one another about teams' limits. One field is
 // set.
 type Envelope struct {
-	Charge *ChargeRequest `cbor:"1,keyasint,omitempty"`
-	Reply  *ChargeReply   `cbor:"2,keyasint,omitempty"`
-	Settle *Settlement    `cbor:"3,keyasint,omitempty"`
-	Shut   *Shut          `cbor:"4,keyasint,omitempty"`
-	Return *Return        `cbor:"5,keyasint,omitempty"`
+	Charge     *ChargeRequest `cbor:"1,keyasint,omitempty"`
+	Reply      *ChargeReply   `cbor:"2,keyasint,omitempty"`
+	Settlement *Settlement    `cbor:"3,keyasint,omitempty"`
+	Shut       *Shut          `cbor:"4,keyasint,omitempty"`
+	Return     *Return        `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask asks the keeper to charge a request to a team.
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -222,7 +222,7 @@
 		q.handleDebtNotice(now, q.chargeDebts(now, settle))
 		return
 	}
-	if err := q.cfg.Send(q.keeper, &Envelope{Settle: settle}); err != nil {
+	if err := q.cfg.Send(q.keeper, &Envelope{Settlement: settle}); err != nil {
 		q.cfg.Log("quota_not_settled", "keeper", q.keeper, "teams", len(debts), "why", err)
 	}
 }
@@ -249,8 +249,8 @@
 	switch {
 	case e.Charge != nil:
 		q.reply(from, &Envelope{Reply: q.decideOnce(now, from, e.Charge)})
-	case e.Settle != nil:
-		if shut := q.chargeDebts(now, e.Settle); len(shut.Teams) > 0 {
+	case e.Settlement != nil:
+		if shut := q.chargeDebts(now, e.Settlement); len(shut.Teams) > 0 {
 			q.reply(from, &Envelope{Shut: shut})
 		}
 	case e.Return != nil:
