--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -59,8 +59,8 @@
 }
 
 // owe takes what was spent ahead, as the keeper, and tells who is in debt.
-func (q *Quotas) chargeDebts(now time.Duration, s *Settlement) *Shut {
-	shut := &Shut{}
+func (q *Quotas) chargeDebts(now time.Duration, s *Settlement) *DebtNotice {
+	shut := &DebtNotice{}
 	for _, d := range s.Debts {
 		c, limited := q.newCharge(now, d.Team, d.Cost, nil)
 		if !limited {
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -13,7 +13,7 @@
 	Charge     *ChargeRequest `cbor:"1,keyasint,omitempty"`
 	Reply      *ChargeReply   `cbor:"2,keyasint,omitempty"`
 	Settlement *Settlement    `cbor:"3,keyasint,omitempty"`
-	Shut       *Shut          `cbor:"4,keyasint,omitempty"`
+	Shut       *DebtNotice    `cbor:"4,keyasint,omitempty"`
 	Return     *Return        `cbor:"5,keyasint,omitempty"`
 }
 
@@ -51,7 +51,7 @@
 }
 
 // Shut tells a daemon which of the teams that it settled for are in debt.
-type Shut struct {
+type DebtNotice struct {
 	Teams []ShutTeam `cbor:"1,keyasint"`
 }
 
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -277,7 +277,7 @@
 	a.answer <- answer
 }
 
-func (q *Quotas) handleDebtNotice(now time.Duration, s *Shut) {
+func (q *Quotas) handleDebtNotice(now time.Duration, s *DebtNotice) {
 	for _, t := range s.Teams {
 		q.purse.Shut(now, t.Team, quota.Refusal{Wait: t.Wait, Back: t.Wait})
 	}
