--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -13,7 +13,7 @@
 	Charge     *ChargeRequest `cbor:"1,keyasint,omitempty"`
 	Reply      *ChargeReply   `cbor:"2,keyasint,omitempty"`
 	Settlement *Settlement    `cbor:"3,keyasint,omitempty"`
-	Shut       *DebtNotice    `cbor:"4,keyasint,omitempty"`
+	DebtNotice *DebtNotice    `cbor:"4,keyasint,omitempty"`
 	Return     *Return        `cbor:"5,keyasint,omitempty"`
 }
 
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -251,14 +251,14 @@
 		q.reply(from, &Envelope{Reply: q.decideOnce(now, from, e.Charge)})
 	case e.Settlement != nil:
 		if shut := q.chargeDebts(now, e.Settlement); len(shut.Teams) > 0 {
-			q.reply(from, &Envelope{Shut: shut})
+			q.reply(from, &Envelope{DebtNotice: shut})
 		}
 	case e.Return != nil:
 		q.refund(now, e.Return)
 	case e.Reply != nil:
 		q.handleReply(now, e.Reply)
-	case e.Shut != nil:
-		q.handleDebtNotice(now, e.Shut)
+	case e.DebtNotice != nil:
+		q.handleDebtNotice(now, e.DebtNotice)
 	}
 }
 
