--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		if wait := q.ledger.Owe(now, c); wait > 0 {
-			shut.Teams = append(shut.Teams, ShutTeam{Team: d.Team, Wait: wait})
+			shut.Teams = append(shut.Teams, IndebtedTeam{Team: d.Team, Wait: wait})
 		}
 	}
 	return shut
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -52,11 +52,11 @@
 
 // Shut tells a daemon which of the teams that it settled for are in debt.
 type DebtNotice struct {
-	Teams []ShutTeam `cbor:"1,keyasint"`
+	Teams []IndebtedTeam `cbor:"1,keyasint"`
 }
 
 // ShutTeam is a team in debt, and for how long it will be.
-type ShutTeam struct {
+type IndebtedTeam struct {
 	Team id.Team       `cbor:"1,keyasint"`
 	Wait time.Duration `cbor:"2,keyasint"`
 }
