--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -74,7 +74,7 @@
 }
 
 // giveBack takes back what was granted for nothing, as the keeper.
-func (q *Quotas) refund(now time.Duration, r *Return) {
+func (q *Quotas) refund(now time.Duration, r *Refund) {
 	if c, limited := q.newCharge(now, r.Team, r.Cost, nil); limited {
 		q.ledger.Return(now, c)
 	}
--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -14,7 +14,7 @@
 	Reply      *ChargeReply   `cbor:"2,keyasint,omitempty"`
 	Settlement *Settlement    `cbor:"3,keyasint,omitempty"`
 	DebtNotice *DebtNotice    `cbor:"4,keyasint,omitempty"`
-	Return     *Return        `cbor:"5,keyasint,omitempty"`
+	Return     *Refund        `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask asks the keeper to charge a request to a team.
@@ -62,7 +62,7 @@
 }
 
 // Return gives back what was granted for a request that has not run.
-type Return struct {
+type Refund struct {
 	Team id.Team `cbor:"1,keyasint"`
 	Cost float64 `cbor:"2,keyasint"`
 }
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -105,7 +105,7 @@
 		if q.purse.Return(team, cost) {
 			return
 		}
-		back := &Return{Team: team, Cost: cost}
+		back := &Refund{Team: team, Cost: cost}
 		switch q.keeper {
 		case "":
 		case q.cfg.Self:
