--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -14,7 +14,7 @@
 	Reply      *ChargeReply   `cbor:"2,keyasint,omitempty"`
 	Settlement *Settlement    `cbor:"3,keyasint,omitempty"`
 	DebtNotice *DebtNotice    `cbor:"4,keyasint,omitempty"`
-	Return     *Refund        `cbor:"5,keyasint,omitempty"`
+	Refund     *Refund        `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask asks the keeper to charge a request to a team.
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -111,7 +111,7 @@
 		case q.cfg.Self:
 			q.refund(now, back)
 		default:
-			if err := q.cfg.Send(q.keeper, &Envelope{Return: back}); err != nil {
+			if err := q.cfg.Send(q.keeper, &Envelope{Refund: back}); err != nil {
 				q.cfg.Log("quota_not_returned", "keeper", q.keeper, "team", team, "why", err)
 			}
 		}
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -253,8 +253,8 @@
 		if shut := q.chargeDebts(now, e.Settlement); len(shut.Teams) > 0 {
 			q.reply(from, &Envelope{DebtNotice: shut})
 		}
-	case e.Return != nil:
-		q.refund(now, e.Return)
+	case e.Refund != nil:
+		q.refund(now, e.Refund)
 	case e.Reply != nil:
 		q.handleReply(now, e.Reply)
 	case e.DebtNotice != nil:
