--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -28,16 +28,16 @@
 
 // fleet is some duties in one process; messages to those in mute are lost.
 type fleet struct {
-	mu      sync.Mutex
-	mute    map[id.Daemon]bool
-	members []id.Daemon
-	duties  map[id.Daemon]*Quotas
-	limit   quota.Limit
+	mu          sync.Mutex
+	unreachable map[id.Daemon]bool
+	members     []id.Daemon
+	duties      map[id.Daemon]*Quotas
+	limit       quota.Limit
 }
 
 func newFleet(t *testing.T, tolerance quota.Tolerance, names ...id.Daemon) *fleet {
 	t.Helper()
-	f := &fleet{mute: map[id.Daemon]bool{}, members: names, duties: map[id.Daemon]*Quotas{}, limit: bounded}
+	f := &fleet{unreachable: map[id.Daemon]bool{}, members: names, duties: map[id.Daemon]*Quotas{}, limit: bounded}
 	begun := time.Now()
 	for _, name := range names {
 		q := New(Config{
@@ -66,7 +66,7 @@
 
 func (f *fleet) send(from, to id.Daemon, e *Envelope) error {
 	f.mu.Lock()
-	lost := f.mute[to] || f.mute[from]
+	lost := f.unreachable[to] || f.unreachable[from]
 	f.mu.Unlock()
 	if !lost {
 		go f.duties[to].Receive(from, e)
@@ -125,7 +125,7 @@
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{Slack: 80}, "a", "b")
 	keeper, other := f.keeper()
-	f.mute[keeper] = true
+	f.unreachable[keeper] = true
 	for range 10 {
 		is.Equal(f.pay(other, 1), nil) // a quarter of the slack, half of it here
 	}
@@ -140,7 +140,7 @@
 	f := newFleet(t, quota.Tolerance{}, "a", "b", "c")
 	keeper, other := f.keeper()
 	f.mu.Lock()
-	f.mute[keeper] = true
+	f.unreachable[keeper] = true
 	f.mu.Unlock()
 	answer := make(chan *verdict.Error, 1)
 	go func() { answer <- f.pay(other, 1) }()
@@ -160,7 +160,7 @@
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	keeper, other := f.keeper()
-	f.mute[keeper] = true
+	f.unreachable[keeper] = true
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	err := f.duties[other].Pay(ctx, desk, f.limit, 1, patience)
