--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -24,7 +24,7 @@
 
 // bounded is a limit that gives nothing more within a test, once its account is
 // empty.
-var bounded = quota.Limit{Rate: 1e-9, Burst: 8}
+var withoutRefill = quota.Limit{Rate: 1e-9, Burst: 8}
 
 // fleet is some duties in one process; messages to those in mute are lost.
 type fleet struct {
@@ -37,7 +37,7 @@
 
 func newFleet(t *testing.T, tolerance quota.Tolerance, names ...id.Daemon) *fleet {
 	t.Helper()
-	f := &fleet{unreachable: map[id.Daemon]bool{}, members: names, duties: map[id.Daemon]*Quotas{}, limit: bounded}
+	f := &fleet{unreachable: map[id.Daemon]bool{}, members: names, duties: map[id.Daemon]*Quotas{}, limit: withoutRefill}
 	begun := time.Now()
 	for _, name := range names {
 		q := New(Config{
