--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -108,7 +108,7 @@
 	is.True(granted == 4 || granted == 5) // half of the burst, and one that leaves a debt
 }
 
-func TestWhatHasNotRunIsGivenBack(t *testing.T) {
+func TestRefundRestoresTheBalance(t *testing.T) {
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	_, other := f.keeper()
 	paid := 0.0
