--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestASmallRequestDoesNotWaitForTheKeeper(t *testing.T) {
+func TestSmallRequestDoesNotWaitForTheKeeper(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{Slack: 80}, "a", "b")
 	keeper, other := f.keeper()
