--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -135,7 +135,7 @@
 }
 
 // TestAnotherKeeperAnswersWhatTheSilentOneDidNot: the request waits meanwhile.
-func TestAnotherKeeperAnswersWhatTheSilentOneDidNot(t *testing.T) {
+func TestNewKeeperAnswersPendingRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b", "c")
 	keeper, other := f.keeper()
