--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -156,7 +156,7 @@
 	is.Equal(<-answer, nil)
 }
 
-func TestACallerThatLeavesWaitsForNobody(t *testing.T) {
+func TestCancelledCallerDoesNotWait(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	keeper, other := f.keeper()
