--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -169,7 +169,7 @@
 }
 
 // TestAQuestionThatComesAgainIsChargedOnce: its answer was late, or lost.
-func TestAQuestionThatComesAgainIsChargedOnce(t *testing.T) {
+func TestRepeatedRequestIsChargedOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	keeper, other := f.keeper()
