--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -61,18 +61,18 @@
 
 // Placer is the running duty.
 type Placer struct {
-	cfg     Config
-	duty    *duty.Duty
-	lease   *lease.Lease
-	gate    *lease.OrderGate
-	core    *placement.Placement
-	index   *live.Index
-	decided time.Duration
-	asked   time.Duration
-	holder  atomic.Pointer[lease.Row]
-	orders  *metrics.Counter
-	refused *metrics.Counter
-	holding *metrics.Gauge
+	cfg             Config
+	duty            *duty.Duty
+	lease           *lease.Lease
+	gate            *lease.OrderGate
+	core            *placement.Placement
+	index           *live.Index
+	decided         time.Duration
+	nextObservation time.Duration
+	holder          atomic.Pointer[lease.Row]
+	orders          *metrics.Counter
+	refused         *metrics.Counter
+	holding         *metrics.Gauge
 }
 
 // Start starts the duty.
@@ -131,8 +131,8 @@
 		return next
 	}
 	p.holding.Set(1)
-	if now >= p.asked {
-		p.asked = now + observeEvery
+	if now >= p.nextObservation {
+		p.nextObservation = now + observeEvery
 		p.observe()
 	}
 	if now >= p.decided {
@@ -140,7 +140,7 @@
 		p.perform(now, p.core.Tick(now))
 		p.keepDrains()
 	}
-	return min(next, p.decided, p.asked)
+	return min(next, p.decided, p.nextObservation)
 }
 
 // follow does what the lease asks for.
