--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -67,7 +67,7 @@
 	gate            *lease.OrderGate
 	core            *placement.Placement
 	index           *live.Index
-	decided         time.Duration
+	nextDecision    time.Duration
 	nextObservation time.Duration
 	holder          atomic.Pointer[lease.Row]
 	orders          *metrics.Counter
@@ -135,12 +135,12 @@
 		p.nextObservation = now + observeEvery
 		p.observe()
 	}
-	if now >= p.decided {
-		p.decided = now + decideEvery
+	if now >= p.nextDecision {
+		p.nextDecision = now + decideEvery
 		p.perform(now, p.core.Tick(now))
 		p.keepDrains()
 	}
-	return min(next, p.decided, p.nextObservation)
+	return min(next, p.nextDecision, p.nextObservation)
 }
 
 // follow does what the lease asks for.
