--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -138,7 +138,7 @@
 	if now >= p.nextDecision {
 		p.nextDecision = now + decideEvery
 		p.perform(now, p.core.Tick(now))
-		p.keepDrains()
+		p.repeatDrains()
 	}
 	return min(next, p.nextDecision, p.nextObservation)
 }
@@ -162,7 +162,7 @@
 
 // keepDrains repeats the drains under way: a pool's owner drops one that is
 // not repeated, so that a holder that died leaves none behind.
-func (p *Placer) keepDrains() {
+func (p *Placer) repeatDrains() {
 	for _, e := range p.core.Draining() {
 		for i := range p.index.Document().Pools {
 			pool := p.index.Document().Pools[i].Name
