--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -113,16 +113,16 @@
 // Halt stops acting at once, as when this daemon was declared dead. It returns
 // when no further order will be sent.
 func (p *Placer) Halt() {
-	p.duty.Query(func(now time.Duration) { p.follow(now, p.lease.Halt(now)) })
+	p.duty.Query(func(now time.Duration) { p.performLease(now, p.lease.Halt(now)) })
 }
 
 // Release gives the lease up, so that another daemon takes it at once.
 func (p *Placer) Release() {
-	p.duty.Post(func(now time.Duration) { p.follow(now, p.lease.Release(now, false)) })
+	p.duty.Post(func(now time.Duration) { p.performLease(now, p.lease.Release(now, false)) })
 }
 
 func (p *Placer) tick(now time.Duration) time.Duration {
-	p.follow(now, p.lease.Tick(now))
+	p.performLease(now, p.lease.Tick(now))
 	row := p.lease.Holder()
 	p.holder.Store(&row)
 	next := p.lease.Next()
@@ -144,7 +144,7 @@
 }
 
 // follow does what the lease asks for.
-func (p *Placer) follow(now time.Duration, actions []lease.Action) {
+func (p *Placer) performLease(now time.Duration, actions []lease.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Request != nil:
@@ -175,7 +175,7 @@
 
 func (p *Placer) callStore(q table.Request) {
 	p.cfg.Store.Do(p.duty.Context(), q, func(r table.Reply) {
-		p.duty.Post(func(now time.Duration) { p.follow(now, p.lease.Handle(now, r)) })
+		p.duty.Post(func(now time.Duration) { p.performLease(now, p.lease.Handle(now, r)) })
 	})
 }
 
