--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -106,7 +106,7 @@
 func (p *Placer) SetIndex(x *live.Index) {
 	p.duty.Post(func(now time.Duration) {
 		p.index = x
-		p.perform(now, p.core.Configure(now, x))
+		p.performPlacement(now, p.core.Configure(now, x))
 	})
 }
 
@@ -137,7 +137,7 @@
 	}
 	if now >= p.nextDecision {
 		p.nextDecision = now + decideEvery
-		p.perform(now, p.core.Tick(now))
+		p.performPlacement(now, p.core.Tick(now))
 		p.repeatDrains()
 	}
 	return min(next, p.nextDecision, p.nextObservation)
@@ -153,7 +153,7 @@
 			p.cfg.Log("lease_acquired", "duty", Duty, "fence", a.Acquired.Fence, "previous", a.Acquired.Previous, "released", a.Acquired.Previous == (id.Process{}))
 			p.gate.Acquired(now, *a.Acquired)
 			p.core = placement.New(p.cfg.Core)
-			p.perform(now, p.core.Configure(now, p.index))
+			p.performPlacement(now, p.core.Configure(now, p.index))
 		case a.Lost != nil:
 			p.cfg.Log("lease_lost", "duty", Duty, "fence", a.Lost.Fence, "why", a.Lost.Reason)
 		}
@@ -231,7 +231,7 @@
 	})
 }
 
-func (p *Placer) perform(now time.Duration, actions []placement.Action) {
+func (p *Placer) performPlacement(now time.Duration, actions []placement.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Order != nil:
@@ -294,6 +294,8 @@
 			return
 		}
 		retry := time.Duration(grant.RetryAfterMS) * time.Millisecond
-		p.duty.Post(func(now time.Duration) { p.perform(now, p.core.Granted(now, g.Endpoint, grant.Granted, retry)) })
+		p.duty.Post(func(now time.Duration) {
+			p.performPlacement(now, p.core.Granted(now, g.Endpoint, grant.Granted, retry))
+		})
 	})
 }
