--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -42,14 +42,14 @@
 func (c *clock) resume() { c.mu.Unlock() }
 
 // site is a platform with a few engines and its configuration.
-type site struct {
+type harness struct {
 	t        *testing.T
 	platform *standin.Platform
 	index    *live.Index
 	clients  *endpoints.Set
 }
 
-func newSite(t *testing.T) *site {
+func newSite(t *testing.T) *harness {
 	t.Helper()
 	is := is.New(t)
 	cfg := standin.Bunker()
@@ -63,11 +63,11 @@
 	t.Cleanup(p.Close)
 	doc := standin.Document(cfg, p.Addresses())
 	normal := live.Normalize(&doc)
-	return &site{t: t, platform: p, index: live.NewIndex(normal), clients: endpoints.New(nil)}
+	return &harness{t: t, platform: p, index: live.NewIndex(normal), clients: endpoints.New(nil)}
 }
 
 // placer starts the duty of one process.
-func (s *site) placer(name id.Daemon, c *clock) *Placer {
+func (s *harness) placer(name id.Daemon, c *clock) *Placer {
 	s.t.Helper()
 	is := is.New(s.t)
 	registry := metrics.New(string(name))
@@ -103,7 +103,7 @@
 	return p
 }
 
-func (s *site) until(what string, holds func() bool) {
+func (s *harness) until(what string, holds func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(waitLimit)
 	ticker := time.NewTicker(5 * time.Millisecond)
@@ -117,7 +117,7 @@
 }
 
 // engine finds an engine by whether it checks fencing numbers.
-func (s *site) engine(checks bool) (*client.Engine, live.Endpoint) {
+func (s *harness) engine(checks bool) (*client.Engine, live.Endpoint) {
 	for _, e := range s.index.Document().Endpoints {
 		if e.ChecksFencing == checks {
 			return s.clients.Engine(e.Address), e
