--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -49,7 +49,7 @@
 	clients  *endpoints.Set
 }
 
-func newSite(t *testing.T) *harness {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	is := is.New(t)
 	cfg := standin.Bunker()
@@ -137,7 +137,7 @@
 // after its lease went to another, and then lets the order go.
 func TestOrderOfAPausedHolder(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newHarness(t)
 	first, second := &clock{start: time.Now()}, &clock{start: time.Now()}
 	a := s.placer("a", first)
 	s.until("a holds the lease", a.holds)
@@ -186,7 +186,7 @@
 
 func TestReleaseHandsOverAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newHarness(t)
 	a := s.placer("a", &clock{start: time.Now()})
 	s.until("a holds the lease", a.holds)
 	b := s.placer("longer", &clock{start: time.Now()})
@@ -197,7 +197,7 @@
 }
 
 func TestLabelChangesTheRole(t *testing.T) {
-	s := newSite(t)
+	s := newHarness(t)
 	p := s.placer("a", &clock{start: time.Now()})
 	engine, endpoint := s.engine(true)
 	s.until("the engine was seen", func() bool {
