--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -103,7 +103,7 @@
 	return p
 }
 
-func (s *harness) until(what string, holds func() bool) {
+func (s *harness) waitFor(what string, holds func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(waitLimit)
 	ticker := time.NewTicker(5 * time.Millisecond)
@@ -140,12 +140,12 @@
 	s := newHarness(t)
 	first, second := &clock{start: time.Now()}, &clock{start: time.Now()}
 	a := s.placer("a", first)
-	s.until("a holds the lease", a.holds)
+	s.waitFor("a holds the lease", a.holds)
 	b := s.placer("longer", second)
 
 	oldFence := a.gate.Fence()
 	first.pause()
-	s.until("b took the lease over", b.holds)
+	s.waitFor("b took the lease over", b.holds)
 	is.True(b.gate.Fence() > oldFence)
 
 	// The order that a's process had under way arrives now.
@@ -154,7 +154,7 @@
 		before, err := engine.OrderState(context.Background())
 		is.NoErr(err)
 		stale := wire.Order{Fence: oldFence, Model: "something-else", Version: "0", Role: before.Role}
-		s.until("b has ordered or the gate is open", func() bool { return b.passage(endpoint) == lease.Open })
+		s.waitFor("b has ordered or the gate is open", func() bool { return b.passage(endpoint) == lease.Open })
 		if checks {
 			// b's fence reaches the engine with its next order.
 			_, err = engine.Order(context.Background(), wire.Order{Fence: b.gate.Fence(), Model: before.Model, Adapter: before.Adapter, Version: before.Version, Role: before.Role})
@@ -166,7 +166,7 @@
 		} else {
 			is.NoErr(err) // obeyed, and put right below
 		}
-		s.until("the endpoint has its desired state", func() bool {
+		s.waitFor("the endpoint has its desired state", func() bool {
 			now, err := engine.OrderState(context.Background())
 			return err == nil && now.Ready && now.Model == before.Model && now.Version == before.Version && now.Role == before.Role
 		})
@@ -188,19 +188,19 @@
 	is := is.New(t)
 	s := newHarness(t)
 	a := s.placer("a", &clock{start: time.Now()})
-	s.until("a holds the lease", a.holds)
+	s.waitFor("a holds the lease", a.holds)
 	b := s.placer("longer", &clock{start: time.Now()})
 	a.Release()
-	s.until("b holds the lease", b.holds)
+	s.waitFor("b holds the lease", b.holds)
 	is.True(!a.holds())
-	s.until("status pages name b", func() bool { return b.Holder().Holder.Daemon == "longer" })
+	s.waitFor("status pages name b", func() bool { return b.Holder().Holder.Daemon == "longer" })
 }
 
 func TestLabelChangesTheRole(t *testing.T) {
 	s := newHarness(t)
 	p := s.placer("a", &clock{start: time.Now()})
 	engine, endpoint := s.engine(true)
-	s.until("the engine was seen", func() bool {
+	s.waitFor("the engine was seen", func() bool {
 		known := false
 		p.duty.Query(func(time.Duration) { _, known = p.core.Desired(endpoint.Name) })
 		return known
@@ -217,7 +217,7 @@
 		}
 	}
 	p.SetIndex(live.NewIndex(&doc))
-	s.until("the engine decodes", func() bool {
+	s.waitFor("the engine decodes", func() bool {
 		state, err := engine.OrderState(context.Background())
 		return err == nil && state.Ready && state.Role == string(live.RoleDecode)
 	})
