--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -48,7 +48,7 @@
 	sent    *metrics.Counter
 	ended   *metrics.CounterMap
 	orphans *metrics.Counter
-	working *metrics.Gauge
+	pending *metrics.Gauge
 }
 
 // Start starts the duty.
@@ -62,7 +62,7 @@
 		sent:      cfg.Metrics.Counter("cancels_sent", metrics.UnitCount, "cancel orders sent to endpoints"),
 		ended:     cfg.Metrics.CounterMap("cancels_ended", metrics.UnitCount, "cancels that came to an end, by reason"),
 		orphans:   cfg.Metrics.Counter("orphans_found", metrics.UnitCount, "requests of ended processes found at endpoints"),
-		working:   cfg.Metrics.Gauge("cancels_working", metrics.UnitCount, "cancels not yet certain"),
+		pending:   cfg.Metrics.Gauge("cancels_working", metrics.UnitCount, "cancels not yet certain"),
 	}
 	c.duty = duty.Start(duty.Config{Name: "cancels", Now: cfg.Now, Tick: c.tick, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return c
@@ -73,7 +73,7 @@
 
 func (c *Cancels) tick(now time.Duration) time.Duration {
 	c.perform(c.canceller.Tick(now))
-	c.working.Set(float64(c.canceller.Working()))
+	c.pending.Set(float64(c.canceller.Working()))
 	return c.canceller.Next()
 }
 
