--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -40,7 +40,7 @@
 	duty      *duty.Duty
 	canceller *reap.Canceller
 	reaper    *reap.Reaper
-	done      map[reap.Key][]func()
+	callbacks map[reap.Key][]func()
 
 	mu     sync.Mutex
 	active map[id.Request]int
@@ -57,7 +57,7 @@
 		cfg:       cfg,
 		canceller: reap.NewCanceller(reap.CancellerConfig{}),
 		reaper:    reap.NewReaper(reap.ReaperConfig{Self: cfg.Self}),
-		done:      make(map[reap.Key][]func()),
+		callbacks: make(map[reap.Key][]func()),
 		active:    make(map[id.Request]int),
 		sent:      cfg.Metrics.Counter("cancels_sent", metrics.UnitCount, "cancel orders sent to endpoints"),
 		ended:     cfg.Metrics.CounterMap("cancels_ended", metrics.UnitCount, "cancels that came to an end, by reason"),
@@ -118,7 +118,7 @@
 func (c *Cancels) add(o reap.Order, done func()) {
 	c.duty.Post(func(now time.Duration) {
 		if done != nil {
-			c.done[o.Key] = append(c.done[o.Key], done)
+			c.callbacks[o.Key] = append(c.callbacks[o.Key], done)
 		}
 		c.perform(c.canceller.Add(now, o))
 	})
@@ -225,8 +225,8 @@
 
 func (c *Cancels) finish(d *reap.Done) {
 	c.ended.Add(string(d.Reason), 1)
-	callbacks := c.done[d.Key]
-	delete(c.done, d.Key)
+	callbacks := c.callbacks[d.Key]
+	delete(c.callbacks, d.Key)
 	for _, f := range callbacks {
 		f()
 	}
