--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -19,7 +19,7 @@
 )
 
 // proposalTick is how often a running proposal's clock is looked at.
-const proposalTick = 10 * time.Millisecond
+const proposalTickInterval = 10 * time.Millisecond
 
 // Peers asks another daemon for accepted changes.
 type Peers interface {
@@ -221,7 +221,7 @@
 }
 
 func (p *proposal) run(ctx context.Context) revision.Outcome {
-	ticker := time.NewTicker(proposalTick)
+	ticker := time.NewTicker(proposalTickInterval)
 	defer ticker.Stop()
 	now := p.configs.cfg.Now
 	p.perform(p.core.Start(now()))
