--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -60,14 +60,14 @@
 	done chan struct{}
 
 	mu    sync.Mutex
-	nodes map[id.Endpoint]*node
+	nodes map[id.Endpoint]*pollState
 
 	asked  *metrics.Counter
 	failed *metrics.Counter
 }
 
 // node is when one endpoint is asked next.
-type node struct {
+type pollState struct {
 	load, cache, list time.Duration
 	busy              bool
 	after             uint64
@@ -78,7 +78,7 @@
 	r := &Reports{
 		cfg:    cfg,
 		done:   make(chan struct{}),
-		nodes:  make(map[id.Endpoint]*node),
+		nodes:  make(map[id.Endpoint]*pollState),
 		asked:  cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
 		failed: cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
 	}
@@ -172,12 +172,12 @@
 
 // begin marks an endpoint as being asked. It returns false when nothing is due
 // or a question is still open.
-func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*node, questions, bool) {
+func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*pollState, questions, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, ok := r.nodes[e.Name]
 	if !ok {
-		n = &node{}
+		n = &pollState{}
 		r.nodes[e.Name] = n
 	}
 	if n.busy || now < n.load {
@@ -196,7 +196,7 @@
 	return n, due, true
 }
 
-func (r *Reports) askAll(p id.Pool, e *live.Endpoint, n *node, due questions) {
+func (r *Reports) askAll(p id.Pool, e *live.Endpoint, n *pollState, due questions) {
 	if !r.askLoad(p, e) {
 		return
 	}
@@ -212,7 +212,7 @@
 	return d*3/4 + time.Duration(r.cfg.Rand.Int64N(int64(d/2)))
 }
 
-func (r *Reports) free(n *node) {
+func (r *Reports) free(n *pollState) {
 	r.mu.Lock()
 	n.busy = false
 	r.mu.Unlock()
@@ -250,7 +250,7 @@
 }
 
 // askCache fetches cache events; a jump in their numbers is a gap.
-func (r *Reports) askCache(p id.Pool, e *live.Endpoint, n *node) {
+func (r *Reports) askCache(p id.Pool, e *live.Endpoint, n *pollState) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
 	r.asked.Inc()
