--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -60,7 +60,7 @@
 	done chan struct{}
 
 	mu    sync.Mutex
-	nodes map[id.Endpoint]*pollState
+	polls map[id.Endpoint]*pollState
 
 	asked  *metrics.Counter
 	failed *metrics.Counter
@@ -78,7 +78,7 @@
 	r := &Reports{
 		cfg:    cfg,
 		done:   make(chan struct{}),
-		nodes:  make(map[id.Endpoint]*pollState),
+		polls:  make(map[id.Endpoint]*pollState),
 		asked:  cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
 		failed: cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
 	}
@@ -144,9 +144,9 @@
 func (r *Reports) forget(seen map[id.Endpoint]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for e := range r.nodes {
+	for e := range r.polls {
 		if !seen[e] {
-			delete(r.nodes, e)
+			delete(r.polls, e)
 		}
 	}
 }
@@ -175,10 +175,10 @@
 func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*pollState, questions, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n, ok := r.nodes[e.Name]
+	n, ok := r.polls[e.Name]
 	if !ok {
 		n = &pollState{}
-		r.nodes[e.Name] = n
+		r.polls[e.Name] = n
 	}
 	if n.busy || now < n.load {
 		return nil, questions{}, false
