--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -62,8 +62,8 @@
 	mu    sync.Mutex
 	polls map[id.Endpoint]*pollState
 
-	asked  *metrics.Counter
-	failed *metrics.Counter
+	queries *metrics.Counter
+	failed  *metrics.Counter
 }
 
 // node is when one endpoint is asked next.
@@ -76,11 +76,11 @@
 // Start starts the duty.
 func Start(cfg Config) *Reports {
 	r := &Reports{
-		cfg:    cfg,
-		done:   make(chan struct{}),
-		polls:  make(map[id.Endpoint]*pollState),
-		asked:  cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
-		failed: cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
+		cfg:     cfg,
+		done:    make(chan struct{}),
+		polls:   make(map[id.Endpoint]*pollState),
+		queries: cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
+		failed:  cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	go r.run()
@@ -221,7 +221,7 @@
 func (r *Reports) askLoad(p id.Pool, e *live.Endpoint) bool {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
-	r.asked.Inc()
+	r.queries.Inc()
 	report, err := r.load(ctx, e)
 	if err != nil {
 		r.failed.Inc()
@@ -253,7 +253,7 @@
 func (r *Reports) askCache(p id.Pool, e *live.Endpoint, n *pollState) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
-	r.asked.Inc()
+	r.queries.Inc()
 	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, n.after)
 	if err != nil {
 		r.failed.Inc()
@@ -275,7 +275,7 @@
 func (r *Reports) askList(p id.Pool, e *live.Endpoint) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
-	r.asked.Inc()
+	r.queries.Inc()
 	list, err := r.cfg.Endpoints.Engine(e.Address).Requests(ctx)
 	if err != nil {
 		r.failed.Inc()
