--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -117,7 +117,7 @@
 			return
 		case <-timer.C:
 		}
-		if r.look() > 0 {
+		if r.pollDue() > 0 {
 			timer.Reset(tickEvery)
 		} else {
 			timer.Reset(idleEvery)
@@ -127,7 +127,7 @@
 
 // look starts the questions that are due and returns how many endpoints there
 // are to ask.
-func (r *Reports) look() int {
+func (r *Reports) pollDue() int {
 	index := r.cfg.Index()
 	now := r.cfg.Now()
 	seen := make(map[id.Endpoint]bool)
