--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -134,7 +134,7 @@
 	for _, p := range r.cfg.Owned() {
 		for _, e := range index.Endpoints(p) {
 			seen[e.Name] = true
-			r.lookAt(now, p, e)
+			r.pollEndpoint(now, p, e)
 		}
 	}
 	r.forget(seen)
@@ -156,7 +156,7 @@
 
 // lookAt asks one endpoint what is due, all in one piece of work: an endpoint
 // that hangs has one question open, not many.
-func (r *Reports) lookAt(now time.Duration, p id.Pool, e *live.Endpoint) {
+func (r *Reports) pollEndpoint(now time.Duration, p id.Pool, e *live.Endpoint) {
 	n, due, ok := r.begin(now, e)
 	if !ok {
 		return
