--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -152,7 +152,7 @@
 }
 
 // questions are those that are due at one endpoint.
-type questions struct{ cache, list bool }
+type dueQueries struct{ cache, list bool }
 
 // lookAt asks one endpoint what is due, all in one piece of work: an endpoint
 // that hangs has one question open, not many.
@@ -172,7 +172,7 @@
 
 // begin marks an endpoint as being asked. It returns false when nothing is due
 // or a question is still open.
-func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*pollState, questions, bool) {
+func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*pollState, dueQueries, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, ok := r.polls[e.Name]
@@ -181,12 +181,12 @@
 		r.polls[e.Name] = n
 	}
 	if n.busy || now < n.load {
-		return nil, questions{}, false
+		return nil, dueQueries{}, false
 	}
 	n.busy = true
 	n.load = now + r.jitter(loadEvery)
 	engine := live.Role(e.Labels[live.LabelRole]) != live.RolePlain
-	due := questions{cache: engine && now >= n.cache, list: engine && now >= n.list}
+	due := dueQueries{cache: engine && now >= n.cache, list: engine && now >= n.list}
 	if due.cache {
 		n.cache = now + r.jitter(cacheEvery)
 	}
@@ -196,7 +196,7 @@
 	return n, due, true
 }
 
-func (r *Reports) askAll(p id.Pool, e *live.Endpoint, n *pollState, due questions) {
+func (r *Reports) askAll(p id.Pool, e *live.Endpoint, n *pollState, due dueQueries) {
 	if !r.askLoad(p, e) {
 		return
 	}
