--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -157,7 +157,7 @@
 // lookAt asks one endpoint what is due, all in one piece of work: an endpoint
 // that hangs has one question open, not many.
 func (r *Reports) pollEndpoint(now time.Duration, p id.Pool, e *live.Endpoint) {
-	n, due, ok := r.begin(now, e)
+	n, due, ok := r.startPoll(now, e)
 	if !ok {
 		return
 	}
@@ -172,7 +172,7 @@
 
 // begin marks an endpoint as being asked. It returns false when nothing is due
 // or a question is still open.
-func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*pollState, dueQueries, bool) {
+func (r *Reports) startPoll(now time.Duration, e *live.Endpoint) (*pollState, dueQueries, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, ok := r.polls[e.Name]
