--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -162,11 +162,11 @@
 		return
 	}
 	task := func() {
-		defer r.free(n)
+		defer r.endPoll(n)
 		r.askAll(p, e, n, due)
 	}
 	if !r.cfg.Work.Submit(task) {
-		r.free(n)
+		r.endPoll(n)
 	}
 }
 
@@ -212,7 +212,7 @@
 	return d*3/4 + time.Duration(r.cfg.Rand.Int64N(int64(d/2)))
 }
 
-func (r *Reports) free(n *pollState) {
+func (r *Reports) endPoll(n *pollState) {
 	r.mu.Lock()
 	n.busy = false
 	r.mu.Unlock()
