--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -163,7 +163,7 @@
 	}
 	task := func() {
 		defer r.endPoll(n)
-		r.askAll(p, e, n, due)
+		r.queryAll(p, e, n, due)
 	}
 	if !r.cfg.Work.Submit(task) {
 		r.endPoll(n)
@@ -196,7 +196,7 @@
 	return n, due, true
 }
 
-func (r *Reports) askAll(p id.Pool, e *live.Endpoint, n *pollState, due dueQueries) {
+func (r *Reports) queryAll(p id.Pool, e *live.Endpoint, n *pollState, due dueQueries) {
 	if !r.askLoad(p, e) {
 		return
 	}
