--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -99,7 +99,7 @@
 	if !ok {
 		return
 	}
-	r.cfg.Work.Submit(func() { r.askLoad(p, endpoint) })
+	r.cfg.Work.Submit(func() { r.queryLoad(p, endpoint) })
 }
 
 func (r *Reports) run() {
@@ -197,7 +197,7 @@
 }
 
 func (r *Reports) queryAll(p id.Pool, e *live.Endpoint, n *pollState, due dueQueries) {
-	if !r.askLoad(p, e) {
+	if !r.queryLoad(p, e) {
 		return
 	}
 	if due.cache {
@@ -218,7 +218,7 @@
 	r.mu.Unlock()
 }
 
-func (r *Reports) askLoad(p id.Pool, e *live.Endpoint) bool {
+func (r *Reports) queryLoad(p id.Pool, e *live.Endpoint) bool {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
 	r.queries.Inc()
