--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -201,7 +201,7 @@
 		return
 	}
 	if due.cache {
-		r.askCache(p, e, n)
+		r.queryCacheEvents(p, e, n)
 	}
 	if due.list {
 		r.askList(p, e)
@@ -250,7 +250,7 @@
 }
 
 // askCache fetches cache events; a jump in their numbers is a gap.
-func (r *Reports) askCache(p id.Pool, e *live.Endpoint, n *pollState) {
+func (r *Reports) queryCacheEvents(p id.Pool, e *live.Endpoint, n *pollState) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
 	r.queries.Inc()
