--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -204,7 +204,7 @@
 		r.queryCacheEvents(p, e, n)
 	}
 	if due.list {
-		r.askList(p, e)
+		r.queryRequests(p, e)
 	}
 }
 
@@ -272,7 +272,7 @@
 	r.cfg.Sink.Cache(p, e.Name, events, gap)
 }
 
-func (r *Reports) askList(p id.Pool, e *live.Endpoint) {
+func (r *Reports) queryRequests(p id.Pool, e *live.Endpoint) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
 	r.queries.Inc()
