--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -137,11 +137,11 @@
 			r.pollEndpoint(now, p, e)
 		}
 	}
-	r.forget(seen)
+	r.dropRemoved(seen)
 	return len(seen)
 }
 
-func (r *Reports) forget(seen map[id.Endpoint]bool) {
+func (r *Reports) dropRemoved(seen map[id.Endpoint]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e := range r.polls {
