--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -70,7 +70,7 @@
 type pollState struct {
 	load, cache, list time.Duration
 	busy              bool
-	after             uint64
+	lastCacheEvent    uint64
 }
 
 // Start starts the duty.
@@ -254,7 +254,7 @@
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
 	r.queries.Inc()
-	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, n.after)
+	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, n.lastCacheEvent)
 	if err != nil {
 		r.failed.Inc()
 		return
@@ -265,8 +265,8 @@
 	events := make([]sched.CacheEvent, 0, len(batch.Events))
 	gap := false
 	for _, item := range batch.Events {
-		gap = gap || (n.after != 0 && item.Number != n.after+1)
-		n.after = item.Number
+		gap = gap || (n.lastCacheEvent != 0 && item.Number != n.lastCacheEvent+1)
+		n.lastCacheEvent = item.Number
 		events = append(events, sched.CacheEvent{Endpoint: e.Name, Block: item.Block, Stored: item.Stored})
 	}
 	r.cfg.Sink.Cache(p, e.Name, events, gap)
