--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -45,7 +45,7 @@
 			return answer, nil
 		}
 		s.worst = verdict.Worse(s.worst, err.Verdict)
-		if !r.again(ctx, s, err, n) {
+		if !r.waitForRetry(ctx, s, err, n) {
 			return nil, r.fail(s, err)
 		}
 	}
@@ -54,7 +54,7 @@
 // again says whether another attempt follows, and waits for it. A call that may
 // have run is never sent again, whatever its method: the caller hears so and
 // decides.
-func (r *Runner) again(ctx context.Context, s *state, err *verdict.Error, n int) bool {
+func (r *Runner) waitForRetry(ctx context.Context, s *state, err *verdict.Error, n int) bool {
 	if ctx.Err() != nil {
 		return false
 	}
