--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -26,10 +26,10 @@
 	call *Call
 	// since is when the wait for an endpoint began: the arrival, later where this
 	// daemon was held up.
-	since time.Duration
-	avoid []id.Endpoint
-	worst verdict.Verdict
-	held  *claim.Claim
+	waitStart time.Duration
+	avoid     []id.Endpoint
+	worst     verdict.Verdict
+	held      *claim.Claim
 }
 
 // Run serves the call to its end. The verdict of an error covers all attempts.
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithTimeout(ctx, call.Service.Timeout())
 	defer cancel()
 	since := pairing.WaitsSince(call.Arrived, r.Now(), call.Service.Patience())
-	s := &state{call: call, since: since, worst: verdict.NotRun}
+	s := &state{call: call, waitStart: since, worst: verdict.NotRun}
 	for n := 1; ; n++ {
 		answer, err := r.attempt(ctx, s, n)
 		if err == nil {
@@ -125,7 +125,7 @@
 
 // patience is how long the call may still wait for its endpoint.
 func (r *Runner) patience(s *state) time.Duration {
-	return s.call.Service.Patience() - (r.Now() - s.since)
+	return s.call.Service.Patience() - (r.Now() - s.waitStart)
 }
 
 func (r *Runner) want(s *state, n int) sched.Want {
@@ -135,7 +135,7 @@
 		Service:     s.call.Service.Name,
 		Pool:        s.call.Service.Pool,
 		From:        r.Self,
-		Age:         r.Now() - s.since,
+		Age:         r.Now() - s.waitStart,
 		Priority:    s.call.Service.Priority,
 		Avoid:       s.avoid,
 		Domain:      r.Domain,
