--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -163,13 +163,13 @@
 		return nil, err
 	}
 	if stored != nil {
-		return replayed(stored), nil
+		return replayedAnswer(stored), nil
 	}
 	s.held = held
 	return nil, nil
 }
 
-func replayed(a *claim.Answer) *Answer {
+func replayedAnswer(a *claim.Answer) *Answer {
 	out := &Answer{Replayed: true}
 	out.Status = a.Status
 	out.Body = a.Body
