--- a/daemon/endpoints/endpoints.go
+++ b/daemon/endpoints/endpoints.go
@@ -18,7 +18,7 @@
 
 const (
 	// firstTimeout bounds the wait for a stream's head: import included.
-	firstTimeout = 4 * time.Second
+	headerTimeout = 4 * time.Second
 	// resumeTimeout bounds the wait for the head of a stream that goes on: there
 	// is nothing to import, and a caller waits in the midst of its answer.
 	resumeTimeout = time.Second
@@ -146,7 +146,7 @@
 }
 
 func timeouts() client.Timeouts {
-	return client.Timeouts{First: firstTimeout, Idle: idleTimeout}
+	return client.Timeouts{First: headerTimeout, Idle: idleTimeout}
 }
 
 // Short returns a context for a short call.
