--- a/daemon/endpoints/endpoints.go
+++ b/daemon/endpoints/endpoints.go
@@ -118,7 +118,7 @@
 
 // Decode implements completion.Engines.
 func (s *Set) Decode(ctx context.Context, e *live.Endpoint, r *wire.DecodeRequest) (completion.TokenStream, error) {
-	st, err := s.Engine(e.Address).Decode(ctx, *r, timeouts())
+	st, err := s.Engine(e.Address).Decode(ctx, *r, decodeTimeouts())
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	return s.Plain(e.Address).Call(ctx, r)
 }
 
-func timeouts() client.Timeouts {
+func decodeTimeouts() client.Timeouts {
 	return client.Timeouts{First: headerTimeout, Idle: idleTimeout}
 }
 
