--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -1,5 +1,6 @@
-// Package claims is the duty that holds the claims of non-idempotent calls. It
-// drives core/claim, runs its store calls and wakes the calls that wait.
+// Package claims runs the claims of non-idempotent calls. Its duty drives
+// core/claim, runs the store calls that core/claim requests, and wakes the callers
+// that wait for a result.
 package claims
 
 import (
@@ -19,18 +20,18 @@
 	"github.com/samphirequay/samphirequay/endpoint/client"
 )
 
-// Config is what the duty works with.
+// Config holds the dependencies of a Claims.
 type Config struct {
 	// Self is this process.
 	Self id.Process
-	// Writers reaches the daemons that write claims in a large fleet; nil keeps
-	// every claim at its owner.
+	// Writers sends claims to the daemons that write them in a large fleet. If it is
+	// nil, each daemon writes its own claims.
 	Writers Writers
 	Store   *store.Store
 	Objects *client.Objects
 	Work    *workpool.Pool
 	Metrics *metrics.Registry
-	// OwnerAlive says whether a process is alive, by the membership.
+	// OwnerAlive reports whether the membership counts a process as alive.
 	OwnerAlive func(id.Process) bool
 	// Now is the time since the daemon's start; Wall is the wall clock.
 	Now  func() time.Duration
@@ -43,14 +44,16 @@
 	duty    *duty.Duty
 	core    *claim.Claims
 	waiting map[claim.Token]chan<- result
-	// settling are the outcomes that other daemons wait to be stored.
+	// settling holds the outcomes that other daemons sent and that are not stored
+	// yet; the channel receives whether the outcome was stored.
 	settling map[claim.Token]chan<- bool
-	// writers are the daemons that write claims; none: each its own.
+	// writers are the daemons that write claims; if empty, each daemon writes its
+	// own.
 	writers  atomic.Pointer[[]id.Daemon]
 	unstored *metrics.Counter
 }
 
-// result ends a Begin; one field is set.
+// result is the result of a Begin; one field is set.
 type result struct {
 	claim  *claim.Claim
 	answer *claim.Answer
@@ -70,7 +73,7 @@
 	return c
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (c *Claims) Close() { c.duty.Close() }
 
 func (c *Claims) tick(now time.Duration) time.Duration {
@@ -78,8 +81,9 @@
 	return c.core.Next()
 }
 
-// Begin claims a call and waits for the outcome. When ctx ends first, the
-// claim is given up: nothing was dispatched.
+// Begin claims a call and waits for the result: the claim, the stored answer of an
+// earlier run, or an error. If ctx ends first, the claim is released, since nothing
+// was dispatched under it.
 func (c *Claims) Begin(ctx context.Context, b claim.Begin) (*claim.Claim, *claim.Answer, *verdict.Error) {
 	writers := c.writersOf(claim.RowKey(b.Team, b.Service, b.Key))
 	if len(writers) == 0 {
@@ -88,7 +92,7 @@
 	return c.resolve(ctx, c.beginRemotely(ctx, writers, b))
 }
 
-// beginHere claims a call by this daemon's own writes.
+// beginLocally claims a call with a transaction of this daemon.
 func (c *Claims) beginLocally(ctx context.Context, b claim.Begin) result {
 	results := make(chan result, 1)
 	posted := c.duty.PostContext(ctx, func(now time.Duration) {
@@ -114,7 +118,7 @@
 }
 
 func stoppingError() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable, "this daemon takes no claims now")
+	return verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable, "this daemon accepts no claims now")
 }
 
 func (c *Claims) resolve(ctx context.Context, r result) (*claim.Claim, *claim.Answer, *verdict.Error) {
@@ -126,15 +130,16 @@
 	}
 	body, err := c.cfg.Objects.Get(ctx, r.answer.Object)
 	if err != nil {
-		verr := verdict.New(verdict.Ran, verdict.CodeUnavailable, "the call has run; its stored answer can't be read now")
+		verr := verdict.New(verdict.Ran, verdict.CodeUnavailable, "the call has run; its stored answer is temporarily unreadable")
 		return nil, nil, verr.WithRetryAfter(time.Second).WithCause(err)
 	}
-	whole := *r.answer
-	whole.Body = body
-	return nil, &whole, nil
+	answer := *r.answer
+	answer.Body = body
+	return nil, &answer, nil
 }
 
-// giveUp releases a claim that nobody waits for, also one that was just won.
+// abandon releases a claim whose caller no longer waits, also if it was acquired in
+// the meantime.
 func (c *Claims) abandon(b claim.Begin) {
 	c.duty.Post(func(now time.Duration) {
 		delete(c.waiting, b.Token)
@@ -147,7 +152,7 @@
 	})
 }
 
-// Finish stores the outcome of a claimed call; it does not wait.
+// Finish stores the outcome of a claimed call asynchronously.
 func (c *Claims) Finish(held claim.Claim, o claim.Outcome) {
 	writers := c.writersOf(held.Row)
 	if len(writers) == 0 || len(outcomeBody(o)) > maxForwardedBody {
@@ -188,7 +193,7 @@
 	}
 }
 
-// settle ends a Finish or a Release.
+// settle completes a Finish or a Release.
 func (c *Claims) settle(s *claim.Settled) {
 	if !s.Stored {
 		c.unstored.Inc()
@@ -220,7 +225,7 @@
 	})
 }
 
-// call runs a store call and feeds its reply or its failure back.
+// call runs a store call and passes its reply or its failure to core/claim.
 func (c *Claims) call(call claim.CallID, q table.Request, reply func(time.Duration, table.Reply) []claim.Action) {
 	c.cfg.Store.Do(c.duty.Context(), q, func(r table.Reply) {
 		c.duty.Post(func(now time.Duration) {
--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -19,10 +19,11 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// patience bounds every wait of a test; no test passes by it.
+// testTimeout bounds every wait of a test. No test needs it to expire in order to
+// pass.
 const testTimeout = 20 * time.Second
 
-// rig is a few daemons' claims on one stand-in table.
+// harness runs the claims of several daemons on one stand-in table.
 type harness struct {
 	t       *testing.T
 	table   *standin.Table
@@ -32,10 +33,10 @@
 	tokens  int
 }
 
-// lossy passes calls on to other daemons as the test says.
+// lossyWriters forwards calls to other daemons; a test may replace the calls.
 type lossyWriters struct {
 	InProcess
-	// begin and finish may replace a call; nil passes it on.
+	// begin and finish replace a call if they are not nil.
 	begin        func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error)
 	finish       func(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error)
 	mu           sync.Mutex
@@ -61,11 +62,11 @@
 	return l.InProcess.Finish(ctx, to, call)
 }
 
-// newRig starts daemons; the last two are the writers of all.
+// newHarness starts daemons; the last two write the claims of all.
 func newHarness(t *testing.T, count int) *harness {
 	t.Helper()
-	r := &harness{t: t, table: standin.NewTable(standin.TableConfig{Seed: 1, WritesPerSecond: 1e6, ReadsPerSecond: 1e6})}
-	tableServer, err := r.table.Start("127.0.0.1:0")
+	h := &harness{t: t, table: standin.NewTable(standin.TableConfig{Seed: 1, WritesPerSecond: 1e6, ReadsPerSecond: 1e6})}
+	tableServer, err := h.table.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,46 +98,45 @@
 			Wall:       time.Now,
 		})
 		peers[name] = c
-		r.daemons, r.writers, r.names = append(r.daemons, c), append(r.writers, w), append(r.names, name)
+		h.daemons, h.writers, h.names = append(h.daemons, c), append(h.writers, w), append(h.names, name)
 		t.Cleanup(func() {
 			c.Close()
 			work.Close()
 		})
 	}
-	writers := r.names[count-2:]
-	for _, c := range r.daemons {
+	writers := h.names[count-2:]
+	for _, c := range h.daemons {
 		c.writers.Store(&writers)
 	}
-	return r
+	return h
 }
 
-// begin makes an attempt of a daemon under a key.
-func (r *harness) begin(daemon int, key string) (*claim.Claim, *claim.Answer, *verdict.Error) {
-	r.tokens++
-	return r.attempt(daemon, key, claim.Token(fmt.Sprint("t", r.tokens)))
+// begin claims a key for a daemon with a new token.
+func (h *harness) begin(daemon int, key string) (*claim.Claim, *claim.Answer, *verdict.Error) {
+	h.tokens++
+	return h.attempt(daemon, key, claim.Token(fmt.Sprint("t", h.tokens)))
 }
 
-func (r *harness) attempt(daemon int, key string, token claim.Token) (*claim.Claim, *claim.Answer, *verdict.Error) {
+func (h *harness) attempt(daemon int, key string, token claim.Token) (*claim.Claim, *claim.Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return r.daemons[daemon].Begin(ctx, claim.Begin{
-		Team: "t", Service: "stems", Key: key, Token: token, Owner: r.daemons[daemon].cfg.Self,
+	return h.daemons[daemon].Begin(ctx, claim.Begin{
+		Team: "t", Service: "stems", Key: key, Token: token, Owner: h.daemons[daemon].cfg.Self,
 		RequestHash: claim.HashRequest("POST", "/hold", []byte(key)),
 	})
 }
 
-// until repeats an attempt as long as it hears not run or that a call runs, and
-// returns its claim or answer. There are at most as many tries as fit the
-// patience.
-func (r *harness) retryBegin(daemon int, key string) (*claim.Claim, *claim.Answer) {
-	r.t.Helper()
+// retryBegin repeats an attempt until it succeeds, and returns its claim or answer.
+// It fails the test after testTimeout.
+func (h *harness) retryBegin(daemon int, key string) (*claim.Claim, *claim.Answer) {
+	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
-		held, answer, err := r.begin(daemon, key)
+		held, answer, err := h.begin(daemon, key)
 		if err == nil {
 			return held, answer
 		}
 	}
-	r.t.Fatalf("key %s is never free nor answered", key)
+	h.t.Fatalf("key %s was neither claimed nor answered in time", key)
 	return nil, nil
 }
 
@@ -144,171 +144,172 @@
 	return claim.Outcome{Answer: &claim.Answer{Status: 200, Body: []byte(text)}}
 }
 
-// writerOf is the index of the row's writer among the daemons.
-func (r *harness) writerOf(key string) int {
-	first := r.daemons[0].writersOf(claim.RowKey("t", "stems", key))[0]
-	for i, name := range r.names {
+// writerOf returns the index of the daemon that writes the key's row.
+func (h *harness) writerOf(key string) int {
+	first := h.daemons[0].writersOf(claim.RowKey("t", "stems", key))[0]
+	for i, name := range h.names {
 		if name == first {
 			return i
 		}
 	}
-	r.t.Fatalf("no writer %s", first)
+	h.t.Fatalf("no writer %s", first)
 	return -1
 }
 
 func TestClaimThroughRemoteWriter(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
-	held, _, err := r.begin(0, "k")
+	h := newHarness(t, 4)
+	held, _, err := h.begin(0, "k")
 	is.True(err == nil)
-	is.Equal(held.Owner, r.daemons[0].cfg.Self)
-	is.Equal(r.writers[0].beginTargets, []id.Daemon{r.names[r.writerOf("k")]})
-	for daemon := range r.daemons {
-		_, _, err = r.begin(daemon, "k")
-		is.Equal(err.Verdict, verdict.MayHaveRun) // the first one may be running
+	is.Equal(held.Owner, h.daemons[0].cfg.Self)
+	is.Equal(h.writers[0].beginTargets, []id.Daemon{h.names[h.writerOf("k")]})
+	for daemon := range h.daemons {
+		_, _, err = h.begin(daemon, "k")
+		is.Equal(err.Verdict, verdict.MayHaveRun) // the first call may be running
 		is.Equal(err.Code, verdict.CodeClaimed)
 	}
-	r.daemons[0].Finish(*held, answerOutcome("held"))
-	for daemon := range r.daemons {
-		_, answer := r.retryBegin(daemon, "k")
+	h.daemons[0].Finish(*held, answerOutcome("held"))
+	for daemon := range h.daemons {
+		_, answer := h.retryBegin(daemon, "k")
 		is.Equal(string(answer.Body), "held")
 	}
 }
 
-// TestReplyLostBehindTheCommit: the writer dies between commit and reply. The
-// owner refuses, and the key gets free again.
+// TestReplyLostAfterCommit: the writer stops between its commit and its reply. The
+// owner must refuse the call, and the key must become free again.
 func TestReplyLostAfterCommit(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
+	h := newHarness(t, 4)
 	committed := false
-	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
-		reply, err := r.writers[0].InProcess.Begin(ctx, to, call)
+	h.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
+		reply, err := h.writers[0].InProcess.Begin(ctx, to, call)
 		committed = err == nil && reply.Claim != nil
 		return BeginReply{}, verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
 	}
-	held, answer, err := r.begin(0, "k")
+	held, answer, err := h.begin(0, "k")
 	is.True(committed)
-	is.True(held == nil && answer == nil) // never a dispatch
+	is.True(held == nil && answer == nil) // must not be dispatched
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.Equal(err.Code, verdict.CodeClaimUnavailable)
 	is.True(err.RetryAfter > 0)
-	held, _ = r.retryBegin(1, "k")
+	held, _ = h.retryBegin(1, "k")
 	is.True(held != nil)
 }
 
-// TestWriterThatStopsIsReleased: the writer refuses since it stops, with its
-// write behind it.
+// TestClaimOfStoppingWriterIsReleased: the writer has written the claim, but refuses
+// it since it is stopping. The key must become free again.
 func TestClaimOfStoppingWriterIsReleased(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
-	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
-		_, err := r.writers[0].InProcess.Begin(ctx, to, call)
+	h := newHarness(t, 4)
+	h.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
+		_, err := h.writers[0].InProcess.Begin(ctx, to, call)
 		return BeginReply{Refusal: refusalOf(stoppingError())}, err
 	}
-	_, _, err := r.begin(0, "k")
+	_, _, err := h.begin(0, "k")
 	is.Equal(err.Verdict, verdict.NotRun)
-	held, _ := r.retryBegin(1, "k")
+	held, _ := h.retryBegin(1, "k")
 	is.True(held != nil)
 }
 
-// TestBeginThatArrivesBehindItsRelease: the call was under way when its owner
-// gave it up; what it then writes must not block the key.
+// TestBeginThatArrivesBehindItsRelease: the owner abandons and releases a call that
+// is still in flight to the writer. A Begin that arrives after the release must not
+// claim the key.
 func TestBeginThatArrivesBehindItsRelease(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
+	h := newHarness(t, 4)
 	var late *BeginCall
-	r.writers[0].begin = func(_ context.Context, _ id.Daemon, call *BeginCall) (BeginReply, error) {
+	h.writers[0].begin = func(_ context.Context, _ id.Daemon, call *BeginCall) (BeginReply, error) {
 		if late == nil {
 			late = call
 		}
 		return BeginReply{}, verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "no answer in time")
 	}
-	_, _, err := r.begin(0, "k")
+	_, _, err := h.begin(0, "k")
 	is.Equal(err.Verdict, verdict.NotRun)
-	released := r.table.Counters().Applied
+	released := h.table.Counters().Applied
 	for end := time.Now().Add(testTimeout); released == 0 && time.Now().Before(end); {
-		_, _, err = r.begin(0, "another") // the owner's next writes go behind its release
+		_, _, err = h.begin(0, "another") // the owner writes these after its release
 		is.Equal(err.Verdict, verdict.NotRun)
-		released = r.table.Counters().Applied
+		released = h.table.Counters().Applied
 	}
-	reply := r.daemons[r.writerOf("k")].HandleBegin(context.Background(), "d0", late)
+	reply := h.daemons[h.writerOf("k")].HandleBegin(context.Background(), "d0", late)
 	is.True(reply.Claim == nil)
 	is.Equal(reply.Refusal.Verdict, verdict.NotRun)
-	held, _ := r.retryBegin(1, "k")
+	held, _ := h.retryBegin(1, "k")
 	is.True(held != nil)
 }
 
 func TestUnreachableWriterIsSkipped(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
-	first := r.names[r.writerOf("k")]
-	r.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
+	h := newHarness(t, 4)
+	first := h.names[h.writerOf("k")]
+	h.writers[0].begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
 		if to == first {
 			return BeginReply{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no connection")
 		}
-		return r.writers[0].InProcess.Begin(ctx, to, call)
+		return h.writers[0].InProcess.Begin(ctx, to, call)
 	}
-	held, _, err := r.begin(0, "k")
+	held, _, err := h.begin(0, "k")
 	is.True(err == nil && held != nil)
-	is.Equal(len(r.writers[0].beginTargets), 2)
-	r.writers[0].begin = func(context.Context, id.Daemon, *BeginCall) (BeginReply, error) {
+	is.Equal(len(h.writers[0].beginTargets), 2)
+	h.writers[0].begin = func(context.Context, id.Daemon, *BeginCall) (BeginReply, error) {
 		return BeginReply{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no connection")
 	}
-	_, _, err = r.begin(0, "k2")
+	_, _, err = h.begin(0, "k2")
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.Equal(err.Code, verdict.CodeClaimUnavailable)
 }
 
 func TestOutcomeIsStoredWhenWriterFails(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
-	held, _, err := r.begin(0, "k")
+	h := newHarness(t, 4)
+	held, _, err := h.begin(0, "k")
 	is.True(err == nil)
-	r.writers[0].finish = func(context.Context, id.Daemon, *FinishCall) (FinishReply, error) {
+	h.writers[0].finish = func(context.Context, id.Daemon, *FinishCall) (FinishReply, error) {
 		return FinishReply{}, verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
 	}
-	r.daemons[0].Finish(*held, answerOutcome("held"))
-	_, answer := r.retryBegin(1, "k")
+	h.daemons[0].Finish(*held, answerOutcome("held"))
+	_, answer := h.retryBegin(1, "k")
 	is.Equal(string(answer.Body), "held")
 }
 
 func TestLargeAnswerGoesToTheObjectStore(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 4)
-	held, _, err := r.begin(0, "k")
+	h := newHarness(t, 4)
+	held, _, err := h.begin(0, "k")
 	is.True(err == nil)
 	body := make([]byte, maxForwardedBody+1)
 	body[7] = 'x'
-	r.daemons[0].Finish(*held, answerOutcome(string(body)))
-	_, answer := r.retryBegin(1, "k")
+	h.daemons[0].Finish(*held, answerOutcome(string(body)))
+	_, answer := h.retryBegin(1, "k")
 	is.Equal(answer.Body, body)
 }
 
 func TestForeignClaimsAreRefused(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 3)
-	call := &BeginCall{Begin: claim.Begin{Team: "t", Service: "s", Key: "k", Token: "t", Owner: r.daemons[0].cfg.Self}}
-	reply := r.daemons[2].HandleBegin(context.Background(), "d1", call)
+	h := newHarness(t, 3)
+	call := &BeginCall{Begin: claim.Begin{Team: "t", Service: "s", Key: "k", Token: "t", Owner: h.daemons[0].cfg.Self}}
+	reply := h.daemons[2].HandleBegin(context.Background(), "d1", call)
 	is.Equal(reply.Refusal.Verdict, verdict.NotRun)
 	is.Equal(reply.Refusal.Code, verdict.CodeBadRequest)
-	held, _, err := r.begin(0, "k")
+	held, _, err := h.begin(0, "k")
 	is.True(err == nil)
-	is.True(!r.daemons[2].HandleFinish(context.Background(), "d1", &FinishCall{Claim: *held, Outcome: answerOutcome("forged")}).Stored)
-	r.daemons[0].Finish(*held, answerOutcome("true"))
-	_, answer := r.retryBegin(1, "k")
+	is.True(!h.daemons[2].HandleFinish(context.Background(), "d1", &FinishCall{Claim: *held, Outcome: answerOutcome("forged")}).Stored)
+	h.daemons[0].Finish(*held, answerOutcome("true"))
+	_, answer := h.retryBegin(1, "k")
 	is.Equal(string(answer.Body), "true")
 }
 
 func TestReplyForAnotherClaimIsRejected(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 3)
-	other, _, err := r.begin(0, "other")
+	h := newHarness(t, 3)
+	other, _, err := h.begin(0, "other")
 	is.True(err == nil)
 	for _, reply := range []BeginReply{{}, {Claim: other}} {
-		r.writers[0].begin = func(context.Context, id.Daemon, *BeginCall) (BeginReply, error) { return reply, nil }
-		held, answer, err := r.begin(0, "k")
+		h.writers[0].begin = func(context.Context, id.Daemon, *BeginCall) (BeginReply, error) { return reply, nil }
+		held, answer, err := h.begin(0, "k")
 		is.True(held == nil && answer == nil)
-		is.Equal(err.Verdict, verdict.NotRun) // it is not dispatched
+		is.Equal(err.Verdict, verdict.NotRun) // must not be dispatched
 	}
-	is.Equal((&Refusal{}).asError().Verdict, verdict.MayHaveRun) // an unknown verdict promises nothing
+	is.Equal((&Refusal{}).asError().Verdict, verdict.MayHaveRun) // an invalid verdict must not exclude that the call has run
 }
--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// ownWriters is the largest fleet in which each daemon writes its own
-	// claims: beyond it the gap between two transactions of one daemon would
-	// be too long a wait.
+	// maxSelfWriters is the size of the largest fleet in which each daemon writes
+	// its own claims. In a larger fleet the interval between two transactions of one
+	// daemon would delay calls for too long.
 	maxSelfWriters = 24
-	// writerCount is how many daemons write claims in a larger fleet.
+	// writerCount is the number of daemons that write claims in a larger fleet.
 	writerCount = 4
-	// writerBudget is the number of transactions a second that the writers
-	// share, over the whole fleet.
+	// writerBudget is the rate of transactions that all writers of the fleet
+	// together may use, per second.
 	writerBudget = 240
-	// otherBudget is what the other daemons of a larger fleet share, for the
-	// releases and outcomes that no writer took.
+	// nonWriterBudget is the rate of transactions, per second, that the other daemons
+	// of a larger fleet share for releases and for outcomes that no writer accepted.
 	nonWriterBudget = 40
 )
 
-// SetMembers takes the live daemons, this one among them: it chooses the
-// writers of claims and keeps this daemon within its share of the table's
-// write rate.
+// SetMembers sets the live daemons, including this one. It chooses the writers of
+// claims and limits this daemon to its share of the table's write rate.
 func (c *Claims) SetMembers(members []id.Daemon) {
 	writers := chooseWriters(members, c.cfg.Writers != nil)
 	c.writers.Store(&writers)
@@ -34,7 +33,8 @@
 	c.duty.Post(func(time.Duration) { c.core.SetGap(gap) })
 }
 
-// chooseWriters names the writers; none means that each daemon is its own.
+// chooseWriters returns the writers. It returns none if each daemon writes its own
+// claims.
 func chooseWriters(members []id.Daemon, reachable bool) []id.Daemon {
 	if !reachable || len(members) <= maxSelfWriters {
 		return nil
@@ -42,7 +42,7 @@
 	return claim.Writers(members, writerCount)
 }
 
-// gapOf is the least time between two transactions of a daemon.
+// gapOf returns the minimum interval between two transactions of a daemon.
 func gapOf(self id.Daemon, members int, writers []id.Daemon) time.Duration {
 	switch {
 	case len(writers) == 0:
@@ -54,8 +54,8 @@
 	}
 }
 
-// writersOf ranks the daemons that may write a row, the first one first. It is
-// empty where this daemon writes it by itself.
+// writersOf returns the daemons that may write a row, in order of preference. It
+// returns none if this daemon writes the row itself.
 func (c *Claims) writersOf(row string) []id.Daemon {
 	writers := c.writers.Load()
 	if writers == nil || len(*writers) == 0 || claim.WriterFor(row, *writers) == c.cfg.Self.Daemon {
--- a/daemon/claims/members_test.go
+++ b/daemon/claims/members_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestWriteBudget: whatever the size of the fleet, its transactions a second
-// are within the two budgets, and a writer's wait stays short.
+// TestWriteBudget: for any size of the fleet, its rate of transactions must stay
+// within the two budgets, and the interval between a writer's transactions short.
 func TestWriteBudget(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 24, 25, 100, 420} {
 		is := is.New(t)
@@ -34,19 +34,19 @@
 		for _, d := range writers {
 			is.True(gapOf(d, n, writers) < 20*time.Millisecond)
 		}
-		is.Equal(len(chooseWriters(members, false)), 0) // nobody can be reached
+		is.Equal(len(chooseWriters(members, false)), 0) // no Writers configured
 	}
 }
 
 func TestSetMembersChoosesWriters(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 3)
-	c := r.daemons[0]
+	h := newHarness(t, 3)
+	c := h.daemons[0]
 	c.SetMembers(fleet(100))
 	is.Equal(len(*c.writers.Load()), writerCount)
 	is.Equal(len(c.writersOf("claim/t/s/x")), writerCount)
 	c.SetMembers(fleet(9))
 	is.Equal(len(c.writersOf("claim/t/s/x")), 0)
-	held, _, err := r.begin(0, "k")
+	held, _, err := h.begin(0, "k")
 	is.True(err == nil && held != nil)
 }
--- a/daemon/claims/messages.go
+++ b/daemon/claims/messages.go
@@ -9,8 +9,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// BeginCall asks the daemon that writes a claim's row to claim it for the
-// owner, who must be the sender.
+// BeginCall requests a claim from the daemon that writes the claim's row. The owner
+// of the claim must be the sender.
 type BeginCall struct {
 	Begin claim.Begin `cbor:"1,keyasint"`
 }
@@ -18,12 +18,12 @@
 // BeginReply answers a BeginCall; one field is set.
 type BeginReply struct {
 	Claim *claim.Claim `cbor:"1,keyasint,omitempty"`
-	// Answer is the stored answer; its body may lie in the object store.
+	// Answer is the stored answer; its body may be in the object store.
 	Answer  *claim.Answer `cbor:"2,keyasint,omitempty"`
 	Refusal *Refusal      `cbor:"3,keyasint,omitempty"`
 }
 
-// Refusal is a verdict.Error between daemons.
+// Refusal is a verdict.Error as it is sent between daemons.
 type Refusal struct {
 	Verdict    verdict.Verdict `cbor:"1,keyasint"`
 	Code       verdict.Code    `cbor:"2,keyasint"`
@@ -31,31 +31,31 @@
 	RetryAfter time.Duration   `cbor:"4,keyasint,omitempty"`
 }
 
-// FinishCall asks the writer to store the outcome of a claimed call. Its owner
-// must be the sender.
+// FinishCall requests that the writer stores the outcome of a claimed call. The
+// owner of the claim must be the sender.
 type FinishCall struct {
 	Claim   claim.Claim   `cbor:"1,keyasint"`
 	Outcome claim.Outcome `cbor:"2,keyasint"`
 }
 
-// FinishReply says whether the outcome is stored.
+// FinishReply reports whether the outcome is stored.
 type FinishReply struct {
 	Stored bool `cbor:"1,keyasint"`
 }
 
-// Writers reaches the daemons that write claims. Each call is sent once. An
-// error whose verdict is not run says that the call was not and will not be
-// taken; after any other error it may have been, or still be.
+// Writers sends calls to the daemons that write claims. Each call is sent once. An
+// error with the verdict NotRun means that the call was not executed and will not
+// be; after any other error it may have been executed or may still be.
 type Writers interface {
 	Begin(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error)
 	Finish(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error)
 }
 
-// InProcess is the Writers of daemons that run in one process, by name.
+// InProcess implements Writers for daemons that run in one process.
 type InProcess struct {
-	// From is the daemon that calls.
+	// From is the calling daemon.
 	From id.Daemon
-	// Peers are the daemons that can be reached.
+	// Peers are the reachable daemons by name.
 	Peers map[id.Daemon]*Claims
 }
 
@@ -81,7 +81,8 @@
 	return &Refusal{Verdict: err.Verdict, Code: err.Code, Message: err.Message, RetryAfter: err.RetryAfter}
 }
 
-// asError reads a refusal. A verdict that there is not promises nothing.
+// asError converts a refusal to an error. An invalid verdict becomes MayHaveRun,
+// since it does not exclude that the call has run.
 func (r *Refusal) asError() *verdict.Error {
 	v := r.Verdict
 	if v < verdict.NotRun || v > verdict.Ran {
--- a/daemon/claims/random_test.go
+++ b/daemon/claims/random_test.go
@@ -15,46 +15,47 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// dice is a seeded source that the daemons share.
+// sharedRand is a seeded random source for concurrent use.
 type sharedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func (d *sharedRand) chance(p float64) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rng.Float64() < p
+// chance returns true with probability p.
+func (s *sharedRand) chance(p float64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rng.Float64() < p
 }
 
-// TestAtMostOnceWithLostCalls has many callers repeat few keys at all daemons,
-// over a table that loses replies and calls between daemons that are lost
-// before or behind their effect. A key runs at most once, and a replay is the
-// answer of that run.
+// TestAtMostOnceWithLostCalls repeats a few keys from many callers at all daemons.
+// The table loses replies, and calls between daemons are lost before or after they
+// take effect. A key must run at most once, and a replay must return the answer of
+// that run.
 func TestAtMostOnceWithLostCalls(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, 6)
+	h := newHarness(t, 6)
 	share := 0.3
-	r.table.Inject(wire.Fault{Target: "table", LoseReplies: &share, StaleReads: &share})
-	d := &sharedRand{rng: rand.New(rand.NewPCG(1, 2))}
+	h.table.Inject(wire.Fault{Target: "table", LoseReplies: &share, StaleReads: &share})
+	random := &sharedRand{rng: rand.New(rand.NewPCG(1, 2))}
 	lost := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "connection lost")
-	for _, w := range r.writers {
+	for _, w := range h.writers {
 		w.begin = func(ctx context.Context, to id.Daemon, call *BeginCall) (BeginReply, error) {
-			if d.chance(0.1) {
+			if random.chance(0.1) {
 				return BeginReply{}, lost
 			}
 			reply, err := w.InProcess.Begin(ctx, to, call)
-			if d.chance(0.2) {
+			if random.chance(0.2) {
 				return BeginReply{}, lost
 			}
 			return reply, err
 		}
 		w.finish = func(ctx context.Context, to id.Daemon, call *FinishCall) (FinishReply, error) {
-			if d.chance(0.1) {
+			if random.chance(0.1) {
 				return FinishReply{}, lost
 			}
 			reply, err := w.InProcess.Finish(ctx, to, call)
-			if d.chance(0.2) {
+			if random.chance(0.2) {
 				return FinishReply{}, lost
 			}
 			return reply, err
@@ -69,7 +70,7 @@
 			for try := range tries {
 				key := fmt.Sprint("k", (n+try)%keys)
 				token := claim.Token(fmt.Sprint(n, ".", try))
-				held, answer, _ := r.attempt((n+try)%len(r.daemons), key, token)
+				held, answer, _ := h.attempt((n+try)%len(h.daemons), key, token)
 				if held == nil && answer == nil {
 					continue
 				}
@@ -86,7 +87,7 @@
 					t.Errorf("%s replays %q, ran as %q", key, answer.Body, ran)
 				}
 				if held != nil {
-					r.daemons[(n+try)%len(r.daemons)].Finish(*held, answerOutcome(string(token)))
+					h.daemons[(n+try)%len(h.daemons)].Finish(*held, answerOutcome(string(token)))
 				}
 			}
 		})
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// beginTimeout bounds a Begin at another daemon: its wait for the store and
-	// the way there and back.
+	// beginTimeout bounds a Begin at another daemon: that daemon's wait for the
+	// store and the round trip.
 	beginTimeout = claim.DefaultMaxWait + 200*time.Millisecond
 	// finishTimeout bounds the wait for another daemon to store an outcome.
 	finishTimeout = time.Second
-	// maxSentBody bounds the body of an answer that goes to another daemon, in
-	// bytes; a larger one goes to the object store from here.
+	// maxForwardedBody bounds the body of an answer that is sent to another daemon,
+	// in bytes. This daemon writes larger bodies to the object store itself.
 	maxForwardedBody = claim.DefaultMaxInline
-	// unsureRetryAfter is advised when a writer gave no answer.
+	// writerRetryAfter is advised to callers when no writer replied.
 	writerRetryAfter = time.Second
 )
 
-// beginAt claims a call through the writers. The next one is asked only if the
-// call was certainly not sent to the one before: once a writer may have it, that
-// writer may also release it again, so no other's word for it could be trusted.
+// beginRemotely claims a call through the writers. It tries the next writer only if
+// the previous one certainly did not receive the call: a writer that may have
+// received it may also release the claim again, so that another writer's reply about
+// it would not be reliable.
 func (c *Claims) beginRemotely(ctx context.Context, writers []id.Daemon, b claim.Begin) result {
 	for _, to := range writers {
 		if to == c.cfg.Self.Daemon {
@@ -39,7 +40,7 @@
 		}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"no daemon that writes claims can be reached").WithRetryAfter(writerRetryAfter)}
+		"no daemon that writes claims is reachable").WithRetryAfter(writerRetryAfter)}
 }
 
 func (c *Claims) callBegin(ctx context.Context, to id.Daemon, b claim.Begin) (BeginReply, error) {
@@ -48,7 +49,8 @@
 	return c.cfg.Writers.Begin(ctx, to, &BeginCall{Begin: b})
 }
 
-// replied reads a writer's reply. A claim counts only if it is for this attempt.
+// handleReply converts a writer's reply to a result. It accepts a claim only if the
+// claim belongs to this attempt.
 func (c *Claims) handleReply(b claim.Begin, reply BeginReply) result {
 	held := reply.Claim
 	switch {
@@ -60,11 +62,12 @@
 		return result{claim: held}
 	}
 	c.abandon(b)
-	return result{err: verdict.New(verdict.NotRun, verdict.CodeInternal, "the reply of a claim's writer is of another claim")}
+	return result{err: verdict.New(verdict.NotRun, verdict.CodeInternal, "the writer of the claim replied with another claim")}
 }
 
-// refused hands a writer's refusal on. One that could not have the claim stored
-// may have left a write under way and may end before it has released it.
+// handleRefusal returns a writer's refusal. A writer that failed to store the claim
+// may have a write in flight and may terminate before it releases the claim, so this
+// daemon releases it too.
 func (c *Claims) handleRefusal(b claim.Begin, err *verdict.Error) result {
 	if err.Code == verdict.CodeClaimUnavailable || err.Code == verdict.CodeCallerGone {
 		c.abandon(b)
@@ -72,20 +75,20 @@
 	return result{err: err}
 }
 
-// unsure ends an attempt whose writer gave no answer. Its claim may have been
-// written, or will be; this daemon does not dispatch under it, so that it may
-// release it.
+// handleLostReply ends an attempt whose writer did not reply. The claim may have
+// been written or may still be. It is safe to release, since this daemon does not
+// dispatch the call under it.
 func (c *Claims) handleLostReply(ctx context.Context, b claim.Begin, to id.Daemon, cause error) result {
 	c.abandon(b)
 	if ctx.Err() != nil {
 		return result{err: callerGoneError()}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"daemon %s, which writes the claim, gave no answer", to).WithRetryAfter(writerRetryAfter).WithCause(cause)}
+		"daemon %s, which writes the claim, did not reply", to).WithRetryAfter(writerRetryAfter).WithCause(cause)}
 }
 
-// finishAt stores an outcome through the row's first writer, and from here if
-// that does not confirm it. Both may write it: the row takes it once.
+// finishRemotely stores an outcome through the row's first writer, and locally if
+// the writer does not confirm it. Both may write it; the row accepts it only once.
 func (c *Claims) finishRemotely(to id.Daemon, held claim.Claim, o claim.Outcome) {
 	ctx, cancel := context.WithTimeout(c.duty.Context(), finishTimeout)
 	defer cancel()
@@ -100,7 +103,7 @@
 	b := call.Begin
 	if b.Owner.Daemon != from || b.Token == "" || b.Key == "" {
 		return BeginReply{Refusal: refusalOf(verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"daemon %s can't claim for %s", from, b.Owner))}
+			"daemon %s can't claim on behalf of %s", from, b.Owner))}
 	}
 	r := c.beginLocally(ctx, b)
 	if r.err != nil {
@@ -109,7 +112,7 @@
 	return BeginReply{Claim: r.claim, Answer: r.answer}
 }
 
-// HandleFinish stores an outcome for another daemon and waits until that is done.
+// HandleFinish stores an outcome for another daemon and waits until it is stored.
 func (c *Claims) HandleFinish(ctx context.Context, from id.Daemon, call *FinishCall) FinishReply {
 	if call.Claim.Owner.Daemon != from || call.Claim.Token == "" || len(outcomeBody(call.Outcome)) > maxForwardedBody {
 		return FinishReply{}
@@ -133,8 +136,8 @@
 	return FinishReply{}
 }
 
-// forgetSettling ends a wait, unless another one under the token has taken its
-// place.
+// forgetSettling removes a wait, unless a later wait under the same token has
+// replaced it.
 func (c *Claims) forgetSettling(t claim.Token, settled chan<- bool) {
 	if c.settling[t] == settled {
 		delete(c.settling, t)
