--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -12,8 +12,9 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// attempt is one granted try. Every way out of it releases what it holds: the
-// grant at the owner, the prefill, the exported KV cache, the decode slot.
+// attempt is one granted attempt of a job. However it ends, it releases what it
+// holds: the grant at the owner, the prefill, the exported KV cache and the decode
+// slot.
 type attempt struct {
 	*Runner
 	p     *progress
@@ -56,8 +57,9 @@
 	return nil
 }
 
-// unknownEndpoint tells of one that the pool's owner knows and this daemon does
-// not: a change is on its way to one of them.
+// unknownEndpoint is the error for an endpoint that is in the configuration of the
+// pool's owner but not in that of this daemon: one of them has not received a
+// configuration change yet.
 func unknownEndpoint(e id.Endpoint) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "endpoint %s is not in this daemon's configuration", e)
 }
@@ -71,7 +73,7 @@
 	}
 	a.exported = resp
 	a.prefillTime = a.Now() - a.prefillStart
-	// What the owner learns from: it refuses later requests by this.
+	// The owner estimates from this data whether it must refuse later requests.
 	a.Recorder.Decision("request", string(a.p.job.ID), "prefilled",
 		"attempt", a.want.Request, "endpoint", a.prefill.Name, "owner", a.grant.Owner.Daemon,
 		"took", a.prefillTime, "tokens", resp.PromptTokens, "cached", resp.CachedTokens)
@@ -97,7 +99,8 @@
 	}
 }
 
-// prefillFailed cancels what may still run and tells the owner who failed.
+// prefillFailed cancels a prefill that may still run and reports the failure to the
+// owner.
 func (a *attempt) prefillFailed(ctx context.Context, err *verdict.Error) *verdict.Error {
 	if err.Verdict != verdict.NotRun {
 		a.Cancels.Cancel(a.prefill, a.want.Request, nil)
@@ -126,9 +129,9 @@
 	return a.relayTokens(ctx, ts, sent)
 }
 
-// takeUp asks the engine for an answer whose beginning was lost or late, or whose
-// connection broke: what may have run can't be sent again, but if the engine
-// holds it, it can be followed. nil if the engine doesn't.
+// resumeDecode resumes a stream whose start was lost or late, or whose connection
+// broke. A request that may have run can't be sent again, but its stream can be
+// resumed if the engine still holds it. It returns nil if that fails.
 func (a *attempt) resumeDecode(ctx context.Context, failure *verdict.Error) TokenStream {
 	if failure.Verdict == verdict.NotRun || ctx.Err() != nil {
 		return nil
@@ -146,7 +149,7 @@
 	return ts
 }
 
-// bind settles which endpoint decodes.
+// bind determines the endpoint that decodes.
 func (a *attempt) bind(ctx context.Context) *verdict.Error {
 	began := a.Now()
 	name := a.Pairer.Bind(ctx, a.grant)
@@ -186,7 +189,7 @@
 	}
 }
 
-// decodeRefused handles a decode order that gave no stream.
+// decodeRefused handles a decode request that returned no stream.
 func (a *attempt) decodeRefused(ctx context.Context, err *verdict.Error) *verdict.Error {
 	a.Cancels.ReleaseKV(a.prefill, a.want.Request, a.exported.KV)
 	if err.Verdict == verdict.NotRun {
@@ -198,7 +201,7 @@
 	return err
 }
 
-// cancelDecode ends the request at the decode engine. The slot counts as held
+// cancelDecode cancels the request at the decode engine. The slot counts as held
 // until the engine has confirmed.
 func (a *attempt) cancelDecode(ctx context.Context, err *verdict.Error) {
 	p := sched.Progress{Phase: sched.PhaseCancelled}
@@ -209,9 +212,9 @@
 	a.Cancels.Cancel(a.decode, a.want.Request, func() { a.release(p) })
 }
 
-// follow delivers the stream's tokens until its end, and closes it. The owner is
-// told how many came by this attempt: what others wrote before tells nothing
-// about its pace.
+// relayTokens delivers the stream's tokens until its end, and closes it. It reports
+// to the owner only the number of tokens of this attempt: tokens of earlier attempts
+// would distort the measured speed of the engine.
 func (a *attempt) relayTokens(ctx context.Context, ts TokenStream, sent time.Duration) *verdict.Error {
 	defer func() { _ = ts.Close() }()
 	a.p.seq.Switch(a.want.Request)
@@ -239,15 +242,16 @@
 			return a.streamFailed(ctx, verr)
 		}
 		if done {
-			written := a.p.seq.Delivered() - before - 1 // the last event holds no token
+			written := a.p.seq.Delivered() - before - 1 // the last event has no token
 			a.release(sched.Progress{Phase: sched.PhaseDone, OutputTokens: written})
 			return nil
 		}
 	}
 }
 
-// reconnect follows an answer on whose connection broke, if tokens came since the
-// last time. An engine that stalls is left for another one at once.
+// reconnect resumes an answer whose connection broke, if tokens arrived since the
+// last resume. It does not resume a stream at an engine that stalls, so that another
+// engine continues the answer immediately.
 func (a *attempt) reconnect(ctx context.Context, broken TokenStream, failure *verdict.Error, resumedAt int) TokenStream {
 	if failure.Code != verdict.CodeEndpointFailed || a.p.seq.Delivered() == resumedAt {
 		return nil
@@ -275,7 +279,7 @@
 func (a *attempt) deliver(ctx context.Context, ts TokenStream, ev wire.TokenEvent) (bool, *verdict.Error) {
 	ready, err := a.p.seq.Push(stream.Event{Attempt: id.Request(ev.Request), Seq: ev.Seq, Text: ev.Text, Finish: ev.Finish})
 	if err != nil {
-		return false, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "endpoint %s sent events out of bounds", a.decode.Name).WithCause(err)
+		return false, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "endpoint %s sent an event that does not fit the stream", a.decode.Name).WithCause(err)
 	}
 	for _, e := range ready {
 		out := a.event(ts, e)
@@ -304,7 +308,7 @@
 	return out
 }
 
-// streamFailed ends a stream that broke, or whose caller is gone.
+// streamFailed handles a stream that broke, or whose caller is gone.
 func (a *attempt) streamFailed(ctx context.Context, err *verdict.Error) *verdict.Error {
 	if err.Code == verdict.CodeCallerGone {
 		p := sched.Progress{Phase: sched.PhaseCancelled}
@@ -315,7 +319,8 @@
 	return err
 }
 
-// blame keeps the job's next attempts off an endpoint that failed it.
+// recordFailure excludes an endpoint that failed from the job's next attempts. It
+// marks the job as suspect if the endpoint may have crashed while it ran the job.
 func (a *attempt) recordFailure(e id.Endpoint, err *verdict.Error) {
 	a.p.avoid = append(a.p.avoid, e)
 	if err.Code == verdict.CodeEndpointFailed && err.Verdict != verdict.NotRun {
--- a/daemon/completion/heldup_test.go
+++ b/daemon/completion/delay_test.go
@@ -9,9 +9,9 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// TestARequestThatItsDaemonCameToLateIsAskedFor: the daemon got no processor for
-// longer than the service's patience right behind the arrival. Engines may be
-// free, which only the pool's owner knows.
+// TestRequestDelayedInItsDaemonStillAsksForAPair: right after the arrival, the daemon
+// got no CPU time for longer than the service's patience. It must still ask the pool's
+// owner, since engines may be free.
 func TestRequestDelayedInItsDaemonStillAsksForAPair(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 3, finish: true, now: 2 * time.Second} // arrived at 0, patience 1 s
@@ -20,7 +20,8 @@
 	is.Equal(f.wants[0].Age, 500*time.Millisecond)
 }
 
-// TestARequestWhoseWholeTimeIsOverIsRefused: its caller has left by then.
+// TestRequestPastItsTimeoutIsRefused: after the service's timeout the caller has
+// left, so that the daemon must not ask for a pair.
 func TestRequestPastItsTimeoutIsRefused(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 3, finish: true, now: 10 * time.Second} // the service's timeout
--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -15,23 +15,26 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// fakes stand for all that a Runner works with: the engine writes the tokens
-// that it is told to and then breaks or ends.
+// fakes implements all dependencies of a Runner. Its engine sends a number of tokens
+// and then breaks or ends the stream.
 type fakes struct {
+	// pairErr is the error of Pair.
 	pairErr *verdict.Error
-	// refuseRead is what the prefill engine says.
+	// prefillErr is the error of the prefill engine.
 	prefillErr *verdict.Error
-	// unknown keeps the granted endpoints out of the configuration.
+	// noEndpoints removes the granted endpoints from the configuration.
 	noEndpoints bool
 	wants       []sched.Want
 	now         time.Duration
-	// step is how long each token takes.
+	// tokenTime is the time per token.
 	tokenTime time.Duration
-	// again is how often a failed attempt is repeated.
+	// maxRetries bounds the retries of a failed attempt.
 	maxRetries int
-	tokens     int
-	finish     bool
-	progress   []sched.Progress
+	// tokens is the number of tokens that each stream sends.
+	tokens int
+	// finish makes a stream end normally after its tokens; otherwise it breaks.
+	finish   bool
+	progress []sched.Progress
 }
 
 func (f *fakes) Pair(_ context.Context, w sched.Want, _ time.Duration) (sched.Grant, *verdict.Error) {
@@ -57,7 +60,7 @@
 	return &fakeStream{fakes: f, request: r.Request, at: r.Continue}, nil
 }
 
-// Resume of the engines would clash with that of the pairer.
+// fakeEngines is a separate type, since Engines and Pairer both have a method Resume.
 type fakeEngines struct{ *fakes }
 
 func (f fakeEngines) Resume(_ context.Context, _ *live.Endpoint, attempt id.Request, after int, _ id.Process) (TokenStream, error) {
@@ -105,7 +108,7 @@
 func (s *fakeStream) Close() error                { return nil }
 func (s *fakeStream) Incarnation() id.Incarnation { return 7 }
 
-// deps are a Runner's, with these engines.
+// deps returns the dependencies of a Runner with the given engines.
 func (f *fakes) deps(engines Engines) Deps {
 	return Deps{
 		Pairer: f, Engines: engines, Cancels: f, Retries: f, Recorder: f, Catalog: f,
@@ -121,8 +124,8 @@
 	return New(f.deps(fakeEngines{f})).Run(context.Background(), testJob(resume), f)
 }
 
-// TestBrokenAnswerAdvisesToResume breaks an answer off after its beginning, and
-// refuses the continuation of one: both callers must be told to come back.
+// TestBrokenAnswerAdvisesToResume breaks an answer off after its start, and refuses
+// the continuation of another one. Both errors must have a retry delay.
 func TestBrokenAnswerAdvisesToResume(t *testing.T) {
 	is := is.New(t)
 	err := (&fakes{tokens: 3}).run(nil)
@@ -137,7 +140,8 @@
 	is.True(err.RetryAfter > 0)
 }
 
-// TestUnbegunAnswerGivesNoAdviceOfItsOwn keeps what the owner said.
+// TestUnstartedAnswerAddsNoRetryAfter: without delivered output, the runner must not
+// add a retry delay to a refusal of the owner that has none.
 func TestUnstartedAnswerAddsNoRetryAfter(t *testing.T) {
 	is := is.New(t)
 	err := (&fakes{pairErr: verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "none")}).run(nil)
@@ -145,25 +149,25 @@
 	is.Equal(err.RetryAfter, time.Duration(0))
 }
 
-// TestWhatPassesIsAdvisedToComeBack: where processors are short, KV caches lapse
-// before they are handed over, in all attempts. The request has not run, and its
-// caller has to know when to send it again.
+// TestTransientErrorsCarryRetryAfter: on overloaded hosts, KV caches expire before
+// they are transferred, in all attempts. The request has not run, so the error must
+// have a retry delay.
 func TestTransientErrorsCarryRetryAfter(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeKVGone, verdict.CodeDeadline, verdict.CodeUnavailable} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
-			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
+			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "transient")}).run(nil)
 			is.Equal(err.Verdict, verdict.NotRun)
 			is.Equal(err.RetryAfter, verdict.PassingRetryAfter)
 		})
 	}
 }
 
-// TestAFullEngineIsNoEnd: a caller of one run in 420 ended with "overloaded". The
-// advice of the pool's owner always has a time; what has none is an engine's own
-// refusal, where its slots or its queue were taken by work that the owner did not
-// know of, and the daemon's where it has no connection left. So it is with the
-// other reasons that pass.
+// TestEngineRefusalsCarryRetryAfter: refusals of the pool's owner have a retry delay.
+// Those of an engine, whose slots or queue are taken by work that the owner does not
+// know of, and those of the daemon without a free connection, have none. Without
+// advice from the runner, callers failed with "overloaded" (one in 420 runs). The
+// same holds for the other transient codes.
 func TestEngineRefusalsCarryRetryAfter(t *testing.T) {
 	for _, code := range []verdict.Code{
 		verdict.CodeOverloaded, verdict.CodeLeaving, verdict.CodeTeamLimit,
@@ -180,8 +184,9 @@
 	}
 }
 
-// TestAnEndpointThatIsNotKnownYetIsNoEnd: the pool's owner grants one that this
-// daemon's configuration does not hold; a change is on its way to one of them.
+// TestUnknownEndpointCarriesRetryAfter: the pool's owner grants an endpoint that is
+// missing in this daemon's configuration, since one of them has not received a change
+// yet. The error must have a retry delay.
 func TestUnknownEndpointCarriesRetryAfter(t *testing.T) {
 	is := is.New(t)
 	err := (&fakes{noEndpoints: true}).run(nil)
@@ -190,7 +195,8 @@
 	is.True(err.RetryAfter > 0)
 }
 
-// TestContinuationGoesBeforeNewRequests compares the priorities of the two.
+// TestContinuationHasPriorityOverNewRequests compares the priorities of a new request
+// and of a continuation.
 func TestContinuationHasPriorityOverNewRequests(t *testing.T) {
 	is := is.New(t)
 	fresh := &fakes{finish: true}
@@ -201,9 +207,9 @@
 	is.Equal(rest.wants[0].Priority, live.MaxPriority)
 }
 
-// TestBrokenAnswerWaitsAnew breaks an answer off long after its first-token
-// target: the want for its rest must not carry that time as its age, or the
-// owner refuses it as too late.
+// TestBrokenAnswerRestartsTheWait breaks an answer off long after its first-token
+// target. The request for the rest must not count that time as its age, or the owner
+// refuses it as too late.
 func TestBrokenAnswerRestartsTheWait(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 3, tokenTime: time.Second, maxRetries: 1}
@@ -211,14 +217,14 @@
 	is.Equal(len(f.wants), 2)
 	is.Equal(f.wants[1].Age, time.Duration(0))
 
-	// One that was not begun keeps its age.
+	// An answer without delivered output keeps its age.
 	f = &fakes{tokens: 0, tokenTime: time.Second / 2, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(f.wants[1].Age, time.Second/2)
 }
 
-// TestOwnerIsToldOfThisAttemptsTokens resumes an answer behind five tokens: the
-// owner must not take them for the engine's work in the time since.
+// TestOutputTokensCountOnlyThisAttempt resumes an answer after five tokens. The owner
+// must not count them as the engine's output since the resume.
 func TestOutputTokensCountOnlyThisAttempt(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 2, finish: true}
--- a/daemon/completion/rejoin.go
+++ b/daemon/completion/resume.go
@@ -7,9 +7,10 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// rejoin goes on with a stream that another connection, perhaps at another
-// daemon, began: the engine still writes it or keeps its end. It takes
-// ownership at the engine, so that no survivor reaps the request as an orphan.
+// resumeStream continues a stream that was started over another connection, possibly
+// by another daemon. The engine still generates it or keeps its end. This daemon
+// becomes the owner of the request at the engine, so that no other daemon cancels it
+// as an orphan.
 func (r *Runner) resumeStream(ctx context.Context, p *progress) *verdict.Error {
 	rp := p.job.Resume
 	endpoint, ok := r.Catalog.Endpoint(rp.Endpoint)
--- a/daemon/completion/takeup_test.go
+++ b/daemon/completion/resume_test.go
@@ -13,12 +13,12 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// headless engines take a decode order whose answer's head never comes.
+// lostHeaderEngines accept a decode request, but its response header never arrives.
 type lostHeaderEngines struct {
 	fakeEngines
-	// decode is how the order ended.
+	// decodeErr is the error of Decode.
 	decodeErr *verdict.Error
-	// resume is how a resume ends; nil for the answer.
+	// resumeErr is the error of Resume; if it is nil, Resume returns the stream.
 	resumeErr *verdict.Error
 	resumed   []id.Request
 	decodes   int
@@ -37,15 +37,15 @@
 	return h.fakeEngines.Resume(ctx, e, attempt, after, owner)
 }
 
-// runHeadless serves one job.
+// runWithLostHeader serves one job.
 func runWithLostHeader(h *lostHeaderEngines) *verdict.Error {
 	r := New(h.fakes.deps(h))
 	return r.Run(context.Background(), testJob(nil), h.fakes)
 }
 
-// TestAnAnswerWhoseHeadDidNotComeIsTakenUp: the engine runs the request, and the
-// daemon or the engine was held up past the time limit, or the connection broke.
-// Given up, the request may have run, so that nobody may send it again.
+// TestLostResponseHeaderIsRecoveredByResume: the engine runs the request, but the
+// daemon or the engine was delayed beyond the timeout, or the connection broke. If the
+// daemon failed the request then, it might have run and could not be sent again.
 func TestLostResponseHeaderIsRecoveredByResume(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeDeadline, verdict.CodeEndpointFailed} {
 		t.Run(string(code), func(t *testing.T) {
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestWhatIsNotHeldIsNotTakenUp: one question is asked, and the failure stays
-// what it was; what has certainly not run is not asked for.
+// TestFailedResumeKeepsTheFirstError: the daemon tries to resume once and returns the
+// first error if the engine does not hold the request. It must not try to resume a
+// request that certainly has not run.
 func TestFailedResumeKeepsTheFirstError(t *testing.T) {
 	is := is.New(t)
 	unknown := verdict.New(verdict.MayHaveRun, "unknown_request", "the engine holds no such request")
@@ -80,8 +81,8 @@
 	is.Equal(len(h.resumed), 0)
 }
 
-// brokenOnce engines break the first stream of an attempt behind some tokens;
-// what they hold can be followed to its end.
+// breakingEngines break the first stream of an attempt after breakAfter tokens; a
+// resumed stream does not break.
 type breakingEngines struct {
 	fakeEngines
 	breakAfter int
@@ -98,7 +99,7 @@
 	return b.fakeEngines.Resume(ctx, e, attempt, after, owner)
 }
 
-// breaking is a stream that ends with an error behind some tokens.
+// breakingStream is a stream that returns an error after breakAfter tokens.
 type breakingStream struct {
 	fakeStream
 	breakAfter int
@@ -112,21 +113,20 @@
 	return s.fakeStream.Next()
 }
 
-// TestAnAnswerWhoseConnectionBreaksIsFollowed: the engine writes on behind a
-// broken connection. Read again elsewhere, the prompt would have been read in
-// vain here.
+// TestBrokenConnectionIsResumed: the engine continues to generate after its
+// connection broke. A new attempt elsewhere would waste the prefill of this one.
 func TestBrokenConnectionIsResumed(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 5, finish: true}
 	b := &breakingEngines{fakeEngines: fakeEngines{f}, breakAfter: 2, err: verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "reset")}
 	is.True(New(f.deps(b)).Run(context.Background(), testJob(nil), f) == nil)
 	is.Equal(b.resumes, []int{2})
-	is.Equal(len(f.wants), 1) // no other pair was asked for
+	is.Equal(len(f.wants), 1) // no other pair was requested
 	is.Equal(f.progress[len(f.progress)-1].Phase, sched.PhaseDone)
 }
 
-// TestAnEngineThatStallsIsLeft: one that sends nothing for the time between two
-// tokens is not waited for once more.
+// TestStalledEngineIsNotResumed: the daemon must not wait a second time for an engine
+// that sent nothing within the timeout between two tokens.
 func TestStalledEngineIsNotResumed(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 5}
--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -14,7 +14,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Deps are what a Runner works with; all are needed.
+// Deps are the dependencies of a Runner; all are required.
 type Deps struct {
 	Self     id.Process
 	Domain   id.Domain
@@ -26,7 +26,7 @@
 	Catalog  Catalog
 	// Now is the time since the daemon's start.
 	Now func() time.Duration
-	// NewID makes an id for an attempt.
+	// NewID returns a new id for an attempt.
 	NewID func() id.Request
 }
 
@@ -36,7 +36,7 @@
 // New returns a Runner.
 func New(d Deps) *Runner { return &Runner{d} }
 
-// progress is the state of one job over its attempts.
+// progress is the state of one job across its attempts.
 type progress struct {
 	job *Job
 	// seq puts the tokens of all attempts in order.
@@ -45,15 +45,16 @@
 	worst verdict.Verdict
 	// avoid lists endpoints that failed this job.
 	avoid []id.Endpoint
-	// suspect is set once an endpoint crashed under the job.
+	// suspect is set once an endpoint failed while it ran the job.
 	suspect bool
-	// since is when the wait for the present pair began: the arrival, later where
-	// this daemon was held up, or where an answer that was begun broke off.
+	// waitStart is when the wait for the current pair of endpoints began: the
+	// arrival, or a later time if this daemon was delayed or a partial answer broke
+	// off.
 	waitStart time.Duration
 	sink      Sink
 }
 
-// Run serves the job to its end. A nil error means that the whole answer was
+// Run serves the job until it ends. A nil error means that the whole answer was
 // delivered. The verdict of an error covers all attempts.
 func (r *Runner) Run(ctx context.Context, job *Job, sink Sink) *verdict.Error {
 	p := &progress{job: job, worst: verdict.NotRun, sink: sink, waitStart: job.Arrived}
@@ -79,8 +80,8 @@
 	return stream.New("", after, stream.DefaultWindow)
 }
 
-// text is the answer so far: what the caller brought back and what was
-// delivered since.
+// text returns the answer so far: the text that the caller sent with its resume
+// request and the text delivered since.
 func (p *progress) text() string {
 	if p.job.Resume == nil {
 		return p.seq.Text()
@@ -88,8 +89,8 @@
 	return p.job.Resume.Text + p.seq.Text()
 }
 
-// canContinue says whether the answer can be written on without the engine
-// that began it: the text so far has to be known.
+// canContinue reports whether another engine can continue the answer. This requires
+// the text of the answer so far.
 func canContinue(job *Job, p *progress, err *verdict.Error) bool {
 	if err.Code == verdict.CodeCallerGone {
 		return false
@@ -122,16 +123,16 @@
 	}
 }
 
-// restart begins the wait for another pair anew where output was delivered: the
-// time that an answer has taken so far is no wait for its first token, and the
-// pool's owner must not refuse its rest for that.
+// restartWait restarts the wait for a pair if output was delivered. The time that
+// the answer has taken so far is not a wait for its first token, and the pool's owner
+// must not refuse the rest of the answer because of it.
 func (r *Runner) restartWait(p *progress) {
 	if p.seq.Delivered() > 0 {
 		p.waitStart = r.Now()
 	}
 }
 
-// fail gives the final error of a job.
+// fail returns the final error of a job.
 func (r *Runner) fail(ctx context.Context, p *progress, err *verdict.Error) *verdict.Error {
 	v := verdict.Worse(p.worst, err.Verdict)
 	if p.seq.Delivered() > 0 {
@@ -149,18 +150,18 @@
 	return &final
 }
 
-// resumeAfter is advised where an answer that was begun broke off and nothing
-// better is known: its caller should come back for the rest.
+// resumeRetryAfter is the retry delay that is advised when a partial answer broke off
+// and the error has no delay of its own: the caller should resume the answer.
 const resumeRetryAfter = 200 * time.Millisecond
 
-// resumable tells whether the rest of an answer may be had by a later resume.
+// resumable reports whether a later resume may return the rest of an answer.
 func resumable(code verdict.Code) bool { return code != verdict.CodeQuarantined }
 
 func (r *Runner) remaining(job *Job) time.Duration {
 	return job.Service.Timeout() - (r.Now() - job.Arrived)
 }
 
-// patience is how long the job may still wait for its pair. A continuation has
+// patience returns how long the job may still wait for a pair. A continuation has
 // delivered output before and may use the whole remaining time.
 func (r *Runner) patience(p *progress) time.Duration {
 	if p.seq.Delivered() > 0 {
@@ -174,7 +175,7 @@
 	w := r.want(p, n)
 	patience := r.patience(p)
 	if patience <= 0 || r.remaining(p.job) <= 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "out of time before attempt %d", n)
+		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the request timed out before attempt %d", n)
 	}
 	grant, verr := r.Pairer.Pair(ctx, w, patience)
 	if verr != nil {
@@ -210,8 +211,8 @@
 	}
 }
 
-// priority lets the rest of an answer that was begun go before the team's new
-// requests: its caller waits in the midst of it.
+// priority returns the job's priority. The rest of a partial answer has priority over
+// the team's new requests, since its caller waits in the middle of the answer.
 func priority(p *progress) int {
 	if p.seq.Delivered() > 0 {
 		return live.MaxPriority
--- a/daemon/completion/types.go
+++ b/daemon/completion/types.go
@@ -1,6 +1,6 @@
-// Package completion serves one model request: it gets a pair of endpoints,
-// has the prompt read on one and the answer written on the other, delivers the
-// tokens in order and each once, and cleans up whatever an attempt leaves.
+// Package completion serves one model request. It gets a pair of endpoints, runs the
+// prefill on one and the decode on the other, delivers the tokens in order and each
+// exactly once, and releases everything that an attempt leaves at the endpoints.
 package completion
 
 import (
@@ -16,34 +16,34 @@
 
 // Job is one caller's request, authenticated and classified.
 type Job struct {
-	// ID is shown to the caller and taken by explain.
+	// ID is shown to the caller and accepted by the explain command.
 	ID      id.Request
 	Team    *live.Team
 	Service *live.Service
 	Prompt  string
 	// MaxTokens bounds the answer.
 	MaxTokens int
-	// Arrived is when the request came, as a duration since the daemon's start.
+	// Arrived is when the request arrived, as a duration since the daemon's start.
 	Arrived time.Duration
 	// Fingerprint identifies team and content.
 	Fingerprint string
-	// Resume is set when the caller comes back for the rest of an answer.
+	// Resume is set if the caller requests the rest of an answer.
 	Resume *ResumePoint
 }
 
 // ResumePoint is where a caller's earlier stream ended.
 type ResumePoint struct {
-	// Attempt is the engine's name of the request.
+	// Attempt is the name of the request at the engine.
 	Attempt id.Request
-	// Endpoint writes the answer, if it still runs.
+	// Endpoint generates the answer, if the request still runs.
 	Endpoint id.Endpoint
-	// Incarnation of the endpoint when it wrote the last delivered event.
+	// Incarnation is that of the endpoint when it sent the last delivered event.
 	Incarnation id.Incarnation
 	// Delivered is the number of the last event that the caller has.
 	Delivered int
-	// Text is the answer up to there, if the caller sent it and it was proved.
+	// Text is the answer up to that event, if the caller sent it and it was verified.
 	Text string
-	// HasText tells an empty text from one that was not sent.
+	// HasText distinguishes an empty text from one that was not sent.
 	HasText bool
 }
 
@@ -57,12 +57,12 @@
 	Attempt     id.Request
 	Endpoint    id.Endpoint
 	Incarnation id.Incarnation
-	// PromptTokens as the engine counted them.
+	// PromptTokens is the engine's count of the prompt's tokens.
 	PromptTokens int
 }
 
-// Sink takes the answer. Deliver blocks while the caller is slow and fails
-// when the caller is gone.
+// Sink receives the answer. Deliver blocks while the caller is slow and returns an
+// error if the caller is gone.
 type Sink interface {
 	Deliver(ctx context.Context, e Event) error
 }
@@ -77,44 +77,46 @@
 	Progress(p sched.Progress)
 }
 
-// TokenStream is an answer being written.
+// TokenStream is an answer that an engine generates.
 type TokenStream interface {
 	// Next returns the next event as it arrives. Its error is a *verdict.Error.
 	Next() (wire.TokenEvent, error)
-	// Close aborts the stream at once.
+	// Close aborts the stream immediately.
 	Close() error
-	// Incarnation of the engine that writes.
+	// Incarnation returns the incarnation of the engine that generates the answer.
 	Incarnation() id.Incarnation
 }
 
-// Engines meets the model engines.
+// Engines calls the model engines.
 type Engines interface {
 	Prefill(ctx context.Context, e *live.Endpoint, r *wire.PrefillRequest) (*wire.PrefillResponse, error)
 	Decode(ctx context.Context, e *live.Endpoint, r *wire.DecodeRequest) (TokenStream, error)
 	Resume(ctx context.Context, e *live.Endpoint, attempt id.Request, after int, owner id.Process) (TokenStream, error)
 }
 
-// Canceller sees to it that an endpoint drops a request, however long it takes.
+// Canceller repeats a cancel until the endpoint has dropped the request, however long
+// that takes.
 type Canceller interface {
-	// Cancel ends the request at the endpoint; done is called once the endpoint
-	// has confirmed or has lost its state, and may be nil.
+	// Cancel cancels the request at the endpoint. done is called once the endpoint
+	// has confirmed or has lost its state; it may be nil.
 	Cancel(e *live.Endpoint, attempt id.Request, done func())
-	// ReleaseKV frees an exported KV cache that nobody will import.
+	// ReleaseKV frees an exported KV cache that will not be imported.
 	ReleaseKV(e *live.Endpoint, attempt id.Request, kv string)
 }
 
-// Retry is the answer of a Retrier.
+// Retry is the decision of a Retrier.
 type Retry struct {
 	Again  bool
 	Delay  time.Duration
 	Reason string
 }
 
-// Retrier holds the retry budgets.
+// Retrier decides about retries within the retry budgets.
 type Retrier interface {
-	// Decide says whether attempt number n that failed with err is followed by another.
+	// Decide returns whether another attempt follows attempt number n, which failed
+	// with err.
 	Decide(team *live.Team, err *verdict.Error, n int, remaining time.Duration) Retry
-	// Success feeds the budgets.
+	// Success records a success, which refills the budgets.
 	Success(team *live.Team)
 }
 
