--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -7,19 +7,20 @@
 	"github.com/samphirequay/samphirequay/core/quota"
 )
 
-// mostAnswered is how many answers the keeper remembers: those of a second and
-// more, within which a question may come again.
+// maxAnswered is the number of replies that the keeper caches: those of more than a
+// second, within which a request may be repeated.
 const maxAnswered = 2048
 
-// reply answers another daemon; a lost answer is asked for again.
+// reply sends a reply to another daemon. The requester repeats its request if the
+// reply is lost.
 func (q *Quotas) reply(to id.Daemon, e *Envelope) {
 	if err := q.cfg.Send(to, e); err != nil {
 		q.cfg.Log("quota_answer_lost", "peer", to, "why", err)
 	}
 }
 
-// charge fills in what the ledger must know; ok is false for a team without a
-// limit.
+// newCharge returns a charge for the ledger; ok is false for a team without a limit.
+// known is the requester's limit, for a team that is not in the configuration here.
 func (q *Quotas) newCharge(now time.Duration, team id.Team, cost float64, known *quota.Limit) (c quota.Charge, ok bool) {
 	q.refreshFleet(now)
 	limit, found := q.cfg.Limit(team)
@@ -29,51 +30,52 @@
 	return quota.Charge{Team: team, Limit: limit, Cost: cost, Share: q.share}, limit.Limited()
 }
 
-// question names one question of one daemon.
+// requestKey identifies a ChargeRequest over all daemons.
 type requestKey struct {
 	from id.Daemon
 	seq  uint64
 }
 
-// decideOnce answers a question. One that comes again, since its answer was late
-// or lost, is not charged again.
-func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, a *ChargeRequest) *ChargeReply {
-	asked := requestKey{from: from, seq: a.Seq}
-	if before, known := q.answered.Get(asked); known {
-		return before
+// decideOnce replies to a request. A request that is repeated, since its reply was
+// late or lost, is not charged again.
+func (q *Quotas) decideOnce(now time.Duration, from id.Daemon, req *ChargeRequest) *ChargeReply {
+	key := requestKey{from: from, seq: req.Seq}
+	if cached, known := q.answered.Get(key); known {
+		return cached
 	}
-	r := q.decide(now, a)
-	q.answered.Add(asked, r)
+	r := q.decide(now, req)
+	q.answered.Add(key, r)
 	return r
 }
 
-// decide answers a question, as the keeper.
-func (q *Quotas) decide(now time.Duration, a *ChargeRequest) *ChargeReply {
-	c, limited := q.newCharge(now, a.Team, a.Cost, &a.Limit)
+// decide decides about a request, as the keeper.
+func (q *Quotas) decide(now time.Duration, req *ChargeRequest) *ChargeReply {
+	c, limited := q.newCharge(now, req.Team, req.Cost, &req.Limit)
 	if !limited {
-		return &ChargeReply{Seq: a.Seq, Granted: true}
+		return &ChargeReply{Seq: req.Seq, Granted: true}
 	}
 	granted, refused := q.ledger.Take(now, c)
-	balance, _ := q.ledger.Balance(a.Team)
-	return &ChargeReply{Seq: a.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
+	balance, _ := q.ledger.Balance(req.Team)
+	return &ChargeReply{Seq: req.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
 }
 
-// owe takes what was spent ahead, as the keeper, and tells who is in debt.
+// chargeDebts charges what a daemon spent in advance, as the keeper, and returns the
+// teams that are in debt.
 func (q *Quotas) chargeDebts(now time.Duration, s *Settlement) *DebtNotice {
-	shut := &DebtNotice{}
+	notice := &DebtNotice{}
 	for _, d := range s.Debts {
 		c, limited := q.newCharge(now, d.Team, d.Cost, nil)
 		if !limited {
 			continue
 		}
 		if wait := q.ledger.Owe(now, c); wait > 0 {
-			shut.Teams = append(shut.Teams, IndebtedTeam{Team: d.Team, Wait: wait})
+			notice.Teams = append(notice.Teams, IndebtedTeam{Team: d.Team, Wait: wait})
 		}
 	}
-	return shut
+	return notice
 }
 
-// giveBack takes back what was granted for nothing, as the keeper.
+// refund credits what was granted for a request that has not run, as the keeper.
 func (q *Quotas) refund(now time.Duration, r *Refund) {
 	if c, limited := q.newCharge(now, r.Team, r.Cost, nil); limited {
 		q.ledger.Return(now, c)
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -1,8 +1,8 @@
-// Package quotas is the duty that holds teams to their limits over all daemons.
-// For each team one daemon, the keeper, has an account (core/quota); the keeper
-// is the owner of a pool, to which all daemons are connected anyway. A request
-// is charged before it is sent: a large one waits for the keeper's word, a small
-// one is paid ahead and settled a little later.
+// Package quotas enforces the limits of teams over all daemons together. One daemon,
+// the keeper, has an account for each team (core/quota). The keeper is the owner of a
+// pool, to which all daemons are connected anyway. A request is charged before it is
+// sent: a large request waits for the keeper's reply, a small one is charged locally in
+// advance and settled with the keeper a little later.
 package quotas
 
 import (
@@ -20,28 +20,28 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// DefaultKey is what the keeper is chosen by until SetKey, and where there are
-// no pools.
+// DefaultKey is the key by which the keeper is chosen until SetKey is called, and if
+// there are no pools.
 const DefaultKey = "quotas"
 
 const (
-	// settleEvery is how long what was paid ahead waits to be settled with the
-	// keeper, together with what comes meanwhile.
+	// settleEvery is the interval of settlements with the keeper. A settlement covers
+	// everything that was spent in advance since the last one.
 	settleEvery = 500 * time.Millisecond
-	// lookEvery is the time between two counts of the daemons.
+	// countEvery is the minimum time between two counts of the daemons.
 	countEvery = 250 * time.Millisecond
-	// askAgain is how long an answer may take before the question is sent again:
-	// the keeper may have changed, or the message is lost.
+	// resendAfter is how long a reply may take before the request is sent again: the
+	// keeper may have changed, or the message may be lost.
 	resendAfter = 150 * time.Millisecond
-	// mostAsked bounds the requests that wait for the keeper.
+	// maxPending bounds the requests that wait for the keeper.
 	maxPending = 4096
-	// ringSize bounds the work that waits for the duty.
+	// ringSize bounds the work that is queued for the duty.
 	ringSize = 1024
 )
 
-// Fleet is what the duty must know of the other daemons.
+// Fleet counts the daemons.
 type Fleet struct {
-	// Daemons is how many may be at work, Reached how many of them are heard.
+	// Daemons is how many may be running, Reached how many of them are reachable.
 	Daemons, Reached int
 }
 
@@ -63,19 +63,19 @@
 // Config of a Quotas.
 type Config struct {
 	Self id.Daemon
-	// Send sends a message to another daemon without waiting. What is lost is
-	// asked again.
+	// Send sends a message to another daemon without waiting. Requests that are lost
+	// are sent again.
 	Send func(to id.Daemon, e *Envelope) error
-	// Limit is a team's by the configuration in force here.
+	// Limit returns a team's limit in this daemon's configuration.
 	Limit func(team id.Team) (quota.Limit, bool)
 	// Tolerance is by how much limits may be exceeded.
 	Tolerance quota.Tolerance
-	// Fleet counts the daemons.
+	// Fleet returns the current counts of daemons.
 	Fleet   func() Fleet
 	Log     func(event string, kv ...any)
 	Metrics *metrics.Registry
 	Now     func() time.Duration
-	// Ready holds the duty back until it is closed.
+	// Ready delays the start of the duty until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -84,22 +84,23 @@
 	cfg  Config
 	duty *duty.Duty
 
-	// key is what the keeper is chosen by among the members.
+	// key is the key by which the keeper is chosen among the members.
 	key     string
 	members []id.Daemon
 	keeper  id.Daemon
 	ledger  *quota.Ledger
 	purse   *quota.Purse
-	// share is the part of the limits that this daemon may grant as the keeper.
+	// share is the fraction of the limits that this daemon may grant as the keeper.
 	share   float64
 	pending map[uint64]*pendingCharge
 	seq     atomic.Uint64
-	// answered are the last answers that this daemon gave as the keeper.
+	// answered caches the last replies that this daemon sent as the keeper.
 	answered *simplelru.LRU[requestKey, *ChargeReply]
-	// owes is set while something was paid ahead, settleAt is when it is settled.
+	// hasDebts is set while something was spent in advance; settleAt is when it is
+	// settled.
 	hasDebts bool
 	settleAt time.Duration
-	// lookAt is when the daemons are counted next.
+	// nextCount is when the daemons are counted next.
 	nextCount time.Duration
 
 	accounts   *metrics.Gauge
@@ -107,18 +108,18 @@
 	unanswered *metrics.Counter
 }
 
-// asked is a request that waits for the keeper.
+// pendingCharge is a request that waits for the keeper.
 type pendingCharge struct {
-	ask    ChargeRequest
-	sentAt time.Duration
-	answer chan<- ChargeReply
+	request ChargeRequest
+	sentAt  time.Duration
+	answer  chan<- ChargeReply
 }
 
-// New returns a Quotas whose duty is running.
+// New returns a Quotas and starts its duty.
 func New(cfg Config) *Quotas {
 	answered, err := simplelru.NewLRU[requestKey, *ChargeReply](maxAnswered, nil)
 	if err != nil {
-		panic("quotas: memory of answers: " + err.Error())
+		panic("quotas: cache of replies: " + err.Error())
 	}
 	q := &Quotas{
 		answered:   answered,
@@ -131,16 +132,17 @@
 		unanswered: cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
 	}
 	q.accounts = cfg.Metrics.Gauge("quota_accounts", metrics.UnitCount, "Accounts of teams that this daemon keeps.")
-	// A daemon that starts again must not go on with the numbers that it had.
+	// After a restart, the daemon must not reuse sequence numbers: the keeper may have
+	// cached replies to them.
 	q.seq.Store(rand.Uint64())
 	q.duty = duty.Start(duty.Config{Name: "quotas", Ring: ringSize, Now: cfg.Now, Tick: q.tick, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return q
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (q *Quotas) Close() { q.duty.Close() }
 
-// SetMembers takes the daemons that the keeper is chosen among.
+// SetMembers sets the daemons among which the keeper is chosen.
 func (q *Quotas) SetMembers(members []id.Daemon) {
 	q.duty.Post(func(now time.Duration) {
 		q.members = members
@@ -148,8 +150,8 @@
 	})
 }
 
-// SetKey takes what the keeper is chosen by: the owner of the pool of that name
-// keeps the accounts.
+// SetKey sets the key by which the keeper is chosen. With the name of a pool as the
+// key, the owner of that pool keeps the accounts.
 func (q *Quotas) SetKey(key string) {
 	q.duty.Post(func(now time.Duration) {
 		q.key = key
@@ -159,7 +161,7 @@
 	})
 }
 
-// choose finds the keeper. One that has changed is asked again what waits.
+// chooseKeeper determines the keeper. It sends pending requests to a new keeper.
 func (q *Quotas) chooseKeeper(now time.Duration) {
 	keeper := rendezvous.Owner(q.key, q.members)
 	if keeper == q.keeper {
@@ -167,11 +169,11 @@
 	}
 	q.cfg.Log("quota_keeper_changed", "keeper", keeper, "before", q.keeper, "accounts", q.ledger.Len())
 	q.keeper = keeper
-	// What other keepers grant meanwhile is not known here.
+	// The accounts here are outdated once other keepers have granted requests.
 	q.ledger = quota.NewLedger(q.cfg.Tolerance)
 	q.purse.Open()
-	for _, a := range q.pending {
-		q.sendRequest(now, a)
+	for _, p := range q.pending {
+		q.sendRequest(now, p)
 	}
 }
 
@@ -183,17 +185,17 @@
 	if q.hasDebts {
 		next = q.settleAt
 	}
-	for _, a := range q.pending {
-		if now-a.sentAt >= resendAfter {
-			q.sendRequest(now, a)
+	for _, p := range q.pending {
+		if now-p.sentAt >= resendAfter {
+			q.sendRequest(now, p)
 		}
-		next = min(next, a.sentAt+resendAfter)
+		next = min(next, p.sentAt+resendAfter)
 	}
 	return next
 }
 
-// look takes how many daemons there are, now and then: only while there are
-// requests.
+// refreshFleet updates the counts of daemons if they are due. It is called for
+// requests and settlements only, so that an idle daemon does not count.
 func (q *Quotas) refreshFleet(now time.Duration) {
 	if now < q.nextCount {
 		return
@@ -206,7 +208,7 @@
 	q.accounts.Set(float64(q.ledger.Len()))
 }
 
-// settle tells the keeper what was spent ahead.
+// settle reports to the keeper what was spent in advance.
 func (q *Quotas) settle(now time.Duration) {
 	if q.keeper == "" {
 		q.settleAt = now + settleEvery
@@ -227,20 +229,21 @@
 	}
 }
 
-// ask asks the keeper, or answers where that is this daemon.
-func (q *Quotas) sendRequest(now time.Duration, a *pendingCharge) {
-	a.sentAt = now
+// sendRequest sends a request to the keeper, or decides it if this daemon is the
+// keeper.
+func (q *Quotas) sendRequest(now time.Duration, p *pendingCharge) {
+	p.sentAt = now
 	switch q.keeper {
 	case "":
 	case q.cfg.Self:
-		q.handleReply(now, q.decide(now, &a.ask))
+		q.handleReply(now, q.decide(now, &p.request))
 	default:
-		// What can't be sent is asked again.
-		_ = q.cfg.Send(q.keeper, &Envelope{Charge: &a.ask})
+		// A request that can't be sent is sent again after resendAfter.
+		_ = q.cfg.Send(q.keeper, &Envelope{Charge: &p.request})
 	}
 }
 
-// Receive takes a message from another daemon.
+// Receive handles a message from another daemon.
 func (q *Quotas) Receive(from id.Daemon, e *Envelope) {
 	q.duty.Post(func(now time.Duration) { q.handle(now, from, e) })
 }
@@ -250,8 +253,8 @@
 	case e.Charge != nil:
 		q.reply(from, &Envelope{Reply: q.decideOnce(now, from, e.Charge)})
 	case e.Settlement != nil:
-		if shut := q.chargeDebts(now, e.Settlement); len(shut.Teams) > 0 {
-			q.reply(from, &Envelope{DebtNotice: shut})
+		if notice := q.chargeDebts(now, e.Settlement); len(notice.Teams) > 0 {
+			q.reply(from, &Envelope{DebtNotice: notice})
 		}
 	case e.Refund != nil:
 		q.refund(now, e.Refund)
@@ -262,19 +265,19 @@
 	}
 }
 
-// takeReply hands the keeper's word to the request that waits for it.
+// handleReply passes the keeper's reply to the request that waits for it.
 func (q *Quotas) handleReply(now time.Duration, r *ChargeReply) {
-	a := q.pending[r.Seq]
-	if a == nil {
+	p := q.pending[r.Seq]
+	if p == nil {
 		return
 	}
 	delete(q.pending, r.Seq)
 	if !r.Granted {
-		q.purse.Shut(now, a.ask.Team, quota.Refusal{Wait: r.Wait, Back: r.RetryAfter})
+		q.purse.Shut(now, p.request.Team, quota.Refusal{Wait: r.Wait, Back: r.RetryAfter})
 	}
 	answer := *r
 	answer.keeper = q.keeper
-	a.answer <- answer
+	p.answer <- answer
 }
 
 func (q *Quotas) handleDebtNotice(now time.Duration, s *DebtNotice) {
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -18,15 +18,15 @@
 const (
 	desk = id.Team("desk")
 	key  = "pool"
-	// patience is longer than any test waits for an answer that comes.
+	// patience is longer than any test waits for a reply that arrives.
 	patience = 20 * time.Second
 )
 
-// bounded is a limit that gives nothing more within a test, once its account is
-// empty.
+// withoutRefill is a limit whose account does not refill noticeably within a test.
 var withoutRefill = quota.Limit{Rate: 1e-9, Burst: 8}
 
-// fleet is some duties in one process; messages to those in mute are lost.
+// fleet runs the duties of several daemons in one process. Messages to and from the
+// unreachable daemons are lost.
 type fleet struct {
 	mu          sync.Mutex
 	unreachable map[id.Daemon]bool
@@ -38,7 +38,7 @@
 func newFleet(t *testing.T, tolerance quota.Tolerance, names ...id.Daemon) *fleet {
 	t.Helper()
 	f := &fleet{unreachable: map[id.Daemon]bool{}, members: names, duties: map[id.Daemon]*Quotas{}, limit: withoutRefill}
-	begun := time.Now()
+	start := time.Now()
 	for _, name := range names {
 		q := New(Config{
 			Self:      name,
@@ -48,7 +48,7 @@
 			Fleet:     func() Fleet { return Fleet{Daemons: len(names), Reached: len(names)} },
 			Log:       func(string, ...any) {},
 			Metrics:   metrics.New(string(name)),
-			Now:       func() time.Duration { return time.Since(begun) },
+			Now:       func() time.Duration { return time.Since(start) },
 		})
 		t.Cleanup(q.Close)
 		q.SetKey(key)
@@ -58,7 +58,7 @@
 		q.SetMembers(names)
 	}
 	for _, q := range f.duties {
-		// They have all taken their members.
+		// Wait until SetMembers has taken effect.
 		q.duty.Query(func(time.Duration) {})
 	}
 	return f
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// keeper and another one.
+// keeper returns the keeper and another daemon.
 func (f *fleet) keeper() (keeper, other id.Daemon) {
 	keeper = rendezvous.Owner(key, f.members)
 	for _, name := range f.members {
@@ -105,7 +105,7 @@
 			is.True(err.RetryAfter > 0)
 		}
 	}
-	is.True(granted == 4 || granted == 5) // half of the burst, and one that leaves a debt
+	is.True(granted == 4 || granted == 5) // half of the burst, and one request that leaves a debt
 }
 
 func TestRefundRestoresTheBalance(t *testing.T) {
@@ -134,7 +134,8 @@
 	is.Equal(err.Verdict, verdict.NotRun)
 }
 
-// TestAnotherKeeperAnswersWhatTheSilentOneDidNot: the request waits meanwhile.
+// TestNewKeeperAnswersPendingRequests: a request that waits for an unreachable keeper
+// must get its reply from the next keeper.
 func TestNewKeeperAnswersPendingRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b", "c")
@@ -168,18 +169,19 @@
 	is.Equal(err.Verdict, verdict.NotRun)
 }
 
-// TestAQuestionThatComesAgainIsChargedOnce: its answer was late, or lost.
+// TestRepeatedRequestIsChargedOnce: a request is repeated since its reply was late or
+// lost.
 func TestRepeatedRequestIsChargedOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	keeper, other := f.keeper()
-	ask := &ChargeRequest{Seq: 7, Team: desk, Limit: f.limit, Cost: 1}
+	request := &ChargeRequest{Seq: 7, Team: desk, Limit: f.limit, Cost: 1}
 	balance := 0.0
 	for range 5 {
 		f.duties[keeper].duty.Query(func(now time.Duration) {
-			is.True(f.duties[keeper].decideOnce(now, other, ask).Granted)
+			is.True(f.duties[keeper].decideOnce(now, other, request).Granted)
 			balance, _ = f.duties[keeper].ledger.Balance(desk)
 		})
 	}
-	is.True(balance >= 3) // of the four that were there
+	is.True(balance >= 3) // of the initial balance of 4
 }
