--- a/daemon/quotas/messages.go
+++ b/daemon/quotas/messages.go
@@ -39,7 +39,7 @@
 	Balance float64 `cbor:"4,keyasint,omitempty"`
 	// keeper is the daemon that sent the reply; the receiver sets it. repeated is set
 	// if an earlier refusal of the keeper is repeated locally. overloaded is set if
-	// the keeper was not asked because too many requests are pending.
+	// the keeper was not contacted because too many requests are pending.
 	keeper     id.Daemon
 	repeated   bool
 	overloaded bool
