--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -1,7 +1,6 @@
-// Package placer is the duty that places models on engines. Every daemon runs
-// it; the one that holds the lease acts. It drives core/lease and
-// core/placement: it reads the engines' state, and sends each order only
-// through the lease's gate.
+// Package placer places models on engines. Every daemon runs its duty, but only the
+// holder of the lease acts. The duty drives core/lease and core/placement: it reads
+// the state of the engines and sends each order only if the lease's gate allows it.
 package placer
 
 import (
@@ -32,11 +31,11 @@
 	decideEvery = 250 * time.Millisecond
 	// observeEvery is the pause between two readings of the engines.
 	observeEvery = time.Second
-	// longestOrder is the longest that an order may be on its way.
+	// maxOrderTime bounds the time from sending an order to its arrival at the engine.
 	maxOrderTime = 3 * time.Second
 )
 
-// Config is what the duty works with.
+// Config holds the settings and dependencies of a Placer.
 type Config struct {
 	Self      id.Process
 	Store     *store.Store
@@ -44,19 +43,20 @@
 	Endpoints *endpoints.Set
 	Work      *workpool.Pool
 	Metrics   *metrics.Registry
-	// Decide writes a decision about an endpoint's placement.
+	// Decide logs a decision about an endpoint's placement.
 	Decide func(e id.Endpoint, event string, kv ...any)
-	// Log takes one line an event.
+	// Log writes one line per event.
 	Log func(event string, kv ...any)
-	// Drain tells the pool's owner to stop, or resume, new work on an endpoint.
+	// Drain requests that the pool's owner stops, or resumes, new work on an endpoint.
 	Drain func(p id.Pool, e id.Endpoint, on bool)
-	// Demand gives the utilisation of the pools.
+	// Demand returns the utilisation of the pools.
 	Demand func(ctx context.Context) []placement.Demand
 	Now    func() time.Duration
 	Rand   *rand.Rand
 	Lease  lease.Config
 	Core   placement.Config
-	Ready  <-chan struct{}
+	// Ready delays the start of the duty until it is closed.
+	Ready <-chan struct{}
 }
 
 // Placer is the running duty.
@@ -91,10 +91,10 @@
 	return p
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (p *Placer) Close() { p.duty.Close() }
 
-// Holder returns the lease's row as last seen.
+// Holder returns the lease's row as last read.
 func (p *Placer) Holder() lease.Row {
 	if row := p.holder.Load(); row != nil {
 		return *row
@@ -102,7 +102,7 @@
 	return lease.Row{}
 }
 
-// SetIndex takes a new configuration.
+// SetIndex sets the configuration.
 func (p *Placer) SetIndex(x *live.Index) {
 	p.duty.Post(func(now time.Duration) {
 		p.index = x
@@ -110,13 +110,13 @@
 	})
 }
 
-// Halt stops acting at once, as when this daemon was declared dead. It returns
-// when no further order will be sent.
+// Halt stops acting immediately, for example after this daemon was declared dead. When
+// it returns, no further order will be sent.
 func (p *Placer) Halt() {
 	p.duty.Query(func(now time.Duration) { p.performLease(now, p.lease.Halt(now)) })
 }
 
-// Release gives the lease up, so that another daemon takes it at once.
+// Release releases the lease, so that another daemon can acquire it immediately.
 func (p *Placer) Release() {
 	p.duty.Post(func(now time.Duration) { p.performLease(now, p.lease.Release(now, false)) })
 }
@@ -143,7 +143,7 @@
 	return min(next, p.nextDecision, p.nextObservation)
 }
 
-// follow does what the lease asks for.
+// performLease performs the actions of the lease.
 func (p *Placer) performLease(now time.Duration, actions []lease.Action) {
 	for _, a := range actions {
 		switch {
@@ -160,8 +160,8 @@
 	}
 }
 
-// keepDrains repeats the drains under way: a pool's owner drops one that is
-// not repeated, so that a holder that died leaves none behind.
+// repeatDrains repeats the active drains. A pool's owner ends a drain that is not
+// repeated, so that none outlasts a holder that died.
 func (p *Placer) repeatDrains() {
 	for _, e := range p.core.Draining() {
 		for i := range p.index.Document().Pools {
@@ -179,7 +179,7 @@
 	})
 }
 
-// observe reads every engine's state and the pools' demand.
+// observe reads the state of every engine and the demand of the pools.
 func (p *Placer) observe() {
 	seen := make(map[id.Endpoint]bool)
 	for i := range p.index.Document().Pools {
@@ -231,6 +231,7 @@
 	})
 }
 
+// performPlacement performs the actions of core/placement.
 func (p *Placer) performPlacement(now time.Duration, actions []placement.Action) {
 	for _, a := range actions {
 		switch {
@@ -246,8 +247,8 @@
 	}
 }
 
-// order sends an order if the gate lets it through right now; placement
-// repeats one that was not carried out.
+// order sends an order if the gate allows it now. core/placement repeats an order that
+// was not carried out.
 func (p *Placer) order(now time.Duration, o *placement.Order) {
 	endpoint, ok := p.index.Endpoint(o.Endpoint)
 	if !ok {
@@ -270,7 +271,8 @@
 }
 
 func (p *Placer) send(e *live.Endpoint, order wire.Order) {
-	// The lease is asked again right before sending: the work may have waited.
+	// Check the lease again right before sending: the work may have been queued for
+	// some time.
 	valid := false
 	p.duty.Query(func(now time.Duration) { valid = p.lease.Valid(now) && p.lease.Fence() == order.Fence })
 	if !valid {
@@ -284,7 +286,7 @@
 	}
 }
 
-// reserve asks the weight store for one load.
+// reserve requests a grant for one load from the weight store.
 func (p *Placer) reserve(g *placement.GrantRequest) {
 	p.cfg.Work.Submit(func() {
 		ctx, cancel := endpoints.Short(p.duty.Context())
--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -22,11 +22,11 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// waitLimit bounds every wait of a test for something that will happen.
+// waitLimit bounds every wait of a test for an expected state.
 const waitLimit = 30 * time.Second
 
-// clock is a process's clock. While paused, whoever reads it stands still, as
-// a stopped process does.
+// clock is the clock of a process. While it is paused, its readers block, like a
+// stopped process.
 type clock struct {
 	mu    sync.Mutex
 	start time.Time
@@ -41,7 +41,7 @@
 func (c *clock) pause()  { c.mu.Lock() }
 func (c *clock) resume() { c.mu.Unlock() }
 
-// site is a platform with a few engines and its configuration.
+// harness is a platform with a few engines and its configuration.
 type harness struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -66,10 +66,10 @@
 	return &harness{t: t, platform: p, index: live.NewIndex(normal), clients: endpoints.New(nil)}
 }
 
-// placer starts the duty of one process.
-func (s *harness) placer(name id.Daemon, c *clock) *Placer {
-	s.t.Helper()
-	is := is.New(s.t)
+// placer starts a Placer for one process.
+func (h *harness) placer(name id.Daemon, c *clock) *Placer {
+	h.t.Helper()
+	is := is.New(h.t)
 	registry := metrics.New(string(name))
 	work, err := workpool.New("short", 64, registry)
 	is.NoErr(err)
@@ -78,12 +78,12 @@
 	leases.Margin = 100 * time.Millisecond
 	leases.RenewEvery = 200 * time.Millisecond
 	leases.WatchEvery = 100 * time.Millisecond
-	table := client.NewTable(s.platform.Addresses().Table, client.Options{})
+	table := client.NewTable(h.platform.Addresses().Table, client.Options{})
 	p := Start(Config{
 		Self:      id.Process{Daemon: name, Incarnation: 1},
 		Store:     store.New(store.TableService{Client: table}, work, registry),
-		Weights:   client.NewWeights(s.platform.Addresses().Weights, client.Options{}),
-		Endpoints: s.clients,
+		Weights:   client.NewWeights(h.platform.Addresses().Weights, client.Options{}),
+		Endpoints: h.clients,
 		Work:      work,
 		Metrics:   registry,
 		Decide:    func(id.Endpoint, string, ...any) {},
@@ -95,35 +95,35 @@
 		Lease:     leases,
 		Core:      placement.DefaultConfig(),
 	})
-	s.t.Cleanup(func() {
+	h.t.Cleanup(func() {
 		p.Close()
 		work.Close()
 	})
-	p.SetIndex(s.index)
+	p.SetIndex(h.index)
 	return p
 }
 
-func (s *harness) waitFor(what string, holds func() bool) {
-	s.t.Helper()
+func (h *harness) waitFor(what string, holds func() bool) {
+	h.t.Helper()
 	deadline := time.Now().Add(waitLimit)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for !holds() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not within %s: %s", waitLimit, what)
+			h.t.Fatalf("not within %s: %s", waitLimit, what)
 		}
 		<-ticker.C
 	}
 }
 
-// engine finds an engine by whether it checks fencing numbers.
-func (s *harness) engine(checks bool) (*client.Engine, live.Endpoint) {
-	for _, e := range s.index.Document().Endpoints {
+// engine returns an engine that checks fencing numbers, or one that does not.
+func (h *harness) engine(checks bool) (*client.Engine, live.Endpoint) {
+	for _, e := range h.index.Document().Endpoints {
 		if e.ChecksFencing == checks {
-			return s.clients.Engine(e.Address), e
+			return h.clients.Engine(e.Address), e
 		}
 	}
-	s.t.Fatal("no such engine")
+	h.t.Fatal("no such engine")
 	return nil, live.Endpoint{}
 }
 
@@ -133,51 +133,52 @@
 	return held
 }
 
-// TestOrderOfAPausedHolder has a holder stopped in the middle of an order until
-// after its lease went to another, and then lets the order go.
+// TestOrderOfAPausedHolder pauses a holder while its order is in flight. The order
+// arrives after another process has acquired the lease: an engine that checks fencing
+// numbers must refuse it, and the new holder must repair one that does not.
 func TestOrderOfAPausedHolder(t *testing.T) {
 	is := is.New(t)
-	s := newHarness(t)
+	h := newHarness(t)
 	first, second := &clock{start: time.Now()}, &clock{start: time.Now()}
-	a := s.placer("a", first)
-	s.waitFor("a holds the lease", a.holds)
-	b := s.placer("longer", second)
+	a := h.placer("a", first)
+	h.waitFor("a holds the lease", a.holds)
+	b := h.placer("longer", second)
 
 	oldFence := a.gate.Fence()
 	first.pause()
-	s.waitFor("b took the lease over", b.holds)
+	h.waitFor("b took the lease over", b.holds)
 	is.True(b.gate.Fence() > oldFence)
 
-	// The order that a's process had under way arrives now.
+	// The order that a had in flight arrives now.
 	for _, checks := range []bool{true, false} {
-		engine, endpoint := s.engine(checks)
+		engine, endpoint := h.engine(checks)
 		before, err := engine.OrderState(context.Background())
 		is.NoErr(err)
 		stale := wire.Order{Fence: oldFence, Model: "something-else", Version: "0", Role: before.Role}
-		s.waitFor("b has ordered or the gate is open", func() bool { return b.passage(endpoint) == lease.Open })
+		h.waitFor("b has ordered or the gate is open", func() bool { return b.passage(endpoint) == lease.Open })
 		if checks {
-			// b's fence reaches the engine with its next order.
+			// The engine learns b's fence from b's next order.
 			_, err = engine.Order(context.Background(), wire.Order{Fence: b.gate.Fence(), Model: before.Model, Adapter: before.Adapter, Version: before.Version, Role: before.Role})
 			is.NoErr(err)
 		}
 		_, err = engine.Order(context.Background(), stale)
 		if checks {
-			is.True(err != nil) // refused: no order of a's takes effect
+			is.True(err != nil) // refused: a's order must not take effect
 		} else {
-			is.NoErr(err) // obeyed, and put right below
+			is.NoErr(err) // executed; b repairs it below
 		}
-		s.waitFor("the endpoint has its desired state", func() bool {
+		h.waitFor("the endpoint has its desired state", func() bool {
 			now, err := engine.OrderState(context.Background())
 			return err == nil && now.Ready && now.Model == before.Model && now.Version == before.Version && now.Role == before.Role
 		})
 	}
 
 	first.resume()
-	is.True(!a.holds()) // woken, it knows that it holds nothing
+	is.True(!a.holds()) // after the pause, a must not consider itself the holder
 	is.True(b.holds())
 }
 
-// passage asks the gate as an order would.
+// passage returns what the gate returns for an order to the endpoint.
 func (p *Placer) passage(e live.Endpoint) lease.Passage {
 	var passage lease.Passage
 	p.duty.Query(func(now time.Duration) { passage = p.gate.Allow(now, e.Name, e.ChecksFencing) })
@@ -186,26 +187,26 @@
 
 func TestReleaseHandsOverAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := newHarness(t)
-	a := s.placer("a", &clock{start: time.Now()})
-	s.waitFor("a holds the lease", a.holds)
-	b := s.placer("longer", &clock{start: time.Now()})
+	h := newHarness(t)
+	a := h.placer("a", &clock{start: time.Now()})
+	h.waitFor("a holds the lease", a.holds)
+	b := h.placer("longer", &clock{start: time.Now()})
 	a.Release()
-	s.waitFor("b holds the lease", b.holds)
+	h.waitFor("b holds the lease", b.holds)
 	is.True(!a.holds())
-	s.waitFor("status pages name b", func() bool { return b.Holder().Holder.Daemon == "longer" })
+	h.waitFor("status pages name b", func() bool { return b.Holder().Holder.Daemon == "longer" })
 }
 
 func TestLabelChangesTheRole(t *testing.T) {
-	s := newHarness(t)
-	p := s.placer("a", &clock{start: time.Now()})
-	engine, endpoint := s.engine(true)
-	s.waitFor("the engine was seen", func() bool {
+	h := newHarness(t)
+	p := h.placer("a", &clock{start: time.Now()})
+	engine, endpoint := h.engine(true)
+	h.waitFor("the engine was seen", func() bool {
 		known := false
 		p.duty.Query(func(time.Duration) { _, known = p.core.Desired(endpoint.Name) })
 		return known
 	})
-	doc := *s.index.Document()
+	doc := *h.index.Document()
 	doc.Endpoints = append([]live.Endpoint(nil), doc.Endpoints...)
 	for i := range doc.Endpoints {
 		if doc.Endpoints[i].Name == endpoint.Name {
@@ -217,7 +218,7 @@
 		}
 	}
 	p.SetIndex(live.NewIndex(&doc))
-	s.waitFor("the engine decodes", func() bool {
+	h.waitFor("the engine decodes", func() bool {
 		state, err := engine.OrderState(context.Background())
 		return err == nil && state.Ready && state.Role == string(live.RoleDecode)
 	})
