--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -1,7 +1,6 @@
-// Package cancels is the duty that frees what endpoints hold for requests that
-// nobody waits for. It drives core/reap: cancels are repeated until they are
-// certain, and the work of processes that ended is found in the endpoints'
-// own lists.
+// Package cancels frees what endpoints hold for requests whose results are no longer
+// needed. Its duty drives core/reap: it repeats cancels until they are confirmed, and
+// finds the requests of terminated processes in the lists of the endpoints.
 package cancels
 
 import (
@@ -19,18 +18,18 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// Config is what the duty works with.
+// Config holds the dependencies of a Cancels.
 type Config struct {
 	Self      id.Process
 	Endpoints *endpoints.Set
-	// Address finds an endpoint's address in the configuration in force.
+	// Address returns an endpoint's address in the configuration in force.
 	Address func(e id.Endpoint) (string, bool)
 	Work    *workpool.Pool
 	Metrics *metrics.Registry
-	// Log takes one line an event.
+	// Log writes one line per event.
 	Log func(event string, kv ...any)
 	Now func() time.Duration
-	// Ready holds the duty back until it is closed.
+	// Ready delays the start of the duty until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -68,7 +67,7 @@
 	return c
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (c *Cancels) Close() { c.duty.Close() }
 
 func (c *Cancels) tick(now time.Duration) time.Duration {
@@ -77,14 +76,15 @@
 	return c.canceller.Next()
 }
 
-// Enter marks an attempt as this daemon's own work; Exit ends it.
+// Enter marks an attempt as active in this daemon, so that it is not cancelled as an
+// orphan, until Exit is called.
 func (c *Cancels) Enter(r id.Request) {
 	c.mu.Lock()
 	c.active[r]++
 	c.mu.Unlock()
 }
 
-// Exit ends what Enter began.
+// Exit reverts one Enter.
 func (c *Cancels) Exit(r id.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,9 +100,9 @@
 	return c.active[r] > 0
 }
 
-// Cancel implements completion.Canceller. It is conditional on this process
-// still owning the request: a caller that came back through another daemon
-// keeps its answer.
+// Cancel implements completion.Canceller. The cancel takes effect only if this process
+// still owns the request: a caller that resumed through another daemon keeps its
+// answer.
 func (c *Cancels) Cancel(e *live.Endpoint, attempt id.Request, done func()) {
 	owner := c.cfg.Self
 	order := reap.Order{Key: reap.Key{Endpoint: e.Name, Request: attempt}, Owner: &owner}
@@ -124,27 +124,28 @@
 	})
 }
 
-// Incarnation takes an endpoint's incarnation, whoever saw it.
+// Incarnation records an endpoint's incarnation from any response.
 func (c *Cancels) Incarnation(e id.Endpoint, inc id.Incarnation) {
 	c.duty.Post(func(now time.Duration) { c.perform(c.canceller.Incarnation(now, e, inc)) })
 }
 
-// Removed takes an endpoint that left the configuration.
+// Removed ends the cancels at an endpoint that left the configuration.
 func (c *Cancels) Removed(e id.Endpoint) {
 	c.duty.Post(func(now time.Duration) { c.perform(c.canceller.Remove(now, e)) })
 }
 
-// ProcessAlive takes a process that the membership counts among the living.
+// ProcessAlive records a process that the membership counts as alive.
 func (c *Cancels) ProcessAlive(p id.Process) {
 	c.duty.Post(func(now time.Duration) { c.reaper.ProcessAlive(now, p) })
 }
 
-// ProcessGone takes a process that the membership has declared dead.
+// ProcessGone records a process that the membership has declared dead.
 func (c *Cancels) ProcessGone(p id.Process) {
 	c.duty.Post(func(now time.Duration) { c.reaper.ProcessGone(now, p) })
 }
 
-// List takes what an endpoint holds and cancels the orphans among it.
+// List handles the list of requests that an endpoint holds, and cancels the orphans in
+// it.
 func (c *Cancels) List(e id.Endpoint, list wire.RequestList) {
 	l := reap.List{Endpoint: e, Incarnation: id.Incarnation(list.Incarnation)}
 	for _, r := range list.Requests {
@@ -177,8 +178,8 @@
 	}
 }
 
-// send runs one call to an endpoint in the work pool; a refusal counts as a
-// failed call and is repeated.
+// send runs one call to an endpoint in the work pool. A refusal by the pool counts as a
+// failed call, which is repeated.
 func (c *Cancels) send(k reap.Key, call func(ctx context.Context, address string)) {
 	address, ok := c.cfg.Address(k.Endpoint)
 	if !ok {
