--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -1,6 +1,5 @@
-// Package configs is the duty that keeps the live configuration: it follows
-// the accepted changes in the store and at peers, and carries operators'
-// changes through.
+// Package configs maintains the live configuration. Its duty follows the accepted
+// changes in the store and at peers, and proposes the changes of operators.
 package configs
 
 import (
@@ -18,34 +17,34 @@
 	"github.com/samphirequay/samphirequay/daemon/store"
 )
 
-// proposalTick is how often a running proposal's clock is looked at.
+// proposalTickInterval is the interval between ticks of a running proposal.
 const proposalTickInterval = 10 * time.Millisecond
 
-// Peers asks another daemon for accepted changes.
+// Peers fetches accepted changes from another daemon.
 type Peers interface {
-	// FetchConfig blocks until the answer is there or ctx ends.
+	// FetchConfig blocks until the reply arrives or ctx ends.
 	FetchConfig(ctx context.Context, q revision.Fetch) (revision.FetchReply, error)
 }
 
-// Config is what the duty works with.
+// Config holds the settings and dependencies of a Configs.
 type Config struct {
 	Store   *store.Store
 	Peers   Peers
 	Metrics *metrics.Registry
 	// Installed is called within the duty for each newer configuration.
 	Installed func(x *live.Index, from uint64)
-	// Spread hands a change that this daemon saw accepted to some peers, before
-	// the operator is told: should this daemon end now and the store go away,
-	// the change is still in force. It blocks for a bounded time.
+	// Spread sends an accepted change to some peers before the operator gets the
+	// result: if this daemon terminates then and the store is unavailable, the change
+	// is still in force. It blocks for a bounded time.
 	Spread func(context.Context, revision.Record)
-	// Log takes one line an event.
+	// Log writes one line per event.
 	Log func(event string, kv ...any)
-	// Violation is told of a broken invariant.
+	// Violation reports a broken invariant.
 	Violation func(name, detail string)
 	Now       func() time.Duration
 	Rand      *rand.Rand
 	Follower  revision.FollowerConfig
-	// Ready holds the duty back until it is closed.
+	// Ready delays the start of the duty until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -73,20 +72,21 @@
 	return c
 }
 
-// Close ends the duty.
+// Close stops the duty.
 func (c *Configs) Close() { c.duty.Close() }
 
 // Index returns the configuration in force.
 func (c *Configs) Index() *live.Index { return c.index.Load() }
 
-// Ready says whether the configuration may be acted on.
+// Ready reports whether the configuration is recent enough to be used.
 func (c *Configs) Ready() bool { return c.ready.Load() }
 
-// Newest says whether no later configuration is known of. Until then a name or a
-// key that it does not hold may be in force elsewhere.
+// Newest reports whether the configuration is ready and no later revision is known.
+// While it returns false, names and keys that are missing here may be in force
+// elsewhere.
 func (c *Configs) Newest() bool { return c.newest.Load() }
 
-// StoreUp says whether the last read of the store succeeded.
+// StoreUp reports whether the last read of the store succeeded.
 func (c *Configs) StoreUp() bool { return c.storeUp.Load() }
 
 func (c *Configs) tick(now time.Duration) time.Duration {
@@ -97,17 +97,17 @@
 	return c.follower.Next()
 }
 
-// PeerRevision takes the revision that a peer says it has.
+// PeerRevision records the revision that a peer reports.
 func (c *Configs) PeerRevision(peer id.Daemon, rev uint64) {
 	c.duty.Post(func(now time.Duration) { c.follower.PeerRevision(now, peer, rev) })
 }
 
-// PeerGone forgets a peer.
+// PeerGone removes a peer.
 func (c *Configs) PeerGone(peer id.Daemon) {
 	c.duty.Post(func(time.Duration) { c.follower.PeerGone(peer) })
 }
 
-// Serve answers a peer's question.
+// Serve returns the reply to a peer's fetch; ok is false if the duty is closed.
 func (c *Configs) Serve(q revision.Fetch) (revision.FetchReply, bool) {
 	var reply revision.FetchReply
 	ok := c.duty.Query(func(time.Duration) { reply = c.follower.Serve(q) })
@@ -121,7 +121,7 @@
 	return out
 }
 
-// DocumentAt returns the document of a recent revision.
+// DocumentAt returns the document of a recent revision, if it is still available.
 func (c *Configs) DocumentAt(rev uint64) (*live.Document, bool) {
 	var doc *live.Document
 	var ok bool
@@ -175,8 +175,8 @@
 	c.cfg.Installed(index, in.From)
 }
 
-// Propose carries one change through and waits for its outcome. resent says
-// that the same change may have been proposed before.
+// Propose proposes one change and waits for the outcome. resent means that the same
+// change may have been proposed before.
 func (c *Configs) Propose(ctx context.Context, change revision.Change, resent bool) revision.Outcome {
 	p := &proposal{
 		configs: c,
@@ -194,9 +194,9 @@
 	return outcome
 }
 
-// Learn takes a change that was accepted here, or that a peer saw accepted. It
-// says whether the change, or a later one, is in force now: not so when
-// earlier ones are missing.
+// Learn records a change whose acceptance this daemon or a peer observed. It reports
+// whether this change or a later one is in force now, which is not the case while
+// earlier changes are missing.
 func (c *Configs) Learn(record revision.Record) bool {
 	learnt := false
 	c.duty.Query(func(time.Duration) {
@@ -251,7 +251,8 @@
 	}
 }
 
-// send runs a store call. A reply that comes after the proposal ended is dropped.
+// send runs a store call. A reply that arrives after the end of the proposal is
+// dropped.
 func (p *proposal) send(q table.Request) {
 	p.configs.cfg.Store.Do(p.configs.duty.Context(), q, func(r table.Reply) {
 		select {
