--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -1,6 +1,6 @@
-// Package reports is the duty that asks endpoints how they are: load, cache
-// events and what they hold. Only the owner of a pool asks that pool's
-// endpoints, so their cost does not grow with the fleet.
+// Package reports polls the endpoints for their load, cache events and held requests.
+// Only the owner of a pool polls that pool's endpoints, so that their cost does not
+// grow with the size of the fleet.
 package reports
 
 import (
@@ -19,36 +19,40 @@
 )
 
 const (
-	// loadEvery, cacheEvery and listEvery are the pauses between questions.
+	// loadEvery, cacheEvery and listEvery are the mean intervals between queries.
 	loadEvery  = 250 * time.Millisecond
 	cacheEvery = 250 * time.Millisecond
 	listEvery  = time.Second
-	// tickEvery is how often the duty looks at what is due, idleEvery while this
-	// daemon schedules no pool.
+	// tickEvery is the interval at which the duty starts due queries; idleEvery
+	// replaces it while this daemon has no endpoint to poll.
 	tickEvery = 100 * time.Millisecond
 	idleEvery = 200 * time.Millisecond
 )
 
-// Sink takes the reports.
+// Sink receives the reports.
 type Sink interface {
+	// Load receives an endpoint's load. Reachable is false if the query failed.
 	Load(p id.Pool, l sched.Load)
+	// Cache receives cache events; gap is set if events were lost before or between
+	// them.
 	Cache(p id.Pool, e id.Endpoint, events []sched.CacheEvent, gap bool)
+	// List receives the requests that an endpoint holds.
 	List(p id.Pool, e id.Endpoint, list wire.RequestList)
 }
 
-// Config is what the duty works with.
+// Config holds the dependencies of a Reports.
 type Config struct {
 	Endpoints *endpoints.Set
-	// Index gives the configuration in force.
+	// Index returns the configuration in force.
 	Index func() *live.Index
-	// Owned lists the pools that this daemon schedules.
+	// Owned returns the pools that this daemon schedules.
 	Owned   func() []id.Pool
 	Sink    Sink
 	Work    *workpool.Pool
 	Metrics *metrics.Registry
 	Now     func() time.Duration
 	Rand    *rand.Rand
-	// Ready holds the duty back until it is closed.
+	// Ready delays the start of the duty until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -66,11 +70,14 @@
 	failed  *metrics.Counter
 }
 
-// node is when one endpoint is asked next.
+// pollState is the state of the polls of one endpoint.
 type pollState struct {
+	// load, cache and list are the times of the next queries.
 	load, cache, list time.Duration
-	busy              bool
-	lastCacheEvent    uint64
+	// busy is set while a poll is running.
+	busy bool
+	// lastCacheEvent is the number of the last cache event received.
+	lastCacheEvent uint64
 }
 
 // Start starts the duty.
@@ -87,13 +94,13 @@
 	return r
 }
 
-// Close ends the duty.
+// Close stops the duty and waits for it.
 func (r *Reports) Close() {
 	r.stop()
 	<-r.done
 }
 
-// Probe asks an endpoint for its load at once.
+// Probe queries an endpoint's load immediately.
 func (r *Reports) Probe(p id.Pool, e id.Endpoint) {
 	endpoint, ok := r.cfg.Index().Endpoint(e)
 	if !ok {
@@ -125,8 +132,8 @@
 	}
 }
 
-// look starts the questions that are due and returns how many endpoints there
-// are to ask.
+// pollDue starts the queries that are due and returns the number of endpoints that
+// this daemon polls.
 func (r *Reports) pollDue() int {
 	index := r.cfg.Index()
 	now := r.cfg.Now()
@@ -151,57 +158,57 @@
 	}
 }
 
-// questions are those that are due at one endpoint.
+// dueQueries are the queries that are due at one endpoint besides the load.
 type dueQueries struct{ cache, list bool }
 
-// lookAt asks one endpoint what is due, all in one piece of work: an endpoint
-// that hangs has one question open, not many.
+// pollEndpoint runs the due queries of one endpoint in a single work item, so that an
+// endpoint that hangs has only one open query.
 func (r *Reports) pollEndpoint(now time.Duration, p id.Pool, e *live.Endpoint) {
-	n, due, ok := r.startPoll(now, e)
+	state, due, ok := r.startPoll(now, e)
 	if !ok {
 		return
 	}
 	task := func() {
-		defer r.endPoll(n)
-		r.queryAll(p, e, n, due)
+		defer r.endPoll(state)
+		r.queryAll(p, e, state, due)
 	}
 	if !r.cfg.Work.Submit(task) {
-		r.endPoll(n)
+		r.endPoll(state)
 	}
 }
 
-// begin marks an endpoint as being asked. It returns false when nothing is due
-// or a question is still open.
+// startPoll marks an endpoint as being polled. It returns false if nothing is due or
+// the previous poll is still running.
 func (r *Reports) startPoll(now time.Duration, e *live.Endpoint) (*pollState, dueQueries, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n, ok := r.polls[e.Name]
+	state, ok := r.polls[e.Name]
 	if !ok {
-		n = &pollState{}
-		r.polls[e.Name] = n
+		state = &pollState{}
+		r.polls[e.Name] = state
 	}
-	if n.busy || now < n.load {
+	if state.busy || now < state.load {
 		return nil, dueQueries{}, false
 	}
-	n.busy = true
-	n.load = now + r.jitter(loadEvery)
+	state.busy = true
+	state.load = now + r.jitter(loadEvery)
 	engine := live.Role(e.Labels[live.LabelRole]) != live.RolePlain
-	due := dueQueries{cache: engine && now >= n.cache, list: engine && now >= n.list}
+	due := dueQueries{cache: engine && now >= state.cache, list: engine && now >= state.list}
 	if due.cache {
-		n.cache = now + r.jitter(cacheEvery)
+		state.cache = now + r.jitter(cacheEvery)
 	}
 	if due.list {
-		n.list = now + r.jitter(listEvery)
+		state.list = now + r.jitter(listEvery)
 	}
-	return n, due, true
+	return state, due, true
 }
 
-func (r *Reports) queryAll(p id.Pool, e *live.Endpoint, n *pollState, due dueQueries) {
+func (r *Reports) queryAll(p id.Pool, e *live.Endpoint, state *pollState, due dueQueries) {
 	if !r.queryLoad(p, e) {
 		return
 	}
 	if due.cache {
-		r.queryCacheEvents(p, e, n)
+		r.queryCacheEvents(p, e, state)
 	}
 	if due.list {
 		r.queryRequests(p, e)
@@ -212,9 +219,9 @@
 	return d*3/4 + time.Duration(r.cfg.Rand.Int64N(int64(d/2)))
 }
 
-func (r *Reports) endPoll(n *pollState) {
+func (r *Reports) endPoll(state *pollState) {
 	r.mu.Lock()
-	n.busy = false
+	state.busy = false
 	r.mu.Unlock()
 }
 
@@ -249,12 +256,12 @@
 	return r.cfg.Endpoints.Engine(e.Address).Load(ctx)
 }
 
-// askCache fetches cache events; a jump in their numbers is a gap.
-func (r *Reports) queryCacheEvents(p id.Pool, e *live.Endpoint, n *pollState) {
+// queryCacheEvents fetches cache events. A jump in their numbers is a gap.
+func (r *Reports) queryCacheEvents(p id.Pool, e *live.Endpoint, state *pollState) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
 	r.queries.Inc()
-	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, n.lastCacheEvent)
+	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, state.lastCacheEvent)
 	if err != nil {
 		r.failed.Inc()
 		return
@@ -265,8 +272,8 @@
 	events := make([]sched.CacheEvent, 0, len(batch.Events))
 	gap := false
 	for _, item := range batch.Events {
-		gap = gap || (n.lastCacheEvent != 0 && item.Number != n.lastCacheEvent+1)
-		n.lastCacheEvent = item.Number
+		gap = gap || (state.lastCacheEvent != 0 && item.Number != state.lastCacheEvent+1)
+		state.lastCacheEvent = item.Number
 		events = append(events, sched.CacheEvent{Endpoint: e.Name, Block: item.Block, Stored: item.Stored})
 	}
 	r.cfg.Sink.Cache(p, e.Name, events, gap)
