--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -21,18 +21,18 @@
 // New returns a Runner.
 func New(d Deps) *Runner { return &Runner{d} }
 
-// state is one call over its attempts.
+// state is the state of one call across its attempts.
 type state struct {
 	call *Call
-	// since is when the wait for an endpoint began: the arrival, later where this
-	// daemon was held up.
+	// waitStart is when the wait for an endpoint began: the arrival, or a later time
+	// if this daemon was delayed.
 	waitStart time.Duration
 	avoid     []id.Endpoint
 	worst     verdict.Verdict
 	held      *claim.Claim
 }
 
-// Run serves the call to its end. The verdict of an error covers all attempts.
+// Run serves the call until it ends. The verdict of an error covers all attempts.
 func (r *Runner) Run(ctx context.Context, call *Call) (*Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Service.Timeout())
 	defer cancel()
@@ -51,9 +51,9 @@
 	}
 }
 
-// again says whether another attempt follows, and waits for it. A call that may
-// have run is never sent again, whatever its method: the caller hears so and
-// decides.
+// waitForRetry reports whether another attempt follows, and waits for the retry delay.
+// A call that may have run is never sent again, whatever its method: the caller gets
+// this verdict and decides.
 func (r *Runner) waitForRetry(ctx context.Context, s *state, err *verdict.Error, n int) bool {
 	if ctx.Err() != nil {
 		return false
@@ -84,7 +84,8 @@
 	return err.Code == verdict.CodeClaimed || err.Code == verdict.CodeConflict || err.Code == verdict.CodeClaimUnavailable
 }
 
-// fail ends the call; a claim that it still holds gets its outcome.
+// fail returns the final error of a call. If the call holds a claim, the failure is
+// stored as the outcome.
 func (r *Runner) fail(s *state, err *verdict.Error) *verdict.Error {
 	final := *err
 	final.Verdict = s.worst
@@ -101,7 +102,7 @@
 	w := r.want(s, n)
 	patience := r.patience(s)
 	if patience <= 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "out of time before attempt %d", n)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the call timed out before attempt %d", n)
 	}
 	grant, err := r.Pairer.Pair(ctx, w, patience)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return r.send(ctx, s, w, endpoint)
 }
 
-// patience is how long the call may still wait for its endpoint.
+// patience returns how long the call may still wait for an endpoint.
 func (r *Runner) patience(s *state) time.Duration {
 	return s.call.Service.Patience() - (r.Now() - s.waitStart)
 }
@@ -144,8 +145,8 @@
 	}
 }
 
-// claim claims a non-idempotent call, once over all attempts. It returns the
-// stored answer if the call has run before.
+// claim claims a non-idempotent call, only once for all attempts. It returns the stored
+// answer if the call has run before.
 func (r *Runner) claim(ctx context.Context, s *state) (*Answer, *verdict.Error) {
 	if !s.call.NonIdempotent() || s.held != nil {
 		return nil, nil
--- a/daemon/plaincall/types.go
+++ b/daemon/plaincall/types.go
@@ -1,6 +1,6 @@
-// Package plaincall serves calls to plain services. A call that may not be
-// repeated is claimed in the platform's table before it is sent; its stored
-// answer is replayed to whoever asks again.
+// Package plaincall serves calls to plain services. A call that must not be repeated
+// is claimed in the platform's table before it is sent; repeated calls get its stored
+// answer.
 package plaincall
 
 import (
@@ -23,36 +23,37 @@
 	Request client.PlainRequest
 	// Key is the caller's idempotency key; empty if there is none.
 	Key string
-	// Arrived is when the call came, as a duration since the daemon's start.
+	// Arrived is when the call arrived, as a duration since the daemon's start.
 	Arrived time.Duration
 	// Fingerprint identifies team and content.
 	Fingerprint string
 }
 
-// NonIdempotent says whether the call must run at most once.
+// NonIdempotent reports whether the call must run at most once.
 func (c *Call) NonIdempotent() bool { return c.Key != "" }
 
-// Answer is what the service answered.
+// Answer is the answer of the service.
 type Answer struct {
 	client.PlainResponse
-	// Replayed says that the answer came from the store.
+	// Replayed is set if the answer is the stored one of an earlier call.
 	Replayed bool
 }
 
 // Claims holds the claims of non-idempotent calls.
 type Claims interface {
-	// Begin claims the call. One of the results is set.
+	// Begin claims the call. Exactly one of the results is set: the claim, the stored
+	// answer of an earlier run, or an error.
 	Begin(ctx context.Context, b claim.Begin) (*claim.Claim, *claim.Answer, *verdict.Error)
-	// Finish stores the outcome.
+	// Finish stores the outcome of the claimed call.
 	Finish(c claim.Claim, o claim.Outcome)
 }
 
-// Endpoints meets the plain endpoints.
+// Endpoints calls the plain endpoints.
 type Endpoints interface {
 	Call(ctx context.Context, e *live.Endpoint, r client.PlainRequest) (client.PlainResponse, error)
 }
 
-// Deps are what a Runner works with; all are needed.
+// Deps are the dependencies of a Runner; all are required.
 type Deps struct {
 	Self      id.Process
 	Domain    id.Domain
@@ -64,6 +65,6 @@
 	Catalog   completion.Catalog
 	// Now is the time since the daemon's start.
 	Now func() time.Duration
-	// NewID makes an id for an attempt.
+	// NewID returns a new id for an attempt.
 	NewID func() id.Request
 }
