--- a/daemon/endpoints/endpoints.go
+++ b/daemon/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints keeps a client for each endpoint in the configuration and
-// tells whoever asks of changes in the endpoints' incarnations.
+// Package endpoints keeps a client for each endpoint in the configuration and reports
+// the incarnations of the endpoints.
 package endpoints
 
 import (
@@ -17,13 +17,15 @@
 )
 
 const (
-	// firstTimeout bounds the wait for a stream's head: import included.
+	// headerTimeout bounds the wait for the response header of a stream, including the
+	// import of the KV cache.
 	headerTimeout = 4 * time.Second
-	// resumeTimeout bounds the wait for the head of a stream that goes on: there
-	// is nothing to import, and a caller waits in the midst of its answer.
+	// resumeTimeout bounds the wait for the response header of a resumed stream. It is
+	// shorter, since nothing is imported and the caller waits in the middle of its
+	// answer.
 	resumeTimeout = time.Second
-	// idleTimeout bounds the wait for a token: a stream that stalls for so long
-	// is taken for broken and continued elsewhere.
+	// idleTimeout bounds the wait for a token. A stream that stalls for longer counts
+	// as broken and is continued elsewhere.
 	idleTimeout = 2 * time.Second
 	// prefillTimeout bounds a prefill.
 	prefillTimeout = 8 * time.Second
@@ -40,8 +42,8 @@
 	plains  map[string]*client.Plain
 }
 
-// New returns an empty Set. onIncarnation is told the incarnation that each
-// response carries and must not block; it may be nil.
+// New returns an empty Set. onIncarnation is called with the incarnation in each
+// response; it must not block and may be nil.
 func New(onIncarnation func(address string, incarnation id.Incarnation)) *Set {
 	if onIncarnation == nil {
 		onIncarnation = func(string, id.Incarnation) {}
@@ -149,20 +151,21 @@
 	return client.Timeouts{First: headerTimeout, Idle: idleTimeout}
 }
 
-// Short returns a context for a short call.
+// Short returns a context with the timeout of a short call: a cancel, a report or a
+// list.
 func Short(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(parent, shortTimeout)
 }
 
-// tokenStream adapts a client's stream.
+// tokenStream adapts a client.Stream to completion.TokenStream.
 type tokenStream struct{ s *client.Stream }
 
-// Next implements completion.TokenStream. A stream that ends without its
-// terminal event is an error.
+// Next implements completion.TokenStream. At the end of the stream, whether
+// before or after its terminal event, it returns a *verdict.Error.
 func (t tokenStream) Next() (wire.TokenEvent, error) {
 	e, err := t.s.Next()
 	if err == io.EOF {
-		return e, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream ended behind its terminal event")
+		return e, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream has ended after its terminal event")
 	}
 	return e, err
 }
