--- a/daemon/store/client.go
+++ b/daemon/store/client.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// TableService is the Table that speaks the product's own table interface.
+// TableService implements Table for a server of the product's own table interface.
 type TableService struct{ Client *client.Table }
 
 // Run implements Table.
@@ -57,7 +57,7 @@
 	return out
 }
 
-// statusOf says what is known of a call that failed.
+// statusOf returns the status of a call that failed.
 func statusOf(err error) table.Status {
 	if verdict.Of(err) == verdict.NotRun {
 		return table.NotRun
--- a/daemon/store/store.go
+++ b/daemon/store/store.go
@@ -1,6 +1,6 @@
-// Package store runs the core's calls to the platform's table: each as a piece
-// of short work in the pool, its reply handed back as an event. Nothing is
-// ever sent twice; what a missing reply means is the core's decision.
+// Package store runs the core's calls to the platform's table. Each call is a short
+// work item in the pool, and its reply is passed to a callback. No call is sent twice;
+// the core decides how to handle a missing reply.
 package store
 
 import (
@@ -15,13 +15,14 @@
 // callTimeout bounds one call to the table.
 const callTimeout = 2 * time.Second
 
-// Table carries one call to a table. It sends it at most once; the reply's
-// status says what is known when no answer came.
+// Table runs calls to a table. It sends each call at most once. If no response
+// arrives, the reply's status is NotRun for a call that was certainly not executed, and
+// Unknown otherwise.
 type Table interface {
 	Run(ctx context.Context, q table.Request) table.Reply
 }
 
-// Store is the way to the platform's table.
+// Store runs calls to the platform's table and counts them.
 type Store struct {
 	table  Table
 	work   *workpool.Pool
@@ -41,8 +42,8 @@
 	}
 }
 
-// Do runs a request and hands its reply to done, which is called from another
-// goroutine. A refusal of the work pool is a reply with status not run.
+// Do runs a request and passes its reply to done, which is called from another
+// goroutine. If the work pool refuses the request, the reply has the status NotRun.
 func (s *Store) Do(ctx context.Context, q table.Request, done func(table.Reply)) {
 	ok := s.work.Submit(func() { done(s.run(ctx, q)) })
 	if !ok {
