--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -133,9 +133,9 @@
 		verr := verdict.New(verdict.Ran, verdict.CodeUnavailable, "the call has run; its stored answer is temporarily unreadable")
 		return nil, nil, verr.WithRetryAfter(time.Second).WithCause(err)
 	}
-	answer := *r.answer
-	answer.Body = body
-	return nil, &answer, nil
+	full := *r.answer
+	full.Body = body
+	return nil, &full, nil
 }
 
 // abandon releases a claim whose caller no longer waits, also if it was acquired in
--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -156,7 +156,7 @@
 	for _, code := range []verdict.Code{verdict.CodeKVGone, verdict.CodeDeadline, verdict.CodeUnavailable} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
-			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "transient")}).run(nil)
+			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
 			is.Equal(err.Verdict, verdict.NotRun)
 			is.Equal(err.RetryAfter, verdict.PassingRetryAfter)
 		})
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -107,13 +107,13 @@
 		if q.purse.Return(team, cost) {
 			return
 		}
-		refund := &Refund{Team: team, Cost: cost}
+		credit := &Refund{Team: team, Cost: cost}
 		switch q.keeper {
 		case "":
 		case q.cfg.Self:
-			q.refund(now, refund)
+			q.refund(now, credit)
 		default:
-			if err := q.cfg.Send(q.keeper, &Envelope{Refund: refund}); err != nil {
+			if err := q.cfg.Send(q.keeper, &Envelope{Refund: credit}); err != nil {
 				q.cfg.Log("quota_not_returned", "keeper", q.keeper, "team", team, "why", err)
 			}
 		}
