--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -19,8 +19,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// testTimeout bounds every wait of a test. No test needs it to expire in order to
-// pass.
+// testTimeout bounds every wait of a test; no test passes by reaching it.
 const testTimeout = 20 * time.Second
 
 // harness runs the claims of several daemons on one stand-in table.
