--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// silentRetryAfter is advised where the keeper does not answer.
-	silentRetryAfter = 200 * time.Millisecond
-	// leastSpread is the shortest spread of callers who are told to come back.
-	leastSpread = 100 * time.Millisecond
+	// keeperRetryAfter is advised to callers when the keeper does not reply.
+	keeperRetryAfter = 200 * time.Millisecond
+	// minRetrySpread is the minimum range of the random delay that spreads the
+	// retries of callers that are refused with the same reply.
+	minRetrySpread = 100 * time.Millisecond
 )
 
-// Pay charges a request to its team, or refuses it. patience bounds the wait for
-// the keeper.
+// Pay charges a request to its team, or refuses it. cost is in the limit's units.
+// patience bounds the wait for the keeper.
 func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
-	answers := make(chan Reply, 1)
-	a := &asked{ask: Ask{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
-	if !q.duty.PostContext(ctx, func(now time.Duration) { q.begin(now, a) }) {
-		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
+	answers := make(chan ChargeReply, 1)
+	p := &pendingCharge{request: ChargeRequest{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
+	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, p) }) {
+		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon accepts no requests now")
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -33,95 +34,96 @@
 	case r := <-answers:
 		return q.verdict(team, r)
 	case <-ctx.Done():
-		q.forget(a)
+		q.dropPending(p)
 		return verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller is gone").WithCause(context.Cause(ctx))
 	case <-timer.C:
 	case <-q.duty.Context().Done():
 	}
-	q.forget(a)
-	return q.notKnown(team)
+	q.dropPending(p)
+	return q.accountUnknown(team)
 }
 
-// notKnown refuses a request whose team's account can't be asked about.
-func (q *Quotas) notKnown(team id.Team) *verdict.Error {
-	q.silent.Inc()
+// accountUnknown returns the refusal of a request whose team's account can't be
+// queried.
+func (q *Quotas) accountUnknown(team id.Team) *verdict.Error {
+	q.unanswered.Inc()
 	return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "what team %s may still have run is not known", team).
-		WithRetryAfter(silentRetryAfter)
+		WithRetryAfter(keeperRetryAfter)
 }
 
-// begin pays for a request ahead, or asks the keeper.
-func (q *Quotas) begin(now time.Duration, a *asked) {
-	q.look(now)
-	answer, wait := q.purse.Spend(now, a.ask.Team, a.ask.Cost)
+// startCharge charges a request in advance, or sends it to the keeper.
+func (q *Quotas) startCharge(now time.Duration, p *pendingCharge) {
+	q.refreshFleet(now)
+	answer, wait := q.purse.Spend(now, p.request.Team, p.request.Cost)
 	switch {
 	case answer == quota.Paid:
-		q.settleSoon(now)
-		a.answer <- Reply{Granted: true}
+		q.scheduleSettlement(now)
+		p.answer <- ChargeReply{Granted: true}
 	case answer == quota.Refused:
-		a.answer <- Reply{Back: wait, keeper: q.keeper, remembered: true}
-	case len(q.asked) >= mostAsked:
-		a.answer <- Reply{notAsked: true}
+		p.answer <- ChargeReply{RetryAfter: wait, keeper: q.keeper, repeated: true}
+	case len(q.pending) >= maxPending:
+		p.answer <- ChargeReply{overloaded: true}
 	default:
-		q.asked[a.ask.Seq] = a
-		q.ask(now, a)
+		q.pending[p.request.Seq] = p
+		q.sendRequest(now, p)
 	}
 }
 
-// settleSoon has what was paid ahead settled in a while.
-func (q *Quotas) settleSoon(now time.Duration) {
-	if !q.owes {
-		q.owes = true
+// scheduleSettlement schedules the settlement of what was spent in advance.
+func (q *Quotas) scheduleSettlement(now time.Duration) {
+	if !q.hasDebts {
+		q.hasDebts = true
 		q.settleAt = now + settleEvery
 	}
 }
 
-// forget drops a question whose answer nobody waits for. What the keeper may
-// have granted stays charged: it is not known.
-func (q *Quotas) forget(a *asked) {
-	q.duty.PostLater(func(time.Duration) { delete(q.asked, a.ask.Seq) })
+// dropPending drops a request whose reply is no longer awaited. If the keeper grants
+// it, it stays charged, since this daemon does not learn about the grant.
+func (q *Quotas) dropPending(p *pendingCharge) {
+	q.duty.PostLater(func(time.Duration) { delete(q.pending, p.request.Seq) })
 }
 
-// verdict is what the keeper's word means for a request.
-func (q *Quotas) verdict(team id.Team, r Reply) *verdict.Error {
+// verdict converts the keeper's reply to the result of a request.
+func (q *Quotas) verdict(team id.Team, r ChargeReply) *verdict.Error {
 	switch {
 	case r.Granted:
 		return nil
-	case r.notAsked:
-		return q.notKnown(team)
+	case r.overloaded:
+		return q.accountUnknown(team)
 	}
 	q.refusals.Inc()
-	after := r.Back
-	if r.remembered {
-		// Others here are told the same.
-		after += time.Duration(rand.Int64N(int64(max(r.Back, leastSpread))))
+	retryAfter := r.RetryAfter
+	if r.repeated {
+		// Other callers of this daemon get the same reply: spread their retries.
+		retryAfter += time.Duration(rand.Int64N(int64(max(r.RetryAfter, minRetrySpread))))
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeTeamLimit, "team %s is at its limit", team).
-		WithRetryAfter(after).WithCause(r.why())
+		WithRetryAfter(retryAfter).WithCause(r.cause())
 }
 
-// Return gives back what was paid for a request that has not run.
+// Return credits what was charged for a request that has not run.
 func (q *Quotas) Return(team id.Team, cost float64) {
 	q.duty.PostLater(func(now time.Duration) {
 		if q.purse.Return(team, cost) {
 			return
 		}
-		back := &Return{Team: team, Cost: cost}
+		credit := &Refund{Team: team, Cost: cost}
 		switch q.keeper {
 		case "":
 		case q.cfg.Self:
-			q.giveBack(now, back)
+			q.refund(now, credit)
 		default:
-			if err := q.cfg.Send(q.keeper, &Envelope{Return: back}); err != nil {
+			if err := q.cfg.Send(q.keeper, &Envelope{Refund: credit}); err != nil {
 				q.cfg.Log("quota_not_returned", "keeper", q.keeper, "team", team, "why", err)
 			}
 		}
 	})
 }
 
-// why tells on-call engineers who refused, and by what.
-func (r *Reply) why() error {
-	if r.remembered {
-		return eris.Errorf("%s, which keeps its account, said so a moment ago", r.keeper)
+// cause describes for operators which keeper refused, and on which grounds.
+func (r *ChargeReply) cause() error {
+	if r.repeated {
+		return eris.Errorf("%s, which keeps its account, reported the limit a moment ago", r.keeper)
 	}
 	return eris.Errorf("its account at %s holds %.0f", r.keeper, r.Balance)
 }
--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -1,6 +1,6 @@
-// Package reports is the duty that asks endpoints how they are: load, cache
-// events and what they hold. Only the owner of a pool asks that pool's
-// endpoints, so their cost does not grow with the fleet.
+// Package reports polls the endpoints for their load, cache events and held requests.
+// Only the owner of a pool polls that pool's endpoints, so that their cost does not
+// grow with the size of the fleet.
 package reports
 
 import (
@@ -19,36 +19,40 @@
 )
 
 const (
-	// loadEvery, cacheEvery and listEvery are the pauses between questions.
+	// loadEvery, cacheEvery and listEvery are the mean intervals between queries.
 	loadEvery  = 250 * time.Millisecond
 	cacheEvery = 250 * time.Millisecond
 	listEvery  = time.Second
-	// tickEvery is how often the duty looks at what is due, idleEvery while this
-	// daemon schedules no pool.
+	// tickEvery is the interval at which the duty starts due queries; idleEvery
+	// replaces it while this daemon has no endpoint to poll.
 	tickEvery = 100 * time.Millisecond
 	idleEvery = 200 * time.Millisecond
 )
 
-// Sink takes the reports.
+// Sink receives the reports.
 type Sink interface {
+	// Load receives an endpoint's load. Reachable is false if the query failed.
 	Load(p id.Pool, l sched.Load)
+	// Cache receives cache events; gap is set if events were lost before or between
+	// them.
 	Cache(p id.Pool, e id.Endpoint, events []sched.CacheEvent, gap bool)
+	// List receives the requests that an endpoint holds.
 	List(p id.Pool, e id.Endpoint, list wire.RequestList)
 }
 
-// Config is what the duty works with.
+// Config holds the dependencies of a Reports.
 type Config struct {
 	Endpoints *endpoints.Set
-	// Index gives the configuration in force.
+	// Index returns the configuration in force.
 	Index func() *live.Index
-	// Owned lists the pools that this daemon schedules.
+	// Owned returns the pools that this daemon schedules.
 	Owned   func() []id.Pool
 	Sink    Sink
 	Work    *workpool.Pool
 	Metrics *metrics.Registry
 	Now     func() time.Duration
 	Rand    *rand.Rand
-	// Ready holds the duty back until it is closed.
+	// Ready delays the start of the duty until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -60,46 +64,49 @@
 	done chan struct{}
 
 	mu    sync.Mutex
-	nodes map[id.Endpoint]*node
+	polls map[id.Endpoint]*pollState
 
-	asked  *metrics.Counter
-	failed *metrics.Counter
+	queries *metrics.Counter
+	failed  *metrics.Counter
 }
 
-// node is when one endpoint is asked next.
-type node struct {
+// pollState is the state of the polls of one endpoint.
+type pollState struct {
+	// load, cache and list are the times of the next queries.
 	load, cache, list time.Duration
-	busy              bool
-	after             uint64
+	// busy is set while a poll is running.
+	busy bool
+	// lastCacheEvent is the number of the last cache event received.
+	lastCacheEvent uint64
 }
 
 // Start starts the duty.
 func Start(cfg Config) *Reports {
 	r := &Reports{
-		cfg:    cfg,
-		done:   make(chan struct{}),
-		nodes:  make(map[id.Endpoint]*node),
-		asked:  cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
-		failed: cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
+		cfg:     cfg,
+		done:    make(chan struct{}),
+		polls:   make(map[id.Endpoint]*pollState),
+		queries: cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
+		failed:  cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	go r.run()
 	return r
 }
 
-// Close ends the duty.
+// Close stops the duty and waits for it.
 func (r *Reports) Close() {
 	r.stop()
 	<-r.done
 }
 
-// Probe asks an endpoint for its load at once.
+// Probe queries an endpoint's load immediately.
 func (r *Reports) Probe(p id.Pool, e id.Endpoint) {
 	endpoint, ok := r.cfg.Index().Endpoint(e)
 	if !ok {
 		return
 	}
-	r.cfg.Work.Submit(func() { r.askLoad(p, endpoint) })
+	r.cfg.Work.Submit(func() { r.queryLoad(p, endpoint) })
 }
 
 func (r *Reports) run() {
@@ -117,7 +124,7 @@
 			return
 		case <-timer.C:
 		}
-		if r.look() > 0 {
+		if r.pollDue() > 0 {
 			timer.Reset(tickEvery)
 		} else {
 			timer.Reset(idleEvery)
@@ -125,86 +132,86 @@
 	}
 }
 
-// look starts the questions that are due and returns how many endpoints there
-// are to ask.
-func (r *Reports) look() int {
+// pollDue starts the queries that are due and returns the number of endpoints that
+// this daemon polls.
+func (r *Reports) pollDue() int {
 	index := r.cfg.Index()
 	now := r.cfg.Now()
 	seen := make(map[id.Endpoint]bool)
 	for _, p := range r.cfg.Owned() {
 		for _, e := range index.Endpoints(p) {
 			seen[e.Name] = true
-			r.lookAt(now, p, e)
+			r.pollEndpoint(now, p, e)
 		}
 	}
-	r.forget(seen)
+	r.dropRemoved(seen)
 	return len(seen)
 }
 
-func (r *Reports) forget(seen map[id.Endpoint]bool) {
+func (r *Reports) dropRemoved(seen map[id.Endpoint]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for e := range r.nodes {
+	for e := range r.polls {
 		if !seen[e] {
-			delete(r.nodes, e)
+			delete(r.polls, e)
 		}
 	}
 }
 
-// questions are those that are due at one endpoint.
-type questions struct{ cache, list bool }
+// dueQueries are the queries that are due at one endpoint besides the load.
+type dueQueries struct{ cache, list bool }
 
-// lookAt asks one endpoint what is due, all in one piece of work: an endpoint
-// that hangs has one question open, not many.
-func (r *Reports) lookAt(now time.Duration, p id.Pool, e *live.Endpoint) {
-	n, due, ok := r.begin(now, e)
+// pollEndpoint runs the due queries of one endpoint in a single work item, so that an
+// endpoint that hangs has only one open query.
+func (r *Reports) pollEndpoint(now time.Duration, p id.Pool, e *live.Endpoint) {
+	state, due, ok := r.startPoll(now, e)
 	if !ok {
 		return
 	}
 	task := func() {
-		defer r.free(n)
-		r.askAll(p, e, n, due)
+		defer r.endPoll(state)
+		r.queryAll(p, e, state, due)
 	}
 	if !r.cfg.Work.Submit(task) {
-		r.free(n)
+		r.endPoll(state)
 	}
 }
 
-// begin marks an endpoint as being asked. It returns false when nothing is due
-// or a question is still open.
-func (r *Reports) begin(now time.Duration, e *live.Endpoint) (*node, questions, bool) {
+// startPoll marks an endpoint as being polled. It returns false if nothing is due or
+// the previous poll is still running.
+func (r *Reports) startPoll(now time.Duration, e *live.Endpoint) (*pollState, dueQueries, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n, ok := r.nodes[e.Name]
+	state, ok := r.polls[e.Name]
 	if !ok {
-		n = &node{}
-		r.nodes[e.Name] = n
+		state = &pollState{}
+		r.polls[e.Name] = state
 	}
-	if n.busy || now < n.load {
-		return nil, questions{}, false
+	if state.busy || now < state.load {
+		return nil, dueQueries{}, false
 	}
-	n.busy = true
-	n.load = now + r.jitter(loadEvery)
+	state.busy = true
+	state.load = now + r.jitter(loadEvery)
 	engine := live.Role(e.Labels[live.LabelRole]) != live.RolePlain
-	due := questions{cache: engine && now >= n.cache, list: engine && now >= n.list}
+	due := dueQueries{cache: engine && now >= state.cache, list: engine && now >= state.list}
 	if due.cache {
-		n.cache = now + r.jitter(cacheEvery)
+		state.cache = now + r.jitter(cacheEvery)
 	}
 	if due.list {
-		n.list = now + r.jitter(listEvery)
+		state.list = now + r.jitter(listEvery)
 	}
-	return n, due, true
+	return state, due, true
 }
 
-func (r *Reports) askAll(p id.Pool, e *live.Endpoint, n *node, due questions) {
-	if !r.askLoad(p, e) {
+func (r *Reports) queryAll(p id.Pool, e *live.Endpoint, state *pollState, due dueQueries) {
+	if !r.queryLoad(p, e) {
 		return
 	}
 	if due.cache {
-		r.askCache(p, e, n)
+		r.queryCacheEvents(p, e, state)
 	}
 	if due.list {
-		r.askList(p, e)
+		r.queryRequests(p, e)
 	}
 }
 
@@ -212,16 +219,16 @@
 	return d*3/4 + time.Duration(r.cfg.Rand.Int64N(int64(d/2)))
 }
 
-func (r *Reports) free(n *node) {
+func (r *Reports) endPoll(state *pollState) {
 	r.mu.Lock()
-	n.busy = false
+	state.busy = false
 	r.mu.Unlock()
 }
 
-func (r *Reports) askLoad(p id.Pool, e *live.Endpoint) bool {
+func (r *Reports) queryLoad(p id.Pool, e *live.Endpoint) bool {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
-	r.asked.Inc()
+	r.queries.Inc()
 	report, err := r.load(ctx, e)
 	if err != nil {
 		r.failed.Inc()
@@ -249,12 +256,12 @@
 	return r.cfg.Endpoints.Engine(e.Address).Load(ctx)
 }
 
-// askCache fetches cache events; a jump in their numbers is a gap.
-func (r *Reports) askCache(p id.Pool, e *live.Endpoint, n *node) {
+// queryCacheEvents fetches cache events. A jump in their numbers is a gap.
+func (r *Reports) queryCacheEvents(p id.Pool, e *live.Endpoint, state *pollState) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
-	r.asked.Inc()
-	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, n.after)
+	r.queries.Inc()
+	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, state.lastCacheEvent)
 	if err != nil {
 		r.failed.Inc()
 		return
@@ -265,17 +272,17 @@
 	events := make([]sched.CacheEvent, 0, len(batch.Events))
 	gap := false
 	for _, item := range batch.Events {
-		gap = gap || (n.after != 0 && item.Number != n.after+1)
-		n.after = item.Number
+		gap = gap || (state.lastCacheEvent != 0 && item.Number != state.lastCacheEvent+1)
+		state.lastCacheEvent = item.Number
 		events = append(events, sched.CacheEvent{Endpoint: e.Name, Block: item.Block, Stored: item.Stored})
 	}
 	r.cfg.Sink.Cache(p, e.Name, events, gap)
 }
 
-func (r *Reports) askList(p id.Pool, e *live.Endpoint) {
+func (r *Reports) queryRequests(p id.Pool, e *live.Endpoint) {
 	ctx, cancel := endpoints.Short(r.ctx)
 	defer cancel()
-	r.asked.Inc()
+	r.queries.Inc()
 	list, err := r.cfg.Endpoints.Engine(e.Address).Requests(ctx)
 	if err != nil {
 		r.failed.Inc()
