--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/revision/table"
 )
 
-// Handle takes the table's reply to the last request; others are ignored.
+// Handle handles the table's reply to the last request and ignores other replies.
 func (l *Lease) Handle(now time.Duration, r table.Reply) []Action {
 	if r.Seq != l.seq {
 		return nil
@@ -16,7 +16,7 @@
 	switch l.phase {
 	case phaseRead:
 		return l.onRead(now, r)
-	case phaseTake, phaseRenew:
+	case phaseAcquire, phaseRenew:
 		return l.onWrite(now, r)
 	case phaseRelease:
 		return l.onRelease(now, r)
@@ -25,121 +25,127 @@
 	}
 }
 
-// onWrite takes the reply to a take or a renewal. One in doubt, or refused
-// because the row changed, is resolved by reading the row.
+// onWrite handles the reply to an acquisition or a renewal. If its effect is
+// unknown, or it failed because the row had changed, the row is read.
 func (l *Lease) onWrite(now time.Duration, r table.Reply) []Action {
 	switch {
 	case r.Status == table.Done && r.Applied && len(r.Versions) > 0:
-		l.seen, l.version, l.since = l.wanted, r.Versions[0], now
-		l.watched = true
-		return l.written(now)
+		l.seen, l.version, l.unchangedSince = l.pendingRow, r.Versions[0], now
+		l.observed = true
+		return l.onWritten(now)
 	case r.Status == table.NotRun:
 		l.retryLater(now)
 		return nil
 	default:
-		l.doubt = r.Status == table.Unknown || r.Applied
+		l.uncertain = r.Status == table.Unknown || r.Applied
 		return []Action{l.read()}
 	}
 }
 
-// written goes on after a take or renewal took effect, at l.wroteAt or later.
-func (l *Lease) written(now time.Duration) []Action {
-	l.doubt = false
+// onWritten continues after an acquisition or a renewal took effect, at l.wroteAt or
+// later.
+func (l *Lease) onWritten(now time.Duration) []Action {
+	l.uncertain = false
 	if l.stopping {
 		return []Action{l.release(now)}
 	}
 	trust := l.wroteAt + time.Duration(l.cfg.Safety*float64(l.cfg.TTL))
 	l.wait(now, l.cfg.RenewEvery)
-	if l.held != 0 {
-		l.until = max(l.until, trust)
+	if l.heldFence != 0 {
+		l.trustedUntil = max(l.trustedUntil, trust)
 		return nil
 	}
-	if l.taking == 0 || trust <= now {
-		// A renewal for a lease that was given up meanwhile, or known too late.
+	if l.acquiringFence == 0 || trust <= now {
+		// The lease was lost, released or halted in the meantime, or the write was
+		// confirmed only after the trust had ended.
 		return nil
 	}
-	l.held, l.until = l.seen.Fence, trust
-	return []Action{{Acquired: l.acquired()}}
+	l.heldFence, l.trustedUntil = l.seen.Fence, trust
+	return []Action{{Acquired: l.newAcquired()}}
 }
 
-// acquired tells of a take that took effect, and what the former holder may yet
-// have on its way.
-func (l *Lease) acquired() *Acquired {
-	former := l.previous.Holder
+// newAcquired returns the Acquired of an acquisition that took effect, with what is
+// known of the former holder's orders in flight.
+func (l *Lease) newAcquired() *Acquired {
+	former := l.previousRow.Holder
 	return &Acquired{
-		Fence:    l.held,
+		Fence:    l.heldFence,
 		Previous: former,
-		Own:      former != (id.Process{}) && l.ownFormer(former),
-		Quiet:    former == (id.Process{}) && l.previous.Quiet,
-		Lapsed:   former != (id.Process{}) && former != l.self && !l.ownFormer(former),
+		Own:      former != (id.Process{}) && l.isFormerSelf(former),
+		Quiet:    former == (id.Process{}) && l.previousRow.Quiet,
+		Lapsed:   former != (id.Process{}) && former != l.self && !l.isFormerSelf(former),
 	}
 }
 
-// ownFormer tells whether a process is an earlier one of this daemon, which has
-// ended.
-func (l *Lease) ownFormer(p id.Process) bool {
+// isFormerSelf reports whether a process is an earlier one of this daemon that has
+// certainly ended.
+func (l *Lease) isFormerSelf(p id.Process) bool {
 	return l.cfg.FormerEnded && p.Daemon == l.self.Daemon && p.Incarnation < l.self.Incarnation
 }
 
-// onRead takes the row. A read may be stale: a version below the newest seen
-// is ignored.
+// onRead handles a read of the row. A read may be stale: a version below the newest
+// one seen is ignored.
 func (l *Lease) onRead(now time.Duration, r table.Reply) []Action {
 	row := r.Row(Key(l.duty))
 	var value Row
 	bad := row.Version != 0 && json.Unmarshal(row.Value, &value) != nil
-	if r.Status != table.Done || bad || (l.watched && row.Version < l.version) {
+	if r.Status != table.Done || bad || (l.observed && row.Version < l.version) {
 		l.retryLater(now)
 		return nil
 	}
-	if !l.watched || row.Version > l.version {
-		// The row may have changed right up to the reply.
-		l.watched, l.since = true, now
+	if !l.observed || row.Version > l.version {
+		// The row may have changed as late as at the reply, so the time counts from
+		// now.
+		l.observed, l.unchangedSince = true, now
 		l.seen, l.version = value, row.Version
 	}
 	switch {
-	case l.doubt && l.seen == l.wanted:
-		return l.written(now)
+	case l.uncertain && l.seen == l.pendingRow:
+		return l.onWritten(now)
 	case l.stopping:
-		return l.settleStop(now)
-	case l.held != 0:
+		return l.finishRelease(now)
+	case l.heldFence != 0:
 		return l.checkHeld(now)
-	case l.free(now):
-		return []Action{l.take(now)}
+	case l.available(now):
+		return []Action{l.acquire(now)}
 	default:
 		l.wait(now, l.watchPause(now))
 		return nil
 	}
 }
 
-// checkHeld goes on after a renewal did not take effect as far as this read
-// tells: if the row is still this holder's, it renews again.
+// checkHeld continues after a read shows that a renewal has not taken effect. If
+// the row still belongs to this holder, it renews again soon; otherwise the lease is
+// lost.
 func (l *Lease) checkHeld(now time.Duration) []Action {
-	if l.seen.Holder == l.self && l.seen.Fence == l.held {
+	if l.seen.Holder == l.self && l.seen.Fence == l.heldFence {
 		l.wait(now, l.cfg.RenewEvery/4)
 		return nil
 	}
 	l.wait(now, l.cfg.WatchEvery)
-	return []Action{l.lose("another process holds the row")}
+	return []Action{l.lose("another process holds the lease")}
 }
 
-// free tells whether the duty may be taken: never held, released, this
-// process's own or its ended predecessor's, or unchanged for the whole lease by
-// its own clock.
-func (l *Lease) free(now time.Duration) bool {
-	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.ownFormer(l.seen.Holder) {
+// available reports whether this process may acquire the lease: it was never held,
+// was released, belongs to this process or to an earlier process of this daemon that
+// has ended, or its row was unchanged for TTL and Margin by this process's clock.
+func (l *Lease) available(now time.Duration) bool {
+	if l.seen.Holder == (id.Process{}) || l.seen.Holder == l.self || l.isFormerSelf(l.seen.Holder) {
 		return true
 	}
-	return now-l.since >= l.seen.TTL+l.cfg.Margin
+	return now-l.unchangedSince >= l.seen.TTL+l.cfg.Margin
 }
 
-// watchPause reads again soon enough to take a lapsed lease without delay.
+// watchPause returns the time until the next read: WatchEvery, or less if the lease
+// lapses earlier, but at least WatchEvery/8.
 func (l *Lease) watchPause(now time.Duration) time.Duration {
-	left := l.since + l.seen.TTL + l.cfg.Margin - now
+	left := l.unchangedSince + l.seen.TTL + l.cfg.Margin - now
 	return max(min(l.cfg.WatchEvery, left), l.cfg.WatchEvery/8)
 }
 
-// settleStop releases the row if it is this process's, else stops.
-func (l *Lease) settleStop(now time.Duration) []Action {
+// finishRelease releases the lease if the row belongs to this process; otherwise it
+// stops.
+func (l *Lease) finishRelease(now time.Duration) []Action {
 	if l.seen.Holder == l.self {
 		return []Action{l.release(now)}
 	}
@@ -150,7 +156,7 @@
 func (l *Lease) onRelease(now time.Duration, r table.Reply) []Action {
 	switch {
 	case r.Status == table.Done && r.Applied:
-		l.seen = l.wanted
+		l.seen = l.pendingRow
 		l.phase = phaseStopped
 		return nil
 	case r.Status == table.NotRun:
@@ -161,10 +167,10 @@
 	}
 }
 
-// retryLater backs off; a holder, or one that stops, tries again sooner.
+// retryLater backs off. A holder, or a process that is stopping, retries sooner.
 func (l *Lease) retryLater(now time.Duration) {
 	l.backOff(now)
-	if l.held != 0 || l.stopping {
+	if l.heldFence != 0 || l.stopping {
 		l.due = min(l.due, now+l.cfg.RenewEvery/4)
 	}
 }
--- a/core/live/live_test.go
+++ b/core/live/live_test.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-func good() *Document {
+func validDocument() *Document {
 	return Normalize(&Document{
 		Teams: []Team{
 			{Name: "desk", Labels: Labels{"tier": "gold"}, KeyHashes: []string{HashKey("key-1")}},
@@ -47,9 +47,9 @@
 	is.Equal(Normalize(out), out)
 }
 
-func TestCheckFindsEveryFault(t *testing.T) {
+func TestCheckReportsEveryFault(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Check(good())), 0)
+	is.Equal(len(Check(validDocument())), 0)
 	cases := map[string]func(*Document){
 		"teams[1].name":                          func(d *Document) { d.Teams[1].Name = "desk" },
 		"teams[0].key_hashes[0]":                 func(d *Document) { d.Teams[0].KeyHashes[0] = "abc" },
@@ -79,25 +79,25 @@
 		"endpoints[0].prefill_tokens_per_second": func(d *Document) { d.Endpoints[0].PrefillTokensPerSecond = -1 },
 	}
 	all := 0
-	for path, damage := range cases {
-		doc := good()
-		damage(doc)
+	for path, corrupt := range cases {
+		doc := validDocument()
+		corrupt(doc)
 		faults := Check(doc)
-		is.Equal(len(faults), 1) // just the planted fault
+		is.Equal(len(faults), 1) // only the injected fault
 		is.Equal(faults[0].Path, path)
 		is.True(faults[0].Message != "")
 		all += len(faults)
 	}
 	is.Equal(all, len(cases))
-	doc := good()
+	doc := validDocument()
 	cases["teams[0].weight"](doc)
 	cases["endpoints[0].slots"](doc)
-	is.Equal(len(Check(doc)), 2) // every fault, not just the first
+	is.Equal(len(Check(doc)), 2) // all faults, not only the first
 }
 
-func TestIndexShowsNothingOfOtherTeams(t *testing.T) {
+func TestIndexHidesServicesOfOtherTeams(t *testing.T) {
 	is := is.New(t)
-	x := NewIndex(good())
+	x := NewIndex(validDocument())
 	desk, ok := x.TeamByKey("key-1")
 	is.True(ok)
 	is.Equal(string(desk.Name), "desk")
@@ -111,22 +111,22 @@
 	is.Equal(string(s.Pool), "engines")
 	_, forbidden := x.ServiceFor(trek, "summary")
 	_, missing := x.ServiceFor(trek, "nothing")
-	is.Equal(forbidden, missing) // the same answer
+	is.Equal(forbidden, missing) // the same error
 	is.Equal(missing.Verdict, verdict.NotRun)
 	is.Equal(len(x.ServicesFor(trek)), 1)
 }
 
 func TestIndexSelectsEndpointsAndLinks(t *testing.T) {
 	is := is.New(t)
-	x := NewIndex(good())
+	x := NewIndex(validDocument())
 	engines := x.Endpoints("engines")
 	is.Equal(len(engines), 2)
-	is.Equal(string(engines[0].Name), "e1") // by name
+	is.Equal(string(engines[0].Name), "e1") // sorted by name
 	is.True(IsLeaving(engines[0]))
-	is.Equal(len(x.Endpoints("desks")), 1) // by the implied label of the domain
+	is.Equal(len(x.Endpoints("desks")), 1) // matched by the implicit domain label
 	l, ok := x.Link("kuryk", "bautino")
 	is.True(ok)
-	is.Equal(l.Name, "b") // the last one that fits
+	is.Equal(l.Name, "b") // the last matching link
 	_, ok = x.Link("bautino", "kuryk")
 	is.True(!ok)
 }
--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -15,29 +15,32 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// fakes stand for all that a Runner works with: the engine writes the tokens
-// that it is told to and then breaks or ends.
+// fakes implements all dependencies of a Runner. Its engine sends a number of tokens
+// and then breaks or ends the stream.
 type fakes struct {
-	refuse *verdict.Error
-	// refuseRead is what the prefill engine says.
-	refuseRead *verdict.Error
-	// unknown keeps the granted endpoints out of the configuration.
-	unknown bool
-	wants   []sched.Want
-	now     time.Duration
-	// step is how long each token takes.
-	step time.Duration
-	// again is how often a failed attempt is repeated.
-	again    int
-	tokens   int
+	// pairErr is the error of Pair.
+	pairErr *verdict.Error
+	// prefillErr is the error of the prefill engine.
+	prefillErr *verdict.Error
+	// noEndpoints removes the granted endpoints from the configuration.
+	noEndpoints bool
+	wants       []sched.Want
+	now         time.Duration
+	// tokenTime is the time per token.
+	tokenTime time.Duration
+	// maxRetries bounds the retries of a failed attempt.
+	maxRetries int
+	// tokens is the number of tokens that each stream sends.
+	tokens int
+	// finish makes a stream end normally after its tokens; otherwise it breaks.
 	finish   bool
 	progress []sched.Progress
 }
 
 func (f *fakes) Pair(_ context.Context, w sched.Want, _ time.Duration) (sched.Grant, *verdict.Error) {
 	f.wants = append(f.wants, w)
-	if f.refuse != nil {
-		return sched.Grant{}, f.refuse
+	if f.pairErr != nil {
+		return sched.Grant{}, f.pairErr
 	}
 	return sched.Grant{Prefill: "p", Decode: "d"}, nil
 }
@@ -47,8 +50,8 @@
 func (f *fakes) Progress(p sched.Progress)                     { f.progress = append(f.progress, p) }
 
 func (f *fakes) Prefill(context.Context, *live.Endpoint, *wire.PrefillRequest) (*wire.PrefillResponse, error) {
-	if f.refuseRead != nil {
-		return nil, f.refuseRead
+	if f.prefillErr != nil {
+		return nil, f.prefillErr
 	}
 	return &wire.PrefillResponse{KV: "kv"}, nil
 }
@@ -57,7 +60,7 @@
 	return &fakeStream{fakes: f, request: r.Request, at: r.Continue}, nil
 }
 
-// Resume of the engines would clash with that of the pairer.
+// fakeEngines is a separate type, since Engines and Pairer both have a method Resume.
 type fakeEngines struct{ *fakes }
 
 func (f fakeEngines) Resume(_ context.Context, _ *live.Endpoint, attempt id.Request, after int, _ id.Process) (TokenStream, error) {
@@ -72,12 +75,12 @@
 func (f *fakes) ReleaseKV(*live.Endpoint, id.Request, string) {}
 
 func (f *fakes) Decide(_ *live.Team, _ *verdict.Error, n int, _ time.Duration) Retry {
-	return Retry{Again: n <= f.again}
+	return Retry{Again: n <= f.maxRetries}
 }
 func (f *fakes) Success(*live.Team)                      {}
 func (f *fakes) Decision(string, string, string, ...any) {}
 func (f *fakes) Endpoint(name id.Endpoint) (*live.Endpoint, bool) {
-	return &live.Endpoint{Name: name}, !f.unknown
+	return &live.Endpoint{Name: name}, !f.noEndpoints
 }
 
 func (f *fakes) Deliver(context.Context, Event) error { return nil }
@@ -92,7 +95,7 @@
 func (s *fakeStream) Next() (wire.TokenEvent, error) {
 	s.at++
 	s.sent++
-	s.now += s.step
+	s.now += s.tokenTime
 	if s.sent <= s.tokens {
 		return wire.TokenEvent{Request: s.request, Seq: s.at, Text: "t "}, nil
 	}
@@ -105,7 +108,7 @@
 func (s *fakeStream) Close() error                { return nil }
 func (s *fakeStream) Incarnation() id.Incarnation { return 7 }
 
-// deps are a Runner's, with these engines.
+// deps returns the dependencies of a Runner with the given engines.
 func (f *fakes) deps(engines Engines) Deps {
 	return Deps{
 		Pairer: f, Engines: engines, Cancels: f, Retries: f, Recorder: f, Catalog: f,
@@ -121,8 +124,8 @@
 	return New(f.deps(fakeEngines{f})).Run(context.Background(), testJob(resume), f)
 }
 
-// TestBrokenAnswerAdvisesToResume breaks an answer off after its beginning, and
-// refuses the continuation of one: both callers must be told to come back.
+// TestBrokenAnswerAdvisesToResume breaks an answer off after its start, and refuses
+// the continuation of another one. Both errors must have a retry delay.
 func TestBrokenAnswerAdvisesToResume(t *testing.T) {
 	is := is.New(t)
 	err := (&fakes{tokens: 3}).run(nil)
@@ -131,47 +134,48 @@
 
 	refused := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "full")
 	gone := &ResumePoint{Attempt: "a", Endpoint: "d", Incarnation: 6, Delivered: 3, Text: "t t t ", HasText: true}
-	err = (&fakes{refuse: refused}).run(gone)
+	err = (&fakes{pairErr: refused}).run(gone)
 	is.Equal(err.Code, verdict.CodeOverloaded)
 	is.Equal(err.Verdict, verdict.Ran)
 	is.True(err.RetryAfter > 0)
 }
 
-// TestUnbegunAnswerGivesNoAdviceOfItsOwn keeps what the owner said.
-func TestUnbegunAnswerGivesNoAdviceOfItsOwn(t *testing.T) {
+// TestUnstartedAnswerAddsNoRetryAfter: without delivered output, the runner must not
+// add a retry delay to a refusal of the owner that has none.
+func TestUnstartedAnswerAddsNoRetryAfter(t *testing.T) {
 	is := is.New(t)
-	err := (&fakes{refuse: verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "none")}).run(nil)
+	err := (&fakes{pairErr: verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, "none")}).run(nil)
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.Equal(err.RetryAfter, time.Duration(0))
 }
 
-// TestWhatPassesIsAdvisedToComeBack: where processors are short, KV caches lapse
-// before they are handed over, in all attempts. The request has not run, and its
-// caller has to know when to send it again.
-func TestWhatPassesIsAdvisedToComeBack(t *testing.T) {
+// TestTransientErrorsCarryRetryAfter: on overloaded hosts, KV caches expire before
+// they are transferred, in all attempts. The request has not run, so the error must
+// have a retry delay.
+func TestTransientErrorsCarryRetryAfter(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeKVGone, verdict.CodeDeadline, verdict.CodeUnavailable} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
-			err := (&fakes{refuse: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
+			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
 			is.Equal(err.Verdict, verdict.NotRun)
 			is.Equal(err.RetryAfter, verdict.PassingRetryAfter)
 		})
 	}
 }
 
-// TestAFullEngineIsNoEnd: a caller of one run in 420 ended with "overloaded". The
-// advice of the pool's owner always has a time; what has none is an engine's own
-// refusal, where its slots or its queue were taken by work that the owner did not
-// know of, and the daemon's where it has no connection left. So it is with the
-// other reasons that pass.
-func TestAFullEngineIsNoEnd(t *testing.T) {
+// TestEngineRefusalsCarryRetryAfter: refusals of the pool's owner have a retry delay.
+// Those of an engine, whose slots or queue are taken by work that the owner does not
+// know of, and those of the daemon without a free connection, have none. Without
+// advice from the runner, callers failed with "overloaded" (one in 420 runs). The
+// same holds for the other transient codes.
+func TestEngineRefusalsCarryRetryAfter(t *testing.T) {
 	for _, code := range []verdict.Code{
 		verdict.CodeOverloaded, verdict.CodeLeaving, verdict.CodeTeamLimit,
 		verdict.CodeClaimUnavailable, verdict.CodeEndpointFailed, verdict.CodeSuperseded,
 	} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
-			f := &fakes{refuseRead: verdict.New(verdict.NotRun, code, "not now")}
+			f := &fakes{prefillErr: verdict.New(verdict.NotRun, code, "not now")}
 			err := f.run(nil)
 			is.Equal(err.Code, code)
 			is.Equal(err.Verdict, verdict.NotRun)
@@ -180,18 +184,20 @@
 	}
 }
 
-// TestAnEndpointThatIsNotKnownYetIsNoEnd: the pool's owner grants one that this
-// daemon's configuration does not hold; a change is on its way to one of them.
-func TestAnEndpointThatIsNotKnownYetIsNoEnd(t *testing.T) {
+// TestUnknownEndpointCarriesRetryAfter: the pool's owner grants an endpoint that is
+// missing in this daemon's configuration, since one of them has not received a change
+// yet. The error must have a retry delay.
+func TestUnknownEndpointCarriesRetryAfter(t *testing.T) {
 	is := is.New(t)
-	err := (&fakes{unknown: true}).run(nil)
+	err := (&fakes{noEndpoints: true}).run(nil)
 	is.Equal(err.Code, verdict.CodeUnavailable)
 	is.Equal(err.Verdict, verdict.NotRun)
 	is.True(err.RetryAfter > 0)
 }
 
-// TestContinuationGoesBeforeNewRequests compares the priorities of the two.
-func TestContinuationGoesBeforeNewRequests(t *testing.T) {
+// TestContinuationHasPriorityOverNewRequests compares the priorities of a new request
+// and of a continuation.
+func TestContinuationHasPriorityOverNewRequests(t *testing.T) {
 	is := is.New(t)
 	fresh := &fakes{finish: true}
 	is.True(fresh.run(nil) == nil)
@@ -201,25 +207,25 @@
 	is.Equal(rest.wants[0].Priority, live.MaxPriority)
 }
 
-// TestBrokenAnswerWaitsAnew breaks an answer off long after its first-token
-// target: the want for its rest must not carry that time as its age, or the
-// owner refuses it as too late.
-func TestBrokenAnswerWaitsAnew(t *testing.T) {
+// TestBrokenAnswerRestartsTheWait breaks an answer off long after its first-token
+// target. The request for the rest must not count that time as its age, or the owner
+// refuses it as too late.
+func TestBrokenAnswerRestartsTheWait(t *testing.T) {
 	is := is.New(t)
-	f := &fakes{tokens: 3, step: time.Second, again: 1}
+	f := &fakes{tokens: 3, tokenTime: time.Second, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(len(f.wants), 2)
 	is.Equal(f.wants[1].Age, time.Duration(0))
 
-	// One that was not begun keeps its age.
-	f = &fakes{tokens: 0, step: time.Second / 2, again: 1}
+	// An answer without delivered output keeps its age.
+	f = &fakes{tokens: 0, tokenTime: time.Second / 2, maxRetries: 1}
 	is.True(f.run(nil) != nil)
 	is.Equal(f.wants[1].Age, time.Second/2)
 }
 
-// TestOwnerIsToldOfThisAttemptsTokens resumes an answer behind five tokens: the
-// owner must not take them for the engine's work in the time since.
-func TestOwnerIsToldOfThisAttemptsTokens(t *testing.T) {
+// TestOutputTokensCountOnlyThisAttempt resumes an answer after five tokens. The owner
+// must not count them as the engine's output since the resume.
+func TestOutputTokensCountOnlyThisAttempt(t *testing.T) {
 	is := is.New(t)
 	f := &fakes{tokens: 2, finish: true}
 	err := f.run(&ResumePoint{Attempt: "a", Endpoint: "d", Incarnation: 7, Delivered: 5, Text: "t t t t t ", HasText: true})
--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -9,16 +9,16 @@
 	"github.com/matryer/is"
 )
 
-// timed is a Follower whose time the test hands in, and whose answers it reads.
-type timed struct {
+// timedFollower is a Follower with a test clock, whose answers the test receives.
+type timedFollower struct {
 	*Follower
 	now     atomic.Int64
 	answers chan Answer
 }
 
-func followTimed(t *testing.T, s *source) *timed {
+func followTimed(t *testing.T, s *source) *timedFollower {
 	t.Helper()
-	f := &timed{answers: make(chan Answer, 16)}
+	f := &timedFollower{answers: make(chan Answer, 16)}
 	f.Follower = Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
 		Now:      func() time.Duration { return time.Duration(f.now.Load()) },
@@ -32,9 +32,9 @@
 	return f
 }
 
-func (f *timed) pass(d time.Duration) { f.now.Add(int64(d)) }
+func (f *timedFollower) advance(d time.Duration) { f.now.Add(int64(d)) }
 
-// delta is an answer without changes; first is done before.
+// delta returns an answer without changes that calls first before it is given.
 func delta(newest uint64, clock time.Duration, first func()) func() (Delta, error) {
 	return func() (Delta, error) {
 		first()
@@ -42,61 +42,62 @@
 	}
 }
 
-func nothing() {}
+func noop() {}
 
-// TestAnAnswerIsUnbrokenOnlyBehindAnother: not behind a failure, a rest, or time in
-// which the process was held up.
-func TestAnAnswerIsUnbrokenOnlyBehindAnother(t *testing.T) {
+// An answer is not unbroken after a failed call, after an idle time, or if the
+// process was paused during the call.
+func TestAnswerIsUnbrokenOnlyAfterAnotherAnswer(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := followTimed(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	is.Equal(next(t, f.answers), Answer{Newest: 9})
-	give(t, s.changes, delta(12, time.Minute, func() { f.pass(time.Second) }))
+	serve(t, s.changes, delta(12, time.Minute, func() { f.advance(time.Second) }))
 	is.Equal(next(t, f.answers), Answer{Newest: 12, Clock: time.Minute, Unbroken: true})
 
-	give(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("refused") })
-	give(t, s.changes, delta(13, time.Minute, nothing))
+	serve(t, s.changes, func() (Delta, error) { return Delta{}, errors.New("refused") })
+	serve(t, s.changes, delta(13, time.Minute, noop))
 	is.True(!next(t, f.answers).Unbroken)
 
-	give(t, s.changes, delta(13, time.Minute, func() { f.pass(2 * testBound) }))
-	is.True(!next(t, f.answers).Unbroken) // it took longer than it may
+	serve(t, s.changes, delta(13, time.Minute, func() { f.advance(2 * testBound) }))
+	is.True(!next(t, f.answers).Unbroken) // the call took longer than its timeout
 
-	give(t, s.changes, delta(13, time.Minute, nothing))
+	serve(t, s.changes, delta(13, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
-// TestCallsThatWereNotMadeBreakTheRow: nobody was asked meanwhile.
-func TestCallsThatWereNotMadeBreakTheRow(t *testing.T) {
+// Nothing is known of the store during a gap between calls.
+func TestGapBetweenCallsBreaksTheSequence(t *testing.T) {
 	is := is.New(t)
-	var c calls
+	var c callSequence
 	is.True(!c.answered(0, 1, testBound))
-	is.True(c.answered(1+mostBetween, 2+mostBetween, testBound))
-	is.True(!c.answered(3+2*mostBetween, 4+2*mostBetween, testBound))
-	c.broken()
-	is.True(!c.answered(5+2*mostBetween, 6+2*mostBetween, testBound))
-	is.True(c.answered(6+2*mostBetween, 7+2*mostBetween, testBound))
+	is.True(c.answered(1+maxCallGap, 2+maxCallGap, testBound))
+	is.True(!c.answered(3+2*maxCallGap, 4+2*maxCallGap, testBound))
+	c.interrupted()
+	is.True(!c.answered(5+2*maxCallGap, 6+2*maxCallGap, testBound))
+	is.True(c.answered(6+2*maxCallGap, 7+2*maxCallGap, testBound))
 }
 
-// TestAPollGivesUpTheCallThatWaits and asks at once, which breaks nothing.
-func TestAPollGivesUpTheCallThatWaits(t *testing.T) {
+// A poll cancels the pending call and calls again at once. The sequence of calls
+// stays unbroken.
+func TestPollCancelsThePendingCall(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
 	f := followTimed(t, s)
-	give(t, s.reads, read(9, row("a", 3)))
+	serve(t, s.reads, read(9, row("a", 3)))
 	next(t, f.answers)
-	give(t, s.changes, delta(9, time.Minute, nothing))
+	serve(t, s.changes, delta(9, time.Minute, noop))
 	next(t, f.answers)
 	s.awaitCalls(t, 2)
 	is.True(s.lastWait() > 0)
 	f.Poll()
 	s.awaitCalls(t, 3)
 	is.Equal(s.lastWait(), time.Duration(0))
-	give(t, s.changes, delta(9, time.Minute, nothing))
+	serve(t, s.changes, delta(9, time.Minute, noop))
 	is.True(next(t, f.answers).Unbroken)
 }
 
-// awaitCalls waits until n calls for changes were begun.
+// awaitCalls waits until n calls for changes have begun.
 func (s *source) awaitCalls(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(testBound); ; time.Sleep(time.Millisecond) {
@@ -107,7 +108,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d calls were begun, not %d", begun, n)
+			t.Fatalf("%d calls have begun, want %d", begun, n)
 		}
 	}
 }
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -12,31 +12,31 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// testBound ends a test that would wait for ever; no verdict depends on it.
+// testBound fails a test that would otherwise hang; no result depends on it.
 const testBound = 30 * time.Second
 
-// told records what the duty tells.
-type told struct {
+// recorder records the calls of the duty's Listener and ignores sent messages.
+type recorder struct {
 	revisions, gone, forgotten chan id.Daemon
 }
 
-func newTold() *told {
-	return &told{
+func newRecorder() *recorder {
+	return &recorder{
 		revisions: make(chan id.Daemon, 16),
 		gone:      make(chan id.Daemon, 16),
 		forgotten: make(chan id.Daemon, 16),
 	}
 }
 
-func (l *told) Live([]id.Daemon)                                    {}
-func (l *told) Gone(p id.Process)                                   { l.gone <- p.Daemon }
-func (l *told) Forgotten(d id.Daemon)                               { l.forgotten <- d }
-func (l *told) PeerRevision(d id.Daemon, _ uint64)                  { l.revisions <- d }
-func (l *told) StopActing(bool)                                     {}
-func (l *told) SendMember(_ id.Daemon, _ string, _ *member.Message) {}
+func (l *recorder) Live([]id.Daemon)                                    {}
+func (l *recorder) Gone(p id.Process)                                   { l.gone <- p.Daemon }
+func (l *recorder) Forgotten(d id.Daemon)                               { l.forgotten <- d }
+func (l *recorder) PeerRevision(d id.Daemon, _ uint64)                  { l.revisions <- d }
+func (l *recorder) StopActing(bool)                                     {}
+func (l *recorder) SendMember(_ id.Daemon, _ string, _ *member.Message) {}
 
-// startTest starts the duty with waits that are short, as nothing is measured.
-func startTest(t *testing.T, forget time.Duration) (*Members, *told) {
+// startTest starts the duty with short intervals, as the tests measure no time.
+func startTest(t *testing.T, forget time.Duration) (*Members, *recorder) {
 	t.Helper()
 	core := member.DefaultConfig(member.Mesh)
 	core.Period = 5 * time.Millisecond
@@ -45,7 +45,7 @@
 	core.StallAfter = time.Hour
 	core.Forget = forget
 	begun := time.Now()
-	l := newTold()
+	l := newRecorder()
 	m := Start(Config{
 		Core:     core,
 		Self:     member.Entry{Process: id.Process{Daemon: "a", Incarnation: 1}, Domain: "north", Address: "a:1"},
@@ -61,7 +61,7 @@
 	return m, l
 }
 
-// heartbeat is what a peer of the own failure domain says.
+// heartbeat returns a heartbeat of a peer in the same failure domain.
 func heartbeat(epoch uint32) member.Message {
 	return member.Message{Kind: member.Heartbeat, From: member.Entry{
 		Process: id.Process{Daemon: "b", Incarnation: 1}, State: member.Alive,
@@ -75,13 +75,13 @@
 	case d := <-c:
 		is.New(t).Equal(d, id.Daemon("b"))
 	case <-time.After(testBound):
-		t.Fatalf("never told: %s", what)
+		t.Fatalf("not reported in time: %s", what)
 	}
 }
 
-// TestRevisionOfOneThatCameBackIsTold: whoever listens forgets a dead daemon's
-// revision, so an unchanged one must be told again.
-func TestRevisionOfOneThatCameBackIsTold(t *testing.T) {
+// Listeners drop a dead daemon's revision, so an unchanged revision must be
+// reported again when the daemon returns.
+func TestRevisionOfReturnedDaemonIsReported(t *testing.T) {
 	m, l := startTest(t, time.Hour)
 	m.Receive(heartbeat(0))
 	await(t, l.revisions, "the revision")
@@ -90,11 +90,11 @@
 	await(t, l.revisions, "the revision after the return")
 }
 
-func TestForgottenIsTold(t *testing.T) {
+func TestForgottenDaemonIsReported(t *testing.T) {
 	is := is.New(t)
 	m, l := startTest(t, time.Millisecond)
 	m.Receive(heartbeat(0))
 	await(t, l.gone, "the death")
-	await(t, l.forgotten, "that it is forgotten")
+	await(t, l.forgotten, "the removal")
 	is.True(!m.Known("b"))
 }
--- a/daemon/peer/bench_test.go
+++ b/daemon/peer/bench_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// BenchmarkSend measures one-way messages of 100 bytes until they are handled.
+// BenchmarkSend measures one-way messages of 100 bytes, from sending until they are
+// handled.
 func BenchmarkSend(b *testing.B) {
 	from, to := benchPair(b)
 	handler := to.cfg.Handler.(*recorder)
@@ -49,12 +50,12 @@
 	if err := from.SetPeer("b", to.Address()); err != nil {
 		b.Fatal(err)
 	}
-	callUntilUp(b, from, "b")
+	callUntilConnected(b, from, "b")
 	return from, to
 }
 
-// BenchmarkConnections measures what one more connected peer costs both ends
-// together: memory and goroutines.
+// BenchmarkConnections measures the memory and goroutines that each further
+// connected peer uses at both ends together.
 func BenchmarkConnections(b *testing.B) {
 	f := newFleet(b)
 	hub, _ := f.listen("hub", nil)
@@ -66,24 +67,24 @@
 		}
 		peers = append(peers, t)
 	}
-	before := usage()
+	before := measureUsage()
 	b.ResetTimer()
 	for _, t := range peers {
-		callUntilUp(b, t, "hub")
+		callUntilConnected(b, t, "hub")
 	}
 	b.StopTimer()
-	after := usage()
+	after := measureUsage()
 	n := float64(b.N)
 	b.ReportMetric(float64(after.heap-before.heap)/n, "heap-B/conn")
 	b.ReportMetric(float64(after.stack-before.stack)/n, "stack-B/conn")
 	b.ReportMetric(float64(after.goroutines-before.goroutines)/n, "goroutines/conn")
 }
 
-type used struct{ heap, stack, goroutines int64 }
+type resourceUsage struct{ heap, stack, goroutines int64 }
 
-func usage() used {
+func measureUsage() resourceUsage {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return used{int64(m.HeapInuse), int64(m.StackInuse), int64(runtime.NumGoroutine())}
+	return resourceUsage{int64(m.HeapInuse), int64(m.StackInuse), int64(runtime.NumGoroutine())}
 }
--- a/daemon/peer/remote.go
+++ b/daemon/peer/remote.go
@@ -13,74 +13,73 @@
 	"github.com/samphirequay/samphirequay/daemon/ring"
 )
 
-// remote is one peer: its connections and what waits to be sent to it.
+// remote is one peer: its connections and its outgoing queues.
 type remote struct {
 	t    *Transport
 	name id.Daemon
 
 	messages  *ring.Ring[*outgoing]
 	datagrams *ring.Ring[*outgoing]
-	// wanted asks for a connection; changed tells a waiting dialler that a
-	// connection or an address has come.
-	wanted  chan struct{}
-	changed chan struct{}
+	// dialRequested requests a connection; changed signals a waiting dialler that
+	// there is a new connection or address.
+	dialRequested chan struct{}
+	changed       chan struct{}
 
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// backoff and notBefore belong to the goroutine that dials.
-	backoff   *backoff.ExponentialBackOff
-	notBefore time.Time
+	// backoff and nextDial are used only by the goroutine that dials.
+	backoff  *backoff.ExponentialBackOff
+	nextDial time.Time
 
-	mu          sync.Mutex
-	address     string
-	incarnation id.Incarnation
-	current     *conn
-	conns       map[*conn]struct{}
-	waiting     []chan outcome
-	datagramsOn bool
+	mu                    sync.Mutex
+	address               string
+	incarnation           id.Incarnation
+	current               *conn
+	conns                 map[*conn]struct{}
+	waiters               []chan dialResult
+	datagramSenderStarted bool
 
-	// usedAt is when something was last to be sent to the peer, in Unix
-	// nanoseconds.
-	usedAt atomic.Int64
+	// lastUsed is the time of the last send to the peer, in Unix nanoseconds.
+	lastUsed atomic.Int64
 }
 
-// outcome of waiting for a connection.
-type outcome struct {
+// dialResult is sent to callers that wait for a connection.
+type dialResult struct {
 	conn *conn
 	err  error
 }
 
 func newRemote(t *Transport, name id.Daemon) *remote {
 	r := &remote{
-		t:         t,
-		name:      name,
-		messages:  ring.New[*outgoing]("peer_messages", t.cfg.RingSize, ring.Reject, nil),
-		datagrams: ring.New[*outgoing]("peer_datagrams", datagramRingSize, ring.DropOldest, nil),
-		wanted:    make(chan struct{}, 1),
-		changed:   make(chan struct{}, 1),
-		conns:     make(map[*conn]struct{}),
-		backoff:   backoff.NewExponentialBackOff(),
+		t:             t,
+		name:          name,
+		messages:      ring.New[*outgoing]("peer_messages", t.cfg.RingSize, ring.Reject, nil),
+		datagrams:     ring.New[*outgoing]("peer_datagrams", datagramRingSize, ring.DropOldest, nil),
+		dialRequested: make(chan struct{}, 1),
+		changed:       make(chan struct{}, 1),
+		conns:         make(map[*conn]struct{}),
+		backoff:       backoff.NewExponentialBackOff(),
 	}
 	r.backoff.InitialInterval = t.cfg.BackoffMin
 	r.backoff.MaxInterval = t.cfg.BackoffMax
 	r.ctx, r.cancel = context.WithCancel(t.ctx)
-	r.used()
+	r.touch()
 	return r
 }
 
-// used notes that something is to be sent to the peer.
-func (r *remote) used() { r.usedAt.Store(time.Now().UnixNano()) }
+// touch records the time at which something is sent to the peer.
+func (r *remote) touch() { r.lastUsed.Store(time.Now().UnixNano()) }
 
-// unusedSince says whether the peer has no connection, and nothing was to be
-// sent to it since then.
-func (r *remote) unusedSince(then time.Time) bool {
+// unusedSince reports whether the peer has no connection and no queued messages and
+// was not used since cutoff.
+func (r *remote) unusedSince(cutoff time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.conns) == 0 && r.messages.Len() == 0 && r.usedAt.Load() < then.UnixNano()
+	return len(r.conns) == 0 && r.messages.Len() == 0 && r.lastUsed.Load() < cutoff.UnixNano()
 }
 
-// signal leaves a token in a channel of size one.
+// signal sends on a channel of capacity 1 without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -105,8 +104,8 @@
 	}
 }
 
-// idle reports whether the peer came by itself and has no connection.
-func (r *remote) idle() bool {
+// removable reports whether the peer was never set and has no connection.
+func (r *remote) removable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.address == "" && len(r.conns) == 0
@@ -125,8 +124,8 @@
 	}
 }
 
-// start serves a new QUIC connection; it is used for sending once the peer's
-// hello has come.
+// start serves a new QUIC connection. It is used for sending once the peer's hello
+// has been received.
 func (r *remote) start(q *quic.Conn, origin string) *conn {
 	c := &conn{remote: r, quic: q, origin: origin, ready: make(chan struct{})}
 	t := r.t
@@ -144,18 +143,18 @@
 	return c
 }
 
-// adopt takes a connection whose hello has come, and marks it ready. A newer process of the peer
-// ends the connections of older ones.
-func (r *remote) adopt(c *conn) {
-	old := r.adoptLocked(c)
+// helloReceived marks a connection as ready after the peer's hello. If it belongs
+// to a newer process of the peer, the connections of older processes are closed.
+func (r *remote) helloReceived(c *conn) {
+	old := r.markReadyLocked(c)
 	for _, o := range old {
-		o.close(codeOld, "a newer process of this daemon has connected")
+		o.close(codeSuperseded, "a newer process of this daemon has connected")
 	}
 	signal(r.changed)
 	r.t.cfg.Report("peer_connected", "peer", r.name, "incarnation", uint64(c.incarnation), "origin", c.origin)
 }
 
-func (r *remote) adoptLocked(c *conn) []*conn {
+func (r *remote) markReadyLocked(c *conn) []*conn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(c.ready)
@@ -173,7 +172,7 @@
 		r.current = c
 	}
 	if r.current != nil {
-		r.answerLocked(outcome{conn: r.current})
+		r.notifyWaitersLocked(dialResult{conn: r.current})
 	}
 	return old
 }
@@ -187,23 +186,23 @@
 	}
 }
 
-// lost forgets a connection that has ended and falls back on another one of
-// the same process, if there is one. A peer that came by itself and has no
-// connection left is forgotten.
-func (r *remote) lost(c *conn, cause error) {
+// connEnded removes a connection that has ended and switches to another one of the
+// same process, if there is one. A peer that was never set and has no connection
+// left is removed.
+func (r *remote) connEnded(c *conn, cause error) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	if r.current == c {
-		r.current = r.otherLocked()
+		r.current = r.findLiveLocked()
 	}
 	r.mu.Unlock()
-	r.t.forget(r)
+	r.t.removeIfUnset(r)
 	if isReady(c) {
 		r.t.cfg.Report("peer_disconnected", "peer", r.name, "incarnation", uint64(c.incarnation), "cause", cause)
 	}
 }
 
-func (r *remote) otherLocked() *conn {
+func (r *remote) findLiveLocked() *conn {
 	for c := range r.conns {
 		if isReady(c) && c.alive() && c.incarnation == r.incarnation {
 			return c
