--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -98,7 +98,7 @@
 		Health:           view,
 		Violation:        d.metrics.Violation,
 	}
-	switch d.set.Policy {
+	switch d.settings.Policy {
 	case settings.PolicyNaive:
 		return naive.New(opts)
 	case settings.PolicyOptimistic:
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -59,9 +59,9 @@
 
 // Daemon is one running daemon.
 type Daemon struct {
-	set  *settings.Settings
-	opts Options
-	self id.Process
+	settings *settings.Settings
+	opts     Options
+	self     id.Process
 	// epoch is when the daemon started; all its times count from there.
 	epoch time.Time
 	rand  *rand.Rand
@@ -116,12 +116,12 @@
 	}
 	epoch := time.Now()
 	d := &Daemon{
-		set:    set,
-		opts:   opts,
-		epoch:  epoch,
-		self:   id.Process{Daemon: set.Daemon, Incarnation: id.Incarnation(epoch.UnixNano())},
-		wired:  make(chan struct{}),
-		closed: make(chan struct{}),
+		settings: set,
+		opts:     opts,
+		epoch:    epoch,
+		self:     id.Process{Daemon: set.Daemon, Incarnation: id.Incarnation(epoch.UnixNano())},
+		wired:    make(chan struct{}),
+		closed:   make(chan struct{}),
 	}
 	d.connections = newConnections(set.Limits.MaxConnections, set.Limits.MaxConnectionsPerIP)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
@@ -145,7 +145,7 @@
 
 // provision builds what needs no network.
 func (d *Daemon) provision() error {
-	d.metrics = metrics.New(string(d.set.Daemon))
+	d.metrics = metrics.New(string(d.settings.Daemon))
 	if d.opts.PanicOnViolation {
 		d.metrics.PanicOnViolation()
 	}
@@ -155,9 +155,9 @@
 	}
 	d.logger, err = logline.New(logline.Config{
 		Output:   d.opts.Log,
-		Level:    logline.Level(d.set.Log.Level),
-		RingSize: d.set.Limits.LogRing,
-		Daemon:   string(d.set.Daemon),
+		Level:    logline.Level(d.settings.Log.Level),
+		RingSize: d.settings.Limits.LogRing,
+		Daemon:   string(d.settings.Daemon),
 		Registry: d.metrics,
 	})
 	if err != nil {
@@ -166,13 +166,13 @@
 	d.metrics.OnViolation(func(name, detail string) {
 		d.logger.Error("invariant_violated", "name", name, "detail", detail)
 	})
-	journal, err := logline.NewJournal(d.set.Limits.JournalDecisions)
+	journal, err := logline.NewJournal(d.settings.Limits.JournalDecisions)
 	if err != nil {
 		return err
 	}
 	d.poison = poison.New(poison.Config{})
 	d.decisions = logline.NewDecisions(d.logger, journal)
-	d.work, err = workpool.New("short", d.set.Limits.Workers, d.metrics)
+	d.work, err = workpool.New("short", d.settings.Limits.Workers, d.metrics)
 	return err
 }
 
@@ -180,19 +180,19 @@
 	var err error
 	d.peerKeys = d.opts.PeerKeys
 	if d.peerKeys == nil {
-		files := keys.Files{Cert: d.set.PeersTLS.Cert, Key: d.set.PeersTLS.Key, CA: d.set.PeersTLS.CA}
+		files := keys.Files{Cert: d.settings.PeersTLS.Cert, Key: d.settings.PeersTLS.Key, CA: d.settings.PeersTLS.CA}
 		if d.peerKeys, err = keys.Open(files); err != nil {
 			return err
 		}
 	}
 	d.callerKeys = d.opts.CallerKeys
-	if d.callerKeys == nil && d.set.CallersTLS != nil {
-		files := keys.Files{Cert: d.set.CallersTLS.Cert, Key: d.set.CallersTLS.Key}
+	if d.callerKeys == nil && d.settings.CallersTLS != nil {
+		files := keys.Files{Cert: d.settings.CallersTLS.Cert, Key: d.settings.CallersTLS.Key}
 		if d.callerKeys, err = keys.Open(files); err != nil {
 			return err
 		}
 	}
-	d.tokens, err = keyring(d.set.ResumeKeys)
+	d.tokens, err = keyring(d.settings.ResumeKeys)
 	return err
 }
 
@@ -251,5 +251,5 @@
 
 // platformOptions are those of the clients of the platform's services.
 func (d *Daemon) platformOptions() client.Options {
-	return client.Options{Timeout: d.set.Timings.StoreTimeoutMS.Duration()}
+	return client.Options{Timeout: d.settings.Timings.StoreTimeoutMS.Duration()}
 }
--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -202,7 +202,7 @@
 func TestPortInUseIsNamed(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
-	set := *f.daemons[0].set
+	set := *f.daemons[0].settings
 	set.Listen.Callers = f.daemons[0].CallerAddr()
 	material, err := f.ca.Peer(set.Daemon)
 	is.NoErr(err)
--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -96,7 +96,7 @@
 // entryAnswer tells a caller which addresses to use.
 func (d *Daemon) entryAnswer() opapi.EntryAnswer {
 	cfg := entry.DefaultConfig()
-	cfg.Lifetime = d.set.Timings.EntryLifetimeMS.Duration()
+	cfg.Lifetime = d.settings.Timings.EntryLifetimeMS.Duration()
 	cfg.MinLifetime = min(cfg.MinLifetime, cfg.Lifetime)
 	d.entryMu.Lock()
 	answer := entry.Make(cfg, d.candidates(), d.self.Daemon, d.entryRand)
--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -15,7 +15,7 @@
 	pairer := trackingPairer{Broker: d.broker, cancels: d.cancels}
 	completions := completion.New(completion.Deps{
 		Self:     d.self,
-		Domain:   d.set.Domain,
+		Domain:   d.settings.Domain,
 		Pairer:   pairer,
 		Engines:  d.endpoints,
 		Cancels:  d.cancels,
@@ -27,7 +27,7 @@
 	})
 	plain := plaincall.New(plaincall.Deps{
 		Self:      d.self,
-		Domain:    d.set.Domain,
+		Domain:    d.settings.Domain,
 		Pairer:    d.broker,
 		Endpoints: d.endpoints,
 		Claims:    d.claims,
@@ -53,9 +53,9 @@
 		Logger:       httpLogger{d.logger},
 		Now:          d.now,
 		NewID:        newRequestID,
-		MaxBodyBytes: d.set.Limits.MaxBodyBytes,
+		MaxBodyBytes: d.settings.Limits.MaxBodyBytes,
 		Surplus:      surplus,
-		MaxConns:     d.set.Limits.MaxConnections,
+		MaxConns:     d.settings.Limits.MaxConnections,
 	})
-	d.operator = operator.New(operatorBacking{d}, d.set.OperatorKeyHashes, d.logger.Event)
+	d.operator = operator.New(operatorBacking{d}, d.settings.OperatorKeyHashes, d.logger.Event)
 }
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -44,40 +44,40 @@
 	d.watchKeys("peers", d.peerKeys)
 	d.watchKeys("callers", d.callerKeys)
 	d.serve()
-	d.logger.Event("daemon_started", "incarnation", d.self.Incarnation, "domain", d.set.Domain, "policy", d.set.Policy,
+	d.logger.Event("daemon_started", "incarnation", d.self.Incarnation, "domain", d.settings.Domain, "policy", d.settings.Policy,
 		"callers", d.CallerAddr(), "operators", d.OperatorAddr(), "peers", d.PeerAddr())
 	return nil
 }
 
 func (d *Daemon) listen() error {
 	var err error
-	keepalive, idle := ConnectionTimes(member.Mode(d.set.Membership.Mode))
-	if d.callerLn, err = listenTCP("callers", d.set.Listen.Callers); err != nil {
+	keepalive, idle := ConnectionTimes(member.Mode(d.settings.Membership.Mode))
+	if d.callerLn, err = listenTCP("callers", d.settings.Listen.Callers); err != nil {
 		return err
 	}
-	if d.operatorLn, err = listenTCP("operators", d.set.Listen.Operators); err != nil {
+	if d.operatorLn, err = listenTCP("operators", d.settings.Listen.Operators); err != nil {
 		return err
 	}
-	if d.set.Listen.Debug != "" {
-		if d.debugLn, err = listenTCP("debug", d.set.Listen.Debug); err != nil {
+	if d.settings.Listen.Debug != "" {
+		if d.debugLn, err = listenTCP("debug", d.settings.Listen.Debug); err != nil {
 			return err
 		}
 	}
 	d.transport, err = peer.Listen(peer.Config{
 		Self:      d.self,
-		Listen:    d.set.Listen.Peers,
+		Listen:    d.settings.Listen.Peers,
 		Keys:      d.peerKeys,
 		Handler:   newPeerHandler(d),
 		KindName:  link.KindName(kindNames),
 		Registry:  d.metrics,
-		RingSize:  d.set.Limits.PeerRing,
+		RingSize:  d.settings.Limits.PeerRing,
 		Report:    d.logger.Debug,
 		Keepalive: keepalive,
 
 		IdleTimeout: idle,
 	})
 	if err != nil {
-		return eris.Wrapf(err, "listen.peers %s", d.set.Listen.Peers)
+		return eris.Wrapf(err, "listen.peers %s", d.settings.Listen.Peers)
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 // startStore starts what meets the platform and the endpoints.
 func (d *Daemon) startStore() {
 	d.endpoints = endpoints.New(nil)
-	table := client.NewTable(d.set.Platform.Table, d.platformOptions())
+	table := client.NewTable(d.settings.Platform.Table, d.platformOptions())
 	d.store = store.New(store.TableService{Client: table}, d.work, d.metrics)
 	d.retries = newRetrier(d.now, d.newRand())
 	d.cancels = cancels.Start(cancels.Config{
@@ -150,7 +150,7 @@
 		Self:       d.self,
 		Writers:    claimWriters{d},
 		Store:      d.store,
-		Objects:    client.NewObjects(d.set.Platform.Objects, d.platformOptions()),
+		Objects:    client.NewObjects(d.settings.Platform.Objects, d.platformOptions()),
 		Work:       d.work,
 		Metrics:    d.metrics,
 		OwnerAlive: d.processAlive,
@@ -161,7 +161,7 @@
 		Core:     d.memberConfig(),
 		Self:     d.memberEntry(),
 		Seeds:    d.seeds(),
-		Hosts:    client.NewHosts(d.set.Platform.Hosts, d.platformOptions()),
+		Hosts:    client.NewHosts(d.settings.Platform.Hosts, d.platformOptions()),
 		Sender:   d.links(),
 		Listener: fleetListener{d},
 		Metrics:  d.metrics,
@@ -174,7 +174,7 @@
 	d.placer = placer.Start(placer.Config{
 		Self:      d.self,
 		Store:     d.store,
-		Weights:   client.NewWeights(d.set.Platform.Weights, d.platformOptions()),
+		Weights:   client.NewWeights(d.settings.Platform.Weights, d.platformOptions()),
 		Endpoints: d.endpoints,
 		Work:      d.work,
 		Metrics:   d.metrics,
@@ -202,30 +202,30 @@
 }
 
 func (d *Daemon) memberConfig() member.Config {
-	cfg := member.DefaultConfig(member.Mode(d.set.Membership.Mode))
-	cfg.Period = d.set.Membership.PeriodMS.Duration()
-	cfg.SuspectAfter = d.set.Membership.SuspectAfterMS.Duration()
-	cfg.DeadAfter = d.set.Membership.DeadAfterMS.Duration()
+	cfg := member.DefaultConfig(member.Mode(d.settings.Membership.Mode))
+	cfg.Period = d.settings.Membership.PeriodMS.Duration()
+	cfg.SuspectAfter = d.settings.Membership.SuspectAfterMS.Duration()
+	cfg.DeadAfter = d.settings.Membership.DeadAfterMS.Duration()
 	return cfg
 }
 
 func (d *Daemon) memberEntry() member.Entry {
 	return member.Entry{
 		Process:       d.self,
-		Domain:        d.set.Domain,
-		Address:       cmp.Or(d.set.Advertise.Peers, d.PeerAddr()),
+		Domain:        d.settings.Domain,
+		Address:       cmp.Or(d.settings.Advertise.Peers, d.PeerAddr()),
 		CallerAddress: d.advertisedCallers(),
 	}
 }
 
 func (d *Daemon) advertisedCallers() string {
-	return cmp.Or(d.set.Advertise.Callers, d.CallerAddr())
+	return cmp.Or(d.settings.Advertise.Callers, d.CallerAddr())
 }
 
 func (d *Daemon) seeds() []member.Host {
 	var out []member.Host
-	for _, p := range d.set.SeedPeers {
-		if p.Name != d.set.Daemon {
+	for _, p := range d.settings.SeedPeers {
+		if p.Name != d.settings.Daemon {
 			out = append(out, member.Host{Name: p.Name, Address: p.Address})
 		}
 	}
@@ -233,7 +233,7 @@
 }
 
 func (d *Daemon) localPolicy() bool {
-	return d.set.Policy == settings.PolicyOptimistic || d.set.Policy == settings.PolicyNaive
+	return d.settings.Policy == settings.PolicyOptimistic || d.settings.Policy == settings.PolicyNaive
 }
 
 // serve starts the HTTP servers.
@@ -260,7 +260,7 @@
 	if s == nil {
 		return
 	}
-	ticker := time.NewTicker(d.set.KeysPollMS.Duration())
+	ticker := time.NewTicker(d.settings.KeysPollMS.Duration())
 	go func() {
 		defer ticker.Stop()
 		s.Watch(d.ctx, ticker.C, func(changed bool, err error) {
--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -24,9 +24,9 @@
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
 		Spread:   stopSpread,
-		Lifetime: d.set.Timings.EntryLifetimeMS.Duration(),
+		Lifetime: d.settings.Timings.EntryLifetimeMS.Duration(),
 		Quiet:    stopQuiet,
-		Limit:    d.set.Timings.DrainMS.Duration(),
+		Limit:    d.settings.Timings.DrainMS.Duration(),
 	}
 	s := leaving.Begin(cfg, d.now())
 	if !d.stopping.CompareAndSwap(nil, s) {
--- a/daemon/app/tls_test.go
+++ b/daemon/app/tls_test.go
@@ -20,7 +20,7 @@
 	f.t.Helper()
 	is := is.New(f.t)
 	f.reservePeers(1)
-	set := *f.daemons[0].set
+	set := *f.daemons[0].settings
 	set.Daemon = "tls"
 	set.Listen.Peers = f.seeds[len(f.seeds)-1].Address
 	set.InsecureCallers = false
