--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -101,7 +101,7 @@
 	poison     *poison.Ledger
 	// wired is closed once all duties are there; until then nothing from
 	// outside is let in.
-	wired    chan struct{}
+	started  chan struct{}
 	stopping atomic.Pointer[leaving.Stop]
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -120,7 +120,7 @@
 		opts:     opts,
 		epoch:    epoch,
 		self:     id.Process{Daemon: set.Daemon, Incarnation: id.Incarnation(epoch.UnixNano())},
-		wired:    make(chan struct{}),
+		started:  make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
 	d.connections = newConnections(set.Limits.MaxConnections, set.Limits.MaxConnectionsPerIP)
--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -35,7 +35,7 @@
 		Log:       d.logger.Event,
 		Metrics:   d.metrics,
 		Now:       d.now,
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 }
 
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -40,7 +40,7 @@
 	d.startStore()
 	d.startFleet()
 	d.startRequests()
-	close(d.wired)
+	close(d.started)
 	d.watchKeys("peers", d.peerKeys)
 	d.watchKeys("callers", d.callerKeys)
 	d.serve()
@@ -112,7 +112,7 @@
 		Metrics:   d.metrics,
 		Log:       d.logger.Event,
 		Now:       d.now,
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 }
 
@@ -130,7 +130,7 @@
 		Now:       d.now,
 		Rand:      d.newRand(),
 		Follower:  revision.DefaultFollowerConfig(),
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 	d.broker = broker.New(broker.Config{
 		Self:       d.self,
@@ -143,7 +143,7 @@
 		Epoch:      d.epoch,
 		Metrics:    d.metrics,
 		Now:        d.now,
-		Ready:      d.wired,
+		Ready:      d.started,
 	})
 	d.quotas = d.newQuotas()
 	d.claims = claims.Start(claims.Config{
@@ -169,7 +169,7 @@
 		Log:      d.logger.Event,
 		Now:      d.now,
 		Rand:     d.newRand(),
-		Ready:    d.wired,
+		Ready:    d.started,
 	})
 	d.placer = placer.Start(placer.Config{
 		Self:      d.self,
@@ -186,7 +186,7 @@
 		Rand:      d.newRand(),
 		Lease:     lease.DefaultConfig(),
 		Core:      placement.DefaultConfig(),
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 	d.reports = reports.Start(reports.Config{
 		Endpoints: d.endpoints,
@@ -197,7 +197,7 @@
 		Metrics:   d.metrics,
 		Now:       d.now,
 		Rand:      d.newRand(),
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 }
 
