--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -92,7 +92,7 @@
 	operatorLn net.Listener
 	debugLn    net.Listener
 
-	connections *connections
+	connections *callerConns
 	entryMu     sync.Mutex
 	entryRand   *rand.Rand
 
--- a/daemon/app/callerconns.go
+++ b/daemon/app/callerconns.go
@@ -8,7 +8,7 @@
 
 // connections remembers the callers' open connections, so that Kill can break
 // them as the end of the process would, and those beyond the bounds be refused.
-type connections struct {
+type callerConns struct {
 	// most bounds them, mostOfIP those from one address.
 	most, mostOfIP int
 
@@ -17,8 +17,8 @@
 	ips  map[string]int
 }
 
-func newConnections(most, mostOfIP int) *connections {
-	return &connections{
+func newConnections(most, mostOfIP int) *callerConns {
+	return &callerConns{
 		most: most, mostOfIP: mostOfIP,
 		open: make(map[*trackedConn]struct{}),
 		ips:  make(map[string]int),
@@ -28,13 +28,13 @@
 // trackingListener tells connections of each one that it accepts.
 type trackingListener struct {
 	net.Listener
-	list *connections
+	list *callerConns
 }
 
 // trackedConn stays a *net.TCPConn for whoever asks for its file descriptor.
 type trackedConn struct {
 	*net.TCPConn
-	list *connections
+	list *callerConns
 	ip   string
 	// surplus is set where the bounds were reached before it came.
 	surplus bool
@@ -53,7 +53,7 @@
 	return l.list.add(tcp), nil
 }
 
-func (c *connections) add(tcp *net.TCPConn) *trackedConn {
+func (c *callerConns) add(tcp *net.TCPConn) *trackedConn {
 	t := &trackedConn{TCPConn: tcp, list: c}
 	if at, ok := tcp.RemoteAddr().(*net.TCPAddr); ok {
 		t.ip = at.IP.String()
@@ -82,7 +82,7 @@
 }
 
 // remove forgets a connection, once.
-func (c *connections) remove(t *trackedConn) {
+func (c *callerConns) remove(t *trackedConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.open[t]; !ok {
@@ -96,7 +96,7 @@
 }
 
 // closeAll breaks all connections at once.
-func (c *connections) closeAll() {
+func (c *callerConns) closeAll() {
 	c.mu.Lock()
 	all := make([]*trackedConn, 0, len(c.open))
 	for t := range c.open {
