--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -123,7 +123,7 @@
 		started:  make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
-	d.connections = newConnections(set.Limits.MaxConnections, set.Limits.MaxConnectionsPerIP)
+	d.connections = newCallerConns(set.Limits.MaxConnections, set.Limits.MaxConnectionsPerIP)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	if opts.Seed == 0 {
 		opts.Seed = uint64(d.self.Incarnation)
--- a/daemon/app/callerconns.go
+++ b/daemon/app/callerconns.go
@@ -17,7 +17,7 @@
 	ips  map[string]int
 }
 
-func newConnections(most, mostOfIP int) *callerConns {
+func newCallerConns(most, mostOfIP int) *callerConns {
 	return &callerConns{
 		most: most, mostOfIP: mostOfIP,
 		open: make(map[*trackedConn]struct{}),
