--- a/daemon/app/callerconns.go
+++ b/daemon/app/callerconns.go
@@ -10,7 +10,7 @@
 // them as the end of the process would, and those beyond the bounds be refused.
 type callerConns struct {
 	// most bounds them, mostOfIP those from one address.
-	maxTotal, mostOfIP int
+	maxTotal, maxPerIP int
 
 	mu   sync.Mutex
 	open map[*trackedConn]struct{}
@@ -19,7 +19,7 @@
 
 func newCallerConns(most, mostOfIP int) *callerConns {
 	return &callerConns{
-		maxTotal: most, mostOfIP: mostOfIP,
+		maxTotal: most, maxPerIP: mostOfIP,
 		open: make(map[*trackedConn]struct{}),
 		ips:  make(map[string]int),
 	}
@@ -60,7 +60,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.surplus = len(c.open) >= c.maxTotal || c.ips[t.ip] >= c.mostOfIP
+	t.surplus = len(c.open) >= c.maxTotal || c.ips[t.ip] >= c.maxPerIP
 	c.open[t] = struct{}{}
 	c.ips[t.ip]++
 	return t
