--- a/daemon/app/callerconns.go
+++ b/daemon/app/callerconns.go
@@ -37,7 +37,7 @@
 	list *callerConns
 	ip   string
 	// surplus is set where the bounds were reached before it came.
-	surplus bool
+	overLimit bool
 }
 
 // Accept implements net.Listener.
@@ -60,7 +60,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.surplus = len(c.open) >= c.maxTotal || c.ips[t.ip] >= c.maxPerIP
+	t.overLimit = len(c.open) >= c.maxTotal || c.ips[t.ip] >= c.maxPerIP
 	c.open[t] = struct{}{}
 	c.ips[t.ip]++
 	return t
@@ -72,7 +72,7 @@
 		conn = secured.NetConn()
 	}
 	tracked, ok := conn.(*trackedConn)
-	return ok && tracked.surplus
+	return ok && tracked.overLimit
 }
 
 // Close implements net.Conn.
