--- a/daemon/app/callerconns.go
+++ b/daemon/app/callerconns.go
@@ -67,7 +67,7 @@
 }
 
 // surplus says whether a connection is beyond the bounds.
-func surplus(conn net.Conn) bool {
+func isOverLimit(conn net.Conn) bool {
 	if secured, ok := conn.(*tls.Conn); ok {
 		conn = secured.NetConn()
 	}
