--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -54,7 +54,7 @@
 		Now:          d.now,
 		NewID:        newRequestID,
 		MaxBodyBytes: d.settings.Limits.MaxBodyBytes,
-		Surplus:      isOverLimit,
+		OverLimit:    isOverLimit,
 		MaxConns:     d.settings.Limits.MaxConnections,
 	})
 	d.operator = operator.New(operatorBacking{d}, d.settings.OperatorKeyHashes, d.logger.Event)
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -88,8 +88,8 @@
 	MaxBodyBytes int
 	// MaxConns bounds the callers' connections; Surplus says whether one is
 	// beyond that.
-	MaxConns int
-	Surplus  func(conn net.Conn) bool
+	MaxConns  int
+	OverLimit func(conn net.Conn) bool
 }
 
 // Server serves callers.
@@ -147,7 +147,7 @@
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
-	if s.Surplus(ctx.Conn()) {
+	if s.OverLimit(ctx.Conn()) {
 		s.refuseConn(ctx)
 		return
 	}
