--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -48,7 +48,7 @@
 		Metrics:      d.metrics,
 		Entry:        d.entryAnswer,
 		Ready:        d.ready,
-		Arrived:      d.noteCaller,
+		OnRequest:    d.noteCaller,
 		Log:          d.logger.Event,
 		Logger:       httpLogger{d.logger},
 		Now:          d.now,
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -79,7 +79,7 @@
 	// Logger takes what the HTTP library has to say.
 	Logger fasthttp.Logger
 	// Arrived is told of each request.
-	Arrived func()
+	OnRequest func()
 	// Now is the time since the daemon's start.
 	Now func() time.Duration
 	// NewID makes request ids.
@@ -153,10 +153,10 @@
 	}
 	switch {
 	case path == opapi.PathCompletions:
-		s.Arrived()
+		s.OnRequest()
 		s.completions(ctx)
 	case strings.HasPrefix(path, opapi.PathServices):
-		s.Arrived()
+		s.OnRequest()
 		s.services(ctx, path)
 	case path == opapi.PathEntry:
 		s.entry(ctx)
