--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -37,7 +37,7 @@
 	// least number, that are taken beyond it in order to be refused properly. The
 	// HTTP library's own refusal beyond that has neither code, verdict nor advice.
 	overLimitDivisor = 8
-	leastSurplus     = 16
+	minOverLimit     = 16
 	// bearer begins the Authorization header.
 	bearer = "Bearer "
 )
@@ -111,7 +111,7 @@
 		ErrorHandler:          s.protocolError,
 		Name:                  "samphirequay",
 		MaxRequestBodySize:    d.MaxBodyBytes + bodySlack,
-		Concurrency:           d.MaxConns + max(leastSurplus, d.MaxConns/overLimitDivisor),
+		Concurrency:           d.MaxConns + max(minOverLimit, d.MaxConns/overLimitDivisor),
 		ReadTimeout:           readTimeout,
 		IdleTimeout:           idleTimeout,
 		NoDefaultServerHeader: true,
