--- a/daemon/app/peerconns.go
+++ b/daemon/app/peerconns.go
@@ -15,7 +15,7 @@
 	// mean and N/4 at the most, so this keeps the connections of up to 600
 	// daemons; one that rests sends nothing, while a handshake for each probe
 	// would cost more than all the probes.
-	partialIdle = 150 * time.Second
+	partialIdleTimeout = 150 * time.Second
 )
 
 // ConnectionTimes gives the pause between keepalive packets, and after how much
@@ -23,7 +23,7 @@
 // connection is in use all the time.
 func ConnectionTimes(mode member.Mode) (keepalive, idle time.Duration) {
 	if mode == member.Partial {
-		return noKeepalive, partialIdle
+		return noKeepalive, partialIdleTimeout
 	}
 	return peer.DefaultKeepalive, peer.DefaultIdleTimeout
 }
