--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -35,7 +35,7 @@
 func (l fleetListener) Gone(p id.Process) {
 	l.d.cancels.ProcessGone(p)
 	l.d.configs.PeerGone(p.Daemon)
-	time.AfterFunc(goneGrace, func() { l.d.broker.ProcessGone(p) })
+	time.AfterFunc(deadDaemonGrace, func() { l.d.broker.ProcessGone(p) })
 }
 
 // Forgotten implements members.Listener: the transport forgets it as well.
@@ -43,7 +43,7 @@
 
 // goneGrace is how long a dead daemon's slots stay reserved: its callers may
 // come back through another daemon meanwhile.
-const goneGrace = 2 * time.Second
+const deadDaemonGrace = 2 * time.Second
 
 // PeerRevision implements members.Listener.
 func (l fleetListener) PeerRevision(d id.Daemon, revision uint64) {
