--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -70,7 +70,7 @@
 func (d *Daemon) inFlight() int { return d.front.InFlight() }
 
 // installed takes a newer configuration.
-func (d *Daemon) installed(x *live.Index, _ uint64) {
+func (d *Daemon) applyConfig(x *live.Index, _ uint64) {
 	doc := x.Document()
 	d.broker.SetDocument(doc)
 	d.placer.SetIndex(x)
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -123,7 +123,7 @@
 		Store:     d.store,
 		Peers:     peerFetcher{d},
 		Metrics:   d.metrics,
-		Installed: d.installed,
+		Installed: d.applyConfig,
 		Spread:    d.spreadRecord,
 		Log:       d.logger.Event,
 		Violation: d.metrics.Violation,
