--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -141,7 +141,7 @@
 }
 
 // decidePlacement records a decision about an endpoint's placement.
-func (d *Daemon) decidePlacement(e id.Endpoint, event string, kv ...any) {
+func (d *Daemon) recordPlacement(e id.Endpoint, event string, kv ...any) {
 	d.decisions.Decide(logline.SubjectPlacement, string(e), event, kv...)
 }
 
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -178,7 +178,7 @@
 		Endpoints: d.endpoints,
 		Work:      d.work,
 		Metrics:   d.metrics,
-		Decide:    d.decidePlacement,
+		Decide:    d.recordPlacement,
 		Log:       d.logger.Event,
 		Drain:     d.drain,
 		Demand:    d.demand,
