--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -28,7 +28,7 @@
 func (d *Daemon) newQuotas() *quotas.Quotas {
 	return quotas.New(quotas.Config{
 		Self:      d.self.Daemon,
-		Send:      d.links().SendQuota,
+		Send:      d.peerSender().SendQuota,
 		Limit:     d.limitOf,
 		Tolerance: quota.Tolerance{Window: limitWindow, Overshoot: limitOvershoot},
 		Fleet:     d.countFleet,
--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -133,7 +133,7 @@
 }
 
 // links sends messages to other daemons.
-func (d *Daemon) links() link.Sender { return link.Sender{Transport: d.transport} }
+func (d *Daemon) peerSender() link.Sender { return link.Sender{Transport: d.transport} }
 
 // claimWriters implements claims.Writers over the transport.
 type claimWriters struct{ d *Daemon }
