--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -64,7 +64,7 @@
 		return l.next.Run(ctx, job, sink)
 	}
 	size := quota.Size{Known: true, Prompt: prefixhash.EstimateTokens(job.Prompt), Output: job.MaxTokens}
-	refund, err := pay(ctx, l.quotas, job.Team, size)
+	refund, err := charge(ctx, l.quotas, job.Team, size)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 
 // Run implements front.PlainCalls.
 func (l limitedCalls) Run(ctx context.Context, call *plaincall.Call) (*plaincall.Answer, *verdict.Error) {
-	refund, err := pay(ctx, l.quotas, call.Team, quota.Size{})
+	refund, err := charge(ctx, l.quotas, call.Team, quota.Size{})
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 
 // pay charges a request to its team. refund gives the charge back where the
 // request ended without having run.
-func pay(ctx context.Context, q *quotas.Quotas, team *live.Team, size quota.Size) (refund func(*verdict.Error), err *verdict.Error) {
+func charge(ctx context.Context, q *quotas.Quotas, team *live.Team, size quota.Size) (refund func(*verdict.Error), err *verdict.Error) {
 	limit := team.Limit()
 	if !limit.Limited() {
 		return func(*verdict.Error) {}, nil
