--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -21,7 +21,7 @@
 	limitWindow    = 10 * time.Second
 	limitOvershoot = 0.1
 	// payPatience bounds the wait for the daemon that keeps a team's account.
-	payPatience = time.Second
+	chargeTimeout = time.Second
 )
 
 // newQuotas starts the duty that holds teams to their limits.
@@ -98,7 +98,7 @@
 		return func(*verdict.Error) {}, nil
 	}
 	cost := limit.Cost(size)
-	if err := q.Pay(ctx, team.Name, limit, cost, payPatience); err != nil {
+	if err := q.Pay(ctx, team.Name, limit, cost, chargeTimeout); err != nil {
 		return nil, err
 	}
 	return func(err *verdict.Error) {
