--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -55,7 +55,7 @@
 		Teams:     []opapi.TeamStatus{},
 		Leases:    []opapi.LeaseStatus{},
 	}
-	for _, reply := range d.askPools() {
+	for _, reply := range d.queryPools() {
 		s.Pools = append(s.Pools, reply.Pools...)
 	}
 	slices.SortFunc(s.Pools, func(x, y opapi.PoolStatus) int { return cmp.Compare(x.Pool, y.Pool) })
@@ -135,7 +135,7 @@
 }
 
 // askPools asks the pools' owners for their state.
-func (d *Daemon) askPools() []poolsReply {
+func (d *Daemon) queryPools() []poolsReply {
 	replies := []poolsReply{d.poolsLocal()}
 	owners := slices.Compact(slices.Sorted(slices.Values(d.broker.Owners(d.pools()))))
 	var mu sync.Mutex
@@ -199,7 +199,7 @@
 func (b operatorBacking) Quarantine() opapi.QuarantineList {
 	list := opapi.QuarantineList{Entries: []opapi.QuarantineEntry{}}
 	seen := make(map[string]bool)
-	for _, reply := range b.d.askPools() {
+	for _, reply := range b.d.queryPools() {
 		for _, e := range reply.Quarantine {
 			if !seen[e.Fingerprint] {
 				seen[e.Fingerprint] = true
@@ -213,7 +213,7 @@
 // demand is the utilisation of the model pools, asked from their owners.
 func (d *Daemon) demand(context.Context) []placement.Demand {
 	var out []placement.Demand
-	for _, reply := range d.askPools() {
+	for _, reply := range d.queryPools() {
 		for _, p := range reply.Pools {
 			out = append(out, placement.Demand{Pool: p.Pool, Prefill: p.PrefillLoad, Decode: p.DecodeLoad})
 		}
