--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -139,7 +139,7 @@
 	replies := []poolsReply{d.poolsLocal()}
 	owners := slices.Compact(slices.Sorted(slices.Values(d.broker.Owners(d.pools()))))
 	var mu sync.Mutex
-	d.ask(owners, func(ctx context.Context, to id.Daemon) {
+	d.queryPeers(owners, func(ctx context.Context, to id.Daemon) {
 		var reply poolsReply
 		if d.transport.Call(ctx, to, kindPools, &poolsQuery{}, &reply) != nil {
 			return
@@ -152,7 +152,7 @@
 }
 
 // ask runs a question to several daemons at once, this one left out.
-func (d *Daemon) ask(whom []id.Daemon, ask func(ctx context.Context, to id.Daemon)) {
+func (d *Daemon) queryPeers(whom []id.Daemon, queryPeers func(ctx context.Context, to id.Daemon)) {
 	ctx, cancel := context.WithTimeout(d.ctx, peerCallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -163,7 +163,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ask(ctx, to)
+			queryPeers(ctx, to)
 		}()
 	}
 	wg.Wait()
@@ -182,7 +182,7 @@
 	q := explainQuery{Kind: kind, ID: subject}
 	out := b.d.explainLocal(q)
 	var mu sync.Mutex
-	b.d.ask(b.d.members.Others(), func(ctx context.Context, to id.Daemon) {
+	b.d.queryPeers(b.d.members.Others(), func(ctx context.Context, to id.Daemon) {
 		var reply opapi.Explanation
 		if b.d.transport.Call(ctx, to, kindExplain, &q, &reply) != nil {
 			return
