--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -10,7 +10,7 @@
 
 const (
 	// stopLook is how often a leaving daemon asks whether it may close.
-	stopLook = 100 * time.Millisecond
+	stopPollInterval = 100 * time.Millisecond
 	// stopSpread is how long until every daemon knows of the leaving.
 	stopSpread = 2 * time.Second
 	// stopQuiet is how long no new caller must have come.
@@ -39,7 +39,7 @@
 }
 
 func (d *Daemon) leave(s *leaving.Stop) {
-	why, ok := s.Wait(d.ctx, stopLook, d.now, d.inFlight)
+	why, ok := s.Wait(d.ctx, stopPollInterval, d.now, d.inFlight)
 	if !ok {
 		return
 	}
