--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -12,7 +12,7 @@
 	// stopLook is how often a leaving daemon asks whether it may close.
 	stopPollInterval = 100 * time.Millisecond
 	// stopSpread is how long until every daemon knows of the leaving.
-	stopSpread = 2 * time.Second
+	stopPropagation = 2 * time.Second
 	// stopQuiet is how long no new caller must have come.
 	stopQuiet = 500 * time.Millisecond
 	// shutdownTimeout bounds the closing of servers that have nothing to do.
@@ -23,7 +23,7 @@
 // hands its duties over, and goes on serving until nobody needs it.
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
-		Spread:   stopSpread,
+		Spread:   stopPropagation,
 		Lifetime: d.settings.Timings.EntryLifetimeMS.Duration(),
 		Quiet:    stopQuiet,
 		Limit:    d.settings.Timings.DrainMS.Duration(),
