--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -14,7 +14,7 @@
 	// stopSpread is how long until every daemon knows of the leaving.
 	stopPropagation = 2 * time.Second
 	// stopQuiet is how long no new caller must have come.
-	stopQuiet = 500 * time.Millisecond
+	stopQuietPeriod = 500 * time.Millisecond
 	// shutdownTimeout bounds the closing of servers that have nothing to do.
 	shutdownTimeout = 2 * time.Second
 )
@@ -25,7 +25,7 @@
 	cfg := entry.StopConfig{
 		Spread:   stopPropagation,
 		Lifetime: d.settings.Timings.EntryLifetimeMS.Duration(),
-		Quiet:    stopQuiet,
+		Quiet:    stopQuietPeriod,
 		Limit:    d.settings.Timings.DrainMS.Duration(),
 	}
 	s := leaving.Begin(cfg, d.now())
