--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -35,10 +35,10 @@
 	d.logger.Event("daemon_leaving")
 	d.members.Leave()
 	d.placer.Release()
-	go d.leave(s)
+	go d.finishStop(s)
 }
 
-func (d *Daemon) leave(s *leaving.Stop) {
+func (d *Daemon) finishStop(s *leaving.Stop) {
 	why, ok := s.Wait(d.ctx, stopPollInterval, d.now, d.inFlight)
 	if !ok {
 		return
