--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -65,7 +65,7 @@
 	defer cancel()
 	_ = d.front.Shutdown(ctx)
 	_ = d.operator.Shutdown(ctx)
-	d.end()
+	d.closeComponents()
 }
 
 // Kill ends the daemon at once, as a crash of its process would: connections
@@ -78,12 +78,12 @@
 	d.broker.Close()
 	d.quotas.Close()
 	d.connections.closeAll()
-	d.end()
+	d.closeComponents()
 	d.front.Kill()
 }
 
 // end closes the duties, those that feed others first.
-func (d *Daemon) end() {
+func (d *Daemon) closeComponents() {
 	if !d.ended.CompareAndSwap(false, true) {
 		return
 	}
