--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -211,7 +211,7 @@
 }
 
 // attemptCost is the least time that another attempt needs to be of use.
-const attemptCost = 100 * time.Millisecond
+const minAttemptTime = 100 * time.Millisecond
 
 func newRetrier(now func() time.Duration, rng *rand.Rand) *retrier {
 	return &retrier{core: retry.New(retry.Config{}, rng), now: now}
@@ -228,7 +228,7 @@
 		Err:        err,
 		Attempt:    n,
 		Remaining:  remaining,
-		Cost:       attemptCost,
+		Cost:       minAttemptTime,
 		Idempotent: true,
 	})
 	return completion.Retry{Again: decision.Retry, Delay: decision.After, Reason: string(decision.Reason)}
