--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -34,7 +34,7 @@
 func newRequestID() id.Request { return id.Request(ulid.Make().String()) }
 
 // secure wraps the listener in TLS where the daemon has caller keys.
-func (d *Daemon) secure(ln net.Listener) net.Listener {
+func (d *Daemon) wrapTLS(ln net.Listener) net.Listener {
 	if d.callerKeys == nil {
 		return ln
 	}
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -238,8 +238,8 @@
 
 // serve starts the HTTP servers.
 func (d *Daemon) serve() {
-	go d.serveOn("callers", d.secure(trackingListener{d.callerLn, d.connections}), d.front.Serve)
-	go d.serveOn("operators", d.secure(d.operatorLn), d.operator.Serve)
+	go d.serveOn("callers", d.wrapTLS(trackingListener{d.callerLn, d.connections}), d.front.Serve)
+	go d.serveOn("operators", d.wrapTLS(d.operatorLn), d.operator.Serve)
 	if d.debugLn == nil {
 		return
 	}
