--- a/daemon/app/replicate.go
+++ b/daemon/app/replicate.go
@@ -28,7 +28,7 @@
 // spreadRecord hands an accepted change to some daemons and waits until a few
 // have it. Without that, a change is lost to the fleet, if not to the store,
 // when this daemon and the store end within a heartbeat.
-func (d *Daemon) spreadRecord(ctx context.Context, r revision.Record) {
+func (d *Daemon) replicateRecord(ctx context.Context, r revision.Record) {
 	to := firstFor(r.Change.ID, d.members.Others())
 	calls, cancel := context.WithTimeout(d.ctx, peerCallTimeout)
 	answers := make(chan bool, len(to))
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -124,7 +124,7 @@
 		Peers:     peerFetcher{d},
 		Metrics:   d.metrics,
 		Installed: d.applyConfig,
-		Spread:    d.spreadRecord,
+		Spread:    d.replicateRecord,
 		Log:       d.logger.Event,
 		Violation: d.metrics.Violation,
 		Now:       d.now,
