--- a/daemon/app/replicate.go
+++ b/daemon/app/replicate.go
@@ -13,7 +13,7 @@
 	// firstHolders is to how many daemons the one that saw a change accepted
 	// sends it by itself; the others hear of it by heartbeats and ask, or read
 	// the store.
-	firstHolders = 6
+	replicaTargets = 6
 	// enoughHolders of them must have it before the operator is told, or the
 	// bound of a call between daemons has passed.
 	enoughHolders = 2
@@ -64,8 +64,8 @@
 	// A hash never fails to write.
 	_, _ = io.WriteString(h, change)
 	first := int(h.Sum64() % uint64(len(others)))
-	out := make([]id.Daemon, 0, firstHolders)
-	for i := range min(firstHolders, len(others)) {
+	out := make([]id.Daemon, 0, replicaTargets)
+	for i := range min(replicaTargets, len(others)) {
 		out = append(out, others[(first+i)%len(others)])
 	}
 	return out
--- a/daemon/app/replicate_test.go
+++ b/daemon/app/replicate_test.go
@@ -46,6 +46,6 @@
 	for _, d := range firstFor("a change", others) {
 		seen[d] = true
 	}
-	is.Equal(len(seen), firstHolders)
+	is.Equal(len(seen), replicaTargets)
 	is.Equal(len(firstFor("a change", others[:2])), 2)
 }
