--- a/daemon/app/replicate.go
+++ b/daemon/app/replicate.go
@@ -16,7 +16,7 @@
 	replicaTargets = 6
 	// enoughHolders of them must have it before the operator is told, or the
 	// bound of a call between daemons has passed.
-	enoughHolders = 2
+	minReplicas = 2
 )
 
 // recordReply answers a kindRecord.
@@ -40,7 +40,7 @@
 		}()
 	}
 	have, open := 0, len(to)
-	for ; open > 0 && have < min(enoughHolders, len(to)) && ctx.Err() == nil; open-- {
+	for ; open > 0 && have < min(minReplicas, len(to)) && ctx.Err() == nil; open-- {
 		if <-answers {
 			have++
 		}
