--- a/daemon/app/replicate.go
+++ b/daemon/app/replicate.go
@@ -29,7 +29,7 @@
 // have it. Without that, a change is lost to the fleet, if not to the store,
 // when this daemon and the store end within a heartbeat.
 func (d *Daemon) replicateRecord(ctx context.Context, r revision.Record) {
-	to := firstFor(r.Change.ID, d.members.Others())
+	to := selectReplicas(r.Change.ID, d.members.Others())
 	calls, cancel := context.WithTimeout(d.ctx, peerCallTimeout)
 	answers := make(chan bool, len(to))
 	for _, name := range to {
@@ -56,7 +56,7 @@
 
 // firstFor chooses the daemons that a change is sent to first; its id spreads
 // the choice over the fleet.
-func firstFor(change string, others []id.Daemon) []id.Daemon {
+func selectReplicas(change string, others []id.Daemon) []id.Daemon {
 	if len(others) == 0 {
 		return nil
 	}
--- a/daemon/app/replicate_test.go
+++ b/daemon/app/replicate_test.go
@@ -37,15 +37,15 @@
 
 func TestFirstHoldersAreDifferentDaemons(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(firstFor("c", nil)), 0)
+	is.Equal(len(selectReplicas("c", nil)), 0)
 	var others []id.Daemon
 	for i := range 9 {
 		others = append(others, id.Daemon(fmt.Sprintf("d%d", i)))
 	}
 	seen := map[id.Daemon]bool{}
-	for _, d := range firstFor("a change", others) {
+	for _, d := range selectReplicas("a change", others) {
 		seen[d] = true
 	}
 	is.Equal(len(seen), replicaTargets)
-	is.Equal(len(firstFor("a change", others[:2])), 2)
+	is.Equal(len(selectReplicas("a change", others[:2])), 2)
 }
