--- a/daemon/app/replicate.go
+++ b/daemon/app/replicate.go
@@ -22,7 +22,7 @@
 // recordReply answers a kindRecord.
 type recordReply struct {
 	// Learnt says that the change, or a later one, is in force there.
-	Learnt bool `cbor:"1,keyasint"`
+	Applied bool `cbor:"1,keyasint"`
 }
 
 // spreadRecord hands an accepted change to some daemons and waits until a few
@@ -36,7 +36,7 @@
 		go func() {
 			var reply recordReply
 			err := d.transport.Call(calls, name, kindRecord, &r, &reply)
-			answers <- err == nil && reply.Learnt
+			answers <- err == nil && reply.Applied
 		}()
 	}
 	have, open := 0, len(to)
