--- a/daemon/app/reset_test.go
+++ b/daemon/app/reset_test.go
@@ -14,7 +14,7 @@
 // once.
 func TestAnAnswerSurvivesItsEnginesConnection(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(t, 1, twoOfEach(), nil)
+	f := newTestFleet(t, 1, twoPerRole(), nil)
 	f.slowTokens(4)
 	const tokens = 40
 	prompt := strings.Repeat("certificate of quality, flash point 71 C. ", 20)
--- a/daemon/app/unreachable_test.go
+++ b/daemon/app/unreachable_test.go
@@ -18,7 +18,7 @@
 
 // twoOfEach is a small site: two engines that read, two that write and two plain
 // endpoints, so that each kind has one beside the one that fails.
-func twoOfEach() standin.PlatformConfig {
+func twoPerRole() standin.PlatformConfig {
 	cfg := standin.Bunker()
 	var engines []standin.EngineConfig
 	left := map[string]int{standin.RolePrefill: 2, standin.RoleDecode: 2}
@@ -80,7 +80,7 @@
 	for _, role := range []string{standin.RolePrefill, standin.RoleDecode} {
 		t.Run(role, func(t *testing.T) {
 			is := is.New(t)
-			f := newTestFleet(t, 1, twoOfEach(), nil)
+			f := newTestFleet(t, 1, twoPerRole(), nil)
 			const tokens = 4
 			for n := 0; n < 20 && !f.retried(); n++ { // the first ones find the best engine
 				prompt := fmt.Sprintf("%s: %d", strings.Repeat("barge, stem, hose. ", 40), n)
@@ -99,7 +99,7 @@
 // TestAPlainEndpointThatTakesNoConnectionCostsNoCall: the same for plain calls.
 func TestAPlainEndpointThatTakesNoConnectionCostsNoCall(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(t, 1, twoOfEach(), nil)
+	f := newTestFleet(t, 1, twoPerRole(), nil)
 	is.Equal(f.call(f.daemons[0], http.MethodGet, teamKey, "", "").status, http.StatusOK)
 	is.NoErr(f.platform.Plains[0].FillBacklog())
 	for n := 0; n < 20 && !f.retried(); n++ {
