--- a/daemon/app/reset_test.go
+++ b/daemon/app/reset_test.go
@@ -20,7 +20,7 @@
 	prompt := strings.Repeat("certificate of quality, flash point 71 C. ", 20)
 	resp := f.startStream(f.daemons[0], prompt, tokens)
 	defer resp.Body.Close()
-	f.lastPaired(standin.RoleDecode).ResetConnections()
+	f.lastGranted(standin.RoleDecode).ResetConnections()
 	text, _, ended := readStream(t, resp, 0)
 	is.True(ended)
 	is.Equal(text, standin.Answer(prompt, tokens))
--- a/daemon/app/unreachable_test.go
+++ b/daemon/app/unreachable_test.go
@@ -61,7 +61,7 @@
 }
 
 // lastPaired is the engine that was last granted in a role.
-func (f *testFleet) lastPaired(role string) *standin.Engine {
+func (f *testFleet) lastGranted(role string) *standin.Engine {
 	f.t.Helper()
 	is := is.New(f.t)
 	granted := regexp.MustCompile(`event=paired .* `+role+`=(\S+)`).FindAllStringSubmatch(f.log.String(), -1)
@@ -88,7 +88,7 @@
 				is.Equal(status, http.StatusOK)
 				is.Equal(text, standin.Answer(prompt, tokens))
 				if n == 4 {
-					is.NoErr(f.lastPaired(role).FillBacklog())
+					is.NoErr(f.lastGranted(role).FillBacklog())
 				}
 			}
 			is.True(f.retried()) // a request met the engine
