--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -32,7 +32,7 @@
 	otherKey    = "other-team-key"
 	operatorKey = "operator-key"
 	// settleLimit bounds every wait of a test for something that will happen.
-	settleLimit = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 // testFleet is a platform and some daemons on sockets of their own.
@@ -237,14 +237,14 @@
 // until waits for a condition that must come true.
 func (f *testFleet) until(what string, holds func() bool) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), settleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for !holds() {
 		select {
 		case <-ctx.Done():
-			f.t.Fatalf("not within %s: %s", settleLimit, what)
+			f.t.Fatalf("not within %s: %s", waitTimeout, what)
 		case <-ticker.C:
 		}
 	}
