--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -153,11 +153,11 @@
 		_, err := http.DefaultClient.Do(req)
 		failed <- err
 	}()
-	f.until("the prefill runs", func() bool { return f.held("prefill") > 0 })
+	f.waitFor("the prefill runs", func() bool { return f.held("prefill") > 0 })
 	hangUp()
 	is.True(<-failed != nil)
-	f.until("the engine was told", func() bool { return f.cancels() > 0 })
-	f.until("nothing is held", func() bool { return f.held("") == 0 })
+	f.waitFor("the engine was told", func() bool { return f.cancels() > 0 })
+	f.waitFor("nothing is held", func() bool { return f.held("") == 0 })
 }
 
 func TestBadRequestsGetOneClearAnswer(t *testing.T) {
--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -48,7 +48,7 @@
 	defer resp.Body.Close()
 	is.True(f.held("decode") == 1)
 	f.daemons[1].Kill()
-	f.until("a survivor cancelled the orphan", func() bool { return f.held("") == 0 })
+	f.waitFor("a survivor cancelled the orphan", func() bool { return f.held("") == 0 })
 }
 
 func TestPoolOwnerKilledUnderLoadLosesNothing(t *testing.T) {
@@ -83,7 +83,7 @@
 		prompt := fmt.Sprintf("packet %d %s", i, strings.Repeat("nomination. ", 40))
 		is.Equal(text, standin.Answer(prompt, 60))
 	}
-	f.until("the pool has a new owner that grants", func() bool {
+	f.waitFor("the pool has a new owner that grants", func() bool {
 		body := opapi.CompletionRequest{Model: model, Prompt: "after", MaxTokens: 2}
 		status, _ := f.do(f.completionRequest(context.Background(), caller, teamKey, body))
 		return status == http.StatusOK
@@ -98,7 +98,7 @@
 	resp := f.startStream(f.daemons[0], prompt, 60)
 	defer resp.Body.Close()
 	f.daemons[0].BeginStop()
-	f.until("others name it no more", func() bool {
+	f.waitFor("others name it no more", func() bool {
 		for _, a := range f.daemons[1].entryAnswer().Addresses {
 			if a.Address == f.daemons[0].CallerAddr() {
 				return false
@@ -124,7 +124,7 @@
 	ops := []opapi.Op{{Action: "label", Kind: live.KindEndpoint, Name: name, Labels: live.Labels{live.LabelLeaving: "true"}}}
 	status, _ := f.change(f.daemons[0], opapi.ChangeRequest{ID: "drain", Ops: ops})
 	is.Equal(status, http.StatusOK)
-	f.until("the drain is in force", func() bool { return f.daemons[0].Revision() >= 2 && f.daemons[1].Revision() >= 2 })
+	f.waitFor("the drain is in force", func() bool { return f.daemons[0].Revision() >= 2 && f.daemons[1].Revision() >= 2 })
 	before := engine.Counters().Decodes
 	for i := range 30 {
 		body := opapi.CompletionRequest{Model: model, Prompt: fmt.Sprintf("note %d", i), MaxTokens: 1}
@@ -169,7 +169,7 @@
 			}
 		}
 		is.Equal(won, 1)
-		f.until("the winner is in force everywhere", func() bool {
+		f.waitFor("the winner is in force everywhere", func() bool {
 			for _, d := range f.daemons {
 				if d.Revision() != expect+1 {
 					return false
@@ -197,7 +197,7 @@
 	f.platform.Table.Inject(wire.Fault{Down: ptr(true)})
 	f.daemons[2].Kill()
 	f.daemons[2] = f.start(2)
-	f.until("the newcomer is ready", func() bool {
+	f.waitFor("the newcomer is ready", func() bool {
 		ready, _ := f.daemons[2].ready()
 		return ready
 	})
@@ -212,7 +212,7 @@
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	poison := "history " + standin.CrashMarker
 	quarantined := false
-	f.until("the request is quarantined", func() bool {
+	f.waitFor("the request is quarantined", func() bool {
 		for _, d := range f.daemons {
 			status, body := f.do(f.completionRequest(context.Background(), d, teamKey,
 				opapi.CompletionRequest{Model: model, Prompt: poison, MaxTokens: 2}))
--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -178,7 +178,7 @@
 	is.Equal(status, http.StatusOK) // the configuration is accepted
 	var answer opapi.ChangeAnswer
 	is.NoErr(json.Unmarshal(body, &answer))
-	f.until("the configuration is in force on all", func() bool {
+	f.waitFor("the configuration is in force on all", func() bool {
 		for _, d := range f.daemons {
 			ready, _ := d.ready()
 			if d.Revision() < answer.Revision || !ready || d.aliveCount() < len(f.daemons) {
@@ -235,7 +235,7 @@
 }
 
 // until waits for a condition that must come true.
-func (f *testFleet) until(what string, holds func() bool) {
+func (f *testFleet) waitFor(what string, holds func() bool) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
--- a/daemon/app/full_endpoint_test.go
+++ b/daemon/app/full_endpoint_test.go
@@ -35,7 +35,7 @@
 			}
 		}()
 	}
-	f.until("all slots are taken", func() bool { return f.runs() == int64(len(f.platform.Plains)) })
+	f.waitFor("all slots are taken", func() bool { return f.runs() == int64(len(f.platform.Plains)) })
 
 	got := f.call(f.daemons[0], http.MethodGet, teamKey, "", "")
 	is.Equal(got.verdict, verdict.NotRun.String())
--- a/daemon/app/kill_test.go
+++ b/daemon/app/kill_test.go
@@ -33,7 +33,7 @@
 		defer close(killed)
 		d.Kill()
 	}()
-	f.until("the kill has begun", func() bool {
+	f.waitFor("the kill has begun", func() bool {
 		conn, err := net.Dial("tcp", d.CallerAddr())
 		if err == nil {
 			_ = conn.Close()
--- a/daemon/app/limits_test.go
+++ b/daemon/app/limits_test.go
@@ -26,7 +26,7 @@
 	is.Equal(status, http.StatusOK)
 	var answer opapi.ChangeAnswer
 	is.NoErr(json.Unmarshal(body, &answer))
-	f.until("the limit is in force", func() bool {
+	f.waitFor("the limit is in force", func() bool {
 		return f.daemons[0].Revision() >= answer.Revision && f.daemons[1].Revision() >= answer.Revision
 	})
 	ask := func(d *Daemon, key string) (int, string) {
--- a/daemon/app/plain_test.go
+++ b/daemon/app/plain_test.go
@@ -80,7 +80,7 @@
 	is.Equal(first.body, standin.Receipt("stem-1", []byte("300 t")))
 
 	var again reply
-	f.until("the outcome is stored", func() bool {
+	f.waitFor("the outcome is stored", func() bool {
 		again = f.call(f.daemons[1], http.MethodPost, teamKey, "stem-1", "300 t")
 		return again.status == http.StatusOK
 	})
@@ -135,7 +135,7 @@
 	// After the outage the key is free.
 	f.platform.Table.Inject(wire.Fault{Down: ptr(false)})
 	var r reply
-	f.until("the call is taken again", func() bool {
+	f.waitFor("the call is taken again", func() bool {
 		r = f.call(f.daemons[0], http.MethodPost, teamKey, "stem-2", "x")
 		return r.status == http.StatusOK
 	})
@@ -182,7 +182,7 @@
 	ops := appendOps(t, nil, live.KindService, []live.Service{marked}, func(s live.Service) string { return string(s.Name) })
 	status, _ := f.change(d, opapi.ChangeRequest{ID: "mark", Ops: ops})
 	is.Equal(status, http.StatusOK)
-	f.until("the mark is in force", func() bool { return d.Revision() >= 2 })
+	f.waitFor("the mark is in force", func() bool { return d.Revision() >= 2 })
 	r := f.call(d, http.MethodPost, teamKey, "", "x")
 	is.Equal(r.status, http.StatusBadRequest)
 	is.Equal(r.verdict, "not-run")
--- a/daemon/app/replicate_test.go
+++ b/daemon/app/replicate_test.go
@@ -30,7 +30,7 @@
 	f.daemons[0].Kill()
 	var answer opapi.ChangeAnswer
 	is.NoErr(json.Unmarshal(body, &answer))
-	f.until("the survivors have the change", func() bool {
+	f.waitFor("the survivors have the change", func() bool {
 		return f.daemons[1].Revision() >= answer.Revision && f.daemons[2].Revision() >= answer.Revision
 	})
 }
--- a/daemon/app/tls_test.go
+++ b/daemon/app/tls_test.go
@@ -33,7 +33,7 @@
 	is.NoErr(err)
 	is.NoErr(d.Start())
 	f.daemons = append(f.daemons, d)
-	f.until("the daemon is ready", func() bool {
+	f.waitFor("the daemon is ready", func() bool {
 		ready, _ := d.ready()
 		return ready
 	})
@@ -87,9 +87,9 @@
 		_, err := client.Do(req)
 		failed <- err
 	}()
-	f.until("the prefill runs", func() bool { return f.held("prefill") > 0 })
+	f.waitFor("the prefill runs", func() bool { return f.held("prefill") > 0 })
 	hangUp()
 	is.True(<-failed != nil)
-	f.until("the engine was told", func() bool { return f.cancels() > 0 })
-	f.until("nothing is held", func() bool { return f.held("") == 0 })
+	f.waitFor("the engine was told", func() bool { return f.cancels() > 0 })
+	f.waitFor("nothing is held", func() bool { return f.held("") == 0 })
 }
--- a/daemon/app/unconfigured_test.go
+++ b/daemon/app/unconfigured_test.go
@@ -49,7 +49,7 @@
 	}
 
 	is.NoErr(f.platform.Inject(wire.Fault{Target: "table", Down: &up}))
-	f.until("it serves", func() bool {
+	f.waitFor("it serves", func() bool {
 		status, _ := f.do(completion())
 		return status == http.StatusOK
 	})
