--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -76,7 +76,7 @@
 	t.Cleanup(f.platform.Close)
 	f.ca, err = keys.NewDevCA(time.Now())
 	is.NoErr(err)
-	f.reservePeers(n)
+	f.reservePeerPorts(n)
 	for i := range n {
 		f.daemons = append(f.daemons, f.start(i))
 	}
@@ -99,7 +99,7 @@
 
 // reservePeers picks free UDP ports for n more daemons, so that each knows all
 // seeds.
-func (f *testFleet) reservePeers(n int) {
+func (f *testFleet) reservePeerPorts(n int) {
 	f.t.Helper()
 	first := firstPeerPort + os.Getpid()%peerRanges*peerPortsEach
 	most := len(f.seeds) + n
--- a/daemon/app/tls_test.go
+++ b/daemon/app/tls_test.go
@@ -19,7 +19,7 @@
 func (f *testFleet) startTLS() (*Daemon, *http.Client, *keys.Store) {
 	f.t.Helper()
 	is := is.New(f.t)
-	f.reservePeers(1)
+	f.reservePeerPorts(1)
 	set := *f.daemons[0].settings
 	set.Daemon = "tls"
 	set.Listen.Peers = f.seeds[len(f.seeds)-1].Address
