--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -20,7 +20,7 @@
 )
 
 // slowTokens makes answers last long enough for a fault to meet them.
-func (f *testFleet) slowTokens(factor float64) {
+func (f *testFleet) slowEngines(factor float64) {
 	for _, e := range f.platform.Engines {
 		e.Inject(wire.Fault{Slow: &factor})
 	}
@@ -43,7 +43,7 @@
 func TestOrphansOfAKilledDaemonAreReaped(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
-	f.slowTokens(4)
+	f.slowEngines(4)
 	resp := f.startStream(f.daemons[1], strings.Repeat("barge slot check. ", 40), 2000)
 	defer resp.Body.Close()
 	is.True(f.held("decode") == 1)
@@ -93,7 +93,7 @@
 func TestPlannedStopInterruptsNothing(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), func(s *settings.Settings) { s.Timings.EntryLifetimeMS = 500 })
-	f.slowTokens(3)
+	f.slowEngines(3)
 	prompt := strings.Repeat("bill of lading. ", 40)
 	resp := f.startStream(f.daemons[0], prompt, 60)
 	defer resp.Body.Close()
--- a/daemon/app/reset_test.go
+++ b/daemon/app/reset_test.go
@@ -15,7 +15,7 @@
 func TestAnAnswerSurvivesItsEnginesConnection(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, twoPerRole(), nil)
-	f.slowTokens(4)
+	f.slowEngines(4)
 	const tokens = 40
 	prompt := strings.Repeat("certificate of quality, flash point 71 C. ", 20)
 	resp := f.startStream(f.daemons[0], prompt, tokens)
