--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -89,9 +89,9 @@
 // process gets one between looking and listening. Each process of the tests looks
 // in a range of its own.
 const (
-	firstPeerPort = 10000
-	peerPortsEach = 100
-	peerRanges    = 100
+	firstPeerPort       = 10000
+	peerPortsPerProcess = 100
+	peerRanges          = 100
 )
 
 // peerPort is the last port of this process's range that was looked at.
@@ -101,13 +101,13 @@
 // seeds.
 func (f *testFleet) reservePeerPorts(n int) {
 	f.t.Helper()
-	first := firstPeerPort + os.Getpid()%peerRanges*peerPortsEach
+	first := firstPeerPort + os.Getpid()%peerRanges*peerPortsPerProcess
 	most := len(f.seeds) + n
 	for tries := 0; len(f.seeds) < most; tries++ {
-		if tries == peerPortsEach {
+		if tries == peerPortsPerProcess {
 			f.t.Fatalf("no %d free ports behind %d", n, first)
 		}
-		address := fmt.Sprintf("127.0.0.1:%d", first+int(peerPort.Add(1))%peerPortsEach)
+		address := fmt.Sprintf("127.0.0.1:%d", first+int(peerPort.Add(1))%peerPortsPerProcess)
 		conn, err := net.ListenPacket("udp", address)
 		if err != nil {
 			continue
