--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -91,7 +91,7 @@
 const (
 	firstPeerPort       = 10000
 	peerPortsPerProcess = 100
-	peerRanges          = 100
+	peerPortRanges      = 100
 )
 
 // peerPort is the last port of this process's range that was looked at.
@@ -101,7 +101,7 @@
 // seeds.
 func (f *testFleet) reservePeerPorts(n int) {
 	f.t.Helper()
-	first := firstPeerPort + os.Getpid()%peerRanges*peerPortsPerProcess
+	first := firstPeerPort + os.Getpid()%peerPortRanges*peerPortsPerProcess
 	most := len(f.seeds) + n
 	for tries := 0; len(f.seeds) < most; tries++ {
 		if tries == peerPortsPerProcess {
