--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -95,7 +95,7 @@
 )
 
 // peerPort is the last port of this process's range that was looked at.
-var peerPort atomic.Int32
+var lastPeerPort atomic.Int32
 
 // reservePeers picks free UDP ports for n more daemons, so that each knows all
 // seeds.
@@ -107,7 +107,7 @@
 		if tries == peerPortsPerProcess {
 			f.t.Fatalf("no %d free ports behind %d", n, first)
 		}
-		address := fmt.Sprintf("127.0.0.1:%d", first+int(peerPort.Add(1))%peerPortsPerProcess)
+		address := fmt.Sprintf("127.0.0.1:%d", first+int(lastPeerPort.Add(1))%peerPortsPerProcess)
 		conn, err := net.ListenPacket("udp", address)
 		if err != nil {
 			continue
