--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -32,7 +32,7 @@
 	idleTimeout = 60 * time.Second
 	// bodySlack is how far over the bound a body is still read, so that its
 	// sender gets an answer and not a broken connection.
-	bodySlack = 4 << 20
+	maxBodyOverrun = 4 << 20
 	// surplusShare is the part of the bound on connections, and leastSurplus the
 	// least number, that are taken beyond it in order to be refused properly. The
 	// HTTP library's own refusal beyond that has neither code, verdict nor advice.
@@ -110,7 +110,7 @@
 		Handler:               s.handle,
 		ErrorHandler:          s.protocolError,
 		Name:                  "samphirequay",
-		MaxRequestBodySize:    d.MaxBodyBytes + bodySlack,
+		MaxRequestBodySize:    d.MaxBodyBytes + maxBodyOverrun,
 		Concurrency:           d.MaxConns + max(minOverLimit, d.MaxConns/overLimitDivisor),
 		ReadTimeout:           readTimeout,
 		IdleTimeout:           idleTimeout,
