--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -22,7 +22,7 @@
 	// defaultMaxTokens is what OpenAI-style clients mean when they name none.
 	defaultMaxTokens = 16
 	// limitMaxTokens bounds an answer.
-	limitMaxTokens = 8192
+	maxMaxTokens = 8192
 )
 
 // completions serves POST /v1/completions.
@@ -91,9 +91,9 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the field model is missing")
 	case body.Prompt == "":
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the field prompt is missing or empty")
-	case body.MaxTokens < 1 || body.MaxTokens > limitMaxTokens:
+	case body.MaxTokens < 1 || body.MaxTokens > maxMaxTokens:
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the field max_tokens is %d, not between 1 and %d", body.MaxTokens, limitMaxTokens)
+			"the field max_tokens is %d, not between 1 and %d", body.MaxTokens, maxMaxTokens)
 	}
 	return body, nil
 }
--- a/daemon/front/fuzz_test.go
+++ b/daemon/front/fuzz_test.go
@@ -103,7 +103,7 @@
 		t.Fatalf("an incomplete job: %+v", job)
 	case job.Team.Name == "bunker" && len(body) > fuzzBound:
 		t.Fatalf("a body of %d bytes was taken", len(body))
-	case job.MaxTokens < 1 || job.MaxTokens > limitMaxTokens:
+	case job.MaxTokens < 1 || job.MaxTokens > maxMaxTokens:
 		t.Fatalf("%d tokens were taken", job.MaxTokens)
 	}
 }
