--- a/daemon/front/errors.go
+++ b/daemon/front/errors.go
@@ -59,7 +59,7 @@
 func (s *Server) reject(ctx *fasthttp.RequestCtx, err *verdict.Error) {
 	s.stats.refused.Add(string(err.Code), 1)
 	path := ctx.Path()
-	s.Log("rejected", "path", string(path[:min(len(path), maxEcho)]), "code", err.Code, "why", err.Message,
+	s.Log("rejected", "path", string(path[:min(len(path), maxEchoBytes)]), "code", err.Code, "why", err.Message,
 		"revision", s.Directory().Document().Revision, "newest", s.Newest())
 	writeError(ctx, err, "")
 }
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -210,7 +210,7 @@
 }
 
 // maxEcho bounds what an error or a log line repeats of a caller's own words, in bytes.
-const maxEcho = 64
+const maxEchoBytes = 64
 
 // service finds a service that the team may use; the error repeats the name
 // that the caller gave.
@@ -221,7 +221,7 @@
 		return svc, nil
 	}
 	named := *err
-	named.Message = fmt.Sprintf("%s: %.*q", err.Message, maxEcho, name)
+	named.Message = fmt.Sprintf("%s: %.*q", err.Message, maxEchoBytes, name)
 	return nil, missing(newest, &named)
 }
 
