--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -35,7 +35,7 @@
 	}
 	job.Arrived = arrived
 	endCount := s.stats.begin(job.Team.Name)
-	callerCtx, endWatch := s.Watcher.Watch(s.base, ctx.Conn())
+	callerCtx, endWatch := s.Watcher.Watch(s.baseCtx, ctx.Conn())
 	run := newRun(s, job, func() {
 		endWatch()
 		endCount()
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -98,14 +98,14 @@
 	http  *fasthttp.Server
 	stats stats
 	// base is the parent of all requests' contexts; Kill ends it.
-	base context.Context
-	kill context.CancelFunc
+	baseCtx context.Context
+	kill    context.CancelFunc
 }
 
 // New returns a Server that is not yet listening.
 func New(d Deps) *Server {
 	s := &Server{Deps: d, stats: newStats(d.Metrics)}
-	s.base, s.kill = context.WithCancel(context.Background())
+	s.baseCtx, s.kill = context.WithCancel(context.Background())
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.protocolError,
--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -38,7 +38,7 @@
 	}
 	call.Arrived = arrived
 	defer s.stats.begin(call.Team.Name)()
-	callerCtx, endWatch := s.Watcher.Watch(s.base, ctx.Conn())
+	callerCtx, endWatch := s.Watcher.Watch(s.baseCtx, ctx.Conn())
 	defer endWatch()
 	answer, err := s.PlainCalls.Run(callerCtx, call)
 	if err != nil {
