--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -98,14 +98,14 @@
 	http  *fasthttp.Server
 	stats stats
 	// base is the parent of all requests' contexts; Kill ends it.
-	baseCtx context.Context
-	kill    context.CancelFunc
+	baseCtx    context.Context
+	cancelBase context.CancelFunc
 }
 
 // New returns a Server that is not yet listening.
 func New(d Deps) *Server {
 	s := &Server{Deps: d, stats: newStats(d.Metrics)}
-	s.baseCtx, s.kill = context.WithCancel(context.Background())
+	s.baseCtx, s.cancelBase = context.WithCancel(context.Background())
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.protocolError,
@@ -130,7 +130,7 @@
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
 
 // Kill ends all requests at once.
-func (s *Server) Kill() { s.kill() }
+func (s *Server) Kill() { s.cancelBase() }
 
 // TeamStatus sums up a team's requests at this daemon.
 func (s *Server) TeamStatus(team id.Team) opapi.TeamStatus {
