--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -42,7 +42,7 @@
 	})
 	ctx.Response.Header.Set(opapi.HeaderRequest, string(job.ID))
 	if body.Stream {
-		s.streamed(ctx, callerCtx, run)
+		s.serveStream(ctx, callerCtx, run)
 		return
 	}
 	s.whole(ctx, callerCtx, run)
--- a/daemon/front/sse.go
+++ b/daemon/front/sse.go
@@ -18,7 +18,7 @@
 
 // streamed answers by server-sent events. Until the first event is there, an
 // error still gets its own status.
-func (s *Server) streamed(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
+func (s *Server) serveStream(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
 	streamCtx, cancel := context.WithCancelCause(callerCtx)
 	go run.serve(streamCtx)
 	first, ok := <-run.items
