--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -45,7 +45,7 @@
 		s.serveStream(ctx, callerCtx, run)
 		return
 	}
-	s.whole(ctx, callerCtx, run)
+	s.serveWhole(ctx, callerCtx, run)
 }
 
 // classify authenticates the request and turns its body into a job.
@@ -127,7 +127,7 @@
 }
 
 // whole answers with one JSON body.
-func (s *Server) whole(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
+func (s *Server) serveWhole(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
 	defer run.end()
 	go run.serve(callerCtx)
 	text := strings.Builder{}
