--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -73,7 +73,7 @@
 		MaxTokens:   body.MaxTokens,
 		Fingerprint: poison.Print(team.Name, svc.Name, []byte(body.Prompt)).String(),
 	}
-	if err := s.resumePoint(ctx, job, body); err != nil {
+	if err := s.applyResumeToken(ctx, job, body); err != nil {
 		return nil, nil, err
 	}
 	return job, body, nil
@@ -99,7 +99,7 @@
 }
 
 // resumePoint reads Last-Event-ID, if there is one.
-func (s *Server) resumePoint(ctx *fasthttp.RequestCtx, job *completion.Job, body *opapi.CompletionRequest) *verdict.Error {
+func (s *Server) applyResumeToken(ctx *fasthttp.RequestCtx, job *completion.Job, body *opapi.CompletionRequest) *verdict.Error {
 	header := string(ctx.Request.Header.Peek(opapi.HeaderLastEventID))
 	if header == "" {
 		return nil
