--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -222,7 +222,7 @@
 	}
 	named := *err
 	named.Message = fmt.Sprintf("%s: %.*q", err.Message, maxEchoBytes, name)
-	return nil, missing(newest, &named)
+	return nil, unknownNameError(newest, &named)
 }
 
 // missing refuses what the configuration here does not hold. While that is
@@ -230,7 +230,7 @@
 // caller is to come back: a daemon that had just started told callers for good
 // that their keys belong to no team. Whether it is the newest is asked before the
 // look-up, so that one that comes in between does not count.
-func missing(newest bool, known *verdict.Error) *verdict.Error {
+func unknownNameError(newest bool, known *verdict.Error) *verdict.Error {
 	if newest {
 		return known
 	}
@@ -248,7 +248,7 @@
 	newest := s.Newest()
 	team, ok := s.Directory().TeamByKey(key)
 	if !ok {
-		return nil, missing(newest, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the bearer key belongs to no team"))
+		return nil, unknownNameError(newest, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the bearer key belongs to no team"))
 	}
 	bound := min(s.MaxBodyBytes, team.MaxBodyBytes)
 	if size := len(ctx.PostBody()); size > bound {
