--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -88,7 +88,7 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
 			"%s is a model service: use %s", name, opapi.PathCompletions)
 	}
-	key, err := callKey(ctx, svc)
+	key, err := idempotencyKey(ctx, svc)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 }
 
 // callKey reads the idempotency key and refuses a call that needs one.
-func callKey(ctx *fasthttp.RequestCtx, svc *live.Service) (string, *verdict.Error) {
+func idempotencyKey(ctx *fasthttp.RequestCtx, svc *live.Service) (string, *verdict.Error) {
 	key := string(ctx.Request.Header.Peek(opapi.HeaderIdempotencyKey))
 	if len(key) > maxKeyBytes {
 		return "", verdict.New(verdict.NotRun, verdict.CodeBadRequest,
