--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -60,14 +60,14 @@
 		ctx.Response.Header.Set(headerReplayed, "true")
 	}
 	if a.Status >= fasthttp.StatusBadRequest {
-		ctx.Response.Header.Set(opapi.HeaderVerdict, verdictOf(a).String())
+		ctx.Response.Header.Set(opapi.HeaderVerdict, errorVerdict(a).String())
 	}
 	ctx.SetBody(a.Body)
 }
 
 // verdictOf is the verdict of an error that the service gave itself: it has not
 // said that the call did not run, or the answer would be no answer here.
-func verdictOf(a *plaincall.Answer) verdict.Verdict {
+func errorVerdict(a *plaincall.Answer) verdict.Verdict {
 	if a.Replayed {
 		return verdict.Ran
 	}
