--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -21,7 +21,7 @@
 )
 
 // forwarded are the request headers that a plain service gets to see.
-var forwarded = []string{
+var forwardedNames = []string{
 	fasthttp.HeaderContentType,
 	fasthttp.HeaderAccept,
 	fasthttp.HeaderAcceptLanguage,
@@ -139,7 +139,7 @@
 
 func forwardedHeaders(ctx *fasthttp.RequestCtx) []client.Header {
 	var out []client.Header
-	for _, name := range forwarded {
+	for _, name := range forwardedNames {
 		value := string(ctx.Request.Header.Peek(name))
 		if value != "" {
 			out = append(out, client.Header{Name: name, Value: value})
