--- a/daemon/front/sse.go
+++ b/daemon/front/sse.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	contentSSE = "text/event-stream"
-	doneLine   = "data: [DONE]\n\n"
+	contentTypeSSE = "text/event-stream"
+	doneLine       = "data: [DONE]\n\n"
 )
 
 // streamed answers by server-sent events. Until the first event is there, an
@@ -32,7 +32,7 @@
 		writeError(ctx, first.err, run.job.ID)
 		return
 	}
-	ctx.SetContentType(contentSSE)
+	ctx.SetContentType(contentTypeSSE)
 	ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-cache")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer run.end()
