--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -13,7 +13,7 @@
 const (
 	// streamRing is how many events wait for a slow caller before its engine
 	// stream is held up.
-	streamRing = 64
+	streamBuffer = 64
 	// slowCallerTimeout ends a request whose caller takes nothing for so long.
 	slowCallerTimeout = 10 * time.Second
 	// tokenLife is how long a resume token is valid.
@@ -40,7 +40,7 @@
 }
 
 func newRun(s *Server, job *completion.Job, end func()) *run {
-	r := &run{server: s, job: job, items: make(chan item, streamRing), end: end}
+	r := &run{server: s, job: job, items: make(chan item, streamBuffer), end: end}
 	if job.Resume != nil {
 		r.textHash.Add(job.Resume.Text)
 	}
