--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -17,7 +17,7 @@
 	// slowCallerTimeout ends a request whose caller takes nothing for so long.
 	slowCallerTimeout = 10 * time.Second
 	// tokenLife is how long a resume token is valid.
-	tokenLife = 10 * time.Minute
+	tokenTTL = 10 * time.Minute
 )
 
 // item is an event or the error that ends the answer.
@@ -120,7 +120,7 @@
 		Seq:         e.Seq,
 		RequestHash: resume.HashRequest(r.job.Prompt, r.job.MaxTokens),
 		TextHash:    r.textHash.Sum(),
-		ExpiresUnix: time.Now().Add(tokenLife).Unix(),
+		ExpiresUnix: time.Now().Add(tokenTTL).Unix(),
 	})
 }
 
