--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -33,7 +33,7 @@
 	job      *completion.Job
 	items    chan item
 	end      func()
-	first    time.Duration
+	firstAt  time.Duration
 	last     time.Duration
 	events   int
 	textHash resume.TextHasher
@@ -85,7 +85,7 @@
 func (r *run) observe(e completion.Event) {
 	now := r.server.Now()
 	if r.events == 0 {
-		r.first = now
+		r.firstAt = now
 		r.server.stats.firstToken.Record(now - r.job.Arrived)
 	}
 	r.last = now
@@ -96,7 +96,7 @@
 func (r *run) answered() {
 	r.server.stats.answered.Add(string(r.job.Team.Name), 1)
 	if r.events > 1 {
-		r.server.stats.pace.Record((r.last - r.first) / time.Duration(r.events-1))
+		r.server.stats.pace.Record((r.last - r.firstAt) / time.Duration(r.events-1))
 	}
 }
 
