--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -34,7 +34,7 @@
 	items    chan item
 	end      func()
 	firstAt  time.Duration
-	last     time.Duration
+	lastAt   time.Duration
 	events   int
 	textHash resume.TextHasher
 }
@@ -88,7 +88,7 @@
 		r.firstAt = now
 		r.server.stats.firstToken.Record(now - r.job.Arrived)
 	}
-	r.last = now
+	r.lastAt = now
 	r.events++
 	r.textHash.Add(e.Text)
 }
@@ -96,7 +96,7 @@
 func (r *run) answered() {
 	r.server.stats.answered.Add(string(r.job.Team.Name), 1)
 	if r.events > 1 {
-		r.server.stats.pace.Record((r.last - r.firstAt) / time.Duration(r.events-1))
+		r.server.stats.pace.Record((r.lastAt - r.firstAt) / time.Duration(r.events-1))
 	}
 }
 
