--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -109,7 +109,7 @@
 }
 
 // token signs where the caller stands behind event e.
-func (r *run) token(e completion.Event) (string, error) {
+func (r *run) resumeToken(e completion.Event) (string, error) {
 	return r.server.Tokens.Sign(resume.Token{
 		Team:        r.job.Team.Name,
 		Service:     r.job.Service.Name,
--- a/daemon/front/sse.go
+++ b/daemon/front/sse.go
@@ -62,7 +62,7 @@
 }
 
 func (r *run) writeEvent(w *bufio.Writer, it item) error {
-	token, err := r.token(it.event)
+	token, err := r.resumeToken(it.event)
 	if err != nil {
 		return err
 	}
