--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -102,7 +102,7 @@
 
 func (r *run) failed(err *verdict.Error) {
 	if err.Code == verdict.CodeCallerGone {
-		r.server.stats.gone.Inc()
+		r.server.stats.callersGone.Inc()
 		return
 	}
 	r.server.stats.fail(r.job.Team.Name, err.Code)
--- a/daemon/front/stats.go
+++ b/daemon/front/stats.go
@@ -14,7 +14,7 @@
 	teamRefused  *metrics.CounterMap
 	answered     *metrics.CounterMap
 	refused      *metrics.CounterMap
-	gone         *metrics.Counter
+	callersGone  *metrics.Counter
 	firstToken   *metrics.Latency
 	pace         *metrics.Latency
 }
@@ -26,7 +26,7 @@
 		teamRefused:  r.CounterMap("team_requests_failed", metrics.UnitCount, "requests ended by an error, by team"),
 		answered:     r.CounterMap("requests_answered", metrics.UnitCount, "whole answers delivered, by team"),
 		refused:      r.CounterMap("requests_failed", metrics.UnitCount, "requests ended by an error, by code"),
-		gone:         r.Counter("callers_gone", metrics.UnitCount, "callers that closed before their answer was whole"),
+		callersGone:  r.Counter("callers_gone", metrics.UnitCount, "callers that closed before their answer was whole"),
 		firstToken:   r.Latency("first_token", "time from a request's arrival to its first token"),
 		pace:         r.Latency("token_pace", "mean time between the tokens of an answer"),
 	}
