--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -96,7 +96,7 @@
 func (r *run) answered() {
 	r.server.stats.answered.Add(string(r.job.Team.Name), 1)
 	if r.events > 1 {
-		r.server.stats.pace.Record((r.lastAt - r.firstAt) / time.Duration(r.events-1))
+		r.server.stats.interTokenLatency.Record((r.lastAt - r.firstAt) / time.Duration(r.events-1))
 	}
 }
 
--- a/daemon/front/stats.go
+++ b/daemon/front/stats.go
@@ -10,25 +10,25 @@
 type stats struct {
 	inFlight *metrics.Gauge
 	// teamInFlight and teamRefused are by team.
-	teamInFlight *metrics.CounterMap
-	teamRefused  *metrics.CounterMap
-	answered     *metrics.CounterMap
-	refused      *metrics.CounterMap
-	callersGone  *metrics.Counter
-	firstToken   *metrics.Latency
-	pace         *metrics.Latency
+	teamInFlight      *metrics.CounterMap
+	teamRefused       *metrics.CounterMap
+	answered          *metrics.CounterMap
+	refused           *metrics.CounterMap
+	callersGone       *metrics.Counter
+	firstToken        *metrics.Latency
+	interTokenLatency *metrics.Latency
 }
 
 func newStats(r *metrics.Registry) stats {
 	return stats{
-		inFlight:     r.Gauge("requests_in_flight", metrics.UnitCount, "requests being served"),
-		teamInFlight: r.CounterMap("team_requests_in_flight", metrics.UnitCount, "requests being served, by team"),
-		teamRefused:  r.CounterMap("team_requests_failed", metrics.UnitCount, "requests ended by an error, by team"),
-		answered:     r.CounterMap("requests_answered", metrics.UnitCount, "whole answers delivered, by team"),
-		refused:      r.CounterMap("requests_failed", metrics.UnitCount, "requests ended by an error, by code"),
-		callersGone:  r.Counter("callers_gone", metrics.UnitCount, "callers that closed before their answer was whole"),
-		firstToken:   r.Latency("first_token", "time from a request's arrival to its first token"),
-		pace:         r.Latency("token_pace", "mean time between the tokens of an answer"),
+		inFlight:          r.Gauge("requests_in_flight", metrics.UnitCount, "requests being served"),
+		teamInFlight:      r.CounterMap("team_requests_in_flight", metrics.UnitCount, "requests being served, by team"),
+		teamRefused:       r.CounterMap("team_requests_failed", metrics.UnitCount, "requests ended by an error, by team"),
+		answered:          r.CounterMap("requests_answered", metrics.UnitCount, "whole answers delivered, by team"),
+		refused:           r.CounterMap("requests_failed", metrics.UnitCount, "requests ended by an error, by code"),
+		callersGone:       r.Counter("callers_gone", metrics.UnitCount, "callers that closed before their answer was whole"),
+		firstToken:        r.Latency("first_token", "time from a request's arrival to its first token"),
+		interTokenLatency: r.Latency("token_pace", "mean time between the tokens of an answer"),
 	}
 }
 
