--- a/daemon/hangup/hangup.go
+++ b/daemon/hangup/hangup.go
@@ -23,7 +23,7 @@
 const DefaultInterval = 25 * time.Millisecond
 
 // goneEvents are the poll results that mean the peer has closed.
-const goneEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
+const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
 
 // Watcher looks at all connections whose requests are being served.
 type Watcher struct {
@@ -157,7 +157,7 @@
 	err := raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds, 0)
-		closed = err == nil && n > 0 && fds[0].Revents&goneEvents != 0
+		closed = err == nil && n > 0 && fds[0].Revents&closedEvents != 0
 	})
 	return closed || err != nil
 }
