--- a/daemon/hangup/hangup.go
+++ b/daemon/hangup/hangup.go
@@ -116,7 +116,7 @@
 			return
 		case <-w.wake:
 		}
-		for w.look() > 0 {
+		for w.pollAll() > 0 {
 			timer.Reset(interval)
 			select {
 			case <-w.stop:
@@ -128,7 +128,7 @@
 }
 
 // look polls every watched connection once and returns how many there were.
-func (w *Watcher) look() int {
+func (w *Watcher) pollAll() int {
 	all := w.snapshot()
 	for _, e := range all {
 		if !peerClosed(e.raw) {
