--- a/daemon/hangup/hangup.go
+++ b/daemon/hangup/hangup.go
@@ -28,14 +28,14 @@
 // Watcher looks at all connections whose requests are being served.
 type Watcher struct {
 	mu    sync.Mutex
-	conns map[*watched]struct{}
+	conns map[*watchedConn]struct{}
 	// wake has an item once there is something to look at again.
 	wake chan struct{}
 	stop chan struct{}
 	done chan struct{}
 }
 
-type watched struct {
+type watchedConn struct {
 	raw    syscall.RawConn
 	cancel context.CancelCauseFunc
 }
@@ -50,7 +50,7 @@
 // New starts a Watcher that looks at its connections every interval.
 func New(interval time.Duration) *Watcher {
 	w := &Watcher{
-		conns: make(map[*watched]struct{}),
+		conns: make(map[*watchedConn]struct{}),
 		wake:  make(chan struct{}, 1),
 		stop:  make(chan struct{}),
 		done:  make(chan struct{}),
@@ -74,7 +74,7 @@
 	if raw == nil {
 		return ctx, func() { cancel(context.Canceled) }
 	}
-	e := &watched{raw: raw, cancel: cancel}
+	e := &watchedConn{raw: raw, cancel: cancel}
 	w.mu.Lock()
 	w.conns[e] = struct{}{}
 	w.mu.Unlock()
@@ -142,10 +142,10 @@
 	return len(all)
 }
 
-func (w *Watcher) snapshot() []*watched {
+func (w *Watcher) snapshot() []*watchedConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	all := make([]*watched, 0, len(w.conns))
+	all := make([]*watchedConn, 0, len(w.conns))
 	for e := range w.conns {
 		all = append(all, e)
 	}
