--- a/daemon/hangup/hangup_test.go
+++ b/daemon/hangup/hangup_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func pair(t *testing.T) (server, client net.Conn) {
+func connPair(t *testing.T) (server, client net.Conn) {
 	t.Helper()
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 
 func TestCloseWithUnreadBytesIsNoticed(t *testing.T) {
 	is := is.New(t)
-	server, client := pair(t)
+	server, client := connPair(t)
 	defer server.Close()
 	w := New(DefaultInterval)
 	defer w.Close()
@@ -40,7 +40,7 @@
 
 func TestOpenConnectionIsNotGone(t *testing.T) {
 	is := is.New(t)
-	server, client := pair(t)
+	server, client := connPair(t)
 	defer server.Close()
 	defer client.Close()
 	raw := rawConn(server)
@@ -51,7 +51,7 @@
 
 func TestEndOfWatchIsNotGone(t *testing.T) {
 	is := is.New(t)
-	server, client := pair(t)
+	server, client := connPair(t)
 	defer server.Close()
 	defer client.Close()
 	w := New(DefaultInterval)
