--- a/daemon/httpjson/httpjson.go
+++ b/daemon/httpjson/httpjson.go
@@ -15,7 +15,7 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-const contentJSON = "application/json"
+const contentTypeJSON = "application/json"
 
 // Write answers with a JSON body.
 func Write(ctx *fasthttp.RequestCtx, status int, body any) {
@@ -25,7 +25,7 @@
 		return
 	}
 	ctx.SetStatusCode(status)
-	ctx.SetContentType(contentJSON)
+	ctx.SetContentType(contentTypeJSON)
 	ctx.SetBody(append(data, '\n'))
 }
 
