--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -36,7 +36,7 @@
 }
 
 // stream reads an SSE answer; it returns the text and the last event's id.
-func readStream(t *testing.T, resp *http.Response, limit int) (text, lastID string, ended bool) {
+func readSSE(t *testing.T, resp *http.Response, limit int) (text, lastID string, ended bool) {
 	t.Helper()
 	is := is.New(t)
 	scanner := bufio.NewScanner(resp.Body)
@@ -76,7 +76,7 @@
 		is.NoErr(err)
 		defer resp.Body.Close()
 		is.Equal(resp.StatusCode, http.StatusOK)
-		text, _, ended := readStream(t, resp, 0)
+		text, _, ended := readSSE(t, resp, 0)
 		is.True(ended)
 		is.Equal(text, standin.Answer(prompt, 8))
 	}
@@ -95,7 +95,7 @@
 	resp, err := http.DefaultClient.Do(f.completionRequest(context.Background(), f.daemons[0], teamKey, body))
 	is.NoErr(err)
 	defer resp.Body.Close()
-	begun, lastID, ended := readStream(t, resp, 5)
+	begun, lastID, ended := readSSE(t, resp, 5)
 	is.True(!ended)
 
 	f.daemons[0].Kill()
@@ -109,7 +109,7 @@
 		body, _ := io.ReadAll(again.Body)
 		t.Fatalf("status %d: %s", again.StatusCode, body)
 	}
-	rest, _, ended := readStream(t, again, 0)
+	rest, _, ended := readSSE(t, again, 0)
 	is.True(ended)
 	is.Equal(begun+rest, standin.Answer(prompt, 40)) // no token lost, none doubled
 }
@@ -134,7 +134,7 @@
 	is.NoErr(err)
 	is.True(strings.HasSuffix(string(rest), "data: [DONE]\n\n"))
 	resp.Body = io.NopCloser(strings.NewReader("id: x\n" + string(rest)))
-	text, _, _ := readStream(t, resp, 0)
+	text, _, _ := readSSE(t, resp, 0)
 	is.Equal(text, standin.Answer(prompt, 40)) // continued on another engine
 }
 
--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -70,7 +70,7 @@
 		go func() {
 			defer wg.Done()
 			defer resp.Body.Close()
-			texts[i], _, _ = readStream(t, resp, 0)
+			texts[i], _, _ = readSSE(t, resp, 0)
 		}()
 	}
 	for _, d := range f.daemons {
@@ -110,7 +110,7 @@
 	status, _ := f.do(f.completionRequest(context.Background(), f.daemons[0], teamKey,
 		opapi.CompletionRequest{Model: model, Prompt: "kept address", MaxTokens: 2}))
 	is.Equal(status, http.StatusOK)
-	text, _, ended := readStream(t, resp, 0)
+	text, _, ended := readSSE(t, resp, 0)
 	is.True(ended)
 	is.Equal(text, standin.Answer(prompt, 60))
 	<-f.daemons[0].Done()
--- a/daemon/app/reset_test.go
+++ b/daemon/app/reset_test.go
@@ -21,7 +21,7 @@
 	resp := f.startStream(f.daemons[0], prompt, tokens)
 	defer resp.Body.Close()
 	f.lastGranted(standin.RoleDecode).ResetConnections()
-	text, _, ended := readStream(t, resp, 0)
+	text, _, ended := readSSE(t, resp, 0)
 	is.True(ended)
 	is.Equal(text, standin.Answer(prompt, tokens))
 	is.True(strings.Contains(f.log.String(), "outcome=taken_up"))
--- a/daemon/app/tls_test.go
+++ b/daemon/app/tls_test.go
@@ -55,7 +55,7 @@
 		resp, err := client.Do(req)
 		is.NoErr(err)
 		defer resp.Body.Close()
-		text, _, ended := readStream(t, resp, 0)
+		text, _, ended := readSSE(t, resp, 0)
 		is.True(ended)
 		is.Equal(text, standin.Answer(prompt, 4))
 		return resp.TLS
--- a/daemon/app/unreachable_test.go
+++ b/daemon/app/unreachable_test.go
@@ -56,7 +56,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, ""
 	}
-	text, _, _ := readStream(f.t, resp, 0)
+	text, _, _ := readSSE(f.t, resp, 0)
 	return resp.StatusCode, text
 }
 
