--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -20,7 +20,7 @@
 
 const model = "document-summariser"
 
-func TestCompletionIsAnsweredWhole(t *testing.T) {
+func TestCompletionReturnsTheWholeAnswer(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	prompt := strings.Repeat("nomination of 300 tonnes VLSFO at Aktau roads. ", 40)
