--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestStreamGoesOnAfterItsDaemonIsKilled(t *testing.T) {
+func TestStreamResumesAfterItsDaemonIsKilled(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	prompt := strings.Repeat("quality certificate, sulphur 0.47 percent. ", 30)
