--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -114,7 +114,7 @@
 	is.Equal(begun+rest, standin.Answer(prompt, 40)) // no token lost, none doubled
 }
 
-func TestStreamGoesOnAfterItsEngineCrashed(t *testing.T) {
+func TestStreamContinuesAfterItsEngineCrashed(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	prompt := strings.Repeat("stem confirmation for MV Altyn. ", 30)
