--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -160,7 +160,7 @@
 	f.waitFor("nothing is held", func() bool { return f.held("") == 0 })
 }
 
-func TestBadRequestsGetOneClearAnswer(t *testing.T) {
+func TestBadRequestsAreRefusedWithAReason(t *testing.T) {
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	d := f.daemons[0]
 	cases := []struct {
