--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestPortInUseIsNamed(t *testing.T) {
+func TestStartNamesAPortInUse(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	set := *f.daemons[0].settings
