--- a/daemon/app/unreachable_test.go
+++ b/daemon/app/unreachable_test.go
@@ -76,7 +76,7 @@
 // TestAnEngineThatTakesNoConnectionCostsNoRequest: the engine's host has lost
 // its power or is cut off, what it last reported looks well, and another engine
 // is free. Callers who never come back get their answers.
-func TestAnEngineThatTakesNoConnectionCostsNoRequest(t *testing.T) {
+func TestUnreachableEngineFailsNoRequest(t *testing.T) {
 	for _, role := range []string{standin.RolePrefill, standin.RoleDecode} {
 		t.Run(role, func(t *testing.T) {
 			is := is.New(t)
