--- a/daemon/app/unreachable_test.go
+++ b/daemon/app/unreachable_test.go
@@ -97,7 +97,7 @@
 }
 
 // TestAPlainEndpointThatTakesNoConnectionCostsNoCall: the same for plain calls.
-func TestAPlainEndpointThatTakesNoConnectionCostsNoCall(t *testing.T) {
+func TestUnreachablePlainEndpointFailsNoCall(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, twoPerRole(), nil)
 	is.Equal(f.call(f.daemons[0], http.MethodGet, teamKey, "", "").status, http.StatusOK)
