--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -134,7 +134,7 @@
 	is.Equal(engine.Counters().Decodes, before) // no new work on the leaving one
 }
 
-func TestRacingOperatorsOneWinsAndTheOtherIsTold(t *testing.T) {
+func TestOneOfTwoConcurrentChangesConflicts(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	f.platform.Table.Inject(wire.Fault{LoseReplies: ptr(0.3), StaleReads: ptr(0.3)})
