--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestChangeIsRefusedClearlyWhileTheStoreIsDown(t *testing.T) {
+func TestChangeIsRefusedWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	f.platform.Table.Inject(wire.Fault{Down: ptr(true)})
