--- a/daemon/app/full_endpoint_test.go
+++ b/daemon/app/full_endpoint_test.go
@@ -19,7 +19,7 @@
 //
 //	event=retry again=false attempt=1 why=not_retryable code=overloaded
 //	  err="overloaded (not-run): GET /stems/7 at 127.0.0.1:39241: status 429: no free slot"
-func TestACallerThatMeetsAFullEndpointIsToldWhenToComeBack(t *testing.T) {
+func TestRefusalByAFullEndpointHasARetryDelay(t *testing.T) {
 	is := is.New(t)
 	cfg := standin.Bunker()
 	for i := range cfg.Plains {
