--- a/daemon/app/kill_test.go
+++ b/daemon/app/kill_test.go
@@ -19,7 +19,7 @@
 // stream and holds back the breaking of its connection: the caller must not be
 // told of an error, which a process that dies can't do and which would keep it
 // from resuming, but see the connection break.
-func TestKilledDaemonTellsItsCallersNothing(t *testing.T) {
+func TestKilledDaemonSendsNoErrorEvent(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 2, standin.Bunker(), nil)
 	d := f.daemons[0]
