--- a/daemon/app/limits_test.go
+++ b/daemon/app/limits_test.go
@@ -16,7 +16,7 @@
 
 // TestATeamKeepsItsLimitWhicheverDaemonItsCallersTurnTo, and the others are
 // served.
-func TestATeamKeepsItsLimitWhicheverDaemonItsCallersTurnTo(t *testing.T) {
+func TestTeamLimitHoldsAcrossDaemons(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 2, standin.Bunker(), nil)
 	item, err := json.Marshal(live.Team{Name: "beta", KeyHashes: []string{live.HashKey(otherKey)}, LimitPerSecond: 0.01, LimitBurst: 4})
