--- a/daemon/app/connection_limit_test.go
+++ b/daemon/app/connection_limit_test.go
@@ -18,7 +18,7 @@
 // TestMoreConnectionsThanAllowedAreToldSo: a caller that connects beyond the
 // bound must learn that its request was not run, and when to come back. The HTTP
 // library's own answer has neither code nor verdict nor advice.
-func TestMoreConnectionsThanAllowedAreToldSo(t *testing.T) {
+func TestConnectionOverTheLimitIsRefusedWithARetryDelay(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), func(s *settings.Settings) { s.Limits.MaxConnections = 2 })
 	for range 2 {
