--- a/daemon/app/reset_test.go
+++ b/daemon/app/reset_test.go
@@ -12,7 +12,7 @@
 // TestAnAnswerSurvivesItsEnginesConnection: the network between daemon and engine
 // breaks in the midst of an answer. The engine writes on, and the prompt is read
 // once.
-func TestAnAnswerSurvivesItsEnginesConnection(t *testing.T) {
+func TestAnswerSurvivesAResetOfTheEngineConnection(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, twoPerRole(), nil)
 	f.slowEngines(4)
