--- a/daemon/app/replicate_test.go
+++ b/daemon/app/replicate_test.go
@@ -17,7 +17,7 @@
 
 // TestAcceptedChangeOutlivesItsDaemonAndTheStore: the daemon that saw the
 // acceptance dies at once, and the table is gone as well.
-func TestAcceptedChangeOutlivesItsDaemonAndTheStore(t *testing.T) {
+func TestAcceptedChangeSurvivesLossOfItsDaemonAndTheStore(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	item, err := json.Marshal(live.Team{Name: "gamma", KeyHashes: []string{live.HashKey("gamma-key")}})
