--- a/daemon/app/replicate_test.go
+++ b/daemon/app/replicate_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-func TestFirstHoldersAreDifferentDaemons(t *testing.T) {
+func TestReplicaTargetsAreDistinct(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(selectReplicas("c", nil)), 0)
 	var others []id.Daemon
