--- a/daemon/app/unconfigured_test.go
+++ b/daemon/app/unconfigured_test.go
@@ -21,7 +21,7 @@
 // exist. What showed it is this run; no line told of such refusals. Now:
 //
 //	event=rejected path=/v1/completions code=unavailable revision=0 newest=false
-func TestADaemonWithoutAConfigurationCallsNoKeyWrong(t *testing.T) {
+func TestDaemonWithoutAConfigurationRefusesKeysTemporarily(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	f.daemons[0].Kill()
