--- a/daemon/app/plain_test.go
+++ b/daemon/app/plain_test.go
@@ -166,7 +166,7 @@
 	})
 }
 
-func TestCallerWithoutKeyIsToldWhereItIsNeeded(t *testing.T) {
+func TestMissingIdempotencyKeyIsRefusedWhereRequired(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	d := f.daemons[0]
