--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -298,7 +298,7 @@
 	is.Equal(len(d.transport.Peers()), 0)
 }
 
-func TestConnectionsSuitTheMembership(t *testing.T) {
+func TestConnectionTimeoutsFitTheMembership(t *testing.T) {
 	is := is.New(t)
 	keepalive, idle := ConnectionTimes(member.Mesh)
 	is.True(keepalive > 0 && keepalive < idle)
