--- a/daemon/front/answer_test.go
+++ b/daemon/front/answer_test.go
@@ -13,7 +13,7 @@
 
 // TestAServicesOwnErrorBearsAVerdict: what a plain service answers is passed on
 // as it is; of an error the caller must learn whether its call may have run.
-func TestAServicesOwnErrorBearsAVerdict(t *testing.T) {
+func TestErrorOfAPlainServiceHasAVerdict(t *testing.T) {
 	cases := []struct {
 		status   int
 		replayed bool
