--- a/daemon/front/errors_test.go
+++ b/daemon/front/errors_test.go
@@ -11,7 +11,7 @@
 
 // TestWhatHasNotRunIsNoGatewayError: a caller who knows only HTTP may send a
 // request again behind 503, and must take 502 and 504 for "may have run".
-func TestWhatHasNotRunIsNoGatewayError(t *testing.T) {
+func TestNotRunIsNeverAGatewayError(t *testing.T) {
 	cases := []struct {
 		verdict verdict.Verdict
 		code    verdict.Code
