--- a/daemon/front/stale_config_test.go
+++ b/daemon/front/stale_config_test.go
@@ -14,7 +14,7 @@
 // TestWhatTheConfigurationLacksMayBeInForceElsewhere: a key, a team's service or
 // a plain service that a daemon does not know is refused for good only where it
 // knows of no later configuration.
-func TestWhatTheConfigurationLacksMayBeInForceElsewhere(t *testing.T) {
+func TestUnknownNamesAreRefusedTemporarilyWhileTheConfigurationIsStale(t *testing.T) {
 	doc := live.Normalize(&live.Document{
 		Teams: []live.Team{{Name: "bunker", KeyHashes: []string{live.HashKey(fuzzKey)}}},
 	})
