--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -30,10 +30,10 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// newRequestID makes an id that sorts by time.
+// newRequestID returns a new request id. Ids sort by time.
 func newRequestID() id.Request { return id.Request(ulid.Make().String()) }
 
-// secure wraps the listener in TLS where the daemon has caller keys.
+// wrapTLS wraps the listener in TLS if the daemon has caller keys.
 func (d *Daemon) wrapTLS(ln net.Listener) net.Listener {
 	if d.callerKeys == nil {
 		return ln
@@ -61,7 +61,7 @@
 	}
 }
 
-// newManager makes the manager of a pool that this daemon owns.
+// newManager creates the manager of a pool that this daemon owns.
 func (d *Daemon) newManager(p id.Pool) *pool.Manager {
 	return pool.New(pool.Options{
 		Pool: p,
@@ -93,7 +93,8 @@
 		Pool: p,
 		Self: d.self,
 		Seed: uint64(d.self.Incarnation),
-		// A manager made again must not number its grants as its predecessor did.
+		// A pool's next manager in this process must not reuse the reservation
+		// numbers of the previous one.
 		FirstReservation: uint64(d.now()),
 		Health:           view,
 		Violation:        d.metrics.Violation,
@@ -109,7 +110,7 @@
 	return sched.NewLedger(opts)
 }
 
-// pools lists all pools of the configuration in force.
+// pools returns the names of all pools of the configuration in force.
 func (d *Daemon) pools() []id.Pool {
 	doc := d.configs.Index().Document()
 	all := make([]id.Pool, len(doc.Pools))
@@ -119,12 +120,12 @@
 	return all
 }
 
-// ownedPools lists the pools that this daemon schedules.
+// ownedPools returns the names of the pools that this daemon schedules.
 func (d *Daemon) ownedPools() []id.Pool {
 	return d.broker.Scheduled(d.pools())
 }
 
-// reportSink hands endpoints' reports on.
+// reportSink passes the endpoints' reports on to the broker and the canceller.
 type reportSink struct{ d *Daemon }
 
 // Load implements reports.Sink.
@@ -150,7 +151,7 @@
 	s.d.broker.Holding(p, e, held)
 }
 
-// catalog resolves endpoints in the configuration in force.
+// catalog looks up endpoints in the configuration in force.
 type catalog struct{ d *Daemon }
 
 // Endpoint implements completion.Catalog.
@@ -158,10 +159,11 @@
 	return c.d.configs.Index().Endpoint(name)
 }
 
-// recorder writes decisions of the request pipeline.
+// recorder records the decisions of the request pipeline.
 type recorder struct{ d *Daemon }
 
-// Decision implements completion.Recorder.
+// Decision implements completion.Recorder. It also notes the decision for each
+// endpoint among the values.
 func (r recorder) Decision(kind, subject, event string, keyvals ...any) {
 	r.d.decisions.Decide(logline.Subject(kind), subject, event, keyvals...)
 	for i := 0; i+1 < len(keyvals); i += 2 {
@@ -172,8 +174,8 @@
 	}
 }
 
-// trackingPairer marks granted attempts as this daemon's own work, so that the
-// reaper tells them from leftovers.
+// trackingPairer registers requests that wait for a grant or hold one as this
+// daemon's own work, so that the reaper does not take them for orphans.
 type trackingPairer struct {
 	*broker.Broker
 	cancels *cancels.Cancels
@@ -203,21 +205,21 @@
 	}
 }
 
-// retrier guards the retry budgets for the many requests.
+// retrier makes the retry budgets safe for concurrent use by all requests.
 type retrier struct {
 	mu   sync.Mutex
 	core *retry.Retrier
 	now  func() time.Duration
 }
 
-// attemptCost is the least time that another attempt needs to be of use.
+// minAttemptTime is the least remaining time that another attempt needs.
 const minAttemptTime = 100 * time.Millisecond
 
 func newRetrier(now func() time.Duration, rng *rand.Rand) *retrier {
 	return &retrier{core: retry.New(retry.Config{}, rng), now: now}
 }
 
-// Decide implements completion.Retrier. Its callers ask only for requests that
+// Decide implements completion.Retrier. Its callers call it only for requests that
 // may be repeated.
 func (r *retrier) Decide(team *live.Team, err *verdict.Error, n int, remaining time.Duration) completion.Retry {
 	r.mu.Lock()
@@ -241,7 +243,7 @@
 	r.core.Success(r.now(), team.Name)
 }
 
-// httpLogger turns what the HTTP library has to say into log lines.
+// httpLogger writes the messages of the HTTP library to the log.
 type httpLogger struct{ to *logline.Logger }
 
 // Printf implements fasthttp.Logger.
--- a/daemon/app/app.go
+++ b/daemon/app/app.go
@@ -1,6 +1,6 @@
-// Package app assembles a daemon: it provisions every duty from the start-up
-// settings, starts and stops them, and joins the pipeline of requests with the
-// duties of the fleet.
+// Package app assembles a daemon: it creates every component from the start-up
+// settings, starts and stops them, and connects the request pipeline with the
+// components that the daemons of the fleet run together.
 package app
 
 import (
@@ -43,17 +43,19 @@
 	"github.com/samphirequay/samphirequay/endpoint/client"
 )
 
-// Options are what a process gives a daemon besides its settings.
+// Options are the parameters of a daemon that its settings do not hold.
 type Options struct {
-	// PeerKeys takes the place of the files that the settings name.
+	// PeerKeys replaces the key files that the settings name. Default: nil,
+	// which reads the files.
 	PeerKeys *keys.Store
-	// CallerKeys takes the place of the files that the settings name.
+	// CallerKeys replaces the key files that the settings name. Default: nil,
+	// which reads the files.
 	CallerKeys *keys.Store
-	// Log takes the log lines. Default: standard error.
+	// Log is where log lines are written. Default: standard error.
 	Log io.Writer
-	// Seed of the daemon's random numbers. Default: from the incarnation.
+	// Seed is the seed of the daemon's random numbers. Default: the incarnation.
 	Seed uint64
-	// PanicOnViolation ends the process at a broken invariant: for tests.
+	// PanicOnViolation makes a violated invariant panic, for tests.
 	PanicOnViolation bool
 }
 
@@ -62,7 +64,7 @@
 	settings *settings.Settings
 	opts     Options
 	self     id.Process
-	// epoch is when the daemon started; all its times count from there.
+	// epoch is when the daemon started; now measures from it.
 	epoch time.Time
 	rand  *rand.Rand
 
@@ -99,8 +101,8 @@
 	peerKeys   *keys.Store
 	callerKeys *keys.Store
 	poison     *poison.Ledger
-	// wired is closed once all duties are there; until then nothing from
-	// outside is let in.
+	// started is closed once all components have been created. Until then, they
+	// wait, and messages and calls from other daemons are not accepted.
 	started  chan struct{}
 	stopping atomic.Pointer[leaving.Stop]
 	ctx      context.Context
@@ -109,26 +111,26 @@
 	ended    atomic.Bool
 }
 
-// New provisions a daemon. Nothing listens yet.
-func New(set *settings.Settings, opts Options) (*Daemon, error) {
+// New creates a daemon. It does not listen before Start.
+func New(cfg *settings.Settings, opts Options) (*Daemon, error) {
 	if opts.Log == nil {
 		opts.Log = os.Stderr
 	}
 	epoch := time.Now()
 	d := &Daemon{
-		settings: set,
+		settings: cfg,
 		opts:     opts,
 		epoch:    epoch,
-		self:     id.Process{Daemon: set.Daemon, Incarnation: id.Incarnation(epoch.UnixNano())},
+		self:     id.Process{Daemon: cfg.Daemon, Incarnation: id.Incarnation(epoch.UnixNano())},
 		started:  make(chan struct{}),
 		closed:   make(chan struct{}),
 	}
-	d.connections = newCallerConns(set.Limits.MaxConnections, set.Limits.MaxConnectionsPerIP)
+	d.connections = newCallerConns(cfg.Limits.MaxConnections, cfg.Limits.MaxConnectionsPerIP)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	if opts.Seed == 0 {
 		opts.Seed = uint64(d.self.Incarnation)
 	}
-	d.rand = rand.New(rand.NewPCG(opts.Seed, nameSeed(set.Daemon)))
+	d.rand = rand.New(rand.NewPCG(opts.Seed, nameSeed(cfg.Daemon)))
 	d.entryRand = d.newRand()
 	if err := d.provision(); err != nil {
 		d.cancel()
@@ -143,7 +145,7 @@
 	return h.Sum64()
 }
 
-// provision builds what needs no network.
+// provision creates the components that need no network.
 func (d *Daemon) provision() error {
 	d.metrics = metrics.New(string(d.settings.Daemon))
 	if d.opts.PanicOnViolation {
@@ -206,24 +208,25 @@
 		all = append(all, resume.Key{ID: uint8(k.ID), Secret: secret})
 	}
 	if len(all) == 0 {
-		return nil, eris.New("the settings hold no resume key")
+		return nil, eris.New("the settings contain no resume key")
 	}
 	return resume.NewKeyring(all[0], all[1:]...)
 }
 
-// now is the time since the daemon's start, by the monotonic clock.
+// now returns the time since the daemon's start, by the monotonic clock.
 func (d *Daemon) now() time.Duration { return time.Since(d.epoch) }
 
-// newRand returns a source of its own for one duty.
+// newRand returns a separate source of random numbers for one component.
 func (d *Daemon) newRand() *rand.Rand { return rand.New(rand.NewPCG(d.rand.Uint64(), d.rand.Uint64())) }
 
-// CallerAddr is the address that callers reach the daemon at.
+// CallerAddr returns the address that the daemon listens on for callers.
 func (d *Daemon) CallerAddr() string { return d.callerLn.Addr().String() }
 
-// OperatorAddr is the address that operators reach the daemon at.
+// OperatorAddr returns the address that the daemon listens on for operators.
 func (d *Daemon) OperatorAddr() string { return d.operatorLn.Addr().String() }
 
-// DebugAddr is the address of the metrics; empty if there is none.
+// DebugAddr returns the address of the metrics and health checks, or "" if the
+// daemon has none.
 func (d *Daemon) DebugAddr() string {
 	if d.debugLn == nil {
 		return ""
@@ -231,25 +234,26 @@
 	return d.debugLn.Addr().String()
 }
 
-// PeerAddr is the UDP address that other daemons reach the daemon at.
+// PeerAddr returns the UDP address that the daemon listens on for other daemons.
 func (d *Daemon) PeerAddr() string { return d.transport.Address() }
 
 // Metrics returns the daemon's metrics.
 func (d *Daemon) Metrics() *metrics.Registry { return d.metrics }
 
-// Self returns the daemon's process.
+// Self returns the daemon's name and incarnation.
 func (d *Daemon) Self() id.Process { return d.self }
 
-// Transport gives experiments the hooks for losses and delays between daemons.
+// Transport returns the transport to other daemons. Experiments use its hooks to
+// inject losses and delays.
 func (d *Daemon) Transport() *peer.Transport { return d.transport }
 
-// Revision returns the configuration revision in force.
+// Revision returns the revision of the configuration in force.
 func (d *Daemon) Revision() uint64 { return d.configs.Index().Document().Revision }
 
-// Done is closed when the daemon has ended.
+// Done returns a channel that is closed when the daemon has ended.
 func (d *Daemon) Done() <-chan struct{} { return d.closed }
 
-// platformOptions are those of the clients of the platform's services.
+// platformOptions returns the options of the clients of the platform's services.
 func (d *Daemon) platformOptions() client.Options {
 	return client.Options{Timeout: d.settings.Timings.StoreTimeoutMS.Duration()}
 }
--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -29,13 +29,15 @@
 
 	status, body := f.do(req)
 
-	is.Equal(status, http.StatusOK) // answered
+	is.Equal(status, http.StatusOK)
 	var c opapi.Completion
 	is.NoErr(json.Unmarshal(body, &c))
 	is.Equal(c.Choices[0].Text, standin.Answer(prompt, 12)) // the whole answer
 }
 
-// stream reads an SSE answer; it returns the text and the last event's id.
+// readSSE reads the server-sent events of an answer, at most limit of them if
+// limit is above 0. It returns the text, the last event's id, and whether the
+// answer ended.
 func readSSE(t *testing.T, resp *http.Response, limit int) (text, lastID string, ended bool) {
 	t.Helper()
 	is := is.New(t)
@@ -55,7 +57,7 @@
 		}
 		var c opapi.Completion
 		is.NoErr(json.Unmarshal([]byte(data), &c))
-		is.True(len(c.Choices) == 1) // an event of the answer, no error
+		is.True(len(c.Choices) == 1) // a part of the answer, not an error
 		text += c.Choices[0].Text
 		events++
 		if limit > 0 && events >= limit {
@@ -80,7 +82,7 @@
 		is.True(ended)
 		is.Equal(text, standin.Answer(prompt, 8))
 	}
-	// One daemon schedules the pool, and all agree which.
+	// All daemons agree on the one that schedules the pool.
 	owner := f.daemons[0].broker.Owners(f.daemons[0].pools())
 	for _, d := range f.daemons {
 		is.Equal(d.broker.Owners(d.pools()), owner)
@@ -95,7 +97,7 @@
 	resp, err := http.DefaultClient.Do(f.completionRequest(context.Background(), f.daemons[0], teamKey, body))
 	is.NoErr(err)
 	defer resp.Body.Close()
-	begun, lastID, ended := readSSE(t, resp, 5)
+	first, lastID, ended := readSSE(t, resp, 5)
 	is.True(!ended)
 
 	f.daemons[0].Kill()
@@ -111,7 +113,7 @@
 	}
 	rest, _, ended := readSSE(t, again, 0)
 	is.True(ended)
-	is.Equal(begun+rest, standin.Answer(prompt, 40)) // no token lost, none doubled
+	is.Equal(first+rest, standin.Answer(prompt, 40)) // no token lost or duplicated
 }
 
 func TestStreamContinuesAfterItsEngineCrashed(t *testing.T) {
@@ -124,7 +126,7 @@
 	defer resp.Body.Close()
 	reader := bufio.NewReader(resp.Body)
 	_, err = reader.ReadString('\n')
-	is.NoErr(err) // it has begun
+	is.NoErr(err) // the answer has begun
 	for _, e := range f.platform.Engines {
 		if e.Counters().Running > 0 {
 			e.Crash()
@@ -156,8 +158,8 @@
 	f.waitFor("the prefill runs", func() bool { return f.held("prefill") > 0 })
 	hangUp()
 	is.True(<-failed != nil)
-	f.waitFor("the engine was told", func() bool { return f.cancels() > 0 })
-	f.waitFor("nothing is held", func() bool { return f.held("") == 0 })
+	f.waitFor("the engine got a cancel", func() bool { return f.cancels() > 0 })
+	f.waitFor("no engine holds a request", func() bool { return f.held("") == 0 })
 }
 
 func TestBadRequestsAreRefusedWithAReason(t *testing.T) {
@@ -167,7 +169,7 @@
 		name, key, body string
 		status          int
 		code            string
-		says            string
+		message         string
 	}{
 		{"bad JSON", teamKey, `{"model": `, http.StatusBadRequest, "bad_request", "at byte"},
 		{"no prompt", teamKey, `{"model": "document-summariser"}`, http.StatusBadRequest, "bad_request", "prompt"},
@@ -194,7 +196,7 @@
 			is.Equal(string(body.Error.Code), c.code)
 			is.Equal(body.Error.Verdict, "not-run")
 			is.Equal(resp.Header.Get(opapi.HeaderVerdict), "not-run")
-			is.True(strings.Contains(body.Error.Message, c.says)) // says what and where
+			is.True(strings.Contains(body.Error.Message, c.message)) // the message names the cause
 		})
 	}
 }
@@ -202,14 +204,14 @@
 func TestStartNamesAPortInUse(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
-	set := *f.daemons[0].settings
-	set.Listen.Callers = f.daemons[0].CallerAddr()
-	material, err := f.ca.Peer(set.Daemon)
+	cfg := *f.daemons[0].settings
+	cfg.Listen.Callers = f.daemons[0].CallerAddr()
+	material, err := f.ca.Peer(cfg.Daemon)
 	is.NoErr(err)
-	second, err := New(&set, Options{PeerKeys: keys.Fixed(material), Log: io.Discard})
+	second, err := New(&cfg, Options{PeerKeys: keys.Fixed(material), Log: io.Discard})
 	is.NoErr(err)
 	err = second.Start()
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "listen.callers"))
-	is.True(strings.Contains(err.Error(), set.Listen.Callers))
+	is.True(strings.Contains(err.Error(), cfg.Listen.Callers))
 }
--- a/daemon/app/callerconns.go
+++ b/daemon/app/callerconns.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// connections remembers the callers' open connections, so that Kill can break
-// them as the end of the process would, and those beyond the bounds be refused.
+// callerConns tracks the callers' open connections: Kill resets them, as the end
+// of the process would, and requests on connections over the limits are refused.
 type callerConns struct {
-	// most bounds them, mostOfIP those from one address.
+	// maxTotal limits all connections, maxPerIP those from one IP address.
 	maxTotal, maxPerIP int
 
 	mu   sync.Mutex
@@ -17,26 +17,26 @@
 	ips  map[string]int
 }
 
-func newCallerConns(most, mostOfIP int) *callerConns {
+func newCallerConns(maxTotal, maxPerIP int) *callerConns {
 	return &callerConns{
-		maxTotal: most, maxPerIP: mostOfIP,
+		maxTotal: maxTotal, maxPerIP: maxPerIP,
 		open: make(map[*trackedConn]struct{}),
 		ips:  make(map[string]int),
 	}
 }
 
-// trackingListener tells connections of each one that it accepts.
+// trackingListener adds each TCP connection that it accepts to a list.
 type trackingListener struct {
 	net.Listener
 	list *callerConns
 }
 
-// trackedConn stays a *net.TCPConn for whoever asks for its file descriptor.
+// trackedConn embeds a *net.TCPConn, so that its file descriptor stays accessible.
 type trackedConn struct {
 	*net.TCPConn
 	list *callerConns
 	ip   string
-	// surplus is set where the bounds were reached before it came.
+	// overLimit is set if the limits were reached before the connection was accepted.
 	overLimit bool
 }
 
@@ -66,7 +66,7 @@
 	return t
 }
 
-// surplus says whether a connection is beyond the bounds.
+// isOverLimit reports whether a connection was accepted over the limits.
 func isOverLimit(conn net.Conn) bool {
 	if secured, ok := conn.(*tls.Conn); ok {
 		conn = secured.NetConn()
@@ -81,7 +81,7 @@
 	return t.TCPConn.Close()
 }
 
-// remove forgets a connection, once.
+// remove removes a connection; a repeated call has no effect.
 func (c *callerConns) remove(t *trackedConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// closeAll breaks all connections at once.
+// closeAll resets all connections: without lingering, Close discards unsent data.
 func (c *callerConns) closeAll() {
 	c.mu.Lock()
 	all := make([]*trackedConn, 0, len(c.open))
--- a/daemon/app/connection_limit_test.go
+++ b/daemon/app/connection_limit_test.go
@@ -15,9 +15,9 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// TestMoreConnectionsThanAllowedAreToldSo: a caller that connects beyond the
-// bound must learn that its request was not run, and when to come back. The HTTP
-// library's own answer has neither code nor verdict nor advice.
+// TestConnectionOverTheLimitIsRefusedWithARetryDelay: a caller whose connection is
+// over the limit gets an answer with the verdict not-run and a retry delay. The
+// HTTP library's own answer has no code, verdict or delay.
 func TestConnectionOverTheLimitIsRefusedWithARetryDelay(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), func(s *settings.Settings) { s.Limits.MaxConnections = 2 })
--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -19,14 +19,16 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// slowTokens makes answers last long enough for a fault to meet them.
+// slowEngines slows all engines by a factor, so that answers are still running
+// when a fault is injected.
 func (f *testFleet) slowEngines(factor float64) {
 	for _, e := range f.platform.Engines {
 		e.Inject(wire.Fault{Slow: &factor})
 	}
 }
 
-// startStream begins an answer and returns once its first event is there.
+// startStream requests a streamed answer and returns when its first event has
+// arrived.
 func (f *testFleet) startStream(d *Daemon, prompt string, tokens int) *http.Response {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -98,7 +100,7 @@
 	resp := f.startStream(f.daemons[0], prompt, 60)
 	defer resp.Body.Close()
 	f.daemons[0].BeginStop()
-	f.waitFor("others name it no more", func() bool {
+	f.waitFor("other daemons no longer list the leaving one", func() bool {
 		for _, a := range f.daemons[1].entryAnswer().Addresses {
 			if a.Address == f.daemons[0].CallerAddr() {
 				return false
@@ -106,7 +108,7 @@
 		}
 		return true
 	})
-	// A caller that kept its address is still served.
+	// A caller that cached the daemon's address is still served.
 	status, _ := f.do(f.completionRequest(context.Background(), f.daemons[0], teamKey,
 		opapi.CompletionRequest{Model: model, Prompt: "kept address", MaxTokens: 2}))
 	is.Equal(status, http.StatusOK)
@@ -131,7 +133,7 @@
 		status, _ := f.do(f.completionRequest(context.Background(), f.daemons[i%2], teamKey, body))
 		is.Equal(status, http.StatusOK)
 	}
-	is.Equal(engine.Counters().Decodes, before) // no new work on the leaving one
+	is.Equal(engine.Counters().Decodes, before) // the leaving endpoint gets no new work
 }
 
 func TestOneOfTwoConcurrentChangesConflicts(t *testing.T) {
@@ -162,14 +164,14 @@
 				var e opapi.ErrorBody
 				is.NoErr(json.Unmarshal(bodies[i], &e))
 				if !strings.Contains(e.Error.Message, "team/alpha") {
-					t.Fatalf("the loser is not told what it ran into: %s", e.Error.Message)
+					t.Fatalf("the conflict does not name the item: %s", e.Error.Message)
 				}
 			default:
 				t.Fatalf("status %d: %s", s, bodies[i])
 			}
 		}
 		is.Equal(won, 1)
-		f.waitFor("the winner is in force everywhere", func() bool {
+		f.waitFor("the accepted change is in force on all daemons", func() bool {
 			for _, d := range f.daemons {
 				if d.Revision() != expect+1 {
 					return false
@@ -197,7 +199,7 @@
 	f.platform.Table.Inject(wire.Fault{Down: ptr(true)})
 	f.daemons[2].Kill()
 	f.daemons[2] = f.start(2)
-	f.waitFor("the newcomer is ready", func() bool {
+	f.waitFor("the new daemon is ready", func() bool {
 		ready, _ := f.daemons[2].ready()
 		return ready
 	})
@@ -220,7 +222,7 @@
 			quarantined = strings.Contains(string(body), "quarantined") && status == http.StatusUnprocessableEntity
 			status, _ = f.do(f.completionRequest(context.Background(), d, teamKey,
 				opapi.CompletionRequest{Model: model, Prompt: "innocent", MaxTokens: 2}))
-			is.True(status != http.StatusUnprocessableEntity) // nobody else is convicted
+			is.True(status != http.StatusUnprocessableEntity) // no other request is quarantined
 		}
 		return quarantined
 	})
--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -12,11 +12,11 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// fleetListener tells the duties what the membership found.
+// fleetListener passes changes of the membership on to the other components.
 type fleetListener struct{ d *Daemon }
 
-// Live implements members.Listener. A daemon that leaves still serves its
-// callers, so it keeps itself in its own view only if nobody else is left.
+// Live implements members.Listener. A leaving daemon is not in the list but still
+// serves its callers, so it uses itself if no other daemon is left.
 func (l fleetListener) Live(daemons []id.Daemon) {
 	if len(daemons) == 0 {
 		daemons = []id.Daemon{l.d.self.Daemon}
@@ -38,11 +38,11 @@
 	time.AfterFunc(deadDaemonGrace, func() { l.d.broker.ProcessGone(p) })
 }
 
-// Forgotten implements members.Listener: the transport forgets it as well.
+// Forgotten implements members.Listener. It removes the daemon from the transport.
 func (l fleetListener) Forgotten(d id.Daemon) { l.d.transport.RemovePeer(d) }
 
-// goneGrace is how long a dead daemon's slots stay reserved: its callers may
-// come back through another daemon meanwhile.
+// deadDaemonGrace is how long a dead daemon's slots stay reserved, since its
+// callers may resume their requests through another daemon.
 const deadDaemonGrace = 2 * time.Second
 
 // PeerRevision implements members.Listener.
@@ -50,7 +50,8 @@
 	l.d.configs.PeerRevision(d, revision)
 }
 
-// StopActing implements members.Listener. A superseded process ends itself.
+// StopActing implements members.Listener. A daemon that a newer incarnation has
+// superseded ends itself.
 func (l fleetListener) StopActing(superseded bool) {
 	l.d.placer.Halt()
 	if superseded {
@@ -59,17 +60,17 @@
 	}
 }
 
-// processAlive says whether a process may still act on its claims.
+// processAlive reports whether a process may still act on its claims.
 func (d *Daemon) processAlive(p id.Process) bool { return p == d.self || d.members.Alive(p) }
 
-// memberLocal is what the daemon tells the others of itself.
+// memberLocal returns what the membership announces about this daemon.
 func (d *Daemon) memberLocal() member.Local {
 	return member.Local{Revision: d.Revision(), InFlight: d.inFlight()}
 }
 
 func (d *Daemon) inFlight() int { return d.front.InFlight() }
 
-// installed takes a newer configuration.
+// applyConfig applies a newer configuration.
 func (d *Daemon) applyConfig(x *live.Index, _ uint64) {
 	doc := x.Document()
 	d.broker.SetDocument(doc)
@@ -77,7 +78,7 @@
 	d.endpoints.Prune(doc)
 }
 
-// candidates turns the membership's view into those of the entry answer.
+// candidates converts the members into candidates for the entry answer.
 func (d *Daemon) candidates() []entry.Candidate {
 	view := d.members.Entries()
 	out := make([]entry.Candidate, len(view))
@@ -93,7 +94,8 @@
 	return out
 }
 
-// entryAnswer tells a caller which addresses to use.
+// entryAnswer returns the addresses that a caller should use. It records whether
+// the answer names this daemon, for a planned stop.
 func (d *Daemon) entryAnswer() opapi.EntryAnswer {
 	cfg := entry.DefaultConfig()
 	cfg.Lifetime = d.settings.Timings.EntryLifetimeMS.Duration()
@@ -109,7 +111,7 @@
 	return out
 }
 
-// noteNamed tells the plan of a planned stop that this daemon was named even so.
+// noteNamed records for a planned stop that an answer still named this daemon.
 func (d *Daemon) noteNamed(a entry.Answer) {
 	s := d.stopping.Load()
 	if s == nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// ready says whether the daemon takes requests, and if not, why.
+// ready reports whether the daemon accepts requests, and the reason if not.
 func (d *Daemon) ready() (bool, string) {
 	switch {
 	case d.stopping.Load() != nil:
@@ -133,19 +135,20 @@
 	}
 }
 
-// noteCaller tells the plan of a planned stop that a caller still came.
+// noteCaller records for a planned stop that a caller's request still arrived.
 func (d *Daemon) noteCaller() {
 	if s := d.stopping.Load(); s != nil {
 		s.Caller(d.now())
 	}
 }
 
-// decidePlacement records a decision about an endpoint's placement.
+// recordPlacement records a decision about an endpoint's placement.
 func (d *Daemon) recordPlacement(e id.Endpoint, event string, kv ...any) {
 	d.decisions.Decide(logline.SubjectPlacement, string(e), event, kv...)
 }
 
-// drain tells the pool's owner to stop, or resume, new work on an endpoint.
+// drain has the pool's owner stop new work on an endpoint, or resume it if on is
+// false.
 func (d *Daemon) drain(p id.Pool, e id.Endpoint, on bool) {
 	d.broker.Drain(p, e, on)
 }
--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -31,11 +31,12 @@
 	teamKey     = "team-key"
 	otherKey    = "other-team-key"
 	operatorKey = "operator-key"
-	// settleLimit bounds every wait of a test for something that will happen.
+	// waitTimeout bounds every wait of a test for a condition.
 	waitTimeout = 20 * time.Second
 )
 
-// testFleet is a platform and some daemons on sockets of their own.
+// testFleet is a platform and some daemons in the test's process, each with its
+// own sockets.
 type testFleet struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -47,7 +48,8 @@
 	clients  *endpoints.Set
 }
 
-// syncBuffer collects log lines of several daemons.
+// syncBuffer collects the log lines of several daemons. It is safe for concurrent
+// use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -65,7 +67,8 @@
 	return b.buf.String()
 }
 
-// newTestFleet starts a platform, n daemons and the platform's configuration.
+// newTestFleet starts a platform and n daemons and applies the platform's
+// configuration.
 func newTestFleet(t *testing.T, n int, cfg standin.PlatformConfig, adjust func(s *settings.Settings)) *testFleet {
 	t.Helper()
 	is := is.New(t)
@@ -85,27 +88,27 @@
 	return f
 }
 
-// The daemons' ports lie below those that the kernel gives out, where no other
-// process gets one between looking and listening. Each process of the tests looks
-// in a range of its own.
+// The daemons' ports are below the kernel's ephemeral range, so that no other
+// process is assigned one between the check and the listening. Each test process
+// uses its own range.
 const (
 	firstPeerPort       = 10000
 	peerPortsPerProcess = 100
 	peerPortRanges      = 100
 )
 
-// peerPort is the last port of this process's range that was looked at.
+// lastPeerPort counts the ports of this process's range that were tried.
 var lastPeerPort atomic.Int32
 
-// reservePeers picks free UDP ports for n more daemons, so that each knows all
-// seeds.
+// reservePeerPorts picks free UDP ports for n more daemons. The ports are known
+// before the daemons start, so that each daemon can have all as seed peers.
 func (f *testFleet) reservePeerPorts(n int) {
 	f.t.Helper()
 	first := firstPeerPort + os.Getpid()%peerPortRanges*peerPortsPerProcess
-	most := len(f.seeds) + n
-	for tries := 0; len(f.seeds) < most; tries++ {
+	total := len(f.seeds) + n
+	for tries := 0; len(f.seeds) < total; tries++ {
 		if tries == peerPortsPerProcess {
-			f.t.Fatalf("no %d free ports behind %d", n, first)
+			f.t.Fatalf("no %d free ports from %d on", n, first)
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", first+int(lastPeerPort.Add(1))%peerPortsPerProcess)
 		conn, err := net.ListenPacket("udp", address)
@@ -117,7 +120,7 @@
 	}
 }
 
-// start starts daemon number i, as at first and after its end.
+// start starts daemon number i, for the first time or again after its end.
 func (f *testFleet) start(i int) *Daemon {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -189,7 +192,8 @@
 	})
 }
 
-// aliveCount is how many daemons this one has heard of and takes for alive.
+// aliveCount returns how many daemons are alive by the membership and have reported
+// their incarnation.
 func (d *Daemon) aliveCount() int {
 	n := 0
 	for _, e := range d.members.Entries() {
@@ -211,7 +215,7 @@
 	return ops
 }
 
-// change sends a change to a daemon's operators' address.
+// change sends a configuration change to a daemon's operator address.
 func (f *testFleet) change(d *Daemon, c opapi.ChangeRequest) (int, []byte) {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -234,8 +238,9 @@
 	return resp.StatusCode, body
 }
 
-// until waits for a condition that must come true.
-func (f *testFleet) waitFor(what string, holds func() bool) {
+// waitFor waits until a condition holds. The test fails if it does not within
+// waitTimeout.
+func (f *testFleet) waitFor(condition string, holds func() bool) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -244,13 +249,13 @@
 	for !holds() {
 		select {
 		case <-ctx.Done():
-			f.t.Fatalf("not within %s: %s", waitTimeout, what)
+			f.t.Fatalf("not within %s: %s", waitTimeout, condition)
 		case <-ticker.C:
 		}
 	}
 }
 
-// completionRequest builds an OpenAI-style request.
+// completionRequest builds an OpenAI-style completion request.
 func (f *testFleet) completionRequest(ctx context.Context, d *Daemon, key string, body opapi.CompletionRequest) *http.Request {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -262,7 +267,8 @@
 	return req
 }
 
-// held counts what the engines hold, in one stage or in any.
+// held counts the requests that the engines hold in a stage, or in any stage if
+// it is empty.
 func (f *testFleet) held(stage string) int {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -279,7 +285,7 @@
 	return n
 }
 
-// cancels counts the cancels that the engines have seen.
+// cancels counts the cancels that the engines have received.
 func (f *testFleet) cancels() int64 {
 	var n int64
 	for _, e := range f.platform.Engines {
@@ -304,6 +310,6 @@
 	is.True(keepalive > 0 && keepalive < idle)
 	keepalive, idle = ConnectionTimes(member.Partial)
 	is.True(keepalive < 0)
-	// Each pair must talk more often than that, at the target's 420 daemons.
+	// With the target of 420 daemons, each pair exchanges messages more often.
 	is.True(idle > 420*member.DefaultConfig(member.Partial).Period)
 }
--- a/daemon/app/full_endpoint_test.go
+++ b/daemon/app/full_endpoint_test.go
@@ -12,10 +12,11 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// One caller in 420 runs of a fleet ended with "overloaded", which the pool's
-// owner never says without an advice when to come back: an endpoint did, whose
-// slots were taken by work that the owner did not know of yet. Brought about here
-// by calls from elsewhere and reports that lag:
+// Guards against a refusal with code "overloaded" but without a retry delay. The
+// pool's owner always sends a delay, but an endpoint refuses on its own when its
+// slots are taken by work that the owner has no report of yet. One caller in 420
+// runs of a fleet got such a refusal. Here, calls that bypass the daemons and
+// delayed load reports cause it:
 //
 //	event=retry again=false attempt=1 why=not_retryable code=overloaded
 //	  err="overloaded (not-run): GET /stems/7 at 127.0.0.1:39241: status 429: no free slot"
@@ -39,6 +40,6 @@
 
 	got := f.call(f.daemons[0], http.MethodGet, teamKey, "", "")
 	is.Equal(got.verdict, verdict.NotRun.String())
-	is.True(strings.Contains(got.body, "no free slot")) // the endpoint's own word
+	is.True(strings.Contains(got.body, "no free slot")) // the endpoint's own message
 	is.True(got.retryAfter != "")
 }
--- a/daemon/app/kill_test.go
+++ b/daemon/app/kill_test.go
@@ -11,14 +11,14 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// linesAfterKill is how much of the stream is read while its connection is
-// held open: two lines to an event and an empty one.
+// linesAfterKill is how many lines of the stream are read while its connection is
+// kept open. An event has two lines and an empty one.
 const linesAfterKill = 60
 
-// TestKilledDaemonTellsItsCallersNothing kills a daemon in the midst of a
-// stream and holds back the breaking of its connection: the caller must not be
-// told of an error, which a process that dies can't do and which would keep it
-// from resuming, but see the connection break.
+// TestKilledDaemonSendsNoErrorEvent kills a daemon during a stream and delays the
+// reset of its connection. A crashed process can send no error event, and a caller
+// that receives one does not resume, so the caller must only see the connection
+// break.
 func TestKilledDaemonSendsNoErrorEvent(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 2, standin.Bunker(), nil)
@@ -40,15 +40,15 @@
 		}
 		return err != nil
 	})
-	told := false
+	failed := false
 	for range linesAfterKill {
-		told = told || !lines.Scan() || strings.HasPrefix(lines.Text(), "event: error")
+		failed = failed || !lines.Scan() || strings.HasPrefix(lines.Text(), "event: error")
 	}
 	d.connections.mu.Unlock()
-	is.True(!told)
+	is.True(!failed)
 	for lines.Scan() {
 		is.True(!strings.HasPrefix(lines.Text(), "event: error"))
 	}
-	is.True(lines.Err() != nil) // it broke
+	is.True(lines.Err() != nil) // the connection broke
 	<-killed
 }
--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// limitWindow and limitOvershoot are by how much teams' limits may be
-	// exceeded: by a tenth in any ten seconds.
+	// limitWindow and limitOvershoot are the tolerance of the teams' limits: within
+	// any ten seconds, a limit may be exceeded by a tenth.
 	limitWindow    = 10 * time.Second
 	limitOvershoot = 0.1
-	// payPatience bounds the wait for the daemon that keeps a team's account.
+	// chargeTimeout bounds the wait for the daemon that keeps a team's account.
 	chargeTimeout = time.Second
 )
 
-// newQuotas starts the duty that holds teams to their limits.
+// newQuotas starts the component that enforces the teams' limits.
 func (d *Daemon) newQuotas() *quotas.Quotas {
 	return quotas.New(quotas.Config{
 		Self:      d.self.Daemon,
@@ -39,7 +39,7 @@
 	})
 }
 
-// limitOf is a team's limit by the configuration in force.
+// limitOf returns a team's limit in the configuration in force.
 func (d *Daemon) limitOf(name id.Team) (quota.Limit, bool) {
 	team, ok := d.configs.Index().Team(name)
 	if !ok {
@@ -48,17 +48,17 @@
 	return team.Limit(), true
 }
 
-// countFleet counts the daemons that may be at work, and those that are heard.
+// countFleet counts the daemons that are not dead, and those of them that are
+// reachable.
 func (d *Daemon) countFleet() quotas.Fleet { return quotas.Count(d.members.Entries()) }
 
-// limitedCompletions holds completions to their teams' limits.
+// limitedCompletions enforces the teams' limits on completions.
 type limitedCompletions struct {
 	next   front.Completions
 	quotas *quotas.Quotas
 }
 
-// Run implements front.Completions. A caller that comes back for the rest of an
-// answer has paid for it.
+// Run implements front.Completions. A resumed answer is not charged again.
 func (l limitedCompletions) Run(ctx context.Context, job *completion.Job, sink completion.Sink) *verdict.Error {
 	if job.Resume != nil {
 		return l.next.Run(ctx, job, sink)
@@ -73,7 +73,7 @@
 	return err
 }
 
-// limitedCalls holds plain calls to their teams' limits.
+// limitedCalls enforces the teams' limits on plain calls.
 type limitedCalls struct {
 	next   front.PlainCalls
 	quotas *quotas.Quotas
@@ -90,8 +90,8 @@
 	return answer, err
 }
 
-// pay charges a request to its team. refund gives the charge back where the
-// request ended without having run.
+// charge charges a request to its team. The caller passes the request's result to
+// refund, which returns the charge if the request did not run.
 func charge(ctx context.Context, q *quotas.Quotas, team *live.Team, size quota.Size) (refund func(*verdict.Error), err *verdict.Error) {
 	limit := team.Limit()
 	if !limit.Limited() {
--- a/daemon/app/limits_test.go
+++ b/daemon/app/limits_test.go
@@ -14,8 +14,8 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// TestATeamKeepsItsLimitWhicheverDaemonItsCallersTurnTo, and the others are
-// served.
+// TestTeamLimitHoldsAcrossDaemons: a team's limit holds however its requests are
+// spread over the daemons, and other teams are still served.
 func TestTeamLimitHoldsAcrossDaemons(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 2, standin.Bunker(), nil)
@@ -29,14 +29,14 @@
 	f.waitFor("the limit is in force", func() bool {
 		return f.daemons[0].Revision() >= answer.Revision && f.daemons[1].Revision() >= answer.Revision
 	})
-	ask := func(d *Daemon, key string) (int, string) {
+	complete := func(d *Daemon, key string) (int, string) {
 		req := f.completionRequest(context.Background(), d, key, opapi.CompletionRequest{Model: model, Prompt: "a", MaxTokens: 1})
 		status, body := f.do(req)
 		return status, string(body)
 	}
 	served := 0
 	for i := range 12 {
-		status, body := ask(f.daemons[i%2], otherKey)
+		status, body := complete(f.daemons[i%2], otherKey)
 		if status == http.StatusOK {
 			served++
 			continue
@@ -45,7 +45,7 @@
 		is.True(strings.Contains(body, "team_limit"))
 		is.True(strings.Contains(body, "not-run"))
 	}
-	is.True(served >= 2 && served <= 4) // half of the burst is there at once, and all of it is the most
-	status, _ = ask(f.daemons[0], teamKey)
+	is.True(served >= 2 && served <= 4) // at least the half of the burst that is available at once, at most the whole burst
+	status, _ = complete(f.daemons[0], teamKey)
 	is.Equal(status, http.StatusOK)
 }
--- a/daemon/app/peerconns.go
+++ b/daemon/app/peerconns.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// noKeepalive lets connections rest that are not used.
+	// noKeepalive sends no keepalive packets on idle connections.
 	noKeepalive = -1
-	// partialIdle is how long a resting connection is kept with a partial
-	// membership. There each pair of daemons talks once in N/8 seconds in the
-	// mean and N/4 at the most, so this keeps the connections of up to 600
-	// daemons; one that rests sends nothing, while a handshake for each probe
-	// would cost more than all the probes.
+	// partialIdleTimeout is how long an idle connection is kept with a partial
+	// membership. There, each pair of N daemons exchanges messages every N/8
+	// seconds on average and every N/4 at most, so with up to 600 daemons the
+	// connections stay open. An idle connection sends nothing, while a handshake
+	// for each probe would cost more than all the probes.
 	partialIdleTimeout = 150 * time.Second
 )
 
-// ConnectionTimes gives the pause between keepalive packets, and after how much
-// silence a connection is given up, that suit a membership. With a mesh every
-// connection is in use all the time.
+// ConnectionTimes returns the time between keepalive packets, negative for none,
+// and the idle time after which a connection is closed, for a membership mode.
+// With a mesh, every connection is in use all the time.
 func ConnectionTimes(mode member.Mode) (keepalive, idle time.Duration) {
 	if mode == member.Partial {
 		return noKeepalive, partialIdleTimeout
--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -38,7 +38,7 @@
 	kindRecord:  "record",
 }
 
-// peerCallTimeout bounds a question to another daemon.
+// peerCallTimeout bounds a call to other daemons.
 const peerCallTimeout = time.Second
 
 type explainQuery struct {
@@ -53,7 +53,7 @@
 	Quarantine []opapi.QuarantineEntry `cbor:"2,keyasint"`
 }
 
-// peerHandler takes what other daemons send.
+// peerHandler handles messages and calls from other daemons.
 type peerHandler struct {
 	link.Handler
 	d *Daemon
@@ -79,8 +79,8 @@
 func (r receiver) Quota(from id.Daemon, e *quotas.Envelope) { r.d.quotas.Receive(from, e) }
 
 // Refused implements link.Receiver.
-func (r receiver) Refused(from id.Daemon, why error) {
-	r.d.logger.Warn("peer_message_refused", "from", from, "err", why)
+func (r receiver) Refused(from id.Daemon, err error) {
+	r.d.logger.Warn("peer_message_refused", "from", from, "err", err)
 }
 
 // HandleCall implements peer.Handler.
@@ -128,11 +128,11 @@
 		reply := h.d.claims.HandleFinish(ctx, from, &call)
 		return peer.Encode(&reply)
 	default:
-		return nil, eris.Errorf("unknown kind of call %d from %s", kind, from)
+		return nil, eris.Errorf("unknown call kind %d from %s", kind, from)
 	}
 }
 
-// links sends messages to other daemons.
+// peerSender returns the sender of messages to other daemons.
 func (d *Daemon) peerSender() link.Sender { return link.Sender{Transport: d.transport} }
 
 // claimWriters implements claims.Writers over the transport.
@@ -152,7 +152,7 @@
 	return reply, err
 }
 
-// peerFetcher implements configs.Peers.
+// peerFetcher implements configs.Peers over the transport.
 type peerFetcher struct{ d *Daemon }
 
 // FetchConfig implements configs.Peers.
--- a/daemon/app/plain_test.go
+++ b/daemon/app/plain_test.go
@@ -17,17 +17,17 @@
 
 const plainService = "order-desk"
 
-// reply is what a caller of a plain service got.
+// reply is the answer that a caller of a plain service received.
 type reply struct {
 	status   int
 	body     string
 	verdict  string
 	replayed bool
-	// retryAfter is the header of that name, in whole seconds.
+	// retryAfter is the Retry-After header, in whole seconds.
 	retryAfter string
 }
 
-// call calls the plain service once.
+// call sends one call to the plain service.
 func (f *testFleet) call(d *Daemon, method, key, idempotencyKey, body string) reply {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -54,7 +54,7 @@
 	}
 }
 
-// runs counts how often the plain endpoints ran calls.
+// runs counts the calls that the plain endpoints ran.
 func (f *testFleet) runs() int64 {
 	var n int64
 	for _, p := range f.platform.Plains {
@@ -63,7 +63,7 @@
 	return n
 }
 
-// plainFault sets a fault of all plain endpoints.
+// plainFault injects a fault into all plain endpoints.
 func (f *testFleet) plainFault(fault wire.Fault) {
 	for _, p := range f.platform.Plains {
 		p.Inject(fault)
@@ -88,10 +88,10 @@
 	is.True(again.replayed)
 	is.Equal(f.runs(), int64(1))
 
-	// Another body under the same key is a conflict, not an answer.
+	// The same key with another body is a conflict.
 	other := f.call(f.daemons[2], http.MethodPost, teamKey, "stem-1", "500 t")
 	is.Equal(other.status, http.StatusConflict)
-	// The same key of another team is another call.
+	// Keys are separate by team.
 	beta := f.call(f.daemons[2], http.MethodPost, otherKey, "stem-1", "300 t")
 	is.Equal(beta.status, http.StatusOK)
 	is.Equal(f.runs(), int64(2))
@@ -129,13 +129,13 @@
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.Equal(refused.verdict, "not-run")
 	is.Equal(f.runs(), int64(0))
-	// A call that needs no claim goes on.
+	// A call that needs no claim is still served.
 	plain := f.call(f.daemons[0], http.MethodGet, teamKey, "", "")
 	is.Equal(plain.status, http.StatusOK)
-	// After the outage the key is free.
+	// After the outage the key can still be claimed.
 	f.platform.Table.Inject(wire.Fault{Down: ptr(false)})
 	var r reply
-	f.waitFor("the call is taken again", func() bool {
+	f.waitFor("the call is served", func() bool {
 		r = f.call(f.daemons[0], http.MethodPost, teamKey, "stem-2", "x")
 		return r.status == http.StatusOK
 	})
@@ -161,7 +161,7 @@
 		r := f.call(f.daemons[0], http.MethodPost, teamKey, "stem-3", "x")
 		is.Equal(r.verdict, "may-have-run")
 		again := f.call(f.daemons[0], http.MethodPost, teamKey, "stem-3", "x")
-		is.Equal(again.verdict, "may-have-run") // nobody may run it again
+		is.Equal(again.verdict, "may-have-run") // the call must not run again
 		is.Equal(f.runs()-before, int64(1))
 	})
 }
@@ -177,12 +177,12 @@
 		is.Equal(r.status, http.StatusBadRequest)
 		is.Equal(f.runs(), int64(0))
 	}
-	marked := *svc
-	marked.NonIdempotent = true
-	ops := appendOps(t, nil, live.KindService, []live.Service{marked}, func(s live.Service) string { return string(s.Name) })
+	changed := *svc
+	changed.NonIdempotent = true
+	ops := appendOps(t, nil, live.KindService, []live.Service{changed}, func(s live.Service) string { return string(s.Name) })
 	status, _ := f.change(d, opapi.ChangeRequest{ID: "mark", Ops: ops})
 	is.Equal(status, http.StatusOK)
-	f.waitFor("the mark is in force", func() bool { return d.Revision() >= 2 })
+	f.waitFor("the change is in force", func() bool { return d.Revision() >= 2 })
 	r := f.call(d, http.MethodPost, teamKey, "", "x")
 	is.Equal(r.status, http.StatusBadRequest)
 	is.Equal(r.verdict, "not-run")
--- a/daemon/app/replicate.go
+++ b/daemon/app/replicate.go
@@ -10,58 +10,59 @@
 )
 
 const (
-	// firstHolders is to how many daemons the one that saw a change accepted
-	// sends it by itself; the others hear of it by heartbeats and ask, or read
-	// the store.
+	// replicaTargets is how many daemons an accepted change is sent to at once.
+	// The others learn of the new revision from heartbeats and fetch it from a
+	// daemon, or read the store.
 	replicaTargets = 6
-	// enoughHolders of them must have it before the operator is told, or the
-	// bound of a call between daemons has passed.
+	// minReplicas is how many of them must confirm the change before the operator
+	// gets the answer, unless peerCallTimeout has passed.
 	minReplicas = 2
 )
 
 // recordReply answers a kindRecord.
 type recordReply struct {
-	// Learnt says that the change, or a later one, is in force there.
+	// Applied reports that the change, or a later one, is in force at the daemon
+	// that replies.
 	Applied bool `cbor:"1,keyasint"`
 }
 
-// spreadRecord hands an accepted change to some daemons and waits until a few
-// have it. Without that, a change is lost to the fleet, if not to the store,
-// when this daemon and the store end within a heartbeat.
+// replicateRecord sends an accepted change to some daemons and waits until
+// minReplicas have it. Otherwise the fleet, though not the store, would lose a
+// change if this daemon and the store failed within one heartbeat.
 func (d *Daemon) replicateRecord(ctx context.Context, r revision.Record) {
-	to := selectReplicas(r.Change.ID, d.members.Others())
+	targets := selectReplicas(r.Change.ID, d.members.Others())
 	calls, cancel := context.WithTimeout(d.ctx, peerCallTimeout)
-	answers := make(chan bool, len(to))
-	for _, name := range to {
+	answers := make(chan bool, len(targets))
+	for _, name := range targets {
 		go func() {
 			var reply recordReply
 			err := d.transport.Call(calls, name, kindRecord, &r, &reply)
 			answers <- err == nil && reply.Applied
 		}()
 	}
-	have, open := 0, len(to)
-	for ; open > 0 && have < min(minReplicas, len(to)) && ctx.Err() == nil; open-- {
+	confirmed, pending := 0, len(targets)
+	for ; pending > 0 && confirmed < min(minReplicas, len(targets)) && ctx.Err() == nil; pending-- {
 		if <-answers {
-			have++
+			confirmed++
 		}
 	}
-	// The calls that are still open go on until their bound.
+	// The pending calls continue until they end or time out.
 	go func() {
-		for range open {
+		for range pending {
 			<-answers
 		}
 		cancel()
 	}()
 }
 
-// firstFor chooses the daemons that a change is sent to first; its id spreads
-// the choice over the fleet.
+// selectReplicas selects the daemons that a change is sent to. The hash of the
+// change's id distributes the selection over the fleet.
 func selectReplicas(change string, others []id.Daemon) []id.Daemon {
 	if len(others) == 0 {
 		return nil
 	}
 	h := fnv.New64a()
-	// A hash never fails to write.
+	// Writing to a hash never returns an error.
 	_, _ = io.WriteString(h, change)
 	first := int(h.Sum64() % uint64(len(others)))
 	out := make([]id.Daemon, 0, replicaTargets)
--- a/daemon/app/replicate_test.go
+++ b/daemon/app/replicate_test.go
@@ -15,8 +15,8 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// TestAcceptedChangeOutlivesItsDaemonAndTheStore: the daemon that saw the
-// acceptance dies at once, and the table is gone as well.
+// TestAcceptedChangeSurvivesLossOfItsDaemonAndTheStore: the daemon that accepted a
+// change and the platform's table both fail right after the acceptance.
 func TestAcceptedChangeSurvivesLossOfItsDaemonAndTheStore(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/daemon/plaincall"
 )
 
-// startRequests starts the pipeline of requests.
+// startRequests creates the request pipeline and the operators' server.
 func (d *Daemon) startRequests() {
 	d.watcher = hangup.New(hangup.DefaultInterval)
 	recorder := recorder{d}
--- a/daemon/app/reset_test.go
+++ b/daemon/app/reset_test.go
@@ -9,9 +9,9 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// TestAnAnswerSurvivesItsEnginesConnection: the network between daemon and engine
-// breaks in the midst of an answer. The engine writes on, and the prompt is read
-// once.
+// TestAnswerSurvivesAResetOfTheEngineConnection: the connection between daemon and
+// engine is reset during an answer. The engine keeps generating, the daemon takes
+// up the stream again, and the prompt is prefilled only once.
 func TestAnswerSurvivesAResetOfTheEngineConnection(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, twoPerRole(), nil)
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -30,8 +30,9 @@
 	"github.com/samphirequay/samphirequay/endpoint/client"
 )
 
-// Start listens and starts every duty. An address in use is an error that
-// names it; nothing is left running then.
+// Start listens and starts every component. If an address can't be listened on, it
+// returns an error that names the setting and the address, with no listener left
+// open.
 func (d *Daemon) Start() error {
 	if err := d.listen(); err != nil {
 		d.closeListeners()
@@ -98,7 +99,7 @@
 	}
 }
 
-// startStore starts what meets the platform and the endpoints.
+// startStore starts the components that call the platform and the endpoints.
 func (d *Daemon) startStore() {
 	d.endpoints = endpoints.New(nil)
 	table := client.NewTable(d.settings.Platform.Table, d.platformOptions())
@@ -116,8 +117,8 @@
 	})
 }
 
-// startFleet starts membership, pairing and configuration, in this order: each
-// is told of by those after it.
+// startFleet starts the components that work with the other daemons, from the
+// configuration to the reports. Each may call those started before it.
 func (d *Daemon) startFleet() {
 	d.configs = configs.Start(configs.Config{
 		Store:     d.store,
@@ -254,8 +255,8 @@
 	}
 }
 
-// watchKeys reads the files of a key store again and again, so that keys are
-// replaced without a restart.
+// watchKeys polls the files of a key store, so that keys are replaced without a
+// restart. It does nothing if s is nil.
 func (d *Daemon) watchKeys(name string, s *keys.Store) {
 	if s == nil {
 		return
--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -16,7 +16,7 @@
 	"github.com/samphirequay/samphirequay/daemon/placer"
 )
 
-// operatorBacking answers operators.
+// operatorBacking implements operator.Backing.
 type operatorBacking struct{ d *Daemon }
 
 // Propose implements operator.Backing.
@@ -43,7 +43,7 @@
 // BeginStop implements operator.Backing.
 func (b operatorBacking) BeginStop() { b.d.BeginStop() }
 
-// Status implements operator.Backing. Pools are told by their owners.
+// Status implements operator.Backing. The pools' owners report their pools.
 func (b operatorBacking) Status() opapi.Status {
 	d := b.d
 	s := opapi.Status{
@@ -83,14 +83,14 @@
 	return out
 }
 
-// poolsLocal is the state of the pools that this daemon owns.
+// poolsLocal returns the state of the pools that this daemon owns.
 func (d *Daemon) poolsLocal() poolsReply {
 	reply := poolsReply{}
 	index := d.configs.Index()
 	for i, p := range d.broker.Pools() {
 		reply.Pools = append(reply.Pools, d.poolStatus(index, p))
 		if i > 0 {
-			continue // the evidence is one for all pools of a daemon
+			continue // all pools of a daemon share one quarantine list
 		}
 		for _, e := range p.Quarantine {
 			reply.Quarantine = append(reply.Quarantine, opapi.QuarantineEntry{
@@ -134,7 +134,8 @@
 	return s
 }
 
-// askPools asks the pools' owners for their state.
+// queryPools queries the pools' owners for the state of their pools. Owners that
+// fail to reply are left out.
 func (d *Daemon) queryPools() []poolsReply {
 	replies := []poolsReply{d.poolsLocal()}
 	owners := slices.Compact(slices.Sorted(slices.Values(d.broker.Owners(d.pools()))))
@@ -151,19 +152,20 @@
 	return replies
 }
 
-// ask runs a question to several daemons at once, this one left out.
-func (d *Daemon) queryPeers(whom []id.Daemon, queryPeers func(ctx context.Context, to id.Daemon)) {
+// queryPeers runs a query to several daemons concurrently, without this one, and
+// waits for all. peerCallTimeout bounds the queries.
+func (d *Daemon) queryPeers(daemons []id.Daemon, query func(ctx context.Context, to id.Daemon)) {
 	ctx, cancel := context.WithTimeout(d.ctx, peerCallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, to := range whom {
+	for _, to := range daemons {
 		if to == d.self.Daemon {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			queryPeers(ctx, to)
+			query(ctx, to)
 		}()
 	}
 	wg.Wait()
@@ -177,7 +179,8 @@
 	return out
 }
 
-// Explain implements operator.Backing: the decisions of all daemons, by time.
+// Explain implements operator.Backing. It returns the decisions of all daemons on
+// the subject, sorted by time.
 func (b operatorBacking) Explain(kind, subject string) opapi.Explanation {
 	q := explainQuery{Kind: kind, ID: subject}
 	out := b.d.explainLocal(q)
@@ -210,7 +213,7 @@
 	return list
 }
 
-// demand is the utilisation of the model pools, asked from their owners.
+// demand returns the utilisation of the pools, as their owners report it.
 func (d *Daemon) demand(context.Context) []placement.Demand {
 	var out []placement.Demand
 	for _, reply := range d.queryPools() {
--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// stopLook is how often a leaving daemon asks whether it may close.
+	// stopPollInterval is how often a leaving daemon checks whether it may close.
 	stopPollInterval = 100 * time.Millisecond
-	// stopSpread is how long until every daemon knows of the leaving.
+	// stopPropagation is the time until every daemon has learned that one leaves.
 	stopPropagation = 2 * time.Second
-	// stopQuiet is how long no new caller must have come.
+	// stopQuietPeriod is the time without a new caller after which a daemon may close.
 	stopQuietPeriod = 500 * time.Millisecond
-	// shutdownTimeout bounds the closing of servers that have nothing to do.
+	// shutdownTimeout bounds the shutdown of the servers, which are idle by then.
 	shutdownTimeout = 2 * time.Second
 )
 
-// BeginStop begins a planned stop: the daemon leaves the entry answers and
-// hands its duties over, and goes on serving until nobody needs it.
+// BeginStop begins a planned stop: the daemon is removed from the entry answers and
+// hands over its work for the fleet, and keeps serving callers until none needs it.
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
 		Spread:   stopPropagation,
@@ -38,6 +38,7 @@
 	go d.finishStop(s)
 }
 
+// finishStop waits until the daemon may close and shuts it down.
 func (d *Daemon) finishStop(s *leaving.Stop) {
 	why, ok := s.Wait(d.ctx, stopPollInterval, d.now, d.inFlight)
 	if !ok {
@@ -47,7 +48,8 @@
 	d.shutdown()
 }
 
-// Stop makes a planned stop and waits for its end, or for ctx.
+// Stop makes a planned stop and waits for its end. If ctx ends first, it kills the
+// daemon and returns the error of ctx.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.BeginStop()
 	select {
@@ -59,7 +61,7 @@
 	}
 }
 
-// shutdown closes the servers, then the duties.
+// shutdown closes the servers, then the components.
 func (d *Daemon) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -69,9 +71,10 @@
 }
 
 // Kill ends the daemon at once, as a crash of its process would: connections
-// break, nothing is handed over. First go the duties that could cancel at the
-// endpoints what the callers may come back for, or give back its slots; then
-// the connections, so that no caller is told anything more.
+// break, and nothing is handed over. It first closes the components that could
+// cancel requests at the endpoints or release their slots, since callers may
+// resume those requests. Then it resets the connections, so that no caller
+// receives an error.
 func (d *Daemon) Kill() {
 	d.closeListeners()
 	d.cancels.Close()
@@ -82,7 +85,8 @@
 	d.front.Kill()
 }
 
-// end closes the duties, those that feed others first.
+// closeComponents closes the components, those that call others first. Repeated
+// calls have no effect.
 func (d *Daemon) closeComponents() {
 	if !d.ended.CompareAndSwap(false, true) {
 		return
--- a/daemon/app/tls_test.go
+++ b/daemon/app/tls_test.go
@@ -20,16 +20,16 @@
 	f.t.Helper()
 	is := is.New(f.t)
 	f.reservePeerPorts(1)
-	set := *f.daemons[0].settings
-	set.Daemon = "tls"
-	set.Listen.Peers = f.seeds[len(f.seeds)-1].Address
-	set.InsecureCallers = false
-	material, err := f.ca.Peer(set.Daemon)
+	cfg := *f.daemons[0].settings
+	cfg.Daemon = "tls"
+	cfg.Listen.Peers = f.seeds[len(f.seeds)-1].Address
+	cfg.InsecureCallers = false
+	material, err := f.ca.Peer(cfg.Daemon)
 	is.NoErr(err)
 	caller, err := f.ca.Caller("127.0.0.1")
 	is.NoErr(err)
 	callerKeys := keys.Fixed(caller)
-	d, err := New(&set, Options{PeerKeys: keys.Fixed(material), CallerKeys: callerKeys, Log: f.log})
+	d, err := New(&cfg, Options{PeerKeys: keys.Fixed(material), CallerKeys: callerKeys, Log: f.log})
 	is.NoErr(err)
 	is.NoErr(d.Start())
 	f.daemons = append(f.daemons, d)
@@ -48,7 +48,7 @@
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	d, client, callerKeys := f.startTLS()
 	prompt := strings.Repeat("certificate of quality. ", 20)
-	ask := func(client *http.Client) *tls.ConnectionState {
+	complete := func(client *http.Client) *tls.ConnectionState {
 		req := f.completionRequest(context.Background(), d, teamKey,
 			opapi.CompletionRequest{Model: model, Prompt: prompt, MaxTokens: 4, Stream: true})
 		req.URL.Scheme = "https"
@@ -60,14 +60,14 @@
 		is.Equal(text, standin.Answer(prompt, 4))
 		return resp.TLS
 	}
-	before := ask(client)
+	before := complete(client)
 
-	// New keys are in force for the next connection, without a restart.
+	// Replaced keys apply to the next connection, without a restart.
 	renewed, err := f.ca.Caller("127.0.0.1")
 	is.NoErr(err)
 	callerKeys.Replace(renewed)
 	client.CloseIdleConnections()
-	after := ask(client)
+	after := complete(client)
 	is.True(before.PeerCertificates[0].SerialNumber.Cmp(after.PeerCertificates[0].SerialNumber) != 0)
 }
 
@@ -90,6 +90,6 @@
 	f.waitFor("the prefill runs", func() bool { return f.held("prefill") > 0 })
 	hangUp()
 	is.True(<-failed != nil)
-	f.waitFor("the engine was told", func() bool { return f.cancels() > 0 })
-	f.waitFor("nothing is held", func() bool { return f.held("") == 0 })
+	f.waitFor("the engine got a cancel", func() bool { return f.cancels() > 0 })
+	f.waitFor("no engine holds a request", func() bool { return f.held("") == 0 })
 }
--- a/daemon/app/unconfigured_test.go
+++ b/daemon/app/unconfigured_test.go
@@ -15,10 +15,10 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Callers with a proper key were told that it belongs to no team (401, no advice
-// to come back) by a daemon that had just started and had no configuration yet:
-// an empty index knows no key, and what is not known was taken for what does not
-// exist. What showed it is this run; no line told of such refusals. Now:
+// Guards against permanent refusals by a daemon without a configuration. A daemon
+// that had just started looked valid keys up in an empty index and refused them
+// with status 401, without a retry delay and without a log line. It must refuse
+// with a retry delay, and log:
 //
 //	event=rejected path=/v1/completions code=unavailable revision=0 newest=false
 func TestDaemonWithoutAConfigurationRefusesKeysTemporarily(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 
 	is.NoErr(f.platform.Inject(wire.Fault{Target: "table", Down: &up}))
-	f.waitFor("it serves", func() bool {
+	f.waitFor("the daemon serves the request", func() bool {
 		status, _ := f.do(completion())
 		return status == http.StatusOK
 	})
--- a/daemon/app/unreachable_test.go
+++ b/daemon/app/unreachable_test.go
@@ -16,8 +16,8 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// twoOfEach is a small site: two engines that read, two that write and two plain
-// endpoints, so that each kind has one beside the one that fails.
+// twoPerRole returns a small platform of two prefill engines, two decode engines
+// and two plain endpoints, so that one of each role remains when the other fails.
 func twoPerRole() standin.PlatformConfig {
 	cfg := standin.Bunker()
 	var engines []standin.EngineConfig
@@ -30,18 +30,18 @@
 	}
 	cfg.Engines = engines
 	cfg.Plains = cfg.Plains[:2]
-	// Time enough for a second attempt on a busy host.
+	// Leaves enough time for a second attempt on a busy host.
 	cfg.PatienceMS = 10_000
 	cfg.PlainPatienceMS = 10_000
 	return cfg
 }
 
-// retried says whether a daemon told that it sends a request again.
+// retried reports whether a daemon has logged that it retries a request.
 func (f *testFleet) retried() bool {
 	return strings.Contains(f.log.String(), "again=true")
 }
 
-// completeOnce sends one completion and never comes back. It returns the status
+// completeOnce sends one completion and does not retry it. It returns the status
 // and the answer's text.
 func (f *testFleet) completeOnce(prompt string, tokens int) (int, string) {
 	f.t.Helper()
@@ -60,7 +60,7 @@
 	return resp.StatusCode, text
 }
 
-// lastPaired is the engine that was last granted in a role.
+// lastGranted returns the engine of the latest grant in a role.
 func (f *testFleet) lastGranted(role string) *standin.Engine {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -73,16 +73,16 @@
 	return f.platform.Engines[at]
 }
 
-// TestAnEngineThatTakesNoConnectionCostsNoRequest: the engine's host has lost
-// its power or is cut off, what it last reported looks well, and another engine
-// is free. Callers who never come back get their answers.
+// TestUnreachableEngineFailsNoRequest: an engine's host loses power or its
+// network while its last report is still good, and another engine is free. The
+// daemon has to retry there, so that callers who do not retry get their answers.
 func TestUnreachableEngineFailsNoRequest(t *testing.T) {
 	for _, role := range []string{standin.RolePrefill, standin.RoleDecode} {
 		t.Run(role, func(t *testing.T) {
 			is := is.New(t)
 			f := newTestFleet(t, 1, twoPerRole(), nil)
 			const tokens = 4
-			for n := 0; n < 20 && !f.retried(); n++ { // the first ones find the best engine
+			for n := 0; n < 20 && !f.retried(); n++ { // the first requests show which engine is preferred
 				prompt := fmt.Sprintf("%s: %d", strings.Repeat("barge, stem, hose. ", 40), n)
 				status, text := f.completeOnce(prompt, tokens)
 				is.Equal(status, http.StatusOK)
@@ -91,12 +91,12 @@
 					is.NoErr(f.lastGranted(role).FillBacklog())
 				}
 			}
-			is.True(f.retried()) // a request met the engine
+			is.True(f.retried()) // a request was sent to the engine
 		})
 	}
 }
 
-// TestAPlainEndpointThatTakesNoConnectionCostsNoCall: the same for plain calls.
+// TestUnreachablePlainEndpointFailsNoCall: the same for plain calls.
 func TestUnreachablePlainEndpointFailsNoCall(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, twoPerRole(), nil)
@@ -104,7 +104,7 @@
 	is.NoErr(f.platform.Plains[0].FillBacklog())
 	for n := 0; n < 20 && !f.retried(); n++ {
 		var calls sync.WaitGroup
-		for range 8 { // together, so that connections have to be made
+		for range 8 { // concurrent, so that new connections have to be opened
 			calls.Go(func() {
 				got := f.call(f.daemons[0], http.MethodPost, teamKey, "", "300 t")
 				if got.status != http.StatusOK {
@@ -114,5 +114,5 @@
 		}
 		calls.Wait()
 	}
-	is.True(f.retried()) // a call met the endpoint
+	is.True(f.retried()) // a call was sent to the endpoint
 }
