--- a/daemon/front/answer_test.go
+++ b/daemon/front/answer_test.go
@@ -11,8 +11,8 @@
 	"github.com/samphirequay/samphirequay/daemon/plaincall"
 )
 
-// TestAServicesOwnErrorBearsAVerdict: what a plain service answers is passed on
-// as it is; of an error the caller must learn whether its call may have run.
+// TestErrorOfAPlainServiceHasAVerdict: the status of a plain service is passed on
+// unchanged, and an error carries the verdict on whether the call may have run.
 func TestErrorOfAPlainServiceHasAVerdict(t *testing.T) {
 	cases := []struct {
 		status   int
--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// defaultMaxTokens is what OpenAI-style clients mean when they name none.
+	// defaultMaxTokens applies if a request sets no max_tokens, as in OpenAI's API.
 	defaultMaxTokens = 16
-	// limitMaxTokens bounds an answer.
+	// maxMaxTokens is the largest max_tokens that a request may set.
 	maxMaxTokens = 8192
 )
 
@@ -48,10 +48,10 @@
 	s.serveWhole(ctx, callerCtx, run)
 }
 
-// classify authenticates the request and turns its body into a job.
+// classify authenticates the request and builds the job from its body.
 func (s *Server) classify(ctx *fasthttp.RequestCtx) (*completion.Job, *opapi.CompletionRequest, *verdict.Error) {
 	if !ctx.IsPost() {
-		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s takes POST", opapi.PathCompletions)
+		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s only accepts POST", opapi.PathCompletions)
 	}
 	team, err := s.authenticate(ctx)
 	if err != nil {
@@ -84,7 +84,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(body); err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the body is no JSON completion request: %v (at byte %d)", err, decoder.InputOffset())
+			"the body is not a JSON completion request: %v (at byte %d)", err, decoder.InputOffset())
 	}
 	switch {
 	case body.Model == "":
@@ -93,12 +93,13 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the field prompt is missing or empty")
 	case body.MaxTokens < 1 || body.MaxTokens > maxMaxTokens:
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the field max_tokens is %d, not between 1 and %d", body.MaxTokens, maxMaxTokens)
+			"the field max_tokens is %d and must be between 1 and %d", body.MaxTokens, maxMaxTokens)
 	}
 	return body, nil
 }
 
-// resumePoint reads Last-Event-ID, if there is one.
+// applyResumeToken verifies the resume token in the Last-Event-ID header, if there
+// is one, and sets the request id and the resume point of the job from it.
 func (s *Server) applyResumeToken(ctx *fasthttp.RequestCtx, job *completion.Job, body *opapi.CompletionRequest) *verdict.Error {
 	header := string(ctx.Request.Header.Peek(opapi.HeaderLastEventID))
 	if header == "" {
@@ -106,13 +107,13 @@
 	}
 	token, err := s.Tokens.Verify(header, job.Team.Name, time.Now())
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the header %s holds no valid resume token: %v", opapi.HeaderLastEventID, err)
+		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the header %s contains no valid resume token: %v", opapi.HeaderLastEventID, err)
 	}
 	if token.RequestHash != resume.HashRequest(job.Prompt, job.MaxTokens) || token.Service != job.Service.Name {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the resume token belongs to another request body")
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the resume token was issued for another request body")
 	}
 	if body.Delivered != "" && token.TextHash != resume.HashText(body.Delivered) {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the field delivered is not the text that the resume token stands for")
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the field delivered is not the text that the resume token was issued for")
 	}
 	job.ID = id.Request(token.Request)
 	job.Resume = &completion.ResumePoint{
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// whole answers with one JSON body.
+// serveWhole answers with one JSON body that contains the whole answer.
 func (s *Server) serveWhole(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
 	defer run.end()
 	go run.serve(callerCtx)
--- a/daemon/front/errors.go
+++ b/daemon/front/errors.go
@@ -10,8 +10,9 @@
 	"github.com/samphirequay/samphirequay/daemon/httpjson"
 )
 
-// statusOf maps an error to an HTTP status. 502 and 504 promise nothing to a
-// caller who knows only HTTP, so that they stand for what may have run alone.
+// statusOf maps an error to an HTTP status. A caller that knows only HTTP can't tell
+// from 502 or 504 whether its request ran, so they are only used for requests that
+// may have run.
 func statusOf(err *verdict.Error) int {
 	status := statusOfCode(err.Code)
 	if err.Verdict == verdict.NotRun && status > fasthttp.StatusInternalServerError {
@@ -50,12 +51,12 @@
 	}
 }
 
-// writeError answers with an error; nothing was written before.
+// writeError answers with an error. Nothing may have been written before.
 func writeError(ctx *fasthttp.RequestCtx, err *verdict.Error, request id.Request) {
 	httpjson.WriteError(ctx, statusOf(err), err, request)
 }
 
-// reject refuses a request before it got an id.
+// reject refuses a request that has no id yet, counts it and logs it.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, err *verdict.Error) {
 	s.stats.refused.Add(string(err.Code), 1)
 	path := ctx.Path()
@@ -64,7 +65,7 @@
 	writeError(ctx, err, "")
 }
 
-// protocolError answers what fasthttp could not read as a request.
+// protocolError answers a request that fasthttp failed to read.
 func (s *Server) protocolError(ctx *fasthttp.RequestCtx, err error) {
 	verr := verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the request could not be read: %v", err)
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
--- a/daemon/front/errors_test.go
+++ b/daemon/front/errors_test.go
@@ -9,8 +9,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// TestWhatHasNotRunIsNoGatewayError: a caller who knows only HTTP may send a
-// request again behind 503, and must take 502 and 504 for "may have run".
+// TestNotRunIsNeverAGatewayError: a caller that knows only HTTP may retry a request
+// after 503, but has to assume after 502 or 504 that it may have run.
 func TestNotRunIsNeverAGatewayError(t *testing.T) {
 	cases := []struct {
 		verdict verdict.Verdict
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -1,6 +1,6 @@
-// Package front is the listening end of the request pipeline: it takes callers'
-// HTTP requests, authenticates and classifies them, hands them to the stages
-// behind it and writes their answers and errors.
+// Package front is the first stage of the request pipeline: it accepts callers'
+// HTTP requests, authenticates and classifies them, passes them to the next stages
+// and writes the answers and errors.
 package front
 
 import (
@@ -26,23 +26,24 @@
 
 const (
 	// readTimeout bounds the reading of one request, so that a slow sender
-	// does not hold a connection for ever.
+	// does not occupy a connection forever.
 	readTimeout = 30 * time.Second
-	// idleTimeout bounds an idle keep-alive connection.
+	// idleTimeout is how long an idle keep-alive connection is kept open.
 	idleTimeout = 60 * time.Second
-	// bodySlack is how far over the bound a body is still read, so that its
-	// sender gets an answer and not a broken connection.
+	// maxBodyOverrun is by how many bytes a body may exceed the limit and still be
+	// read, so that its sender gets an answer and not a broken connection.
 	maxBodyOverrun = 4 << 20
-	// surplusShare is the part of the bound on connections, and leastSurplus the
-	// least number, that are taken beyond it in order to be refused properly. The
-	// HTTP library's own refusal beyond that has neither code, verdict nor advice.
+	// Connections over the limit are accepted so that their requests are refused
+	// with a code, a verdict and a retry delay, which the HTTP library's own
+	// refusal lacks. Their number is the limit divided by overLimitDivisor, but at
+	// least minOverLimit; the library refuses any further ones.
 	overLimitDivisor = 8
 	minOverLimit     = 16
-	// bearer begins the Authorization header.
+	// bearer is the prefix of the Authorization header.
 	bearer = "Bearer "
 )
 
-// Completions serves model requests.
+// Completions serves requests to model services.
 type Completions interface {
 	Run(ctx context.Context, job *completion.Job, sink completion.Sink) *verdict.Error
 }
@@ -58,36 +59,36 @@
 	Verify(token string, team id.Team, wall time.Time) (resume.Token, error)
 }
 
-// Deps are what the server works with.
+// Deps are the dependencies and settings of a Server.
 type Deps struct {
 	Self id.Process
-	// Directory is the configuration in force.
+	// Directory returns the index of the configuration in force.
 	Directory func() *live.Index
-	// Newest says whether no later configuration is known of.
+	// Newest reports whether a configuration is in force and no later one is known.
 	Newest      func() bool
 	Completions Completions
 	PlainCalls  PlainCalls
 	Tokens      Tokens
 	Watcher     *hangup.Watcher
 	Metrics     *metrics.Registry
-	// Entry gives the entry answer.
+	// Entry returns the entry answer: the addresses that a caller should use.
 	Entry func() opapi.EntryAnswer
-	// Ready says whether the daemon takes requests, and if not, why.
+	// Ready reports whether the daemon accepts requests, and the reason if not.
 	Ready func() (bool, string)
-	// Log takes a line for each request that is refused before it has an id.
+	// Log logs each request that is refused before it has an id.
 	Log func(event string, kv ...any)
-	// Logger takes what the HTTP library has to say.
+	// Logger receives the messages of the HTTP library.
 	Logger fasthttp.Logger
-	// Arrived is told of each request.
+	// OnRequest is called for each request to a service.
 	OnRequest func()
-	// Now is the time since the daemon's start.
+	// Now returns the time since the daemon's start.
 	Now func() time.Duration
-	// NewID makes request ids.
+	// NewID returns a new request id.
 	NewID func() id.Request
-	// MaxBodyBytes bounds any request's body.
+	// MaxBodyBytes is the largest body of any request.
 	MaxBodyBytes int
-	// MaxConns bounds the callers' connections; Surplus says whether one is
-	// beyond that.
+	// MaxConns is the limit on the callers' connections. OverLimit reports whether
+	// a connection was accepted over it or over the limit by IP address.
 	MaxConns  int
 	OverLimit func(conn net.Conn) bool
 }
@@ -97,7 +98,7 @@
 	Deps
 	http  *fasthttp.Server
 	stats stats
-	// base is the parent of all requests' contexts; Kill ends it.
+	// baseCtx is the parent of all requests' contexts; Kill cancels it.
 	baseCtx    context.Context
 	cancelBase context.CancelFunc
 }
@@ -117,22 +118,22 @@
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 		Logger:                d.Logger,
-		// Answers are streamed, so a write has no bound of its own: a caller
-		// that stops reading is noticed by the full ring of its stream.
+		// No WriteTimeout, since answers are streamed: a caller that stops
+		// reading is detected when the buffer of its stream stays full.
 	}
 	return s
 }
 
-// Serve takes connections until the server is shut down.
+// Serve accepts connections until the server is shut down.
 func (s *Server) Serve(ln net.Listener) error { return s.http.Serve(ln) }
 
-// Shutdown stops taking connections and waits for the requests in flight.
+// Shutdown stops accepting connections and waits for the requests in flight.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
 
-// Kill ends all requests at once.
+// Kill cancels all requests at once.
 func (s *Server) Kill() { s.cancelBase() }
 
-// TeamStatus sums up a team's requests at this daemon.
+// TeamStatus returns the counts of a team's requests at this daemon.
 func (s *Server) TeamStatus(team id.Team) opapi.TeamStatus {
 	return opapi.TeamStatus{
 		Team:     team,
@@ -142,7 +143,7 @@
 	}
 }
 
-// InFlight is how many requests are being served.
+// InFlight returns how many requests are being served.
 func (s *Server) InFlight() int { return int(s.stats.inFlight.Value()) }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
@@ -171,10 +172,11 @@
 	}
 }
 
-// refuseConn refuses a request on a connection beyond the bound, and closes it.
+// refuseConn refuses a request on a connection over the limit and closes the
+// connection.
 func (s *Server) refuseConn(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
-	err := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this daemon has as many connections as it takes")
+	err := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this daemon has reached its limit of connections")
 	s.reject(ctx, err.WithRetryAfter(verdict.PassingRetryAfter))
 }
 
@@ -188,7 +190,7 @@
 
 func (s *Server) entry(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsGet() {
-		s.reject(ctx, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s takes GET", opapi.PathEntry))
+		s.reject(ctx, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s only accepts GET", opapi.PathEntry))
 		return
 	}
 	httpjson.Write(ctx, fasthttp.StatusOK, s.Entry())
@@ -209,32 +211,33 @@
 	httpjson.Write(ctx, fasthttp.StatusOK, list)
 }
 
-// maxEcho bounds what an error or a log line repeats of a caller's own words, in bytes.
+// maxEchoBytes bounds how much of a caller's input an error or a log line repeats.
 const maxEchoBytes = 64
 
-// service finds a service that the team may use; the error repeats the name
-// that the caller gave.
+// service finds a service that the team may use. The error contains the name that
+// the caller sent.
 func (s *Server) service(team *live.Team, name string) (*live.Service, *verdict.Error) {
 	newest := s.Newest()
 	svc, err := s.Directory().ServiceFor(team, id.Service(name))
 	if err == nil {
 		return svc, nil
 	}
-	named := *err
-	named.Message = fmt.Sprintf("%s: %.*q", err.Message, maxEchoBytes, name)
-	return nil, unknownNameError(newest, &named)
+	withName := *err
+	withName.Message = fmt.Sprintf("%s: %.*q", err.Message, maxEchoBytes, name)
+	return nil, unknownNameError(newest, &withName)
 }
 
-// missing refuses what the configuration here does not hold. While that is
-// missing itself, or known to be behind, it may be in force elsewhere, and the
-// caller is to come back: a daemon that had just started told callers for good
-// that their keys belong to no team. Whether it is the newest is asked before the
-// look-up, so that one that comes in between does not count.
-func unknownNameError(newest bool, known *verdict.Error) *verdict.Error {
+// unknownNameError returns the refusal for a key or service that the configuration
+// in force lacks. With the newest configuration that is the permanent refusal.
+// Otherwise, a newer one may contain the name, and the caller should retry: a
+// daemon that had just started permanently refused valid keys. Callers must get
+// newest before the look-up, so that a configuration that arrives in between does
+// not make an outdated result permanent.
+func unknownNameError(newest bool, permanent *verdict.Error) *verdict.Error {
 	if newest {
-		return known
+		return permanent
 	}
-	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon has no configuration yet, or not the newest one")
+	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon has no configuration yet, or an outdated one")
 	return err.WithRetryAfter(verdict.PassingRetryAfter)
 }
 
@@ -243,17 +246,17 @@
 	header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	key, ok := strings.CutPrefix(header, bearer)
 	if !ok || key == "" {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the Authorization header holds no bearer key")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the Authorization header contains no bearer key")
 	}
 	newest := s.Newest()
 	team, ok := s.Directory().TeamByKey(key)
 	if !ok {
 		return nil, unknownNameError(newest, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the bearer key belongs to no team"))
 	}
-	bound := min(s.MaxBodyBytes, team.MaxBodyBytes)
-	if size := len(ctx.PostBody()); size > bound {
+	limit := min(s.MaxBodyBytes, team.MaxBodyBytes)
+	if size := len(ctx.PostBody()); size > limit {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeTooLarge,
-			"the body has %d bytes, larger than the %d that the team may send", size, bound)
+			"the body of %d bytes is larger than the team's limit of %d", size, limit)
 	}
 	return team, nil
 }
--- a/daemon/front/fuzz_test.go
+++ b/daemon/front/fuzz_test.go
@@ -21,11 +21,13 @@
 const (
 	fuzzKey   = "bunker-key"
 	fuzzBound = 1 << 10
-	// farFuture keeps the token the same in each run, in seconds since 1970.
+	// farFuture is the expiry of the token, in seconds since 1970. A constant keeps
+	// the token the same in each run.
 	farFuture = 1 << 40
 )
 
-// fuzzServer classifies what two teams send.
+// fuzzServer returns a Server that can classify requests, with two teams, and its
+// keyring.
 func fuzzServer(f *testing.F) (*Server, *resume.Keyring) {
 	doc := live.Normalize(&live.Document{
 		Teams: []live.Team{
@@ -54,7 +56,8 @@
 	return s, ring
 }
 
-// fuzzToken is a resume token of team bunker for the prompt "long" of 16 tokens.
+// fuzzToken returns a resume token of team bunker for the prompt "long" with 16
+// max_tokens.
 func fuzzToken(f *testing.F, ring *resume.Keyring) string {
 	token, err := ring.Sign(resume.Token{
 		Team: "bunker", Service: "summaries", Request: "first", Attempt: "a", Endpoint: "e", Incarnation: 3, Seq: 2,
@@ -67,8 +70,8 @@
 	return token
 }
 
-// FuzzCompletion: whatever body and headers a caller sends, the request is
-// refused as not run, or becomes a job within the bounds of its own team.
+// FuzzCompletion: for any body and headers, the request is refused as not run, or
+// results in a job within the limits of the caller's team.
 func FuzzCompletion(f *testing.F) {
 	s, ring := fuzzServer(f)
 	token := fuzzToken(f, ring)
@@ -92,7 +95,7 @@
 		}
 		checkJob(t, job, body)
 		if job.Resume != nil && (last != token || job.Team.Name != "bunker" || job.ID != "first" || job.Prompt != "long" || job.Resume.Delivered != 2) {
-			t.Fatalf("%+v resumes by %q", job, last)
+			t.Fatalf("%+v was resumed with the token %q", job, last)
 		}
 	})
 }
@@ -100,18 +103,18 @@
 func checkJob(t *testing.T, job *completion.Job, body []byte) {
 	switch {
 	case job.Team == nil || job.Service == nil || job.Prompt == "":
-		t.Fatalf("an incomplete job: %+v", job)
+		t.Fatalf("incomplete job: %+v", job)
 	case job.Team.Name == "bunker" && len(body) > fuzzBound:
-		t.Fatalf("a body of %d bytes was taken", len(body))
+		t.Fatalf("a body of %d bytes was accepted", len(body))
 	case job.MaxTokens < 1 || job.MaxTokens > maxMaxTokens:
-		t.Fatalf("%d tokens were taken", job.MaxTokens)
+		t.Fatalf("max_tokens of %d was accepted", job.MaxTokens)
 	}
 }
 
-// checkRefusal writes the error as callers see it and reads it back.
+// checkRefusal writes the error as callers receive it and checks the response.
 func checkRefusal(t *testing.T, ctx *fasthttp.RequestCtx, s *Server, err *verdict.Error) {
 	if err.Verdict != verdict.NotRun {
-		t.Fatalf("refused before anything ran, as %v", err)
+		t.Fatalf("refused with a verdict other than not-run: %v", err)
 	}
 	s.reject(ctx, err)
 	var body opapi.ErrorBody
@@ -120,13 +123,13 @@
 	}
 	status := ctx.Response.StatusCode()
 	if status < 400 || body.Error.Code != err.Code || string(ctx.Response.Header.Peek(opapi.HeaderVerdict)) != "not-run" {
-		t.Fatalf("status %d, %+v for %v", status, body, err)
+		t.Fatalf("status %d and body %+v for the error %v", status, body, err)
 	}
 }
 
-// FuzzPlainCall: whatever bytes a caller sends as a request to a plain service,
-// the call is refused as not run or belongs to a service that the team may use,
-// with a key where it runs at most once.
+// FuzzPlainCall: for any bytes as a request to a plain service, the call is refused
+// as not run, or is for a service that the team may use and has an idempotency key
+// if it must run at most once.
 func FuzzPlainCall(f *testing.F) {
 	s, _ := fuzzServer(f)
 	head := "Host: h\r\nAuthorization: " + bearer + fuzzKey + "\r\n"
@@ -153,11 +156,11 @@
 	m := call.Request.Method
 	switch {
 	case call.Service.Name != "stems" || call.Team == nil:
-		t.Fatalf("a call of %s by %v", call.Service.Name, call.Team)
+		t.Fatalf("a call to service %s by team %v", call.Service.Name, call.Team)
 	case m != fasthttp.MethodGet && m != fasthttp.MethodHead && !call.NonIdempotent():
-		t.Fatalf("a %s without a key", m)
+		t.Fatalf("a %s call without an idempotency key", m)
 	case len(call.Key) > maxKeyBytes || len(call.Request.Body) > fuzzBound:
-		t.Fatalf("a key of %d bytes, a body of %d", len(call.Key), len(call.Request.Body))
+		t.Fatalf("a key of %d bytes and a body of %d bytes", len(call.Key), len(call.Request.Body))
 	case call.Request.Path[0] != '/':
 		t.Fatalf("path %q", call.Request.Path)
 	}
--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// streamRing is how many events wait for a slow caller before its engine
-	// stream is held up.
+	// streamBuffer is how many events are buffered for a slow caller before the
+	// engine's stream is no longer read.
 	streamBuffer = 64
-	// slowCallerTimeout ends a request whose caller takes nothing for so long.
+	// slowCallerTimeout is how long a full buffer may block before the request ends.
 	slowCallerTimeout = 10 * time.Second
-	// tokenLife is how long a resume token is valid.
+	// tokenTTL is how long a resume token is valid.
 	tokenTTL = 10 * time.Minute
 )
 
-// item is an event or the error that ends the answer.
+// item is an event of the answer, or the error that ends it.
 type item struct {
 	event completion.Event
 	err   *verdict.Error
 }
 
-// run joins the goroutine that serves a job with the one that writes to its
-// caller, by a bounded ring.
+// run connects the goroutine that serves a job with the one that writes to its
+// caller, by a bounded channel.
 type run struct {
 	server   *Server
 	job      *completion.Job
@@ -47,7 +47,7 @@
 	return r
 }
 
-// serve runs the job and closes the ring behind its last item.
+// serve runs the job, sends its error if it fails, and closes the channel.
 func (r *run) serve(ctx context.Context) {
 	defer close(r.items)
 	err := r.server.Completions.Run(ctx, r.job, r)
@@ -81,7 +81,7 @@
 	}
 }
 
-// observe measures the answer as the caller gets it.
+// observe records an event's time and text when it is written to the caller.
 func (r *run) observe(e completion.Event) {
 	now := r.server.Now()
 	if r.events == 0 {
@@ -108,7 +108,7 @@
 	r.server.stats.fail(r.job.Team.Name, err.Code)
 }
 
-// token signs where the caller stands behind event e.
+// resumeToken returns a signed token for resuming the answer after event e.
 func (r *run) resumeToken(e completion.Event) (string, error) {
 	return r.server.Tokens.Sign(resume.Token{
 		Team:        r.job.Team.Name,
@@ -124,7 +124,8 @@
 	})
 }
 
-// usage counts tokens up to event e; a terminal event without text is no token.
+// usage counts the tokens up to event e. A terminal event without text is not a
+// token.
 func usage(e completion.Event) *opapi.Usage {
 	tokens := e.Seq
 	if e.Text == "" {
@@ -133,7 +134,7 @@
 	return &opapi.Usage{PromptTokens: e.PromptTokens, CompletionTokens: tokens, TotalTokens: e.PromptTokens + tokens}
 }
 
-// completion is one OpenAI-style body.
+// completion returns one OpenAI-style completion body.
 func (r *run) completion(text string, e completion.Event, withUsage bool) opapi.Completion {
 	choice := opapi.Choice{Text: text}
 	if e.Finish != "" {
--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -16,11 +16,11 @@
 const (
 	// maxKeyBytes bounds an idempotency key.
 	maxKeyBytes = 255
-	// headerReplayed marks an answer that came from the store.
+	// headerReplayed marks the stored answer of an earlier call with the same key.
 	headerReplayed = "Samphirequay-Replayed"
 )
 
-// forwarded are the request headers that a plain service gets to see.
+// forwardedNames are the request headers that are forwarded to a plain service.
 var forwardedNames = []string{
 	fasthttp.HeaderContentType,
 	fasthttp.HeaderAccept,
@@ -65,8 +65,9 @@
 	ctx.SetBody(a.Body)
 }
 
-// verdictOf is the verdict of an error that the service gave itself: it has not
-// said that the call did not run, or the answer would be no answer here.
+// errorVerdict returns the verdict for an error status of the service itself. The
+// service did not report that the call did not run, since that would have been a
+// *verdict.Error and no answer.
 func errorVerdict(a *plaincall.Answer) verdict.Verdict {
 	if a.Replayed {
 		return verdict.Ran
@@ -86,7 +87,7 @@
 	}
 	if svc.Type != live.ServicePlain {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"%s is a model service: use %s", name, opapi.PathCompletions)
+			"%s is a model service; use %s", name, opapi.PathCompletions)
 	}
 	key, err := idempotencyKey(ctx, svc)
 	if err != nil {
@@ -108,12 +109,13 @@
 	}, nil
 }
 
-// callKey reads the idempotency key and refuses a call that needs one.
+// idempotencyKey returns the idempotency key, "" for GET and HEAD. It refuses a
+// call without a key to a service that needs one.
 func idempotencyKey(ctx *fasthttp.RequestCtx, svc *live.Service) (string, *verdict.Error) {
 	key := string(ctx.Request.Header.Peek(opapi.HeaderIdempotencyKey))
 	if len(key) > maxKeyBytes {
 		return "", verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the header %s has %d bytes, not at most %d", opapi.HeaderIdempotencyKey, len(key), maxKeyBytes)
+			"the header %s has %d bytes; at most %d are allowed", opapi.HeaderIdempotencyKey, len(key), maxKeyBytes)
 	}
 	if ctx.IsGet() || ctx.IsHead() {
 		return "", nil
@@ -125,8 +127,9 @@
 	return key, nil
 }
 
-// forwardedPath is the target behind the service's name, as the caller wrote
-// it: decoded, a %3F would become a query and a %2F another level.
+// forwardedPath returns the path and query after the service's name, without
+// decoding them: a decoded %3F would begin a query and a decoded %2F would add a
+// path segment.
 func forwardedPath(ctx *fasthttp.RequestCtx) string {
 	original := string(ctx.URI().PathOriginal())
 	_, rest, _ := strings.Cut(strings.TrimPrefix(original, opapi.PathServices), "/")
--- a/daemon/front/sse.go
+++ b/daemon/front/sse.go
@@ -16,8 +16,8 @@
 	doneLine       = "data: [DONE]\n\n"
 )
 
-// streamed answers by server-sent events. Until the first event is there, an
-// error still gets its own status.
+// serveStream answers with server-sent events. It waits for the first event, so that
+// an error before it still determines the HTTP status.
 func (s *Server) serveStream(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
 	streamCtx, cancel := context.WithCancelCause(callerCtx)
 	go run.serve(streamCtx)
@@ -26,7 +26,7 @@
 		defer run.end()
 		cancel(nil)
 		if !ok {
-			first.err = verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the answer ended before it began")
+			first.err = verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the answer ended without an event")
 		}
 		run.failed(first.err)
 		writeError(ctx, first.err, run.job.ID)
@@ -42,7 +42,7 @@
 	})
 }
 
-// write sends events until the answer ends or the caller is gone.
+// write sends events until the answer ends or a write fails.
 func (r *run) write(w *bufio.Writer, it item) error {
 	for ok := true; ok; it, ok = <-r.items {
 		if it.err != nil {
@@ -90,7 +90,8 @@
 	return w.Flush()
 }
 
-// drain frees the serving goroutine when the caller's writer ended first.
+// drain discards the remaining items, so that the goroutine in serve does not block
+// if the writer ended first.
 func (r *run) drain() {
 	for range r.items {
 		continue
--- a/daemon/front/stale_config_test.go
+++ b/daemon/front/stale_config_test.go
@@ -11,9 +11,9 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// TestWhatTheConfigurationLacksMayBeInForceElsewhere: a key, a team's service or
-// a plain service that a daemon does not know is refused for good only where it
-// knows of no later configuration.
+// TestUnknownNamesAreRefusedTemporarilyWhileTheConfigurationIsStale: a key, a model
+// service or a plain service that the configuration lacks is refused permanently
+// only if the daemon knows of no later configuration.
 func TestUnknownNamesAreRefusedTemporarilyWhileTheConfigurationIsStale(t *testing.T) {
 	doc := live.Normalize(&live.Document{
 		Teams: []live.Team{{Name: "bunker", KeyHashes: []string{live.HashKey(fuzzKey)}}},
@@ -27,7 +27,7 @@
 
 	cases := []struct {
 		name, key, path string
-		known           verdict.Code
+		permanent       verdict.Code
 	}{
 		{"key", "new-key", opapi.PathCompletions, verdict.CodeUnauthorized},
 		{"model", fuzzKey, opapi.PathCompletions, verdict.CodeUnknownService},
@@ -56,7 +56,7 @@
 			is.Equal(err.Verdict, verdict.NotRun)
 			is.True(err.RetryAfter > 0)
 			newest = true
-			is.Equal(refusal().Code, c.known)
+			is.Equal(refusal().Code, c.permanent)
 		})
 	}
 }
--- a/daemon/front/stats.go
+++ b/daemon/front/stats.go
@@ -6,10 +6,10 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// stats are the metrics of the listening end.
+// stats are the metrics of the Server.
 type stats struct {
 	inFlight *metrics.Gauge
-	// teamInFlight and teamRefused are by team.
+	// teamInFlight, teamRefused and answered are by team, refused is by error code.
 	teamInFlight      *metrics.CounterMap
 	teamRefused       *metrics.CounterMap
 	answered          *metrics.CounterMap
@@ -32,7 +32,7 @@
 	}
 }
 
-// begin counts a request of a team; the returned function ends it.
+// begin counts a team's request as in flight until the returned function is called.
 func (s *stats) begin(team id.Team) func() {
 	s.inFlight.Add(1)
 	s.teamInFlight.Add(string(team), 1)
@@ -42,7 +42,7 @@
 	}
 }
 
-// fail counts a request of a team that ended by an error.
+// fail counts a request of a team that ended with an error.
 func (s *stats) fail(team id.Team, code verdict.Code) {
 	s.refused.Add(string(code), 1)
 	s.teamRefused.Add(string(team), 1)
--- a/daemon/hangup/hangup.go
+++ b/daemon/hangup/hangup.go
@@ -1,11 +1,11 @@
-// Package hangup notices that a caller has closed its connection while the
-// daemon writes nothing to it. fasthttp's RequestCtx.Done does not fire then.
+// Package hangup detects that a caller has closed its connection while the daemon
+// writes nothing to it. fasthttp's RequestCtx.Done does not fire in this case.
 //
-// It asks the kernel with poll(2) for POLLRDHUP, which is set when the peer
-// closed or shut down its sending side, whether or not bytes are left to read;
-// so it works beneath TLS, too, where a close arrives as unread bytes. A caller
-// that shuts down only its sending side counts as gone: HTTP/1.1 clients that
-// want an answer keep it open.
+// It calls poll(2) for POLLRDHUP, which the kernel sets when the peer has closed
+// the connection or shut down its sending side, even with bytes left to read. So
+// it also works with TLS, where a close arrives as unread bytes. A caller that
+// shuts down only its sending side counts as gone, since HTTP/1.1 clients that
+// wait for an answer keep it open.
 package hangup
 
 import (
@@ -19,17 +19,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// DefaultInterval is how often the connections are looked at.
+// DefaultInterval is the time between polls of the connections.
 const DefaultInterval = 25 * time.Millisecond
 
-// goneEvents are the poll results that mean the peer has closed.
+// closedEvents are the poll results that mean that the peer has closed.
 const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
 
-// Watcher looks at all connections whose requests are being served.
+// Watcher polls all connections whose requests are being served.
 type Watcher struct {
 	mu    sync.Mutex
 	conns map[*watchedConn]struct{}
-	// wake has an item once there is something to look at again.
+	// wake receives an item when a connection is added.
 	wake chan struct{}
 	stop chan struct{}
 	done chan struct{}
@@ -40,14 +40,14 @@
 	cancel context.CancelCauseFunc
 }
 
-// ErrGone is the cause of a context that a Watcher cancelled.
+// ErrGone is the cause with which a Watcher cancels a context.
 var ErrGone = goneError{}
 
 type goneError struct{}
 
 func (goneError) Error() string { return "the caller closed its connection" }
 
-// New starts a Watcher that looks at its connections every interval.
+// New starts a Watcher that polls its connections every interval.
 func New(interval time.Duration) *Watcher {
 	w := &Watcher{
 		conns: make(map[*watchedConn]struct{}),
@@ -59,15 +59,15 @@
 	return w
 }
 
-// Close ends the watcher; contexts that it gave out stay as they are.
+// Close stops the Watcher. It does not cancel the contexts that Watch returned.
 func (w *Watcher) Close() {
 	close(w.stop)
 	<-w.done
 }
 
-// Watch returns a context that ends with cause ErrGone when the peer of conn
-// closes, and a function that ends the watch. A conn without a file descriptor
-// is not watched.
+// Watch returns a context that is cancelled with cause ErrGone when the peer of
+// conn closes, and a function that ends the watch and cancels the context. A conn
+// without a file descriptor is not watched.
 func (w *Watcher) Watch(parent context.Context, conn net.Conn) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	raw := rawConn(conn)
@@ -105,7 +105,7 @@
 	return raw
 }
 
-// run looks every interval while there are connections, and sleeps otherwise.
+// run polls every interval while there are connections, and otherwise waits for one.
 func (w *Watcher) run(interval time.Duration) {
 	defer close(w.done)
 	timer := time.NewTimer(interval)
@@ -127,7 +127,8 @@
 	}
 }
 
-// look polls every watched connection once and returns how many there were.
+// pollAll polls every watched connection once, cancels those that the peer closed,
+// and returns how many it polled.
 func (w *Watcher) pollAll() int {
 	all := w.snapshot()
 	for _, e := range all {
--- a/daemon/httpjson/httpjson.go
+++ b/daemon/httpjson/httpjson.go
@@ -1,5 +1,4 @@
-// Package httpjson writes the JSON answers and errors that callers and
-// operators get.
+// Package httpjson writes the JSON answers and errors for callers and operators.
 package httpjson
 
 import (
@@ -29,7 +28,8 @@
 	ctx.SetBody(append(data, '\n'))
 }
 
-// ErrorBody is the body of an error. The cause stays in the log.
+// ErrorBody returns the body of an error. It leaves out the cause, which is only
+// logged.
 func ErrorBody(err *verdict.Error, request id.Request) opapi.ErrorBody {
 	return opapi.ErrorBody{Error: opapi.ErrorDetail{
 		Message:      err.Message,
@@ -41,7 +41,8 @@
 	}}
 }
 
-// WriteError answers with an error, its verdict in a header and in the body.
+// WriteError answers with an error. The verdict, the request id and the retry delay
+// are in headers as well as in the body.
 func WriteError(ctx *fasthttp.RequestCtx, status int, err *verdict.Error, request id.Request) {
 	ctx.Response.Header.Set(opapi.HeaderVerdict, err.Verdict.String())
 	if request != "" {
@@ -53,7 +54,7 @@
 	Write(ctx, status, ErrorBody(err, request))
 }
 
-// wholeSeconds rounds up, since Retry-After knows no fractions.
+// wholeSeconds rounds up to whole seconds, since Retry-After allows no fractions.
 func wholeSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
