--- a/daemon/front/errors.go
+++ b/daemon/front/errors.go
@@ -10,9 +10,9 @@
 	"github.com/samphirequay/samphirequay/daemon/httpjson"
 )
 
-// statusOf maps an error to an HTTP status. A caller that knows only HTTP can't tell
-// from 502 or 504 whether its request ran, so they are only used for requests that
-// may have run.
+// statusOf maps an error to an HTTP status. A caller that reads only the status
+// can't tell from 502 or 504 whether its request ran, so they are only used for
+// requests that may have run.
 func statusOf(err *verdict.Error) int {
 	status := statusOfCode(err.Code)
 	if err.Verdict == verdict.NotRun && status > fasthttp.StatusInternalServerError {
--- a/daemon/front/errors_test.go
+++ b/daemon/front/errors_test.go
@@ -9,8 +9,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// TestNotRunIsNeverAGatewayError: a caller that knows only HTTP may retry a request
-// after 503, but has to assume after 502 or 504 that it may have run.
+// TestNotRunIsNeverAGatewayError: a caller that reads only the status may retry a
+// request after 503, but has to assume after 502 or 504 that it may have run.
 func TestNotRunIsNeverAGatewayError(t *testing.T) {
 	cases := []struct {
 		verdict verdict.Verdict
