--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -8,14 +8,14 @@
 	"github.com/samphirequay/samphirequay/daemon/plaincall"
 )
 
-// startRequests starts the pipeline of requests.
+// startRequests creates the request pipeline and the operators' server.
 func (d *Daemon) startRequests() {
 	d.watcher = hangup.New(hangup.DefaultInterval)
 	recorder := recorder{d}
 	pairer := trackingPairer{Broker: d.broker, cancels: d.cancels}
 	completions := completion.New(completion.Deps{
 		Self:     d.self,
-		Domain:   d.set.Domain,
+		Domain:   d.settings.Domain,
 		Pairer:   pairer,
 		Engines:  d.endpoints,
 		Cancels:  d.cancels,
@@ -27,7 +27,7 @@
 	})
 	plain := plaincall.New(plaincall.Deps{
 		Self:      d.self,
-		Domain:    d.set.Domain,
+		Domain:    d.settings.Domain,
 		Pairer:    d.broker,
 		Endpoints: d.endpoints,
 		Claims:    d.claims,
@@ -48,14 +48,14 @@
 		Metrics:      d.metrics,
 		Entry:        d.entryAnswer,
 		Ready:        d.ready,
-		Arrived:      d.noteCaller,
+		OnRequest:    d.noteCaller,
 		Log:          d.logger.Event,
 		Logger:       httpLogger{d.logger},
 		Now:          d.now,
 		NewID:        newRequestID,
-		MaxBodyBytes: d.set.Limits.MaxBodyBytes,
-		Surplus:      surplus,
-		MaxConns:     d.set.Limits.MaxConnections,
+		MaxBodyBytes: d.settings.Limits.MaxBodyBytes,
+		OverLimit:    isOverLimit,
+		MaxConns:     d.settings.Limits.MaxConnections,
 	})
-	d.operator = operator.New(operatorBacking{d}, d.set.OperatorKeyHashes, d.logger.Event)
+	d.operator = operator.New(operatorBacking{d}, d.settings.OperatorKeyHashes, d.logger.Event)
 }
--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -16,7 +16,7 @@
 	"github.com/samphirequay/samphirequay/daemon/placer"
 )
 
-// operatorBacking answers operators.
+// operatorBacking implements operator.Backing.
 type operatorBacking struct{ d *Daemon }
 
 // Propose implements operator.Backing.
@@ -43,7 +43,7 @@
 // BeginStop implements operator.Backing.
 func (b operatorBacking) BeginStop() { b.d.BeginStop() }
 
-// Status implements operator.Backing. Pools are told by their owners.
+// Status implements operator.Backing. The pools' owners report their pools.
 func (b operatorBacking) Status() opapi.Status {
 	d := b.d
 	s := opapi.Status{
@@ -55,7 +55,7 @@
 		Teams:     []opapi.TeamStatus{},
 		Leases:    []opapi.LeaseStatus{},
 	}
-	for _, reply := range d.askPools() {
+	for _, reply := range d.queryPools() {
 		s.Pools = append(s.Pools, reply.Pools...)
 	}
 	slices.SortFunc(s.Pools, func(x, y opapi.PoolStatus) int { return cmp.Compare(x.Pool, y.Pool) })
@@ -83,14 +83,14 @@
 	return out
 }
 
-// poolsLocal is the state of the pools that this daemon owns.
+// poolsLocal returns the state of the pools that this daemon owns.
 func (d *Daemon) poolsLocal() poolsReply {
 	reply := poolsReply{}
 	index := d.configs.Index()
 	for i, p := range d.broker.Pools() {
 		reply.Pools = append(reply.Pools, d.poolStatus(index, p))
 		if i > 0 {
-			continue // the evidence is one for all pools of a daemon
+			continue // all pools of a daemon share one quarantine list
 		}
 		for _, e := range p.Quarantine {
 			reply.Quarantine = append(reply.Quarantine, opapi.QuarantineEntry{
@@ -134,12 +134,13 @@
 	return s
 }
 
-// askPools asks the pools' owners for their state.
-func (d *Daemon) askPools() []poolsReply {
+// queryPools queries the pools' owners for the state of their pools. Owners that
+// fail to reply are left out.
+func (d *Daemon) queryPools() []poolsReply {
 	replies := []poolsReply{d.poolsLocal()}
 	owners := slices.Compact(slices.Sorted(slices.Values(d.broker.Owners(d.pools()))))
 	var mu sync.Mutex
-	d.ask(owners, func(ctx context.Context, to id.Daemon) {
+	d.queryPeers(owners, func(ctx context.Context, to id.Daemon) {
 		var reply poolsReply
 		if d.transport.Call(ctx, to, kindPools, &poolsQuery{}, &reply) != nil {
 			return
@@ -151,19 +152,20 @@
 	return replies
 }
 
-// ask runs a question to several daemons at once, this one left out.
-func (d *Daemon) ask(whom []id.Daemon, ask func(ctx context.Context, to id.Daemon)) {
+// queryPeers runs a query to several daemons concurrently, without this one, and
+// waits for all. peerCallTimeout bounds the queries.
+func (d *Daemon) queryPeers(daemons []id.Daemon, query func(ctx context.Context, to id.Daemon)) {
 	ctx, cancel := context.WithTimeout(d.ctx, peerCallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, to := range whom {
+	for _, to := range daemons {
 		if to == d.self.Daemon {
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ask(ctx, to)
+			query(ctx, to)
 		}()
 	}
 	wg.Wait()
@@ -177,12 +179,13 @@
 	return out
 }
 
-// Explain implements operator.Backing: the decisions of all daemons, by time.
+// Explain implements operator.Backing. It returns the decisions of all daemons on
+// the subject, sorted by time.
 func (b operatorBacking) Explain(kind, subject string) opapi.Explanation {
 	q := explainQuery{Kind: kind, ID: subject}
 	out := b.d.explainLocal(q)
 	var mu sync.Mutex
-	b.d.ask(b.d.members.Others(), func(ctx context.Context, to id.Daemon) {
+	b.d.queryPeers(b.d.members.Others(), func(ctx context.Context, to id.Daemon) {
 		var reply opapi.Explanation
 		if b.d.transport.Call(ctx, to, kindExplain, &q, &reply) != nil {
 			return
@@ -199,7 +202,7 @@
 func (b operatorBacking) Quarantine() opapi.QuarantineList {
 	list := opapi.QuarantineList{Entries: []opapi.QuarantineEntry{}}
 	seen := make(map[string]bool)
-	for _, reply := range b.d.askPools() {
+	for _, reply := range b.d.queryPools() {
 		for _, e := range reply.Quarantine {
 			if !seen[e.Fingerprint] {
 				seen[e.Fingerprint] = true
@@ -210,10 +213,10 @@
 	return list
 }
 
-// demand is the utilisation of the model pools, asked from their owners.
+// demand returns the utilisation of the pools, as their owners report it.
 func (d *Daemon) demand(context.Context) []placement.Demand {
 	var out []placement.Demand
-	for _, reply := range d.askPools() {
+	for _, reply := range d.queryPools() {
 		for _, p := range reply.Pools {
 			out = append(out, placement.Demand{Pool: p.Pool, Prefill: p.PrefillLoad, Decode: p.DecodeLoad})
 		}
--- a/daemon/app/tls_test.go
+++ b/daemon/app/tls_test.go
@@ -19,21 +19,21 @@
 func (f *testFleet) startTLS() (*Daemon, *http.Client, *keys.Store) {
 	f.t.Helper()
 	is := is.New(f.t)
-	f.reservePeers(1)
-	set := *f.daemons[0].set
-	set.Daemon = "tls"
-	set.Listen.Peers = f.seeds[len(f.seeds)-1].Address
-	set.InsecureCallers = false
-	material, err := f.ca.Peer(set.Daemon)
+	f.reservePeerPorts(1)
+	cfg := *f.daemons[0].settings
+	cfg.Daemon = "tls"
+	cfg.Listen.Peers = f.seeds[len(f.seeds)-1].Address
+	cfg.InsecureCallers = false
+	material, err := f.ca.Peer(cfg.Daemon)
 	is.NoErr(err)
 	caller, err := f.ca.Caller("127.0.0.1")
 	is.NoErr(err)
 	callerKeys := keys.Fixed(caller)
-	d, err := New(&set, Options{PeerKeys: keys.Fixed(material), CallerKeys: callerKeys, Log: f.log})
+	d, err := New(&cfg, Options{PeerKeys: keys.Fixed(material), CallerKeys: callerKeys, Log: f.log})
 	is.NoErr(err)
 	is.NoErr(d.Start())
 	f.daemons = append(f.daemons, d)
-	f.until("the daemon is ready", func() bool {
+	f.waitFor("the daemon is ready", func() bool {
 		ready, _ := d.ready()
 		return ready
 	})
@@ -48,26 +48,26 @@
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	d, client, callerKeys := f.startTLS()
 	prompt := strings.Repeat("certificate of quality. ", 20)
-	ask := func(client *http.Client) *tls.ConnectionState {
+	complete := func(client *http.Client) *tls.ConnectionState {
 		req := f.completionRequest(context.Background(), d, teamKey,
 			opapi.CompletionRequest{Model: model, Prompt: prompt, MaxTokens: 4, Stream: true})
 		req.URL.Scheme = "https"
 		resp, err := client.Do(req)
 		is.NoErr(err)
 		defer resp.Body.Close()
-		text, _, ended := readStream(t, resp, 0)
+		text, _, ended := readSSE(t, resp, 0)
 		is.True(ended)
 		is.Equal(text, standin.Answer(prompt, 4))
 		return resp.TLS
 	}
-	before := ask(client)
+	before := complete(client)
 
-	// New keys are in force for the next connection, without a restart.
+	// Replaced keys apply to the next connection, without a restart.
 	renewed, err := f.ca.Caller("127.0.0.1")
 	is.NoErr(err)
 	callerKeys.Replace(renewed)
 	client.CloseIdleConnections()
-	after := ask(client)
+	after := complete(client)
 	is.True(before.PeerCertificates[0].SerialNumber.Cmp(after.PeerCertificates[0].SerialNumber) != 0)
 }
 
@@ -87,9 +87,9 @@
 		_, err := client.Do(req)
 		failed <- err
 	}()
-	f.until("the prefill runs", func() bool { return f.held("prefill") > 0 })
+	f.waitFor("the prefill runs", func() bool { return f.held("prefill") > 0 })
 	hangUp()
 	is.True(<-failed != nil)
-	f.until("the engine was told", func() bool { return f.cancels() > 0 })
-	f.until("nothing is held", func() bool { return f.held("") == 0 })
+	f.waitFor("the engine got a cancel", func() bool { return f.cancels() > 0 })
+	f.waitFor("no engine holds a request", func() bool { return f.held("") == 0 })
 }
--- a/daemon/front/run.go
+++ b/daemon/front/run.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	// streamRing is how many events wait for a slow caller before its engine
-	// stream is held up.
-	streamRing = 64
-	// slowCallerTimeout ends a request whose caller takes nothing for so long.
+	// streamBuffer is how many events are buffered for a slow caller before the
+	// engine's stream is no longer read.
+	streamBuffer = 64
+	// slowCallerTimeout is how long a full buffer may block before the request ends.
 	slowCallerTimeout = 10 * time.Second
-	// tokenLife is how long a resume token is valid.
-	tokenLife = 10 * time.Minute
+	// tokenTTL is how long a resume token is valid.
+	tokenTTL = 10 * time.Minute
 )
 
-// item is an event or the error that ends the answer.
+// item is an event of the answer, or the error that ends it.
 type item struct {
 	event completion.Event
 	err   *verdict.Error
 }
 
-// run joins the goroutine that serves a job with the one that writes to its
-// caller, by a bounded ring.
+// run connects the goroutine that serves a job with the one that writes to its
+// caller, by a bounded channel.
 type run struct {
 	server   *Server
 	job      *completion.Job
 	items    chan item
 	end      func()
-	first    time.Duration
-	last     time.Duration
+	firstAt  time.Duration
+	lastAt   time.Duration
 	events   int
 	textHash resume.TextHasher
 }
 
 func newRun(s *Server, job *completion.Job, end func()) *run {
-	r := &run{server: s, job: job, items: make(chan item, streamRing), end: end}
+	r := &run{server: s, job: job, items: make(chan item, streamBuffer), end: end}
 	if job.Resume != nil {
 		r.textHash.Add(job.Resume.Text)
 	}
 	return r
 }
 
-// serve runs the job and closes the ring behind its last item.
+// serve runs the job, sends its error if it fails, and closes the channel.
 func (r *run) serve(ctx context.Context) {
 	defer close(r.items)
 	err := r.server.Completions.Run(ctx, r.job, r)
@@ -81,14 +81,14 @@
 	}
 }
 
-// observe measures the answer as the caller gets it.
+// observe records an event's time and text when it is written to the caller.
 func (r *run) observe(e completion.Event) {
 	now := r.server.Now()
 	if r.events == 0 {
-		r.first = now
+		r.firstAt = now
 		r.server.stats.firstToken.Record(now - r.job.Arrived)
 	}
-	r.last = now
+	r.lastAt = now
 	r.events++
 	r.textHash.Add(e.Text)
 }
@@ -96,20 +96,20 @@
 func (r *run) answered() {
 	r.server.stats.answered.Add(string(r.job.Team.Name), 1)
 	if r.events > 1 {
-		r.server.stats.pace.Record((r.last - r.first) / time.Duration(r.events-1))
+		r.server.stats.interTokenLatency.Record((r.lastAt - r.firstAt) / time.Duration(r.events-1))
 	}
 }
 
 func (r *run) failed(err *verdict.Error) {
 	if err.Code == verdict.CodeCallerGone {
-		r.server.stats.gone.Inc()
+		r.server.stats.callersGone.Inc()
 		return
 	}
 	r.server.stats.fail(r.job.Team.Name, err.Code)
 }
 
-// token signs where the caller stands behind event e.
-func (r *run) token(e completion.Event) (string, error) {
+// resumeToken returns a signed token for resuming the answer after event e.
+func (r *run) resumeToken(e completion.Event) (string, error) {
 	return r.server.Tokens.Sign(resume.Token{
 		Team:        r.job.Team.Name,
 		Service:     r.job.Service.Name,
@@ -120,11 +120,12 @@
 		Seq:         e.Seq,
 		RequestHash: resume.HashRequest(r.job.Prompt, r.job.MaxTokens),
 		TextHash:    r.textHash.Sum(),
-		ExpiresUnix: time.Now().Add(tokenLife).Unix(),
+		ExpiresUnix: time.Now().Add(tokenTTL).Unix(),
 	})
 }
 
-// usage counts tokens up to event e; a terminal event without text is no token.
+// usage counts the tokens up to event e. A terminal event without text is not a
+// token.
 func usage(e completion.Event) *opapi.Usage {
 	tokens := e.Seq
 	if e.Text == "" {
@@ -133,7 +134,7 @@
 	return &opapi.Usage{PromptTokens: e.PromptTokens, CompletionTokens: tokens, TotalTokens: e.PromptTokens + tokens}
 }
 
-// completion is one OpenAI-style body.
+// completion returns one OpenAI-style completion body.
 func (r *run) completion(text string, e completion.Event, withUsage bool) opapi.Completion {
 	choice := opapi.Choice{Text: text}
 	if e.Finish != "" {
