--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -13,18 +13,19 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// fieldFault is a fault without its place in a file.
+// fieldFault is a fault of a field, without its file, line and column.
 type fieldFault struct{ field, message string }
 
-// validate holds the rules of the validate tags, under the fields' JSON names.
+// validate returns the validator for the validate tags. It reports fields by
+// their JSON names.
 var validate = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return jsonName(f) })
 	return v
 })
 
-// Validate fills in what follows from other fields and returns every fault of
-// settings that were built without a file, or nil.
+// Validate fills in the derived fields of settings that were not read from a
+// file, and returns all their faults, or nil.
 func (s *Settings) Validate() error {
 	s.derive()
 	var faults Faults
@@ -34,7 +35,7 @@
 	return faults.Err()
 }
 
-// check returns every fault of the settings.
+// check returns all faults of the settings.
 func (s *Settings) check() []fieldFault {
 	c := &checker{}
 	c.tags(s)
@@ -55,14 +56,14 @@
 	c.faults = append(c.faults, fieldFault{field, fmt.Sprintf(format, args...)})
 }
 
-// tags applies the validate tags.
+// tags applies the validate tags and records the violations.
 func (c *checker) tags(s any) {
 	err := validate().Struct(s)
-	var broken validator.ValidationErrors
-	if !errors.As(err, &broken) {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) {
 		return
 	}
-	for _, e := range broken {
+	for _, e := range violations {
 		_, field, _ := strings.Cut(e.Namespace(), ".")
 		c.fault(field, "%s", ruleMessage(e))
 	}
@@ -75,17 +76,18 @@
 	case "oneof":
 		return fmt.Sprintf("is %q, want one of: %s", fmt.Sprint(e.Value()), strings.ReplaceAll(e.Param(), " ", ", "))
 	case "min":
-		return fmt.Sprintf("is %s, the least is %s", size(e), e.Param())
+		return fmt.Sprintf("is %s, must be at least %s", size(e), e.Param())
 	case "max":
-		return fmt.Sprintf("is %s, the most is %s", size(e), e.Param())
+		return fmt.Sprintf("is %s, must be at most %s", size(e), e.Param())
 	case "len", "hexadecimal", "lowercase":
-		return "is no SHA-256 hash in lower-case hex"
+		return "is not a SHA-256 hash in lower-case hex"
 	default:
-		return fmt.Sprintf("breaks the rule %s %s", e.Tag(), e.Param())
+		return fmt.Sprintf("violates the rule %s %s", e.Tag(), e.Param())
 	}
 }
 
-// size is what min and max compare: the length of texts and lists.
+// size formats the value that min and max compare: the length of strings and
+// lists, and the value of numbers.
 func size(e validator.FieldError) string {
 	v := reflect.ValueOf(e.Value())
 	switch v.Kind() {
@@ -96,8 +98,8 @@
 	}
 }
 
-// listen checks the addresses, and that no two TCP listeners take the same
-// port. The peers' address is UDP and may share a number.
+// listen checks the listen addresses, and that no two TCP listeners conflict.
+// The peers' address is UDP and may have the port number of a TCP listener.
 func (c *checker) listen(s *Settings) {
 	listeners := []struct{ field, address string }{
 		{"listen.callers", s.Listen.Callers},
@@ -120,7 +122,8 @@
 	c.address("listen.peers", s.Listen.Peers, anyPort)
 }
 
-// conflict reports whether two listeners cannot both be opened.
+// conflict reports whether two TCP listeners cannot both be opened: they have
+// the same port, and equal IPs or an unspecified one.
 func conflict(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() {
 		return false
@@ -128,7 +131,8 @@
 	return a.Addr() == b.Addr() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// portRule says whether port 0, a free port, is allowed.
+// portRule determines whether port 0, which stands for any free port, is
+// allowed.
 type portRule bool
 
 const (
@@ -136,14 +140,15 @@
 	realPort portRule = false
 )
 
-// address checks one that is set; what is missing and required is found by the tags.
+// address parses an IP:port and checks its port. It reports false for an empty
+// address without recording a fault: the validate tags find missing addresses.
 func (c *checker) address(field, text string, rule portRule) (netip.AddrPort, bool) {
 	if text == "" {
 		return netip.AddrPort{}, false
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		c.fault(field, "%q is no IP:port: %v", text, err)
+		c.fault(field, "%q is not an IP:port: %v", text, err)
 		return netip.AddrPort{}, false
 	}
 	if address.Port() == 0 && rule == realPort {
@@ -153,16 +158,17 @@
 	return address, true
 }
 
-// reachable checks an address that others connect to.
+// reachable checks an address that other processes connect to: it needs a port
+// and a specific IP.
 func (c *checker) reachable(field, text string) {
 	address, ok := c.address(field, text, realPort)
 	if ok && address.Addr().IsUnspecified() {
-		c.fault(field, "%q names no host", text)
+		c.fault(field, "%q does not name a host", text)
 	}
 }
 
 func (c *checker) advertise(a Advertise) {
-	missing := "is missing, and the listen address names no one host and port"
+	missing := "is missing, and the listen address does not name a single host and port"
 	if a.Callers == "" {
 		c.fault("advertise.callers", "%s", missing)
 	}
@@ -180,10 +186,10 @@
 		field := fmt.Sprintf("seed_peers[%d]", i)
 		c.reachable(field+".address", p.Address)
 		if names[p.Name] {
-			c.fault(field+".name", "%q stands twice", p.Name)
+			c.fault(field+".name", "%q is used twice", p.Name)
 		}
 		if addresses[p.Address] {
-			c.fault(field+".address", "%q stands twice", p.Address)
+			c.fault(field+".address", "%q is used twice", p.Address)
 		}
 		names[p.Name] = true
 		addresses[p.Address] = true
@@ -199,7 +205,7 @@
 
 func (c *checker) callersTLS(s *Settings) {
 	if s.CallersTLS == nil && !s.InsecureCallers {
-		c.fault("callers_tls", `is missing; plain HTTP wants "insecure_callers": true`)
+		c.fault("callers_tls", `is missing; plain HTTP requires "insecure_callers": true`)
 	}
 	if s.CallersTLS != nil && s.InsecureCallers {
 		c.fault("insecure_callers", "contradicts callers_tls")
@@ -208,15 +214,15 @@
 
 func (c *checker) membership(m Membership) {
 	if m.SuspectAfterMS <= m.PeriodMS {
-		c.fault("membership.suspect_after_ms", "is %d, must be over period_ms, %d", m.SuspectAfterMS, m.PeriodMS)
+		c.fault("membership.suspect_after_ms", "is %d, must be greater than period_ms, %d", m.SuspectAfterMS, m.PeriodMS)
 	}
 	if m.DeadAfterMS <= m.SuspectAfterMS {
-		c.fault("membership.dead_after_ms", "is %d, must be over suspect_after_ms, %d", m.DeadAfterMS, m.SuspectAfterMS)
+		c.fault("membership.dead_after_ms", "is %d, must be greater than suspect_after_ms, %d", m.DeadAfterMS, m.SuspectAfterMS)
 	}
 }
 
 func (c *checker) timings(t Timings) {
 	if t.DrainMS < t.EntryLifetimeMS {
-		c.fault("timings.drain_ms", "is %d, must be at least entry_lifetime_ms, %d: callers keep an address that long", t.DrainMS, t.EntryLifetimeMS)
+		c.fault("timings.drain_ms", "is %d, must be at least entry_lifetime_ms, %d: callers may keep an address that long", t.DrainMS, t.EntryLifetimeMS)
 	}
 }
--- a/daemon/settings/defaults.go
+++ b/daemon/settings/defaults.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Defaults returns the settings with every default filled in and nothing else.
+// Defaults returns settings that hold the default values and nothing else.
 func Defaults() *Settings {
 	return &Settings{
 		KeysPollMS: 5000,
@@ -32,17 +32,18 @@
 	}
 }
 
-// derive fills in what follows from other fields.
+// derive fills in the advertised addresses that are not set.
 func (s *Settings) derive() {
 	s.Advertise.Callers = advertised(s.Advertise.Callers, s.Listen.Callers)
 	s.Advertise.Peers = advertised(s.Advertise.Peers, s.Listen.Peers)
 }
 
-// advertised returns the set address, or the listen address where others can
-// reach that.
-func advertised(set, listen string) string {
-	if set != "" {
-		return set
+// advertised returns the configured address, or else the listen address if it
+// has a specific IP and a port that others can connect to, or else an empty
+// string.
+func advertised(configured, listen string) string {
+	if configured != "" {
+		return configured
 	}
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil || address.Addr().IsUnspecified() || address.Port() == 0 {
--- a/daemon/settings/examples_test.go
+++ b/daemon/settings/examples_test.go
@@ -18,8 +18,8 @@
 
 const (
 	exampleDir = "../../examples"
-	// The sizes that the deployments have today.
-	exampleDaemons, exampleDomains, exampleEngines, examplePlains, exampleTeams = 9, 4, 18, 4, 6
+	// The sizes of the example deployments.
+	exampleDaemons, exampleDomains, exampleEngines, examplePlainEndpoints, exampleTeams = 9, 4, 18, 4, 6
 )
 
 func exampleFiles(t *testing.T, pattern string) []string {
@@ -31,7 +31,7 @@
 	return files
 }
 
-func TestEveryExampleIsRight(t *testing.T) {
+func TestEveryExampleIsValid(t *testing.T) {
 	is := is.New(t)
 	files := append(exampleFiles(t, "*.json"), exampleFiles(t, "*/*.json")...)
 	is.Equal(len(files), 1+2*(exampleDaemons+1))
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestTheExplainedExampleHasEveryField(t *testing.T) {
+func TestCommentedExampleHasEveryField(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(exampleDir, "daemon.json")
 	data, err := os.ReadFile(path)
@@ -57,13 +57,14 @@
 	}
 	s, faults := Parse(path, data)
 	is.NoErr(faults.Err())
-	is.Equal(s.Limits, Defaults().Limits) // what it calls defaults are the defaults
+	is.Equal(s.Limits, Defaults().Limits) // the example shows the default values
 	is.Equal(s.Timings, Defaults().Timings)
 	is.Equal(s.Membership, Defaults().Membership)
 	is.Equal(s.KeysPollMS, Defaults().KeysPollMS)
 }
 
-// allFields lists the paths of the fields, of lists those of the first element.
+// allFields lists the paths of all fields; for a list, those of its first
+// element.
 func allFields(t reflect.Type, path string) []string {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -73,7 +74,7 @@
 	case reflect.Struct:
 		var fields []string
 		for name, fieldType := range fieldTypes(t) {
-			if name != "secret_hex" { // stands in the second key
+			if name != "secret_hex" { // only the second key has it
 				fields = append(fields, allFields(fieldType, join(path, name))...)
 			}
 		}
@@ -83,7 +84,7 @@
 	}
 }
 
-func TestDeploymentsHaveTheirSizesAndFitTogether(t *testing.T) {
+func TestExampleDeploymentsAreConsistent(t *testing.T) {
 	for _, name := range []string{"bunker", "companeros"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -96,13 +97,13 @@
 				roles[e.Labels[live.LabelRole]]++
 			}
 			is.Equal(roles["prefill"]+roles["decode"], exampleEngines)
-			is.Equal(roles["plain"], examplePlains)
+			is.Equal(roles["plain"], examplePlainEndpoints)
 			is.Equal(len(domains), exampleDomains)
 			is.True(len(doc.Teams) >= exampleTeams)
 			is.Equal(len(doc.Links), exampleDomains*exampleDomains)
 			index := live.NewIndex(doc)
 			for _, p := range doc.Pools {
-				is.True(len(index.Endpoints(p.Name)) > 0) // every pool's selector finds its endpoints
+				is.True(len(index.Endpoints(p.Name)) > 0) // every pool's selector matches endpoints
 			}
 
 			names := make(map[id.Daemon]string)
@@ -123,7 +124,7 @@
 	}
 }
 
-func TestDemoKeysAreTheOnesOfTheComments(t *testing.T) {
+func TestDemoKeysMatchTheComments(t *testing.T) {
 	is := is.New(t)
 	for _, file := range exampleFiles(t, "*/live.json") {
 		doc, faults := LoadDocument(file)
@@ -139,8 +140,8 @@
 	}
 }
 
-// TestStrictReadingAgreesWithTheStandardLibrary reads the examples by plain
-// encoding/json as well.
+// TestStrictReadingAgreesWithTheStandardLibrary checks that strict reading of
+// the examples yields the same documents as encoding/json.
 func TestStrictReadingAgreesWithTheStandardLibrary(t *testing.T) {
 	is := is.New(t)
 	for _, file := range exampleFiles(t, "*/live.json") {
--- a/daemon/settings/fault.go
+++ b/daemon/settings/fault.go
@@ -5,20 +5,22 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	// File is the name of the file.
 	File string
 	// Line and Column count from 1; columns are bytes. Both are 0 when the file
 	// could not be read.
 	Line, Column int
-	// Field leads to the field, as in "seed_peers[2].address"; empty for the whole file.
+	// Field is the path of the field, such as "seed_peers[2].address"; empty for
+	// the whole file.
 	Field string
-	// Message says what is wrong.
+	// Message describes the error.
 	Message string
 }
 
-// Error gives the fault as FILE:LINE:COLUMN: FIELD: MESSAGE.
+// Error formats the fault as FILE:LINE:COLUMN: FIELD: MESSAGE, without the
+// parts that are not set.
 func (f Fault) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -33,10 +35,10 @@
 	return b.String()
 }
 
-// Faults are all the things wrong with a file; none means that it is right.
+// Faults are all errors in a file; an empty list means that the file is valid.
 type Faults []Fault
 
-// Error gives one line for each fault.
+// Error returns one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
--- a/daemon/settings/fuzz_test.go
+++ b/daemon/settings/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzFile: whatever stands in a file, it is read as settings or document, or
-// has faults that name a place within it.
+// FuzzFile checks that any content is either read as settings or as a document,
+// or has faults with a position within the file.
 func FuzzFile(f *testing.F) {
 	for _, name := range []string{"daemon.json", "bunker/daemon-1.json", "bunker/live.json"} {
 		data, err := os.ReadFile(filepath.Join("../../examples", name))
--- a/daemon/settings/kind.go
+++ b/daemon/settings/kind.go
@@ -8,17 +8,17 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// FileKind tells the kinds of files apart.
+// FileKind is the kind of a configuration file.
 type FileKind string
 
-// The kinds of files.
+// The kinds of configuration files.
 const (
 	KindSettings FileKind = "start-up settings"
 	KindDocument FileKind = "live configuration"
 	KindUnknown  FileKind = "unknown"
 )
 
-// CheckFile tells what kind of file it is by its content, and checks it.
+// CheckFile determines the kind of a file by its content, and checks the file.
 func CheckFile(path string) (FileKind, Faults) {
 	data, faults := readFile(path)
 	if faults != nil {
@@ -27,7 +27,8 @@
 	return Check(path, data)
 }
 
-// Check tells the kind of the content, and checks it; name stands in the faults.
+// Check determines the kind of the content, and checks the content. Faults
+// report name as the file.
 func Check(name string, data []byte) (FileKind, Faults) {
 	src := openSource(name, data)
 	if len(src.faults) > 0 {
@@ -42,12 +43,13 @@
 		_, faults := ParseDocument(name, data)
 		return kind, faults
 	default:
-		src.at("", "is neither start-up settings nor a live configuration: most of its fields are known to neither")
+		src.at("", "is neither start-up settings nor a live configuration, judging by its top-level fields")
 		return kind, src.faults
 	}
 }
 
-// kind goes by which of the two knows more of the outermost fields.
+// kind returns the kind that defines more of the top-level fields, or
+// KindUnknown if both define equally many or the content is not an object.
 func (s *source) kind() FileKind {
 	object, ok := s.root.Value.(*hujson.Object)
 	if !ok {
@@ -65,6 +67,8 @@
 	}
 }
 
+// countKnown counts the members of the object that are fields of the struct
+// type t.
 func countKnown(object *hujson.Object, t reflect.Type) int {
 	known, count := fieldTypes(t), 0
 	for _, member := range object.Members {
--- a/daemon/settings/parse.go
+++ b/daemon/settings/parse.go
@@ -17,8 +17,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks start-up settings; name stands in the faults. The
-// settings are nil when there is a fault.
+// Parse reads and checks start-up settings. Faults report name as the file. The
+// settings are nil if there is a fault.
 func Parse(name string, data []byte) (*Settings, Faults) {
 	src := openSource(name, data)
 	s := Defaults()
@@ -45,8 +45,8 @@
 	return ParseDocument(path, data)
 }
 
-// ParseDocument reads and checks a live configuration; name stands in the
-// faults. The document has its defaults filled in; it is nil when there is a
+// ParseDocument reads and checks a live configuration. Faults report name as
+// the file. The document has its defaults filled in; it is nil if there is a
 // fault.
 func ParseDocument(name string, data []byte) (*live.Document, Faults) {
 	src := openSource(name, data)
@@ -66,8 +66,8 @@
 }
 
 // Decode reads JSON with comments strictly into the struct that to points to,
-// and applies its validate tags; name stands in the faults. It is for settings
-// of other programs than the daemon's own.
+// and applies its validate tags. Faults report name as the file. It serves
+// settings other than the type Settings.
 func Decode(name string, data []byte, to any) Faults {
 	src := openSource(name, data)
 	src.decode(to)
@@ -82,7 +82,7 @@
 	return src.sorted()
 }
 
-// DecodeFile is Decode for a file.
+// DecodeFile applies Decode to the content of a file.
 func DecodeFile(path string, to any) Faults {
 	data, faults := readFile(path)
 	if faults != nil {
@@ -91,8 +91,8 @@
 	return Decode(path, data, to)
 }
 
-// decode reads the content into the struct that to points to, unless there are
-// faults.
+// decode reads the content strictly into the struct that to points to. It does
+// nothing if faults are already recorded.
 func (s *source) decode(to any) {
 	if len(s.faults) > 0 {
 		return
--- a/daemon/settings/place.go
+++ b/daemon/settings/place.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// placePattern is how hujson words the place of a fault of the grammar.
+// placePattern matches the text of hujson's syntax errors, the only place where
+// hujson reports their line and column.
 var placePattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
 type place struct {
@@ -13,7 +14,8 @@
 	message      string
 }
 
-// placeIn takes the line and column out of the text of hujson's error.
+// placeIn parses the text of a syntax error of hujson. It returns false for any
+// other text.
 func placeIn(text string) (place, bool) {
 	m := placePattern.FindStringSubmatch(text)
 	if m == nil {
--- a/daemon/settings/resumekey.go
+++ b/daemon/settings/resumekey.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/core/resume"
 )
 
-// MinSecretBytes is the least length of a resume key's secret.
+// MinSecretBytes is the minimum length of a resume key's secret, in bytes.
 const MinSecretBytes = resume.MinSecretBytes
 
 func (c *checker) resumeKeys(list []ResumeKey) {
@@ -19,11 +19,11 @@
 	for i, k := range list {
 		field := fmt.Sprintf("resume_keys[%d]", i)
 		if seen[k.ID] {
-			c.fault(field+".id", "%d stands twice", k.ID)
+			c.fault(field+".id", "%d is used twice", k.ID)
 		}
 		seen[k.ID] = true
 		if (k.SecretFile == "") == (k.SecretHex == "") {
-			c.fault(field, "wants exactly one of secret_file and secret_hex")
+			c.fault(field, "needs exactly one of secret_file and secret_hex")
 		}
 		if k.SecretHex == "" {
 			continue
@@ -34,7 +34,7 @@
 	}
 }
 
-// Secret returns the secret, reading its file where it stands in one.
+// Secret returns the secret, read from SecretFile if that is set.
 func (k ResumeKey) Secret() ([]byte, error) {
 	if k.SecretFile == "" {
 		return decodeSecret(k.SecretHex)
@@ -50,14 +50,14 @@
 	return secret, nil
 }
 
-// decodeSecret never puts the text into its errors.
+// decodeSecret decodes a secret in hex. Its errors never contain the text.
 func decodeSecret(text string) ([]byte, error) {
 	secret, err := hex.DecodeString(text)
 	if err != nil {
 		return nil, eris.New("is not hex")
 	}
 	if len(secret) < MinSecretBytes {
-		return nil, eris.Errorf("is %d bytes long, the least is %d", len(secret), MinSecretBytes)
+		return nil, eris.Errorf("is %d bytes long, must be at least %d", len(secret), MinSecretBytes)
 	}
 	return secret, nil
 }
--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -9,8 +9,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// source is a file that is being read: its content, where each field stands,
-// and the faults found so far.
+// source is a file that is being read: its content, the byte offsets of its
+// fields, and the faults found so far.
 type source struct {
 	name    string
 	data    []byte
@@ -19,7 +19,7 @@
 	faults  Faults
 }
 
-// openSource parses the grammar; on a fault there the rest is not looked at.
+// openSource parses the content. On a syntax error it records that fault only.
 func openSource(name string, data []byte) *source {
 	s := &source{name: name, data: data, offsets: make(map[string]int)}
 	root, err := hujson.Parse(data)
@@ -32,19 +32,20 @@
 	return s
 }
 
-// grammarFault records a fault of the grammar. The parser gives the place only
-// in its text, so it is found again as the end of the longest proper beginning.
+// grammarFault records a syntax error. The parser reports the position only in
+// the text of its error; if the text holds none, the fault is reported at the
+// start of the file.
 func (s *source) grammarFault(err error) {
 	text := err.Error()
 	line, column, message := 1, 1, text
-	if at, ok := placeIn(text); ok {
-		line, column, message = at.line, at.column, at.message
+	if parsed, ok := placeIn(text); ok {
+		line, column, message = parsed.line, parsed.column, parsed.message
 	}
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Message: message})
 }
 
-// at records a fault at the place of a field, or of the closest one around it
-// that stands in the file.
+// at records a fault at the position of a field, or of its closest enclosing
+// field if the file does not contain the field.
 func (s *source) at(field, message string) {
 	s.atOffset(s.offset(field), field, message)
 }
@@ -54,6 +55,8 @@
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Field: field, Message: message})
 }
 
+// offset returns the byte offset of a field, or of its closest enclosing field
+// in the file.
 func (s *source) offset(field string) int {
 	for {
 		if offset, ok := s.offsets[field]; ok {
@@ -63,13 +66,14 @@
 	}
 }
 
-// parent cuts the last step off a path; the parent of the last is "".
+// parent removes the last element of a path; the parent of a top-level field is
+// "".
 func parent(field string) string {
 	cut := strings.LastIndexAny(field, ".[")
 	return field[:max(cut, 0)]
 }
 
-// sorted returns the faults in the order of the file.
+// sorted sorts the faults by their position in the file and returns them.
 func (s *source) sorted() Faults {
 	slices.SortStableFunc(s.faults, func(a, b Fault) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -77,7 +81,7 @@
 	return s.faults
 }
 
-// position gives the line and column, from 1, of an offset.
+// position returns the line and column of a byte offset, both counted from 1.
 func position(data []byte, offset int) (line, column int) {
 	before := data[:min(offset, len(data))]
 	line = 1 + bytes.Count(before, []byte("\n"))
--- a/daemon/settings/walk.go
+++ b/daemon/settings/walk.go
@@ -10,9 +10,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// walk compares a value with the type it is to be read into. It notes where
-// each field stands, and records unknown fields, double fields and values of
-// another type.
+// walk compares a value with the type that it is to be decoded into. It stores
+// the offset of each field, and records a fault for each unknown field,
+// duplicate field and value of another type.
 func (s *source) walk(v hujson.Value, t reflect.Type, path string) {
 	s.offsets[path] = v.StartOffset
 	for t.Kind() == reflect.Pointer {
@@ -39,7 +39,7 @@
 		name := memberName(member)
 		field := join(path, name)
 		if seen[name] {
-			s.atOffset(member.Name.StartOffset, field, "the field stands twice")
+			s.atOffset(member.Name.StartOffset, field, "duplicate field")
 			continue
 		}
 		seen[name] = true
@@ -80,7 +80,7 @@
 	}
 }
 
-// memberName is the unescaped name of a member.
+// memberName returns the unescaped name of a member.
 func memberName(m hujson.ObjectMember) string {
 	literal, ok := m.Name.Value.(hujson.Literal)
 	if !ok {
@@ -96,7 +96,8 @@
 	return path + "." + name
 }
 
-// fieldTypes gives the JSON names of a struct's fields; nil for other types.
+// fieldTypes returns the types of a struct's fields by their JSON names, or nil
+// if t is not a struct.
 func fieldTypes(t reflect.Type) map[string]reflect.Type {
 	if t.Kind() != reflect.Struct {
 		return nil
@@ -116,7 +117,7 @@
 	return name
 }
 
-// typeName names a type as a person who writes a file knows it.
+// typeName describes a type in the terms of JSON, for fault messages.
 func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct, reflect.Map:
@@ -124,7 +125,7 @@
 	case reflect.Slice:
 		return "a list"
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Float32, reflect.Float64:
@@ -136,12 +137,12 @@
 	}
 }
 
-// suggestion names the known field that differs only in letter case or in
-// underscores.
+// suggestion returns a hint at the known field that differs from name only in
+// letter case or underscores, or an empty string if there is none.
 func suggestion(name string, known map[string]reflect.Type) string {
-	plain := func(s string) string { return strings.ToLower(strings.ReplaceAll(s, "_", "")) }
+	normalize := func(s string) string { return strings.ToLower(strings.ReplaceAll(s, "_", "")) }
 	for k := range known {
-		if plain(k) == plain(name) {
+		if normalize(k) == normalize(name) {
 			return fmt.Sprintf("; did you mean %q?", k)
 		}
 	}
