--- a/daemon/keys/devca.go
+++ b/daemon/keys/devca.go
@@ -20,7 +20,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Names of the files that WriteFiles makes.
+// Names of the files that WriteFiles writes.
 const (
 	FileCA         = "ca.pem"
 	FileCallerCert = "callers.pem"
@@ -41,19 +41,20 @@
 )
 
 // DevCA signs certificates for development, for tests, and for fleets whose
-// daemons share one through the platform's store. Its key is never written to a
-// file.
+// daemons share a CA through the platform's store. Its key is never written to
+// a file.
 type DevCA struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	now         time.Time
 }
 
-// NewDevCA makes a CA whose certificates are valid for a year from now.
+// NewDevCA generates a CA. The CA's certificate and those that it issues are
+// valid for a year from now.
 func NewDevCA(now time.Time) (*DevCA, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: CA key")
+		return nil, eris.Wrap(err, "keys: generate CA key")
 	}
 	template, err := newTemplate("samphirequay development CA", now)
 	if err != nil {
@@ -64,11 +65,11 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: CA certificate")
+		return nil, eris.Wrap(err, "keys: create CA certificate")
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: CA certificate")
+		return nil, eris.Wrap(err, "keys: parse CA certificate")
 	}
 	return &DevCA{certificate: certificate, key: key, now: now}, nil
 }
@@ -76,7 +77,7 @@
 func newTemplate(commonName string, now time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: serial number")
+		return nil, eris.Wrap(err, "keys: generate serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -98,7 +99,7 @@
 }
 
 // Caller issues a certificate for the listeners that callers connect to, valid
-// for the given host names and IP numbers.
+// for the given host names and IP addresses.
 func (ca *DevCA) Caller(hosts ...string) (*Material, error) {
 	template, err := newTemplate("samphirequay callers", ca.now)
 	if err != nil {
@@ -118,12 +119,12 @@
 func (ca *DevCA) issue(template *x509.Certificate) (*Material, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: private key")
+		return nil, eris.Wrap(err, "keys: generate private key")
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	der, err := x509.CreateCertificate(rand.Reader, template, ca.certificate, key.Public(), ca.key)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: certificate")
+		return nil, eris.Wrap(err, "keys: create certificate")
 	}
 	return &Material{
 		Certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key},
@@ -131,14 +132,16 @@
 	}, nil
 }
 
-// Pool returns the CA's certificate for checking those it issued.
+// Pool returns a pool with the CA's certificate, for verifying certificates that
+// the CA issued.
 func (ca *DevCA) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(ca.certificate)
 	return pool
 }
 
-// PeerFiles names the files of one daemon under dir, as WriteFiles makes them.
+// PeerFiles returns the paths of a daemon's files under dir, as WriteFiles
+// writes them.
 func PeerFiles(dir string, name id.Daemon) Files {
 	return Files{
 		Cert: filepath.Join(dir, string(name)+certSuffix),
@@ -147,12 +150,12 @@
 	}
 }
 
-// WriteFiles issues and writes, under dir, the CA's certificate, one
-// certificate and key for each daemon, and one for callers. Files that are
-// there are replaced.
+// WriteFiles writes the CA's certificate to dir, and issues and writes a
+// certificate and key for each daemon and one for callers. It creates dir and
+// replaces existing files.
 func (ca *DevCA) WriteFiles(dir string, daemons []id.Daemon, callerHosts ...string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return eris.Wrap(err, "keys: make folder")
+		return eris.Wrap(err, "keys: create directory")
 	}
 	if err := writePEM(filepath.Join(dir, FileCA), pemTypeCert, ca.certificate.Raw, certFileMode); err != nil {
 		return err
@@ -177,7 +180,7 @@
 func (m *Material) write(certPath, keyPath string) error {
 	der, err := x509.MarshalPKCS8PrivateKey(m.Certificate.PrivateKey)
 	if err != nil {
-		return eris.Wrap(err, "keys: private key")
+		return eris.Wrap(err, "keys: encode private key")
 	}
 	if err := writePEM(keyPath, pemTypeKey, der, keyFileMode); err != nil {
 		return err
@@ -188,7 +191,7 @@
 func writePEM(path, kind string, der []byte, mode os.FileMode) error {
 	block := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	if err := os.WriteFile(path, block, mode); err != nil {
-		return eris.Wrap(err, "keys: write")
+		return eris.Wrap(err, "keys: write file")
 	}
 	return nil
 }
--- a/daemon/keys/keys_test.go
+++ b/daemon/keys/keys_test.go
@@ -34,7 +34,8 @@
 	return Fixed(m)
 }
 
-// handshake gives each side's outcome.
+// handshake runs one TLS handshake. It returns the server's connection state,
+// the server's error and the client's error.
 func handshake(t *testing.T, server, client *tls.Config) (tls.ConnectionState, error, error) {
 	t.Helper()
 	a, b := net.Pipe()
@@ -55,12 +56,12 @@
 	if clientErr != nil {
 		b.Close()
 	}
-	go c.Read(make([]byte, 1)) // takes the alert of a server that refuses
+	go c.Read(make([]byte, 1)) // receives the alert of a server that rejects the client
 	serverErr := <-done
 	return s.ConnectionState(), serverErr, clientErr
 }
 
-func TestPeersProveTheirNames(t *testing.T) {
+func TestPeersVerifyNames(t *testing.T) {
 	is := is.New(t)
 	ca := newCA(t)
 	a, b := peerStore(t, ca, "a"), peerStore(t, ca, "b")
@@ -73,25 +74,25 @@
 	is.Equal(state.NegotiatedProtocol, testALPN)
 
 	_, _, clientErr = handshake(t, a.PeerServer(testALPN), b.PeerClient(testALPN, "c"))
-	is.True(clientErr != nil) // another daemon answers
+	is.True(clientErr != nil) // the server has another name
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestUntrustedPeersAreRejected(t *testing.T) {
 	is := is.New(t)
 	ca, other := newCA(t), newCA(t)
 	a := peerStore(t, ca, "a")
-	stranger := peerStore(t, other, "b")
-	_, _, clientErr := handshake(t, a.PeerServer(testALPN), stranger.PeerClient(testALPN, "a"))
-	is.True(clientErr != nil) // it does not trust a's CA
-
-	trusting := stranger.PeerClient(testALPN, "a")
-	trusting.VerifyConnection = nil
-	_, serverErr, _ := handshake(t, a.PeerServer(testALPN), trusting)
-	is.True(serverErr != nil) // and a does not trust its CA
-
-	bare := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{testALPN}}
-	_, serverErr, _ = handshake(t, a.PeerServer(testALPN), bare)
-	is.True(serverErr != nil) // no certificate at all
+	untrusted := peerStore(t, other, "b")
+	_, _, clientErr := handshake(t, a.PeerServer(testALPN), untrusted.PeerClient(testALPN, "a"))
+	is.True(clientErr != nil) // the client does not trust a's CA
+
+	noVerification := untrusted.PeerClient(testALPN, "a")
+	noVerification.VerifyConnection = nil
+	_, serverErr, _ := handshake(t, a.PeerServer(testALPN), noVerification)
+	is.True(serverErr != nil) // a does not trust the client's CA
+
+	noCertificate := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{testALPN}}
+	_, serverErr, _ = handshake(t, a.PeerServer(testALPN), noCertificate)
+	is.True(serverErr != nil) // the client presents no certificate
 }
 
 func TestFilesAreReloaded(t *testing.T) {
@@ -102,19 +103,19 @@
 	is.NoErr(err)
 	callers, err := Open(Files{Cert: filepath.Join(dir, FileCallerCert), Key: filepath.Join(dir, FileCallerKey)})
 	is.NoErr(err)
-	server, callersTLS := a.PeerServer(testALPN), callers.CallerTLS() // made once, before the change
+	server, callersTLS := a.PeerServer(testALPN), callers.CallerTLS() // created once, before the files change
 	before, err := callersTLS.GetCertificate(nil)
 	is.NoErr(err)
 	changed, err := a.Reload()
 	is.NoErr(err)
 	is.True(!changed)
 
-	// All files are replaced, by ones of a new CA.
+	// Replace all files with files of a new CA.
 	is.NoErr(newCA(t).WriteFiles(dir, []id.Daemon{"a", "b"}, "127.0.0.1"))
 	newB, err := Open(PeerFiles(dir, "b"))
 	is.NoErr(err)
 	_, _, clientErr := handshake(t, server, newB.PeerClient(testALPN, "a"))
-	is.True(clientErr != nil) // a has not looked yet
+	is.True(clientErr != nil) // a has not reloaded yet
 	changed, err = a.Reload()
 	is.NoErr(err)
 	is.True(changed)
@@ -134,7 +135,7 @@
 	is.True(string(after.Certificate[0]) != string(before.Certificate[0]))
 }
 
-func TestBrokenFilesLeaveTheOldOnesInForce(t *testing.T) {
+func TestInvalidFilesKeepCurrentMaterial(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(newCA(t).WriteFiles(dir, []id.Daemon{"a", "b"}))
@@ -167,7 +168,7 @@
 	is.Equal(info.Mode().Perm(), os.FileMode(0o600))
 }
 
-func TestResetKeyOutlivesARestart(t *testing.T) {
+func TestResetKeyIsStableAcrossRestarts(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	is.NoErr(newCA(t).WriteFiles(dir, []id.Daemon{"a", "b"}))
--- a/daemon/keys/store.go
+++ b/daemon/keys/store.go
@@ -1,5 +1,5 @@
-// Package keys holds the TLS certificates of a daemon, which can be replaced
-// without a restart, and the hashes of API keys.
+// Package keys manages the TLS certificates of a daemon, which can be replaced
+// without a restart, and compares API keys with their hashes.
 package keys
 
 import (
@@ -15,19 +15,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// Files names the PEM files of one identity.
+// Files holds the paths of the PEM files of one identity.
 type Files struct {
-	// Cert holds the certificate and its chain, Key the private key.
+	// Cert is the file of the certificate and its chain, Key that of the private
+	// key.
 	Cert, Key string
-	// CA holds the certificates that sign the other side's; empty where no
-	// client certificate is asked for.
+	// CA is the file of the CA certificates that sign the other side's
+	// certificates; empty if no client certificate is requested.
 	CA string
 }
 
-// Material is a certificate with its key, and the CA that signs the other side's.
+// Material is a certificate with its key, and the CA certificates that sign the
+// other side's certificates.
 type Material struct {
 	Certificate tls.Certificate
-	// Authorities is nil where no client certificate is asked for.
+	// Authorities is nil if no client certificate is requested.
 	Authorities *x509.CertPool
 }
 
@@ -40,7 +42,7 @@
 	digest [sha256.Size]byte
 }
 
-// Open loads the files.
+// Open returns a store that holds the certificates in the files.
 func Open(files Files) (*Store, error) {
 	s := &Store{files: files}
 	if _, err := s.Reload(); err != nil {
@@ -49,22 +51,22 @@
 	return s, nil
 }
 
-// Fixed returns a store for material that is in memory; Reload changes nothing.
+// Fixed returns a store for material in memory, on which Reload has no effect.
 func Fixed(m *Material) *Store {
 	s := &Store{}
 	s.current.Store(m)
 	return s
 }
 
-// Replace puts new material in force for all later handshakes.
+// Replace sets the material for all later handshakes.
 func (s *Store) Replace(m *Material) { s.current.Store(m) }
 
-// Material returns what is in force now.
+// Material returns the current material.
 func (s *Store) Material() *Material { return s.current.Load() }
 
-// Reload reads the files again and says whether they differ from those in
-// force. When they cannot be read or do not fit together, the old material
-// stays in force and the error says why.
+// Reload reads the files again and reports whether the material changed. If the
+// files cannot be read or do not match each other, it returns an error and the
+// material stays as it is.
 func (s *Store) Reload() (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +90,8 @@
 	return true, nil
 }
 
-// Watch reloads at every tick until ctx ends or ticks is closed, and reports
-// changes and failures. A SIGHUP can be a tick as well as a timer.
+// Watch reloads the files at every tick until ctx ends or ticks is closed, and
+// reports changes and failures. A tick may come from a timer or from a SIGHUP.
 func (s *Store) Watch(ctx context.Context, ticks <-chan time.Time, report func(changed bool, err error)) {
 	for {
 		select {
@@ -107,7 +109,7 @@
 	}
 }
 
-// pemContent is what the files hold.
+// pemContent is the content of the PEM files.
 type pemContent struct{ cert, key, ca []byte }
 
 func read(files Files) (pemContent, error) {
@@ -129,7 +131,7 @@
 func readFile(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys: read")
+		return nil, eris.Wrap(err, "keys: read file")
 	}
 	return data, nil
 }
@@ -148,7 +150,7 @@
 func (c pemContent) parse(files Files) (*Material, error) {
 	certificate, err := tls.X509KeyPair(c.cert, c.key)
 	if err != nil {
-		return nil, eris.Wrapf(err, "keys: %s with %s", files.Cert, files.Key)
+		return nil, eris.Wrapf(err, "keys: load certificate %s with key %s", files.Cert, files.Key)
 	}
 	material := &Material{Certificate: certificate}
 	if files.CA == "" {
--- a/daemon/keys/tls.go
+++ b/daemon/keys/tls.go
@@ -12,18 +12,19 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// peerScheme and peerHost begin the URI by which a certificate names a daemon:
-// samphirequay://daemon/NAME.
+// peerScheme and peerHost are the scheme and host of the URI that identifies a
+// daemon in its certificate: samphirequay://daemon/NAME.
 const (
 	peerScheme = "samphirequay"
 	peerHost   = "daemon"
 )
 
-// resetKeyLabel keeps the reset key apart from other uses of the private key.
+// resetKeyLabel separates the derivation of the reset key from other uses of
+// the private key.
 const resetKeyLabel = "samphirequay stateless reset"
 
 // CallerTLS returns the configuration for listeners that callers connect to.
-// Every handshake uses the certificate that is in force.
+// Each handshake uses the store's current certificate.
 func (s *Store) CallerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -35,8 +36,8 @@
 	return &s.Material().Certificate, nil
 }
 
-// PeerServer returns the configuration for accepting peers: mutual TLS with
-// the certificates that are in force at each handshake.
+// PeerServer returns the configuration for accepting connections of peers:
+// mutual TLS with the store's current certificates at each handshake.
 func (s *Store) PeerServer(alpn string) *tls.Config {
 	cfg := s.peerServerNow(alpn)
 	cfg.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -61,17 +62,17 @@
 	}
 }
 
-// PeerClient returns the configuration for one dial to the named peer, with
-// the certificates that are in force now. The peer's certificate must be signed
-// by the CA and name that daemon; its address does not matter.
+// PeerClient returns the configuration for one dial to the named peer, with the
+// store's current certificates. The peer's certificate must be signed by the CA
+// and contain the daemon's name; the peer's address is not verified.
 func (s *Store) PeerClient(alpn string, peer id.Daemon) *tls.Config {
 	m := s.Material()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{alpn},
 		Certificates: []tls.Certificate{m.Certificate},
-		// The standard check wants a host name; verifyPeer checks the chain
-		// and the daemon's name in its place.
+		// The standard verification requires a host name; verifyPeer verifies
+		// the chain and the daemon's name instead.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyPeer(state, m.Authorities, peer)
@@ -88,17 +89,17 @@
 		return err
 	}
 	if name != want {
-		return eris.Errorf("keys: the certificate names daemon %q, want %q", name, want)
+		return eris.Errorf("keys: the certificate is for daemon %q, want %q", name, want)
 	}
 	return nil
 }
 
 func verifyChain(state tls.ConnectionState, authorities *x509.CertPool) error {
 	if authorities == nil {
-		return eris.New("keys: no CA for peers")
+		return eris.New("keys: no CA to verify peers with")
 	}
 	if len(state.PeerCertificates) == 0 {
-		return eris.New("keys: the peer showed no certificate")
+		return eris.New("keys: the peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -110,16 +111,16 @@
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
 	if err != nil {
-		return eris.Wrap(err, "keys: peer certificate")
+		return eris.Wrap(err, "keys: verify peer certificate")
 	}
 	return nil
 }
 
-// PeerName returns the daemon that the peer's certificate names: by its URI, or
-// by its common name where it has no such URI.
+// PeerName returns the name of the daemon in the peer's certificate, taken from
+// its URI, or from its common name if the certificate has no such URI.
 func PeerName(state tls.ConnectionState) (id.Daemon, error) {
 	if len(state.PeerCertificates) == 0 {
-		return "", eris.New("keys: the peer showed no certificate")
+		return "", eris.New("keys: the peer presented no certificate")
 	}
 	leaf := state.PeerCertificates[0]
 	for _, uri := range leaf.URIs {
@@ -128,7 +129,7 @@
 		}
 	}
 	if leaf.Subject.CommonName == "" {
-		return "", eris.New("keys: the certificate names no daemon")
+		return "", eris.New("keys: the certificate contains no daemon name")
 	}
 	return id.Daemon(leaf.Subject.CommonName), nil
 }
@@ -136,17 +137,18 @@
 func nameFromPath(uri *url.URL) (id.Daemon, error) {
 	name := strings.TrimPrefix(uri.Path, "/")
 	if name == "" || strings.Contains(name, "/") {
-		return "", eris.Errorf("keys: the certificate's URI %s names no daemon", uri)
+		return "", eris.Errorf("keys: the certificate's URI %s contains no valid daemon name", uri)
 	}
 	return id.Daemon(name), nil
 }
 
-// ResetKey returns a key that stays the same over restarts of a daemon: with it
-// a new process tells peers at once that the old one's connections are gone.
+// ResetKey returns the key for stateless resets. It is derived from the private
+// key and so stays the same across restarts of a daemon: a new process can
+// signal to peers at once that the connections of the old process are gone.
 func (s *Store) ResetKey() ([sha256.Size]byte, error) {
 	encoded, err := x509.MarshalPKCS8PrivateKey(s.Material().Certificate.PrivateKey)
 	if err != nil {
-		return [sha256.Size]byte{}, eris.Wrap(err, "keys: private key")
+		return [sha256.Size]byte{}, eris.Wrap(err, "keys: encode private key")
 	}
 	return sha256.Sum256(append([]byte(resetKeyLabel), encoded...)), nil
 }
