--- a/daemon/logline/bench_test.go
+++ b/daemon/logline/bench_test.go
@@ -7,15 +7,15 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// BenchmarkOneLine is what a routine line costs its writer while the log's
-// reader keeps up.
-func BenchmarkOneLine(b *testing.B) { benchmarkLines(b, io.Discard, func() {}) }
+// BenchmarkRoutineLine measures the cost of a routine line to its caller while
+// the output keeps up.
+func BenchmarkRoutineLine(b *testing.B) { benchmarkLines(b, io.Discard, func() {}) }
 
-// BenchmarkOneLineForASilentReader is the same while nobody reads: the line is
-// left out and counted.
-func BenchmarkOneLineForASilentReader(b *testing.B) {
-	silent := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
-	benchmarkLines(b, silent, func() { close(silent.release) })
+// BenchmarkRoutineLineWithBlockedOutput measures the same while the output
+// blocks: the line is dropped and counted.
+func BenchmarkRoutineLineWithBlockedOutput(b *testing.B) {
+	blocked := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
+	benchmarkLines(b, blocked, func() { close(blocked.release) })
 }
 
 func benchmarkLines(b *testing.B, output io.Writer, release func()) {
--- a/daemon/logline/decision.go
+++ b/daemon/logline/decision.go
@@ -12,13 +12,13 @@
 	journal *Journal
 }
 
-// NewDecisions joins a logger and a journal.
+// NewDecisions returns Decisions that write to the logger and the journal.
 func NewDecisions(logger *Logger, journal *Journal) *Decisions {
 	return &Decisions{logger: logger, journal: journal}
 }
 
-// Decide logs and records one decision. The line carries the subject and the
-// id that explain takes.
+// Decide logs and records one decision. The line contains the subject and the
+// id that the explain command takes.
 func (d *Decisions) Decide(subject Subject, id, event string, kv ...any) {
 	pairs := make([]any, 0, len(kv)+4)
 	pairs = append(pairs, "kind", string(subject), "id", id)
@@ -33,8 +33,8 @@
 	})
 }
 
-// Note records a decision for explain without a line of its own: it repeats
-// under another id what a line says.
+// Note records a decision in the journal only. It serves decisions that a line
+// already reports under another id.
 func (d *Decisions) Note(subject Subject, id, event string, kv ...any) {
 	d.journal.Add(Decision{At: d.logger.now(), Subject: subject, ID: id, Event: event, Text: text(kv)})
 }
@@ -44,7 +44,7 @@
 	return d.journal.Find(subject, id)
 }
 
-// text encodes the pairs as a log line has them.
+// text encodes the pairs in the format of a log line.
 func text(kv []any) string {
 	encoded, err := logfmt.MarshalKeyvals(kv...)
 	if err != nil {
--- a/daemon/logline/journal.go
+++ b/daemon/logline/journal.go
@@ -8,10 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Subject is the kind of thing that a decision is about.
+// Subject is the kind of object that a decision is about.
 type Subject string
 
-// The subjects that explain knows.
+// The subjects that the explain command supports.
 const (
 	SubjectRequest   Subject = "request"
 	SubjectEndpoint  Subject = "endpoint"
@@ -19,11 +19,13 @@
 	SubjectChange    Subject = "change"
 )
 
-// Bounds of what the journal keeps of one subject.
+// Bounds of what the journal keeps about one id.
 const (
-	// MaxDecisionsPerID is how many decisions about one id are kept; the oldest go first.
+	// MaxDecisionsPerID is the maximum number of decisions kept about one id;
+	// the oldest are dropped first.
 	MaxDecisionsPerID = 64
-	// MaxDecisionText is how many bytes of a decision's text are kept.
+	// MaxDecisionText is the maximum length of a decision's text, in bytes;
+	// longer texts are truncated.
 	MaxDecisionText = 1024
 )
 
@@ -33,7 +35,7 @@
 	Subject Subject
 	ID      string
 	Event   string
-	// Text holds the pairs of the line, as key=value.
+	// Text holds the key=value pairs of the line.
 	Text string
 }
 
@@ -42,9 +44,9 @@
 	id      string
 }
 
-// Journal keeps the latest decisions in memory, by subject and id. It is
-// bounded by the number of decisions; the ids that were written to longest ago
-// go first.
+// Journal keeps the latest decisions in memory, by subject and id. The number of
+// decisions is bounded; the least recently written ids are evicted first. It is
+// safe for concurrent use.
 type Journal struct {
 	mu       sync.Mutex
 	capacity int
@@ -52,14 +54,15 @@
 	entries  *simplelru.LRU[journalKey, []Decision]
 }
 
-// NewJournal returns a journal for at most capacity decisions.
+// NewJournal returns a journal for at most capacity decisions; capacity must be
+// at least MaxDecisionsPerID.
 func NewJournal(capacity int) (*Journal, error) {
 	if capacity < MaxDecisionsPerID {
-		return nil, eris.Errorf("logline: a journal of %d decisions; the least is %d", capacity, MaxDecisionsPerID)
+		return nil, eris.Errorf("logline: the capacity of the journal is %d decisions, must be at least %d", capacity, MaxDecisionsPerID)
 	}
 	entries, err := simplelru.NewLRU[journalKey, []Decision](capacity, nil)
 	if err != nil {
-		return nil, eris.Wrapf(err, "logline: journal of %d decisions", capacity)
+		return nil, eris.Wrapf(err, "logline: create a journal of %d decisions", capacity)
 	}
 	return &Journal{capacity: capacity, entries: entries}, nil
 }
@@ -85,10 +88,10 @@
 	j.makeRoom(j.capacity)
 }
 
-// makeRoom evicts the ids written to longest ago until at most keep decisions
-// are held.
-func (j *Journal) makeRoom(keep int) {
-	for j.held > keep {
+// makeRoom evicts the least recently written ids until the journal holds at
+// most limit decisions.
+func (j *Journal) makeRoom(limit int) {
+	for j.held > limit {
 		_, list, ok := j.entries.RemoveOldest()
 		if !ok {
 			return
@@ -105,7 +108,7 @@
 	return append([]Decision(nil), list...)
 }
 
-// Len is how many decisions are held.
+// Len returns the number of decisions in the journal.
 func (j *Journal) Len() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -1,6 +1,6 @@
 // Package logline writes one line of key=value pairs for each event. Lines go
-// through a bounded ring to a goroutine of their own, so that a slow output
-// never holds up a request; what does not fit is counted and dropped.
+// through a bounded ring to a separate goroutine, so that a slow output never
+// delays a request; lines that do not fit are dropped and counted.
 package logline
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/samphirequay/samphirequay/daemon/ring"
 )
 
-// Level is the least level that is written.
+// Level is the minimum level of the lines that are written.
 type Level string
 
-// The levels, from the most to the least talkative.
+// The levels, from the most to the least verbose.
 const (
 	Debug Level = "debug"
 	Info  Level = "info"
@@ -29,22 +29,24 @@
 	Error Level = "error"
 )
 
-// DefaultRingSize is how many lines may wait to be written.
+// DefaultRingSize is the default capacity of the ring, in lines.
 const DefaultRingSize = 4096
 
 // Config of a Logger.
 type Config struct {
-	// Output takes the lines; writes are never concurrent.
+	// Output receives the lines; writes are never concurrent.
 	Output io.Writer
-	// Level is the least level that is written. Default Info.
+	// Level is the minimum level of the lines that are written. Default Info.
 	Level Level
-	// RingSize is how many lines may wait. Default DefaultRingSize.
+	// RingSize is the number of lines that may wait to be written. Default
+	// DefaultRingSize.
 	RingSize int
-	// Daemon stands on every line.
+	// Daemon is the daemon's name, which every line contains.
 	Daemon string
-	// Registry takes the depth and drops of the ring.
+	// Registry, if set, receives the metrics of the ring and the count of dropped
+	// routine lines.
 	Registry *metrics.Registry
-	// Now gives the time of a line. Default time.Now.
+	// Now returns the time of a line. Default time.Now.
 	Now func() time.Time
 }
 
@@ -54,7 +56,7 @@
 	output  io.Writer
 	encoder log.Logger
 	now     func() time.Time
-	// routine counts the routine lines that were left out.
+	// routine counts the dropped routine lines.
 	routine *metrics.Counter
 
 	cancel context.CancelFunc
@@ -62,7 +64,7 @@
 	once   sync.Once
 }
 
-// New starts a logger; Close ends it.
+// New starts a logger; Close stops it.
 func New(cfg Config) (*Logger, error) {
 	allowed, err := option(cfg.Level)
 	if err != nil {
@@ -111,11 +113,13 @@
 // Event writes one line at level info: the event's name, then the pairs.
 func (l *Logger) Event(name string, kv ...any) { emit(level.Info(l.encoder), name, kv) }
 
-// routineShare of the ring is open to routine lines: when the log falls behind,
-// they go first, and the lines that explain failures still find room.
+// routineShare divides the ring's capacity: a routine line is dropped while more
+// than capacity/routineShare lines wait. When the output is too slow, routine
+// lines are thus dropped first, and lines that explain failures still fit.
 const routineShare = 2
 
-// Routine is Event for lines that tell of what went as it should.
+// Routine is Event for lines about normal operation, which are dropped first
+// when the output is too slow.
 func (l *Logger) Routine(name string, kv ...any) {
 	if l.lines.Len() > l.lines.Cap()/routineShare {
 		if l.routine != nil {
@@ -135,8 +139,8 @@
 // Error writes one line at level error.
 func (l *Logger) Error(name string, kv ...any) { emit(level.Error(l.encoder), name, kv) }
 
-// emit hands one line to the ring. The ring counts what it drops, so that no
-// error is left to handle.
+// emit puts one line into the ring. The error is ignored, since the ring counts
+// the lines that it drops.
 func emit(to log.Logger, name string, kv []any) {
 	pairs := make([]any, 0, len(kv)+2)
 	pairs = append(pairs, "event", name)
@@ -144,10 +148,12 @@
 	_ = to.Log(pairs...)
 }
 
-// Dropped is how many lines were dropped because the output was too slow.
+// Dropped returns the number of lines that did not fit into the ring because the
+// output was too slow. It does not count routine lines dropped by Routine.
 func (l *Logger) Dropped() uint64 { return l.lines.Dropped() }
 
-// Close writes what waits and ends the logger. Later events are dropped.
+// Close writes the waiting lines and stops the logger. Later lines are not
+// written.
 func (l *Logger) Close() {
 	l.once.Do(l.cancel)
 	<-l.done
@@ -175,11 +181,11 @@
 	}
 }
 
-// writeLine ignores a failed write: a log that cannot be written has nowhere
-// to say so.
+// writeLine ignores write errors, since the log is the only place to report
+// them.
 func (l *Logger) writeLine(line []byte) { _, _ = l.output.Write(line) }
 
-// ringWriter puts each line, which the encoder writes in one call, into the ring.
+// ringWriter puts each line into the ring. The encoder writes a line in one call.
 type ringWriter struct{ lines *ring.Ring[[]byte] }
 
 func (w ringWriter) Write(line []byte) (int, error) {
--- a/daemon/logline/logline_test.go
+++ b/daemon/logline/logline_test.go
@@ -29,7 +29,7 @@
 	return l
 }
 
-func TestOneLineAnEvent(t *testing.T) {
+func TestOneLinePerEvent(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	l := newLogger(t, Config{Output: &out})
@@ -43,7 +43,7 @@
 	is.True(strings.Contains(lines[1], "level=error"))
 }
 
-// stuck is an output that blocks until it is released.
+// stuck is an output whose writes block until release is closed.
 type stuck struct {
 	entered, release chan struct{}
 	once             sync.Once
@@ -57,13 +57,13 @@
 	return len(p), nil
 }
 
-func TestStuckOutputNeverBlocksAndDropsAreCounted(t *testing.T) {
+func TestBlockedOutputDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
 	out := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
 	registry := metrics.New("d")
 	l := newLogger(t, Config{Output: out, RingSize: 4, Registry: registry})
 	l.Event("first")
-	<-out.entered // the writer holds the first line and hangs
+	<-out.entered // the output blocks on the first line
 	for i := range 10 {
 		l.Event("more", "i", i)
 	}
@@ -74,7 +74,7 @@
 	is.Equal(out.lines, 5)
 }
 
-func TestUnknownLevelIsRefused(t *testing.T) {
+func TestUnknownLevelIsRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := New(Config{Output: &bytes.Buffer{}, Level: "loud"})
 	is.True(err != nil)
@@ -110,12 +110,12 @@
 		is.True(j.Len() <= capacity)
 	}
 	is.Equal(j.Len(), capacity)
-	is.Equal(len(j.Find(SubjectRequest, "0")), 0) // the oldest went first
+	is.Equal(len(j.Find(SubjectRequest, "0")), 0) // the oldest id was evicted first
 	last := j.Find(SubjectRequest, "999")
 	is.Equal(len(last), 1)
 	is.Equal(len(last[0].Text), MaxDecisionText)
 
-	// One id that is decided on all the time does not push out the others.
+	// Many decisions about one id do not evict other ids.
 	for i := range 1000 {
 		j.Add(Decision{Subject: SubjectEndpoint, ID: "e1", Event: fmt.Sprint(i)})
 	}
@@ -129,9 +129,9 @@
 	is.True(err != nil)
 }
 
-// TestRoutineLinesGoFirst: behind a stuck output half of the ring stays for the
-// lines that explain failures.
-func TestRoutineLinesGoFirst(t *testing.T) {
+// TestRoutineLinesAreDroppedFirst checks that half of the ring stays available
+// for lines that explain failures when the output blocks.
+func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	is := is.New(t)
 	out := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
 	registry := metrics.New("kuryk-1")
@@ -148,5 +148,5 @@
 	is.Equal(registry.Counter("log_routine_dropped", metrics.UnitCount, "").Value(), int64(15))
 	close(out.release)
 	l.Close()
-	is.Equal(out.lines, 9) // the first, five routine ones, three failures
+	is.Equal(out.lines, 9) // the first line, five routine lines, three failures
 }
