--- a/daemon/metrics/metrics.go
+++ b/daemon/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics is a thin layer over expvar in which several daemons can
-// live in one process: each has a Registry of its own instead of the global
-// name space. Every metric is declared with its name, unit and help.
+// Package metrics is a thin layer over expvar for several daemons in one
+// process: each daemon has its own Registry instead of the global namespace.
+// Every metric is declared with its name, unit and help text.
 package metrics
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Unit is what a metric counts in.
+// Unit is the unit of a metric's values.
 type Unit string
 
 // The units of metrics.
@@ -24,7 +24,7 @@
 	UnitRatio        Unit = "ratio"
 )
 
-// Type tells the kinds of metrics apart.
+// Type is the type of a metric.
 type Type string
 
 // The types of metrics.
@@ -35,7 +35,7 @@
 	TypeLatency    Type = "latency"
 )
 
-// Description is one line of the table of metrics.
+// Description describes one declared metric.
 type Description struct {
 	Name string
 	Type Type
@@ -74,7 +74,7 @@
 	return r
 }
 
-// Daemon returns the name of the daemon whose metrics these are.
+// Daemon returns the name of the daemon that the registry belongs to.
 func (r *Registry) Daemon() string { return r.daemon }
 
 // Describe lists every declared metric, by name.
@@ -92,8 +92,8 @@
 // Get returns the variable of the named metric, or nil.
 func (r *Registry) Get(name string) expvar.Var { return r.vars.Get(name) }
 
-// PublishGlobally adds the registry to the process-wide expvar name space
-// under the daemon's name. It fails when that name is taken.
+// PublishGlobally adds the registry to the process-wide expvar namespace under
+// the daemon's name. It fails if that name is already published.
 func (r *Registry) PublishGlobally() error {
 	if expvar.Get(r.daemon) != nil {
 		return fmt.Errorf("metrics: %q is already published in this process", r.daemon)
@@ -112,13 +112,15 @@
 func (r *Registry) Handler() fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetContentType("application/json; charset=utf-8")
-		// A failed write means that the reader is gone; fasthttp closes its connection.
+		// A write fails only if the client has disconnected; fasthttp then closes
+		// the connection.
 		_ = r.WriteJSON(ctx)
 	}
 }
 
-// declare returns the variable of that name, making it on first use. Declaring
-// a name again as another type is a fault of the program.
+// declare returns the variable of the named metric, and creates it on first use.
+// It panics if the name was declared with another type, which is a programming
+// error.
 func declare[V expvar.Var](r *Registry, d Description, create func() V) V {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/metrics/metrics_test.go
+++ b/daemon/metrics/metrics_test.go
@@ -11,12 +11,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestRegistriesAreApart(t *testing.T) {
+func TestRegistriesAreIndependent(t *testing.T) {
 	is := is.New(t)
 	a, b := New("a"), New("b")
 	a.Counter("requests", UnitCount, "Requests.").Add(3)
 	b.Counter("requests", UnitCount, "Requests.").Inc()
-	is.Equal(a.Counter("requests", UnitCount, "Requests.").Value(), int64(3)) // declared twice, the same counter
+	is.Equal(a.Counter("requests", UnitCount, "Requests.").Value(), int64(3)) // a second declaration returns the same counter
 	is.Equal(b.Get("requests").String(), "1")
 }
 
@@ -56,7 +56,7 @@
 	is.Equal(len(got.Violations), 0)
 }
 
-func TestLatencyTakesAnyDuration(t *testing.T) {
+func TestLatencyRecordsAnyDuration(t *testing.T) {
 	is := is.New(t)
 	l := New("d").Latency("l", "Any.")
 	for _, d := range []time.Duration{-time.Second, 0, time.Nanosecond, time.Hour} {
@@ -102,7 +102,8 @@
 
 func TestPublishGloballyOnce(t *testing.T) {
 	is := is.New(t)
-	// The name space outlives a test that is run several times.
+	// The namespace is global, so that each run of the test in a process needs
+	// another name.
 	name := "published"
 	for expvar.Get(name) != nil {
 		name += "+"
--- a/daemon/metrics/types.go
+++ b/daemon/metrics/types.go
@@ -29,14 +29,13 @@
 	return declare(r, Description{name, TypeCounter, unit, help}, func() *Counter { return new(Counter) })
 }
 
-// CounterMap is a set of counters told apart by a key, which must come from a
-// bounded set.
+// CounterMap is a set of counters by key. The keys must come from a bounded set.
 type CounterMap struct{ values expvar.Map }
 
 // Add adds n to the counter of key.
 func (c *CounterMap) Add(key string, n int64) { c.values.Add(key, n) }
 
-// Value returns the counter of key.
+// Value returns the value of key's counter, or 0 if there is none.
 func (c *CounterMap) Value(key string) int64 {
 	v, ok := c.values.Get(key).(*expvar.Int)
 	if !ok {
@@ -45,7 +44,7 @@
 	return v.Value()
 }
 
-// Do calls f for each key, in order, with its counter.
+// Do calls f for each key, in sorted order, with the value of its counter.
 func (c *CounterMap) Do(f func(key string, n int64)) {
 	c.values.Do(func(kv expvar.KeyValue) {
 		if v, ok := kv.Value.(*expvar.Int); ok {
@@ -89,8 +88,8 @@
 	return declare(r, Description{name, TypeGauge, unit, help}, func() *Gauge { return new(Gauge) })
 }
 
-// gaugeFunc reads its value when it is looked at. It is held by pointer, so
-// that a later declaration of the same name finds the first one.
+// gaugeFunc computes its value at each access. It is used by pointer, so that a
+// later declaration of the same name returns the first one.
 type gaugeFunc struct{ read func() float64 }
 
 func (g *gaugeFunc) String() string {
@@ -101,13 +100,14 @@
 	return string(text)
 }
 
-// GaugeFunc declares a gauge whose value is read when it is looked at. The
-// first declaration of a name stays.
+// GaugeFunc declares a gauge whose value is the result of read at each access.
+// Later declarations of the same name have no effect.
 func (r *Registry) GaugeFunc(name string, unit Unit, help string, read func() float64) {
 	declare(r, Description{name, TypeGauge, unit, help}, func() expvar.Var { return &gaugeFunc{read: read} })
 }
 
-// Bounds of latencies: a longer one counts as the highest.
+// Range and resolution of latencies: a duration beyond the range is recorded as
+// the closest bound.
 const (
 	lowestLatency       = time.Microsecond
 	highestLatency      = 10 * time.Minute
@@ -125,7 +125,7 @@
 	histogram *hdrhistogram.Histogram
 }
 
-// Summary is a histogram in short; times in milliseconds.
+// Summary summarizes a histogram. Times are in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -135,16 +135,16 @@
 	Max   float64 `json:"max"`
 }
 
-// Record adds one duration; it is cut to between 1 µs and 10 minutes.
+// Record adds one duration, clamped to between 1 µs and 10 minutes.
 func (l *Latency) Record(d time.Duration) {
 	micros := min(max(int64(d/time.Microsecond), 1), highestMicroseconds)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The value was cut to the histogram's range, so that no error is left.
+	// The value is within the histogram's range, so RecordValue cannot fail.
 	_ = l.histogram.RecordValue(micros)
 }
 
-// Summary returns the figures of all recorded durations.
+// Summary summarizes all recorded durations.
 func (l *Latency) Summary() Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/metrics/violation.go
+++ b/daemon/metrics/violation.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// OnViolation sets what else is done when an invariant is violated, such as
-// writing an error line. It is called outside of all locks of the registry.
+// OnViolation sets a function that is called for each violated invariant, for
+// example to log an error. It is called without any lock of the registry held.
 func (r *Registry) OnViolation(f func(name, detail string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onViolation = f
 }
 
-// PanicOnViolation makes every violated invariant a panic; for tests.
+// PanicOnViolation makes every violated invariant cause a panic; for tests.
 func (r *Registry) PanicOnViolation() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.panicOnFault = true
 }
 
-// Violation counts a violated invariant. The name comes from a bounded set,
-// the detail is for the log.
+// Violation counts and reports a violated invariant. The name must come from a
+// bounded set; the detail is for the log.
 func (r *Registry) Violation(name, detail string) {
 	r.violations.Add(name, 1)
 	r.mu.Lock()
@@ -33,5 +33,5 @@
 	}
 }
 
-// Violations returns how many invariants were violated since the start.
+// Violations returns the number of violations since the start.
 func (r *Registry) Violations() uint64 { return uint64(r.violations.Total()) }
