--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -1,7 +1,7 @@
-// Package duty runs one long-lived job of the daemon in a goroutine of its
-// own. Work reaches it through a bounded ring; between two pieces of work it
-// ticks when its next time is due. All state of the job belongs to that
-// goroutine, so the deterministic core behind it needs no locks.
+// Package duty runs a long-lived job of the daemon as an event loop in its own
+// goroutine. Work items reach the loop through a bounded ring; between work
+// items the loop calls Tick when it is due. All state of the job belongs to that
+// goroutine, so the deterministic core that it drives needs no locks.
 package duty
 
 import (
@@ -13,38 +13,42 @@
 	"github.com/samphirequay/samphirequay/daemon/ring"
 )
 
-// Never is what a tick returns that has nothing due.
+// Never is returned by a Tick that does not need to be called again. It is
+// called nonetheless, at least once a second.
 const Never = time.Duration(math.MaxInt64)
 
 const (
-	// DefaultRing bounds the pieces of work that wait.
+	// DefaultRing is the default capacity of the ring, in work items.
 	DefaultRing = 1024
-	// minWait and maxWait bound the time between two ticks.
+	// minWait and maxWait bound the time from one tick to the next.
 	minWait = time.Millisecond
 	maxWait = time.Second
-	// afterWork is how soon behind a piece of work the duty ticks: the work may
-	// have brought the next time forward.
+	// afterWork is the maximum time from a work item to the next tick, since the
+	// item may have made a tick due earlier.
 	afterWork = 5 * time.Millisecond
-	// behindEvery is the least pause between two measurements of how long work
-	// waits: each costs the duty two wake-ups.
+	// behindEvery is the minimum time between two measurements of the queueing
+	// delay: each costs the duty two wake-ups.
 	behindEvery = 500 * time.Millisecond
 )
 
 // Config of a Duty.
 type Config struct {
-	// Name of its ring in the metrics.
+	// Name is the name of the ring in the metrics.
 	Name string
-	// Ring bounds the pieces of work that wait. Default DefaultRing.
+	// Ring is the capacity of the ring, in work items. Default DefaultRing.
 	Ring int
-	// Now is the time since the daemon's start.
+	// Now returns the time since the daemon's start.
 	Now func() time.Duration
-	// Tick does what is due and returns when it wants to be called next.
+	// Tick performs the work that is due at now and returns the time of its next
+	// call. It may be called earlier or later: 1 ms to 1 s after the last call, and
+	// soon after each work item.
 	Tick func(now time.Duration) time.Duration
-	// Behind, if set, is told within the duty how long a piece of work waited,
-	// twice a second at most. All else that the duty is given waits as long.
+	// Behind, if set, is called in the duty's goroutine with the time for which a
+	// work item waited in the ring, at most twice a second. All other work items
+	// wait as long.
 	Behind  func(late time.Duration)
 	Metrics *metrics.Registry
-	// Ready, if set, holds the duty back until it is closed.
+	// Ready, if set, delays the first tick and work item until it is closed.
 	Ready <-chan struct{}
 }
 
@@ -56,8 +60,8 @@
 	stop context.CancelFunc
 	done chan struct{}
 
-	// measuring is set while a measurement waits in the ring, measuredAt is when
-	// the last one ended, and late what it showed.
+	// measuring is set while a measurement waits in the ring, measuredAt is the
+	// time at which the last one ended, and late the gauge of its result.
 	measuring  bool
 	measuredAt time.Duration
 	late       *metrics.Gauge
@@ -81,25 +85,28 @@
 	return d
 }
 
-// Context ends when the duty is closed.
+// Context returns a context that ends when the duty is closed.
 func (d *Duty) Context() context.Context { return d.ctx }
 
-// Close ends the duty; work that waits is dropped.
+// Close stops the duty and waits for its goroutine to end. Waiting work items
+// are dropped.
 func (d *Duty) Close() {
 	d.stop()
 	<-d.done
 }
 
-// Post gives the duty a piece of work. It waits while the ring is full and
-// returns false when the duty is closed. The duty's own work must not call it.
+// Post puts a work item into the ring. It blocks while the ring is full and
+// returns false if the duty is closed. It must not be called from the duty's own
+// goroutine, which would then wait for itself.
 func (d *Duty) Post(work func(now time.Duration)) bool { return d.PostContext(d.ctx, work) }
 
-// PostLater is Post for the duty's own work: it waits in a goroutine of its own.
+// PostLater is Post for the duty's own goroutine: it waits in a new goroutine.
 func (d *Duty) PostLater(work func(now time.Duration)) {
 	go d.Post(work)
 }
 
-// PostContext is Post that gives up when ctx ends.
+// PostContext is Post with a bounded wait: it returns false if ctx ends while the
+// ring is full. Closing the duty does not end the wait.
 func (d *Duty) PostContext(ctx context.Context, work func(now time.Duration)) bool {
 	if d.ctx.Err() != nil {
 		return false
@@ -107,8 +114,8 @@
 	return d.in.Put(ctx, work)
 }
 
-// Query runs read within the duty and waits for it. It returns false when the
-// duty is closed; read then does not run any more.
+// Query runs read in the duty's goroutine and waits for its end. It returns
+// false if the duty is closed before read has run; read then never runs.
 func (d *Duty) Query(read func(now time.Duration)) bool {
 	done := make(chan struct{})
 	work := func(now time.Duration) {
@@ -123,7 +130,7 @@
 		return true
 	case <-d.done:
 	}
-	// The duty has ended: read has run wholly or will never run.
+	// The duty has ended: read has either completed or will never run.
 	select {
 	case <-done:
 		return true
@@ -173,8 +180,8 @@
 	}
 }
 
-// measure puts a piece of work of its own into the ring, which finds out how
-// long work waits there.
+// measure measures the queueing delay with a work item of its own, unless the
+// last measurement has not ended or is too recent.
 func (d *Duty) measure(now time.Duration) {
 	if d.measuring || now < d.measuredAt+behindEvery {
 		return
--- a/daemon/duty/duty_test.go
+++ b/daemon/duty/duty_test.go
@@ -21,18 +21,19 @@
 	})
 }
 
-// TestQueryDoesNotReturnWhileItsReadRuns closes the duty in the middle of a
-// read: its result must not be looked at before the read has ended.
+// TestQueryDoesNotReturnWhileItsReadRuns closes the duty during a read: the
+// query must not return before the read has ended, since its caller then uses
+// the result.
 func TestQueryDoesNotReturnWhileItsReadRuns(t *testing.T) {
 	is := is.New(t)
 	d := start(t)
-	reading, goOn := make(chan struct{}), make(chan struct{})
+	reading, resume := make(chan struct{}), make(chan struct{})
 	result := 0
 	answered := make(chan bool)
 	go func() {
 		answered <- d.Query(func(time.Duration) {
 			close(reading)
-			<-goOn
+			<-resume
 			result = 7
 		})
 	}()
@@ -48,13 +49,13 @@
 		t.Fatal("the query returned while its read was running")
 	default:
 	}
-	close(goOn)
+	close(resume)
 	is.True(<-answered)
 	is.Equal(result, 7)
 	<-closed
 }
 
-func TestClosedDutyTakesNothing(t *testing.T) {
+func TestClosedDutyRejectsWork(t *testing.T) {
 	is := is.New(t)
 	d := start(t)
 	d.Close()
@@ -78,14 +79,14 @@
 	defer d.Close()
 	<-ticked
 	is.True(d.Post(func(time.Duration) {}))
-	<-ticked // long before the hour that the first tick asked for
+	<-ticked // long before the hour that the first tick returned
 }
 
-// TestADutyTellsHowLongWorkWaits: the clock moves on while the duty is at work,
-// by as much as what it was given meanwhile waits.
-func TestADutyTellsHowLongWorkWaits(t *testing.T) {
+// TestDutyReportsQueueingDelay advances the clock during a tick, so that a
+// measurement started before the tick waits for that time.
+func TestDutyReportsQueueingDelay(t *testing.T) {
 	is := is.New(t)
-	const works = 300 * time.Millisecond
+	const tickTime = 300 * time.Millisecond
 	var clock atomic.Int64
 	clock.Store(int64(time.Second))
 	late := make(chan time.Duration, 64)
@@ -94,13 +95,13 @@
 		Name: "test",
 		Now:  func() time.Duration { return time.Duration(clock.Load()) },
 		Tick: func(now time.Duration) time.Duration {
-			clock.Add(int64(works))
+			clock.Add(int64(tickTime))
 			return now + time.Hour
 		},
 		Behind:  func(l time.Duration) { late <- l },
 		Metrics: registry,
 	})
 	defer d.Close()
-	is.Equal(<-late, works)
+	is.Equal(<-late, tickTime)
 	is.Equal(registry.Get("duty_test_behind").String(), "300")
 }
