--- a/daemon/ring/ring.go
+++ b/daemon/ring/ring.go
@@ -1,5 +1,6 @@
-// Package ring joins duties by bounded, typed queues. Every ring says what
-// happens when it is full, and shows its depth and drops as metrics.
+// Package ring provides bounded, typed queues between goroutines. Every ring has
+// a policy for items that do not fit, and reports its depth and drops as
+// metrics.
 package ring
 
 import (
@@ -9,20 +10,21 @@
 	"github.com/samphirequay/samphirequay/daemon/metrics"
 )
 
-// Policy says what Put does when the ring is full.
+// Policy determines what Put does when the ring is full.
 type Policy uint8
 
-// The policies of a full ring.
+// The policies for a full ring.
 const (
-	// Reject refuses the new item; Put returns false.
+	// Reject drops the new item; Put returns false.
 	Reject Policy = iota + 1
-	// DropOldest makes room by dropping the oldest item.
+	// DropOldest drops the oldest items until the new item fits.
 	DropOldest
-	// Block waits for room until the context ends; then Put returns false.
+	// Block waits until the item fits; Put returns false if the context ends
+	// first.
 	Block
 )
 
-// Ring is a bounded queue for many writers and readers.
+// Ring is a bounded queue for concurrent writers and readers.
 type Ring[T any] struct {
 	items   chan T
 	policy  Policy
@@ -46,8 +48,8 @@
 	registry.GaugeFunc("ring_"+name+"_dropped", metrics.UnitCount, "Items that the full ring "+name+" refused or dropped.", drops)
 }
 
-// Put adds an item and reports whether it was taken. Only the policy Block
-// waits, and only it looks at ctx.
+// Put adds an item and reports whether it was accepted. Only the policy Block
+// waits, and only this policy uses ctx.
 func (r *Ring[T]) Put(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
@@ -65,8 +67,8 @@
 	}
 }
 
-// putOverOldest drops items from the front until the new one fits. Other
-// writers may take the room that was made, hence the loop.
+// putOverOldest drops items from the front until the new one fits. It loops,
+// since other writers may fill the free slot first.
 func (r *Ring[T]) putOverOldest(item T) bool {
 	for {
 		select {
@@ -92,7 +94,8 @@
 	}
 }
 
-// Take waits for the oldest item; it returns false when ctx ends first.
+// Take waits for an item and returns the oldest. It returns false if ctx ends
+// first.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
 	case item := <-r.items:
@@ -103,7 +106,7 @@
 	}
 }
 
-// TryTake returns the oldest item if there is one.
+// TryTake returns the oldest item, or false if the ring is empty.
 func (r *Ring[T]) TryTake() (T, bool) {
 	select {
 	case item := <-r.items:
@@ -114,14 +117,16 @@
 	}
 }
 
-// Chan gives the reading end, for a select over several rings. It is never closed.
+// Chan returns the channel from which items are received, for a select over
+// several rings. It is never closed.
 func (r *Ring[T]) Chan() <-chan T { return r.items }
 
-// Len is how many items wait.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Cap is how many items fit.
+// Cap returns the capacity of the ring.
 func (r *Ring[T]) Cap() int { return cap(r.items) }
 
-// Dropped is how many items were refused or dropped since the start.
+// Dropped returns the number of items that were refused or dropped since the
+// start.
 func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
--- a/daemon/ring/ring_test.go
+++ b/daemon/ring/ring_test.go
@@ -44,14 +44,14 @@
 	is.True(!ok)
 }
 
-func TestBlockWaitsForRoomOrTheContext(t *testing.T) {
+func TestBlockWaitsForSpaceOrTheContext(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := New[int]("test", 1, Block, nil)
 	is.True(r.Put(ctx, 1))
 	put := make(chan bool)
 	go func() { put <- r.Put(ctx, 2) }()
-	is.Equal(<-r.Chan(), 1) // makes room, before or after the writer waits
+	is.Equal(<-r.Chan(), 1) // frees a slot, before or after the writer waits
 	is.True(<-put)
 	is.Equal(r.Dropped(), uint64(0))
 
@@ -66,7 +66,7 @@
 	is.True(!ok)
 }
 
-func TestManyWritersLoseNothingUncounted(t *testing.T) {
+func TestConcurrentWritersCountEveryDrop(t *testing.T) {
 	is := is.New(t)
 	const writers, each = 8, 500
 	r := New[int]("test", 16, DropOldest, nil)
