--- a/daemon/workpool/workpool.go
+++ b/daemon/workpool/workpool.go
@@ -1,6 +1,6 @@
-// Package workpool runs short work, such as a store call or an order, on a
-// bounded pool of goroutines. A full pool refuses, which its caller turns into
-// a "not run".
+// Package workpool runs short tasks, such as a store call or an order, on a
+// bounded pool of goroutines. A full pool refuses a task, which its caller
+// reports as "not run".
 package workpool
 
 import (
@@ -16,7 +16,7 @@
 type Pool struct {
 	workers *ants.Pool
 	refused *metrics.Counter
-	// registry counts panics.
+	// registry counts panics as violated invariants.
 	registry *metrics.Registry
 
 	mu      sync.RWMutex
@@ -24,8 +24,8 @@
 	running sync.WaitGroup
 }
 
-// New returns a pool of at most size workers, whose metrics carry its name. A
-// panicking task is counted as a violated invariant and ends alone.
+// New returns a pool of at most size workers, whose metrics contain its name. A
+// panic of a task is counted as a violated invariant and ends that task only.
 func New(name string, size int, registry *metrics.Registry) (*Pool, error) {
 	p := &Pool{registry: registry}
 	workers, err := ants.NewPool(size, ants.WithNonblocking(true))
@@ -40,8 +40,8 @@
 	return p, nil
 }
 
-// Submit runs task on a worker. It never waits: it returns false when all
-// workers are busy or the pool is closed, and the task has then not run.
+// Submit runs task on a worker. It never waits: it returns false if all workers
+// are busy or the pool is closed, and the task then does not run.
 func (p *Pool) Submit(task func()) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -62,25 +62,25 @@
 	return true
 }
 
-// countPanic ends the panic of a task. It is counted before the task counts as
-// ended: who waits for the pool to close finds it.
+// countPanic recovers from a panic of a task and counts it. It runs before the
+// task is marked as done, so that the count is complete when Close returns.
 func (p *Pool) countPanic() {
 	if cause := recover(); cause != nil {
 		p.registry.Violation("workpool_task_panicked", eris.Errorf("%v", cause).Error())
 	}
 }
 
-// Refused is how many tasks found all workers busy.
+// Refused returns the number of tasks refused because all workers were busy.
 func (p *Pool) Refused() int64 { return p.refused.Value() }
 
-// Close refuses new tasks, waits for those that run, and ends the workers.
+// Close refuses new tasks, waits for the running tasks, and stops the workers.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	already := p.closed
+	alreadyClosed := p.closed
 	p.closed = true
 	p.mu.Unlock()
 	p.running.Wait()
-	if !already {
+	if !alreadyClosed {
 		p.workers.Release()
 	}
 }
--- a/daemon/workpool/workpool_test.go
+++ b/daemon/workpool/workpool_test.go
@@ -51,7 +51,7 @@
 	<-closed
 	is.True(finished.Load())
 	is.True(!p.Submit(func() { t.Error("ran after Close") }))
-	p.Close() // a second time does nothing
+	p.Close() // closing again has no effect
 }
 
 func TestPanicEndsOnlyItsTask(t *testing.T) {
