--- a/daemon/operator/fuzz_test.go
+++ b/daemon/operator/fuzz_test.go
@@ -41,8 +41,8 @@
 func (b *fuzzBacking) Quarantine() opapi.QuarantineList      { return opapi.QuarantineList{} }
 func (b *fuzzBacking) BeginStop()                            { b.stops++ }
 
-// FuzzChange: whatever body an operator sends, the answer is readable JSON, and
-// a change that is accepted leaves a document without faults.
+// FuzzChange checks that the response to any request body is valid JSON, and
+// that an accepted change leaves a document without faults.
 func FuzzChange(f *testing.F) {
 	f.Add([]byte(`{"id":"1","ops":[{"action":"label","kind":"endpoint","name":"e","labels":{"samphirequay/leaving":"true"}}]}`))
 	f.Add([]byte(`{"id":"2","ops":[{"action":"put","kind":"team","name":"t","item":{"name":"t","key_hashes":[]}}]}`))
@@ -68,7 +68,7 @@
 			t.Fatalf("answer %q", ctx.Response.Body())
 		}
 		if encode(t, b.doc) != before {
-			t.Fatal("the former document was changed")
+			t.Fatal("the previous document was modified")
 		}
 		if ctx.Response.StatusCode() == fasthttp.StatusOK {
 			checkApplied(t, b)
@@ -94,8 +94,8 @@
 	return string(data)
 }
 
-// FuzzRequest: whatever method, target and key come, nothing is done without
-// the key, and each answer is readable JSON.
+// FuzzRequest checks that for any method, target and key nothing is carried out
+// without a valid key, and that each response is valid JSON.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET", opapi.PathHistory+"?after=-1&limit=99999999999999999999", bearer+fuzzKey)
 	f.Add("GET", opapi.PathConfig+"?revision=7", bearer+fuzzKey)
--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -29,12 +29,15 @@
 	maxConns       = 256
 )
 
-// Backing answers the operators' requests.
+// Backing is the part of the daemon that carries out the operators' requests.
 type Backing interface {
-	// Propose carries a change through; resent says that it may have been
-	// proposed before.
+	// Propose proposes a change and waits for its outcome; resent is set if the
+	// change may have been proposed before.
 	Propose(ctx context.Context, c revision.Change, resent bool) revision.Outcome
+	// DocumentAt returns the configuration at a revision, or false if the daemon
+	// does not keep that revision.
 	DocumentAt(rev uint64) (*live.Document, bool)
+	// Document returns the current configuration.
 	Document() *live.Document
 	History(after uint64, limit int) []revision.Record
 	Status() opapi.Status
@@ -44,7 +47,7 @@
 	BeginStop()
 }
 
-// Server serves operators.
+// Server serves the operators' HTTP interface.
 type Server struct {
 	backing Backing
 	hashes  []string
@@ -52,7 +55,7 @@
 	http    *fasthttp.Server
 }
 
-// New returns a Server that is not yet listening. hashes are those of the
+// New returns a Server that is not yet listening. hashes are the hashes of the
 // operators' keys.
 func New(b Backing, hashes []string, log func(event string, kv ...any)) *Server {
 	s := &Server{backing: b, hashes: hashes, log: log}
@@ -67,10 +70,11 @@
 	return s
 }
 
-// Serve takes connections until the server is shut down.
+// Serve accepts connections until the server is shut down.
 func (s *Server) Serve(ln net.Listener) error { return s.http.Serve(ln) }
 
-// Shutdown stops taking connections.
+// Shutdown stops accepting connections and waits, until ctx ends, for open
+// requests.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
@@ -109,7 +113,7 @@
 func (s *Server) change(ctx *fasthttp.RequestCtx) {
 	var req opapi.ChangeRequest
 	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body is no change: %v", err))
+		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body is not a valid change: %v", err))
 		return
 	}
 	call, cancel := context.WithTimeout(context.Background(), changeTimeout)
@@ -129,7 +133,7 @@
 	fail(ctx, status, err)
 }
 
-// refusal turns an outcome that is no acceptance into a status and an error.
+// refusal converts an outcome other than Accepted to a status and an error.
 func refusal(req opapi.ChangeRequest, o revision.Outcome) (int, *verdict.Error) {
 	switch o.Result {
 	case revision.Conflict:
@@ -141,14 +145,14 @@
 		return fasthttp.StatusServiceUnavailable, err.WithRetryAfter(time.Second)
 	default:
 		err := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable,
-			"it is not known whether change %s was accepted; send it again under the same id", req.ID)
+			"it is not known whether change %s was accepted; send it again with the same id", req.ID)
 		return fasthttp.StatusServiceUnavailable, err.WithRetryAfter(time.Second)
 	}
 }
 
 func conflictText(req opapi.ChangeRequest, o revision.Outcome) string {
 	text := "change " + req.ID + " was made against revision " + strconv.FormatUint(req.Expect, 10) +
-		", the configuration is at " + strconv.FormatUint(o.Revision, 10)
+		", but the configuration is at revision " + strconv.FormatUint(o.Revision, 10)
 	for _, r := range o.Rivals {
 		text += "; revision " + strconv.FormatUint(r.Revision, 10) + " by " + r.Author + " (change " + r.ID + ")"
 		if len(r.Overlap) > 0 {
@@ -174,7 +178,7 @@
 	}
 	rev, err := strconv.ParseUint(string(wanted), 10, 64)
 	if err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "revision is no number: %q", wanted))
+		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "revision is not a number: %q", wanted))
 		return
 	}
 	doc, ok := s.backing.DocumentAt(rev)
@@ -208,7 +212,7 @@
 	kind := string(ctx.QueryArgs().Peek("kind"))
 	name := string(ctx.QueryArgs().Peek("id"))
 	if kind == "" || name == "" {
-		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "explain needs kind and id"))
+		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "explain requires the parameters kind and id"))
 		return
 	}
 	answer(ctx, s.backing.Explain(kind, name))
