--- a/daemon/opapi/opapi.go
+++ b/daemon/opapi/opapi.go
@@ -1,6 +1,6 @@
-// Package opapi holds the JSON bodies and paths of the HTTP interface that
-// daemons offer to callers and operators; the command line and the load tool
-// use the same types.
+// Package opapi defines the paths, headers and JSON bodies of the HTTP
+// interfaces for callers and operators. The daemons, the command line and the
+// load tool share them.
 package opapi
 
 import (
@@ -17,8 +17,8 @@
 	PathCompletions = "/v1/completions" // POST CompletionRequest
 	PathModels      = "/v1/models"      // GET -> ModelList
 	PathServices    = "/services/"      // any method: /services/{service}/{path}
-	PathHealth      = "/healthz"        // GET: the process runs
-	PathReady       = "/readyz"         // GET: it takes requests
+	PathHealth      = "/healthz"        // GET: the process is running
+	PathReady       = "/readyz"         // GET: the daemon accepts requests
 )
 
 // Paths for operators, on the operators' address.
@@ -32,46 +32,47 @@
 	PathStop       = "/operator/v1/stop"       // POST: begin a planned stop of this daemon
 )
 
-// Headers towards callers.
+// Headers of requests and responses.
 const (
-	// HeaderVerdict carries the verdict of an error.
+	// HeaderVerdict contains the verdict of an error.
 	HeaderVerdict = "Samphirequay-Verdict"
-	// HeaderRequest carries the id that explain takes.
+	// HeaderRequest contains the request's id, by which explain finds it.
 	HeaderRequest = "Samphirequay-Request"
-	// HeaderResent set to "true" says that the operator's request was sent
-	// before, under the same change id, and may have been carried out.
+	// HeaderResent is "true" if the operator's request was sent before, with the
+	// same change id, and may have been carried out.
 	HeaderResent = "Samphirequay-Resent"
-	// HeaderLastEventID resumes a stream behind the event it names.
+	// HeaderLastEventID resumes a stream after the event with the given id.
 	HeaderLastEventID = "Last-Event-ID"
-	// HeaderIdempotencyKey names a call that must not run twice.
+	// HeaderIdempotencyKey identifies a call that must not run twice.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// EntryAddress is one address that a caller may use.
+// EntryAddress is an address that a caller may use.
 type EntryAddress struct {
 	Address string    `json:"address"`
 	Domain  id.Domain `json:"domain"`
-	// Weight is the share of callers that should choose it.
+	// Weight is the relative share of callers that should use the address.
 	Weight int `json:"weight"`
 }
 
-// EntryAnswer tells a caller which addresses to use, best first.
+// EntryAnswer lists the addresses that a caller may use, best first.
 type EntryAnswer struct {
 	Addresses []EntryAddress `json:"addresses"`
-	// LifetimeMS is how long the answer may be kept.
+	// LifetimeMS is how long the answer may be cached, in milliseconds.
 	LifetimeMS int `json:"lifetime_ms"`
 }
 
-// CompletionRequest is an OpenAI-style completion; unknown fields are ignored.
+// CompletionRequest is an OpenAI-style completion request; unknown fields are
+// ignored.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 	User      string `json:"user,omitempty"`
-	// Delivered is the answer's text that the caller already holds. It may be
-	// sent with Last-Event-ID, so that the answer can go on when the engine
-	// that wrote it is gone; the resume token proves it.
+	// Delivered is the part of the answer's text that the caller has received.
+	// It may be sent with Last-Event-ID, so that the answer can continue after
+	// the engine that generated it is lost; the resume token proves it.
 	Delivered string `json:"delivered,omitempty"`
 }
 
@@ -89,7 +90,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Completion is a whole answer, or one event of a streamed one. A stream ends
+// Completion is a whole answer, or one event of a streamed answer. A stream ends
 // with the data line "[DONE]". Each event's SSE id is a resume token for
 // Last-Event-ID.
 type Completion struct {
@@ -101,12 +102,13 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// ErrorBody is the JSON body of every error, also of the SSE event "error".
+// ErrorBody is the JSON body of every error response and of the SSE event
+// "error".
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Message      string       `json:"message"`
 	Type         string       `json:"type"`
@@ -122,7 +124,7 @@
 	Object string `json:"object"`
 }
 
-// ModelList lists the model services a team may use.
+// ModelList lists the model services that a team may use.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
@@ -131,18 +133,19 @@
 // Op is one step of a change: put or delete an item, or set labels on one.
 type Op = revision.Op
 
-// ChangeRequest asks for one change, wholly or not at all.
+// ChangeRequest requests a change, which is applied completely or not at all.
 type ChangeRequest struct {
-	// ID is chosen by the operator's client, so that a lost reply can be resolved.
+	// ID is chosen by the operator's client, so that the client can send the
+	// request again after a lost reply.
 	ID string `json:"id"`
-	// Expect is the revision the change was made against; 0 accepts any.
+	// Expect is the revision that the change was made against; 0 accepts any.
 	Expect uint64 `json:"expect,omitempty"`
-	// Author is for the history.
+	// Author is recorded in the history.
 	Author string `json:"author,omitempty"`
 	Ops    []Op   `json:"ops"`
 }
 
-// ChangeAnswer tells the revision at which a change was accepted.
+// ChangeAnswer reports the revision at which a change was accepted.
 type ChangeAnswer struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"revision"`
@@ -162,7 +165,7 @@
 	Entries []HistoryEntry `json:"entries"`
 }
 
-// HostStatus is one daemon as the answering daemon sees it.
+// HostStatus is the status of one daemon as observed by the answering daemon.
 type HostStatus struct {
 	Daemon      id.Daemon      `json:"daemon"`
 	Incarnation id.Incarnation `json:"incarnation"`
@@ -173,7 +176,7 @@
 	InFlight int    `json:"in_flight"`
 }
 
-// PoolStatus sums up a pool.
+// PoolStatus summarizes a pool.
 type PoolStatus struct {
 	Pool    id.Pool   `json:"pool"`
 	Owner   id.Daemon `json:"owner"`
@@ -182,20 +185,20 @@
 	Plain   int       `json:"plain"`
 	Leaving int       `json:"leaving"`
 	Ejected int       `json:"ejected"`
-	// Unreachable counts the endpoints that did not answer when last asked.
+	// Unreachable counts the endpoints that their latest report found unreachable.
 	Unreachable int    `json:"unreachable"`
 	Queued      int    `json:"queued"`
 	Running     int    `json:"running"`
 	Slots       int    `json:"slots"`
 	Answered    uint64 `json:"answered"`
 	Refused     uint64 `json:"refused"`
-	// PrefillLoad and DecodeLoad are the utilisation of the roles, 0 (idle) to
-	// 1 (full) and above when work waits.
+	// PrefillLoad and DecodeLoad are the utilisation of the roles, from 0 (idle)
+	// to 1 (full), and above 1 if work is waiting.
 	PrefillLoad float64 `json:"prefill_load"`
 	DecodeLoad  float64 `json:"decode_load"`
 }
 
-// TeamStatus sums up a team on the answering daemon.
+// TeamStatus summarizes a team's requests on the answering daemon.
 type TeamStatus struct {
 	Team     id.Team `json:"team"`
 	InFlight int     `json:"in_flight"`
@@ -210,7 +213,7 @@
 	Fence  uint64    `json:"fence"`
 }
 
-// Status is one screen about the fleet.
+// Status summarizes the fleet, as observed by the answering daemon.
 type Status struct {
 	Daemon    id.Daemon     `json:"daemon"`
 	Revision  uint64        `json:"revision"`
@@ -222,14 +225,14 @@
 	Violation uint64        `json:"invariant_violations"`
 }
 
-// Explanation lists the recorded decisions about one thing, oldest first.
+// Explanation lists the recorded decisions about one object, oldest first.
 type Explanation struct {
 	Kind  string            `json:"kind"`
 	ID    string            `json:"id"`
 	Lines []ExplanationLine `json:"lines"`
 }
 
-// ExplanationLine is one decision.
+// ExplanationLine is one recorded decision.
 type ExplanationLine struct {
 	At     time.Time `json:"at"`
 	Daemon id.Daemon `json:"daemon"`
@@ -246,7 +249,7 @@
 	Daemon      id.Daemon `json:"daemon"`
 }
 
-// QuarantineList lists them.
+// QuarantineList lists the quarantined fingerprints.
 type QuarantineList struct {
 	Entries []QuarantineEntry `json:"entries"`
 }
