--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -108,7 +108,7 @@
 	}
 	taken := make(map[string]netip.AddrPort)
 	for _, l := range listeners {
-		address, ok := c.address(l.field, l.address, anyPort)
+		address, ok := c.address(l.field, l.address, allowZeroPort)
 		if !ok || address.Port() == 0 {
 			continue
 		}
@@ -119,7 +119,7 @@
 		}
 		taken[l.field] = address
 	}
-	c.address("listen.peers", s.Listen.Peers, anyPort)
+	c.address("listen.peers", s.Listen.Peers, allowZeroPort)
 }
 
 // conflict reports whether two TCP listeners cannot both be opened: they have
@@ -136,8 +136,8 @@
 type portRule bool
 
 const (
-	anyPort  portRule = true
-	realPort portRule = false
+	allowZeroPort portRule = true
+	realPort      portRule = false
 )
 
 // address parses an IP:port and checks its port. It reports false for an empty
