--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -137,7 +137,7 @@
 
 const (
 	allowZeroPort portRule = true
-	realPort      portRule = false
+	requirePort   portRule = false
 )
 
 // address parses an IP:port and checks its port. It reports false for an empty
@@ -151,7 +151,7 @@
 		c.fault(field, "%q is not an IP:port: %v", text, err)
 		return netip.AddrPort{}, false
 	}
-	if address.Port() == 0 && rule == realPort {
+	if address.Port() == 0 && rule == requirePort {
 		c.fault(field, "%q has no port", text)
 		return netip.AddrPort{}, false
 	}
@@ -161,7 +161,7 @@
 // reachable checks an address that other processes connect to: it needs a port
 // and a specific IP.
 func (c *checker) reachable(field, text string) {
-	address, ok := c.address(field, text, realPort)
+	address, ok := c.address(field, text, requirePort)
 	if ok && address.Addr().IsUnspecified() {
 		c.fault(field, "%q does not name a host", text)
 	}
