--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -38,7 +38,7 @@
 // check returns all faults of the settings.
 func (s *Settings) check() []fieldFault {
 	c := &checker{}
-	c.tags(s)
+	c.validateTags(s)
 	c.listen(s)
 	c.advertise(s.Advertise)
 	c.seedPeers(s.SeedPeers)
@@ -57,7 +57,7 @@
 }
 
 // tags applies the validate tags and records the violations.
-func (c *checker) tags(s any) {
+func (c *checker) validateTags(s any) {
 	err := validate().Struct(s)
 	var violations validator.ValidationErrors
 	if !errors.As(err, &violations) {
--- a/daemon/settings/parse.go
+++ b/daemon/settings/parse.go
@@ -75,7 +75,7 @@
 		return src.sorted()
 	}
 	c := &checker{}
-	c.tags(to)
+	c.validateTags(to)
 	for _, f := range c.faults {
 		src.at(f.field, f.message)
 	}
