--- a/daemon/settings/place.go
+++ b/daemon/settings/place.go
@@ -9,22 +9,22 @@
 // hujson reports their line and column.
 var placePattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
-type place struct {
+type syntaxError struct {
 	line, column int
 	message      string
 }
 
 // placeIn parses the text of a syntax error of hujson. It returns false for any
 // other text.
-func placeIn(text string) (place, bool) {
+func placeIn(text string) (syntaxError, bool) {
 	m := placePattern.FindStringSubmatch(text)
 	if m == nil {
-		return place{}, false
+		return syntaxError{}, false
 	}
 	line, errLine := strconv.Atoi(m[1])
 	column, errColumn := strconv.Atoi(m[2])
 	if errLine != nil || errColumn != nil {
-		return place{}, false
+		return syntaxError{}, false
 	}
-	return place{line: line, column: column, message: m[3]}, true
+	return syntaxError{line: line, column: column, message: m[3]}, true
 }
