--- a/daemon/settings/place.go
+++ b/daemon/settings/place.go
@@ -16,7 +16,7 @@
 
 // placeIn parses the text of a syntax error of hujson. It returns false for any
 // other text.
-func placeIn(text string) (syntaxError, bool) {
+func parseSyntaxError(text string) (syntaxError, bool) {
 	m := placePattern.FindStringSubmatch(text)
 	if m == nil {
 		return syntaxError{}, false
--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -38,7 +38,7 @@
 func (s *source) grammarFault(err error) {
 	text := err.Error()
 	line, column, message := 1, 1, text
-	if parsed, ok := placeIn(text); ok {
+	if parsed, ok := parseSyntaxError(text); ok {
 		line, column, message = parsed.line, parsed.column, parsed.message
 	}
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Message: message})
