--- a/daemon/settings/place.go
+++ b/daemon/settings/place.go
@@ -7,7 +7,7 @@
 
 // placePattern matches the text of hujson's syntax errors, the only place where
 // hujson reports their line and column.
-var placePattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
+var syntaxErrorPattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
 type syntaxError struct {
 	line, column int
@@ -17,7 +17,7 @@
 // placeIn parses the text of a syntax error of hujson. It returns false for any
 // other text.
 func parseSyntaxError(text string) (syntaxError, bool) {
-	m := placePattern.FindStringSubmatch(text)
+	m := syntaxErrorPattern.FindStringSubmatch(text)
 	if m == nil {
 		return syntaxError{}, false
 	}
