--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -24,7 +24,7 @@
 	s := &source{name: name, data: data, offsets: make(map[string]int)}
 	root, err := hujson.Parse(data)
 	if err != nil {
-		s.grammarFault(err)
+		s.addSyntaxFault(err)
 		return s
 	}
 	s.root = root
@@ -35,7 +35,7 @@
 // grammarFault records a syntax error. The parser reports the position only in
 // the text of its error; if the text holds none, the fault is reported at the
 // start of the file.
-func (s *source) grammarFault(err error) {
+func (s *source) addSyntaxFault(err error) {
 	text := err.Error()
 	line, column, message := 1, 1, text
 	if parsed, ok := parseSyntaxError(text); ok {
