--- a/daemon/settings/kind.go
+++ b/daemon/settings/kind.go
@@ -43,7 +43,7 @@
 		_, faults := ParseDocument(name, data)
 		return kind, faults
 	default:
-		src.at("", "is neither start-up settings nor a live configuration, judging by its top-level fields")
+		src.addFault("", "is neither start-up settings nor a live configuration, judging by its top-level fields")
 		return kind, src.faults
 	}
 }
--- a/daemon/settings/parse.go
+++ b/daemon/settings/parse.go
@@ -28,7 +28,7 @@
 	}
 	s.derive()
 	for _, f := range s.check() {
-		src.at(f.field, f.message)
+		src.addFault(f.field, f.message)
 	}
 	if len(src.faults) > 0 {
 		return nil, src.sorted()
@@ -57,7 +57,7 @@
 	}
 	doc := live.Normalize(raw)
 	for _, f := range live.Check(doc) {
-		src.at(f.Path, f.Message)
+		src.addFault(f.Path, f.Message)
 	}
 	if len(src.faults) > 0 {
 		return nil, src.sorted()
@@ -77,7 +77,7 @@
 	c := &checker{}
 	c.validateTags(to)
 	for _, f := range c.faults {
-		src.at(f.field, f.message)
+		src.addFault(f.field, f.message)
 	}
 	return src.sorted()
 }
@@ -102,7 +102,7 @@
 		return
 	}
 	if err := json.Unmarshal(s.standard(), to); err != nil {
-		s.at("", err.Error())
+		s.addFault("", err.Error())
 	}
 }
 
--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -46,7 +46,7 @@
 
 // at records a fault at the position of a field, or of its closest enclosing
 // field if the file does not contain the field.
-func (s *source) at(field, message string) {
+func (s *source) addFault(field, message string) {
 	s.atOffset(s.offset(field), field, message)
 }
 
