--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -47,10 +47,10 @@
 // at records a fault at the position of a field, or of its closest enclosing
 // field if the file does not contain the field.
 func (s *source) addFault(field, message string) {
-	s.atOffset(s.offset(field), field, message)
+	s.addFaultAt(s.offset(field), field, message)
 }
 
-func (s *source) atOffset(offset int, field, message string) {
+func (s *source) addFaultAt(offset int, field, message string) {
 	line, column := position(s.data, offset)
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Field: field, Message: message})
 }
--- a/daemon/settings/walk.go
+++ b/daemon/settings/walk.go
@@ -31,7 +31,7 @@
 func (s *source) walkObject(v hujson.Value, object *hujson.Object, t reflect.Type, path string) {
 	known, isMap := fieldTypes(t), t.Kind() == reflect.Map
 	if known == nil && !isMap {
-		s.atOffset(v.StartOffset, path, "is an object, want "+typeName(t))
+		s.addFaultAt(v.StartOffset, path, "is an object, want "+typeName(t))
 		return
 	}
 	seen := make(map[string]bool)
@@ -39,7 +39,7 @@
 		name := memberName(member)
 		field := join(path, name)
 		if seen[name] {
-			s.atOffset(member.Name.StartOffset, field, "duplicate field")
+			s.addFaultAt(member.Name.StartOffset, field, "duplicate field")
 			continue
 		}
 		seen[name] = true
@@ -48,7 +48,7 @@
 			fieldType, ok = t.Elem(), true
 		}
 		if !ok {
-			s.atOffset(member.Name.StartOffset, field, "unknown field"+suggestion(name, known))
+			s.addFaultAt(member.Name.StartOffset, field, "unknown field"+suggestion(name, known))
 			continue
 		}
 		s.walk(member.Value, fieldType, field)
@@ -57,7 +57,7 @@
 
 func (s *source) walkArray(v hujson.Value, array *hujson.Array, t reflect.Type, path string) {
 	if t.Kind() != reflect.Slice {
-		s.atOffset(v.StartOffset, path, "is a list, want "+typeName(t))
+		s.addFaultAt(v.StartOffset, path, "is a list, want "+typeName(t))
 		return
 	}
 	for i, element := range array.Elements {
@@ -67,16 +67,16 @@
 
 func (s *source) walkLiteral(v hujson.Value, literal hujson.Literal, t reflect.Type, path string) {
 	if literal.Kind() == 'n' {
-		s.atOffset(v.StartOffset, path, "is null; leave the field out for its default")
+		s.addFaultAt(v.StartOffset, path, "is null; leave the field out for its default")
 		return
 	}
 	err := json.Unmarshal(literal, reflect.New(t).Interface())
 	var mismatch *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &mismatch):
-		s.atOffset(v.StartOffset, path, fmt.Sprintf("is %s, want %s", []byte(literal), typeName(t)))
+		s.addFaultAt(v.StartOffset, path, fmt.Sprintf("is %s, want %s", []byte(literal), typeName(t)))
 	case err != nil:
-		s.atOffset(v.StartOffset, path, err.Error())
+		s.addFaultAt(v.StartOffset, path, err.Error())
 	}
 }
 
