--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -52,7 +52,7 @@
 
 type checker struct{ faults []fieldFault }
 
-func (c *checker) fault(field, format string, args ...any) {
+func (c *checker) addFault(field, format string, args ...any) {
 	c.faults = append(c.faults, fieldFault{field, fmt.Sprintf(format, args...)})
 }
 
@@ -65,7 +65,7 @@
 	}
 	for _, e := range violations {
 		_, field, _ := strings.Cut(e.Namespace(), ".")
-		c.fault(field, "%s", ruleMessage(e))
+		c.addFault(field, "%s", ruleMessage(e))
 	}
 }
 
@@ -114,7 +114,7 @@
 		}
 		for _, other := range listeners {
 			if earlier, set := taken[other.field]; set && conflict(earlier, address) {
-				c.fault(l.field, "%s conflicts with %s on %s", l.address, other.field, earlier)
+				c.addFault(l.field, "%s conflicts with %s on %s", l.address, other.field, earlier)
 			}
 		}
 		taken[l.field] = address
@@ -148,11 +148,11 @@
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		c.fault(field, "%q is not an IP:port: %v", text, err)
+		c.addFault(field, "%q is not an IP:port: %v", text, err)
 		return netip.AddrPort{}, false
 	}
 	if address.Port() == 0 && rule == requirePort {
-		c.fault(field, "%q has no port", text)
+		c.addFault(field, "%q has no port", text)
 		return netip.AddrPort{}, false
 	}
 	return address, true
@@ -163,17 +163,17 @@
 func (c *checker) reachable(field, text string) {
 	address, ok := c.address(field, text, requirePort)
 	if ok && address.Addr().IsUnspecified() {
-		c.fault(field, "%q does not name a host", text)
+		c.addFault(field, "%q does not name a host", text)
 	}
 }
 
 func (c *checker) advertise(a Advertise) {
 	missing := "is missing, and the listen address does not name a single host and port"
 	if a.Callers == "" {
-		c.fault("advertise.callers", "%s", missing)
+		c.addFault("advertise.callers", "%s", missing)
 	}
 	if a.Peers == "" {
-		c.fault("advertise.peers", "%s", missing)
+		c.addFault("advertise.peers", "%s", missing)
 	}
 	c.reachable("advertise.callers", a.Callers)
 	c.reachable("advertise.peers", a.Peers)
@@ -186,10 +186,10 @@
 		field := fmt.Sprintf("seed_peers[%d]", i)
 		c.reachable(field+".address", p.Address)
 		if names[p.Name] {
-			c.fault(field+".name", "%q is used twice", p.Name)
+			c.addFault(field+".name", "%q is used twice", p.Name)
 		}
 		if addresses[p.Address] {
-			c.fault(field+".address", "%q is used twice", p.Address)
+			c.addFault(field+".address", "%q is used twice", p.Address)
 		}
 		names[p.Name] = true
 		addresses[p.Address] = true
@@ -205,24 +205,24 @@
 
 func (c *checker) callersTLS(s *Settings) {
 	if s.CallersTLS == nil && !s.InsecureCallers {
-		c.fault("callers_tls", `is missing; plain HTTP requires "insecure_callers": true`)
+		c.addFault("callers_tls", `is missing; plain HTTP requires "insecure_callers": true`)
 	}
 	if s.CallersTLS != nil && s.InsecureCallers {
-		c.fault("insecure_callers", "contradicts callers_tls")
+		c.addFault("insecure_callers", "contradicts callers_tls")
 	}
 }
 
 func (c *checker) membership(m Membership) {
 	if m.SuspectAfterMS <= m.PeriodMS {
-		c.fault("membership.suspect_after_ms", "is %d, must be greater than period_ms, %d", m.SuspectAfterMS, m.PeriodMS)
+		c.addFault("membership.suspect_after_ms", "is %d, must be greater than period_ms, %d", m.SuspectAfterMS, m.PeriodMS)
 	}
 	if m.DeadAfterMS <= m.SuspectAfterMS {
-		c.fault("membership.dead_after_ms", "is %d, must be greater than suspect_after_ms, %d", m.DeadAfterMS, m.SuspectAfterMS)
+		c.addFault("membership.dead_after_ms", "is %d, must be greater than suspect_after_ms, %d", m.DeadAfterMS, m.SuspectAfterMS)
 	}
 }
 
 func (c *checker) timings(t Timings) {
 	if t.DrainMS < t.EntryLifetimeMS {
-		c.fault("timings.drain_ms", "is %d, must be at least entry_lifetime_ms, %d: callers may keep an address that long", t.DrainMS, t.EntryLifetimeMS)
+		c.addFault("timings.drain_ms", "is %d, must be at least entry_lifetime_ms, %d: callers may keep an address that long", t.DrainMS, t.EntryLifetimeMS)
 	}
 }
--- a/daemon/settings/resumekey.go
+++ b/daemon/settings/resumekey.go
@@ -19,17 +19,17 @@
 	for i, k := range list {
 		field := fmt.Sprintf("resume_keys[%d]", i)
 		if seen[k.ID] {
-			c.fault(field+".id", "%d is used twice", k.ID)
+			c.addFault(field+".id", "%d is used twice", k.ID)
 		}
 		seen[k.ID] = true
 		if (k.SecretFile == "") == (k.SecretHex == "") {
-			c.fault(field, "needs exactly one of secret_file and secret_hex")
+			c.addFault(field, "needs exactly one of secret_file and secret_hex")
 		}
 		if k.SecretHex == "" {
 			continue
 		}
 		if _, err := decodeSecret(k.SecretHex); err != nil {
-			c.fault(field+".secret_hex", "%v", err)
+			c.addFault(field+".secret_hex", "%v", err)
 		}
 	}
 }
