--- a/daemon/settings/parse.go
+++ b/daemon/settings/parse.go
@@ -101,7 +101,7 @@
 	if len(s.faults) > 0 {
 		return
 	}
-	if err := json.Unmarshal(s.standard(), to); err != nil {
+	if err := json.Unmarshal(s.standardJSON(), to); err != nil {
 		s.addFault("", err.Error())
 	}
 }
--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -90,7 +90,7 @@
 }
 
 // standard returns the content as standard JSON.
-func (s *source) standard() []byte {
+func (s *source) standardJSON() []byte {
 	v := s.root.Clone()
 	v.Standardize()
 	return v.Pack()
