--- a/daemon/keys/tls.go
+++ b/daemon/keys/tls.go
@@ -39,14 +39,14 @@
 // PeerServer returns the configuration for accepting connections of peers:
 // mutual TLS with the store's current certificates at each handshake.
 func (s *Store) PeerServer(alpn string) *tls.Config {
-	cfg := s.peerServerNow(alpn)
+	cfg := s.currentPeerServer(alpn)
 	cfg.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		return s.peerServerNow(alpn), nil
+		return s.currentPeerServer(alpn), nil
 	}
 	return cfg
 }
 
-func (s *Store) peerServerNow(alpn string) *tls.Config {
+func (s *Store) currentPeerServer(alpn string) *tls.Config {
 	m := s.Material()
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
