--- a/daemon/logline/bench_test.go
+++ b/daemon/logline/bench_test.go
@@ -14,7 +14,7 @@
 // BenchmarkRoutineLineWithBlockedOutput measures the same while the output
 // blocks: the line is dropped and counted.
 func BenchmarkRoutineLineWithBlockedOutput(b *testing.B) {
-	blocked := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
+	blocked := &blockedOutput{entered: make(chan struct{}), release: make(chan struct{})}
 	benchmarkLines(b, blocked, func() { close(blocked.release) })
 }
 
--- a/daemon/logline/logline_test.go
+++ b/daemon/logline/logline_test.go
@@ -44,13 +44,13 @@
 }
 
 // stuck is an output whose writes block until release is closed.
-type stuck struct {
+type blockedOutput struct {
 	entered, release chan struct{}
 	once             sync.Once
 	lines            int
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	s.once.Do(func() { close(s.entered) })
 	<-s.release
 	s.lines++
@@ -59,7 +59,7 @@
 
 func TestBlockedOutputDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
+	out := &blockedOutput{entered: make(chan struct{}), release: make(chan struct{})}
 	registry := metrics.New("d")
 	l := newLogger(t, Config{Output: out, RingSize: 4, Registry: registry})
 	l.Event("first")
@@ -133,7 +133,7 @@
 // for lines that explain failures when the output blocks.
 func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{entered: make(chan struct{}), release: make(chan struct{})}
+	out := &blockedOutput{entered: make(chan struct{}), release: make(chan struct{})}
 	registry := metrics.New("kuryk-1")
 	l := newLogger(t, Config{Output: out, RingSize: 8, Registry: registry})
 	l.Event("first")
