--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -66,7 +66,7 @@
 
 // New starts a logger; Close stops it.
 func New(cfg Config) (*Logger, error) {
-	allowed, err := option(cfg.Level)
+	allowed, err := levelOption(cfg.Level)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	return l, nil
 }
 
-func option(l Level) (level.Option, error) {
+func levelOption(l Level) (level.Option, error) {
 	switch l {
 	case Debug:
 		return level.AllowDebug(), nil
