--- a/daemon/logline/decision.go
+++ b/daemon/logline/decision.go
@@ -29,14 +29,14 @@
 		Subject: subject,
 		ID:      id,
 		Event:   event,
-		Text:    text(kv),
+		Text:    encodePairs(kv),
 	})
 }
 
 // Note records a decision in the journal only. It serves decisions that a line
 // already reports under another id.
 func (d *Decisions) Note(subject Subject, id, event string, kv ...any) {
-	d.journal.Add(Decision{At: d.logger.now(), Subject: subject, ID: id, Event: event, Text: text(kv)})
+	d.journal.Add(Decision{At: d.logger.now(), Subject: subject, ID: id, Event: event, Text: encodePairs(kv)})
 }
 
 // Find returns the recorded decisions about one id, oldest first.
@@ -45,7 +45,7 @@
 }
 
 // text encodes the pairs in the format of a log line.
-func text(kv []any) string {
+func encodePairs(kv []any) string {
 	encoded, err := logfmt.MarshalKeyvals(kv...)
 	if err != nil {
 		return fmt.Sprint(kv...)
