--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -116,12 +116,12 @@
 // routineShare divides the ring's capacity: a routine line is dropped while more
 // than capacity/routineShare lines wait. When the output is too slow, routine
 // lines are thus dropped first, and lines that explain failures still fit.
-const routineShare = 2
+const routineDivisor = 2
 
 // Routine is Event for lines about normal operation, which are dropped first
 // when the output is too slow.
 func (l *Logger) Routine(name string, kv ...any) {
-	if l.lines.Len() > l.lines.Cap()/routineShare {
+	if l.lines.Len() > l.lines.Cap()/routineDivisor {
 		if l.routine != nil {
 			l.routine.Inc()
 		}
