--- a/daemon/logline/bench_test.go
+++ b/daemon/logline/bench_test.go
@@ -27,7 +27,7 @@
 	for b.Loop() {
 		l.Routine("request", "request", "4120b5fe74f97812", "route", "r", "service", "s", "attempts", 1, "outcome", "answered", "status", 200)
 	}
-	b.ReportMetric(float64(l.routine.Value())/float64(b.N), "left_out/op")
+	b.ReportMetric(float64(l.routineDropped.Value())/float64(b.N), "left_out/op")
 	release()
 	l.Close()
 }
--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -57,7 +57,7 @@
 	encoder log.Logger
 	now     func() time.Time
 	// routine counts the dropped routine lines.
-	routine *metrics.Counter
+	routineDropped *metrics.Counter
 
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -85,7 +85,7 @@
 		done:   make(chan struct{}),
 	}
 	if cfg.Registry != nil {
-		l.routine = cfg.Registry.Counter("log_routine_dropped", metrics.UnitCount, "Routine lines left out because the log fell behind.")
+		l.routineDropped = cfg.Registry.Counter("log_routine_dropped", metrics.UnitCount, "Routine lines left out because the log fell behind.")
 	}
 	encoder := log.With(log.NewLogfmtLogger(ringWriter{l.lines}), "ts", log.Valuer(l.timestamp), "daemon", cfg.Daemon)
 	l.encoder = level.NewFilter(encoder, allowed)
@@ -122,8 +122,8 @@
 // when the output is too slow.
 func (l *Logger) Routine(name string, kv ...any) {
 	if l.lines.Len() > l.lines.Cap()/routineDivisor {
-		if l.routine != nil {
-			l.routine.Inc()
+		if l.routineDropped != nil {
+			l.routineDropped.Inc()
 		}
 		return
 	}
