--- a/daemon/logline/journal.go
+++ b/daemon/logline/journal.go
@@ -48,10 +48,10 @@
 // decisions is bounded; the least recently written ids are evicted first. It is
 // safe for concurrent use.
 type Journal struct {
-	mu       sync.Mutex
-	capacity int
-	held     int
-	entries  *simplelru.LRU[journalKey, []Decision]
+	mu        sync.Mutex
+	capacity  int
+	decisions int
+	entries   *simplelru.LRU[journalKey, []Decision]
 }
 
 // NewJournal returns a journal for at most capacity decisions; capacity must be
@@ -78,25 +78,25 @@
 	list, _ := j.entries.Peek(key)
 	if len(list) >= MaxDecisionsPerID {
 		list = append([]Decision(nil), list[1:]...)
-		j.held--
+		j.decisions--
 	}
 	if !j.entries.Contains(key) {
 		j.makeRoom(j.capacity - 1)
 	}
 	j.entries.Add(key, append(list, d))
-	j.held++
+	j.decisions++
 	j.makeRoom(j.capacity)
 }
 
 // makeRoom evicts the least recently written ids until the journal holds at
 // most limit decisions.
 func (j *Journal) makeRoom(limit int) {
-	for j.held > limit {
+	for j.decisions > limit {
 		_, list, ok := j.entries.RemoveOldest()
 		if !ok {
 			return
 		}
-		j.held -= len(list)
+		j.decisions -= len(list)
 	}
 }
 
@@ -112,5 +112,5 @@
 func (j *Journal) Len() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.held
+	return j.decisions
 }
