--- a/daemon/logline/journal.go
+++ b/daemon/logline/journal.go
@@ -81,16 +81,16 @@
 		j.decisions--
 	}
 	if !j.entries.Contains(key) {
-		j.makeRoom(j.capacity - 1)
+		j.evict(j.capacity - 1)
 	}
 	j.entries.Add(key, append(list, d))
 	j.decisions++
-	j.makeRoom(j.capacity)
+	j.evict(j.capacity)
 }
 
 // makeRoom evicts the least recently written ids until the journal holds at
 // most limit decisions.
-func (j *Journal) makeRoom(limit int) {
+func (j *Journal) evict(limit int) {
 	for j.decisions > limit {
 		_, list, ok := j.entries.RemoveOldest()
 		if !ok {
