--- a/daemon/metrics/metrics.go
+++ b/daemon/metrics/metrics.go
@@ -47,12 +47,12 @@
 type Registry struct {
 	daemon string
 
-	mu           sync.Mutex
-	vars         *expvar.Map
-	declared     map[string]declaration
-	violations   *CounterMap
-	onViolation  func(name, detail string)
-	panicOnFault bool
+	mu               sync.Mutex
+	vars             *expvar.Map
+	declared         map[string]declaration
+	violations       *CounterMap
+	onViolation      func(name, detail string)
+	panicOnViolation bool
 }
 
 type declaration struct {
--- a/daemon/metrics/violation.go
+++ b/daemon/metrics/violation.go
@@ -14,7 +14,7 @@
 func (r *Registry) PanicOnViolation() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.panicOnFault = true
+	r.panicOnViolation = true
 }
 
 // Violation counts and reports a violated invariant. The name must come from a
@@ -23,7 +23,7 @@
 	r.violations.Add(name, 1)
 	r.mu.Lock()
 	report := r.onViolation
-	fatal := r.panicOnFault
+	fatal := r.panicOnViolation
 	r.mu.Unlock()
 	if report != nil {
 		report(name, detail)
