--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -21,8 +21,8 @@
 	// DefaultRing is the default capacity of the ring, in work items.
 	DefaultRing = 1024
 	// minWait and maxWait bound the time from one tick to the next.
-	minWait = time.Millisecond
-	maxWait = time.Second
+	minTickInterval = time.Millisecond
+	maxWait         = time.Second
 	// afterWork is the maximum time from a work item to the next tick, since the
 	// item may have made a tick due earlier.
 	afterWork = 5 * time.Millisecond
@@ -156,9 +156,9 @@
 	if !d.waitReady() {
 		return
 	}
-	timer := time.NewTimer(minWait)
+	timer := time.NewTimer(minTickInterval)
 	defer timer.Stop()
-	due := d.cfg.Now() + minWait
+	due := d.cfg.Now() + minTickInterval
 	for {
 		select {
 		case <-d.ctx.Done():
@@ -173,7 +173,7 @@
 			now := d.cfg.Now()
 			d.measure(now)
 			next := d.cfg.Tick(now)
-			wait := min(max(next-d.cfg.Now(), minWait), maxWait)
+			wait := min(max(next-d.cfg.Now(), minTickInterval), maxWait)
 			due = d.cfg.Now() + wait
 			timer.Reset(wait)
 		}
