--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -22,7 +22,7 @@
 	DefaultRing = 1024
 	// minWait and maxWait bound the time from one tick to the next.
 	minTickInterval = time.Millisecond
-	maxWait         = time.Second
+	maxTickInterval = time.Second
 	// afterWork is the maximum time from a work item to the next tick, since the
 	// item may have made a tick due earlier.
 	afterWork = 5 * time.Millisecond
@@ -173,7 +173,7 @@
 			now := d.cfg.Now()
 			d.measure(now)
 			next := d.cfg.Tick(now)
-			wait := min(max(next-d.cfg.Now(), minTickInterval), maxWait)
+			wait := min(max(next-d.cfg.Now(), minTickInterval), maxTickInterval)
 			due = d.cfg.Now() + wait
 			timer.Reset(wait)
 		}
