--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -25,7 +25,7 @@
 	maxTickInterval = time.Second
 	// afterWork is the maximum time from a work item to the next tick, since the
 	// item may have made a tick due earlier.
-	afterWork = 5 * time.Millisecond
+	workTickDelay = 5 * time.Millisecond
 	// behindEvery is the minimum time between two measurements of the queueing
 	// delay: each costs the duty two wake-ups.
 	behindEvery = 500 * time.Millisecond
@@ -165,9 +165,9 @@
 			return
 		case work := <-d.in.Chan():
 			work(d.cfg.Now())
-			if soon := d.cfg.Now() + afterWork; soon < due {
+			if soon := d.cfg.Now() + workTickDelay; soon < due {
 				due = soon
-				timer.Reset(afterWork)
+				timer.Reset(workTickDelay)
 			}
 		case <-timer.C:
 			now := d.cfg.Now()
