--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -28,7 +28,7 @@
 	workTickDelay = 5 * time.Millisecond
 	// behindEvery is the minimum time between two measurements of the queueing
 	// delay: each costs the duty two wake-ups.
-	behindEvery = 500 * time.Millisecond
+	measureInterval = 500 * time.Millisecond
 )
 
 // Config of a Duty.
@@ -183,7 +183,7 @@
 // measure measures the queueing delay with a work item of its own, unless the
 // last measurement has not ended or is too recent.
 func (d *Duty) measure(now time.Duration) {
-	if d.measuring || now < d.measuredAt+behindEvery {
+	if d.measuring || now < d.measuredAt+measureInterval {
 		return
 	}
 	d.measuring = true
