--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -55,7 +55,7 @@
 // Duty is a running job.
 type Duty struct {
 	cfg  Config
-	in   *ring.Ring[func(now time.Duration)]
+	ring *ring.Ring[func(now time.Duration)]
 	ctx  context.Context
 	stop context.CancelFunc
 	done chan struct{}
@@ -74,7 +74,7 @@
 	}
 	d := &Duty{
 		cfg:  cfg,
-		in:   ring.New[func(time.Duration)](cfg.Name, cfg.Ring, ring.Block, cfg.Metrics),
+		ring: ring.New[func(time.Duration)](cfg.Name, cfg.Ring, ring.Block, cfg.Metrics),
 		done: make(chan struct{}),
 	}
 	if cfg.Metrics != nil {
@@ -111,7 +111,7 @@
 	if d.ctx.Err() != nil {
 		return false
 	}
-	return d.in.Put(ctx, work)
+	return d.ring.Put(ctx, work)
 }
 
 // Query runs read in the duty's goroutine and waits for its end. It returns
@@ -163,7 +163,7 @@
 		select {
 		case <-d.ctx.Done():
 			return
-		case work := <-d.in.Chan():
+		case work := <-d.ring.Chan():
 			work(d.cfg.Now())
 			if soon := d.cfg.Now() + workTickDelay; soon < due {
 				due = soon
