--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -64,7 +64,7 @@
 	// time at which the last one ended, and late the gauge of its result.
 	measuring  bool
 	measuredAt time.Duration
-	late       *metrics.Gauge
+	delayGauge *metrics.Gauge
 }
 
 // Start starts a duty.
@@ -78,7 +78,7 @@
 		done: make(chan struct{}),
 	}
 	if cfg.Metrics != nil {
-		d.late = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "How long work waited for the duty "+cfg.Name+", last measured.")
+		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "How long work waited for the duty "+cfg.Name+", last measured.")
 	}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	go d.run()
@@ -195,8 +195,8 @@
 }
 
 func (d *Duty) tellBehind(late time.Duration) {
-	if d.late != nil {
-		d.late.Set(float64(late) / float64(time.Millisecond))
+	if d.delayGauge != nil {
+		d.delayGauge.Set(float64(late) / float64(time.Millisecond))
 	}
 	if d.cfg.Behind != nil {
 		d.cfg.Behind(late)
