--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -171,7 +171,7 @@
 			}
 		case <-timer.C:
 			now := d.cfg.Now()
-			d.measure(now)
+			d.measureDelay(now)
 			next := d.cfg.Tick(now)
 			wait := min(max(next-d.cfg.Now(), minTickInterval), maxTickInterval)
 			due = d.cfg.Now() + wait
@@ -182,7 +182,7 @@
 
 // measure measures the queueing delay with a work item of its own, unless the
 // last measurement has not ended or is too recent.
-func (d *Duty) measure(now time.Duration) {
+func (d *Duty) measureDelay(now time.Duration) {
 	if d.measuring || now < d.measuredAt+measureInterval {
 		return
 	}
