--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -190,11 +190,11 @@
 	d.PostLater(func(then time.Duration) {
 		d.measuring = false
 		d.measuredAt = then
-		d.tellBehind(then - now)
+		d.reportDelay(then - now)
 	})
 }
 
-func (d *Duty) tellBehind(late time.Duration) {
+func (d *Duty) reportDelay(late time.Duration) {
 	if d.delayGauge != nil {
 		d.delayGauge.Set(float64(late) / float64(time.Millisecond))
 	}
