--- a/daemon/ring/ring.go
+++ b/daemon/ring/ring.go
@@ -58,7 +58,7 @@
 	}
 	switch r.policy {
 	case DropOldest:
-		return r.putOverOldest(item)
+		return r.putDroppingOldest(item)
 	case Block:
 		return r.putWaiting(ctx, item)
 	default:
@@ -69,7 +69,7 @@
 
 // putOverOldest drops items from the front until the new one fits. It loops,
 // since other writers may fill the free slot first.
-func (r *Ring[T]) putOverOldest(item T) bool {
+func (r *Ring[T]) putDroppingOldest(item T) bool {
 	for {
 		select {
 		case <-r.items:
