--- a/daemon/ring/ring.go
+++ b/daemon/ring/ring.go
@@ -60,7 +60,7 @@
 	case DropOldest:
 		return r.putDroppingOldest(item)
 	case Block:
-		return r.putWaiting(ctx, item)
+		return r.putBlocking(ctx, item)
 	default:
 		r.dropped.Add(1)
 		return false
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *Ring[T]) putWaiting(ctx context.Context, item T) bool {
+func (r *Ring[T]) putBlocking(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
 		return true
