--- a/daemon/ring/ring.go
+++ b/daemon/ring/ring.go
@@ -36,12 +36,12 @@
 func New[T any](name string, capacity int, policy Policy, registry *metrics.Registry) *Ring[T] {
 	r := &Ring[T]{items: make(chan T, max(capacity, 1)), policy: policy}
 	if registry != nil {
-		r.declare(name, registry)
+		r.declareMetrics(name, registry)
 	}
 	return r
 }
 
-func (r *Ring[T]) declare(name string, registry *metrics.Registry) {
+func (r *Ring[T]) declareMetrics(name string, registry *metrics.Registry) {
 	depth := func() float64 { return float64(r.Len()) }
 	registry.GaugeFunc("ring_"+name+"_depth", metrics.UnitCount, "Items that wait in the ring "+name+".", depth)
 	drops := func() float64 { return float64(r.Dropped()) }
