--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -20,13 +20,13 @@
 const (
 	// DefaultRing is the default capacity of the ring, in work items.
 	DefaultRing = 1024
-	// minWait and maxWait bound the time from one tick to the next.
+	// minTickInterval and maxTickInterval bound the time from one tick to the next.
 	minTickInterval = time.Millisecond
 	maxTickInterval = time.Second
-	// afterWork is the maximum time from a work item to the next tick, since the
+	// workTickDelay is the maximum time from a work item to the next tick, since the
 	// item may have made a tick due earlier.
 	workTickDelay = 5 * time.Millisecond
-	// behindEvery is the minimum time between two measurements of the queueing
+	// measureInterval is the minimum time between two measurements of the queueing
 	// delay: each costs the duty two wake-ups.
 	measureInterval = 500 * time.Millisecond
 )
@@ -61,7 +61,8 @@
 	done chan struct{}
 
 	// measuring is set while a measurement waits in the ring, measuredAt is the
-	// time at which the last one ended, and late the gauge of its result.
+	// time at which the last one ended, and delayGauge the gauge of
+	// its result.
 	measuring  bool
 	measuredAt time.Duration
 	delayGauge *metrics.Gauge
@@ -180,7 +181,7 @@
 	}
 }
 
-// measure measures the queueing delay with a work item of its own, unless the
+// measureDelay measures the queueing delay with a work item of its own, unless the
 // last measurement has not ended or is too recent.
 func (d *Duty) measureDelay(now time.Duration) {
 	if d.measuring || now < d.measuredAt+measureInterval {
--- a/daemon/logline/decision.go
+++ b/daemon/logline/decision.go
@@ -44,7 +44,7 @@
 	return d.journal.Find(subject, id)
 }
 
-// text encodes the pairs in the format of a log line.
+// encodePairs encodes the pairs in the format of a log line.
 func encodePairs(kv []any) string {
 	encoded, err := logfmt.MarshalKeyvals(kv...)
 	if err != nil {
--- a/daemon/logline/journal.go
+++ b/daemon/logline/journal.go
@@ -88,7 +88,7 @@
 	j.evict(j.capacity)
 }
 
-// makeRoom evicts the least recently written ids until the journal holds at
+// evict removes the least recently written ids until the journal holds at
 // most limit decisions.
 func (j *Journal) evict(limit int) {
 	for j.decisions > limit {
--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -113,9 +113,10 @@
 // Event writes one line at level info: the event's name, then the pairs.
 func (l *Logger) Event(name string, kv ...any) { emit(level.Info(l.encoder), name, kv) }
 
-// routineShare divides the ring's capacity: a routine line is dropped while more
-// than capacity/routineShare lines wait. When the output is too slow, routine
-// lines are thus dropped first, and lines that explain failures still fit.
+// routineDivisor divides the ring's capacity: a routine line is dropped while
+// more than capacity/routineDivisor lines wait. When the output is too slow,
+// routine lines are thus dropped first, and lines that explain failures still
+// fit.
 const routineDivisor = 2
 
 // Routine is Event for lines about normal operation, which are dropped first
--- a/daemon/logline/logline_test.go
+++ b/daemon/logline/logline_test.go
@@ -43,7 +43,7 @@
 	is.True(strings.Contains(lines[1], "level=error"))
 }
 
-// stuck is an output whose writes block until release is closed.
+// blockedOutput is an output whose writes block until release is closed.
 type blockedOutput struct {
 	entered, release chan struct{}
 	once             sync.Once
--- a/daemon/ring/ring.go
+++ b/daemon/ring/ring.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// putOverOldest drops items from the front until the new one fits. It loops,
+// putDroppingOldest drops items from the front until the new one fits. It loops,
 // since other writers may fill the free slot first.
 func (r *Ring[T]) putDroppingOldest(item T) bool {
 	for {
--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -56,7 +56,7 @@
 	c.faults = append(c.faults, fieldFault{field, fmt.Sprintf(format, args...)})
 }
 
-// tags applies the validate tags and records the violations.
+// validateTags applies the validate tags and records the violations.
 func (c *checker) validateTags(s any) {
 	err := validate().Struct(s)
 	var violations validator.ValidationErrors
--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -32,7 +32,7 @@
 	return s
 }
 
-// grammarFault records a syntax error. The parser reports the position only in
+// addSyntaxFault records a syntax error. The parser reports the position only in
 // the text of its error; if the text holds none, the fault is reported at the
 // start of the file.
 func (s *source) addSyntaxFault(err error) {
@@ -44,12 +44,13 @@
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Message: message})
 }
 
-// at records a fault at the position of a field, or of its closest enclosing
+// addFault records a fault at the position of a field, or of its closest enclosing
 // field if the file does not contain the field.
 func (s *source) addFault(field, message string) {
 	s.addFaultAt(s.offset(field), field, message)
 }
 
+// addFaultAt records a fault at a byte offset.
 func (s *source) addFaultAt(offset int, field, message string) {
 	line, column := position(s.data, offset)
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Field: field, Message: message})
@@ -89,7 +90,7 @@
 	return line, column
 }
 
-// standard returns the content as standard JSON.
+// standardJSON returns the content as standard JSON.
 func (s *source) standardJSON() []byte {
 	v := s.root.Clone()
 	v.Standardize()
--- a/daemon/settings/place.go
+++ b/daemon/settings/syntaxerror.go
@@ -5,17 +5,18 @@
 	"strconv"
 )
 
-// placePattern matches the text of hujson's syntax errors, the only place where
+// syntaxErrorPattern matches the text of hujson's syntax errors, the only place where
 // hujson reports their line and column.
 var syntaxErrorPattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
+// syntaxError is a syntax error reported by hujson.
 type syntaxError struct {
 	line, column int
 	message      string
 }
 
-// placeIn parses the text of a syntax error of hujson. It returns false for any
-// other text.
+// parseSyntaxError parses the text of a syntax error of hujson. It returns false
+// for any other text.
 func parseSyntaxError(text string) (syntaxError, bool) {
 	m := syntaxErrorPattern.FindStringSubmatch(text)
 	if m == nil {
