--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -54,11 +54,11 @@
 
 // Duty is a running job.
 type Duty struct {
-	cfg  Config
-	ring *ring.Ring[func(now time.Duration)]
-	ctx  context.Context
-	stop context.CancelFunc
-	done chan struct{}
+	cfg   Config
+	queue *ring.Ring[func(now time.Duration)]
+	ctx   context.Context
+	stop  context.CancelFunc
+	done  chan struct{}
 
 	// measuring is set while a measurement waits in the ring, measuredAt is the
 	// time at which the last one ended, and delayGauge the gauge of
@@ -74,9 +74,9 @@
 		cfg.Ring = DefaultRing
 	}
 	d := &Duty{
-		cfg:  cfg,
-		ring: ring.New[func(time.Duration)](cfg.Name, cfg.Ring, ring.Block, cfg.Metrics),
-		done: make(chan struct{}),
+		cfg:   cfg,
+		queue: ring.New[func(time.Duration)](cfg.Name, cfg.Ring, ring.Block, cfg.Metrics),
+		done:  make(chan struct{}),
 	}
 	if cfg.Metrics != nil {
 		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "How long work waited for the duty "+cfg.Name+", last measured.")
@@ -112,7 +112,7 @@
 	if d.ctx.Err() != nil {
 		return false
 	}
-	return d.ring.Put(ctx, work)
+	return d.queue.Put(ctx, work)
 }
 
 // Query runs read in the duty's goroutine and waits for its end. It returns
@@ -164,7 +164,7 @@
 		select {
 		case <-d.ctx.Done():
 			return
-		case work := <-d.ring.Chan():
+		case work := <-d.queue.Chan():
 			work(d.cfg.Now())
 			if soon := d.cfg.Now() + workTickDelay; soon < due {
 				due = soon
