--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -61,8 +61,7 @@
 	done  chan struct{}
 
 	// measuring is set while a measurement waits in the ring, measuredAt is the
-	// time at which the last one ended, and delayGauge the gauge of
-	// its result.
+	// time at which the last one ended, and delayGauge is the gauge of its result.
 	measuring  bool
 	measuredAt time.Duration
 	delayGauge *metrics.Gauge
@@ -181,8 +180,8 @@
 	}
 }
 
-// measureDelay measures the queueing delay with a work item of its own, unless the
-// last measurement has not ended or is too recent.
+// measureDelay measures the queueing delay with a work item of its own, unless
+// the last measurement has not ended or is too recent.
 func (d *Duty) measureDelay(now time.Duration) {
 	if d.measuring || now < d.measuredAt+measureInterval {
 		return
--- a/daemon/settings/source.go
+++ b/daemon/settings/source.go
@@ -44,8 +44,8 @@
 	s.faults = append(s.faults, Fault{File: s.name, Line: line, Column: column, Message: message})
 }
 
-// addFault records a fault at the position of a field, or of its closest enclosing
-// field if the file does not contain the field.
+// addFault records a fault at the position of a field, or of its closest
+// enclosing field if the file does not contain the field.
 func (s *source) addFault(field, message string) {
 	s.addFaultAt(s.offset(field), field, message)
 }
--- a/daemon/settings/syntaxerror.go
+++ b/daemon/settings/syntaxerror.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// syntaxErrorPattern matches the text of hujson's syntax errors, the only place where
-// hujson reports their line and column.
+// syntaxErrorPattern matches the text of hujson's syntax errors, the only place
+// where hujson reports their line and column.
 var syntaxErrorPattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
 // syntaxError is a syntax error reported by hujson.
