--- a/daemon/logline/journal.go
+++ b/daemon/logline/journal.go
@@ -8,10 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Subject is the kind of thing that a decision is about.
+// Subject is the kind of object that a decision is about.
 type Subject string
 
-// The subjects that explain knows.
+// The subjects that the explain command supports.
 const (
 	SubjectRequest   Subject = "request"
 	SubjectEndpoint  Subject = "endpoint"
@@ -19,11 +19,13 @@
 	SubjectChange    Subject = "change"
 )
 
-// Bounds of what the journal keeps of one subject.
+// Bounds of what the journal keeps about one id.
 const (
-	// MaxDecisionsPerID is how many decisions about one id are kept; the oldest go first.
+	// MaxDecisionsPerID is the maximum number of decisions kept about one id;
+	// the oldest are dropped first.
 	MaxDecisionsPerID = 64
-	// MaxDecisionText is how many bytes of a decision's text are kept.
+	// MaxDecisionText is the maximum length of a decision's text, in bytes;
+	// longer texts are truncated.
 	MaxDecisionText = 1024
 )
 
@@ -33,7 +35,7 @@
 	Subject Subject
 	ID      string
 	Event   string
-	// Text holds the pairs of the line, as key=value.
+	// Text holds the key=value pairs of the line.
 	Text string
 }
 
@@ -42,24 +44,25 @@
 	id      string
 }
 
-// Journal keeps the latest decisions in memory, by subject and id. It is
-// bounded by the number of decisions; the ids that were written to longest ago
-// go first.
+// Journal keeps the latest decisions in memory, by subject and id. The number of
+// decisions is bounded; the least recently written ids are evicted first. It is
+// safe for concurrent use.
 type Journal struct {
-	mu       sync.Mutex
-	capacity int
-	held     int
-	entries  *simplelru.LRU[journalKey, []Decision]
+	mu        sync.Mutex
+	capacity  int
+	decisions int
+	entries   *simplelru.LRU[journalKey, []Decision]
 }
 
-// NewJournal returns a journal for at most capacity decisions.
+// NewJournal returns a journal for at most capacity decisions; capacity must be
+// at least MaxDecisionsPerID.
 func NewJournal(capacity int) (*Journal, error) {
 	if capacity < MaxDecisionsPerID {
-		return nil, eris.Errorf("logline: a journal of %d decisions; the least is %d", capacity, MaxDecisionsPerID)
+		return nil, eris.Errorf("logline: the capacity of the journal is %d decisions, must be at least %d", capacity, MaxDecisionsPerID)
 	}
 	entries, err := simplelru.NewLRU[journalKey, []Decision](capacity, nil)
 	if err != nil {
-		return nil, eris.Wrapf(err, "logline: journal of %d decisions", capacity)
+		return nil, eris.Wrapf(err, "logline: create a journal of %d decisions", capacity)
 	}
 	return &Journal{capacity: capacity, entries: entries}, nil
 }
@@ -75,25 +78,25 @@
 	list, _ := j.entries.Peek(key)
 	if len(list) >= MaxDecisionsPerID {
 		list = append([]Decision(nil), list[1:]...)
-		j.held--
+		j.decisions--
 	}
 	if !j.entries.Contains(key) {
-		j.makeRoom(j.capacity - 1)
+		j.evict(j.capacity - 1)
 	}
 	j.entries.Add(key, append(list, d))
-	j.held++
-	j.makeRoom(j.capacity)
+	j.decisions++
+	j.evict(j.capacity)
 }
 
-// makeRoom evicts the ids written to longest ago until at most keep decisions
-// are held.
-func (j *Journal) makeRoom(keep int) {
-	for j.held > keep {
+// evict removes the least recently written ids until the journal holds at
+// most limit decisions.
+func (j *Journal) evict(limit int) {
+	for j.decisions > limit {
 		_, list, ok := j.entries.RemoveOldest()
 		if !ok {
 			return
 		}
-		j.held -= len(list)
+		j.decisions -= len(list)
 	}
 }
 
@@ -105,9 +108,9 @@
 	return append([]Decision(nil), list...)
 }
 
-// Len is how many decisions are held.
+// Len returns the number of decisions in the journal.
 func (j *Journal) Len() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.held
+	return j.decisions
 }
