--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -32,7 +32,7 @@
 
 // engine is a minimal engine: what it holds are entries of maps.
 type engine struct {
-	w            *world
+	w            *simulation
 	name         id.Endpoint
 	role         live.Role
 	slots        int
@@ -57,7 +57,7 @@
 	done   func(outcome)
 }
 
-func (w *world) addEngine(e *live.Endpoint) {
+func (w *simulation) addEngine(e *live.Endpoint) {
 	w.names = append(w.names, e.Name)
 	w.engines[e.Name] = &engine{
 		w: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -18,7 +18,7 @@
 // host is one process of a daemon; it does what daemon/broker and
 // daemon/cancels do.
 type host struct {
-	w         *world
+	w         *simulation
 	self      id.Process
 	dead      bool
 	asker     *pairing.Asker
@@ -33,7 +33,7 @@
 	onDone map[reap.Key][]func()
 }
 
-func newHost(w *world, self id.Process) *host {
+func newHost(w *simulation, self id.Process) *host {
 	return &host{
 		w:         w,
 		self:      self,
@@ -272,7 +272,7 @@
 }
 
 // poolNames lists the prefill (0) or decode (1) endpoints of a pool.
-func (w *world) poolNames(p id.Pool, role int) []id.Endpoint {
+func (w *simulation) poolNames(p id.Pool, role int) []id.Endpoint {
 	var out []id.Endpoint
 	for i, e := range w.doc.Endpoints {
 		if e.Labels["pool"] == string(p) && i%2 == role {
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -22,7 +22,7 @@
 
 // caller is one party that wants a whole answer, each token once.
 type caller struct {
-	w         *world
+	w         *simulation
 	n         int
 	pool      id.Pool
 	tokens    int
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -76,7 +76,7 @@
 }
 
 // arrivals brings callers at a rate that at times is too high.
-func (w *world) arrivals() {
+func (w *simulation) arrivals() {
 	if w.quiet {
 		return
 	}
@@ -88,7 +88,7 @@
 	w.after(time.Duration(w.rng.ExpFloat64()*float64(pace)), w.arrivals)
 }
 
-func (w *world) arrive() {
+func (w *simulation) arrive() {
 	c := &caller{w: w, n: len(w.callers), pool: pools[w.rng.IntN(len(pools))], tokens: 1 + w.rng.IntN(15)}
 	w.callers = append(w.callers, c)
 	alive := w.alive()
@@ -103,7 +103,7 @@
 }
 
 // mishaps kills daemons, crashes engines, has them leave and moves views.
-func (w *world) mishaps() {
+func (w *simulation) mishaps() {
 	if w.quiet {
 		return
 	}
@@ -126,7 +126,7 @@
 
 // settle ends arrivals and faults, lets all graces pass and checks that
 // nothing is left.
-func (w *world) settle() {
+func (w *simulation) settle() {
 	w.quiet = true
 	w.runFor(10 * time.Second)
 	w.viewChanged()
@@ -154,7 +154,7 @@
 }
 
 // checkHost checks that a daemon holds nothing.
-func (w *world) checkHost(h *host) {
+func (w *simulation) checkHost(h *host) {
 	held := []int{h.asker.Len(), h.canceller.Working(), len(h.active), len(h.jobs), len(h.onDone)}
 	for i, n := range held {
 		if n != 0 {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (w *world) checkManager(self id.Process, p id.Pool, s pool.Status) {
+func (w *simulation) checkManager(self id.Process, p id.Pool, s pool.Status) {
 	if s.Queued+s.Running+s.Held+s.Foreign+s.Tracked+s.Working != 0 {
 		w.fail("%s of %s: %+v", p, self, s)
 	}
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -26,7 +26,7 @@
 var pools = []id.Pool{"notes", "packets"}
 
 // world drives the decision code of several daemons by planned events.
-type world struct {
+type simulation struct {
 	t       *testing.T
 	seed    uint64
 	rng     *rand.Rand
@@ -89,8 +89,8 @@
 	return e
 }
 
-func newWorld(t *testing.T, seed uint64, faulty bool, policy func(o sched.Options) sched.Scheduler) *world {
-	w := &world{
+func newWorld(t *testing.T, seed uint64, faulty bool, policy func(o sched.Options) sched.Scheduler) *simulation {
+	w := &simulation{
 		t:       t,
 		seed:    seed,
 		rng:     rand.New(rand.NewPCG(seed, 11)),
@@ -117,7 +117,7 @@
 }
 
 // document is, for each pool, four prefill and four decode engines.
-func (w *world) document() *live.Document {
+func (w *simulation) document() *live.Document {
 	doc := &live.Document{Revision: 1}
 	for i := range 3 {
 		doc.Teams = append(doc.Teams, live.Team{Name: id.Team(fmt.Sprint("t", i)), Weight: float64(i + 1)})
@@ -147,27 +147,27 @@
 }
 
 // fail ends the run and names what is needed to repeat it.
-func (w *world) fail(format string, args ...any) {
+func (w *simulation) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("seed %d, event %d, %v: %s", w.seed, w.events, w.now, fmt.Sprintf(format, args...))
 }
 
 // after plans an event.
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.due, dueEvent{at: w.now + max(0, d), serial: w.serial, do: do})
 }
 
 // chance is true with a probability, and never without faults.
-func (w *world) chance(p float64) bool { return w.faulty && !w.quiet && w.rng.Float64() < p }
+func (w *simulation) chance(p float64) bool { return w.faulty && !w.quiet && w.rng.Float64() < p }
 
 // between draws a duration.
-func (w *world) between(a, b time.Duration) time.Duration {
+func (w *simulation) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.rng.Int64N(int64(b-a)))
 }
 
 // latency is that of a message; some are late.
-func (w *world) latency() time.Duration {
+func (w *simulation) latency() time.Duration {
 	if w.chance(0.02) {
 		return w.between(50*ms, 1500*ms)
 	}
@@ -176,7 +176,7 @@
 
 // post sends a message between daemons: late, at times lost or doubled, and in
 // order for each pair.
-func (w *world) post(from, to id.Daemon, take func(h *host)) {
+func (w *simulation) post(from, to id.Daemon, take func(h *host)) {
 	if w.chance(0.003) {
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // host returns the running process of a daemon; nil while there is none.
-func (w *world) host(d id.Daemon) *host {
+func (w *simulation) host(d id.Daemon) *host {
 	for _, h := range w.hosts {
 		if h.self.Daemon == d && !h.dead {
 			return h
@@ -205,20 +205,20 @@
 }
 
 // alive lists the running processes.
-func (w *world) alive() []*host {
+func (w *simulation) alive() []*host {
 	return slices.DeleteFunc(slices.Clone(w.hosts), func(h *host) bool { return h.dead })
 }
 
 // viewChanged lets each daemon learn the members, each at another time. What it
 // learns is the truth of that time, but for a member that it misses for a while.
-func (w *world) viewChanged() {
+func (w *simulation) viewChanged() {
 	for _, h := range w.hosts {
 		w.after(w.between(100*ms, 2*time.Second), func() { h.learn(w.members(h)) })
 		w.after(w.between(2*time.Second, 4*time.Second), func() { h.learn(w.memberNames()) })
 	}
 }
 
-func (w *world) memberNames() []id.Process {
+func (w *simulation) memberNames() []id.Process {
 	var out []id.Process
 	for _, h := range w.alive() {
 		out = append(out, h.self)
@@ -227,7 +227,7 @@
 }
 
 // members is the view of a daemon, at times without one of the others.
-func (w *world) members(h *host) []id.Process {
+func (w *simulation) members(h *host) []id.Process {
 	all := w.memberNames()
 	i := w.rng.IntN(len(all))
 	if all[i] != h.self && w.chance(0.5) {
@@ -237,7 +237,7 @@
 }
 
 // kill ends a process; another one of the same daemon follows.
-func (w *world) kill(h *host) {
+func (w *simulation) kill(h *host) {
 	w.stats.deaths++
 	h.dead = true
 	gone := h.self
@@ -261,20 +261,20 @@
 }
 
 // run lets events happen until that many have.
-func (w *world) run(events int) {
+func (w *simulation) run(events int) {
 	for w.events < events {
 		w.step()
 	}
 }
 
 // runFor lets events happen for a time.
-func (w *world) runFor(d time.Duration) {
+func (w *simulation) runFor(d time.Duration) {
 	for end := w.now + d; len(w.due) > 0 && w.due[0].at <= end; {
 		w.step()
 	}
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	e := heap.Pop(&w.due).(dueEvent)
 	w.now = e.at
 	w.events++
