--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -36,7 +36,7 @@
 func TestRandomRun(t *testing.T) {
 	events := number(t, eventsVariable, 30_000)
 	for seed := range uint64(number(t, seedsVariable, 3)) {
-		w := newWorld(t, seed+1, true, sched.NewLedger)
+		w := newSimulation(t, seed+1, true, sched.NewLedger)
 		w.arrivals()
 		w.mishaps()
 		w.run(events)
@@ -55,7 +55,7 @@
 	for seed := range uint64(2) {
 		answered := map[string][]bool{}
 		for name, policy := range map[string]func(sched.Options) sched.Scheduler{"ledger": sched.NewLedger, "naive": naive.New} {
-			w := newWorld(t, seed+1, false, policy)
+			w := newSimulation(t, seed+1, false, policy)
 			w.runFor(5 * time.Second)
 			for range 100 {
 				w.arrive()
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -89,7 +89,7 @@
 	return e
 }
 
-func newWorld(t *testing.T, seed uint64, faulty bool, policy func(o sched.Options) sched.Scheduler) *simulation {
+func newSimulation(t *testing.T, seed uint64, faulty bool, policy func(o sched.Options) sched.Scheduler) *simulation {
 	w := &simulation{
 		t:       t,
 		seed:    seed,
