--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -32,7 +32,7 @@
 
 // engine is a minimal engine: what it holds are entries of maps.
 type engine struct {
-	w            *simulation
+	sim          *simulation
 	name         id.Endpoint
 	role         live.Role
 	slots        int
@@ -60,7 +60,7 @@
 func (w *simulation) addEngine(e *live.Endpoint) {
 	w.names = append(w.names, e.Name)
 	w.engines[e.Name] = &engine{
-		w: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
+		sim: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
 		work: map[id.Request]*work{}, tombs: map[id.Request]bool{},
 	}
 }
@@ -96,7 +96,7 @@
 		return
 	}
 	e.checkNotEnded(j)
-	k := &work{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.w.now, done: done}
+	k := &work{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
 	e.work[j.id] = k
 	e.queue = append(e.queue, k)
 	e.next()
@@ -104,8 +104,8 @@
 
 // checkNotEnded: an order that is taken must not be one whose end was certain.
 func (e *engine) checkNotEnded(j *job) {
-	if e.w.ended[reap.Key{Endpoint: e.name, Request: j.id}] {
-		e.w.fail("%s takes %s, which a canceller believes ended", e.name, j.id)
+	if e.sim.ended[reap.Key{Endpoint: e.name, Request: j.id}] {
+		e.sim.fail("%s takes %s, which a canceller believes ended", e.name, j.id)
 	}
 }
 
@@ -118,9 +118,9 @@
 			continue
 		}
 		e.busy = true
-		e.w.started[k.job.id] = true
+		e.sim.started[k.job.id] = true
 		incarnation := e.incarnation
-		e.w.after(e.w.between(10*ms, 40*ms), func() {
+		e.sim.after(e.sim.between(10*ms, 40*ms), func() {
 			if e.incarnation != incarnation {
 				return
 			}
@@ -136,9 +136,9 @@
 		return
 	}
 	k.stage = reap.StageKV
-	k.since = e.w.now
+	k.since = e.sim.now
 	k.done(accepted)
-	e.w.after(kvLife, func() {
+	e.sim.after(kvLife, func() {
 		if e.work[k.job.id] == k {
 			delete(e.work, k.job.id)
 		}
@@ -158,9 +158,9 @@
 	}
 	e.checkNotEnded(j)
 	delete(from.work, j.id)
-	k := &work{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.w.now, begin: j.c.delivered, done: done}
+	k := &work{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, begin: j.c.delivered, done: done}
 	e.work[j.id] = k
-	e.w.after(e.w.between(5*ms, 30*ms), func() { e.write(k) })
+	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
 }
 
 // write writes the next token, unless the work was dropped.
@@ -173,12 +173,12 @@
 	k.events = append(k.events, ev)
 	e.send(k, ev)
 	if !ev.Terminal() {
-		e.w.after(e.w.between(5*ms, 20*ms), func() { e.write(k) })
+		e.sim.after(e.sim.between(5*ms, 20*ms), func() { e.write(k) })
 		return
 	}
 	k.stage = reap.StageFinished
-	k.since = e.w.now
-	e.w.after(keepFinished, func() {
+	k.since = e.sim.now
+	e.sim.after(keepFinished, func() {
 		if e.work[k.job.id] == k {
 			delete(e.work, k.job.id)
 		}
@@ -187,13 +187,13 @@
 
 // send sends an event to who is connected: reordered, at times lost or doubled.
 func (e *engine) send(k *work, ev stream.Event) {
-	if e.w.chance(0.001) {
+	if e.sim.chance(0.001) {
 		return
 	}
 	j := k.job
-	e.w.after(e.w.between(ms, 30*ms), func() { j.receive(ev) })
-	if e.w.chance(0.01) {
-		e.w.after(e.w.between(ms, 60*ms), func() { j.receive(ev) })
+	e.sim.after(e.sim.between(ms, 30*ms), func() { j.receive(ev) })
+	if e.sim.chance(0.01) {
+		e.sim.after(e.sim.between(ms, 60*ms), func() { j.receive(ev) })
 	}
 }
 
@@ -215,9 +215,9 @@
 func (e *engine) cancel(r id.Request, owner *id.Process) reap.CancelState {
 	k := e.work[r]
 	if k == nil {
-		if !e.w.chance(0.3) {
+		if !e.sim.chance(0.3) {
 			e.tombs[r] = true
-			e.w.after(time.Minute, func() { delete(e.tombs, r) })
+			e.sim.after(time.Minute, func() { delete(e.tombs, r) })
 		}
 		return reap.Unknown
 	}
@@ -233,7 +233,7 @@
 
 // crash loses all that the engine holds.
 func (e *engine) crash() {
-	e.w.stats.crashes++
+	e.sim.stats.crashes++
 	lost := e.sorted()
 	e.incarnation++
 	e.busy = false
@@ -242,7 +242,7 @@
 	e.tombs = map[id.Request]bool{}
 	for _, k := range lost {
 		if k.stage != reap.StageKV {
-			e.w.after(e.w.between(ms, 20*ms), func() { k.done(broken) })
+			e.sim.after(e.sim.between(ms, 20*ms), func() { k.done(broken) })
 		}
 	}
 }
@@ -253,8 +253,8 @@
 		return
 	}
 	e.leaving = true
-	e.leavingSince = e.w.now
-	e.w.after(e.w.between(3*time.Second, 10*time.Second), func() { e.leaving = false })
+	e.leavingSince = e.sim.now
+	e.sim.after(e.sim.between(3*time.Second, 10*time.Second), func() { e.leaving = false })
 }
 
 func (e *engine) sorted() []*work {
@@ -280,7 +280,7 @@
 func (e *engine) list() reap.List {
 	l := reap.List{Endpoint: e.name, Incarnation: e.incarnation}
 	for _, k := range e.sorted() {
-		l.Requests = append(l.Requests, reap.Running{Request: k.job.id, Owner: k.owner, Stage: k.stage, Age: e.w.now - k.since})
+		l.Requests = append(l.Requests, reap.Running{Request: k.job.id, Owner: k.owner, Stage: k.stage, Age: e.sim.now - k.since})
 	}
 	return l
 }
