--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -18,7 +18,7 @@
 // host is one process of a daemon; it does what daemon/broker and
 // daemon/cancels do.
 type host struct {
-	w         *simulation
+	sim       *simulation
 	self      id.Process
 	dead      bool
 	asker     *pairing.Asker
@@ -35,7 +35,7 @@
 
 func newHost(w *simulation, self id.Process) *host {
 	return &host{
-		w:         w,
+		sim:       w,
 		self:      self,
 		asker:     pairing.New(self, pairing.Options{}),
 		managers:  map[id.Pool]*pool.Manager{},
@@ -51,9 +51,9 @@
 
 // start plans what the process does again and again.
 func (h *host) start() {
-	h.w.after(0, h.tick)
-	h.w.after(0, h.report)
-	h.w.after(h.w.between(0, time.Second), h.lists)
+	h.sim.after(0, h.tick)
+	h.sim.after(0, h.report)
+	h.sim.after(h.sim.between(0, time.Second), h.lists)
 }
 
 // tick does what is due in all parts.
@@ -61,22 +61,22 @@
 	if h.dead {
 		return
 	}
-	next := h.w.now + h.pace(20*ms)
-	h.output(h.asker.Tick(h.w.now))
+	next := h.sim.now + h.pace(20*ms)
+	h.output(h.asker.Tick(h.sim.now))
 	for _, p := range pools {
 		m := h.managers[p]
 		if m == nil {
 			continue
 		}
-		if m.Next() <= h.w.now {
-			h.actions(p, m.Tick(h.w.now))
+		if m.Next() <= h.sim.now {
+			h.actions(p, m.Tick(h.sim.now))
 		}
 		next = min(next, m.Next())
 	}
-	if h.canceller.Next() <= h.w.now {
-		h.orders(h.canceller.Tick(h.w.now))
+	if h.canceller.Next() <= h.sim.now {
+		h.orders(h.canceller.Tick(h.sim.now))
 	}
-	h.w.after(max(ms, next-h.w.now), h.tick)
+	h.sim.after(max(ms, next-h.sim.now), h.tick)
 }
 
 // schedules says whether this daemon decides for a pool: as its owner, or since
@@ -90,20 +90,20 @@
 	if h.dead {
 		return
 	}
-	for _, e := range h.w.doc.Endpoints {
+	for _, e := range h.sim.doc.Endpoints {
 		p := id.Pool(e.Labels["pool"])
 		if !h.schedules(p) {
 			continue
 		}
-		l := h.w.engines[e.Name].load()
-		h.w.after(h.w.between(ms, 100*ms), func() {
+		l := h.sim.engines[e.Name].load()
+		h.sim.after(h.sim.between(ms, 100*ms), func() {
 			if !h.dead && h.schedules(p) {
-				h.actions(p, h.manager(p).Load(h.w.now, l))
-				h.orders(h.canceller.Incarnation(h.w.now, l.Endpoint, l.Incarnation))
+				h.actions(p, h.manager(p).Load(h.sim.now, l))
+				h.orders(h.canceller.Incarnation(h.sim.now, l.Endpoint, l.Incarnation))
 			}
 		})
 	}
-	h.w.after(h.pace(100*ms), h.report)
+	h.sim.after(h.pace(100*ms), h.report)
 }
 
 // lists audits the ledgers, reads what the endpoints hold and reaps the orphans.
@@ -116,24 +116,24 @@
 			ledger.Audit()
 		}
 	}
-	for _, name := range h.w.names {
-		l := h.w.engines[name].list()
-		h.w.after(h.w.between(ms, 300*ms), func() {
+	for _, name := range h.sim.names {
+		l := h.sim.engines[name].list()
+		h.sim.after(h.sim.between(ms, 300*ms), func() {
 			if h.dead {
 				return
 			}
-			h.orders(h.canceller.Incarnation(h.w.now, name, l.Incarnation))
-			for _, o := range h.reaper.List(h.w.now, l, func(r id.Request) bool { return h.active[r] }) {
-				h.orders(h.canceller.Add(h.w.now, o))
+			h.orders(h.canceller.Incarnation(h.sim.now, name, l.Incarnation))
+			for _, o := range h.reaper.List(h.sim.now, l, func(r id.Request) bool { return h.active[r] }) {
+				h.orders(h.canceller.Add(h.sim.now, o))
 			}
 		})
 	}
-	h.w.after(h.pace(time.Second), h.lists)
+	h.sim.after(h.pace(time.Second), h.lists)
 }
 
 // pace slows down what is done again and again once all is quiet.
 func (h *host) pace(d time.Duration) time.Duration {
-	if h.w.slow {
+	if h.sim.slow {
 		return 5 * time.Second
 	}
 	return d
@@ -146,12 +146,12 @@
 	}
 	names := []id.Daemon{h.self.Daemon}
 	for _, p := range view {
-		h.reaper.ProcessAlive(h.w.now, p)
+		h.reaper.ProcessAlive(h.sim.now, p)
 		if p.Daemon != h.self.Daemon {
 			names = append(names, p.Daemon)
 		}
 	}
-	h.output(h.asker.Members(h.w.now, names))
+	h.output(h.asker.Members(h.sim.now, names))
 	for _, p := range pools {
 		if h.asker.Owner(p) != h.self.Daemon {
 			delete(h.managers, p)
@@ -163,10 +163,10 @@
 	if h.dead {
 		return
 	}
-	h.reaper.ProcessGone(h.w.now, p)
+	h.reaper.ProcessGone(h.sim.now, p)
 	for _, name := range pools {
 		if m := h.managers[name]; m != nil {
-			h.actions(name, m.ProcessGone(h.w.now, p))
+			h.actions(name, m.ProcessGone(h.sim.now, p))
 		}
 	}
 }
@@ -180,15 +180,15 @@
 		Poison: h.poison,
 		Epoch:  epoch,
 		NewScheduler: func(view sched.HealthView) sched.Scheduler {
-			h.ledgers[p] = h.w.policy(sched.Options{
-				Pool: p, Self: h.self, Seed: h.w.seed, Health: view,
-				Violation: func(name, detail string) { h.w.fail("%s of %s: %s: %s", p, h.self, name, detail) },
+			h.ledgers[p] = h.sim.policy(sched.Options{
+				Pool: p, Self: h.self, Seed: h.sim.seed, Health: view,
+				Violation: func(name, detail string) { h.sim.fail("%s of %s: %s: %s", p, h.self, name, detail) },
 			})
 			return h.ledgers[p]
 		},
 	})
 	h.managers[p] = m
-	h.actions(p, m.Configure(h.w.now, h.w.doc))
+	h.actions(p, m.Configure(h.sim.now, h.sim.doc))
 	return m
 }
 
@@ -210,17 +210,17 @@
 // send hands a message to a pool's owner, at once if that is this daemon.
 func (h *host) send(m pairing.Message) {
 	if m.Progress != nil && m.Progress.Progress.Phase == sched.PhaseCancelled {
-		h.w.stats.givenBack++
+		h.sim.stats.givenBack++
 	}
 	if m.To == h.self.Daemon {
 		h.handle(m)
 		return
 	}
-	h.w.post(h.self.Daemon, m.To, func(to *host) { to.handle(m) })
+	h.sim.post(h.self.Daemon, m.To, func(to *host) { to.handle(m) })
 }
 
 func (h *host) handle(m pairing.Message) {
-	now := h.w.now
+	now := h.sim.now
 	switch {
 	case m.Want != nil:
 		h.actions(m.Want.Pool, h.manager(m.Want.Pool).Want(now, *m.Want))
@@ -251,7 +251,7 @@
 			take(h)
 			continue
 		}
-		h.w.post(h.self.Daemon, a.To.Daemon, take)
+		h.sim.post(h.self.Daemon, a.To.Daemon, take)
 	}
 }
 
@@ -261,12 +261,12 @@
 		return
 	}
 	for i, name := range []id.Endpoint{g.Prefill, g.Decode} {
-		e := h.w.engines[name]
-		if e == nil || !slices.Contains(h.w.poolNames(p, i), name) {
-			h.w.fail("grant of %s: endpoint %q is not of the right role and pool", g.Request, name)
+		e := h.sim.engines[name]
+		if e == nil || !slices.Contains(h.sim.poolNames(p, i), name) {
+			h.sim.fail("grant of %s: endpoint %q is not of the right role and pool", g.Request, name)
 		}
-		if e.leaving && h.w.now-e.leavingSince > leavingBound && g.ExpiresIn > 0 && !h.w.started[g.Request] {
-			h.w.fail("grant of %s by %s to %s, which leaves since %v", g.Request, h.self, name, h.w.now-e.leavingSince)
+		if e.leaving && h.sim.now-e.leavingSince > leavingBound && g.ExpiresIn > 0 && !h.sim.started[g.Request] {
+			h.sim.fail("grant of %s by %s to %s, which leaves since %v", g.Request, h.self, name, h.sim.now-e.leavingSince)
 		}
 	}
 }
@@ -284,12 +284,12 @@
 
 // cancel orders the end of a request at an endpoint; done hears of it.
 func (h *host) cancel(e id.Endpoint, r id.Request, incarnation id.Incarnation, settled bool, done func()) {
-	h.w.stats.cancels++
+	h.sim.stats.cancels++
 	key := reap.Key{Endpoint: e, Request: r}
 	if done != nil {
 		h.onDone[key] = append(h.onDone[key], done)
 	}
-	h.orders(h.canceller.Add(h.w.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
+	h.orders(h.canceller.Add(h.sim.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
 }
 
 // orders carries out what the canceller wants; calls and replies may be lost.
@@ -300,7 +300,7 @@
 			h.sendCancel(*a.Cancel)
 		case a.Done != nil:
 			if a.Done.Reason == reap.DoneAcknowledged {
-				h.w.ended[a.Done.Key] = true
+				h.sim.ended[a.Done.Key] = true
 			}
 			waiting := h.onDone[a.Done.Key]
 			delete(h.onDone, a.Done.Key)
@@ -312,17 +312,17 @@
 }
 
 func (h *host) sendCancel(c reap.Cancel) {
-	h.w.after(h.w.latency(), func() {
-		if h.w.chance(0.05) {
-			h.ifAlive(func() { h.canceller.Failed(h.w.now, c.Key) })
+	h.sim.after(h.sim.latency(), func() {
+		if h.sim.chance(0.05) {
+			h.ifAlive(func() { h.canceller.Failed(h.sim.now, c.Key) })
 			return
 		}
-		state := h.w.engines[c.Key.Endpoint].cancel(c.Key.Request, c.Owner)
-		if h.w.chance(0.05) {
+		state := h.sim.engines[c.Key.Endpoint].cancel(c.Key.Request, c.Owner)
+		if h.sim.chance(0.05) {
 			return
 		}
-		h.w.after(h.w.latency(), func() {
-			h.ifAlive(func() { h.orders(h.canceller.Reply(h.w.now, c.Key, state)) })
+		h.sim.after(h.sim.latency(), func() {
+			h.ifAlive(func() { h.orders(h.canceller.Reply(h.sim.now, c.Key, state)) })
 		})
 	})
 }
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -126,22 +126,22 @@
 
 // answer takes what the asker answers; each Ask has one answer.
 func (h *host) answer(a pairing.Answer) {
-	k := h.w.asks[a.Request]
+	k := h.sim.asks[a.Request]
 	k.answers++
 	j := h.jobs[a.Request]
 	if k.host != h || k.answers > 1 || k.withdrawn || j == nil {
-		h.w.fail("ask %s: answer %d after withdrawal=%v", a.Request, k.answers, k.withdrawn)
+		h.sim.fail("ask %s: answer %d after withdrawal=%v", a.Request, k.answers, k.withdrawn)
 	}
 	if a.Err == nil {
 		j.grant = a.Grant
 		j.to = a.Grant.Decode
-		h.w.after(a.Grant.StartIn, j.prefill)
+		h.sim.after(a.Grant.StartIn, j.prefill)
 		return
 	}
-	if a.Err.Verdict != verdict.NotRun || h.w.started[a.Request] {
-		h.w.fail("ask %s was refused as %v and has run=%v", a.Request, a.Err.Verdict, h.w.started[a.Request])
+	if a.Err.Verdict != verdict.NotRun || h.sim.started[a.Request] {
+		h.sim.fail("ask %s was refused as %v and has run=%v", a.Request, a.Err.Verdict, h.sim.started[a.Request])
 	}
-	h.w.stats.refused++
+	h.sim.stats.refused++
 	delete(h.active, j.id)
 	j.end()
 	j.c.retry(h)
@@ -158,7 +158,7 @@
 		return
 	}
 	p.Request = j.id
-	j.h.output(j.h.asker.Progress(j.h.w.now, p))
+	j.h.output(j.h.asker.Progress(j.h.sim.now, p))
 	if p.Phase >= sched.PhaseDone {
 		delete(j.h.active, j.id)
 	}
@@ -174,14 +174,14 @@
 			got(o, known)
 		}
 	}
-	j.h.w.after(j.h.w.latency(), func() {
+	j.h.sim.after(j.h.sim.latency(), func() {
 		send(func(o outcome) {
-			if !j.h.w.chance(0.005) {
-				j.h.w.after(j.h.w.latency(), func() { hear(o, true) })
+			if !j.h.sim.chance(0.005) {
+				j.h.sim.after(j.h.sim.latency(), func() { hear(o, true) })
 			}
 		})
 	})
-	j.h.w.after(orderTimeout, func() { hear(broken, false) })
+	j.h.sim.after(orderTimeout, func() { hear(broken, false) })
 }
 
 func (j *job) prefill() {
@@ -190,7 +190,7 @@
 	}
 	j.ordered = true
 	j.report(sched.Progress{Phase: sched.PhasePrefilling})
-	e := j.h.w.engines[j.grant.Prefill]
+	e := j.h.sim.engines[j.grant.Prefill]
 	j.order(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
 		if o == accepted {
 			j.prefilled(e)
@@ -216,7 +216,7 @@
 		j.startTransfer()
 		return
 	}
-	j.h.w.after(j.grant.BindWithin, j.startTransfer)
+	j.h.sim.after(j.grant.BindWithin, j.startTransfer)
 }
 
 // bind names the endpoint whose slot a provisional grant has got.
@@ -237,8 +237,8 @@
 
 func (j *job) decode(from *engine) {
 	j.decoding = true
-	j.last = j.h.w.now
-	e := j.h.w.engines[j.to]
+	j.last = j.h.sim.now
+	e := j.h.sim.engines[j.to]
 	refuse := func(o outcome, known bool) {
 		switch {
 		case j.over || j.h.dead:
@@ -249,18 +249,18 @@
 			j.failed(e.name, o, known)
 		}
 	}
-	j.h.w.after(j.h.w.latency(), func() {
-		e.decode(j, from, func(o outcome) { j.h.w.after(j.h.w.latency(), func() { refuse(o, true) }) })
+	j.h.sim.after(j.h.sim.latency(), func() {
+		e.decode(j, from, func(o outcome) { j.h.sim.after(j.h.sim.latency(), func() { refuse(o, true) }) })
 	})
 	j.watch()
 }
 
 // watch breaks a stream off that makes no progress.
 func (j *job) watch() {
-	j.h.w.after(idleTimeout, func() {
+	j.h.sim.after(idleTimeout, func() {
 		switch {
 		case j.over || j.h.dead:
-		case j.h.w.now-j.last >= idleTimeout:
+		case j.h.sim.now-j.last >= idleTimeout:
 			j.breakOff(false)
 		default:
 			j.watch()
@@ -302,12 +302,12 @@
 			j.began = true
 			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.to, TransferTime: 20 * ms})
 		}
-		j.last = j.h.w.now
+		j.last = j.h.sim.now
 		j.c.take(j, e)
 	}
 	if j.seq.Ended() {
 		j.c.over = true
-		j.h.w.stats.answered++
+		j.h.sim.stats.answered++
 		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.c.delivered})
 		j.end()
 	}
@@ -317,7 +317,7 @@
 func (j *job) abandon() {
 	switch {
 	case j.grant == nil:
-		j.h.w.asks[j.id].withdrawn = true
+		j.h.sim.asks[j.id].withdrawn = true
 		delete(j.h.active, j.id)
 		j.h.output(j.h.asker.Withdraw(j.id))
 	case !j.decoding:
