--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -22,7 +22,7 @@
 
 // caller is one party that wants a whole answer, each token once.
 type caller struct {
-	w         *simulation
+	sim       *simulation
 	n         int
 	pool      id.Pool
 	tokens    int
@@ -68,7 +68,7 @@
 func (c *caller) take(j *job, e stream.Event) {
 	want := c.event(j.id, c.delivered+1)
 	if c.over || c.finished || c.job != j || e != want {
-		c.w.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.over)
+		c.sim.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.over)
 	}
 	c.delivered++
 	c.finished = e.Terminal()
@@ -81,7 +81,7 @@
 		return
 	}
 	c.attempts++
-	j := &job{h: h, c: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.w.now}
+	j := &job{h: h, c: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.sim.now}
 	team := id.Team(fmt.Sprint("t", c.n%3))
 	j.want = sched.Want{
 		Request: j.id, Team: team, Service: id.Service(c.pool), Pool: c.pool, From: h.self,
@@ -92,14 +92,14 @@
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	c.w.asks[j.id] = &ask{host: h}
-	h.output(h.asker.Ask(c.w.now, j.want, 800*ms))
+	c.sim.asks[j.id] = &ask{host: h}
+	h.output(h.asker.Ask(c.sim.now, j.want, 800*ms))
 }
 
 func (c *caller) giveUp() {
 	if !c.over {
 		c.over = true
-		c.w.stats.failed++
+		c.sim.stats.failed++
 	}
 }
 
@@ -109,7 +109,7 @@
 		c.giveUp()
 		return
 	}
-	c.w.after(c.w.between(10*ms, 60*ms), func() { c.begin(h) })
+	c.sim.after(c.sim.between(10*ms, 60*ms), func() { c.begin(h) })
 }
 
 // leave is what a caller does that hangs up.
@@ -118,7 +118,7 @@
 		return
 	}
 	c.over = true
-	c.w.stats.gone++
+	c.sim.stats.gone++
 	if c.job != nil && !c.job.over && !c.job.h.dead {
 		c.job.abandon()
 	}
@@ -338,39 +338,39 @@
 	if c.over {
 		return
 	}
-	if c.w.rng.IntN(3) == 0 {
+	if c.sim.rng.IntN(3) == 0 {
 		c.leave()
 		return
 	}
-	c.w.after(c.w.between(100*ms, 1500*ms), func() { c.comeBack(j) })
+	c.sim.after(c.sim.between(100*ms, 1500*ms), func() { c.comeBack(j) })
 }
 
 // comeBack goes on with the answer at another daemon, by the engine that writes
 // it if it can.
 func (c *caller) comeBack(old *job) {
-	alive := c.w.alive()
+	alive := c.sim.alive()
 	if c.over || len(alive) == 0 {
 		c.giveUp()
 		return
 	}
-	h := alive[c.w.rng.IntN(len(alive))]
+	h := alive[c.sim.rng.IntN(len(alive))]
 	if c.delivered == 0 || !old.decoding {
 		c.begin(h)
 		return
 	}
-	j := &job{h: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.w.now}
+	j := &job{h: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
 	j.want.From = h.self
 	j.grant = &sched.Grant{Request: j.id, Decode: old.to, Owner: h.self}
 	j.to = old.to
 	j.seq = stream.New(j.id, c.delivered, 0)
-	if !c.w.engines[j.to].resume(j, c.delivered) {
+	if !c.sim.engines[j.to].resume(j, c.delivered) {
 		c.begin(h)
 		return
 	}
-	c.w.stats.resumed++
+	c.sim.stats.resumed++
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	h.output(h.asker.Resume(c.w.now, j.want, *j.grant))
+	h.output(h.asker.Resume(c.sim.now, j.want, *j.grant))
 	j.watch()
 }
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -89,7 +89,7 @@
 }
 
 func (w *simulation) arrive() {
-	c := &caller{w: w, n: len(w.callers), pool: pools[w.rng.IntN(len(pools))], tokens: 1 + w.rng.IntN(15)}
+	c := &caller{sim: w, n: len(w.callers), pool: pools[w.rng.IntN(len(pools))], tokens: 1 + w.rng.IntN(15)}
 	w.callers = append(w.callers, c)
 	alive := w.alive()
 	if len(alive) == 0 {
