--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -92,7 +92,7 @@
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	c.sim.asks[j.id] = &ask{host: h}
+	c.sim.asks[j.id] = &askRecord{host: h}
 	h.output(h.asker.Ask(c.sim.now, j.want, 800*ms))
 }
 
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -40,7 +40,7 @@
 	names   []id.Endpoint
 	// lastOn keeps messages between two daemons in order.
 	lastOn map[[2]id.Daemon]time.Duration
-	asks   map[id.Request]*ask
+	asks   map[id.Request]*askRecord
 	// started are the attempts of which an engine has begun any work.
 	started map[id.Request]bool
 	// ended are the requests of which a canceller was told that nothing is held
@@ -61,7 +61,7 @@
 }
 
 // ask is what became of one Ask.
-type ask struct {
+type askRecord struct {
 	host      *host
 	answers   int
 	withdrawn bool
@@ -96,7 +96,7 @@
 		rng:     rand.New(rand.NewPCG(seed, 11)),
 		engines: map[id.Endpoint]*engine{},
 		lastOn:  map[[2]id.Daemon]time.Duration{},
-		asks:    map[id.Request]*ask{},
+		asks:    map[id.Request]*askRecord{},
 		started: map[id.Request]bool{},
 		ended:   map[reap.Key]bool{},
 		faulty:  faulty,
