--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -39,14 +39,14 @@
 	incarnation  id.Incarnation
 	leaving      bool
 	leavingSince time.Duration
-	work         map[id.Request]*work
+	work         map[id.Request]*task
 	tombs        map[id.Request]bool
-	queue        []*work
+	queue        []*task
 	busy         bool
 }
 
 // work is what an engine holds for a request.
-type work struct {
+type task struct {
 	job   *job
 	owner id.Process
 	stage reap.Stage
@@ -61,7 +61,7 @@
 	w.names = append(w.names, e.Name)
 	w.engines[e.Name] = &engine{
 		sim: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
-		work: map[id.Request]*work{}, tombs: map[id.Request]bool{},
+		work: map[id.Request]*task{}, tombs: map[id.Request]bool{},
 	}
 }
 
@@ -96,7 +96,7 @@
 		return
 	}
 	e.checkNotEnded(j)
-	k := &work{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
+	k := &task{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
 	e.work[j.id] = k
 	e.queue = append(e.queue, k)
 	e.next()
@@ -131,7 +131,7 @@
 	}
 }
 
-func (e *engine) prefilled(k *work) {
+func (e *engine) prefilled(k *task) {
 	if e.work[k.job.id] != k {
 		return
 	}
@@ -158,13 +158,13 @@
 	}
 	e.checkNotEnded(j)
 	delete(from.work, j.id)
-	k := &work{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, begin: j.c.delivered, done: done}
+	k := &task{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, begin: j.c.delivered, done: done}
 	e.work[j.id] = k
 	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
 }
 
 // write writes the next token, unless the work was dropped.
-func (e *engine) write(k *work) {
+func (e *engine) write(k *task) {
 	if e.work[k.job.id] != k {
 		return
 	}
@@ -186,7 +186,7 @@
 }
 
 // send sends an event to who is connected: reordered, at times lost or doubled.
-func (e *engine) send(k *work, ev stream.Event) {
+func (e *engine) send(k *task, ev stream.Event) {
 	if e.sim.chance(0.001) {
 		return
 	}
@@ -238,7 +238,7 @@
 	e.incarnation++
 	e.busy = false
 	e.queue = nil
-	e.work = map[id.Request]*work{}
+	e.work = map[id.Request]*task{}
 	e.tombs = map[id.Request]bool{}
 	for _, k := range lost {
 		if k.stage != reap.StageKV {
@@ -257,13 +257,13 @@
 	e.sim.after(e.sim.between(3*time.Second, 10*time.Second), func() { e.leaving = false })
 }
 
-func (e *engine) sorted() []*work {
+func (e *engine) sorted() []*task {
 	names := make([]id.Request, 0, len(e.work))
 	for r := range e.work {
 		names = append(names, r)
 	}
 	slices.Sort(names)
-	out := make([]*work, len(names))
+	out := make([]*task, len(names))
 	for i, r := range names {
 		out[i] = e.work[r]
 	}
