--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -39,7 +39,7 @@
 	incarnation  id.Incarnation
 	leaving      bool
 	leavingSince time.Duration
-	work         map[id.Request]*task
+	tasks        map[id.Request]*task
 	tombs        map[id.Request]bool
 	queue        []*task
 	busy         bool
@@ -61,7 +61,7 @@
 	w.names = append(w.names, e.Name)
 	w.engines[e.Name] = &engine{
 		sim: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
-		work: map[id.Request]*task{}, tombs: map[id.Request]bool{},
+		tasks: map[id.Request]*task{}, tombs: map[id.Request]bool{},
 	}
 }
 
@@ -81,7 +81,7 @@
 // running counts the slots in use.
 func (e *engine) running() int {
 	n := 0
-	for _, k := range e.work {
+	for _, k := range e.tasks {
 		if k.stage != reap.StageFinished && k.stage != reap.StageKV {
 			n++
 		}
@@ -97,7 +97,7 @@
 	}
 	e.checkNotEnded(j)
 	k := &task{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
-	e.work[j.id] = k
+	e.tasks[j.id] = k
 	e.queue = append(e.queue, k)
 	e.next()
 }
@@ -114,7 +114,7 @@
 	for !e.busy && len(e.queue) > 0 {
 		k := e.queue[0]
 		e.queue = e.queue[1:]
-		if e.work[k.job.id] != k {
+		if e.tasks[k.job.id] != k {
 			continue
 		}
 		e.busy = true
@@ -132,15 +132,15 @@
 }
 
 func (e *engine) prefilled(k *task) {
-	if e.work[k.job.id] != k {
+	if e.tasks[k.job.id] != k {
 		return
 	}
 	k.stage = reap.StageKV
 	k.since = e.sim.now
 	k.done(accepted)
 	e.sim.after(kvLife, func() {
-		if e.work[k.job.id] == k {
-			delete(e.work, k.job.id)
+		if e.tasks[k.job.id] == k {
+			delete(e.tasks, k.job.id)
 		}
 	})
 }
@@ -151,21 +151,21 @@
 		done(why)
 		return
 	}
-	source := from.work[j.id]
+	source := from.tasks[j.id]
 	if source == nil || source.stage != reap.StageKV {
 		done(refusedKVGone)
 		return
 	}
 	e.checkNotEnded(j)
-	delete(from.work, j.id)
+	delete(from.tasks, j.id)
 	k := &task{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, begin: j.c.delivered, done: done}
-	e.work[j.id] = k
+	e.tasks[j.id] = k
 	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
 }
 
 // write writes the next token, unless the work was dropped.
 func (e *engine) write(k *task) {
-	if e.work[k.job.id] != k {
+	if e.tasks[k.job.id] != k {
 		return
 	}
 	seq := k.begin + len(k.events) + 1
@@ -179,8 +179,8 @@
 	k.stage = reap.StageFinished
 	k.since = e.sim.now
 	e.sim.after(keepFinished, func() {
-		if e.work[k.job.id] == k {
-			delete(e.work, k.job.id)
+		if e.tasks[k.job.id] == k {
+			delete(e.tasks, k.job.id)
 		}
 	})
 }
@@ -199,7 +199,7 @@
 
 // resume connects a request's answer to another job and sends it from there on.
 func (e *engine) resume(j *job, after int) bool {
-	k := e.work[j.id]
+	k := e.tasks[j.id]
 	if k == nil || (k.stage != reap.StageDecode && k.stage != reap.StageFinished) || after < k.begin {
 		return false
 	}
@@ -213,7 +213,7 @@
 
 // cancel ends a request and leaves a tombstone, which may be dropped.
 func (e *engine) cancel(r id.Request, owner *id.Process) reap.CancelState {
-	k := e.work[r]
+	k := e.tasks[r]
 	if k == nil {
 		if !e.sim.chance(0.3) {
 			e.tombs[r] = true
@@ -224,7 +224,7 @@
 	if owner != nil && k.owner != *owner {
 		return reap.OtherOwner
 	}
-	delete(e.work, r)
+	delete(e.tasks, r)
 	if k.stage == reap.StageFinished {
 		return reap.Finished
 	}
@@ -238,7 +238,7 @@
 	e.incarnation++
 	e.busy = false
 	e.queue = nil
-	e.work = map[id.Request]*task{}
+	e.tasks = map[id.Request]*task{}
 	e.tombs = map[id.Request]bool{}
 	for _, k := range lost {
 		if k.stage != reap.StageKV {
@@ -258,14 +258,14 @@
 }
 
 func (e *engine) sorted() []*task {
-	names := make([]id.Request, 0, len(e.work))
-	for r := range e.work {
+	names := make([]id.Request, 0, len(e.tasks))
+	for r := range e.tasks {
 		names = append(names, r)
 	}
 	slices.Sort(names)
 	out := make([]*task, len(names))
 	for i, r := range names {
-		out[i] = e.work[r]
+		out[i] = e.tasks[r]
 	}
 	return out
 }
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -137,7 +137,7 @@
 		w.checkHost(h)
 	}
 	for _, name := range w.names {
-		if n := len(w.engines[name].work); n != 0 {
+		if n := len(w.engines[name].tasks); n != 0 {
 			w.fail("engine %s still holds %d requests", name, n)
 		}
 	}
