--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -52,7 +52,7 @@
 	stage reap.Stage
 	since time.Duration
 	// begin is where the answer goes on; events are those written.
-	begin  int
+	offset int
 	events []stream.Event
 	done   func(outcome)
 }
@@ -158,7 +158,7 @@
 	}
 	e.checkNotEnded(j)
 	delete(from.tasks, j.id)
-	k := &task{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, begin: j.c.delivered, done: done}
+	k := &task{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, offset: j.c.delivered, done: done}
 	e.tasks[j.id] = k
 	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
 }
@@ -168,7 +168,7 @@
 	if e.tasks[k.job.id] != k {
 		return
 	}
-	seq := k.begin + len(k.events) + 1
+	seq := k.offset + len(k.events) + 1
 	ev := k.job.c.event(k.job.id, seq)
 	k.events = append(k.events, ev)
 	e.send(k, ev)
@@ -200,12 +200,12 @@
 // resume connects a request's answer to another job and sends it from there on.
 func (e *engine) resume(j *job, after int) bool {
 	k := e.tasks[j.id]
-	if k == nil || (k.stage != reap.StageDecode && k.stage != reap.StageFinished) || after < k.begin {
+	if k == nil || (k.stage != reap.StageDecode && k.stage != reap.StageFinished) || after < k.offset {
 		return false
 	}
 	k.owner = j.h.self
 	k.job = j
-	for _, ev := range k.events[min(len(k.events), after-k.begin):] {
+	for _, ev := range k.events[min(len(k.events), after-k.offset):] {
 		e.send(k, ev)
 	}
 	return true
