--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -40,7 +40,7 @@
 	leaving      bool
 	leavingSince time.Duration
 	tasks        map[id.Request]*task
-	tombs        map[id.Request]bool
+	tombstones   map[id.Request]bool
 	queue        []*task
 	busy         bool
 }
@@ -61,14 +61,14 @@
 	w.names = append(w.names, e.Name)
 	w.engines[e.Name] = &engine{
 		sim: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
-		tasks: map[id.Request]*task{}, tombs: map[id.Request]bool{},
+		tasks: map[id.Request]*task{}, tombstones: map[id.Request]bool{},
 	}
 }
 
 // refuses says why the engine takes no work for a request; accepted if it does.
 func (e *engine) refuses(r id.Request) outcome {
 	switch {
-	case e.tombs[r]:
+	case e.tombstones[r]:
 		return refusedCancelled
 	case e.leaving:
 		return refusedLeaving
@@ -216,8 +216,8 @@
 	k := e.tasks[r]
 	if k == nil {
 		if !e.sim.chance(0.3) {
-			e.tombs[r] = true
-			e.sim.after(time.Minute, func() { delete(e.tombs, r) })
+			e.tombstones[r] = true
+			e.sim.after(time.Minute, func() { delete(e.tombstones, r) })
 		}
 		return reap.Unknown
 	}
@@ -239,7 +239,7 @@
 	e.busy = false
 	e.queue = nil
 	e.tasks = map[id.Request]*task{}
-	e.tombs = map[id.Request]bool{}
+	e.tombstones = map[id.Request]bool{}
 	for _, k := range lost {
 		if k.stage != reap.StageKV {
 			e.sim.after(e.sim.between(ms, 20*ms), func() { k.done(broken) })
