--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -66,7 +66,7 @@
 }
 
 // refuses says why the engine takes no work for a request; accepted if it does.
-func (e *engine) refuses(r id.Request) outcome {
+func (e *engine) refusal(r id.Request) outcome {
 	switch {
 	case e.tombstones[r]:
 		return refusedCancelled
@@ -91,7 +91,7 @@
 
 // prefill takes an order; done hears of its end.
 func (e *engine) prefill(j *job, done func(outcome)) {
-	if why := e.refuses(j.id); why != accepted {
+	if why := e.refusal(j.id); why != accepted {
 		done(why)
 		return
 	}
@@ -147,7 +147,7 @@
 
 // decode takes an order, imports the KV cache and writes the answer.
 func (e *engine) decode(j *job, from *engine, done func(outcome)) {
-	if why := e.refuses(j.id); why != accepted {
+	if why := e.refusal(j.id); why != accepted {
 		done(why)
 		return
 	}
