--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -99,7 +99,7 @@
 	k := &task{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
 	e.tasks[j.id] = k
 	e.queue = append(e.queue, k)
-	e.next()
+	e.startNext()
 }
 
 // checkNotEnded: an order that is taken must not be one whose end was certain.
@@ -110,7 +110,7 @@
 }
 
 // next begins the first queued prefill that still is wanted.
-func (e *engine) next() {
+func (e *engine) startNext() {
 	for !e.busy && len(e.queue) > 0 {
 		k := e.queue[0]
 		e.queue = e.queue[1:]
@@ -126,7 +126,7 @@
 			}
 			e.busy = false
 			e.prefilled(k)
-			e.next()
+			e.startNext()
 		})
 	}
 }
