--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -125,13 +125,13 @@
 				return
 			}
 			e.busy = false
-			e.prefilled(k)
+			e.finishPrefill(k)
 			e.startNext()
 		})
 	}
 }
 
-func (e *engine) prefilled(k *task) {
+func (e *engine) finishPrefill(k *task) {
 	if e.tasks[k.job.id] != k {
 		return
 	}
