--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -15,7 +15,7 @@
 	// kvLife is how long an exported KV cache lives.
 	kvLife = 800 * ms
 	// keepFinished is how long a finished answer can be resumed.
-	keepFinished = 15 * time.Second
+	finishedRetention = 15 * time.Second
 )
 
 // outcome is an engine's answer to an order.
@@ -178,7 +178,7 @@
 	}
 	k.stage = reap.StageFinished
 	k.since = e.sim.now
-	e.sim.after(keepFinished, func() {
+	e.sim.after(finishedRetention, func() {
 		if e.tasks[k.job.id] == k {
 			delete(e.tasks, k.job.id)
 		}
