--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -265,7 +265,7 @@
 		if e == nil || !slices.Contains(h.sim.poolNames(p, i), name) {
 			h.sim.fail("grant of %s: endpoint %q is not of the right role and pool", g.Request, name)
 		}
-		if e.leaving && h.sim.now-e.leavingSince > leavingBound && g.ExpiresIn > 0 && !h.sim.started[g.Request] {
+		if e.leaving && h.sim.now-e.leavingSince > leavingGrace && g.ExpiresIn > 0 && !h.sim.started[g.Request] {
 			h.sim.fail("grant of %s by %s to %s, which leaves since %v", g.Request, h.self, name, h.sim.now-e.leavingSince)
 		}
 	}
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -17,7 +17,7 @@
 const (
 	ms = time.Millisecond
 	// leavingBound is how long after its word an endpoint may still get work.
-	leavingBound = 2 * time.Second
+	leavingGrace = 2 * time.Second
 	// quietTime lets all grace periods and memories of lost reports end.
 	quietTime = 6 * time.Minute
 )
