--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -21,7 +21,7 @@
 	sim       *simulation
 	self      id.Process
 	dead      bool
-	asker     *pairing.Asker
+	requester *pairing.Asker
 	managers  map[id.Pool]*pool.Manager
 	ledgers   map[id.Pool]sched.Scheduler
 	poison    *poison.Ledger
@@ -37,7 +37,7 @@
 	return &host{
 		sim:       w,
 		self:      self,
-		asker:     pairing.New(self, pairing.Options{}),
+		requester: pairing.New(self, pairing.Options{}),
 		managers:  map[id.Pool]*pool.Manager{},
 		ledgers:   map[id.Pool]sched.Scheduler{},
 		poison:    poison.New(poison.Config{}),
@@ -62,7 +62,7 @@
 		return
 	}
 	next := h.sim.now + h.pace(20*ms)
-	h.output(h.asker.Tick(h.sim.now))
+	h.output(h.requester.Tick(h.sim.now))
 	for _, p := range pools {
 		m := h.managers[p]
 		if m == nil {
@@ -82,7 +82,7 @@
 // schedules says whether this daemon decides for a pool: as its owner, or since
 // others take it for the owner.
 func (h *host) schedules(p id.Pool) bool {
-	return h.asker.Owner(p) == h.self.Daemon || h.managers[p] != nil
+	return h.requester.Owner(p) == h.self.Daemon || h.managers[p] != nil
 }
 
 // report reads the load of the endpoints whose pools this daemon schedules.
@@ -151,9 +151,9 @@
 			names = append(names, p.Daemon)
 		}
 	}
-	h.output(h.asker.Members(h.sim.now, names))
+	h.output(h.requester.Members(h.sim.now, names))
 	for _, p := range pools {
-		if h.asker.Owner(p) != h.self.Daemon {
+		if h.requester.Owner(p) != h.self.Daemon {
 			delete(h.managers, p)
 		}
 	}
@@ -240,11 +240,11 @@
 		take := func(to *host) {
 			switch {
 			case a.Grant != nil:
-				to.output(to.asker.Granted(p, *a.Grant))
+				to.output(to.requester.Granted(p, *a.Grant))
 			case a.Binding != nil:
-				to.output(to.asker.Bound(*a.Binding))
+				to.output(to.requester.Bound(*a.Binding))
 			default:
-				to.output(to.asker.Refused(h.self.Daemon, *a.Refusal))
+				to.output(to.requester.Refused(h.self.Daemon, *a.Refusal))
 			}
 		}
 		if a.To.Daemon == h.self.Daemon {
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -155,7 +155,7 @@
 
 // checkHost checks that a daemon holds nothing.
 func (w *simulation) checkHost(h *host) {
-	held := []int{h.asker.Len(), h.canceller.Working(), len(h.active), len(h.jobs), len(h.onDone)}
+	held := []int{h.requester.Len(), h.canceller.Working(), len(h.active), len(h.jobs), len(h.onDone)}
 	for i, n := range held {
 		if n != 0 {
 			w.fail("%s: part %d of asker, canceller, active, jobs, waiting holds %d", h.self, i, n)
