--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -140,7 +140,7 @@
 }
 
 // learn takes a view of the members.
-func (h *host) learn(view []id.Process) {
+func (h *host) updateMembers(view []id.Process) {
 	if h.dead {
 		return
 	}
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -213,8 +213,8 @@
 // learns is the truth of that time, but for a member that it misses for a while.
 func (w *simulation) viewChanged() {
 	for _, h := range w.hosts {
-		w.after(w.between(100*ms, 2*time.Second), func() { h.learn(w.members(h)) })
-		w.after(w.between(2*time.Second, 4*time.Second), func() { h.learn(w.memberNames()) })
+		w.after(w.between(100*ms, 2*time.Second), func() { h.updateMembers(w.members(h)) })
+		w.after(w.between(2*time.Second, 4*time.Second), func() { h.updateMembers(w.memberNames()) })
 	}
 }
 
