--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -61,7 +61,7 @@
 	if h.dead {
 		return
 	}
-	next := h.sim.now + h.pace(20*ms)
+	next := h.sim.now + h.interval(20*ms)
 	h.output(h.requester.Tick(h.sim.now))
 	for _, p := range pools {
 		m := h.managers[p]
@@ -103,7 +103,7 @@
 			}
 		})
 	}
-	h.sim.after(h.pace(100*ms), h.report)
+	h.sim.after(h.interval(100*ms), h.report)
 }
 
 // lists audits the ledgers, reads what the endpoints hold and reaps the orphans.
@@ -128,11 +128,11 @@
 			}
 		})
 	}
-	h.sim.after(h.pace(time.Second), h.lists)
+	h.sim.after(h.interval(time.Second), h.lists)
 }
 
 // pace slows down what is done again and again once all is quiet.
-func (h *host) pace(d time.Duration) time.Duration {
+func (h *host) interval(d time.Duration) time.Duration {
 	if h.sim.slow {
 		return 5 * time.Second
 	}
