--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -62,7 +62,7 @@
 		return
 	}
 	next := h.sim.now + h.interval(20*ms)
-	h.output(h.requester.Tick(h.sim.now))
+	h.handleOutput(h.requester.Tick(h.sim.now))
 	for _, p := range pools {
 		m := h.managers[p]
 		if m == nil {
@@ -151,7 +151,7 @@
 			names = append(names, p.Daemon)
 		}
 	}
-	h.output(h.requester.Members(h.sim.now, names))
+	h.handleOutput(h.requester.Members(h.sim.now, names))
 	for _, p := range pools {
 		if h.requester.Owner(p) != h.self.Daemon {
 			delete(h.managers, p)
@@ -193,7 +193,7 @@
 }
 
 // output sends the asker's messages and takes its answers.
-func (h *host) output(out pairing.Output) {
+func (h *host) handleOutput(out pairing.Output) {
 	for _, a := range out.Answers {
 		h.answer(a)
 	}
@@ -240,11 +240,11 @@
 		take := func(to *host) {
 			switch {
 			case a.Grant != nil:
-				to.output(to.requester.Granted(p, *a.Grant))
+				to.handleOutput(to.requester.Granted(p, *a.Grant))
 			case a.Binding != nil:
-				to.output(to.requester.Bound(*a.Binding))
+				to.handleOutput(to.requester.Bound(*a.Binding))
 			default:
-				to.output(to.requester.Refused(h.self.Daemon, *a.Refusal))
+				to.handleOutput(to.requester.Refused(h.self.Daemon, *a.Refusal))
 			}
 		}
 		if a.To.Daemon == h.self.Daemon {
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -93,7 +93,7 @@
 	h.jobs[j.id] = j
 	h.active[j.id] = true
 	c.sim.asks[j.id] = &askRecord{host: h}
-	h.output(h.requester.Ask(c.sim.now, j.want, 800*ms))
+	h.handleOutput(h.requester.Ask(c.sim.now, j.want, 800*ms))
 }
 
 func (c *caller) giveUp() {
@@ -158,7 +158,7 @@
 		return
 	}
 	p.Request = j.id
-	j.h.output(j.h.requester.Progress(j.h.sim.now, p))
+	j.h.handleOutput(j.h.requester.Progress(j.h.sim.now, p))
 	if p.Phase >= sched.PhaseDone {
 		delete(j.h.active, j.id)
 	}
@@ -319,7 +319,7 @@
 	case j.grant == nil:
 		j.h.sim.asks[j.id].withdrawn = true
 		delete(j.h.active, j.id)
-		j.h.output(j.h.requester.Withdraw(j.id))
+		j.h.handleOutput(j.h.requester.Withdraw(j.id))
 	case !j.decoding:
 		if j.ordered {
 			j.h.cancel(j.grant.Prefill, j.id, 0, false, nil)
@@ -371,6 +371,6 @@
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	h.output(h.requester.Resume(c.sim.now, j.want, *j.grant))
+	h.handleOutput(h.requester.Resume(c.sim.now, j.want, *j.grant))
 	j.watch()
 }
