--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		if m.Next() <= h.sim.now {
-			h.actions(p, m.Tick(h.sim.now))
+			h.executeActions(p, m.Tick(h.sim.now))
 		}
 		next = min(next, m.Next())
 	}
@@ -98,7 +98,7 @@
 		l := h.sim.engines[e.Name].load()
 		h.sim.after(h.sim.between(ms, 100*ms), func() {
 			if !h.dead && h.schedules(p) {
-				h.actions(p, h.manager(p).Load(h.sim.now, l))
+				h.executeActions(p, h.manager(p).Load(h.sim.now, l))
 				h.orders(h.canceller.Incarnation(h.sim.now, l.Endpoint, l.Incarnation))
 			}
 		})
@@ -166,7 +166,7 @@
 	h.reaper.ProcessGone(h.sim.now, p)
 	for _, name := range pools {
 		if m := h.managers[name]; m != nil {
-			h.actions(name, m.ProcessGone(h.sim.now, p))
+			h.executeActions(name, m.ProcessGone(h.sim.now, p))
 		}
 	}
 }
@@ -188,7 +188,7 @@
 		},
 	})
 	h.managers[p] = m
-	h.actions(p, m.Configure(h.sim.now, h.sim.doc))
+	h.executeActions(p, m.Configure(h.sim.now, h.sim.doc))
 	return m
 }
 
@@ -223,19 +223,19 @@
 	now := h.sim.now
 	switch {
 	case m.Want != nil:
-		h.actions(m.Want.Pool, h.manager(m.Want.Pool).Want(now, *m.Want))
+		h.executeActions(m.Want.Pool, h.manager(m.Want.Pool).Want(now, *m.Want))
 	case m.Withdraw != nil:
-		h.actions(m.Withdraw.Pool, h.manager(m.Withdraw.Pool).Withdraw(now, m.Withdraw.Request))
+		h.executeActions(m.Withdraw.Pool, h.manager(m.Withdraw.Pool).Withdraw(now, m.Withdraw.Request))
 	case m.Progress != nil:
-		h.actions(m.Progress.Pool, h.manager(m.Progress.Pool).Progress(now, m.Progress.Progress))
+		h.executeActions(m.Progress.Pool, h.manager(m.Progress.Pool).Progress(now, m.Progress.Progress))
 	case m.Adopt != nil:
-		h.actions(m.Adopt.Want.Pool, h.manager(m.Adopt.Want.Pool).Adopt(now, *m.Adopt))
+		h.executeActions(m.Adopt.Want.Pool, h.manager(m.Adopt.Want.Pool).Adopt(now, *m.Adopt))
 	}
 }
 
 // actions carries out what a manager decided.
-func (h *host) actions(p id.Pool, actions []sched.Action) {
-	for _, a := range actions {
+func (h *host) executeActions(p id.Pool, executeActions []sched.Action) {
+	for _, a := range executeActions {
 		h.checkGrant(p, a.Grant)
 		take := func(to *host) {
 			switch {
