--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -74,7 +74,7 @@
 		next = min(next, m.Next())
 	}
 	if h.canceller.Next() <= h.sim.now {
-		h.orders(h.canceller.Tick(h.sim.now))
+		h.executeCancels(h.canceller.Tick(h.sim.now))
 	}
 	h.sim.after(max(ms, next-h.sim.now), h.tick)
 }
@@ -99,7 +99,7 @@
 		h.sim.after(h.sim.between(ms, 100*ms), func() {
 			if !h.dead && h.schedules(p) {
 				h.executeActions(p, h.manager(p).Load(h.sim.now, l))
-				h.orders(h.canceller.Incarnation(h.sim.now, l.Endpoint, l.Incarnation))
+				h.executeCancels(h.canceller.Incarnation(h.sim.now, l.Endpoint, l.Incarnation))
 			}
 		})
 	}
@@ -122,9 +122,9 @@
 			if h.dead {
 				return
 			}
-			h.orders(h.canceller.Incarnation(h.sim.now, name, l.Incarnation))
+			h.executeCancels(h.canceller.Incarnation(h.sim.now, name, l.Incarnation))
 			for _, o := range h.reaper.List(h.sim.now, l, func(r id.Request) bool { return h.active[r] }) {
-				h.orders(h.canceller.Add(h.sim.now, o))
+				h.executeCancels(h.canceller.Add(h.sim.now, o))
 			}
 		})
 	}
@@ -289,11 +289,11 @@
 	if done != nil {
 		h.onDone[key] = append(h.onDone[key], done)
 	}
-	h.orders(h.canceller.Add(h.sim.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
+	h.executeCancels(h.canceller.Add(h.sim.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
 }
 
 // orders carries out what the canceller wants; calls and replies may be lost.
-func (h *host) orders(actions []reap.Action) {
+func (h *host) executeCancels(actions []reap.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Cancel != nil:
@@ -322,7 +322,7 @@
 			return
 		}
 		h.sim.after(h.sim.latency(), func() {
-			h.ifAlive(func() { h.orders(h.canceller.Reply(h.sim.now, c.Key, state)) })
+			h.ifAlive(func() { h.executeCancels(h.canceller.Reply(h.sim.now, c.Key, state)) })
 		})
 	})
 }
