--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -53,7 +53,7 @@
 func (h *host) start() {
 	h.sim.after(0, h.tick)
 	h.sim.after(0, h.report)
-	h.sim.after(h.sim.between(0, time.Second), h.lists)
+	h.sim.after(h.sim.between(0, time.Second), h.readRequestLists)
 }
 
 // tick does what is due in all parts.
@@ -107,7 +107,7 @@
 }
 
 // lists audits the ledgers, reads what the endpoints hold and reaps the orphans.
-func (h *host) lists() {
+func (h *host) readRequestLists() {
 	if h.dead {
 		return
 	}
@@ -128,7 +128,7 @@
 			}
 		})
 	}
-	h.sim.after(h.interval(time.Second), h.lists)
+	h.sim.after(h.interval(time.Second), h.readRequestLists)
 }
 
 // pace slows down what is done again and again once all is quiet.
