--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -52,7 +52,7 @@
 // start plans what the process does again and again.
 func (h *host) start() {
 	h.sim.after(0, h.tick)
-	h.sim.after(0, h.report)
+	h.sim.after(0, h.readLoads)
 	h.sim.after(h.sim.between(0, time.Second), h.readRequestLists)
 }
 
@@ -86,7 +86,7 @@
 }
 
 // report reads the load of the endpoints whose pools this daemon schedules.
-func (h *host) report() {
+func (h *host) readLoads() {
 	if h.dead {
 		return
 	}
@@ -103,7 +103,7 @@
 			}
 		})
 	}
-	h.sim.after(h.interval(100*ms), h.report)
+	h.sim.after(h.interval(100*ms), h.readLoads)
 }
 
 // lists audits the ledgers, reads what the endpoints hold and reaps the orphans.
