--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -195,7 +195,7 @@
 // output sends the asker's messages and takes its answers.
 func (h *host) handleOutput(out pairing.Output) {
 	for _, a := range out.Answers {
-		h.answer(a)
+		h.handleAnswer(a)
 	}
 	for _, b := range out.Bindings {
 		if j := h.jobs[b.Request]; j != nil {
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -125,7 +125,7 @@
 }
 
 // answer takes what the asker answers; each Ask has one answer.
-func (h *host) answer(a pairing.Answer) {
+func (h *host) handleAnswer(a pairing.Answer) {
 	k := h.sim.asks[a.Request]
 	k.answers++
 	j := h.jobs[a.Request]
