--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -213,13 +213,13 @@
 		h.sim.stats.givenBack++
 	}
 	if m.To == h.self.Daemon {
-		h.handle(m)
+		h.handleMessage(m)
 		return
 	}
-	h.sim.post(h.self.Daemon, m.To, func(to *host) { to.handle(m) })
+	h.sim.post(h.self.Daemon, m.To, func(to *host) { to.handleMessage(m) })
 }
 
-func (h *host) handle(m pairing.Message) {
+func (h *host) handleMessage(m pairing.Message) {
 	now := h.sim.now
 	switch {
 	case m.Want != nil:
