--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -119,7 +119,7 @@
 	case 3, 4:
 		e.leave()
 	default:
-		w.viewChanged()
+		w.updateViews()
 	}
 	w.after(w.between(100*ms, 900*ms), w.mishaps)
 }
@@ -129,7 +129,7 @@
 func (w *simulation) settle() {
 	w.quiet = true
 	w.runFor(10 * time.Second)
-	w.viewChanged()
+	w.updateViews()
 	w.runFor(time.Minute)
 	w.slow = true
 	w.runFor(quietTime)
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -112,7 +112,7 @@
 	for _, h := range w.hosts {
 		h.start()
 	}
-	w.viewChanged()
+	w.updateViews()
 	return w
 }
 
@@ -211,7 +211,7 @@
 
 // viewChanged lets each daemon learn the members, each at another time. What it
 // learns is the truth of that time, but for a member that it misses for a while.
-func (w *simulation) viewChanged() {
+func (w *simulation) updateViews() {
 	for _, h := range w.hosts {
 		w.after(w.between(100*ms, 2*time.Second), func() { h.updateMembers(w.members(h)) })
 		w.after(w.between(2*time.Second, 4*time.Second), func() { h.updateMembers(w.memberNames()) })
@@ -255,9 +255,9 @@
 				w.hosts[i].start()
 			}
 		}
-		w.viewChanged()
+		w.updateViews()
 	})
-	w.viewChanged()
+	w.updateViews()
 }
 
 // run lets events happen until that many have.
