--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -214,11 +214,11 @@
 func (w *simulation) updateViews() {
 	for _, h := range w.hosts {
 		w.after(w.between(100*ms, 2*time.Second), func() { h.updateMembers(w.members(h)) })
-		w.after(w.between(2*time.Second, 4*time.Second), func() { h.updateMembers(w.memberNames()) })
+		w.after(w.between(2*time.Second, 4*time.Second), func() { h.updateMembers(w.runningProcesses()) })
 	}
 }
 
-func (w *simulation) memberNames() []id.Process {
+func (w *simulation) runningProcesses() []id.Process {
 	var out []id.Process
 	for _, h := range w.alive() {
 		out = append(out, h.self)
@@ -228,7 +228,7 @@
 
 // members is the view of a daemon, at times without one of the others.
 func (w *simulation) members(h *host) []id.Process {
-	all := w.memberNames()
+	all := w.runningProcesses()
 	i := w.rng.IntN(len(all))
 	if all[i] != h.self && w.chance(0.5) {
 		return slices.Delete(all, i, i+1)
