--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -213,7 +213,7 @@
 // learns is the truth of that time, but for a member that it misses for a while.
 func (w *simulation) updateViews() {
 	for _, h := range w.hosts {
-		w.after(w.between(100*ms, 2*time.Second), func() { h.updateMembers(w.members(h)) })
+		w.after(w.between(100*ms, 2*time.Second), func() { h.updateMembers(w.memberView(h)) })
 		w.after(w.between(2*time.Second, 4*time.Second), func() { h.updateMembers(w.runningProcesses()) })
 	}
 }
@@ -227,7 +227,7 @@
 }
 
 // members is the view of a daemon, at times without one of the others.
-func (w *simulation) members(h *host) []id.Process {
+func (w *simulation) memberView(h *host) []id.Process {
 	all := w.runningProcesses()
 	i := w.rng.IntN(len(all))
 	if all[i] != h.self && w.chance(0.5) {
