--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -38,7 +38,7 @@
 	for seed := range uint64(number(t, seedsVariable, 3)) {
 		w := newSimulation(t, seed+1, true, sched.NewLedger)
 		w.arrivals()
-		w.mishaps()
+		w.injectFaults()
 		w.run(events)
 		w.settle()
 		t.Logf("seed %d: %d daemons, %d events, %v: %+v", w.seed, len(w.hosts), w.events, w.now, w.stats)
@@ -103,7 +103,7 @@
 }
 
 // mishaps kills daemons, crashes engines, has them leave and moves views.
-func (w *simulation) mishaps() {
+func (w *simulation) injectFaults() {
 	if w.quiet {
 		return
 	}
@@ -121,7 +121,7 @@
 	default:
 		w.updateViews()
 	}
-	w.after(w.between(100*ms, 900*ms), w.mishaps)
+	w.after(w.between(100*ms, 900*ms), w.injectFaults)
 }
 
 // settle ends arrivals and faults, lets all graces pass and checks that
