--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -37,7 +37,7 @@
 	events := number(t, eventsVariable, 30_000)
 	for seed := range uint64(number(t, seedsVariable, 3)) {
 		w := newSimulation(t, seed+1, true, sched.NewLedger)
-		w.arrivals()
+		w.scheduleArrivals()
 		w.injectFaults()
 		w.run(events)
 		w.settle()
@@ -76,7 +76,7 @@
 }
 
 // arrivals brings callers at a rate that at times is too high.
-func (w *simulation) arrivals() {
+func (w *simulation) scheduleArrivals() {
 	if w.quiet {
 		return
 	}
@@ -85,7 +85,7 @@
 	if (w.now/(3*time.Second))%4 == 3 {
 		pace = 12 * ms
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()*float64(pace)), w.arrivals)
+	w.after(time.Duration(w.rng.ExpFloat64()*float64(pace)), w.scheduleArrivals)
 }
 
 func (w *simulation) arrive() {
