--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -58,7 +58,7 @@
 			w := newSimulation(t, seed+1, false, policy)
 			w.runFor(5 * time.Second)
 			for range 100 {
-				w.arrive()
+				w.addCaller()
 				w.runFor(150 * ms)
 			}
 			w.settle()
@@ -80,7 +80,7 @@
 	if w.quiet {
 		return
 	}
-	w.arrive()
+	w.addCaller()
 	pace := 30 * ms
 	if (w.now/(3*time.Second))%4 == 3 {
 		pace = 12 * ms
@@ -88,7 +88,7 @@
 	w.after(time.Duration(w.rng.ExpFloat64()*float64(pace)), w.scheduleArrivals)
 }
 
-func (w *simulation) arrive() {
+func (w *simulation) addCaller() {
 	c := &caller{sim: w, n: len(w.callers), pool: pools[w.rng.IntN(len(pools))], tokens: 1 + w.rng.IntN(15)}
 	w.callers = append(w.callers, c)
 	alive := w.alive()
