--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -133,7 +133,7 @@
 
 // pace slows down what is done again and again once all is quiet.
 func (h *host) interval(d time.Duration) time.Duration {
-	if h.sim.slow {
+	if h.sim.slowPolling {
 		return 5 * time.Second
 	}
 	return d
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -131,7 +131,7 @@
 	w.runFor(10 * time.Second)
 	w.updateViews()
 	w.runFor(time.Minute)
-	w.slow = true
+	w.slowPolling = true
 	w.runFor(quietTime)
 	for _, h := range w.hosts {
 		w.checkHost(h)
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -49,10 +49,10 @@
 	callers []*caller
 	faulty  bool
 	// quiet ends arrivals and faults; slow is set once nothing should be left.
-	quiet  bool
-	slow   bool
-	policy func(o sched.Options) sched.Scheduler
-	stats  stats
+	quiet       bool
+	slowPolling bool
+	policy      func(o sched.Options) sched.Scheduler
+	stats       stats
 }
 
 // stats count what the run has met.
