--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -58,7 +58,7 @@
 }
 
 func (w *simulation) addEngine(e *live.Endpoint) {
-	w.names = append(w.names, e.Name)
+	w.engineNames = append(w.engineNames, e.Name)
 	w.engines[e.Name] = &engine{
 		sim: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
 		tasks: map[id.Request]*task{}, tombstones: map[id.Request]bool{},
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -116,7 +116,7 @@
 			ledger.Audit()
 		}
 	}
-	for _, name := range h.sim.names {
+	for _, name := range h.sim.engineNames {
 		l := h.sim.engines[name].list()
 		h.sim.after(h.sim.between(ms, 300*ms), func() {
 			if h.dead {
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -108,7 +108,7 @@
 		return
 	}
 	alive := w.alive()
-	e := w.engines[w.names[w.rng.IntN(len(w.names))]]
+	e := w.engines[w.engineNames[w.rng.IntN(len(w.engineNames))]]
 	switch w.rng.IntN(10) {
 	case 0, 9:
 		if len(alive) > 2 {
@@ -136,7 +136,7 @@
 	for _, h := range w.hosts {
 		w.checkHost(h)
 	}
-	for _, name := range w.names {
+	for _, name := range w.engineNames {
 		if n := len(w.engines[name].tasks); n != 0 {
 			w.fail("engine %s still holds %d requests", name, n)
 		}
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -27,17 +27,17 @@
 
 // world drives the decision code of several daemons by planned events.
 type simulation struct {
-	t       *testing.T
-	seed    uint64
-	rng     *rand.Rand
-	now     time.Duration
-	due     dueHeap
-	serial  int
-	events  int
-	doc     *live.Document
-	hosts   []*host
-	engines map[id.Endpoint]*engine
-	names   []id.Endpoint
+	t           *testing.T
+	seed        uint64
+	rng         *rand.Rand
+	now         time.Duration
+	due         dueHeap
+	serial      int
+	events      int
+	doc         *live.Document
+	hosts       []*host
+	engines     map[id.Endpoint]*engine
+	engineNames []id.Endpoint
 	// lastOn keeps messages between two daemons in order.
 	lastOn map[[2]id.Daemon]time.Duration
 	asks   map[id.Request]*askRecord
