--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -39,8 +39,8 @@
 	engines     map[id.Endpoint]*engine
 	engineNames []id.Endpoint
 	// lastOn keeps messages between two daemons in order.
-	lastOn map[[2]id.Daemon]time.Duration
-	asks   map[id.Request]*askRecord
+	lastDelivery map[[2]id.Daemon]time.Duration
+	asks         map[id.Request]*askRecord
 	// started are the attempts of which an engine has begun any work.
 	started map[id.Request]bool
 	// ended are the requests of which a canceller was told that nothing is held
@@ -91,16 +91,16 @@
 
 func newSimulation(t *testing.T, seed uint64, faulty bool, policy func(o sched.Options) sched.Scheduler) *simulation {
 	w := &simulation{
-		t:       t,
-		seed:    seed,
-		rng:     rand.New(rand.NewPCG(seed, 11)),
-		engines: map[id.Endpoint]*engine{},
-		lastOn:  map[[2]id.Daemon]time.Duration{},
-		asks:    map[id.Request]*askRecord{},
-		started: map[id.Request]bool{},
-		ended:   map[reap.Key]bool{},
-		faulty:  faulty,
-		policy:  policy,
+		t:            t,
+		seed:         seed,
+		rng:          rand.New(rand.NewPCG(seed, 11)),
+		engines:      map[id.Endpoint]*engine{},
+		lastDelivery: map[[2]id.Daemon]time.Duration{},
+		asks:         map[id.Request]*askRecord{},
+		started:      map[id.Request]bool{},
+		ended:        map[reap.Key]bool{},
+		faulty:       faulty,
+		policy:       policy,
 	}
 	w.doc = w.document()
 	for i := range w.doc.Endpoints {
@@ -181,8 +181,8 @@
 		return
 	}
 	pair := [2]id.Daemon{from, to}
-	at := max(w.lastOn[pair], w.now+w.latency())
-	w.lastOn[pair] = at
+	at := max(w.lastDelivery[pair], w.now+w.latency())
+	w.lastDelivery[pair] = at
 	deliver := func() {
 		if h := w.host(to); h != nil {
 			take(h)
