--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -31,7 +31,7 @@
 	seed        uint64
 	rng         *rand.Rand
 	now         time.Duration
-	due         dueHeap
+	queue       dueHeap
 	serial      int
 	events      int
 	doc         *live.Document
@@ -155,7 +155,7 @@
 // after plans an event.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.serial++
-	heap.Push(&w.due, dueEvent{at: w.now + max(0, d), serial: w.serial, do: do})
+	heap.Push(&w.queue, dueEvent{at: w.now + max(0, d), serial: w.serial, do: do})
 }
 
 // chance is true with a probability, and never without faults.
@@ -269,13 +269,13 @@
 
 // runFor lets events happen for a time.
 func (w *simulation) runFor(d time.Duration) {
-	for end := w.now + d; len(w.due) > 0 && w.due[0].at <= end; {
+	for end := w.now + d; len(w.queue) > 0 && w.queue[0].at <= end; {
 		w.step()
 	}
 }
 
 func (w *simulation) step() {
-	e := heap.Pop(&w.due).(dueEvent)
+	e := heap.Pop(&w.queue).(dueEvent)
 	w.now = e.at
 	w.events++
 	e.do()
