--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -67,24 +67,24 @@
 	withdrawn bool
 }
 
-type dueEvent struct {
+type scheduledEvent struct {
 	at     time.Duration
 	serial int
 	do     func()
 }
 
-type dueHeap []dueEvent
+type dueHeap []scheduledEvent
 
 func (h dueHeap) Len() int { return len(h) }
 func (h dueHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].serial < h[j].serial)
 }
 func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueEvent)) }
+func (h *dueHeap) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
 func (h *dueHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
-	old[len(old)-1] = dueEvent{}
+	old[len(old)-1] = scheduledEvent{}
 	*h = old[:len(old)-1]
 	return e
 }
@@ -155,7 +155,7 @@
 // after plans an event.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.serial++
-	heap.Push(&w.queue, dueEvent{at: w.now + max(0, d), serial: w.serial, do: do})
+	heap.Push(&w.queue, scheduledEvent{at: w.now + max(0, d), serial: w.serial, do: do})
 }
 
 // chance is true with a probability, and never without faults.
@@ -275,7 +275,7 @@
 }
 
 func (w *simulation) step() {
-	e := heap.Pop(&w.queue).(dueEvent)
+	e := heap.Pop(&w.queue).(scheduledEvent)
 	w.now = e.at
 	w.events++
 	e.do()
