--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -31,7 +31,7 @@
 	seed        uint64
 	rng         *rand.Rand
 	now         time.Duration
-	queue       dueHeap
+	queue       eventHeap
 	serial      int
 	events      int
 	doc         *live.Document
@@ -73,15 +73,15 @@
 	do     func()
 }
 
-type dueHeap []scheduledEvent
+type eventHeap []scheduledEvent
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].serial < h[j].serial)
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
-func (h *dueHeap) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = scheduledEvent{}
