--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -118,7 +118,7 @@
 		return
 	}
 	c.over = true
-	c.sim.stats.gone++
+	c.sim.stats.disconnected++
 	if c.job != nil && !c.job.over && !c.job.h.dead {
 		c.job.abandon()
 	}
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -57,7 +57,7 @@
 
 // stats count what the run has met.
 type stats struct {
-	answered, refused, failed, gone, resumed, deaths, crashes, cancels, givenBack int
+	answered, refused, failed, disconnected, resumed, deaths, crashes, cancels, givenBack int
 }
 
 // ask is what became of one Ask.
