--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -57,7 +57,7 @@
 
 // stats count what the run has met.
 type stats struct {
-	answered, refused, failed, disconnected, resumed, deaths, crashes, cancels, givenBack int
+	answered, refused, failed, disconnected, resumed, killed, crashes, cancels, givenBack int
 }
 
 // ask is what became of one Ask.
@@ -238,7 +238,7 @@
 
 // kill ends a process; another one of the same daemon follows.
 func (w *simulation) kill(h *host) {
-	w.stats.deaths++
+	w.stats.killed++
 	h.dead = true
 	gone := h.self
 	for _, other := range w.hosts {
