--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -210,7 +210,7 @@
 // send hands a message to a pool's owner, at once if that is this daemon.
 func (h *host) send(m pairing.Message) {
 	if m.Progress != nil && m.Progress.Progress.Phase == sched.PhaseCancelled {
-		h.sim.stats.givenBack++
+		h.sim.stats.cancelledGrants++
 	}
 	if m.To == h.self.Daemon {
 		h.handleMessage(m)
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -57,7 +57,7 @@
 
 // stats count what the run has met.
 type stats struct {
-	answered, refused, failed, disconnected, resumed, killed, crashes, cancels, givenBack int
+	answered, refused, failed, disconnected, resumed, killed, crashes, cancels, cancelledGrants int
 }
 
 // ask is what became of one Ask.
