--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -29,7 +29,7 @@
 	delivered int
 	finished  bool
 	// over says that the caller has its answer, an error, or is gone.
-	over     bool
+	ended    bool
 	attempts int
 	avoid    []id.Endpoint
 	job      *job
@@ -67,8 +67,8 @@
 // take checks that the caller gets its answer whole, once and in order.
 func (c *caller) take(j *job, e stream.Event) {
 	want := c.event(j.id, c.delivered+1)
-	if c.over || c.finished || c.job != j || e != want {
-		c.sim.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.over)
+	if c.ended || c.finished || c.job != j || e != want {
+		c.sim.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.ended)
 	}
 	c.delivered++
 	c.finished = e.Terminal()
@@ -76,7 +76,7 @@
 
 // begin makes an attempt at a daemon.
 func (c *caller) begin(h *host) {
-	if c.over || h == nil || h.dead {
+	if c.ended || h == nil || h.dead {
 		c.giveUp()
 		return
 	}
@@ -97,15 +97,15 @@
 }
 
 func (c *caller) giveUp() {
-	if !c.over {
-		c.over = true
+	if !c.ended {
+		c.ended = true
 		c.sim.stats.failed++
 	}
 }
 
 // retry makes another attempt after one that failed.
 func (c *caller) retry(h *host) {
-	if c.over || c.attempts >= maxAttempts {
+	if c.ended || c.attempts >= maxAttempts {
 		c.giveUp()
 		return
 	}
@@ -114,10 +114,10 @@
 
 // leave is what a caller does that hangs up.
 func (c *caller) leave() {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	c.sim.stats.disconnected++
 	if c.job != nil && !c.job.over && !c.job.h.dead {
 		c.job.abandon()
@@ -306,7 +306,7 @@
 		j.c.take(j, e)
 	}
 	if j.seq.Ended() {
-		j.c.over = true
+		j.c.ended = true
 		j.h.sim.stats.answered++
 		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.c.delivered})
 		j.end()
@@ -335,7 +335,7 @@
 func (j *job) hostDied() {
 	j.over = true
 	c := j.c
-	if c.over {
+	if c.ended {
 		return
 	}
 	if c.sim.rng.IntN(3) == 0 {
@@ -349,7 +349,7 @@
 // it if it can.
 func (c *caller) comeBack(old *job) {
 	alive := c.sim.alive()
-	if c.over || len(alive) == 0 {
+	if c.ended || len(alive) == 0 {
 		c.giveUp()
 		return
 	}
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -147,8 +147,8 @@
 		}
 	}
 	for _, c := range w.callers {
-		if !c.over || (c.finished && c.delivered != c.tokens+1) {
-			w.fail("caller %d: over %v, %d of %d tokens", c.n, c.over, c.delivered, c.tokens)
+		if !c.ended || (c.finished && c.delivered != c.tokens+1) {
+			w.fail("caller %d: over %v, %d of %d tokens", c.n, c.ended, c.delivered, c.tokens)
 		}
 	}
 }
