--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -65,7 +65,7 @@
 }
 
 // take checks that the caller gets its answer whole, once and in order.
-func (c *caller) take(j *job, e stream.Event) {
+func (c *caller) deliver(j *job, e stream.Event) {
 	want := c.event(j.id, c.delivered+1)
 	if c.ended || c.finished || c.job != j || e != want {
 		c.sim.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.ended)
@@ -303,7 +303,7 @@
 			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.to, TransferTime: 20 * ms})
 		}
 		j.last = j.h.sim.now
-		j.c.take(j, e)
+		j.c.deliver(j, e)
 	}
 	if j.seq.Ended() {
 		j.c.ended = true
