--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -77,7 +77,7 @@
 // begin makes an attempt at a daemon.
 func (c *caller) begin(h *host) {
 	if c.ended || h == nil || h.dead {
-		c.giveUp()
+		c.fail()
 		return
 	}
 	c.attempts++
@@ -96,7 +96,7 @@
 	h.handleOutput(h.requester.Ask(c.sim.now, j.want, 800*ms))
 }
 
-func (c *caller) giveUp() {
+func (c *caller) fail() {
 	if !c.ended {
 		c.ended = true
 		c.sim.stats.failed++
@@ -106,7 +106,7 @@
 // retry makes another attempt after one that failed.
 func (c *caller) retry(h *host) {
 	if c.ended || c.attempts >= maxAttempts {
-		c.giveUp()
+		c.fail()
 		return
 	}
 	c.sim.after(c.sim.between(10*ms, 60*ms), func() { c.begin(h) })
@@ -350,7 +350,7 @@
 func (c *caller) comeBack(old *job) {
 	alive := c.sim.alive()
 	if c.ended || len(alive) == 0 {
-		c.giveUp()
+		c.fail()
 		return
 	}
 	h := alive[c.sim.rng.IntN(len(alive))]
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -93,7 +93,7 @@
 	w.callers = append(w.callers, c)
 	alive := w.alive()
 	if len(alive) == 0 {
-		c.giveUp()
+		c.fail()
 		return
 	}
 	c.begin(alive[w.rng.IntN(len(alive))])
