--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -113,7 +113,7 @@
 }
 
 // leave is what a caller does that hangs up.
-func (c *caller) leave() {
+func (c *caller) disconnect() {
 	if c.ended {
 		return
 	}
@@ -339,7 +339,7 @@
 		return
 	}
 	if c.sim.rng.IntN(3) == 0 {
-		c.leave()
+		c.disconnect()
 		return
 	}
 	c.sim.after(c.sim.between(100*ms, 1500*ms), func() { c.comeBack(j) })
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -98,7 +98,7 @@
 	}
 	c.begin(alive[w.rng.IntN(len(alive))])
 	if w.chance(0.1) {
-		w.after(w.between(0, time.Second), c.leave)
+		w.after(w.between(0, time.Second), c.disconnect)
 	}
 }
 
