--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -342,12 +342,12 @@
 		c.disconnect()
 		return
 	}
-	c.sim.after(c.sim.between(100*ms, 1500*ms), func() { c.comeBack(j) })
+	c.sim.after(c.sim.between(100*ms, 1500*ms), func() { c.reconnect(j) })
 }
 
 // comeBack goes on with the answer at another daemon, by the engine that writes
 // it if it can.
-func (c *caller) comeBack(old *job) {
+func (c *caller) reconnect(old *job) {
 	alive := c.sim.alive()
 	if c.ended || len(alive) == 0 {
 		c.fail()
