--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -75,7 +75,7 @@
 }
 
 // begin makes an attempt at a daemon.
-func (c *caller) begin(h *host) {
+func (c *caller) startAttempt(h *host) {
 	if c.ended || h == nil || h.dead {
 		c.fail()
 		return
@@ -109,7 +109,7 @@
 		c.fail()
 		return
 	}
-	c.sim.after(c.sim.between(10*ms, 60*ms), func() { c.begin(h) })
+	c.sim.after(c.sim.between(10*ms, 60*ms), func() { c.startAttempt(h) })
 }
 
 // leave is what a caller does that hangs up.
@@ -355,7 +355,7 @@
 	}
 	h := alive[c.sim.rng.IntN(len(alive))]
 	if c.delivered == 0 || !old.decoding {
-		c.begin(h)
+		c.startAttempt(h)
 		return
 	}
 	j := &job{h: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
@@ -364,7 +364,7 @@
 	j.to = old.to
 	j.seq = stream.New(j.id, c.delivered, 0)
 	if !c.sim.engines[j.to].resume(j, c.delivered) {
-		c.begin(h)
+		c.startAttempt(h)
 		return
 	}
 	c.sim.stats.resumed++
--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -96,7 +96,7 @@
 		c.fail()
 		return
 	}
-	c.begin(alive[w.rng.IntN(len(alive))])
+	c.startAttempt(alive[w.rng.IntN(len(alive))])
 	if w.chance(0.1) {
 		w.after(w.between(0, time.Second), c.disconnect)
 	}
