--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -96,7 +96,7 @@
 		return
 	}
 	e.checkNotEnded(j)
-	k := &task{job: j, owner: j.h.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
+	k := &task{job: j, owner: j.host.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
 	e.tasks[j.id] = k
 	e.queue = append(e.queue, k)
 	e.startNext()
@@ -158,7 +158,7 @@
 	}
 	e.checkNotEnded(j)
 	delete(from.tasks, j.id)
-	k := &task{job: j, owner: j.h.self, stage: reap.StageDecode, since: e.sim.now, offset: j.c.delivered, done: done}
+	k := &task{job: j, owner: j.host.self, stage: reap.StageDecode, since: e.sim.now, offset: j.c.delivered, done: done}
 	e.tasks[j.id] = k
 	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
 }
@@ -203,7 +203,7 @@
 	if k == nil || (k.stage != reap.StageDecode && k.stage != reap.StageFinished) || after < k.offset {
 		return false
 	}
-	k.owner = j.h.self
+	k.owner = j.host.self
 	k.job = j
 	for _, ev := range k.events[min(len(k.events), after-k.offset):] {
 		e.send(k, ev)
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -37,7 +37,7 @@
 
 // job is one attempt of a caller's request at one daemon.
 type job struct {
-	h     *host
+	host  *host
 	c     *caller
 	id    id.Request
 	want  sched.Want
@@ -81,7 +81,7 @@
 		return
 	}
 	c.attempts++
-	j := &job{h: h, c: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.sim.now}
+	j := &job{host: h, c: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.sim.now}
 	team := id.Team(fmt.Sprint("t", c.n%3))
 	j.want = sched.Want{
 		Request: j.id, Team: team, Service: id.Service(c.pool), Pool: c.pool, From: h.self,
@@ -119,7 +119,7 @@
 	}
 	c.ended = true
 	c.sim.stats.disconnected++
-	if c.job != nil && !c.job.over && !c.job.h.dead {
+	if c.job != nil && !c.job.over && !c.job.host.dead {
 		c.job.abandon()
 	}
 }
@@ -149,18 +149,18 @@
 
 func (j *job) end() {
 	j.over = true
-	delete(j.h.jobs, j.id)
+	delete(j.host.jobs, j.id)
 }
 
 // report tells the pool's owner; a final phase ends this process's part.
 func (j *job) report(p sched.Progress) {
-	if j.h.dead {
+	if j.host.dead {
 		return
 	}
 	p.Request = j.id
-	j.h.handleOutput(j.h.requester.Progress(j.h.sim.now, p))
+	j.host.handleOutput(j.host.requester.Progress(j.host.sim.now, p))
 	if p.Phase >= sched.PhaseDone {
-		delete(j.h.active, j.id)
+		delete(j.host.active, j.id)
 	}
 }
 
@@ -169,35 +169,35 @@
 func (j *job) order(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
 	heard := false
 	hear := func(o outcome, known bool) {
-		if !heard && !j.over && !j.h.dead {
+		if !heard && !j.over && !j.host.dead {
 			heard = true
 			got(o, known)
 		}
 	}
-	j.h.sim.after(j.h.sim.latency(), func() {
+	j.host.sim.after(j.host.sim.latency(), func() {
 		send(func(o outcome) {
-			if !j.h.sim.chance(0.005) {
-				j.h.sim.after(j.h.sim.latency(), func() { hear(o, true) })
+			if !j.host.sim.chance(0.005) {
+				j.host.sim.after(j.host.sim.latency(), func() { hear(o, true) })
 			}
 		})
 	})
-	j.h.sim.after(orderTimeout, func() { hear(broken, false) })
+	j.host.sim.after(orderTimeout, func() { hear(broken, false) })
 }
 
 func (j *job) prefill() {
-	if j.over || j.h.dead {
+	if j.over || j.host.dead {
 		return
 	}
 	j.ordered = true
 	j.report(sched.Progress{Phase: sched.PhasePrefilling})
-	e := j.h.sim.engines[j.grant.Prefill]
+	e := j.host.sim.engines[j.grant.Prefill]
 	j.order(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
 		if o == accepted {
 			j.prefilled(e)
 			return
 		}
 		if o == broken {
-			j.h.cancel(e.name, j.id, 0, known, nil)
+			j.host.cancel(e.name, j.id, 0, known, nil)
 		}
 		j.failed(e.name, o, known)
 	})
@@ -207,7 +207,7 @@
 func (j *job) prefilled(from *engine) {
 	j.transfer = func() {
 		j.transfer = nil
-		if !j.over && !j.h.dead {
+		if !j.over && !j.host.dead {
 			j.decode(from)
 		}
 	}
@@ -216,7 +216,7 @@
 		j.startTransfer()
 		return
 	}
-	j.h.sim.after(j.grant.BindWithin, j.startTransfer)
+	j.host.sim.after(j.grant.BindWithin, j.startTransfer)
 }
 
 // bind names the endpoint whose slot a provisional grant has got.
@@ -237,30 +237,30 @@
 
 func (j *job) decode(from *engine) {
 	j.decoding = true
-	j.last = j.h.sim.now
-	e := j.h.sim.engines[j.to]
+	j.last = j.host.sim.now
+	e := j.host.sim.engines[j.to]
 	refuse := func(o outcome, known bool) {
 		switch {
-		case j.over || j.h.dead:
+		case j.over || j.host.dead:
 		case o == broken:
 			j.breakOff(known)
 		default:
-			j.h.cancel(from.name, j.id, 0, true, nil)
+			j.host.cancel(from.name, j.id, 0, true, nil)
 			j.failed(e.name, o, known)
 		}
 	}
-	j.h.sim.after(j.h.sim.latency(), func() {
-		e.decode(j, from, func(o outcome) { j.h.sim.after(j.h.sim.latency(), func() { refuse(o, true) }) })
+	j.host.sim.after(j.host.sim.latency(), func() {
+		e.decode(j, from, func(o outcome) { j.host.sim.after(j.host.sim.latency(), func() { refuse(o, true) }) })
 	})
 	j.watch()
 }
 
 // watch breaks a stream off that makes no progress.
 func (j *job) watch() {
-	j.h.sim.after(idleTimeout, func() {
+	j.host.sim.after(idleTimeout, func() {
 		switch {
-		case j.over || j.h.dead:
-		case j.h.sim.now-j.last >= idleTimeout:
+		case j.over || j.host.dead:
+		case j.host.sim.now-j.last >= idleTimeout:
 			j.breakOff(false)
 		default:
 			j.watch()
@@ -272,10 +272,10 @@
 // engine has confirmed.
 func (j *job) breakOff(crashed bool) {
 	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.to, Crashed: crashed}
-	j.h.cancel(j.to, j.id, 0, false, func() { j.report(p) })
+	j.host.cancel(j.to, j.id, 0, false, func() { j.report(p) })
 	j.end()
 	j.c.avoid = append(j.c.avoid, j.to)
-	j.c.retry(j.h)
+	j.c.retry(j.host)
 }
 
 func (j *job) failed(e id.Endpoint, o outcome, known bool) {
@@ -284,12 +284,12 @@
 	})
 	j.end()
 	j.c.avoid = append(j.c.avoid, e)
-	j.c.retry(j.h)
+	j.c.retry(j.host)
 }
 
 // receive takes an event of the stream.
 func (j *job) receive(e stream.Event) {
-	if j.over || j.h.dead {
+	if j.over || j.host.dead {
 		return
 	}
 	ready, err := j.seq.Push(e)
@@ -302,12 +302,12 @@
 			j.began = true
 			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.to, TransferTime: 20 * ms})
 		}
-		j.last = j.h.sim.now
+		j.last = j.host.sim.now
 		j.c.deliver(j, e)
 	}
 	if j.seq.Ended() {
 		j.c.ended = true
-		j.h.sim.stats.answered++
+		j.host.sim.stats.answered++
 		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.c.delivered})
 		j.end()
 	}
@@ -317,16 +317,16 @@
 func (j *job) abandon() {
 	switch {
 	case j.grant == nil:
-		j.h.sim.asks[j.id].withdrawn = true
-		delete(j.h.active, j.id)
-		j.h.handleOutput(j.h.requester.Withdraw(j.id))
+		j.host.sim.asks[j.id].withdrawn = true
+		delete(j.host.active, j.id)
+		j.host.handleOutput(j.host.requester.Withdraw(j.id))
 	case !j.decoding:
 		if j.ordered {
-			j.h.cancel(j.grant.Prefill, j.id, 0, false, nil)
+			j.host.cancel(j.grant.Prefill, j.id, 0, false, nil)
 		}
 		j.report(sched.Progress{Phase: sched.PhaseCancelled})
 	default:
-		j.h.cancel(j.to, j.id, 0, false, func() { j.report(sched.Progress{Phase: sched.PhaseCancelled}) })
+		j.host.cancel(j.to, j.id, 0, false, func() { j.report(sched.Progress{Phase: sched.PhaseCancelled}) })
 	}
 	j.end()
 }
@@ -358,7 +358,7 @@
 		c.startAttempt(h)
 		return
 	}
-	j := &job{h: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
+	j := &job{host: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
 	j.want.From = h.self
 	j.grant = &sched.Grant{Request: j.id, Decode: old.to, Owner: h.self}
 	j.to = old.to
