--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -158,7 +158,7 @@
 	}
 	e.checkNotEnded(j)
 	delete(from.tasks, j.id)
-	k := &task{job: j, owner: j.host.self, stage: reap.StageDecode, since: e.sim.now, offset: j.c.delivered, done: done}
+	k := &task{job: j, owner: j.host.self, stage: reap.StageDecode, since: e.sim.now, offset: j.caller.delivered, done: done}
 	e.tasks[j.id] = k
 	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
 }
@@ -169,7 +169,7 @@
 		return
 	}
 	seq := k.offset + len(k.events) + 1
-	ev := k.job.c.event(k.job.id, seq)
+	ev := k.job.caller.event(k.job.id, seq)
 	k.events = append(k.events, ev)
 	e.send(k, ev)
 	if !ev.Terminal() {
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -37,12 +37,12 @@
 
 // job is one attempt of a caller's request at one daemon.
 type job struct {
-	host  *host
-	c     *caller
-	id    id.Request
-	want  sched.Want
-	grant *sched.Grant
-	seq   *stream.Sequencer
+	host   *host
+	caller *caller
+	id     id.Request
+	want   sched.Want
+	grant  *sched.Grant
+	seq    *stream.Sequencer
 	// to is the endpoint that decodes; transfer begins the decode order of a
 	// provisional grant that waits for it.
 	to       id.Endpoint
@@ -81,7 +81,7 @@
 		return
 	}
 	c.attempts++
-	j := &job{host: h, c: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.sim.now}
+	j := &job{host: h, caller: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.sim.now}
 	team := id.Team(fmt.Sprint("t", c.n%3))
 	j.want = sched.Want{
 		Request: j.id, Team: team, Service: id.Service(c.pool), Pool: c.pool, From: h.self,
@@ -144,7 +144,7 @@
 	h.sim.stats.refused++
 	delete(h.active, j.id)
 	j.end()
-	j.c.retry(h)
+	j.caller.retry(h)
 }
 
 func (j *job) end() {
@@ -274,8 +274,8 @@
 	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.to, Crashed: crashed}
 	j.host.cancel(j.to, j.id, 0, false, func() { j.report(p) })
 	j.end()
-	j.c.avoid = append(j.c.avoid, j.to)
-	j.c.retry(j.host)
+	j.caller.avoid = append(j.caller.avoid, j.to)
+	j.caller.retry(j.host)
 }
 
 func (j *job) failed(e id.Endpoint, o outcome, known bool) {
@@ -283,8 +283,8 @@
 		Phase: sched.PhaseFailed, Endpoint: e, Full: o == refusedFull, Leaving: o == refusedLeaving, Crashed: o == broken && known,
 	})
 	j.end()
-	j.c.avoid = append(j.c.avoid, e)
-	j.c.retry(j.host)
+	j.caller.avoid = append(j.caller.avoid, e)
+	j.caller.retry(j.host)
 }
 
 // receive takes an event of the stream.
@@ -303,12 +303,12 @@
 			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.to, TransferTime: 20 * ms})
 		}
 		j.last = j.host.sim.now
-		j.c.deliver(j, e)
+		j.caller.deliver(j, e)
 	}
 	if j.seq.Ended() {
-		j.c.ended = true
+		j.caller.ended = true
 		j.host.sim.stats.answered++
-		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.c.delivered})
+		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.caller.delivered})
 		j.end()
 	}
 }
@@ -334,7 +334,7 @@
 // hostDied is what callers do whose daemon died: some come back through another.
 func (j *job) hostDied() {
 	j.over = true
-	c := j.c
+	c := j.caller
 	if c.ended {
 		return
 	}
@@ -358,7 +358,7 @@
 		c.startAttempt(h)
 		return
 	}
-	j := &job{host: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
+	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
 	j.want.From = h.self
 	j.grant = &sched.Grant{Request: j.id, Decode: old.to, Owner: h.self}
 	j.to = old.to
