--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -45,9 +45,9 @@
 	seq    *stream.Sequencer
 	// to is the endpoint that decodes; transfer begins the decode order of a
 	// provisional grant that waits for it.
-	to       id.Endpoint
-	bound    bool
-	transfer func()
+	decodeEndpoint id.Endpoint
+	bound          bool
+	transfer       func()
 	// ordered and decoding say how far it has come.
 	ordered  bool
 	decoding bool
@@ -134,7 +134,7 @@
 	}
 	if a.Err == nil {
 		j.grant = a.Grant
-		j.to = a.Grant.Decode
+		j.decodeEndpoint = a.Grant.Decode
 		h.sim.after(a.Grant.StartIn, j.prefill)
 		return
 	}
@@ -222,7 +222,7 @@
 // bind names the endpoint whose slot a provisional grant has got.
 func (j *job) bind(e id.Endpoint) {
 	if !j.decoding {
-		j.to = e
+		j.decodeEndpoint = e
 		j.bound = true
 		j.startTransfer()
 	}
@@ -238,7 +238,7 @@
 func (j *job) decode(from *engine) {
 	j.decoding = true
 	j.last = j.host.sim.now
-	e := j.host.sim.engines[j.to]
+	e := j.host.sim.engines[j.decodeEndpoint]
 	refuse := func(o outcome, known bool) {
 		switch {
 		case j.over || j.host.dead:
@@ -271,10 +271,10 @@
 // breakOff ends a decode of unknown state: its slot counts as held until the
 // engine has confirmed.
 func (j *job) breakOff(crashed bool) {
-	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.to, Crashed: crashed}
-	j.host.cancel(j.to, j.id, 0, false, func() { j.report(p) })
+	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.decodeEndpoint, Crashed: crashed}
+	j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.report(p) })
 	j.end()
-	j.caller.avoid = append(j.caller.avoid, j.to)
+	j.caller.avoid = append(j.caller.avoid, j.decodeEndpoint)
 	j.caller.retry(j.host)
 }
 
@@ -300,7 +300,7 @@
 	for _, e := range ready {
 		if !j.began {
 			j.began = true
-			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.to, TransferTime: 20 * ms})
+			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.decodeEndpoint, TransferTime: 20 * ms})
 		}
 		j.last = j.host.sim.now
 		j.caller.deliver(j, e)
@@ -326,7 +326,7 @@
 		}
 		j.report(sched.Progress{Phase: sched.PhaseCancelled})
 	default:
-		j.host.cancel(j.to, j.id, 0, false, func() { j.report(sched.Progress{Phase: sched.PhaseCancelled}) })
+		j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.report(sched.Progress{Phase: sched.PhaseCancelled}) })
 	}
 	j.end()
 }
@@ -360,10 +360,10 @@
 	}
 	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
 	j.want.From = h.self
-	j.grant = &sched.Grant{Request: j.id, Decode: old.to, Owner: h.self}
-	j.to = old.to
+	j.grant = &sched.Grant{Request: j.id, Decode: old.decodeEndpoint, Owner: h.self}
+	j.decodeEndpoint = old.decodeEndpoint
 	j.seq = stream.New(j.id, c.delivered, 0)
-	if !c.sim.engines[j.to].resume(j, c.delivered) {
+	if !c.sim.engines[j.decodeEndpoint].resume(j, c.delivered) {
 		c.startAttempt(h)
 		return
 	}
