--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -37,12 +37,12 @@
 
 // job is one attempt of a caller's request at one daemon.
 type job struct {
-	host   *host
-	caller *caller
-	id     id.Request
-	want   sched.Want
-	grant  *sched.Grant
-	seq    *stream.Sequencer
+	host      *host
+	caller    *caller
+	id        id.Request
+	want      sched.Want
+	grant     *sched.Grant
+	sequencer *stream.Sequencer
 	// to is the endpoint that decodes; transfer begins the decode order of a
 	// provisional grant that waits for it.
 	decodeEndpoint id.Endpoint
@@ -88,7 +88,7 @@
 		PromptTokens: 200 + c.n%600, OutputTokens: c.tokens, Priority: 5, Avoid: c.avoid, Attempt: c.attempts,
 		Fingerprint: poison.Print(team, id.Service(c.pool), []byte(fmt.Sprint(c.n))).String(),
 	}
-	j.seq = stream.New(j.id, c.delivered, 0)
+	j.sequencer = stream.New(j.id, c.delivered, 0)
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
@@ -292,7 +292,7 @@
 	if j.over || j.host.dead {
 		return
 	}
-	ready, err := j.seq.Push(e)
+	ready, err := j.sequencer.Push(e)
 	if err != nil {
 		j.breakOff(false)
 		return
@@ -305,7 +305,7 @@
 		j.last = j.host.sim.now
 		j.caller.deliver(j, e)
 	}
-	if j.seq.Ended() {
+	if j.sequencer.Ended() {
 		j.caller.ended = true
 		j.host.sim.stats.answered++
 		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.caller.delivered})
@@ -362,7 +362,7 @@
 	j.want.From = h.self
 	j.grant = &sched.Grant{Request: j.id, Decode: old.decodeEndpoint, Owner: h.self}
 	j.decodeEndpoint = old.decodeEndpoint
-	j.seq = stream.New(j.id, c.delivered, 0)
+	j.sequencer = stream.New(j.id, c.delivered, 0)
 	if !c.sim.engines[j.decodeEndpoint].resume(j, c.delivered) {
 		c.startAttempt(h)
 		return
