--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -49,11 +49,11 @@
 	bound          bool
 	transfer       func()
 	// ordered and decoding say how far it has come.
-	ordered  bool
-	decoding bool
-	over     bool
-	began    bool
-	last     time.Duration
+	prefillOrdered bool
+	decoding       bool
+	over           bool
+	began          bool
+	last           time.Duration
 }
 
 // event is one token of the caller's answer; the last one is terminal.
@@ -188,7 +188,7 @@
 	if j.over || j.host.dead {
 		return
 	}
-	j.ordered = true
+	j.prefillOrdered = true
 	j.report(sched.Progress{Phase: sched.PhasePrefilling})
 	e := j.host.sim.engines[j.grant.Prefill]
 	j.order(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
@@ -321,7 +321,7 @@
 		delete(j.host.active, j.id)
 		j.host.handleOutput(j.host.requester.Withdraw(j.id))
 	case !j.decoding:
-		if j.ordered {
+		if j.prefillOrdered {
 			j.host.cancel(j.grant.Prefill, j.id, 0, false, nil)
 		}
 		j.report(sched.Progress{Phase: sched.PhaseCancelled})
