--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -51,7 +51,7 @@
 	// ordered and decoding say how far it has come.
 	prefillOrdered bool
 	decoding       bool
-	over           bool
+	ended          bool
 	began          bool
 	last           time.Duration
 }
@@ -119,7 +119,7 @@
 	}
 	c.ended = true
 	c.sim.stats.disconnected++
-	if c.job != nil && !c.job.over && !c.job.host.dead {
+	if c.job != nil && !c.job.ended && !c.job.host.dead {
 		c.job.abandon()
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 func (j *job) end() {
-	j.over = true
+	j.ended = true
 	delete(j.host.jobs, j.id)
 }
 
@@ -169,7 +169,7 @@
 func (j *job) order(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
 	heard := false
 	hear := func(o outcome, known bool) {
-		if !heard && !j.over && !j.host.dead {
+		if !heard && !j.ended && !j.host.dead {
 			heard = true
 			got(o, known)
 		}
@@ -185,7 +185,7 @@
 }
 
 func (j *job) prefill() {
-	if j.over || j.host.dead {
+	if j.ended || j.host.dead {
 		return
 	}
 	j.prefillOrdered = true
@@ -207,7 +207,7 @@
 func (j *job) prefilled(from *engine) {
 	j.transfer = func() {
 		j.transfer = nil
-		if !j.over && !j.host.dead {
+		if !j.ended && !j.host.dead {
 			j.decode(from)
 		}
 	}
@@ -241,7 +241,7 @@
 	e := j.host.sim.engines[j.decodeEndpoint]
 	refuse := func(o outcome, known bool) {
 		switch {
-		case j.over || j.host.dead:
+		case j.ended || j.host.dead:
 		case o == broken:
 			j.breakOff(known)
 		default:
@@ -259,7 +259,7 @@
 func (j *job) watch() {
 	j.host.sim.after(idleTimeout, func() {
 		switch {
-		case j.over || j.host.dead:
+		case j.ended || j.host.dead:
 		case j.host.sim.now-j.last >= idleTimeout:
 			j.breakOff(false)
 		default:
@@ -289,7 +289,7 @@
 
 // receive takes an event of the stream.
 func (j *job) receive(e stream.Event) {
-	if j.over || j.host.dead {
+	if j.ended || j.host.dead {
 		return
 	}
 	ready, err := j.sequencer.Push(e)
@@ -333,7 +333,7 @@
 
 // hostDied is what callers do whose daemon died: some come back through another.
 func (j *job) hostDied() {
-	j.over = true
+	j.ended = true
 	c := j.caller
 	if c.ended {
 		return
