--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -52,7 +52,7 @@
 	prefillOrdered bool
 	decoding       bool
 	ended          bool
-	began          bool
+	streamStarted  bool
 	last           time.Duration
 }
 
@@ -298,8 +298,8 @@
 		return
 	}
 	for _, e := range ready {
-		if !j.began {
-			j.began = true
+		if !j.streamStarted {
+			j.streamStarted = true
 			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.decodeEndpoint, TransferTime: 20 * ms})
 		}
 		j.last = j.host.sim.now
@@ -358,7 +358,7 @@
 		c.startAttempt(h)
 		return
 	}
-	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, began: true, last: c.sim.now}
+	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, streamStarted: true, last: c.sim.now}
 	j.want.From = h.self
 	j.grant = &sched.Grant{Request: j.id, Decode: old.decodeEndpoint, Owner: h.self}
 	j.decodeEndpoint = old.decodeEndpoint
