--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -53,7 +53,7 @@
 	decoding       bool
 	ended          bool
 	streamStarted  bool
-	last           time.Duration
+	lastProgress   time.Duration
 }
 
 // event is one token of the caller's answer; the last one is terminal.
@@ -81,7 +81,7 @@
 		return
 	}
 	c.attempts++
-	j := &job{host: h, caller: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.sim.now}
+	j := &job{host: h, caller: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), lastProgress: c.sim.now}
 	team := id.Team(fmt.Sprint("t", c.n%3))
 	j.want = sched.Want{
 		Request: j.id, Team: team, Service: id.Service(c.pool), Pool: c.pool, From: h.self,
@@ -237,7 +237,7 @@
 
 func (j *job) decode(from *engine) {
 	j.decoding = true
-	j.last = j.host.sim.now
+	j.lastProgress = j.host.sim.now
 	e := j.host.sim.engines[j.decodeEndpoint]
 	refuse := func(o outcome, known bool) {
 		switch {
@@ -260,7 +260,7 @@
 	j.host.sim.after(idleTimeout, func() {
 		switch {
 		case j.ended || j.host.dead:
-		case j.host.sim.now-j.last >= idleTimeout:
+		case j.host.sim.now-j.lastProgress >= idleTimeout:
 			j.breakOff(false)
 		default:
 			j.watch()
@@ -302,7 +302,7 @@
 			j.streamStarted = true
 			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.decodeEndpoint, TransferTime: 20 * ms})
 		}
-		j.last = j.host.sim.now
+		j.lastProgress = j.host.sim.now
 		j.caller.deliver(j, e)
 	}
 	if j.sequencer.Ended() {
@@ -358,7 +358,7 @@
 		c.startAttempt(h)
 		return
 	}
-	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, streamStarted: true, last: c.sim.now}
+	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, streamStarted: true, lastProgress: c.sim.now}
 	j.want.From = h.self
 	j.grant = &sched.Grant{Request: j.id, Decode: old.decodeEndpoint, Owner: h.self}
 	j.decodeEndpoint = old.decodeEndpoint
