--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -153,7 +153,7 @@
 }
 
 // report tells the pool's owner; a final phase ends this process's part.
-func (j *job) report(p sched.Progress) {
+func (j *job) reportProgress(p sched.Progress) {
 	if j.host.dead {
 		return
 	}
@@ -189,7 +189,7 @@
 		return
 	}
 	j.prefillOrdered = true
-	j.report(sched.Progress{Phase: sched.PhasePrefilling})
+	j.reportProgress(sched.Progress{Phase: sched.PhasePrefilling})
 	e := j.host.sim.engines[j.grant.Prefill]
 	j.order(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
 		if o == accepted {
@@ -211,7 +211,7 @@
 			j.decode(from)
 		}
 	}
-	j.report(sched.Progress{Phase: sched.PhaseTransferring, PromptTokens: j.want.PromptTokens, PrefillTime: 30 * ms})
+	j.reportProgress(sched.Progress{Phase: sched.PhaseTransferring, PromptTokens: j.want.PromptTokens, PrefillTime: 30 * ms})
 	if !j.grant.Provisional || j.bound {
 		j.startTransfer()
 		return
@@ -272,14 +272,14 @@
 // engine has confirmed.
 func (j *job) breakOff(crashed bool) {
 	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.decodeEndpoint, Crashed: crashed}
-	j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.report(p) })
+	j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.reportProgress(p) })
 	j.end()
 	j.caller.avoid = append(j.caller.avoid, j.decodeEndpoint)
 	j.caller.retry(j.host)
 }
 
 func (j *job) failed(e id.Endpoint, o outcome, known bool) {
-	j.report(sched.Progress{
+	j.reportProgress(sched.Progress{
 		Phase: sched.PhaseFailed, Endpoint: e, Full: o == refusedFull, Leaving: o == refusedLeaving, Crashed: o == broken && known,
 	})
 	j.end()
@@ -300,7 +300,7 @@
 	for _, e := range ready {
 		if !j.streamStarted {
 			j.streamStarted = true
-			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.decodeEndpoint, TransferTime: 20 * ms})
+			j.reportProgress(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.decodeEndpoint, TransferTime: 20 * ms})
 		}
 		j.lastProgress = j.host.sim.now
 		j.caller.deliver(j, e)
@@ -308,7 +308,7 @@
 	if j.sequencer.Ended() {
 		j.caller.ended = true
 		j.host.sim.stats.answered++
-		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.caller.delivered})
+		j.reportProgress(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.caller.delivered})
 		j.end()
 	}
 }
@@ -324,9 +324,9 @@
 		if j.prefillOrdered {
 			j.host.cancel(j.grant.Prefill, j.id, 0, false, nil)
 		}
-		j.report(sched.Progress{Phase: sched.PhaseCancelled})
+		j.reportProgress(sched.Progress{Phase: sched.PhaseCancelled})
 	default:
-		j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.report(sched.Progress{Phase: sched.PhaseCancelled}) })
+		j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.reportProgress(sched.Progress{Phase: sched.PhaseCancelled}) })
 	}
 	j.end()
 }
