--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -166,7 +166,7 @@
 
 // order sends an order to an engine; the reply may be lost, which shows by the
 // timeout. got hears once.
-func (j *job) order(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
+func (j *job) sendOrder(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
 	heard := false
 	hear := func(o outcome, known bool) {
 		if !heard && !j.ended && !j.host.dead {
@@ -191,7 +191,7 @@
 	j.prefillOrdered = true
 	j.reportProgress(sched.Progress{Phase: sched.PhasePrefilling})
 	e := j.host.sim.engines[j.grant.Prefill]
-	j.order(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
+	j.sendOrder(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
 		if o == accepted {
 			j.prefilled(e)
 			return
