--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -193,7 +193,7 @@
 	e := j.host.sim.engines[j.grant.Prefill]
 	j.sendOrder(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
 		if o == accepted {
-			j.prefilled(e)
+			j.awaitBinding(e)
 			return
 		}
 		if o == broken {
@@ -204,7 +204,7 @@
 }
 
 // prefilled waits for the binding of a provisional grant.
-func (j *job) prefilled(from *engine) {
+func (j *job) awaitBinding(from *engine) {
 	j.transfer = func() {
 		j.transfer = nil
 		if !j.ended && !j.host.dead {
