--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -252,18 +252,18 @@
 	j.host.sim.after(j.host.sim.latency(), func() {
 		e.decode(j, from, func(o outcome) { j.host.sim.after(j.host.sim.latency(), func() { refuse(o, true) }) })
 	})
-	j.watch()
+	j.watchIdle()
 }
 
 // watch breaks a stream off that makes no progress.
-func (j *job) watch() {
+func (j *job) watchIdle() {
 	j.host.sim.after(idleTimeout, func() {
 		switch {
 		case j.ended || j.host.dead:
 		case j.host.sim.now-j.lastProgress >= idleTimeout:
 			j.breakOff(false)
 		default:
-			j.watch()
+			j.watchIdle()
 		}
 	})
 }
@@ -372,5 +372,5 @@
 	h.jobs[j.id] = j
 	h.active[j.id] = true
 	h.handleOutput(h.requester.Resume(c.sim.now, j.want, *j.grant))
-	j.watch()
+	j.watchIdle()
 }
