--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -243,7 +243,7 @@
 		switch {
 		case j.ended || j.host.dead:
 		case o == broken:
-			j.breakOff(known)
+			j.abortDecode(known)
 		default:
 			j.host.cancel(from.name, j.id, 0, true, nil)
 			j.failed(e.name, o, known)
@@ -261,7 +261,7 @@
 		switch {
 		case j.ended || j.host.dead:
 		case j.host.sim.now-j.lastProgress >= idleTimeout:
-			j.breakOff(false)
+			j.abortDecode(false)
 		default:
 			j.watchIdle()
 		}
@@ -270,7 +270,7 @@
 
 // breakOff ends a decode of unknown state: its slot counts as held until the
 // engine has confirmed.
-func (j *job) breakOff(crashed bool) {
+func (j *job) abortDecode(crashed bool) {
 	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.decodeEndpoint, Crashed: crashed}
 	j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.reportProgress(p) })
 	j.end()
@@ -294,7 +294,7 @@
 	}
 	ready, err := j.sequencer.Push(e)
 	if err != nil {
-		j.breakOff(false)
+		j.abortDecode(false)
 		return
 	}
 	for _, e := range ready {
