--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -199,7 +199,7 @@
 		if o == broken {
 			j.host.cancel(e.name, j.id, 0, known, nil)
 		}
-		j.failed(e.name, o, known)
+		j.handleFailure(e.name, o, known)
 	})
 }
 
@@ -246,7 +246,7 @@
 			j.abortDecode(known)
 		default:
 			j.host.cancel(from.name, j.id, 0, true, nil)
-			j.failed(e.name, o, known)
+			j.handleFailure(e.name, o, known)
 		}
 	}
 	j.host.sim.after(j.host.sim.latency(), func() {
@@ -278,7 +278,7 @@
 	j.caller.retry(j.host)
 }
 
-func (j *job) failed(e id.Endpoint, o outcome, known bool) {
+func (j *job) handleFailure(e id.Endpoint, o outcome, known bool) {
 	j.reportProgress(sched.Progress{
 		Phase: sched.PhaseFailed, Endpoint: e, Full: o == refusedFull, Leaving: o == refusedLeaving, Crashed: o == broken && known,
 	})
