--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -120,7 +120,7 @@
 	c.ended = true
 	c.sim.stats.disconnected++
 	if c.job != nil && !c.job.ended && !c.job.host.dead {
-		c.job.abandon()
+		c.job.cancel()
 	}
 }
 
@@ -314,7 +314,7 @@
 }
 
 // abandon ends an attempt whose caller is gone.
-func (j *job) abandon() {
+func (j *job) cancel() {
 	switch {
 	case j.grant == nil:
 		j.host.sim.asks[j.id].withdrawn = true
