--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -332,7 +332,7 @@
 }
 
 // hostDied is what callers do whose daemon died: some come back through another.
-func (j *job) hostDied() {
+func (j *job) handleHostExit() {
 	j.ended = true
 	c := j.caller
 	if c.ended {
--- a/core/randomrun/world_test.go
+++ b/core/randomrun/world_test.go
@@ -245,7 +245,7 @@
 		w.after(w.between(time.Second, 4*time.Second), func() { other.processGone(gone) })
 	}
 	for _, j := range h.sortedJobs() {
-		j.hostDied()
+		j.handleHostExit()
 	}
 	w.after(w.between(10*ms, 3*time.Second), func() {
 		gone.Incarnation++
