--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -19,7 +19,7 @@
 )
 
 // number reads a variable; its default is what CI runs.
-func number(t *testing.T, name string, otherwise int) int {
+func envInt(t *testing.T, name string, otherwise int) int {
 	text := os.Getenv(name)
 	if text == "" {
 		return otherwise
@@ -34,8 +34,8 @@
 // TestRandomRun drives the core by seeded events with all faults and asserts
 // every invariant.
 func TestRandomRun(t *testing.T) {
-	events := number(t, eventsVariable, 30_000)
-	for seed := range uint64(number(t, seedsVariable, 3)) {
+	events := envInt(t, eventsVariable, 30_000)
+	for seed := range uint64(envInt(t, seedsVariable, 3)) {
 		w := newSimulation(t, seed+1, true, sched.NewLedger)
 		w.scheduleArrivals()
 		w.injectFaults()
