--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -27,7 +27,7 @@
 
 // model is a small fake of engines and of daemons that follow their grants.
 // Without a shared scheduler each daemon has its own.
-type model struct {
+type simulation struct {
 	now        time.Duration
 	due        events
 	serial     int
@@ -126,8 +126,8 @@
 }
 
 // newModel returns a model of nine daemons.
-func newModel(doc *live.Document, seed uint64, shared bool, policy func() sched.Scheduler) *model {
-	m := &model{
+func newModel(doc *live.Document, seed uint64, shared bool, policy func() sched.Scheduler) *simulation {
+	m := &simulation{
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		doc:     doc,
 		shared:  shared,
@@ -150,14 +150,14 @@
 }
 
 // after plans an event.
-func (m *model) after(d time.Duration, do func()) {
+func (m *simulation) after(d time.Duration, do func()) {
 	m.serial++
 	heap.Push(&m.due, event{at: m.now + d, serial: m.serial, do: do})
 }
 
 // tell hands something to a daemon's scheduler, after its way there, and the
 // actions back.
-func (m *model) tell(daemon int, what func(s sched.Scheduler) []sched.Action) {
+func (m *simulation) tell(daemon int, what func(s sched.Scheduler) []sched.Action) {
 	way := time.Duration(0)
 	if m.shared {
 		way = wire
@@ -167,14 +167,14 @@
 }
 
 // deliver takes actions to their daemons.
-func (m *model) deliver(actions []sched.Action, way time.Duration) {
+func (m *simulation) deliver(actions []sched.Action, way time.Duration) {
 	for _, a := range actions {
 		m.after(way, func() { m.act(a) })
 	}
 }
 
 // act is what a daemon does on an answer.
-func (m *model) act(a sched.Action) {
+func (m *simulation) act(a sched.Action) {
 	if a.Binding != nil {
 		j := m.jobs[a.Binding.Request]
 		bound := *j.grant
@@ -198,7 +198,7 @@
 }
 
 // answer counts an answer.
-func (m *model) answer(j *job) {
+func (m *simulation) answer(j *job) {
 	if j.answered {
 		m.result.twice++
 	}
@@ -206,7 +206,7 @@
 }
 
 // progress tells the scheduler how a job fares.
-func (m *model) progress(j *job, p sched.Progress) {
+func (m *simulation) progress(j *job, p sched.Progress) {
 	p.Request = j.grant.Request
 	p.Reservation = j.grant.Reservation
 	p.PromptTokens = j.want.PromptTokens
@@ -214,14 +214,14 @@
 }
 
 // order puts a job into its prefill engine's queue.
-func (m *model) order(j *job) {
+func (m *simulation) order(j *job) {
 	e := m.engines[j.grant.Prefill]
 	e.waiting = append(e.waiting, j)
 	m.nextPrefill(e)
 }
 
 // nextPrefill begins the next job whose caller still waits.
-func (m *model) nextPrefill(e *engine) {
+func (m *simulation) nextPrefill(e *engine) {
 	for !e.busy && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -242,7 +242,7 @@
 
 // prefilled hands a KV cache over, if its grant is bound to a slot or once it
 // has waited long enough for that.
-func (m *model) prefilled(j *job) {
+func (m *simulation) prefilled(j *job) {
 	m.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
 	j.ready = true
 	if j.bound {
@@ -253,7 +253,7 @@
 }
 
 // bind lets a job order its decode, at once if its KV cache waits for that.
-func (m *model) bind(j *job) {
+func (m *simulation) bind(j *job) {
 	if j.bound {
 		return
 	}
@@ -264,7 +264,7 @@
 }
 
 // handOver orders the decode.
-func (m *model) handOver(j *job) {
+func (m *simulation) handOver(j *job) {
 	e := m.engines[j.grant.Decode]
 	if e.running < e.slots {
 		m.transfer(e, j)
@@ -279,7 +279,7 @@
 }
 
 // expire gives up a KV cache that was not handed over.
-func (m *model) expire(e *engine, j *job) {
+func (m *simulation) expire(e *engine, j *job) {
 	for i, w := range e.waiting {
 		if w != j {
 			continue
@@ -293,7 +293,7 @@
 }
 
 // transfer takes a slot and decodes.
-func (m *model) transfer(e *engine, j *job) {
+func (m *simulation) transfer(e *engine, j *job) {
 	e.running++
 	m.after(transferTime, func() {
 		first := m.now + 20*ms - j.arrived
@@ -303,7 +303,7 @@
 }
 
 // done frees the slot for the next KV cache that waits.
-func (m *model) done(e *engine, j *job, first time.Duration) {
+func (m *simulation) done(e *engine, j *job, first time.Duration) {
 	m.result.answered++
 	if first <= m.doc.Services[0].Patience() {
 		m.result.inTime++
@@ -318,7 +318,7 @@
 }
 
 // arrive brings requests at a rate until a number has come.
-func (m *model) arrive(count int, rate float64) {
+func (m *simulation) arrive(count int, rate float64) {
 	n := m.result.asked
 	if n >= count {
 		return
@@ -343,7 +343,7 @@
 
 // reports sends every engine's load to every scheduler, late, until the
 // requests have come.
-func (m *model) reports(count int) {
+func (m *simulation) reports(count int) {
 	if m.result.asked >= count {
 		return
 	}
@@ -361,7 +361,7 @@
 }
 
 // run lets all happen and returns what became of the requests.
-func (m *model) run(count int, rate float64) result {
+func (m *simulation) run(count int, rate float64) result {
 	m.reports(count)
 	m.after(400*ms, func() { m.arrive(count, rate) })
 	for len(m.due) > 0 {
@@ -376,7 +376,7 @@
 }
 
 // tick calls the first scheduler whose Tick is due before the next event.
-func (m *model) tick() bool {
+func (m *simulation) tick() bool {
 	for _, s := range m.schedulers {
 		next := s.Next()
 		if next < m.due[0].at {
