--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -43,7 +43,7 @@
 func (p policy) run(t *testing.T, seed uint64, count int, rate float64, patience time.Duration, strict bool) result {
 	t.Helper()
 	number := uint64(0)
-	m := newModel(document(p.wasteWeight, patience), seed, p.shared, func() sched.Scheduler {
+	m := newSimulation(document(p.wasteWeight, patience), seed, p.shared, func() sched.Scheduler {
 		number++
 		return p.make(sched.Options{
 			Pool:        pool,
--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -126,7 +126,7 @@
 }
 
 // newModel returns a model of nine daemons.
-func newModel(doc *live.Document, seed uint64, shared bool, policy func() sched.Scheduler) *simulation {
+func newSimulation(doc *live.Document, seed uint64, shared bool, policy func() sched.Scheduler) *simulation {
 	m := &simulation{
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		doc:     doc,
