--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -157,7 +157,7 @@
 
 // tell hands something to a daemon's scheduler, after its way there, and the
 // actions back.
-func (m *simulation) tell(daemon int, what func(s sched.Scheduler) []sched.Action) {
+func (m *simulation) notify(daemon int, what func(s sched.Scheduler) []sched.Action) {
 	way := time.Duration(0)
 	if m.shared {
 		way = wire
@@ -210,7 +210,7 @@
 	p.Request = j.grant.Request
 	p.Reservation = j.grant.Reservation
 	p.PromptTokens = j.want.PromptTokens
-	m.tell(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Progress(m.now, p) })
+	m.notify(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Progress(m.now, p) })
 }
 
 // order puts a job into its prefill engine's queue.
@@ -337,7 +337,7 @@
 	j.output = max(1, int(float64(j.want.OutputTokens)*(0.5+m.random.Float64())))
 	j.prefill = time.Duration(float64(j.want.PromptTokens) / 20000 * (0.9 + 0.2*m.random.Float64()) * float64(time.Second))
 	m.jobs[j.want.Request] = j
-	m.tell(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Want(m.now, j.want) })
+	m.notify(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Want(m.now, j.want) })
 	m.after(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() { m.arrive(count, rate) })
 }
 
