--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -169,12 +169,12 @@
 // deliver takes actions to their daemons.
 func (m *simulation) deliver(actions []sched.Action, way time.Duration) {
 	for _, a := range actions {
-		m.after(way, func() { m.act(a) })
+		m.after(way, func() { m.handleAction(a) })
 	}
 }
 
 // act is what a daemon does on an answer.
-func (m *simulation) act(a sched.Action) {
+func (m *simulation) handleAction(a sched.Action) {
 	if a.Binding != nil {
 		j := m.jobs[a.Binding.Request]
 		bound := *j.grant
