--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -185,12 +185,12 @@
 	}
 	if a.Refusal != nil {
 		j := m.jobs[a.Refusal.Request]
-		m.answer(j)
+		m.recordAnswer(j)
 		m.result.refused++
 		return
 	}
 	j := m.jobs[a.Grant.Request]
-	m.answer(j)
+	m.recordAnswer(j)
 	j.grant = a.Grant
 	j.bound = !a.Grant.Provisional
 	m.after(a.Grant.StartIn+wire, func() { m.order(j) })
@@ -198,7 +198,7 @@
 }
 
 // answer counts an answer.
-func (m *simulation) answer(j *job) {
+func (m *simulation) recordAnswer(j *job) {
 	if j.answered {
 		m.result.twice++
 	}
