--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -193,7 +193,7 @@
 	m.recordAnswer(j)
 	j.grant = a.Grant
 	j.bound = !a.Grant.Provisional
-	m.after(a.Grant.StartIn+wire, func() { m.order(j) })
+	m.after(a.Grant.StartIn+wire, func() { m.enqueuePrefill(j) })
 	m.progress(j, sched.Progress{Phase: sched.PhasePrefilling})
 }
 
@@ -214,7 +214,7 @@
 }
 
 // order puts a job into its prefill engine's queue.
-func (m *simulation) order(j *job) {
+func (m *simulation) enqueuePrefill(j *job) {
 	e := m.engines[j.grant.Prefill]
 	e.waiting = append(e.waiting, j)
 	m.nextPrefill(e)
