--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -217,11 +217,11 @@
 func (m *simulation) enqueuePrefill(j *job) {
 	e := m.engines[j.grant.Prefill]
 	e.waiting = append(e.waiting, j)
-	m.nextPrefill(e)
+	m.startNextPrefill(e)
 }
 
 // nextPrefill begins the next job whose caller still waits.
-func (m *simulation) nextPrefill(e *engine) {
+func (m *simulation) startNextPrefill(e *engine) {
 	for !e.busy && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -235,7 +235,7 @@
 		m.after(j.prefill, func() {
 			e.busy = false
 			m.prefilled(j)
-			m.nextPrefill(e)
+			m.startNextPrefill(e)
 		})
 	}
 }
