--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -234,7 +234,7 @@
 		m.result.prefills++
 		m.after(j.prefill, func() {
 			e.busy = false
-			m.prefilled(j)
+			m.finishPrefill(j)
 			m.startNextPrefill(e)
 		})
 	}
@@ -242,7 +242,7 @@
 
 // prefilled hands a KV cache over, if its grant is bound to a slot or once it
 // has waited long enough for that.
-func (m *simulation) prefilled(j *job) {
+func (m *simulation) finishPrefill(j *job) {
 	m.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
 	j.ready = true
 	if j.bound {
