--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -246,7 +246,7 @@
 	m.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
 	j.ready = true
 	if j.bound {
-		m.handOver(j)
+		m.requestDecode(j)
 		return
 	}
 	m.after(j.grant.BindWithin, func() { m.bind(j) })
@@ -259,12 +259,12 @@
 	}
 	j.bound = true
 	if j.ready {
-		m.handOver(j)
+		m.requestDecode(j)
 	}
 }
 
 // handOver orders the decode.
-func (m *simulation) handOver(j *job) {
+func (m *simulation) requestDecode(j *job) {
 	e := m.engines[j.grant.Decode]
 	if e.running < e.slots {
 		m.transfer(e, j)
