--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -272,14 +272,14 @@
 	}
 	e.waiting = append(e.waiting, j)
 	if m.strict {
-		m.expire(e, j)
+		m.expireKV(e, j)
 		return
 	}
-	m.after(kvLife, func() { m.expire(e, j) })
+	m.after(kvLife, func() { m.expireKV(e, j) })
 }
 
 // expire gives up a KV cache that was not handed over.
-func (m *simulation) expire(e *engine, j *job) {
+func (m *simulation) expireKV(e *engine, j *job) {
 	for i, w := range e.waiting {
 		if w != j {
 			continue
