--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -267,7 +267,7 @@
 func (m *simulation) requestDecode(j *job) {
 	e := m.engines[j.grant.Decode]
 	if e.running < e.slots {
-		m.transfer(e, j)
+		m.startDecode(e, j)
 		return
 	}
 	e.waiting = append(e.waiting, j)
@@ -293,7 +293,7 @@
 }
 
 // transfer takes a slot and decodes.
-func (m *simulation) transfer(e *engine, j *job) {
+func (m *simulation) startDecode(e *engine, j *job) {
 	e.running++
 	m.after(transferTime, func() {
 		first := m.now + 20*ms - j.arrived
@@ -313,7 +313,7 @@
 	if len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		m.transfer(e, next)
+		m.startDecode(e, next)
 	}
 }
 
