--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -298,12 +298,12 @@
 	m.after(transferTime, func() {
 		first := m.now + 20*ms - j.arrived
 		m.progress(j, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: transferTime})
-		m.after(time.Duration(j.output)*20*ms, func() { m.done(e, j, first) })
+		m.after(time.Duration(j.output)*20*ms, func() { m.finishDecode(e, j, first) })
 	})
 }
 
 // done frees the slot for the next KV cache that waits.
-func (m *simulation) done(e *engine, j *job, first time.Duration) {
+func (m *simulation) finishDecode(e *engine, j *job, first time.Duration) {
 	m.result.answered++
 	if first <= m.doc.Services[0].Patience() {
 		m.result.inTime++
