--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -318,7 +318,7 @@
 }
 
 // arrive brings requests at a rate until a number has come.
-func (m *simulation) arrive(count int, rate float64) {
+func (m *simulation) scheduleArrivals(count int, rate float64) {
 	n := m.result.asked
 	if n >= count {
 		return
@@ -338,7 +338,7 @@
 	j.prefill = time.Duration(float64(j.want.PromptTokens) / 20000 * (0.9 + 0.2*m.random.Float64()) * float64(time.Second))
 	m.jobs[j.want.Request] = j
 	m.notify(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Want(m.now, j.want) })
-	m.after(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() { m.arrive(count, rate) })
+	m.after(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() { m.scheduleArrivals(count, rate) })
 }
 
 // reports sends every engine's load to every scheduler, late, until the
@@ -363,7 +363,7 @@
 // run lets all happen and returns what became of the requests.
 func (m *simulation) run(count int, rate float64) result {
 	m.reports(count)
-	m.after(400*ms, func() { m.arrive(count, rate) })
+	m.after(400*ms, func() { m.scheduleArrivals(count, rate) })
 	for len(m.due) > 0 {
 		if m.tick() {
 			continue
