--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -343,7 +343,7 @@
 
 // reports sends every engine's load to every scheduler, late, until the
 // requests have come.
-func (m *simulation) reports(count int) {
+func (m *simulation) scheduleReports(count int) {
 	if m.result.asked >= count {
 		return
 	}
@@ -357,12 +357,12 @@
 			m.after(reportLag, func() { m.deliver(s.Load(m.now, load), wire) })
 		}
 	}
-	m.after(reportEvery, func() { m.reports(count) })
+	m.after(reportEvery, func() { m.scheduleReports(count) })
 }
 
 // run lets all happen and returns what became of the requests.
 func (m *simulation) run(count int, rate float64) result {
-	m.reports(count)
+	m.scheduleReports(count)
 	m.after(400*ms, func() { m.scheduleArrivals(count, rate) })
 	for len(m.due) > 0 {
 		if m.tick() {
