--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -365,7 +365,7 @@
 	m.scheduleReports(count)
 	m.after(400*ms, func() { m.scheduleArrivals(count, rate) })
 	for len(m.due) > 0 {
-		if m.tick() {
+		if m.runDueTick() {
 			continue
 		}
 		e := heap.Pop(&m.due).(event)
@@ -376,7 +376,7 @@
 }
 
 // tick calls the first scheduler whose Tick is due before the next event.
-func (m *simulation) tick() bool {
+func (m *simulation) runDueTick() bool {
 	for _, s := range m.schedulers {
 		next := s.Next()
 		if next < m.due[0].at {
