--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -29,7 +29,7 @@
 // Without a shared scheduler each daemon has its own.
 type simulation struct {
 	now        time.Duration
-	due        events
+	queue      events
 	serial     int
 	random     *rand.Rand
 	doc        *live.Document
@@ -152,7 +152,7 @@
 // after plans an event.
 func (m *simulation) after(d time.Duration, do func()) {
 	m.serial++
-	heap.Push(&m.due, event{at: m.now + d, serial: m.serial, do: do})
+	heap.Push(&m.queue, event{at: m.now + d, serial: m.serial, do: do})
 }
 
 // tell hands something to a daemon's scheduler, after its way there, and the
@@ -364,11 +364,11 @@
 func (m *simulation) run(count int, rate float64) result {
 	m.scheduleReports(count)
 	m.after(400*ms, func() { m.scheduleArrivals(count, rate) })
-	for len(m.due) > 0 {
+	for len(m.queue) > 0 {
 		if m.runDueTick() {
 			continue
 		}
-		e := heap.Pop(&m.due).(event)
+		e := heap.Pop(&m.queue).(event)
 		m.now = e.at
 		e.do()
 	}
@@ -379,7 +379,7 @@
 func (m *simulation) runDueTick() bool {
 	for _, s := range m.schedulers {
 		next := s.Next()
-		if next < m.due[0].at {
+		if next < m.queue[0].at {
 			m.now = max(m.now, next)
 			m.deliver(s.Tick(m.now), wire)
 			return true
