--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -29,7 +29,7 @@
 // Without a shared scheduler each daemon has its own.
 type simulation struct {
 	now        time.Duration
-	queue      events
+	queue      eventHeap
 	serial     int
 	random     *rand.Rand
 	doc        *live.Document
@@ -82,15 +82,15 @@
 	do     func()
 }
 
-type events []event
+type eventHeap []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || (h[i].at == h[j].at && h[i].serial < h[j].serial)
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
