--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -66,7 +66,7 @@
 			is := is.New(t)
 			r := p.run(t, seed, count, fullRate/8, time.Minute, false)
 			t.Logf("%s, seed %d: %+v", p.name, seed, r)
-			is.Equal(r.asked, count)
+			is.Equal(r.requested, count)
 			is.Equal(r.answered, count) // all are answered
 			is.Equal(r.twice, 0)        // each once
 			is.Equal(r.refused, 0)
@@ -116,8 +116,8 @@
 		}
 		results[p.name] = sum
 		t.Logf("%-18s in time %5.1f%%, refused %5.1f%%, failed %5.2f%%, wasted prefills %5.2f%%", p.name,
-			share(sum.inTime, sum.asked), share(sum.refused, sum.asked),
-			share(sum.failed, sum.asked), share(sum.wasted, sum.prefills))
+			share(sum.inTime, sum.requested), share(sum.refused, sum.requested),
+			share(sum.failed, sum.requested), share(sum.wasted, sum.prefills))
 	}
 	base := results["optimistic"]
 	tolerant := results["ledger in time 0.2"]
@@ -136,7 +136,7 @@
 
 // plus adds up two runs.
 func (r result) plus(o result) result {
-	r.asked += o.asked
+	r.requested += o.requested
 	r.answered += o.answered
 	r.inTime += o.inTime
 	r.refused += o.refused
--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -45,8 +45,8 @@
 
 // result is what became of the requests.
 type result struct {
-	asked, answered, inTime, refused, failed int
-	prefills, wasted                         int
+	requested, answered, inTime, refused, failed int
+	prefills, wasted                             int
 	// twice counts requests that were granted or refused more than once.
 	twice int
 }
@@ -319,11 +319,11 @@
 
 // arrive brings requests at a rate until a number has come.
 func (m *simulation) scheduleArrivals(count int, rate float64) {
-	n := m.result.asked
+	n := m.result.requested
 	if n >= count {
 		return
 	}
-	m.result.asked++
+	m.result.requested++
 	j := &job{daemon: n % 9, arrived: m.now}
 	j.want = sched.Want{
 		Request:      id.Request(fmt.Sprintf("r%06d", n)),
@@ -344,7 +344,7 @@
 // reports sends every engine's load to every scheduler, late, until the
 // requests have come.
 func (m *simulation) scheduleReports(count int) {
-	if m.result.asked >= count {
+	if m.result.requested >= count {
 		return
 	}
 	for i := range m.doc.Endpoints {
