--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -68,7 +68,7 @@
 			t.Logf("%s, seed %d: %+v", p.name, seed, r)
 			is.Equal(r.requested, count)
 			is.Equal(r.answered, count) // all are answered
-			is.Equal(r.twice, 0)        // each once
+			is.Equal(r.duplicates, 0)   // each once
 			is.Equal(r.refused, 0)
 		}
 	}
@@ -131,7 +131,7 @@
 	is.True(tolerant.inTime >= early.inTime || strict)       // in time beats early where KV may wait
 	is.Equal(early.wasted, 0)                                // early reservation wastes nothing
 	is.Equal(results["ledger in time 1.0"].wasted, 0)        // nor does full weight
-	is.Equal(tolerant.twice+careful.twice+early.twice+base.twice, 0)
+	is.Equal(tolerant.duplicates+careful.duplicates+early.duplicates+base.duplicates, 0)
 }
 
 // plus adds up two runs.
@@ -143,7 +143,7 @@
 	r.failed += o.failed
 	r.prefills += o.prefills
 	r.wasted += o.wasted
-	r.twice += o.twice
+	r.duplicates += o.duplicates
 	return r
 }
 
--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -48,7 +48,7 @@
 	requested, answered, inTime, refused, failed int
 	prefills, wasted                             int
 	// twice counts requests that were granted or refused more than once.
-	twice int
+	duplicates int
 }
 
 // job is a request at its daemon.
@@ -200,7 +200,7 @@
 // answer counts an answer.
 func (m *simulation) recordAnswer(j *job) {
 	if j.answered {
-		m.result.twice++
+		m.result.duplicates++
 	}
 	j.answered = true
 }
