--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -112,7 +112,7 @@
 	for _, p := range policies {
 		var sum result
 		for seed := range uint64(2) {
-			sum = sum.plus(p.run(t, seed, count, load*fullRate, time.Second, strict))
+			sum = sum.add(p.run(t, seed, count, load*fullRate, time.Second, strict))
 		}
 		results[p.name] = sum
 		t.Logf("%-18s in time %5.1f%%, refused %5.1f%%, failed %5.2f%%, wasted prefills %5.2f%%", p.name,
@@ -135,7 +135,7 @@
 }
 
 // plus adds up two runs.
-func (r result) plus(o result) result {
+func (r result) add(o result) result {
 	r.requested += o.requested
 	r.answered += o.answered
 	r.inTime += o.inTime
