--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -62,8 +62,8 @@
 	answered bool
 	// bound is set once the job may order its decode; read once the KV cache
 	// waits for that.
-	bound bool
-	ready bool
+	canDecode bool
+	ready     bool
 }
 
 // engine is a prefill engine that takes its jobs in turn, or a decode engine
@@ -192,7 +192,7 @@
 	j := m.jobs[a.Grant.Request]
 	m.recordAnswer(j)
 	j.grant = a.Grant
-	j.bound = !a.Grant.Provisional
+	j.canDecode = !a.Grant.Provisional
 	m.after(a.Grant.StartIn+wire, func() { m.enqueuePrefill(j) })
 	m.progress(j, sched.Progress{Phase: sched.PhasePrefilling})
 }
@@ -245,7 +245,7 @@
 func (m *simulation) finishPrefill(j *job) {
 	m.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
 	j.ready = true
-	if j.bound {
+	if j.canDecode {
 		m.requestDecode(j)
 		return
 	}
@@ -254,10 +254,10 @@
 
 // bind lets a job order its decode, at once if its KV cache waits for that.
 func (m *simulation) bind(j *job) {
-	if j.bound {
+	if j.canDecode {
 		return
 	}
-	j.bound = true
+	j.canDecode = true
 	if j.ready {
 		m.requestDecode(j)
 	}
