--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -63,7 +63,7 @@
 	// bound is set once the job may order its decode; read once the KV cache
 	// waits for that.
 	canDecode bool
-	ready     bool
+	kvReady   bool
 }
 
 // engine is a prefill engine that takes its jobs in turn, or a decode engine
@@ -244,7 +244,7 @@
 // has waited long enough for that.
 func (m *simulation) finishPrefill(j *job) {
 	m.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
-	j.ready = true
+	j.kvReady = true
 	if j.canDecode {
 		m.requestDecode(j)
 		return
@@ -258,7 +258,7 @@
 		return
 	}
 	j.canDecode = true
-	if j.ready {
+	if j.kvReady {
 		m.requestDecode(j)
 	}
 }
