--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -17,7 +17,7 @@
 	service = id.Service("summaries")
 	kvLife  = 800 * ms
 	// wire is the time of a message between daemons, and to an engine.
-	wire = 3 * ms / 2
+	messageDelay = 3 * ms / 2
 	// transferTime is that of every KV cache.
 	transferTime = 30 * ms
 	// reportEvery and reportLag are those of load reports.
@@ -160,7 +160,7 @@
 func (m *simulation) notify(daemon int, what func(s sched.Scheduler) []sched.Action) {
 	way := time.Duration(0)
 	if m.shared {
-		way = wire
+		way = messageDelay
 		daemon = 0
 	}
 	m.after(way, func() { m.deliver(what(m.schedulers[daemon]), way) })
@@ -193,7 +193,7 @@
 	m.recordAnswer(j)
 	j.grant = a.Grant
 	j.canDecode = !a.Grant.Provisional
-	m.after(a.Grant.StartIn+wire, func() { m.enqueuePrefill(j) })
+	m.after(a.Grant.StartIn+messageDelay, func() { m.enqueuePrefill(j) })
 	m.progress(j, sched.Progress{Phase: sched.PhasePrefilling})
 }
 
@@ -354,7 +354,7 @@
 			load.Running++
 		}
 		for _, s := range m.schedulers {
-			m.after(reportLag, func() { m.deliver(s.Load(m.now, load), wire) })
+			m.after(reportLag, func() { m.deliver(s.Load(m.now, load), messageDelay) })
 		}
 	}
 	m.after(reportEvery, func() { m.scheduleReports(count) })
@@ -381,7 +381,7 @@
 		next := s.Next()
 		if next < m.queue[0].at {
 			m.now = max(m.now, next)
-			m.deliver(s.Tick(m.now), wire)
+			m.deliver(s.Tick(m.now), messageDelay)
 			return true
 		}
 	}
