--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -21,8 +21,8 @@
 	// transferTime is that of every KV cache.
 	transferTime = 30 * ms
 	// reportEvery and reportLag are those of load reports.
-	reportEvery = 100 * ms
-	reportLag   = 100 * ms
+	reportInterval = 100 * ms
+	reportLag      = 100 * ms
 )
 
 // model is a small fake of engines and of daemons that follow their grants.
@@ -357,7 +357,7 @@
 			m.after(reportLag, func() { m.deliver(s.Load(m.now, load), messageDelay) })
 		}
 	}
-	m.after(reportEvery, func() { m.scheduleReports(count) })
+	m.after(reportInterval, func() { m.scheduleReports(count) })
 }
 
 // run lets all happen and returns what became of the requests.
