--- a/core/naive/model_test.go
+++ b/core/naive/model_test.go
@@ -22,7 +22,7 @@
 	transferTime = 30 * ms
 	// reportEvery and reportLag are those of load reports.
 	reportInterval = 100 * ms
-	reportLag      = 100 * ms
+	reportDelay    = 100 * ms
 )
 
 // model is a small fake of engines and of daemons that follow their grants.
@@ -354,7 +354,7 @@
 			load.Running++
 		}
 		for _, s := range m.schedulers {
-			m.after(reportLag, func() { m.deliver(s.Load(m.now, load), messageDelay) })
+			m.after(reportDelay, func() { m.deliver(s.Load(m.now, load), messageDelay) })
 		}
 	}
 	m.after(reportInterval, func() { m.scheduleReports(count) })
