--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -20,23 +20,23 @@
 
 // policy is one of the compared ways.
 type policy struct {
-	name        string
-	shared      bool
-	wasteWeight float64
-	make        func(o sched.Options) sched.Scheduler
-	reservation sched.Reservation
+	name         string
+	shared       bool
+	wasteWeight  float64
+	newScheduler func(o sched.Options) sched.Scheduler
+	reservation  sched.Reservation
 }
 
 // policies are the compared ways.
 var policies = []policy{
-	{name: "naive", shared: true, make: naive.New},
-	{name: "optimistic", make: sched.NewOptimistic},
-	{name: "ledger early 0.2", shared: true, wasteWeight: 0.2, make: sched.NewLedger, reservation: sched.Early},
-	{name: "ledger in time 0.0", shared: true, wasteWeight: 0, make: sched.NewLedger},
-	{name: "ledger in time 0.2", shared: true, wasteWeight: 0.2, make: sched.NewLedger},
-	{name: "ledger in time 0.5", shared: true, wasteWeight: 0.5, make: sched.NewLedger},
-	{name: "ledger in time 0.8", shared: true, wasteWeight: 0.8, make: sched.NewLedger},
-	{name: "ledger in time 1.0", shared: true, wasteWeight: 1, make: sched.NewLedger},
+	{name: "naive", shared: true, newScheduler: naive.New},
+	{name: "optimistic", newScheduler: sched.NewOptimistic},
+	{name: "ledger early 0.2", shared: true, wasteWeight: 0.2, newScheduler: sched.NewLedger, reservation: sched.Early},
+	{name: "ledger in time 0.0", shared: true, wasteWeight: 0, newScheduler: sched.NewLedger},
+	{name: "ledger in time 0.2", shared: true, wasteWeight: 0.2, newScheduler: sched.NewLedger},
+	{name: "ledger in time 0.5", shared: true, wasteWeight: 0.5, newScheduler: sched.NewLedger},
+	{name: "ledger in time 0.8", shared: true, wasteWeight: 0.8, newScheduler: sched.NewLedger},
+	{name: "ledger in time 1.0", shared: true, wasteWeight: 1, newScheduler: sched.NewLedger},
 }
 
 // run measures a policy at a rate.
@@ -45,7 +45,7 @@
 	number := uint64(0)
 	m := newSimulation(document(p.wasteWeight, patience), seed, p.shared, func() sched.Scheduler {
 		number++
-		return p.make(sched.Options{
+		return p.newScheduler(sched.Options{
 			Pool:        pool,
 			Self:        id.Process{Daemon: "d", Incarnation: id.Incarnation(number)},
 			Seed:        seed*100 + number,
