--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -16,7 +16,7 @@
 
 // fullRate is the rate at which the model's 22 decode slots are all in use,
 // in requests a second: each is held for about 0.52 s.
-const fullRate = 42.0
+const saturationRate = 42.0
 
 // policy is one of the compared ways.
 type policy struct {
@@ -64,7 +64,7 @@
 	for _, p := range policies {
 		for seed := range uint64(3) {
 			is := is.New(t)
-			r := p.run(t, seed, count, fullRate/8, time.Minute, false)
+			r := p.run(t, seed, count, saturationRate/8, time.Minute, false)
 			t.Logf("%s, seed %d: %+v", p.name, seed, r)
 			is.Equal(r.requested, count)
 			is.Equal(r.answered, count) // all are answered
@@ -112,7 +112,7 @@
 	for _, p := range policies {
 		var sum result
 		for seed := range uint64(2) {
-			sum = sum.add(p.run(t, seed, count, load*fullRate, time.Second, strict))
+			sum = sum.add(p.run(t, seed, count, load*saturationRate, time.Second, strict))
 		}
 		results[p.name] = sum
 		t.Logf("%-18s in time %5.1f%%, refused %5.1f%%, failed %5.2f%%, wasted prefills %5.2f%%", p.name,
