--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -82,7 +82,7 @@
 		for _, load := range []float64{0.7, 0.95, 1.2} {
 			t.Run(fmt.Sprintf("strict=%v/load=%.2f", strict, load), func(t *testing.T) {
 				t.Parallel()
-				compare(t, strict, load)
+				comparePolicies(t, strict, load)
 			})
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 // compare measures every policy at one load.
-func compare(t *testing.T, strict bool, load float64) {
+func comparePolicies(t *testing.T, strict bool, load float64) {
 	count := requestCount(t)
 	is := is.New(t)
 	results := map[string]result{}
