--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -116,21 +116,21 @@
 		}
 		results[p.name] = sum
 		t.Logf("%-18s in time %5.1f%%, refused %5.1f%%, failed %5.2f%%, wasted prefills %5.2f%%", p.name,
-			share(sum.inTime, sum.requested), share(sum.refused, sum.requested),
-			share(sum.failed, sum.requested), share(sum.wasted, sum.prefills))
+			percentage(sum.inTime, sum.requested), percentage(sum.refused, sum.requested),
+			percentage(sum.failed, sum.requested), percentage(sum.wasted, sum.prefills))
 	}
 	base := results["optimistic"]
 	tolerant := results["ledger in time 0.2"]
 	careful := results["ledger in time 0.8"]
 	early := results["ledger early 0.2"]
-	is.True(tolerant.inTime > base.inTime)                   // more goodput than choosing apart
-	is.True(share(tolerant.wasted, tolerant.prefills) < 8)   // within what 0.2 tolerates
-	is.True(share(careful.wasted, careful.prefills) < 2)     // within what 0.8 tolerates
-	is.True(tolerant.inTime >= careful.inTime || load < 0.9) // risk buys goodput where slots are scarce
-	is.True(careful.wasted <= tolerant.wasted)               // and costs waste
-	is.True(tolerant.inTime >= early.inTime || strict)       // in time beats early where KV may wait
-	is.Equal(early.wasted, 0)                                // early reservation wastes nothing
-	is.Equal(results["ledger in time 1.0"].wasted, 0)        // nor does full weight
+	is.True(tolerant.inTime > base.inTime)                      // more goodput than choosing apart
+	is.True(percentage(tolerant.wasted, tolerant.prefills) < 8) // within what 0.2 tolerates
+	is.True(percentage(careful.wasted, careful.prefills) < 2)   // within what 0.8 tolerates
+	is.True(tolerant.inTime >= careful.inTime || load < 0.9)    // risk buys goodput where slots are scarce
+	is.True(careful.wasted <= tolerant.wasted)                  // and costs waste
+	is.True(tolerant.inTime >= early.inTime || strict)          // in time beats early where KV may wait
+	is.Equal(early.wasted, 0)                                   // early reservation wastes nothing
+	is.Equal(results["ledger in time 1.0"].wasted, 0)           // nor does full weight
 	is.Equal(tolerant.duplicates+careful.duplicates+early.duplicates+base.duplicates, 0)
 }
 
@@ -148,4 +148,4 @@
 }
 
 // share is a part in per cent.
-func share(part, whole int) float64 { return 100 * float64(part) / float64(max(1, whole)) }
+func percentage(part, whole int) float64 { return 100 * float64(part) / float64(max(1, whole)) }
