--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -31,7 +31,7 @@
 // ring gives its endpoints in turn.
 type ring struct {
 	endpoints []id.Endpoint
-	at        int
+	position  int
 }
 
 // next returns the next endpoint in turn; false if there is none.
@@ -39,8 +39,8 @@
 	if r == nil || len(r.endpoints) == 0 {
 		return "", false
 	}
-	e := r.endpoints[r.at%len(r.endpoints)]
-	r.at++
+	e := r.endpoints[r.position%len(r.endpoints)]
+	r.position++
 	return e, true
 }
 
@@ -85,7 +85,7 @@
 		if rings[role] == nil {
 			rings[role] = &ring{}
 			if old[role] != nil {
-				rings[role].at = old[role].at
+				rings[role].position = old[role].position
 			}
 		}
 		rings[role].endpoints = append(rings[role].endpoints, e.Name)
