--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -69,13 +69,13 @@
 	for i := range doc.Services {
 		p.services[doc.Services[i].Name] = doc.Services[i].Type
 	}
-	p.rings = ringsOf(endpoints, p.rings)
+	p.rings = buildRings(endpoints, p.rings)
 	return nil
 }
 
 // ringsOf groups endpoints that aren't leaving by role, each ring going on
 // from the place of its forerunner.
-func ringsOf(endpoints []*live.Endpoint, old map[live.Role]*ring) map[live.Role]*ring {
+func buildRings(endpoints []*live.Endpoint, old map[live.Role]*ring) map[live.Role]*ring {
 	rings := map[live.Role]*ring{}
 	for _, e := range endpoints {
 		if live.IsLeaving(e) {
