--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -21,11 +21,11 @@
 
 // Policy is the naive scheduler.
 type Policy struct {
-	options  sched.Options
-	services map[id.Service]live.ServiceType
-	rings    map[live.Role]*ring
-	grants   map[id.Request]*sched.Grant
-	last     uint64
+	options         sched.Options
+	services        map[id.Service]live.ServiceType
+	rings           map[live.Role]*ring
+	grants          map[id.Request]*sched.Grant
+	lastReservation uint64
 }
 
 // ring gives its endpoints in turn.
@@ -126,8 +126,8 @@
 	if !ok {
 		return nil
 	}
-	p.last++
-	g.Reservation = p.last
+	p.lastReservation++
+	g.Reservation = p.lastReservation
 	return g
 }
 
