--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -17,7 +17,7 @@
 const expiresIn = time.Minute
 
 // idle is the time to the next Tick: there is never one due.
-const idle = time.Duration(math.MaxInt64)
+const never = time.Duration(math.MaxInt64)
 
 // Policy is the naive scheduler.
 type Policy struct {
@@ -161,4 +161,4 @@
 func (p *Policy) Tick(time.Duration) []sched.Action { return nil }
 
 // Next implements sched.Scheduler: no Tick is ever due.
-func (p *Policy) Next() time.Duration { return idle }
+func (p *Policy) Next() time.Duration { return never }
