--- a/core/verdict/verdict.go
+++ b/core/verdict/verdict.go
@@ -88,7 +88,7 @@
 // Passing says whether what kept a request from running passes by itself: its
 // caller should come back. What is left is the caller's own fault, or would be
 // the same the next time.
-func (c Code) Passing() bool {
+func (c Code) Transient() bool {
 	switch c {
 	case CodeKVGone, CodeDeadline, CodeUnavailable, CodeLeaving, // an engine, or this daemon, for now
 		CodeOverloaded, CodeTeamLimit, // room, which others give back
@@ -102,7 +102,7 @@
 // Advise gives an error of a request that was not run the usual advice to come
 // back, if its cause passes by itself and it has no advice yet.
 func (e *Error) Advise() {
-	if e.Verdict == NotRun && e.RetryAfter == 0 && e.Code.Passing() {
+	if e.Verdict == NotRun && e.RetryAfter == 0 && e.Code.Transient() {
 		e.RetryAfter = PassingRetryAfter
 	}
 }
