--- a/core/capacity/capacity.go
+++ b/core/capacity/capacity.go
@@ -19,7 +19,7 @@
 // of the next smaller kind: an owner of many engines on a small host falls behind
 // its messages in a burst, and a reader on a narrow link is silent for all others
 // while it tells them of a large change.
-const ableShare = 0.5
+const minShare = 0.5
 
 // Able keeps those of the candidates that are able to do a duty for all: with at
 // least half of the most processor time, and, among these, at least half of the
@@ -38,7 +38,7 @@
 	}
 	var out []T
 	for _, c := range candidates {
-		if figure(c) >= ableShare*most {
+		if figure(c) >= minShare*most {
 			out = append(out, c)
 		}
 	}
