--- a/core/capacity/capacity.go
+++ b/core/capacity/capacity.go
@@ -25,13 +25,13 @@
 // least half of the most processor time, and, among these, at least half of the
 // widest link. It keeps the order, and gives all where no capacity is known.
 func Able[T any](candidates []T, of func(T) Capacity) []T {
-	byCores := largest(candidates, func(c T) float64 { return of(c).Cores })
-	return largest(byCores, func(c T) float64 { return of(c).LinkMbps })
+	byCores := filterLargest(candidates, func(c T) float64 { return of(c).Cores })
+	return filterLargest(byCores, func(c T) float64 { return of(c).LinkMbps })
 }
 
 // largest keeps the candidates whose figure is at least the able share of the
 // largest one.
-func largest[T any](candidates []T, figure func(T) float64) []T {
+func filterLargest[T any](candidates []T, figure func(T) float64) []T {
 	most := 0.0
 	for _, c := range candidates {
 		most = max(most, figure(c))
