--- a/core/capacity/capacity_test.go
+++ b/core/capacity/capacity_test.go
@@ -6,15 +6,15 @@
 	"github.com/matryer/is"
 )
 
-func self(c Capacity) Capacity { return c }
+func identity(c Capacity) Capacity { return c }
 
 func TestDutiesForAllGoToTheLargestHosts(t *testing.T) {
 	is := is.New(t)
 	small := Capacity{Cores: 0.192, LinkMbps: 10}
 	large := Capacity{Cores: 0.8, LinkMbps: 200}
 	slightlyLess := Capacity{Cores: 0.75, LinkMbps: 190}
-	is.Equal(Able([]Capacity{small, large, small, slightlyLess}, self), []Capacity{large, slightlyLess})
-	is.Equal(Able([]Capacity{small, small}, self), []Capacity{small, small}) // once the large ones are gone
+	is.Equal(Able([]Capacity{small, large, small, slightlyLess}, identity), []Capacity{large, slightlyLess})
+	is.Equal(Able([]Capacity{small, small}, identity), []Capacity{small, small}) // once the large ones are gone
 }
 
 func TestAWideLinkDoesNotMakeUpForLittleProcessorTime(t *testing.T) {
@@ -22,13 +22,13 @@
 	slow := Capacity{Cores: 0.1, LinkMbps: 1000}
 	narrow := Capacity{Cores: 0.8, LinkMbps: 10}
 	wide := Capacity{Cores: 0.8, LinkMbps: 200}
-	is.Equal(Able([]Capacity{slow, narrow, wide}, self), []Capacity{wide})
-	is.Equal(Able([]Capacity{slow, narrow}, self), []Capacity{narrow})
+	is.Equal(Able([]Capacity{slow, narrow, wide}, identity), []Capacity{wide})
+	is.Equal(Able([]Capacity{slow, narrow}, identity), []Capacity{narrow})
 }
 
 func TestWhereNothingIsKnownAllAreAble(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Able([]Capacity{{}, {}}, self)), 2)
-	is.Equal(len(Able([]Capacity{{}, {Cores: 0.2}}, self)), 1) // what is known goes first
-	is.Equal(len(Able(nil, self)), 0)
+	is.Equal(len(Able([]Capacity{{}, {}}, identity)), 2)
+	is.Equal(len(Able([]Capacity{{}, {Cores: 0.2}}, identity)), 1) // what is known goes first
+	is.Equal(len(Able(nil, identity)), 0)
 }
