--- a/core/capacity/capacity_test.go
+++ b/core/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 
 func identity(c Capacity) Capacity { return c }
 
-func TestDutiesForAllGoToTheLargestHosts(t *testing.T) {
+func TestSharedDutiesGoToLargestHosts(t *testing.T) {
 	is := is.New(t)
 	small := Capacity{Cores: 0.192, LinkMbps: 10}
 	large := Capacity{Cores: 0.8, LinkMbps: 200}
