--- a/core/capacity/capacity_test.go
+++ b/core/capacity/capacity_test.go
@@ -17,7 +17,7 @@
 	is.Equal(Able([]Capacity{small, small}, identity), []Capacity{small, small}) // once the large ones are gone
 }
 
-func TestAWideLinkDoesNotMakeUpForLittleProcessorTime(t *testing.T) {
+func TestHighBandwidthDoesNotOffsetFewCores(t *testing.T) {
 	is := is.New(t)
 	slow := Capacity{Cores: 0.1, LinkMbps: 1000}
 	narrow := Capacity{Cores: 0.8, LinkMbps: 10}
