--- a/core/capacity/capacity_test.go
+++ b/core/capacity/capacity_test.go
@@ -26,7 +26,7 @@
 	is.Equal(Able([]Capacity{slow, narrow}, identity), []Capacity{narrow})
 }
 
-func TestWhereNothingIsKnownAllAreAble(t *testing.T) {
+func TestAllAreAbleWithoutKnownCapacity(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Able([]Capacity{{}, {}}, identity)), 2)
 	is.Equal(len(Able([]Capacity{{}, {Cores: 0.2}}, identity)), 1) // what is known goes first
