--- a/core/rendezvous/rendezvous_test.go
+++ b/core/rendezvous/rendezvous_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-func TestOnlyTheLostMembersKeysMove(t *testing.T) {
+func TestOnlyKeysOfRemovedMemberMove(t *testing.T) {
 	is := is.New(t)
 	all := members(9)
 	without := append(append([]id.Daemon{}, all[:4]...), all[5:]...)
