--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAKeyBelongsToOneOwner(t *testing.T) {
+func TestKeyHasOneOwner(t *testing.T) {
 	is := is.New(t)
 	r := NewRing[string]()
 	is.NoErr(r.Add(Of([]byte("k1")), "desk"))
