--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -22,7 +22,7 @@
 	is.Equal(r.Len(), 2)
 }
 
-func TestAHashIsReadAsItIsWritten(t *testing.T) {
+func TestHashRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := Of([]byte("key"))
 	read, err := Parse(h.String())
