--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -34,7 +34,7 @@
 	is.True(err != nil)
 }
 
-func TestALookUpAllocatesNothing(t *testing.T) {
+func TestLookupDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	r := NewRing[string]()
 	is.NoErr(r.Add(Of([]byte("k1")), "desk"))
