--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -16,7 +16,7 @@
 )
 
 // longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // maxLateBytes are read behind one deadline at the most, so that an endpoint
 // which never stops sending can't hold a request past its time.
@@ -65,7 +65,7 @@
 	if c.late == maxLateBytes || c.Conn.SetReadDeadline(time.Time{}) != nil {
 		return 0, false
 	}
-	defer func() { _ = c.Conn.SetReadDeadline(longAgo) }()
+	defer func() { _ = c.Conn.SetReadDeadline(pastDeadline) }()
 	b = b[:min(len(b), maxLateBytes-c.late)]
 	var failed error
 	err = raw.Read(func(fd uintptr) bool {
@@ -85,7 +85,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expired = true
-	_ = c.Conn.SetDeadline(longAgo) // fails on a closed connection only
+	_ = c.Conn.SetDeadline(pastDeadline) // fails on a closed connection only
 }
 
 // EndWith ends the connection with ctx: at once where its caller left, by Expire
--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -55,7 +55,7 @@
 	_, err := other.Write([]byte("answer"))
 	is.NoErr(err)
 	awaitArrival(t, c)
-	is.NoErr(c.SetReadDeadline(longAgo))
+	is.NoErr(c.SetReadDeadline(pastDeadline))
 	var b [16]byte
 	n, err := c.Read(b[:])
 	is.NoErr(err)
@@ -72,7 +72,7 @@
 	c, other := pair(t)
 	is.NoErr(other.Close())
 	awaitArrival(t, c)
-	is.NoErr(c.SetReadDeadline(longAgo))
+	is.NoErr(c.SetReadDeadline(pastDeadline))
 	_, err := c.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
 }
@@ -90,7 +90,7 @@
 			}
 		}
 	}()
-	is.NoErr(c.SetReadDeadline(longAgo))
+	is.NoErr(c.SetReadDeadline(pastDeadline))
 	got := 0
 	b := make([]byte, 4096)
 	for got <= maxLateBytes {
@@ -135,7 +135,7 @@
 	_, err := other.Write([]byte("answer"))
 	is.NoErr(err)
 	awaitArrival(t, c)
-	ctx, cancel := context.WithDeadline(context.Background(), longAgo)
+	ctx, cancel := context.WithDeadline(context.Background(), pastDeadline)
 	defer cancel()
 	is.True(!c.EndWith(ctx)())
 	var b [16]byte
