--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -30,7 +30,7 @@
 	mu      sync.Mutex
 	expired bool
 	// late is how many bytes were read behind the present deadline.
-	late int
+	lateBytes int
 }
 
 // New wraps a connection.
@@ -62,11 +62,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// A deadline that has passed forbids the read below, too.
-	if c.late == maxLateBytes || c.Conn.SetReadDeadline(time.Time{}) != nil {
+	if c.lateBytes == maxLateBytes || c.Conn.SetReadDeadline(time.Time{}) != nil {
 		return 0, false
 	}
 	defer func() { _ = c.Conn.SetReadDeadline(pastDeadline) }()
-	b = b[:min(len(b), maxLateBytes-c.late)]
+	b = b[:min(len(b), maxLateBytes-c.lateBytes)]
 	var failed error
 	err = raw.Read(func(fd uintptr) bool {
 		n, failed = syscall.Read(int(fd), b)
@@ -75,7 +75,7 @@
 	if err != nil || failed != nil {
 		return 0, false
 	}
-	c.late += n
+	c.lateBytes += n
 	return n, true
 }
 
@@ -107,7 +107,7 @@
 	if c.expired {
 		return nil
 	}
-	c.late = 0
+	c.lateBytes = 0
 	return c.Conn.SetReadDeadline(t)
 }
 
@@ -118,7 +118,7 @@
 	if c.expired {
 		return nil
 	}
-	c.late = 0
+	c.lateBytes = 0
 	return c.Conn.SetDeadline(t)
 }
 
