--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -43,7 +43,7 @@
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if n, ready := c.arrived(b); ready {
+	if n, ready := c.readAvailable(b); ready {
 		if n == 0 {
 			return 0, io.EOF
 		}
@@ -54,7 +54,7 @@
 
 // arrived reads once without waiting. ready is false if nothing was there; with
 // ready, an n of 0 is the connection's end.
-func (c *Conn) arrived(b []byte) (n int, ready bool) {
+func (c *Conn) readAvailable(b []byte) (n int, ready bool) {
 	raw, err := c.SyscallConn()
 	if err != nil || len(b) == 0 {
 		return 0, false
