--- a/endpoint/netconn/dial.go
+++ b/endpoint/netconn/dial.go
@@ -9,7 +9,7 @@
 
 // lateAfter is how far behind its limit a dial ends only where this process was
 // held up.
-const lateAfter = 20 * time.Millisecond
+const lateThreshold = 20 * time.Millisecond
 
 // Dialer opens connections. Its Timeout must be set.
 type Dialer struct {
@@ -36,7 +36,7 @@
 func (d *Dialer) late(began time.Time, err error) bool {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
-	return timedOut && d.time().Sub(began) > d.Timeout+lateAfter
+	return timedOut && d.time().Sub(began) > d.Timeout+lateThreshold
 }
 
 func (d *Dialer) time() time.Time {
