--- a/endpoint/netconn/dial.go
+++ b/endpoint/netconn/dial.go
@@ -23,7 +23,7 @@
 func (d *Dialer) Dial(ctx context.Context, address string) (*Conn, error) {
 	began := d.time()
 	conn, err := d.DialContext(ctx, "tcp", address)
-	if err != nil && ctx.Err() == nil && d.late(began, err) {
+	if err != nil && ctx.Err() == nil && d.timedOutLate(began, err) {
 		conn, err = d.DialContext(ctx, "tcp", address)
 	}
 	if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // late says whether a dial ended by its limit, and well behind it.
-func (d *Dialer) late(began time.Time, err error) bool {
+func (d *Dialer) timedOutLate(began time.Time, err error) bool {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
 	return timedOut && d.time().Sub(began) > d.Timeout+lateThreshold
