--- a/endpoint/netconn/dial.go
+++ b/endpoint/netconn/dial.go
@@ -21,7 +21,7 @@
 // Dial opens a TCP connection. Where its limit struck late, the connection may
 // have been made meanwhile, so it is dialled once more.
 func (d *Dialer) Dial(ctx context.Context, address string) (*Conn, error) {
-	began := d.time()
+	began := d.currentTime()
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil && ctx.Err() == nil && d.timedOutLate(began, err) {
 		conn, err = d.DialContext(ctx, "tcp", address)
@@ -36,10 +36,10 @@
 func (d *Dialer) timedOutLate(began time.Time, err error) bool {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
-	return timedOut && d.time().Sub(began) > d.Timeout+lateThreshold
+	return timedOut && d.currentTime().Sub(began) > d.Timeout+lateThreshold
 }
 
-func (d *Dialer) time() time.Time {
+func (d *Dialer) currentTime() time.Time {
 	if d.now == nil {
 		return time.Now()
 	}
