--- a/endpoint/netconn/write.go
+++ b/endpoint/netconn/write.go
@@ -10,7 +10,7 @@
 // WriteRequest writes a request. sent says whether a byte of it was handed to
 // the connection: where none was, the request has certainly not run.
 func (c *Conn) WriteRequest(req *fasthttp.Request) (sent bool, err error) {
-	counter := &countingWriter{to: c}
+	counter := &countingWriter{dst: c}
 	writer := bufio.NewWriter(counter)
 	err = req.Write(writer)
 	if err == nil {
@@ -21,13 +21,13 @@
 
 // countingWriter counts the bytes that were handed on.
 type countingWriter struct {
-	to      io.Writer
+	dst     io.Writer
 	written int
 }
 
 // Write implements io.Writer.
 func (w *countingWriter) Write(b []byte) (int, error) {
-	n, err := w.to.Write(b)
+	n, err := w.dst.Write(b)
 	w.written += n
 	return n, err
 }
