--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -33,7 +33,7 @@
 
 // awaitArrival waits until bytes, or the end, lie in the connection's socket,
 // whatever its deadline.
-func awaitArrival(t *testing.T, c *Conn) {
+func awaitReadable(t *testing.T, c *Conn) {
 	t.Helper()
 	is := is.New(t)
 	raw, err := c.SyscallConn()
@@ -54,7 +54,7 @@
 	c, other := pair(t)
 	_, err := other.Write([]byte("answer"))
 	is.NoErr(err)
-	awaitArrival(t, c)
+	awaitReadable(t, c)
 	is.NoErr(c.SetReadDeadline(pastDeadline))
 	var b [16]byte
 	n, err := c.Read(b[:])
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	c, other := pair(t)
 	is.NoErr(other.Close())
-	awaitArrival(t, c)
+	awaitReadable(t, c)
 	is.NoErr(c.SetReadDeadline(pastDeadline))
 	_, err := c.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
@@ -94,7 +94,7 @@
 	got := 0
 	b := make([]byte, 4096)
 	for got <= maxLateBytes {
-		awaitArrival(t, c)
+		awaitReadable(t, c)
 		n, err := c.Read(b)
 		if err != nil {
 			is.True(errors.Is(err, os.ErrDeadlineExceeded))
@@ -114,7 +114,7 @@
 	c, other := pair(t)
 	_, err := other.Write([]byte("an"))
 	is.NoErr(err)
-	awaitArrival(t, c)
+	awaitReadable(t, c)
 	c.Expire()
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Hour))) // no reader waits on
 	var b [16]byte
@@ -134,7 +134,7 @@
 	c, other := pair(t)
 	_, err := other.Write([]byte("answer"))
 	is.NoErr(err)
-	awaitArrival(t, c)
+	awaitReadable(t, c)
 	ctx, cancel := context.WithDeadline(context.Background(), pastDeadline)
 	defer cancel()
 	is.True(!c.EndWith(ctx)())
