--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -49,7 +49,7 @@
 
 // TestAnAnswerThatHasArrivedGoesBeforeADeadline: the process was held up past
 // the deadline while the answer came.
-func TestAnAnswerThatHasArrivedGoesBeforeADeadline(t *testing.T) {
+func TestReceivedDataTakesPrecedenceOverDeadline(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	_, err := other.Write([]byte("answer"))
