--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -67,7 +67,7 @@
 
 // TestAnEndThatHasArrivedGoesBeforeADeadline: an answer without a length ends
 // with its connection.
-func TestAnEndThatHasArrivedGoesBeforeADeadline(t *testing.T) {
+func TestReceivedEOFTakesPrecedenceOverDeadline(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	is.NoErr(other.Close())
