--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -79,7 +79,7 @@
 
 // TestAFloodEndsWithItsDeadline: an endpoint that never stops sending must not
 // hold a request past its time for longer than what lies in a socket takes.
-func TestAFloodEndsWithItsDeadline(t *testing.T) {
+func TestReadsAfterDeadlineAreBounded(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	go func() {
