--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -109,7 +109,7 @@
 	is.NoErr(err)
 }
 
-func TestAnExpiredConnectionGivesWhatHasArrived(t *testing.T) {
+func TestExpiredConnectionReturnsReceivedData(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	_, err := other.Write([]byte("an"))
