--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -129,7 +129,7 @@
 
 // TestADeadlineOfTheContextKeepsWhatHasArrived, while a caller who left needs
 // nothing any more.
-func TestADeadlineOfTheContextKeepsWhatHasArrived(t *testing.T) {
+func TestContextDeadlineKeepsReceivedData(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	_, err := other.Write([]byte("answer"))
