--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -152,7 +152,7 @@
 	is.Equal(err, io.EOF)
 }
 
-func TestExpireEndsAReadThatWaits(t *testing.T) {
+func TestExpireUnblocksRead(t *testing.T) {
 	is := is.New(t)
 	c, _ := pair(t)
 	ended := make(chan error, 1)
