--- a/endpoint/netconn/dial_test.go
+++ b/endpoint/netconn/dial_test.go
@@ -37,7 +37,7 @@
 
 // TestADialThatWasHeldUpIsMadeAgain: the limit struck while this process got no
 // processor, not because the endpoint was silent.
-func TestADialThatWasHeldUpIsMadeAgain(t *testing.T) {
+func TestDelayedDialIsRetried(t *testing.T) {
 	is := is.New(t)
 	is.Equal(countDials(t, 500*time.Millisecond), 2)
 	is.Equal(countDials(t, 10*time.Millisecond), 1)
