--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -15,7 +15,7 @@
 // dedicated is one exchange on a connection of its own. Closing it, or its
 // caller's leaving, aborts the connection at once; the deadline of its context
 // leaves what has arrived.
-type dedicated struct {
+type dedicatedExchange struct {
 	ctx     context.Context
 	address string
 	what    string
@@ -29,7 +29,7 @@
 
 // open dials, sends the request once and reads the response's head until the
 // deadline. It takes req over.
-func (e *Engine) open(ctx context.Context, what string, req *fasthttp.Request, deadline time.Time) (*dedicated, error) {
+func (e *Engine) open(ctx context.Context, what string, req *fasthttp.Request, deadline time.Time) (*dedicatedExchange, error) {
 	defer fasthttp.ReleaseRequest(req)
 	release, err := e.acquire(ctx, what)
 	if err != nil {
@@ -40,7 +40,7 @@
 		release()
 		return nil, transportError(e.address, what, err)
 	}
-	d := &dedicated{ctx: ctx, address: e.address, what: what, conn: conn, reader: bufio.NewReader(conn), release: release}
+	d := &dedicatedExchange{ctx: ctx, address: e.address, what: what, conn: conn, reader: bufio.NewReader(conn), release: release}
 	d.resp = fasthttp.AcquireResponse()
 	d.stop = conn.EndWith(ctx)
 	req.SetHost(e.address)
@@ -66,7 +66,7 @@
 }
 
 // send writes the request and reads the head of the response.
-func (d *dedicated) send(req *fasthttp.Request, deadline time.Time) error {
+func (d *dedicatedExchange) send(req *fasthttp.Request, deadline time.Time) error {
 	if err := d.conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 }
 
 // fail gives an error its verdict; the end of the context is named as cause.
-func (d *dedicated) fail(err error) error {
+func (d *dedicatedExchange) fail(err error) error {
 	cause := ended(d.ctx)
 	if cause == nil {
 		return transportError(d.address, d.what, err)
@@ -95,7 +95,7 @@
 }
 
 // Close aborts the connection at once.
-func (d *dedicated) Close() {
+func (d *dedicatedExchange) Close() {
 	d.once.Do(func() {
 		d.stop()
 		_ = d.conn.Close()
--- a/endpoint/client/engine.go
+++ b/endpoint/client/engine.go
@@ -49,7 +49,7 @@
 }
 
 // body reads the whole body, at most limit bytes.
-func (d *dedicated) body(limit int) ([]byte, error) {
+func (d *dedicatedExchange) body(limit int) ([]byte, error) {
 	stream := d.resp.BodyStream()
 	if stream == nil {
 		return d.resp.Body(), nil
--- a/endpoint/client/fuzz_test.go
+++ b/endpoint/client/fuzz_test.go
@@ -38,7 +38,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"))
 	f.Add([]byte("HTTP/1.1 409\r\nX-Endpoint-Incarnation: -1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		d := &dedicated{
+		d := &dedicatedExchange{
 			ctx: context.Background(), address: "a", what: "w", conn: netconn.New(fuzzConn{}),
 			reader: bufio.NewReader(bytes.NewReader(data)), resp: fasthttp.AcquireResponse(),
 			stop: func() bool { return true }, release: func() {},
--- a/endpoint/client/stream.go
+++ b/endpoint/client/stream.go
@@ -27,7 +27,7 @@
 
 // Stream is a running answer. One goroutine reads it; any may close it.
 type Stream struct {
-	d           *dedicated
+	d           *dedicatedExchange
 	idle        time.Duration
 	scanner     *bufio.Scanner
 	incarnation uint64
@@ -35,7 +35,7 @@
 }
 
 // newStream reads events from an opened exchange.
-func newStream(d *dedicated, idle time.Duration) *Stream {
+func newStream(d *dedicatedExchange, idle time.Duration) *Stream {
 	var body io.Reader = bytes.NewReader(nil)
 	if s := d.resp.BodyStream(); s != nil {
 		body = s
