--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -16,15 +16,15 @@
 // caller's leaving, aborts the connection at once; the deadline of its context
 // leaves what has arrived.
 type dedicatedExchange struct {
-	ctx     context.Context
-	address string
-	what    string
-	conn    *netconn.Conn
-	reader  *bufio.Reader
-	resp    *fasthttp.Response
-	stop    func() bool
-	release func()
-	once    sync.Once
+	ctx       context.Context
+	address   string
+	operation string
+	conn      *netconn.Conn
+	reader    *bufio.Reader
+	resp      *fasthttp.Response
+	stop      func() bool
+	release   func()
+	once      sync.Once
 }
 
 // open dials, sends the request once and reads the response's head until the
@@ -40,7 +40,7 @@
 		release()
 		return nil, transportError(e.address, what, err)
 	}
-	d := &dedicatedExchange{ctx: ctx, address: e.address, what: what, conn: conn, reader: bufio.NewReader(conn), release: release}
+	d := &dedicatedExchange{ctx: ctx, address: e.address, operation: what, conn: conn, reader: bufio.NewReader(conn), release: release}
 	d.resp = fasthttp.AcquireResponse()
 	d.stop = conn.EndWith(ctx)
 	req.SetHost(e.address)
@@ -85,13 +85,13 @@
 func (d *dedicatedExchange) fail(err error) error {
 	cause := ended(d.ctx)
 	if cause == nil {
-		return transportError(d.address, d.what, err)
+		return transportError(d.address, d.operation, err)
 	}
 	var notSent *notSentError
 	if errors.As(err, &notSent) {
-		return transportError(d.address, d.what, &notSentError{cause: cause})
+		return transportError(d.address, d.operation, &notSentError{cause: cause})
 	}
-	return transportError(d.address, d.what, cause)
+	return transportError(d.address, d.operation, cause)
 }
 
 // Close aborts the connection at once.
--- a/endpoint/client/fuzz_test.go
+++ b/endpoint/client/fuzz_test.go
@@ -39,7 +39,7 @@
 	f.Add([]byte("HTTP/1.1 409\r\nX-Endpoint-Incarnation: -1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d := &dedicatedExchange{
-			ctx: context.Background(), address: "a", what: "w", conn: netconn.New(fuzzConn{}),
+			ctx: context.Background(), address: "a", operation: "w", conn: netconn.New(fuzzConn{}),
 			reader: bufio.NewReader(bytes.NewReader(data)), resp: fasthttp.AcquireResponse(),
 			stop: func() bool { return true }, release: func() {},
 		}
--- a/endpoint/client/stream.go
+++ b/endpoint/client/stream.go
@@ -76,7 +76,7 @@
 func (s *Stream) event(data []byte) (wire.TokenEvent, error) {
 	var event wire.TokenEvent
 	if err := json.Unmarshal(data, &event); err != nil {
-		return event, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "%s at %s: unreadable event", s.d.what, s.d.address).WithCause(err)
+		return event, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "%s at %s: unreadable event", s.d.operation, s.d.address).WithCause(err)
 	}
 	s.finished = event.Finish != ""
 	return event, nil
