--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -46,7 +46,7 @@
 	req.SetHost(e.address)
 	if err := d.send(req, deadline); err != nil {
 		d.Close()
-		return nil, d.fail(err)
+		return nil, d.classifyError(err)
 	}
 	e.report(d.resp)
 	return d, nil
@@ -82,7 +82,7 @@
 }
 
 // fail gives an error its verdict; the end of the context is named as cause.
-func (d *dedicatedExchange) fail(err error) error {
+func (d *dedicatedExchange) classifyError(err error) error {
 	cause := ended(d.ctx)
 	if cause == nil {
 		return transportError(d.address, d.operation, err)
--- a/endpoint/client/engine.go
+++ b/endpoint/client/engine.go
@@ -56,7 +56,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, int64(limit)))
 	if err != nil {
-		return nil, d.fail(err)
+		return nil, d.classifyError(err)
 	}
 	return body, nil
 }
--- a/endpoint/client/fuzz_test.go
+++ b/endpoint/client/fuzz_test.go
@@ -45,7 +45,7 @@
 		}
 		d.resp.StreamBody = true
 		if err := d.resp.ReadLimitBody(d.reader, 0); err != nil {
-			checkVerdict(t, d.fail(err))
+			checkVerdict(t, d.classifyError(err))
 			return
 		}
 		s := newStream(d, time.Second)
--- a/endpoint/client/stream.go
+++ b/endpoint/client/stream.go
@@ -56,7 +56,7 @@
 		return wire.TokenEvent{}, io.EOF
 	}
 	if err := s.d.conn.SetReadDeadline(time.Now().Add(s.idle)); err != nil {
-		return wire.TokenEvent{}, s.d.fail(err)
+		return wire.TokenEvent{}, s.d.classifyError(err)
 	}
 	for s.scanner.Scan() {
 		data, ok := bytes.CutPrefix(s.scanner.Bytes(), dataPrefix)
@@ -69,7 +69,7 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return wire.TokenEvent{}, s.d.fail(err)
+	return wire.TokenEvent{}, s.d.classifyError(err)
 }
 
 // event decodes one event.
