--- a/endpoint/client/errors.go
+++ b/endpoint/client/errors.go
@@ -35,22 +35,22 @@
 func (e *notSentError) Unwrap() error { return e.cause }
 
 // endedError says that the call's context had ended.
-type endedError struct{ cause error }
+type contextEndedError struct{ cause error }
 
 // Error implements error.
-func (e *endedError) Error() string { return e.cause.Error() }
+func (e *contextEndedError) Error() string { return e.cause.Error() }
 
 // Unwrap gives the cause.
-func (e *endedError) Unwrap() error { return e.cause }
+func (e *contextEndedError) Unwrap() error { return e.cause }
 
 // ended is how a context ended; nil while it goes on. A deadline that has passed
 // counts at once: other timers may tell of it before the context does.
 func ended(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
-		return &endedError{cause: err}
+		return &contextEndedError{cause: err}
 	}
 	if deadline, ok := ctx.Deadline(); ok && !time.Now().Before(deadline) {
-		return &endedError{cause: context.DeadlineExceeded}
+		return &contextEndedError{cause: context.DeadlineExceeded}
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 // made in time is the endpoint's failure, which another one may cure; only the
 // end of the request's own time is its deadline.
 func transportCode(err error, v verdict.Verdict) verdict.Code {
-	var over *endedError
+	var over *contextEndedError
 	var netErr net.Error
 	switch {
 	case errors.Is(err, context.Canceled):
