--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -54,7 +54,7 @@
 
 // acquire takes one of the bounded places for dedicated connections.
 func (e *Engine) acquire(ctx context.Context, what string) (func(), error) {
-	if err := ended(ctx); err != nil {
+	if err := contextError(ctx); err != nil {
 		return nil, transportError(e.address, what, &notSentError{cause: err})
 	}
 	select {
@@ -83,7 +83,7 @@
 
 // fail gives an error its verdict; the end of the context is named as cause.
 func (d *dedicatedExchange) classifyError(err error) error {
-	cause := ended(d.ctx)
+	cause := contextError(d.ctx)
 	if cause == nil {
 		return transportError(d.address, d.operation, err)
 	}
--- a/endpoint/client/errors.go
+++ b/endpoint/client/errors.go
@@ -45,7 +45,7 @@
 
 // ended is how a context ended; nil while it goes on. A deadline that has passed
 // counts at once: other timers may tell of it before the context does.
-func ended(ctx context.Context) error {
+func contextError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return &contextEndedError{cause: err}
 	}
--- a/endpoint/client/pooled.go
+++ b/endpoint/client/pooled.go
@@ -56,7 +56,7 @@
 	if err == nil {
 		return conn, nil
 	}
-	if over := ended(ctx); over != nil {
+	if over := contextError(ctx); over != nil {
 		err = over
 	}
 	return nil, &notSentError{cause: err}
@@ -72,7 +72,7 @@
 // the call goes on unattended until its deadline and its reply is dropped. The
 // caller releases the response.
 func (p *pooled) exchange(ctx context.Context, what string, req *fasthttp.Request) (*fasthttp.Response, error) {
-	if err := ended(ctx); err != nil {
+	if err := contextError(ctx); err != nil {
 		fasthttp.ReleaseRequest(req)
 		return nil, transportError(p.address, what, &notSentError{cause: err})
 	}
@@ -90,7 +90,7 @@
 	case r = <-done:
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.Canceled) {
-			return nil, transportError(p.address, what, ended(ctx))
+			return nil, transportError(p.address, what, contextError(ctx))
 		}
 		// The deadline ends the call as well, unless its reply has arrived.
 		r = <-done
