--- a/endpoint/client/errors.go
+++ b/endpoint/client/errors.go
@@ -91,7 +91,7 @@
 // only if the endpoint said so.
 func statusError(address, what string, resp *fasthttp.Response, body []byte) error {
 	v := verdict.MayHaveRun
-	if saysNotRun(resp) {
+	if reportsNotRun(resp) {
 		v = verdict.NotRun
 	}
 	parsed := wire.ErrorBody{Code: string(verdict.CodeEndpointFailed)}
@@ -103,7 +103,7 @@
 }
 
 // saysNotRun tells whether the endpoint says that it did not run the call.
-func saysNotRun(resp *fasthttp.Response) bool {
+func reportsNotRun(resp *fasthttp.Response) bool {
 	return string(resp.Header.Peek(wire.HeaderNotRun)) == "true"
 }
 
--- a/endpoint/client/fuzz_test.go
+++ b/endpoint/client/fuzz_test.go
@@ -98,7 +98,7 @@
 		if !errors.As(statusError("a", "w", resp, resp.Body()), &verr) || verr.RetryAfter < 0 {
 			t.Fatalf("status error %v", verr)
 		}
-		if verr.Verdict == verdict.NotRun && !saysNotRun(resp) {
+		if verr.Verdict == verdict.NotRun && !reportsNotRun(resp) {
 			t.Fatalf("%v without the header", verr)
 		}
 		plainResponse(resp)
--- a/endpoint/client/plain.go
+++ b/endpoint/client/plain.go
@@ -57,7 +57,7 @@
 		return PlainResponse{}, err
 	}
 	defer fasthttp.ReleaseResponse(resp)
-	if saysNotRun(resp) {
+	if reportsNotRun(resp) {
 		return PlainResponse{}, statusError(p.address, what, resp, resp.Body())
 	}
 	return plainResponse(resp), nil
