--- a/endpoint/client/plain.go
+++ b/endpoint/client/plain.go
@@ -40,7 +40,7 @@
 // Call sends the call once. A response that says that the call did not run is
 // an error with that verdict; any other response is returned as it is.
 func (p *Plain) Call(ctx context.Context, in PlainRequest) (PlainResponse, error) {
-	if !properTarget(in.Path) {
+	if !validTarget(in.Path) {
 		return PlainResponse{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "path %q can't be sent", in.Path)
 	}
 	req, err := newRequest(in.Method, "http://"+p.address+in.Path, nil)
@@ -64,7 +64,7 @@
 }
 
 // properTarget tells whether a path stands in a request as it is.
-func properTarget(path string) bool {
+func validTarget(path string) bool {
 	improper := func(r rune) bool { return r <= ' ' || r == '#' || r >= 0x7f }
 	return strings.HasPrefix(path, "/") && !strings.ContainsFunc(path, improper)
 }
