--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn, err := dial(ctx, e.address, e.opt.DialTimeout)
+	conn, err := dial(ctx, e.address, e.options.DialTimeout)
 	if err != nil {
 		release()
 		return nil, transportError(e.address, what, err)
--- a/endpoint/client/engine.go
+++ b/endpoint/client/engine.go
@@ -21,7 +21,7 @@
 // NewEngine returns a client of the engine at address.
 func NewEngine(address string, o Options) *Engine {
 	p := newPooled(address, o)
-	return &Engine{pooled: p, places: make(chan struct{}, p.opt.MaxConns)}
+	return &Engine{pooled: p, places: make(chan struct{}, p.options.MaxConns)}
 }
 
 // Prefill orders the reading of a prompt and waits for its end. When ctx ends
@@ -33,12 +33,12 @@
 		return out, err
 	}
 	const what = "prefill"
-	d, err := e.open(ctx, what, req, deadlineOf(ctx, e.opt.Timeout))
+	d, err := e.open(ctx, what, req, deadlineOf(ctx, e.options.Timeout))
 	if err != nil {
 		return out, err
 	}
 	defer d.Close()
-	body, err := d.body(e.opt.MaxResponseBytes)
+	body, err := d.body(e.options.MaxResponseBytes)
 	if err != nil {
 		return out, err
 	}
@@ -103,7 +103,7 @@
 		return newStream(d, t.Idle), nil
 	}
 	defer d.Close()
-	body, err := d.body(e.opt.MaxResponseBytes)
+	body, err := d.body(e.options.MaxResponseBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/endpoint/client/pooled.go
+++ b/endpoint/client/pooled.go
@@ -17,7 +17,7 @@
 // pooled makes short calls to one address over pooled connections.
 type pooled struct {
 	address string
-	opt     Options
+	options Options
 	host    *fasthttp.HostClient
 }
 
@@ -41,7 +41,7 @@
 			return conn, nil
 		},
 	}
-	return &pooled{address: address, opt: opt, host: host}
+	return &pooled{address: address, options: opt, host: host}
 }
 
 // neverRetry refuses every retry of the library.
@@ -77,7 +77,7 @@
 		return nil, transportError(p.address, what, &notSentError{cause: err})
 	}
 	req.SetHost(p.address)
-	deadline := deadlineOf(ctx, p.opt.Timeout)
+	deadline := deadlineOf(ctx, p.options.Timeout)
 	done := make(chan reply, 1)
 	go func() {
 		resp := fasthttp.AcquireResponse()
@@ -105,7 +105,7 @@
 // report tells the incarnation that a response carries.
 func (p *pooled) report(resp *fasthttp.Response) {
 	if incarnation := incarnationOf(resp); incarnation != 0 {
-		p.opt.OnIncarnation(p.address, incarnation)
+		p.options.OnIncarnation(p.address, incarnation)
 	}
 }
 
