--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -58,8 +58,8 @@
 		return nil, transportError(e.address, what, &notSentError{cause: err})
 	}
 	select {
-	case e.places <- struct{}{}:
-		return func() { <-e.places }, nil
+	case e.connSlots <- struct{}{}:
+		return func() { <-e.connSlots }, nil
 	default:
 		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s at %s: no free connection", what, e.address)
 	}
--- a/endpoint/client/engine.go
+++ b/endpoint/client/engine.go
@@ -15,13 +15,13 @@
 // connection each, so that they can be aborted at once; short calls share a pool.
 type Engine struct {
 	*pooled
-	places chan struct{}
+	connSlots chan struct{}
 }
 
 // NewEngine returns a client of the engine at address.
 func NewEngine(address string, o Options) *Engine {
 	p := newPooled(address, o)
-	return &Engine{pooled: p, places: make(chan struct{}, p.options.MaxConns)}
+	return &Engine{pooled: p, connSlots: make(chan struct{}, p.options.MaxConns)}
 }
 
 // Prefill orders the reading of a prompt and waits for its end. When ctx ends
