--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -31,7 +31,7 @@
 // deadline. It takes req over.
 func (e *Engine) open(ctx context.Context, what string, req *fasthttp.Request, deadline time.Time) (*dedicatedExchange, error) {
 	defer fasthttp.ReleaseRequest(req)
-	release, err := e.acquire(ctx, what)
+	release, err := e.acquireConn(ctx, what)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 }
 
 // acquire takes one of the bounded places for dedicated connections.
-func (e *Engine) acquire(ctx context.Context, what string) (func(), error) {
+func (e *Engine) acquireConn(ctx context.Context, what string) (func(), error) {
 	if err := contextError(ctx); err != nil {
 		return nil, transportError(e.address, what, &notSentError{cause: err})
 	}
