--- a/endpoint/client/engine.go
+++ b/endpoint/client/engine.go
@@ -131,11 +131,11 @@
 
 // Load reads the engine's report of itself, which lags.
 func (e *Engine) Load(ctx context.Context) (wire.LoadReport, error) {
-	return load(ctx, e.pooled)
+	return readLoad(ctx, e.pooled)
 }
 
 // load reads the load report of an endpoint.
-func load(ctx context.Context, p *pooled) (wire.LoadReport, error) {
+func readLoad(ctx context.Context, p *pooled) (wire.LoadReport, error) {
 	var out wire.LoadReport
 	err := p.call(ctx, fasthttp.MethodGet, wire.PathLoad, nil, &out)
 	return out, err
--- a/endpoint/client/plain.go
+++ b/endpoint/client/plain.go
@@ -84,5 +84,5 @@
 
 // Load reads the endpoint's report of itself, which lags.
 func (p *Plain) Load(ctx context.Context) (wire.LoadReport, error) {
-	return load(ctx, p.pooled)
+	return readLoad(ctx, p.pooled)
 }
