--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -22,20 +22,20 @@
 
 // scripted is a server that reads one request on each connection, tells it,
 // and then does what the test says.
-type scripted struct {
+type scriptedServer struct {
 	address string
 	got     chan string
 }
 
 // newScripted starts a server; reply gets each connection behind its request
 // and the connection is closed when it returns.
-func newScripted(t *testing.T, reply func(net.Conn)) *scripted {
+func newScripted(t *testing.T, reply func(net.Conn)) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{address: listener.Addr().String(), got: make(chan string, 64)}
+	s := &scriptedServer{address: listener.Addr().String(), got: make(chan string, 64)}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
