--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -23,8 +23,8 @@
 // scripted is a server that reads one request on each connection, tells it,
 // and then does what the test says.
 type scriptedServer struct {
-	address string
-	got     chan string
+	address  string
+	requests chan string
 }
 
 // newScripted starts a server; reply gets each connection behind its request
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedServer{address: listener.Addr().String(), got: make(chan string, 64)}
+	s := &scriptedServer{address: listener.Addr().String(), requests: make(chan string, 64)}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
@@ -49,7 +49,7 @@
 				if req.Read(bufio.NewReader(conn)) != nil {
 					return
 				}
-				s.got <- string(req.Header.Method()) + " " + string(req.Header.RequestURI())
+				s.requests <- string(req.Header.Method()) + " " + string(req.Header.RequestURI())
 				reply(conn)
 			})
 		}
@@ -152,7 +152,7 @@
 			is := is.New(t)
 			s := newScripted(t, func(net.Conn) {})
 			is.Equal(verdict.Of(call(s.address)), verdict.MayHaveRun)
-			is.Equal(len(s.got), 1)
+			is.Equal(len(s.requests), 1)
 		})
 	}
 }
@@ -165,11 +165,11 @@
 		response, err := plain.Call(context.Background(), client.PlainRequest{Method: "POST", Path: path})
 		is.NoErr(err)
 		is.Equal(response.Status, 204)
-		is.Equal(<-s.got, "POST "+path)
+		is.Equal(<-s.requests, "POST "+path)
 	}
 	_, err := plain.Call(context.Background(), client.PlainRequest{Method: "POST", Path: "/a\r\nb"})
 	is.Equal(verdict.Of(err), verdict.NotRun)
-	is.Equal(len(s.got), 0)
+	is.Equal(len(s.requests), 0)
 }
 
 func TestRefusedDialIsNotRun(t *testing.T) {
@@ -212,7 +212,7 @@
 		_, err := client.NewEngine(s.address, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
 		result <- err
 	}()
-	<-s.got // the order was sent
+	<-s.requests // the order was sent
 	cancel()
 	err := <-result
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
@@ -220,7 +220,7 @@
 	<-closed // the connection was aborted
 	_, err = client.NewEngine(s.address, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
 	is.Equal(verdict.Of(err), verdict.NotRun) // ended before anything was sent
-	is.Equal(len(s.got), 0)
+	is.Equal(len(s.requests), 0)
 }
 
 // streamHead opens a stream of events.
