--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -29,7 +29,7 @@
 
 // newScripted starts a server; reply gets each connection behind its request
 // and the connection is closed when it returns.
-func newScripted(t *testing.T, reply func(net.Conn)) *scriptedServer {
+func newScriptedServer(t *testing.T, reply func(net.Conn)) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -150,7 +150,7 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newScripted(t, func(net.Conn) {})
+			s := newScriptedServer(t, func(net.Conn) {})
 			is.Equal(verdict.Of(call(s.address)), verdict.MayHaveRun)
 			is.Equal(len(s.requests), 1)
 		})
@@ -159,7 +159,7 @@
 
 func TestPathIsSentAsItStands(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) { _, _ = conn.Write([]byte("HTTP/1.1 204 x\r\nConnection: close\r\n\r\n")) })
+	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte("HTTP/1.1 204 x\r\nConnection: close\r\n\r\n")) })
 	plain := client.NewPlain(s.address, client.Options{})
 	for _, path := range []string{"/a/../b//c?x=%2F&y", "//other/b", "/%61"} {
 		response, err := plain.Call(context.Background(), client.PlainRequest{Method: "POST", Path: path})
@@ -188,7 +188,7 @@
 func TestErrorStatusIsNotRunOnlyIfTheEndpointSaysSo(t *testing.T) {
 	is := is.New(t)
 	for header, want := range map[string]verdict.Verdict{"X-Not-Run: true\r\n": verdict.NotRun, "": verdict.MayHaveRun} {
-		s := newScripted(t, func(conn net.Conn) {
+		s := newScriptedServer(t, func(conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 x\r\n%sRetry-After: 2\r\nContent-Length: 0\r\n\r\n", header)
 		})
 		_, err := client.NewTable(s.address, client.Options{}).Read(context.Background(), wire.ReadRequest{})
@@ -202,7 +202,7 @@
 func TestEndOfContextEndsARunningPrefill(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		hold(conn)
 		close(closed)
 	})
@@ -234,7 +234,7 @@
 
 func TestStalledStreamEndsByItsIdleTimeout(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
 		hold(conn)
 	})
@@ -254,7 +254,7 @@
 func TestCloseAbortsAStreamAtOnce(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
 		hold(conn)
 		close(closed)
@@ -280,7 +280,7 @@
 
 func TestTruncatedStreamIsNoAnswer(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + chunk(1) + "0\r\n\r\n")) })
+	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + chunk(1) + "0\r\n\r\n")) })
 	stream, err := client.NewEngine(s.address, client.Options{}).Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: patience, Idle: patience})
 	is.NoErr(err)
 	defer stream.Close()
@@ -292,7 +292,7 @@
 
 func TestResponsesAreBoundedAndIncarnationsReported(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Endpoint-Incarnation: 9\r\nContent-Length: 20\r\n\r\n{\"running\":12345678}")
 	})
 	var seen uint64
