--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -62,7 +62,7 @@
 }
 
 // hold keeps a connection open until the other side closes it.
-func hold(conn net.Conn) {
+func awaitClose(conn net.Conn) {
 	var one [1]byte
 	_, _ = conn.Read(one[:])
 }
@@ -203,7 +203,7 @@
 	is := is.New(t)
 	closed := make(chan struct{})
 	s := newScriptedServer(t, func(conn net.Conn) {
-		hold(conn)
+		awaitClose(conn)
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -236,7 +236,7 @@
 	is := is.New(t)
 	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
-		hold(conn)
+		awaitClose(conn)
 	})
 	engine := client.NewEngine(s.address, client.Options{})
 	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: patience, Idle: 50 * time.Millisecond})
@@ -256,7 +256,7 @@
 	closed := make(chan struct{})
 	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
-		hold(conn)
+		awaitClose(conn)
 		close(closed)
 	})
 	engine := client.NewEngine(s.address, client.Options{MaxConns: 1})
