--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -73,7 +73,7 @@
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE"} {
 		t.Run(method, func(t *testing.T) {
 			is := is.New(t)
-			service, address := cuttingService(t)
+			service, address := newDisconnectingService(t)
 			_, err := client.NewPlain(address, client.Options{}).Call(context.Background(), client.PlainRequest{
 				Method: method, Path: "/stems", Headers: []client.Header{{Name: wire.HeaderIdempotencyKey, Value: "k"}},
 			})
@@ -87,7 +87,7 @@
 // alone repeats a GET.
 func TestLibraryDefaultSendsAgain(t *testing.T) {
 	is := is.New(t)
-	service, address := cuttingService(t)
+	service, address := newDisconnectingService(t)
 	err := (&fasthttp.HostClient{Addr: address}).Do(getRequest(address), &fasthttp.Response{})
 	is.True(err != nil)
 	is.True(service.Counters().Keys[0].Runs > 1)
@@ -102,7 +102,7 @@
 }
 
 // cuttingService runs every call and cuts its connection.
-func cuttingService(t *testing.T) (*standin.PlainService, string) {
+func newDisconnectingService(t *testing.T) (*standin.PlainService, string) {
 	t.Helper()
 	service := standin.NewPlainService(standin.PlainConfig{WorkTime: 1})
 	always := 1.0
