--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -18,7 +18,7 @@
 )
 
 // patience bounds every wait of a test; no test passes by it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // scripted is a server that reads one request on each connection, tells it,
 // and then does what the test says.
@@ -119,7 +119,7 @@
 // their own and for the typed ones.
 func TestTypedCallsAreSentOnce(t *testing.T) {
 	ctx := context.Background()
-	timeouts := client.Timeouts{First: patience, Idle: patience}
+	timeouts := client.Timeouts{First: testTimeout, Idle: testTimeout}
 	calls := map[string]func(address string) error{
 		"prefill": func(a string) error {
 			_, err := client.NewEngine(a, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
@@ -239,7 +239,7 @@
 		awaitClose(conn)
 	})
 	engine := client.NewEngine(s.address, client.Options{})
-	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: patience, Idle: 50 * time.Millisecond})
+	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: testTimeout, Idle: 50 * time.Millisecond})
 	is.NoErr(err)
 	defer stream.Close()
 	is.Equal(stream.Incarnation(), uint64(77))
@@ -260,7 +260,7 @@
 		close(closed)
 	})
 	engine := client.NewEngine(s.address, client.Options{MaxConns: 1})
-	timeouts := client.Timeouts{First: patience, Idle: patience}
+	timeouts := client.Timeouts{First: testTimeout, Idle: testTimeout}
 	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, timeouts)
 	is.NoErr(err)
 	_, err = stream.Next()
@@ -281,7 +281,7 @@
 func TestTruncatedStreamIsNoAnswer(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + chunk(1) + "0\r\n\r\n")) })
-	stream, err := client.NewEngine(s.address, client.Options{}).Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: patience, Idle: patience})
+	stream, err := client.NewEngine(s.address, client.Options{}).Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: testTimeout, Idle: testTimeout})
 	is.NoErr(err)
 	defer stream.Close()
 	_, err = stream.Next()
--- a/endpoint/client/connect_test.go
+++ b/endpoint/client/connect_test.go
@@ -18,7 +18,7 @@
 
 // calls are the ways in which a client opens a connection.
 func calls() map[string]call {
-	times := client.Timeouts{First: patience, Idle: patience}
+	times := client.Timeouts{First: testTimeout, Idle: testTimeout}
 	return map[string]call{
 		"prefill": func(ctx context.Context, address string, o client.Options) error {
 			_, err := client.NewEngine(address, o).Prefill(ctx, wire.PrefillRequest{})
