--- a/endpoint/client/connect_test.go
+++ b/endpoint/client/connect_test.go
@@ -46,7 +46,7 @@
 // TestAConnectionThatIsNotMadeInTimeIsUnavailable: a host without power takes no
 // connection. That is not the request's deadline, which would end the request
 // though nothing was sent and other endpoints are free.
-func TestAConnectionThatIsNotMadeInTimeIsUnavailable(t *testing.T) {
+func TestDialTimeoutIsUnavailable(t *testing.T) {
 	full, err := standin.NewFullBacklog("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
