--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -85,7 +85,7 @@
 
 // TestLibraryDefaultSendsAgain shows that the check above can fail: the library
 // alone repeats a GET.
-func TestLibraryDefaultSendsAgain(t *testing.T) {
+func TestLibraryDefaultRetries(t *testing.T) {
 	is := is.New(t)
 	service, address := newDisconnectingService(t)
 	err := (&fasthttp.HostClient{Addr: address}).Do(getRequest(address), &fasthttp.Response{})
