--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -185,7 +185,7 @@
 	is.Equal(verdict.As(err).Code, verdict.CodeUnavailable)
 }
 
-func TestErrorStatusIsNotRunOnlyIfTheEndpointSaysSo(t *testing.T) {
+func TestErrorStatusIsNotRunOnlyWithHeader(t *testing.T) {
 	is := is.New(t)
 	for header, want := range map[string]verdict.Verdict{"X-Not-Run: true\r\n": verdict.NotRun, "": verdict.MayHaveRun} {
 		s := newScriptedServer(t, func(conn net.Conn) {
