--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestEndOfContextEndsARunningPrefill(t *testing.T) {
+func TestContextCancellationAbortsPrefill(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	s := newScriptedServer(t, func(conn net.Conn) {
