--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -232,7 +232,7 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(event), event)
 }
 
-func TestStalledStreamEndsByItsIdleTimeout(t *testing.T) {
+func TestStalledStreamTimesOut(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
