--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -278,7 +278,7 @@
 	<-closed
 }
 
-func TestTruncatedStreamIsNoAnswer(t *testing.T) {
+func TestTruncatedStreamIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + chunk(1) + "0\r\n\r\n")) })
 	stream, err := client.NewEngine(s.address, client.Options{}).Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: testTimeout, Idle: testTimeout})
