--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestPathIsSentAsItStands(t *testing.T) {
+func TestPathIsSentUnchanged(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte("HTTP/1.1 204 x\r\nConnection: close\r\n\r\n")) })
 	plain := client.NewPlain(s.address, client.Options{})
