--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -251,7 +251,7 @@
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 }
 
-func TestCloseAbortsAStreamAtOnce(t *testing.T) {
+func TestCloseAbortsStream(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	s := newScriptedServer(t, func(conn net.Conn) {
