--- a/core/randomrun/doc.go
+++ b/core/randomrun/doc.go
@@ -1,5 +1,5 @@
-// Package randomrun holds a randomised run of the deterministic core: askers,
-// pool managers, sequencers, cancellers and reapers of several daemons, driven
-// by seeded events with every invariant asserted. It has tests only; see
-// docs/design/planted-bugs.md for what they catch.
+// Package randomrun contains a randomised simulation test of the deterministic
+// core: requesters, pool managers, sequencers, cancellers and reapers of several
+// daemons, driven by seeded events, with every invariant asserted. It contains
+// only tests; docs/design/planted-bugs.md lists the faults that they detect.
 package randomrun
--- a/core/randomrun/engine_test.go
+++ b/core/randomrun/engine_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// kvLife is how long an exported KV cache lives.
+	// kvLife is the time after which an exported KV cache expires.
 	kvLife = 800 * ms
-	// keepFinished is how long a finished answer can be resumed.
+	// finishedRetention is the time for which a finished answer can be resumed.
 	finishedRetention = 15 * time.Second
 )
 
-// outcome is an engine's answer to an order.
+// outcome is an engine's reply to an order.
 type outcome int
 
 const (
@@ -30,7 +30,7 @@
 	broken
 )
 
-// engine is a minimal engine: what it holds are entries of maps.
+// engine is a simulated engine that keeps its requests in maps.
 type engine struct {
 	sim          *simulation
 	name         id.Endpoint
@@ -45,27 +45,28 @@
 	busy         bool
 }
 
-// work is what an engine holds for a request.
+// task is the state of one request at an engine.
 type task struct {
 	job   *job
 	owner id.Process
 	stage reap.Stage
 	since time.Duration
-	// begin is where the answer goes on; events are those written.
+	// offset is the number of tokens that were delivered before this task; events
+	// are those that it has written.
 	offset int
 	events []stream.Event
 	done   func(outcome)
 }
 
-func (w *simulation) addEngine(e *live.Endpoint) {
-	w.engineNames = append(w.engineNames, e.Name)
-	w.engines[e.Name] = &engine{
-		sim: w, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
+func (s *simulation) addEngine(e *live.Endpoint) {
+	s.engineNames = append(s.engineNames, e.Name)
+	s.engines[e.Name] = &engine{
+		sim: s, name: e.Name, role: live.Role(e.Labels[live.LabelRole]), slots: e.Slots, incarnation: 1,
 		tasks: map[id.Request]*task{}, tombstones: map[id.Request]bool{},
 	}
 }
 
-// refuses says why the engine takes no work for a request; accepted if it does.
+// refusal returns the reason for which the engine refuses a request, or accepted.
 func (e *engine) refusal(r id.Request) outcome {
 	switch {
 	case e.tombstones[r]:
@@ -78,74 +79,75 @@
 	return accepted
 }
 
-// running counts the slots in use.
+// running returns the number of slots in use.
 func (e *engine) running() int {
 	n := 0
-	for _, k := range e.tasks {
-		if k.stage != reap.StageFinished && k.stage != reap.StageKV {
+	for _, t := range e.tasks {
+		if t.stage != reap.StageFinished && t.stage != reap.StageKV {
 			n++
 		}
 	}
 	return n
 }
 
-// prefill takes an order; done hears of its end.
+// prefill handles a prefill order and calls done with its outcome.
 func (e *engine) prefill(j *job, done func(outcome)) {
 	if why := e.refusal(j.id); why != accepted {
 		done(why)
 		return
 	}
 	e.checkNotEnded(j)
-	k := &task{job: j, owner: j.host.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
-	e.tasks[j.id] = k
-	e.queue = append(e.queue, k)
+	t := &task{job: j, owner: j.host.self, stage: reap.StagePrefill, since: e.sim.now, done: done}
+	e.tasks[j.id] = t
+	e.queue = append(e.queue, t)
 	e.startNext()
 }
 
-// checkNotEnded: an order that is taken must not be one whose end was certain.
+// checkNotEnded fails the run if the engine accepts an order for a request that a
+// canceller has reported as ended.
 func (e *engine) checkNotEnded(j *job) {
 	if e.sim.ended[reap.Key{Endpoint: e.name, Request: j.id}] {
-		e.sim.fail("%s takes %s, which a canceller believes ended", e.name, j.id)
+		e.sim.fail("%s accepts %s, which a canceller has reported as ended", e.name, j.id)
 	}
 }
 
-// next begins the first queued prefill that still is wanted.
+// startNext starts the first queued prefill that has not been cancelled.
 func (e *engine) startNext() {
 	for !e.busy && len(e.queue) > 0 {
-		k := e.queue[0]
+		t := e.queue[0]
 		e.queue = e.queue[1:]
-		if e.tasks[k.job.id] != k {
+		if e.tasks[t.job.id] != t {
 			continue
 		}
 		e.busy = true
-		e.sim.started[k.job.id] = true
+		e.sim.started[t.job.id] = true
 		incarnation := e.incarnation
 		e.sim.after(e.sim.between(10*ms, 40*ms), func() {
 			if e.incarnation != incarnation {
 				return
 			}
 			e.busy = false
-			e.finishPrefill(k)
+			e.finishPrefill(t)
 			e.startNext()
 		})
 	}
 }
 
-func (e *engine) finishPrefill(k *task) {
-	if e.tasks[k.job.id] != k {
+func (e *engine) finishPrefill(t *task) {
+	if e.tasks[t.job.id] != t {
 		return
 	}
-	k.stage = reap.StageKV
-	k.since = e.sim.now
-	k.done(accepted)
+	t.stage = reap.StageKV
+	t.since = e.sim.now
+	t.done(accepted)
 	e.sim.after(kvLife, func() {
-		if e.tasks[k.job.id] == k {
-			delete(e.tasks, k.job.id)
+		if e.tasks[t.job.id] == t {
+			delete(e.tasks, t.job.id)
 		}
 	})
 }
 
-// decode takes an order, imports the KV cache and writes the answer.
+// decode handles a decode order: it imports the KV cache and writes the answer.
 func (e *engine) decode(j *job, from *engine, done func(outcome)) {
 	if why := e.refusal(j.id); why != accepted {
 		done(why)
@@ -158,80 +160,83 @@
 	}
 	e.checkNotEnded(j)
 	delete(from.tasks, j.id)
-	k := &task{job: j, owner: j.host.self, stage: reap.StageDecode, since: e.sim.now, offset: j.caller.delivered, done: done}
-	e.tasks[j.id] = k
-	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(k) })
+	t := &task{job: j, owner: j.host.self, stage: reap.StageDecode, since: e.sim.now, offset: j.caller.delivered, done: done}
+	e.tasks[j.id] = t
+	e.sim.after(e.sim.between(5*ms, 30*ms), func() { e.write(t) })
 }
 
-// write writes the next token, unless the work was dropped.
-func (e *engine) write(k *task) {
-	if e.tasks[k.job.id] != k {
+// write writes the next token, unless the task was removed.
+func (e *engine) write(t *task) {
+	if e.tasks[t.job.id] != t {
 		return
 	}
-	seq := k.offset + len(k.events) + 1
-	ev := k.job.caller.event(k.job.id, seq)
-	k.events = append(k.events, ev)
-	e.send(k, ev)
+	seq := t.offset + len(t.events) + 1
+	ev := t.job.caller.event(t.job.id, seq)
+	t.events = append(t.events, ev)
+	e.send(t, ev)
 	if !ev.Terminal() {
-		e.sim.after(e.sim.between(5*ms, 20*ms), func() { e.write(k) })
+		e.sim.after(e.sim.between(5*ms, 20*ms), func() { e.write(t) })
 		return
 	}
-	k.stage = reap.StageFinished
-	k.since = e.sim.now
+	t.stage = reap.StageFinished
+	t.since = e.sim.now
 	e.sim.after(finishedRetention, func() {
-		if e.tasks[k.job.id] == k {
-			delete(e.tasks, k.job.id)
+		if e.tasks[t.job.id] == t {
+			delete(e.tasks, t.job.id)
 		}
 	})
 }
 
-// send sends an event to who is connected: reordered, at times lost or doubled.
-func (e *engine) send(k *task, ev stream.Event) {
+// send sends an event to the connected job. Events may be reordered, lost or
+// duplicated.
+func (e *engine) send(t *task, ev stream.Event) {
 	if e.sim.chance(0.001) {
 		return
 	}
-	j := k.job
+	j := t.job
 	e.sim.after(e.sim.between(ms, 30*ms), func() { j.receive(ev) })
 	if e.sim.chance(0.01) {
 		e.sim.after(e.sim.between(ms, 60*ms), func() { j.receive(ev) })
 	}
 }
 
-// resume connects a request's answer to another job and sends it from there on.
+// resume attaches a request's answer to another job and sends the events after
+// the given one. It reports whether the engine still holds the answer.
 func (e *engine) resume(j *job, after int) bool {
-	k := e.tasks[j.id]
-	if k == nil || (k.stage != reap.StageDecode && k.stage != reap.StageFinished) || after < k.offset {
+	t := e.tasks[j.id]
+	if t == nil || (t.stage != reap.StageDecode && t.stage != reap.StageFinished) || after < t.offset {
 		return false
 	}
-	k.owner = j.host.self
-	k.job = j
-	for _, ev := range k.events[min(len(k.events), after-k.offset):] {
-		e.send(k, ev)
+	t.owner = j.host.self
+	t.job = j
+	for _, ev := range t.events[min(len(t.events), after-t.offset):] {
+		e.send(t, ev)
 	}
 	return true
 }
 
-// cancel ends a request and leaves a tombstone, which may be dropped.
+// cancel ends a request. For an unknown request it records a tombstone, which may
+// be lost.
 func (e *engine) cancel(r id.Request, owner *id.Process) reap.CancelState {
-	k := e.tasks[r]
-	if k == nil {
+	t := e.tasks[r]
+	if t == nil {
 		if !e.sim.chance(0.3) {
 			e.tombstones[r] = true
 			e.sim.after(time.Minute, func() { delete(e.tombstones, r) })
 		}
 		return reap.Unknown
 	}
-	if owner != nil && k.owner != *owner {
+	if owner != nil && t.owner != *owner {
 		return reap.OtherOwner
 	}
 	delete(e.tasks, r)
-	if k.stage == reap.StageFinished {
+	if t.stage == reap.StageFinished {
 		return reap.Finished
 	}
 	return reap.Cancelled
 }
 
-// crash loses all that the engine holds.
+// crash discards all state of the engine and starts its next incarnation.
 func (e *engine) crash() {
 	e.sim.stats.crashes++
 	lost := e.sorted()
@@ -240,14 +245,14 @@
 	e.queue = nil
 	e.tasks = map[id.Request]*task{}
 	e.tombstones = map[id.Request]bool{}
-	for _, k := range lost {
-		if k.stage != reap.StageKV {
-			e.sim.after(e.sim.between(ms, 20*ms), func() { k.done(broken) })
+	for _, t := range lost {
+		if t.stage != reap.StageKV {
+			e.sim.after(e.sim.between(ms, 20*ms), func() { t.done(broken) })
 		}
 	}
 }
 
-// leave makes the engine say that it leaves, and takes it back later.
+// leave makes the engine report for some seconds that it is leaving.
 func (e *engine) leave() {
 	if e.leaving {
 		return
@@ -279,8 +284,8 @@
 
 func (e *engine) list() reap.List {
 	l := reap.List{Endpoint: e.name, Incarnation: e.incarnation}
-	for _, k := range e.sorted() {
-		l.Requests = append(l.Requests, reap.Running{Request: k.job.id, Owner: k.owner, Stage: k.stage, Age: e.sim.now - k.since})
+	for _, t := range e.sorted() {
+		l.Requests = append(l.Requests, reap.Running{Request: t.job.id, Owner: t.owner, Stage: t.stage, Age: e.sim.now - t.since})
 	}
 	return l
 }
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -15,8 +15,8 @@
 // epoch is the wall time at time zero.
 var epoch = time.Unix(1_000_000, 0)
 
-// host is one process of a daemon; it does what daemon/broker and
-// daemon/cancels do.
+// host is one process of a daemon. It stands in for daemon/broker and
+// daemon/cancels.
 type host struct {
 	sim       *simulation
 	self      id.Process
@@ -27,15 +27,15 @@
 	poison    *poison.Ledger
 	canceller *reap.Canceller
 	reaper    *reap.Reaper
-	// active are the attempts that this process answers for.
+	// active holds the attempts that this process owns.
 	active map[id.Request]bool
 	jobs   map[id.Request]*job
 	onDone map[reap.Key][]func()
 }
 
-func newHost(w *simulation, self id.Process) *host {
+func newHost(s *simulation, self id.Process) *host {
 	return &host{
-		sim:       w,
+		sim:       s,
 		self:      self,
 		requester: pairing.New(self, pairing.Options{}),
 		managers:  map[id.Pool]*pool.Manager{},
@@ -49,14 +49,14 @@
 	}
 }
 
-// start plans what the process does again and again.
+// start schedules the periodic work of the process.
 func (h *host) start() {
 	h.sim.after(0, h.tick)
 	h.sim.after(0, h.readLoads)
 	h.sim.after(h.sim.between(0, time.Second), h.readRequestLists)
 }
 
-// tick does what is due in all parts.
+// tick runs the due timers of the requester, the managers and the canceller.
 func (h *host) tick() {
 	if h.dead {
 		return
@@ -79,13 +79,14 @@
 	h.sim.after(max(ms, next-h.sim.now), h.tick)
 }
 
-// schedules says whether this daemon decides for a pool: as its owner, or since
-// others take it for the owner.
+// schedules reports whether this daemon schedules a pool: because it is the owner,
+// or because other daemons consider it the owner.
 func (h *host) schedules(p id.Pool) bool {
 	return h.requester.Owner(p) == h.self.Daemon || h.managers[p] != nil
 }
 
-// report reads the load of the endpoints whose pools this daemon schedules.
+// readLoads periodically reads the load of the endpoints in the pools that this
+// daemon schedules.
 func (h *host) readLoads() {
 	if h.dead {
 		return
@@ -106,7 +107,8 @@
 	h.sim.after(h.interval(100*ms), h.readLoads)
 }
 
-// lists audits the ledgers, reads what the endpoints hold and reaps the orphans.
+// readRequestLists periodically audits the ledgers, reads the request lists of the
+// endpoints and reaps orphaned requests.
 func (h *host) readRequestLists() {
 	if h.dead {
 		return
@@ -131,7 +133,7 @@
 	h.sim.after(h.interval(time.Second), h.readRequestLists)
 }
 
-// pace slows down what is done again and again once all is quiet.
+// interval returns d, or a longer interval once the simulation polls slowly.
 func (h *host) interval(d time.Duration) time.Duration {
 	if h.sim.slowPolling {
 		return 5 * time.Second
@@ -139,7 +141,7 @@
 	return d
 }
 
-// learn takes a view of the members.
+// updateMembers applies a view of the members.
 func (h *host) updateMembers(view []id.Process) {
 	if h.dead {
 		return
@@ -192,7 +194,7 @@
 	return m
 }
 
-// output sends the asker's messages and takes its answers.
+// handleOutput sends the requester's messages and delivers its answers and bindings.
 func (h *host) handleOutput(out pairing.Output) {
 	for _, a := range out.Answers {
 		h.handleAnswer(a)
@@ -207,7 +209,8 @@
 	}
 }
 
-// send hands a message to a pool's owner, at once if that is this daemon.
+// send sends a message to a pool's owner; if that is this daemon, the message is
+// handled immediately.
 func (h *host) send(m pairing.Message) {
 	if m.Progress != nil && m.Progress.Progress.Phase == sched.PhaseCancelled {
 		h.sim.stats.cancelledGrants++
@@ -233,7 +236,7 @@
 	}
 }
 
-// actions carries out what a manager decided.
+// executeActions delivers a manager's actions to their daemons.
 func (h *host) executeActions(p id.Pool, executeActions []sched.Action) {
 	for _, a := range executeActions {
 		h.checkGrant(p, a.Grant)
@@ -255,7 +258,7 @@
 	}
 }
 
-// checkGrant holds a grant against the truth about its endpoints.
+// checkGrant checks a grant against the actual state of its endpoints.
 func (h *host) checkGrant(p id.Pool, g *sched.Grant) {
 	if g == nil {
 		return
@@ -263,18 +266,18 @@
 	for i, name := range []id.Endpoint{g.Prefill, g.Decode} {
 		e := h.sim.engines[name]
 		if e == nil || !slices.Contains(h.sim.poolNames(p, i), name) {
-			h.sim.fail("grant of %s: endpoint %q is not of the right role and pool", g.Request, name)
+			h.sim.fail("grant of %s: endpoint %q has the wrong role or pool", g.Request, name)
 		}
 		if e.leaving && h.sim.now-e.leavingSince > leavingGrace && g.ExpiresIn > 0 && !h.sim.started[g.Request] {
-			h.sim.fail("grant of %s by %s to %s, which leaves since %v", g.Request, h.self, name, h.sim.now-e.leavingSince)
+			h.sim.fail("grant of %s by %s to %s, which has been leaving for %v", g.Request, h.self, name, h.sim.now-e.leavingSince)
 		}
 	}
 }
 
-// poolNames lists the prefill (0) or decode (1) endpoints of a pool.
-func (w *simulation) poolNames(p id.Pool, role int) []id.Endpoint {
+// poolNames returns the prefill (0) or decode (1) endpoints of a pool.
+func (s *simulation) poolNames(p id.Pool, role int) []id.Endpoint {
 	var out []id.Endpoint
-	for i, e := range w.doc.Endpoints {
+	for i, e := range s.doc.Endpoints {
 		if e.Labels["pool"] == string(p) && i%2 == role {
 			out = append(out, e.Name)
 		}
@@ -282,7 +285,8 @@
 	return out
 }
 
-// cancel orders the end of a request at an endpoint; done hears of it.
+// cancel cancels a request at an endpoint; done, if set, is called once the
+// cancel is complete.
 func (h *host) cancel(e id.Endpoint, r id.Request, incarnation id.Incarnation, settled bool, done func()) {
 	h.sim.stats.cancels++
 	key := reap.Key{Endpoint: e, Request: r}
@@ -292,7 +296,7 @@
 	h.executeCancels(h.canceller.Add(h.sim.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
 }
 
-// orders carries out what the canceller wants; calls and replies may be lost.
+// executeCancels executes the canceller's actions; calls and replies may be lost.
 func (h *host) executeCancels(actions []reap.Action) {
 	for _, a := range actions {
 		switch {
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -14,13 +14,14 @@
 
 const (
 	maxAttempts = 4
-	// orderTimeout is when an order without a reply counts as unknown.
+	// orderTimeout is the time after which the result of an order without a reply
+	// counts as unknown.
 	orderTimeout = time.Second
-	// idleTimeout is when a stream without progress counts as broken.
+	// idleTimeout is the time after which a stream without progress counts as broken.
 	idleTimeout = 3 * time.Second
 )
 
-// caller is one party that wants a whole answer, each token once.
+// caller sends one request and expects a complete answer with each token once.
 type caller struct {
 	sim       *simulation
 	n         int
@@ -28,7 +29,7 @@
 	tokens    int
 	delivered int
 	finished  bool
-	// over says that the caller has its answer, an error, or is gone.
+	// ended is set once the caller has its answer or an error, or has disconnected.
 	ended    bool
 	attempts int
 	avoid    []id.Endpoint
@@ -43,12 +44,12 @@
 	want      sched.Want
 	grant     *sched.Grant
 	sequencer *stream.Sequencer
-	// to is the endpoint that decodes; transfer begins the decode order of a
-	// provisional grant that waits for it.
+	// decodeEndpoint is the endpoint that decodes; transfer starts the decode and is
+	// set from the end of the prefill, possibly waiting for a binding, until it runs.
 	decodeEndpoint id.Endpoint
 	bound          bool
 	transfer       func()
-	// ordered and decoding say how far it has come.
+	// prefillOrdered and decoding are set once the respective order was sent.
 	prefillOrdered bool
 	decoding       bool
 	ended          bool
@@ -56,7 +57,7 @@
 	lastProgress   time.Duration
 }
 
-// event is one token of the caller's answer; the last one is terminal.
+// event returns the expected event with number seq; the last one is terminal.
 func (c *caller) event(attempt id.Request, seq int) stream.Event {
 	if seq > c.tokens {
 		return stream.Event{Attempt: attempt, Seq: seq, Finish: "stop"}
@@ -64,17 +65,17 @@
 	return stream.Event{Attempt: attempt, Seq: seq, Text: fmt.Sprintf("%d.%d ", c.n, seq)}
 }
 
-// take checks that the caller gets its answer whole, once and in order.
+// deliver checks that the caller receives its answer completely, once and in order.
 func (c *caller) deliver(j *job, e stream.Event) {
 	want := c.event(j.id, c.delivered+1)
 	if c.ended || c.finished || c.job != j || e != want {
-		c.sim.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.ended)
+		c.sim.fail("caller %d got %+v, want %+v (ended %v)", c.n, e, want, c.ended)
 	}
 	c.delivered++
 	c.finished = e.Terminal()
 }
 
-// begin makes an attempt at a daemon.
+// startAttempt starts an attempt at a daemon.
 func (c *caller) startAttempt(h *host) {
 	if c.ended || h == nil || h.dead {
 		c.fail()
@@ -103,7 +104,7 @@
 	}
 }
 
-// retry makes another attempt after one that failed.
+// retry schedules another attempt after a failed one.
 func (c *caller) retry(h *host) {
 	if c.ended || c.attempts >= maxAttempts {
 		c.fail()
@@ -112,7 +113,7 @@
 	c.sim.after(c.sim.between(10*ms, 60*ms), func() { c.startAttempt(h) })
 }
 
-// leave is what a caller does that hangs up.
+// disconnect ends the request of a caller that closes its connection.
 func (c *caller) disconnect() {
 	if c.ended {
 		return
@@ -124,13 +125,14 @@
 	}
 }
 
-// answer takes what the asker answers; each Ask has one answer.
+// handleAnswer handles an answer of the requester and checks that each Ask has
+// exactly one.
 func (h *host) handleAnswer(a pairing.Answer) {
-	k := h.sim.asks[a.Request]
-	k.answers++
+	record := h.sim.asks[a.Request]
+	record.answers++
 	j := h.jobs[a.Request]
-	if k.host != h || k.answers > 1 || k.withdrawn || j == nil {
-		h.sim.fail("ask %s: answer %d after withdrawal=%v", a.Request, k.answers, k.withdrawn)
+	if record.host != h || record.answers > 1 || record.withdrawn || j == nil {
+		h.sim.fail("ask %s: answer %d after withdrawal=%v", a.Request, record.answers, record.withdrawn)
 	}
 	if a.Err == nil {
 		j.grant = a.Grant
@@ -139,7 +141,7 @@
 		return
 	}
 	if a.Err.Verdict != verdict.NotRun || h.sim.started[a.Request] {
-		h.sim.fail("ask %s was refused as %v and has run=%v", a.Request, a.Err.Verdict, h.sim.started[a.Request])
+		h.sim.fail("ask %s was refused with verdict %v, started=%v", a.Request, a.Err.Verdict, h.sim.started[a.Request])
 	}
 	h.sim.stats.refused++
 	delete(h.active, j.id)
@@ -152,7 +154,8 @@
 	delete(j.host.jobs, j.id)
 }
 
-// report tells the pool's owner; a final phase ends this process's part.
+// reportProgress sends a progress report to the pool's owner. After a final phase
+// the attempt is no longer active at this process.
 func (j *job) reportProgress(p sched.Progress) {
 	if j.host.dead {
 		return
@@ -164,8 +167,8 @@
 	}
 }
 
-// order sends an order to an engine; the reply may be lost, which shows by the
-// timeout. got hears once.
+// sendOrder sends an order to an engine and calls got once, with the reply or, if
+// it is lost, after the timeout.
 func (j *job) sendOrder(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
 	heard := false
 	hear := func(o outcome, known bool) {
@@ -203,7 +206,8 @@
 	})
 }
 
-// prefilled waits for the binding of a provisional grant.
+// awaitBinding starts the transfer, for a provisional grant once it is bound or
+// BindWithin has passed.
 func (j *job) awaitBinding(from *engine) {
 	j.transfer = func() {
 		j.transfer = nil
@@ -219,7 +223,7 @@
 	j.host.sim.after(j.grant.BindWithin, j.startTransfer)
 }
 
-// bind names the endpoint whose slot a provisional grant has got.
+// bind sets the endpoint whose slot was assigned to a provisional grant.
 func (j *job) bind(e id.Endpoint) {
 	if !j.decoding {
 		j.decodeEndpoint = e
@@ -228,7 +232,7 @@
 	}
 }
 
-// startTransfer begins the transfer if it waits.
+// startTransfer starts the transfer if it is pending.
 func (j *job) startTransfer() {
 	if j.transfer != nil {
 		j.transfer()
@@ -255,7 +259,7 @@
 	j.watchIdle()
 }
 
-// watch breaks a stream off that makes no progress.
+// watchIdle aborts a stream that makes no progress.
 func (j *job) watchIdle() {
 	j.host.sim.after(idleTimeout, func() {
 		switch {
@@ -268,8 +272,8 @@
 	})
 }
 
-// breakOff ends a decode of unknown state: its slot counts as held until the
-// engine has confirmed.
+// abortDecode ends a decode whose state is unknown: its slot counts as held until
+// the cancel is complete.
 func (j *job) abortDecode(crashed bool) {
 	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.decodeEndpoint, Crashed: crashed}
 	j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.reportProgress(p) })
@@ -287,7 +291,7 @@
 	j.caller.retry(j.host)
 }
 
-// receive takes an event of the stream.
+// receive handles an event of the stream.
 func (j *job) receive(e stream.Event) {
 	if j.ended || j.host.dead {
 		return
@@ -313,7 +317,7 @@
 	}
 }
 
-// abandon ends an attempt whose caller is gone.
+// cancel ends an attempt whose caller has disconnected.
 func (j *job) cancel() {
 	switch {
 	case j.grant == nil:
@@ -331,7 +335,8 @@
 	j.end()
 }
 
-// hostDied is what callers do whose daemon died: some come back through another.
+// handleHostExit is called when the job's daemon process exits: some callers
+// disconnect, the others reconnect to another daemon.
 func (j *job) handleHostExit() {
 	j.ended = true
 	c := j.caller
@@ -345,8 +350,8 @@
 	c.sim.after(c.sim.between(100*ms, 1500*ms), func() { c.reconnect(j) })
 }
 
-// comeBack goes on with the answer at another daemon, by the engine that writes
-// it if it can.
+// reconnect continues the answer at another daemon: it resumes the engine's stream
+// if possible, else it starts a new attempt.
 func (c *caller) reconnect(old *job) {
 	alive := c.sim.alive()
 	if c.ended || len(alive) == 0 {
