--- a/core/naive/compare_test.go
+++ b/core/naive/compare_test.go
@@ -14,11 +14,11 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// fullRate is the rate at which the model's 22 decode slots are all in use,
-// in requests a second: each is held for about 0.52 s.
+// saturationRate is the rate, in requests a second, at which all 22 decode slots
+// of the simulation are in use: each request holds a slot for about 0.52 s.
 const saturationRate = 42.0
 
-// policy is one of the compared ways.
+// policy is a scheduling policy with its configuration.
 type policy struct {
 	name         string
 	shared       bool
@@ -27,7 +27,7 @@
 	reservation  sched.Reservation
 }
 
-// policies are the compared ways.
+// policies are the compared policies.
 var policies = []policy{
 	{name: "naive", shared: true, newScheduler: naive.New},
 	{name: "optimistic", newScheduler: sched.NewOptimistic},
@@ -39,11 +39,11 @@
 	{name: "ledger in time 1.0", shared: true, wasteWeight: 1, newScheduler: sched.NewLedger},
 }
 
-// run measures a policy at a rate.
+// run simulates a policy at a request rate.
 func (p policy) run(t *testing.T, seed uint64, count int, rate float64, patience time.Duration, strict bool) result {
 	t.Helper()
 	number := uint64(0)
-	m := newSimulation(document(p.wasteWeight, patience), seed, p.shared, func() sched.Scheduler {
+	s := newSimulation(document(p.wasteWeight, patience), seed, p.shared, func() sched.Scheduler {
 		number++
 		return p.newScheduler(sched.Options{
 			Pool:        pool,
@@ -53,12 +53,12 @@
 			Violation:   func(name, detail string) { t.Errorf("%s: %s: %s", p.name, name, detail) },
 		})
 	})
-	m.strict = strict
-	return m.run(count, rate)
+	s.strict = strict
+	return s.run(count, rate)
 }
 
-// TestLedgerAndNaiveAnswerTheSame is the differential test: without faults
-// and within capacity both answer every request, each once.
+// TestLedgerAndNaiveAnswerTheSame is a differential test: without faults and
+// within capacity every policy answers each request exactly once.
 func TestLedgerAndNaiveAnswerTheSame(t *testing.T) {
 	const count = 500
 	for _, p := range policies {
@@ -67,16 +67,16 @@
 			r := p.run(t, seed, count, saturationRate/8, time.Minute, false)
 			t.Logf("%s, seed %d: %+v", p.name, seed, r)
 			is.Equal(r.requested, count)
-			is.Equal(r.answered, count) // all are answered
-			is.Equal(r.duplicates, 0)   // each once
+			is.Equal(r.answered, count)
+			is.Equal(r.duplicates, 0)
 			is.Equal(r.refused, 0)
 		}
 	}
 }
 
-// TestPoliciesCompared measures goodput and wasted prefill near and past the
+// TestPoliciesCompared measures goodput and wasted prefills below and above the
 // pool's capacity, with a patience of one second, on engines that refuse a KV
-// cache while they are full and on engines that let it wait.
+// cache while all slots are in use and on engines that queue it.
 func TestPoliciesCompared(t *testing.T) {
 	for _, strict := range []bool{true, false} {
 		for _, load := range []float64{0.7, 0.95, 1.2} {
@@ -88,10 +88,11 @@
 	}
 }
 
-// requestsVariable sets the number of requests of each run.
+// requestsVariable is the environment variable that sets the number of requests of
+// each run.
 const requestsVariable = "SAMPHIREQUAY_SCHED_REQUESTS"
 
-// requestCount is the number of requests of each run.
+// requestCount returns the number of requests of each run.
 func requestCount(t *testing.T) int {
 	text := os.Getenv(requestsVariable)
 	if text == "" {
@@ -104,7 +105,8 @@
 	return n
 }
 
-// compare measures every policy at one load.
+// comparePolicies simulates every policy at one load, as a fraction of
+// saturationRate.
 func comparePolicies(t *testing.T, strict bool, load float64) {
 	count := requestCount(t)
 	is := is.New(t)
@@ -123,18 +125,18 @@
 	tolerant := results["ledger in time 0.2"]
 	careful := results["ledger in time 0.8"]
 	early := results["ledger early 0.2"]
-	is.True(tolerant.inTime > base.inTime)                      // more goodput than choosing apart
-	is.True(percentage(tolerant.wasted, tolerant.prefills) < 8) // within what 0.2 tolerates
-	is.True(percentage(careful.wasted, careful.prefills) < 2)   // within what 0.8 tolerates
-	is.True(tolerant.inTime >= careful.inTime || load < 0.9)    // risk buys goodput where slots are scarce
-	is.True(careful.wasted <= tolerant.wasted)                  // and costs waste
-	is.True(tolerant.inTime >= early.inTime || strict)          // in time beats early where KV may wait
-	is.Equal(early.wasted, 0)                                   // early reservation wastes nothing
-	is.Equal(results["ledger in time 1.0"].wasted, 0)           // nor does full weight
+	is.True(tolerant.inTime > base.inTime)                      // more goodput than daemons that schedule independently
+	is.True(percentage(tolerant.wasted, tolerant.prefills) < 8) // within the limit of weight 0.2
+	is.True(percentage(careful.wasted, careful.prefills) < 2)   // within the limit of weight 0.8
+	is.True(tolerant.inTime >= careful.inTime || load < 0.9)    // a lower weight gains goodput when slots are scarce
+	is.True(careful.wasted <= tolerant.wasted)                  // but wastes more prefills
+	is.True(tolerant.inTime >= early.inTime || strict)          // reserving in time gives no less goodput than early if a KV cache may wait
+	is.Equal(early.wasted, 0)                                   // early reservation wastes no prefill
+	is.Equal(results["ledger in time 1.0"].wasted, 0)           // nor does weight 1
 	is.Equal(tolerant.duplicates+careful.duplicates+early.duplicates+base.duplicates, 0)
 }
 
-// plus adds up two runs.
+// add returns the sum of two results.
 func (r result) add(o result) result {
 	r.requested += o.requested
 	r.answered += o.answered
@@ -147,5 +149,5 @@
 	return r
 }
 
-// share is a part in per cent.
+// percentage returns part as a percentage of whole.
 func percentage(part, whole int) float64 { return 100 * float64(part) / float64(max(1, whole)) }
--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -1,6 +1,6 @@
-// Package naive is the simplest policy that answers: round robin over the
-// pool's endpoints, with no reservation, affinity or fairness. It is the
-// reference of differential tests and the baseline of measurements.
+// Package naive implements the simplest scheduling policy: round robin over the
+// pool's endpoints, without reservations, affinity or fairness. It is the
+// reference for differential tests and the baseline for measurements.
 package naive
 
 import (
@@ -13,10 +13,11 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// expiresIn is how long a grant holds; the naive policy frees nothing at its end.
+// expiresIn is the lifetime of a grant; the naive policy releases nothing when it
+// expires.
 const expiresIn = time.Minute
 
-// idle is the time to the next Tick: there is never one due.
+// never is the time of the next Tick, since none is ever due.
 const never = time.Duration(math.MaxInt64)
 
 // Policy is the naive scheduler.
@@ -28,13 +29,13 @@
 	lastReservation uint64
 }
 
-// ring gives its endpoints in turn.
+// ring iterates over its endpoints cyclically.
 type ring struct {
 	endpoints []id.Endpoint
 	position  int
 }
 
-// next returns the next endpoint in turn; false if there is none.
+// next returns the next endpoint, or false if the ring is empty.
 func (r *ring) next() (id.Endpoint, bool) {
 	if r == nil || len(r.endpoints) == 0 {
 		return "", false
@@ -44,7 +45,7 @@
 	return e, true
 }
 
-// New returns a naive scheduler; of the options it uses Pool and Self.
+// New returns a naive scheduler. It uses only the options Pool and Self.
 func New(o sched.Options) sched.Scheduler {
 	return &Policy{
 		options:  o,
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// ringsOf groups endpoints that aren't leaving by role, each ring going on
-// from the place of its forerunner.
+// buildRings groups the endpoints that aren't leaving by role. Each ring continues
+// at the position of the previous ring of its role.
 func buildRings(endpoints []*live.Endpoint, old map[live.Role]*ring) map[live.Role]*ring {
 	rings := map[live.Role]*ring{}
 	for _, e := range endpoints {
@@ -93,7 +94,7 @@
 	return rings
 }
 
-// Want implements sched.Scheduler: it grants at once.
+// Want implements sched.Scheduler: it grants or refuses immediately.
 func (p *Policy) Want(_ time.Duration, w sched.Want) []sched.Action {
 	if g := p.grants[w.Request]; g != nil {
 		return []sched.Action{{To: w.From, Grant: g}}
@@ -103,26 +104,26 @@
 		return []sched.Action{{To: w.From, Refusal: &sched.Refusal{
 			Request: w.Request,
 			Code:    verdict.CodeNoEndpoint,
-			Reason:  "no endpoint of a role that the service needs",
+			Reason:  "the pool has no endpoint of a role that the service needs",
 		}}}
 	}
 	p.grants[w.Request] = g
 	return []sched.Action{{To: w.From, Grant: g}}
 }
 
-// choose takes the next endpoints in turn; nil for lack of one.
+// choose returns a grant of the next endpoints, or nil if a role has none.
 func (p *Policy) choose(w sched.Want) *sched.Grant {
 	g := &sched.Grant{Request: w.Request, Owner: p.options.Self, ExpiresIn: expiresIn, Reason: "round robin"}
-	last := live.RolePlain
+	decodeRole := live.RolePlain
 	ok := true
 	if p.services[w.Service] != live.ServicePlain {
-		last = live.RoleDecode
+		decodeRole = live.RoleDecode
 		g.Prefill, ok = p.rings[live.RolePrefill].next()
 	}
 	if !ok {
 		return nil
 	}
-	g.Decode, ok = p.rings[last].next()
+	g.Decode, ok = p.rings[decodeRole].next()
 	if !ok {
 		return nil
 	}
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// Progress implements sched.Scheduler: it forgets what has ended.
+// Progress implements sched.Scheduler: it deletes the grants of ended requests.
 func (p *Policy) Progress(_ time.Duration, g sched.Progress) []sched.Action {
 	if g.Phase >= sched.PhaseDone {
 		delete(p.grants, g.Request)
@@ -145,13 +146,13 @@
 	return nil
 }
 
-// Adopt implements sched.Scheduler: nothing is kept about grants of others.
+// Adopt implements sched.Scheduler: grants of other schedulers are not recorded.
 func (p *Policy) Adopt(time.Duration, sched.Adopt) []sched.Action { return nil }
 
-// Load implements sched.Scheduler: reports are not used.
+// Load implements sched.Scheduler: load reports are ignored.
 func (p *Policy) Load(time.Duration, sched.Load) []sched.Action { return nil }
 
-// Cache implements sched.Scheduler: the cache is not used.
+// Cache implements sched.Scheduler: cache events are ignored.
 func (p *Policy) Cache(time.Duration, id.Endpoint, []sched.CacheEvent, bool) {}
 
 // ProcessGone implements sched.Scheduler: nothing is reserved, so nothing is released.
@@ -160,5 +161,5 @@
 // Tick implements sched.Scheduler.
 func (p *Policy) Tick(time.Duration) []sched.Action { return nil }
 
-// Next implements sched.Scheduler: no Tick is ever due.
+// Next implements sched.Scheduler: a Tick is never due.
 func (p *Policy) Next() time.Duration { return never }
--- a/core/naive/simulation_test.go
+++ b/core/naive/simulation_test.go
@@ -16,16 +16,16 @@
 	pool    = id.Pool("packets")
 	service = id.Service("summaries")
 	kvLife  = 800 * ms
-	// wire is the time of a message between daemons, and to an engine.
+	// messageDelay is the delay of a message between daemons or to an engine.
 	messageDelay = 3 * ms / 2
-	// transferTime is that of every KV cache.
+	// transferTime is the transfer time of every KV cache.
 	transferTime = 30 * ms
-	// reportEvery and reportLag are those of load reports.
+	// reportInterval and reportDelay are the interval and the delay of load reports.
 	reportInterval = 100 * ms
 	reportDelay    = 100 * ms
 )
 
-// model is a small fake of engines and of daemons that follow their grants.
+// simulation simulates engines and daemons that execute the scheduler's grants.
 // Without a shared scheduler each daemon has its own.
 type simulation struct {
 	now        time.Duration
@@ -35,19 +35,19 @@
 	doc        *live.Document
 	schedulers []sched.Scheduler
 	shared     bool
-	// strict decode engines refuse a KV cache that comes while no slot is
-	// free; others let it wait for as long as it lives.
+	// strict makes decode engines refuse a KV cache that arrives while no slot is
+	// free; otherwise they queue it until it expires.
 	strict  bool
 	engines map[id.Endpoint]*engine
 	jobs    map[id.Request]*job
 	result  result
 }
 
-// result is what became of the requests.
+// result counts the outcomes of the requests.
 type result struct {
 	requested, answered, inTime, refused, failed int
 	prefills, wasted                             int
-	// twice counts requests that were granted or refused more than once.
+	// duplicates counts repeated grants or refusals of a request.
 	duplicates int
 }
 
@@ -60,14 +60,14 @@
 	output   int
 	prefill  time.Duration
 	answered bool
-	// bound is set once the job may order its decode; read once the KV cache
-	// waits for that.
+	// canDecode is set once the job may order its decode, kvReady once its
+	// prefill is done.
 	canDecode bool
 	kvReady   bool
 }
 
-// engine is a prefill engine that takes its jobs in turn, or a decode engine
-// with slots.
+// engine is a prefill engine that runs one job at a time, or a decode engine with
+// slots.
 type engine struct {
 	name    id.Endpoint
 	slots   int
@@ -97,7 +97,8 @@
 	return e
 }
 
-// document is 11 prefill engines, and 11 decode engines of two slots.
+// document returns a configuration with 11 prefill engines and 11 decode engines,
+// each of two slots.
 func document(wasteWeight float64, patience time.Duration) *live.Document {
 	doc := &live.Document{
 		Revision: 1,
@@ -125,9 +126,9 @@
 	return doc
 }
 
-// newModel returns a model of nine daemons.
+// newSimulation returns a simulation of nine daemons.
 func newSimulation(doc *live.Document, seed uint64, shared bool, policy func() sched.Scheduler) *simulation {
-	m := &simulation{
+	s := &simulation{
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		doc:     doc,
 		shared:  shared,
@@ -139,249 +140,250 @@
 		count = 1
 	}
 	for range count {
-		s := policy()
-		s.Configure(0, doc)
-		m.schedulers = append(m.schedulers, s)
+		scheduler := policy()
+		scheduler.Configure(0, doc)
+		s.schedulers = append(s.schedulers, scheduler)
 	}
 	for _, e := range doc.Endpoints {
-		m.engines[e.Name] = &engine{name: e.Name, slots: e.Slots}
+		s.engines[e.Name] = &engine{name: e.Name, slots: e.Slots}
 	}
-	return m
+	return s
 }
 
-// after plans an event.
-func (m *simulation) after(d time.Duration, do func()) {
-	m.serial++
-	heap.Push(&m.queue, event{at: m.now + d, serial: m.serial, do: do})
+// after schedules an event.
+func (s *simulation) after(d time.Duration, do func()) {
+	s.serial++
+	heap.Push(&s.queue, event{at: s.now + d, serial: s.serial, do: do})
 }
 
-// tell hands something to a daemon's scheduler, after its way there, and the
-// actions back.
-func (m *simulation) notify(daemon int, what func(s sched.Scheduler) []sched.Action) {
-	way := time.Duration(0)
-	if m.shared {
-		way = messageDelay
+// notify calls a daemon's scheduler after the message delay and delivers the
+// resulting actions. A scheduler that is not shared is called without delay.
+func (s *simulation) notify(daemon int, call func(scheduler sched.Scheduler) []sched.Action) {
+	delay := time.Duration(0)
+	if s.shared {
+		delay = messageDelay
 		daemon = 0
 	}
-	m.after(way, func() { m.deliver(what(m.schedulers[daemon]), way) })
+	s.after(delay, func() { s.deliver(call(s.schedulers[daemon]), delay) })
 }
 
-// deliver takes actions to their daemons.
-func (m *simulation) deliver(actions []sched.Action, way time.Duration) {
+// deliver delivers actions to their daemons after a delay.
+func (s *simulation) deliver(actions []sched.Action, delay time.Duration) {
 	for _, a := range actions {
-		m.after(way, func() { m.handleAction(a) })
+		s.after(delay, func() { s.handleAction(a) })
 	}
 }
 
-// act is what a daemon does on an answer.
-func (m *simulation) handleAction(a sched.Action) {
+// handleAction handles an action of the scheduler at the job's daemon.
+func (s *simulation) handleAction(a sched.Action) {
 	if a.Binding != nil {
-		j := m.jobs[a.Binding.Request]
+		j := s.jobs[a.Binding.Request]
 		bound := *j.grant
 		bound.Decode = a.Binding.Decode
 		j.grant = &bound
-		m.bind(j)
+		s.bind(j)
 		return
 	}
 	if a.Refusal != nil {
-		j := m.jobs[a.Refusal.Request]
-		m.recordAnswer(j)
-		m.result.refused++
+		j := s.jobs[a.Refusal.Request]
+		s.recordAnswer(j)
+		s.result.refused++
 		return
 	}
-	j := m.jobs[a.Grant.Request]
-	m.recordAnswer(j)
+	j := s.jobs[a.Grant.Request]
+	s.recordAnswer(j)
 	j.grant = a.Grant
 	j.canDecode = !a.Grant.Provisional
-	m.after(a.Grant.StartIn+messageDelay, func() { m.enqueuePrefill(j) })
-	m.progress(j, sched.Progress{Phase: sched.PhasePrefilling})
+	s.after(a.Grant.StartIn+messageDelay, func() { s.enqueuePrefill(j) })
+	s.progress(j, sched.Progress{Phase: sched.PhasePrefilling})
 }
 
-// answer counts an answer.
-func (m *simulation) recordAnswer(j *job) {
+// recordAnswer records a grant or refusal and counts duplicates.
+func (s *simulation) recordAnswer(j *job) {
 	if j.answered {
-		m.result.duplicates++
+		s.result.duplicates++
 	}
 	j.answered = true
 }
 
-// progress tells the scheduler how a job fares.
-func (m *simulation) progress(j *job, p sched.Progress) {
+// progress reports the progress of a job to the scheduler.
+func (s *simulation) progress(j *job, p sched.Progress) {
 	p.Request = j.grant.Request
 	p.Reservation = j.grant.Reservation
 	p.PromptTokens = j.want.PromptTokens
-	m.notify(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Progress(m.now, p) })
+	s.notify(j.daemon, func(scheduler sched.Scheduler) []sched.Action { return scheduler.Progress(s.now, p) })
 }
 
-// order puts a job into its prefill engine's queue.
-func (m *simulation) enqueuePrefill(j *job) {
-	e := m.engines[j.grant.Prefill]
+// enqueuePrefill appends a job to its prefill engine's queue.
+func (s *simulation) enqueuePrefill(j *job) {
+	e := s.engines[j.grant.Prefill]
 	e.waiting = append(e.waiting, j)
-	m.startNextPrefill(e)
+	s.startNextPrefill(e)
 }
 
-// nextPrefill begins the next job whose caller still waits.
-func (m *simulation) startNextPrefill(e *engine) {
+// startNextPrefill starts the next job that has not exceeded its patience.
+func (s *simulation) startNextPrefill(e *engine) {
 	for !e.busy && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		if m.now-j.arrived > m.doc.Services[0].Patience() {
-			m.result.failed++
-			m.progress(j, sched.Progress{Phase: sched.PhaseCancelled})
+		if s.now-j.arrived > s.doc.Services[0].Patience() {
+			s.result.failed++
+			s.progress(j, sched.Progress{Phase: sched.PhaseCancelled})
 			continue
 		}
 		e.busy = true
-		m.result.prefills++
-		m.after(j.prefill, func() {
+		s.result.prefills++
+		s.after(j.prefill, func() {
 			e.busy = false
-			m.finishPrefill(j)
-			m.startNextPrefill(e)
+			s.finishPrefill(j)
+			s.startNextPrefill(e)
 		})
 	}
 }
 
-// prefilled hands a KV cache over, if its grant is bound to a slot or once it
-// has waited long enough for that.
-func (m *simulation) finishPrefill(j *job) {
-	m.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
+// finishPrefill orders the decode immediately if the grant is bound to a slot, else
+// at the latest after BindWithin.
+func (s *simulation) finishPrefill(j *job) {
+	s.progress(j, sched.Progress{Phase: sched.PhaseTransferring, PrefillTime: j.prefill})
 	j.kvReady = true
 	if j.canDecode {
-		m.requestDecode(j)
+		s.requestDecode(j)
 		return
 	}
-	m.after(j.grant.BindWithin, func() { m.bind(j) })
+	s.after(j.grant.BindWithin, func() { s.bind(j) })
 }
 
-// bind lets a job order its decode, at once if its KV cache waits for that.
-func (m *simulation) bind(j *job) {
+// bind allows a job to order its decode, and orders it if the KV cache is ready.
+func (s *simulation) bind(j *job) {
 	if j.canDecode {
 		return
 	}
 	j.canDecode = true
 	if j.kvReady {
-		m.requestDecode(j)
+		s.requestDecode(j)
 	}
 }
 
-// handOver orders the decode.
-func (m *simulation) requestDecode(j *job) {
-	e := m.engines[j.grant.Decode]
+// requestDecode starts the decode, or queues the job while no slot is free.
+func (s *simulation) requestDecode(j *job) {
+	e := s.engines[j.grant.Decode]
 	if e.running < e.slots {
-		m.startDecode(e, j)
+		s.startDecode(e, j)
 		return
 	}
 	e.waiting = append(e.waiting, j)
-	if m.strict {
-		m.expireKV(e, j)
+	if s.strict {
+		s.expireKV(e, j)
 		return
 	}
-	m.after(kvLife, func() { m.expireKV(e, j) })
+	s.after(kvLife, func() { s.expireKV(e, j) })
 }
 
-// expire gives up a KV cache that was not handed over.
-func (m *simulation) expireKV(e *engine, j *job) {
-	for i, w := range e.waiting {
-		if w != j {
+// expireKV discards the KV cache of a job that is still queued and fails the job.
+func (s *simulation) expireKV(e *engine, j *job) {
+	for i, waiting := range e.waiting {
+		if waiting != j {
 			continue
 		}
 		e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
-		m.result.wasted++
-		m.result.failed++
-		m.progress(j, sched.Progress{Phase: sched.PhaseFailed, Endpoint: e.name, Full: true})
+		s.result.wasted++
+		s.result.failed++
+		s.progress(j, sched.Progress{Phase: sched.PhaseFailed, Endpoint: e.name, Full: true})
 		return
 	}
 }
 
-// transfer takes a slot and decodes.
-func (m *simulation) startDecode(e *engine, j *job) {
+// startDecode takes a slot, imports the KV cache and decodes.
+func (s *simulation) startDecode(e *engine, j *job) {
 	e.running++
-	m.after(transferTime, func() {
-		first := m.now + 20*ms - j.arrived
-		m.progress(j, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: transferTime})
-		m.after(time.Duration(j.output)*20*ms, func() { m.finishDecode(e, j, first) })
+	s.after(transferTime, func() {
+		first := s.now + 20*ms - j.arrived
+		s.progress(j, sched.Progress{Phase: sched.PhaseDecoding, TransferTime: transferTime})
+		s.after(time.Duration(j.output)*20*ms, func() { s.finishDecode(e, j, first) })
 	})
 }
 
-// done frees the slot for the next KV cache that waits.
-func (m *simulation) finishDecode(e *engine, j *job, first time.Duration) {
-	m.result.answered++
-	if first <= m.doc.Services[0].Patience() {
-		m.result.inTime++
+// finishDecode frees the slot and starts the next queued job.
+func (s *simulation) finishDecode(e *engine, j *job, first time.Duration) {
+	s.result.answered++
+	if first <= s.doc.Services[0].Patience() {
+		s.result.inTime++
 	}
-	m.progress(j, sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.output})
+	s.progress(j, sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.output})
 	e.running--
 	if len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		m.startDecode(e, next)
+		s.startDecode(e, next)
 	}
 }
 
-// arrive brings requests at a rate until a number has come.
-func (m *simulation) scheduleArrivals(count int, rate float64) {
-	n := m.result.requested
+// scheduleArrivals adds requests at a rate until count have arrived.
+func (s *simulation) scheduleArrivals(count int, rate float64) {
+	n := s.result.requested
 	if n >= count {
 		return
 	}
-	m.result.requested++
-	j := &job{daemon: n % 9, arrived: m.now}
+	s.result.requested++
+	j := &job{daemon: n % 9, arrived: s.now}
 	j.want = sched.Want{
 		Request:      id.Request(fmt.Sprintf("r%06d", n)),
 		Team:         "t",
 		Service:      service,
 		Pool:         pool,
 		From:         id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", n%9)), Incarnation: 1},
-		PromptTokens: 500 + m.random.IntN(5500),
-		OutputTokens: 10 + m.random.IntN(30),
+		PromptTokens: 500 + s.random.IntN(5500),
+		OutputTokens: 10 + s.random.IntN(30),
 	}
-	j.output = max(1, int(float64(j.want.OutputTokens)*(0.5+m.random.Float64())))
-	j.prefill = time.Duration(float64(j.want.PromptTokens) / 20000 * (0.9 + 0.2*m.random.Float64()) * float64(time.Second))
-	m.jobs[j.want.Request] = j
-	m.notify(j.daemon, func(s sched.Scheduler) []sched.Action { return s.Want(m.now, j.want) })
-	m.after(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() { m.scheduleArrivals(count, rate) })
+	j.output = max(1, int(float64(j.want.OutputTokens)*(0.5+s.random.Float64())))
+	j.prefill = time.Duration(float64(j.want.PromptTokens) / 20000 * (0.9 + 0.2*s.random.Float64()) * float64(time.Second))
+	s.jobs[j.want.Request] = j
+	s.notify(j.daemon, func(scheduler sched.Scheduler) []sched.Action { return scheduler.Want(s.now, j.want) })
+	s.after(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), func() { s.scheduleArrivals(count, rate) })
 }
 
-// reports sends every engine's load to every scheduler, late, until the
-// requests have come.
-func (m *simulation) scheduleReports(count int) {
-	if m.result.requested >= count {
+// scheduleReports sends every engine's load to every scheduler, with a delay, until
+// all requests have arrived.
+func (s *simulation) scheduleReports(count int) {
+	if s.result.requested >= count {
 		return
 	}
-	for i := range m.doc.Endpoints {
-		e := m.engines[m.doc.Endpoints[i].Name]
+	for i := range s.doc.Endpoints {
+		e := s.engines[s.doc.Endpoints[i].Name]
 		load := sched.Load{Endpoint: e.name, Reachable: true, Running: e.running, Waiting: len(e.waiting)}
 		if e.busy {
 			load.Running++
 		}
-		for _, s := range m.schedulers {
-			m.after(reportDelay, func() { m.deliver(s.Load(m.now, load), messageDelay) })
+		for _, scheduler := range s.schedulers {
+			s.after(reportDelay, func() { s.deliver(scheduler.Load(s.now, load), messageDelay) })
 		}
 	}
-	m.after(reportInterval, func() { m.scheduleReports(count) })
+	s.after(reportInterval, func() { s.scheduleReports(count) })
 }
 
-// run lets all happen and returns what became of the requests.
-func (m *simulation) run(count int, rate float64) result {
-	m.scheduleReports(count)
-	m.after(400*ms, func() { m.scheduleArrivals(count, rate) })
-	for len(m.queue) > 0 {
-		if m.runDueTick() {
+// run executes all events and returns the outcomes of the requests.
+func (s *simulation) run(count int, rate float64) result {
+	s.scheduleReports(count)
+	s.after(400*ms, func() { s.scheduleArrivals(count, rate) })
+	for len(s.queue) > 0 {
+		if s.runDueTick() {
 			continue
 		}
-		e := heap.Pop(&m.queue).(event)
-		m.now = e.at
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.do()
 	}
-	return m.result
+	return s.result
 }
 
-// tick calls the first scheduler whose Tick is due before the next event.
-func (m *simulation) runDueTick() bool {
-	for _, s := range m.schedulers {
-		next := s.Next()
-		if next < m.queue[0].at {
-			m.now = max(m.now, next)
-			m.deliver(s.Tick(m.now), messageDelay)
+// runDueTick calls the first scheduler whose Tick is due before the next event, and
+// reports whether there was one.
+func (s *simulation) runDueTick() bool {
+	for _, scheduler := range s.schedulers {
+		next := scheduler.Next()
+		if next < s.queue[0].at {
+			s.now = max(s.now, next)
+			s.deliver(scheduler.Tick(s.now), messageDelay)
 			return true
 		}
 	}
