--- a/core/verdict/verdict.go
+++ b/core/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict says, for every failed request, whether the work may have
-// run at an endpoint. Callers of non-idempotent calls decide on it whether a
-// repeat is safe.
+// Package verdict classifies failed requests by whether an endpoint may have run
+// them. Callers of non-idempotent calls use the verdict to decide whether a retry
+// is safe.
 package verdict
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Verdict tells whether a request may have run.
+// Verdict states whether a request may have run.
 type Verdict uint8
 
 const (
@@ -21,7 +21,7 @@
 	Ran
 )
 
-// String gives the verdict as it stands in headers, JSON bodies and logs.
+// String returns the verdict as written in headers, JSON bodies and logs.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -35,15 +35,16 @@
 	}
 }
 
-// Worse returns the verdict that promises less: Ran and MayHaveRun go before NotRun.
+// Worse returns the verdict with the weaker guarantee, in ascending order: NotRun,
+// MayHaveRun, Ran.
 func Worse(a, b Verdict) Verdict {
 	return max(a, b)
 }
 
-// Code names the cause of a failure; it is stable and part of the API.
+// Code identifies the cause of a failure. Codes are stable and part of the API.
 type Code string
 
-// The codes that callers see in the JSON body of an error.
+// Codes in the JSON body of an error.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeUnauthorized     Code = "unauthorized"
@@ -67,40 +68,40 @@
 	CodeInternal         Code = "internal"
 )
 
-// Error is the one error type that crosses a stage boundary of a request.
+// Error is the only error type that is passed between the stages of a request.
 type Error struct {
-	// Verdict says whether the request may have run.
+	// Verdict states whether the request may have run.
 	Verdict Verdict
-	// Code names the cause.
+	// Code identifies the cause.
 	Code Code
-	// Message says what went wrong and where, for a person.
+	// Message describes the failure and where it occurred, for humans.
 	Message string
-	// RetryAfter tells the caller when to come back; zero means no advice.
+	// RetryAfter is the advised delay before a retry; zero means no advice.
 	RetryAfter time.Duration
-	// Cause is the underlying error, kept for logs and never shown to callers.
+	// Cause is the underlying error, for logs only; it is never sent to callers.
 	Cause error
 }
 
-// PassingRetryAfter is advised to a caller whose request was not run for a cause
-// that passes by itself, where nothing better is known.
+// PassingRetryAfter is the default retry delay advised to a caller whose request
+// was not run because of a transient failure.
 const PassingRetryAfter = time.Second
 
-// Passing says whether what kept a request from running passes by itself: its
-// caller should come back. What is left is the caller's own fault, or would be
-// the same the next time.
+// Transient reports whether a failure that kept a request from running is
+// transient, so that its caller should retry. All other failures are caused by the
+// caller, or a retry would fail in the same way.
 func (c Code) Transient() bool {
 	switch c {
-	case CodeKVGone, CodeDeadline, CodeUnavailable, CodeLeaving, // an engine, or this daemon, for now
-		CodeOverloaded, CodeTeamLimit, // room, which others give back
-		CodeEndpointFailed, CodeSuperseded, CodeClaimUnavailable: // another attempt goes elsewhere
+	case CodeKVGone, CodeDeadline, CodeUnavailable, CodeLeaving, // an engine or this daemon is unavailable for a time
+		CodeOverloaded, CodeTeamLimit, // capacity that other requests will release
+		CodeEndpointFailed, CodeSuperseded, CodeClaimUnavailable: // another attempt uses another endpoint or daemon
 		return true
 	default:
 		return false
 	}
 }
 
-// Advise gives an error of a request that was not run the usual advice to come
-// back, if its cause passes by itself and it has no advice yet.
+// Advise sets the default RetryAfter on an error of a request that was not run, if
+// the failure is transient and no RetryAfter is set.
 func (e *Error) Advise() {
 	if e.Verdict == NotRun && e.RetryAfter == 0 && e.Code.Transient() {
 		e.RetryAfter = PassingRetryAfter
@@ -119,7 +120,7 @@
 	return &c
 }
 
-// WithCause returns a copy that keeps the underlying error for logs.
+// WithCause returns a copy with the underlying error, which is for logs only.
 func (e *Error) WithCause(err error) *Error {
 	c := *e
 	c.Cause = err
@@ -134,11 +135,11 @@
 	return fmt.Sprintf("%s (%s): %s: %v", e.Code, e.Verdict, e.Message, e.Cause)
 }
 
-// Unwrap gives the underlying error.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Of returns the verdict of err. An error without a verdict may have run: the
-// cautious answer where a path forgot to say.
+// Of returns the verdict of err. For an error without a verdict it is MayHaveRun,
+// the conservative default.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
@@ -147,7 +148,8 @@
 	return MayHaveRun
 }
 
-// As returns err as an *Error, wrapping it as an internal one where it has no verdict.
+// As returns err as an *Error; an error without a verdict is wrapped as an internal
+// error.
 func As(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
