--- a/core/capacity/capacity_test.go
+++ b/core/capacity/capacity_test.go
@@ -14,7 +14,7 @@
 	large := Capacity{Cores: 0.8, LinkMbps: 200}
 	slightlyLess := Capacity{Cores: 0.75, LinkMbps: 190}
 	is.Equal(Able([]Capacity{small, large, small, slightlyLess}, identity), []Capacity{large, slightlyLess})
-	is.Equal(Able([]Capacity{small, small}, identity), []Capacity{small, small}) // once the large ones are gone
+	is.Equal(Able([]Capacity{small, small}, identity), []Capacity{small, small}) // without large hosts the small ones are able
 }
 
 func TestHighBandwidthDoesNotOffsetFewCores(t *testing.T) {
@@ -29,6 +29,6 @@
 func TestAllAreAbleWithoutKnownCapacity(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Able([]Capacity{{}, {}}, identity)), 2)
-	is.Equal(len(Able([]Capacity{{}, {Cores: 0.2}}, identity)), 1) // what is known goes first
+	is.Equal(len(Able([]Capacity{{}, {Cores: 0.2}}, identity)), 1) // a known capacity is preferred to an unknown one
 	is.Equal(len(Able(nil, identity)), 0)
 }
