--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,6 +1,7 @@
-// Package rendezvous chooses owners by highest-random-weight hashing: every
-// daemon that knows the same members names the same owner without asking, and
-// a member that joins or leaves moves only the keys it gains or had.
+// Package rendezvous assigns owners to keys by rendezvous (highest random weight)
+// hashing: daemons with the same view of the members choose the same owner without
+// coordination, and when a member joins or leaves, only the keys that it gains or
+// owned move.
 package rendezvous
 
 import (
@@ -12,10 +13,11 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// separator keeps ("a", "bc") apart from ("ab", "c").
+// separator distinguishes the pairs ("a", "bc") and ("ab", "c").
 const separator = "\x00"
 
-// Score is the weight of a member for a key; the highest owns the key.
+// Score returns the weight of a member for a key; the member with the highest
+// weight owns the key.
 func Score(key string, member id.Daemon) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -25,21 +27,21 @@
 	return d.Sum64()
 }
 
-// Owner returns the owner of key among members, whatever their order; it is
-// empty when there are none. It allocates nothing.
+// Owner returns the owner of key among members, independent of their order, or an
+// empty name if there are none. It does not allocate.
 func Owner(key string, members []id.Daemon) id.Daemon {
 	var best id.Daemon
-	var top uint64
+	var bestScore uint64
 	for i, m := range members {
 		s := Score(key, m)
-		if i == 0 || s > top || (s == top && m < best) {
-			best, top = m, s
+		if i == 0 || s > bestScore || (s == bestScore && m < best) {
+			best, bestScore = m, s
 		}
 	}
 	return best
 }
 
-// Ranked returns all members, the owner first, then who follows it.
+// Ranked returns all members by descending weight, the owner first.
 func Ranked(key string, members []id.Daemon) []id.Daemon {
 	type ranked struct {
 		member id.Daemon
--- a/core/rendezvous/rendezvous_test.go
+++ b/core/rendezvous/rendezvous_test.go
@@ -27,13 +27,13 @@
 		before, after := Owner(key, all), Owner(key, without)
 		counts[before]++
 		if before != all[4] {
-			is.Equal(before, after) // a key of a member that stayed must not move
+			is.Equal(before, after) // a key of a remaining member must not move
 			continue
 		}
-		is.Equal(after, Ranked(key, all)[1]) // the next in rank takes over
+		is.Equal(after, Ranked(key, all)[1]) // the second in rank becomes the owner
 	}
 	for _, m := range all {
-		is.True(counts[m] > 800 && counts[m] < 1200) // shares are even
+		is.True(counts[m] > 800 && counts[m] < 1200) // keys are distributed evenly
 	}
 }
 
