--- a/core/prefixhash/prefixhash.go
+++ b/core/prefixhash/prefixhash.go
@@ -1,6 +1,6 @@
-// Package prefixhash names the leading blocks of a prompt by chained hashes,
+// Package prefixhash identifies the leading blocks of a prompt by chained hashes,
 // salted by team. Engines publish these hashes in their cache events and the
-// scheduler looks for them, so both must compute them alike.
+// scheduler looks them up, so both must compute the same hashes.
 package prefixhash
 
 import (
@@ -12,15 +12,15 @@
 const (
 	// BlockBytes is the size of a block, in bytes of prompt.
 	BlockBytes = 256
-	// MaxBlocks bounds how many leading blocks are named.
+	// MaxBlocks bounds the number of leading blocks that are hashed.
 	MaxBlocks = 64
-	// BytesPerToken is the estimate of a token's length, in bytes.
+	// BytesPerToken is the estimated length of a token, in bytes.
 	BytesPerToken = 4
-	// BlockTokens is the estimate of a block's length, in tokens.
+	// BlockTokens is the estimated length of a block, in tokens.
 	BlockTokens = BlockBytes / BytesPerToken
 )
 
-// Blocks returns the chained hashes of the prompt's leading whole blocks, at
+// Blocks returns the chained hashes of the prompt's leading complete blocks, at
 // most MaxBlocks. Hash i depends on the salt and on all bytes up to the end of
 // block i. A trailing partial block has no hash.
 func Blocks(salt, prompt string) []uint64 {
@@ -34,7 +34,7 @@
 	return hashes
 }
 
-// chain hashes a block behind the hash of all that stands before it.
+// chain returns the hash of a block and of the hash of all blocks before it.
 func chain(previous uint64, block string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(previous)
@@ -45,8 +45,7 @@
 	return digest.Sum64()
 }
 
-// EstimateTokens estimates the length of a prompt, in tokens. A prompt that is
-// not empty has at least one.
+// EstimateTokens returns the estimated length of a prompt, in tokens, rounded up.
 func EstimateTokens(prompt string) int {
 	return (len(prompt) + BytesPerToken - 1) / BytesPerToken
 }
--- a/core/prefixhash/prefixhash_test.go
+++ b/core/prefixhash/prefixhash_test.go
@@ -17,7 +17,7 @@
 		b := Blocks("salt", head+strings.Repeat("b", 2*BlockBytes))
 		is.Equal(a[:shared], b[:shared])
 		for i := shared; i < len(a); i++ {
-			is.True(a[i] != b[i]) // the chain carries the difference on
+			is.True(a[i] != b[i]) // all blocks after a difference differ
 		}
 	})
 }
