--- a/core/apikey/apikey.go
+++ b/core/apikey/apikey.go
@@ -1,5 +1,6 @@
-// Package apikey tells to whom a caller's key belongs. Keys are kept as hashes
-// only: what a daemon holds, logs or dumps can't be used to call it.
+// Package apikey looks up the owner of a caller's API key. Only hashes of keys are
+// kept, so a daemon's memory, logs and dumps contain nothing that authenticates a
+// call.
 package apikey
 
 import (
@@ -12,10 +13,10 @@
 // Hash is the SHA-256 hash of a key.
 type Hash [sha256.Size]byte
 
-// Of hashes a key. It allocates nothing.
+// Of returns the hash of a key. It does not allocate.
 func Of(key []byte) Hash { return sha256.Sum256(key) }
 
-// Parse reads a hash written in hex.
+// Parse parses a hash in hex.
 func Parse(text string) (Hash, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != sha256.Size {
@@ -24,45 +25,46 @@
 	return Hash(raw), nil
 }
 
-// String gives the hash in hex.
+// String returns the hash in hex.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
 // Errors of Add.
 var (
-	// ErrEmpty: an empty key would let in callers that send none.
+	// ErrEmpty rejects the empty key, which would admit callers that send no key.
 	ErrEmpty = errors.New("is empty")
-	// ErrTaken: the key belongs to another owner.
+	// ErrTaken is returned for a key that belongs to another owner.
 	ErrTaken = errors.New("belongs to another team already")
 )
 
 // empty is the hash of the empty key.
 var empty = Of(nil)
 
-// Ring holds the keys of all owners. It is built once and then only read, so
-// that any number of readers may share it.
+// Ring holds the keys of all owners. Concurrent calls of Owner and Len are safe once
+// all keys are added.
 type Ring[T comparable] struct{ owners map[Hash]T }
 
-// NewRing returns a ring without keys.
+// NewRing returns an empty ring.
 func NewRing[T comparable]() *Ring[T] { return &Ring[T]{owners: map[Hash]T{}} }
 
-// Add adds a key of an owner; one that it holds already changes nothing.
+// Add adds a key of an owner. Adding a key again for the same owner has no effect.
 func (r *Ring[T]) Add(h Hash, owner T) error {
 	if h == empty {
 		return ErrEmpty
 	}
-	if before, taken := r.owners[h]; taken && before != owner {
+	if current, taken := r.owners[h]; taken && current != owner {
 		return ErrTaken
 	}
 	r.owners[h] = owner
 	return nil
 }
 
-// Owner returns the owner of a key. The time it takes depends only on the key's
-// hash, which a caller can't steer towards a stored one. It allocates nothing.
+// Owner returns the owner of a key. Its timing depends only on the hash, which a
+// caller can't direct towards a stored hash, so it reveals nothing about stored
+// keys. It does not allocate.
 func (r *Ring[T]) Owner(h Hash) (owner T, ok bool) {
 	owner, ok = r.owners[h]
 	return owner, ok
 }
 
-// Len is how many keys there are.
+// Len returns the number of keys.
 func (r *Ring[T]) Len() int { return len(r.owners) }
--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -11,7 +11,7 @@
 	r := NewRing[string]()
 	is.NoErr(r.Add(Of([]byte("k1")), "desk"))
 	is.NoErr(r.Add(Of([]byte("k2")), "desk"))
-	is.NoErr(r.Add(Of([]byte("k1")), "desk")) // twice in one team is no conflict
+	is.NoErr(r.Add(Of([]byte("k1")), "desk")) // a repeated key of the same team is no conflict
 	is.Equal(r.Add(Of([]byte("k1")), "trek"), ErrTaken)
 	is.Equal(r.Add(Of(nil), "trek"), ErrEmpty)
 	owner, ok := r.Owner(Of([]byte("k2")))
@@ -25,9 +25,9 @@
 func TestHashRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := Of([]byte("key"))
-	read, err := Parse(h.String())
+	parsed, err := Parse(h.String())
 	is.NoErr(err)
-	is.Equal(read, h)
+	is.Equal(parsed, h)
 	_, err = Parse("abc")
 	is.True(err != nil)
 	_, err = Parse(h.String() + "00")
