--- a/core/id/id.go
+++ b/core/id/id.go
@@ -1,4 +1,4 @@
-// Package id holds the typed identifiers that every other package shares.
+// Package id defines the typed identifiers that all packages share.
 package id
 
 import "fmt"
@@ -6,31 +6,30 @@
 // Team names a team (see docs/GLOSSARY.md).
 type Team string
 
-// Service names a service: what callers ask for, a model or a plain service.
+// Service names a service that callers request: a model or a plain service.
 type Service string
 
 // Pool names a pool of endpoints.
 type Pool string
 
-// Endpoint names an endpoint. Where an endpoint may start again under the name
-// that it had, each start of it has an Endpoint of its own.
+// Endpoint names an endpoint. Where an endpoint may restart under its previous
+// instance name, each start has its own Endpoint.
 type Endpoint string
 
-// Instance is the name that an endpoint answers to. It may keep it when it
-// starts again.
+// Instance is the name that an endpoint itself uses; a restart may keep it.
 type Instance string
 
 // Domain names a failure domain.
 type Domain string
 
-// Daemon names a daemon; the name outlives its process.
+// Daemon names a daemon; the name stays the same over restarts of its process.
 type Daemon string
 
-// Request identifies one attempt to serve a request; a ULID.
+// Request identifies one attempt to serve a request. It is a ULID.
 type Request string
 
-// Incarnation tells starts of the same process apart. A later start has a
-// higher number.
+// Incarnation distinguishes starts of the same process. A later start has a higher
+// number.
 type Incarnation uint64
 
 // Process is one start of one daemon.
@@ -39,5 +38,5 @@
 	Incarnation Incarnation `json:"incarnation" cbor:"2,keyasint"`
 }
 
-// String gives the process as daemon#incarnation.
+// String returns the process as daemon#incarnation.
 func (p Process) String() string { return fmt.Sprintf("%s#%d", p.Daemon, p.Incarnation) }
