--- a/core/defaults/defaults.go
+++ b/core/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in the fields of a configuration that were left zero.
+// Package defaults sets zero fields of a configuration to their defaults.
 package defaults
 
-// Set gives a field its default where it is zero.
+// Set sets a field to value if it is zero.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
