--- a/endpoint/wire/wire.go
+++ b/endpoint/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the JSON bodies that the platform and the endpoints
+// Package wire defines the JSON bodies that the platform and the endpoints
 // exchange with the daemons. docs/PLATFORM.md describes each interface. All
-// calls are HTTP/1.1; times are milliseconds unless the name says otherwise.
+// calls use HTTP/1.1. Times are in milliseconds unless the name states another unit.
 package wire
 
 // Paths of the interfaces.
@@ -26,39 +26,41 @@
 // HeaderIncarnation carries an endpoint's incarnation on every response.
 const HeaderIncarnation = "X-Endpoint-Incarnation"
 
-// HeaderNotRun set to "true" on an error says that the endpoint did not run the call.
+// HeaderNotRun, set to "true" on an error, states that the endpoint did not run the
+// call.
 const HeaderNotRun = "X-Not-Run"
 
-// HeaderIdempotencyKey carries the caller's key to a plain service.
+// HeaderIdempotencyKey carries the caller's idempotency key to a plain service.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// PrefillRequest orders the reading of a prompt.
+// PrefillRequest orders the prefill of a prompt.
 type PrefillRequest struct {
-	// Request identifies the attempt; all later calls name it.
+	// Request identifies the attempt; later calls refer to it.
 	Request string `json:"request"`
-	// Owner and OwnerIncarnation name the daemon process that waits for it.
+	// Owner and OwnerIncarnation identify the daemon process that owns the attempt.
 	Owner            string `json:"owner"`
 	OwnerIncarnation uint64 `json:"owner_incarnation"`
 	Model            string `json:"model"`
-	// CacheSalt keeps the prefix caches of teams apart.
+	// CacheSalt separates the prefix caches of teams.
 	CacheSalt string `json:"cache_salt"`
 	Prompt    string `json:"prompt"`
-	// Priority, 0 to 9; higher goes first.
+	// Priority is 0 to 9; a higher priority is served first.
 	Priority int `json:"priority"`
 }
 
-// PrefillResponse ends a prefill.
+// PrefillResponse is the result of a prefill.
 type PrefillResponse struct {
-	// KV names the exported KV cache at this engine.
+	// KV identifies the exported KV cache at this engine.
 	KV           string `json:"kv"`
 	PromptTokens int    `json:"prompt_tokens"`
 	CachedTokens int    `json:"cached_tokens"`
 	KVBytes      int64  `json:"kv_bytes"`
-	// KVLifeMS is how long the engine keeps it unless it is imported.
+	// KVLifeMS is the time after which the engine drops the KV cache if it has not
+	// been imported.
 	KVLifeMS int `json:"kv_life_ms"`
 }
 
-// KVSource tells a decode engine where to pull the KV cache from.
+// KVSource is the location from which a decode engine imports a KV cache.
 type KVSource struct {
 	Address string `json:"address"`
 	KV      string `json:"kv"`
@@ -67,8 +69,8 @@
 	Domain string `json:"domain"`
 }
 
-// DecodeRequest orders the writing of an answer; the engine takes a slot,
-// imports the KV cache and streams tokens.
+// DecodeRequest orders a decode: the engine takes a slot, imports the KV cache and
+// streams tokens.
 type DecodeRequest struct {
 	Request          string   `json:"request"`
 	Owner            string   `json:"owner"`
@@ -79,38 +81,39 @@
 	MaxTokens        int      `json:"max_tokens"`
 	Priority         int      `json:"priority"`
 	Source           KVSource `json:"kv_transfer_params"`
-	// Continue is how many tokens of the answer were delivered before; the
-	// engine goes on behind them, numbering from Continue+1. The prompt that
-	// was prefilled holds them already.
+	// Continue is the number of tokens of the answer that were delivered before.
+	// The engine continues after them, numbering from Continue+1. The prefilled
+	// prompt includes them.
 	Continue int `json:"continue"`
 }
 
 // TokenEvent is one SSE event of an answer. The SSE id is Seq.
 type TokenEvent struct {
 	Request string `json:"request"`
-	// Seq counts from 1 within the answer and goes on over a continuation.
+	// Seq is the number of the event in the answer, from 1; a continuation does not
+	// restart it.
 	Seq int `json:"seq"`
-	// Text of the token; empty on the last event.
+	// Text is the text of the token; it is empty on the last event.
 	Text string `json:"text"`
-	// Finish is empty but for the last event: "stop" or "length".
+	// Finish is "stop" or "length" on the last event, and empty on all others.
 	Finish string `json:"finish,omitempty"`
-	// TransferMS is set on the first event: how long the import took.
+	// TransferMS is the duration of the import, set on the first event.
 	TransferMS float64 `json:"transfer_ms,omitempty"`
 }
 
-// CancelRequest ends a request in whatever state it is.
+// CancelRequest cancels a request in any state.
 type CancelRequest struct {
 	Request string `json:"request"`
-	// Owner and OwnerIncarnation, when set, cancel only if the request is
-	// still owned by that process.
+	// Owner and OwnerIncarnation, if set, make the cancel conditional on the
+	// request still being owned by that process.
 	Owner            string `json:"owner,omitempty"`
 	OwnerIncarnation uint64 `json:"owner_incarnation,omitempty"`
 }
 
-// CancelResponse says what the cancel met.
+// CancelResponse is the result of a cancel.
 type CancelResponse struct {
-	// State is "cancelled", "unknown" (a tombstone was left: a run order that
-	// comes later is refused), "finished" or "other_owner".
+	// State is "cancelled", "unknown" (a tombstone was recorded: a run order that
+	// arrives later is refused), "finished" or "other_owner".
 	State string `json:"state"`
 }
 
@@ -122,13 +125,13 @@
 	CancelOtherOwner = "other_owner"
 )
 
-// ReleaseRequest frees an exported KV cache that nobody will import.
+// ReleaseRequest frees an exported KV cache that will not be imported.
 type ReleaseRequest struct {
 	Request string `json:"request"`
 	KV      string `json:"kv"`
 }
 
-// RunningRequest is one request that an engine holds memory for.
+// RunningRequest is one request for which an engine holds memory.
 type RunningRequest struct {
 	Request          string `json:"request"`
 	Owner            string `json:"owner"`
@@ -138,13 +141,13 @@
 	AgeMS int64  `json:"age_ms"`
 }
 
-// RequestList lists what an engine holds.
+// RequestList lists the requests for which an engine holds memory.
 type RequestList struct {
 	Incarnation uint64           `json:"incarnation"`
 	Requests    []RunningRequest `json:"requests"`
 }
 
-// LoadReport is an endpoint's view of itself, lagging.
+// LoadReport is the load that an endpoint reports; it may be out of date.
 type LoadReport struct {
 	Incarnation uint64 `json:"incarnation"`
 	Running     int    `json:"running"`
@@ -158,17 +161,18 @@
 // CacheEventItem is one change of a prefix cache.
 type CacheEventItem struct {
 	Number uint64 `json:"number"`
-	// Block is the chained hash of a prefix block (package prefixhash in core).
+	// Block is the chained hash of a prefix block (see core/prefixhash).
 	Block  uint64 `json:"block"`
 	Stored bool   `json:"stored"`
 }
 
-// CacheEvents is a batch; a jump in Number is a gap.
+// CacheEvents is a batch of cache events; non-consecutive numbers mean that events
+// were lost.
 type CacheEvents struct {
 	Events []CacheEventItem `json:"events"`
 }
 
-// Order is the desired state of an engine; repeating it is harmless.
+// Order is the desired state of an engine. It is idempotent.
 type Order struct {
 	// Fence is the lease's fencing number.
 	Fence   uint64 `json:"fence"`
@@ -178,7 +182,7 @@
 	Role    string `json:"role"`
 }
 
-// OrderResponse is the state of an engine against its order.
+// OrderResponse is the state of an engine with respect to its order.
 type OrderResponse struct {
 	Fence   uint64 `json:"fence"`
 	Model   string `json:"model"`
@@ -189,10 +193,10 @@
 	Ready bool `json:"ready"`
 }
 
-// Condition guards a transaction.
+// Condition is a precondition of a transaction.
 type Condition struct {
 	Key string `json:"key"`
-	// Version the row must have; 0 means that it must not exist.
+	// Version is the version that the row must have; 0 means that it must not exist.
 	Version uint64 `json:"version"`
 }
 
@@ -203,13 +207,13 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Transaction applies all puts if all conditions hold, else none.
+// Transaction applies all puts if all conditions hold, and otherwise none.
 type Transaction struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Puts       []Put       `json:"puts"`
 }
 
-// TransactionResult tells whether it was applied.
+// TransactionResult is the result of a transaction.
 type TransactionResult struct {
 	Applied bool `json:"applied"`
 	// Failed lists the keys whose condition did not hold.
@@ -221,7 +225,8 @@
 // ReadRequest reads rows by key or by prefix.
 type ReadRequest struct {
 	Keys []string `json:"keys,omitempty"`
-	// Prefix lists all rows under it, in key order, after After, at most Limit (default 1000).
+	// Prefix selects the rows whose keys have this prefix, in key order, after the
+	// key After, at most Limit rows (default 1000).
 	Prefix string `json:"prefix,omitempty"`
 	After  string `json:"after,omitempty"`
 	Limit  int    `json:"limit,omitempty"`
@@ -234,7 +239,7 @@
 	Version uint64 `json:"version"`
 }
 
-// ReadResponse holds the rows asked for.
+// ReadResponse contains the requested rows.
 type ReadResponse struct {
 	Rows []Row `json:"rows"`
 }
@@ -248,37 +253,39 @@
 	State string `json:"state"`
 }
 
-// HostList is the platform's lagging view of the entry hosts.
+// HostList is the platform's view of the entry hosts; it may be out of date.
 type HostList struct {
 	Hosts []Host `json:"hosts"`
 }
 
-// WeightGrant allows one load from the weight store, or tells when to ask again.
+// WeightGrant permits one load from the weight store, or advises when to retry.
 type WeightGrant struct {
 	Granted      bool `json:"granted"`
 	RetryAfterMS int  `json:"retry_after_ms,omitempty"`
 }
 
-// Fault sets the faults of a stand-in; only fields that are set change.
+// Fault configures the faults of a stand-in; fields that are not set keep their
+// value.
 type Fault struct {
 	// Target names the stand-in: "table", "objects", "hosts", "weights" or an endpoint.
 	Target string `json:"target"`
-	// Down makes it refuse connections' requests with 503, or hang if Hang is set.
+	// Down makes the stand-in refuse requests with 503, or hang if Hang is set.
 	Down *bool `json:"down,omitempty"`
 	Hang *bool `json:"hang,omitempty"`
 	// DelayMS is added to every reply.
 	DelayMS *int `json:"delay_ms,omitempty"`
-	// LoseReplies is the share of writes whose reply is cut after the effect, 0 to 1.
+	// LoseReplies is the fraction of writes, 0 to 1, that take effect but whose
+	// reply is cut off.
 	LoseReplies *float64 `json:"lose_replies,omitempty"`
-	// StaleReads is the share of reads answered from an earlier state, 0 to 1.
+	// StaleReads is the fraction of reads, 0 to 1, that return an earlier state.
 	StaleReads *float64 `json:"stale_reads,omitempty"`
-	// Slow multiplies an engine's work times; 1 is normal.
+	// Slow is a factor on an engine's processing times; 1 is normal.
 	Slow *float64 `json:"slow,omitempty"`
 	// StallTransfers makes imports hang.
 	StallTransfers *bool `json:"stall_transfers,omitempty"`
 	// Crash ends the engine's current incarnation: all state and streams are lost.
 	Crash bool `json:"crash,omitempty"`
-	// Leaving makes an endpoint say that it leaves.
+	// Leaving makes an endpoint report that it is leaving.
 	Leaving *bool `json:"leaving,omitempty"`
 	// Hosts replaces the host list.
 	Hosts []Host `json:"hosts,omitempty"`
@@ -286,28 +293,30 @@
 
 // ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
-	// Code names the cause: one of the Error constants or of package verdict.
+	// Code identifies the cause: one of the Error constants below or a code of
+	// package verdict.
 	Code string `json:"code"`
-	// Message says what went wrong and where.
+	// Message describes the failure and where it occurred.
 	Message string `json:"message"`
-	// RetryAfterMS advises when to come back, in milliseconds; 0 is no advice.
+	// RetryAfterMS is the advised delay before a retry, in milliseconds; 0 means no
+	// advice.
 	RetryAfterMS int `json:"retry_after_ms,omitempty"`
 }
 
 // The codes of an ErrorBody.
 const (
-	ErrorBadRequest  = "bad_request"     // the body or the path is not understood
-	ErrorFull        = "overloaded"      // no free slot or queue place
-	ErrorLeaving     = "leaving"         // the endpoint takes no new work
-	ErrorUnavailable = "unavailable"     // down, loading, or over its rate
+	ErrorBadRequest  = "bad_request"     // the body or the path is invalid
+	ErrorFull        = "overloaded"      // no free slot, or the queue is full
+	ErrorLeaving     = "leaving"         // the endpoint accepts no new work
+	ErrorUnavailable = "unavailable"     // down, loading or over its rate limit
 	ErrorRole        = "wrong_role"      // the engine has another role or model
 	ErrorKVGone      = "kv_gone"         // the KV cache expired or was released
 	ErrorCancelled   = "cancelled"       // the request was cancelled
-	ErrorDuplicate   = "duplicate"       // the engine holds this request already
-	ErrorUnknown     = "unknown_request" // the engine holds no such request
+	ErrorDuplicate   = "duplicate"       // the engine already has this request
+	ErrorUnknown     = "unknown_request" // the engine has no such request
 	ErrorOwner       = "other_owner"     // a later incarnation owns the request
-	ErrorStaleFence  = "stale_fence"     // the order's fencing number is old
-	ErrorNotFound    = "not_found"       // no such object
+	ErrorStaleFence  = "stale_fence"     // the order's fencing number is out of date
+	ErrorNotFound    = "not_found"       // the object does not exist
 	ErrorTooLarge    = "too_large"       // the body is too large
-	ErrorEndpoint    = "endpoint_failed" // the endpoint failed while it ran the call
+	ErrorEndpoint    = "endpoint_failed" // the endpoint failed while running the call
 )
