--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -17,18 +17,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// patience bounds every wait of a test; no test passes by it.
+// testTimeout bounds every wait of a test; no test relies on its expiry.
 const testTimeout = 20 * time.Second
 
-// scripted is a server that reads one request on each connection, tells it,
-// and then does what the test says.
+// scriptedServer is a server that reads one request on each connection, sends its
+// request line to requests and then calls a function of the test.
 type scriptedServer struct {
 	address  string
 	requests chan string
 }
 
-// newScripted starts a server; reply gets each connection behind its request
-// and the connection is closed when it returns.
+// newScriptedServer starts a server. It calls reply with each connection after the
+// request was read, and closes the connection when reply returns.
 func newScriptedServer(t *testing.T, reply func(net.Conn)) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,14 +61,14 @@
 	return s
 }
 
-// hold keeps a connection open until the other side closes it.
+// awaitClose keeps a connection open until the peer closes it.
 func awaitClose(conn net.Conn) {
 	var one [1]byte
 	_, _ = conn.Read(one[:])
 }
 
-// TestCallsAreSentOnce runs each method against a server that runs the call
-// and cuts the connection.
+// TestCallsAreSentOnce checks for each method that a call is not repeated when the
+// server runs it and closes the connection without a reply.
 func TestCallsAreSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE"} {
 		t.Run(method, func(t *testing.T) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestLibraryDefaultSendsAgain shows that the check above can fail: the library
-// alone repeats a GET.
+// TestLibraryDefaultRetries shows that TestCallsAreSentOnce can fail: with its
+// defaults the library repeats a GET.
 func TestLibraryDefaultRetries(t *testing.T) {
 	is := is.New(t)
 	service, address := newDisconnectingService(t)
@@ -93,7 +93,7 @@
 	is.True(service.Counters().Keys[0].Runs > 1)
 }
 
-// getRequest is a GET with an idempotency key.
+// getRequest returns a GET request with an idempotency key.
 func getRequest(address string) *fasthttp.Request {
 	req := &fasthttp.Request{}
 	req.SetRequestURI("http://" + address + "/stems")
@@ -101,7 +101,8 @@
 	return req
 }
 
-// cuttingService runs every call and cuts its connection.
+// newDisconnectingService starts a service that runs every call and closes its
+// connection without a reply.
 func newDisconnectingService(t *testing.T) (*standin.PlainService, string) {
 	t.Helper()
 	service := standin.NewPlainService(standin.PlainConfig{WorkTime: 1})
@@ -115,8 +116,8 @@
 	return service, server.Addr()
 }
 
-// TestTypedCallsAreSentOnce does the same for the calls with a connection of
-// their own and for the typed ones.
+// TestTypedCallsAreSentOnce checks the same for calls on dedicated connections and
+// for the typed calls.
 func TestTypedCallsAreSentOnce(t *testing.T) {
 	ctx := context.Background()
 	timeouts := client.Timeouts{First: testTimeout, Idle: testTimeout}
@@ -219,14 +220,14 @@
 	is.Equal(verdict.As(err).Code, verdict.CodeCallerGone)
 	<-closed // the connection was aborted
 	_, err = client.NewEngine(s.address, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
-	is.Equal(verdict.Of(err), verdict.NotRun) // ended before anything was sent
+	is.Equal(verdict.Of(err), verdict.NotRun) // ctx ended before anything was sent
 	is.Equal(len(s.requests), 0)
 }
 
-// streamHead opens a stream of events.
+// streamHead is the header of a response that streams events.
 const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Endpoint-Incarnation: 77\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// chunk is one event as a chunk.
+// chunk returns an event in an HTTP chunk.
 func chunk(seq int) string {
 	event := fmt.Sprintf("id: %d\ndata: {\"request\":\"r\",\"seq\":%d,\"text\":\"t\"}\n\n", seq, seq)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(event), event)
@@ -266,7 +267,7 @@
 	_, err = stream.Next()
 	is.NoErr(err)
 	_, err = engine.Decode(context.Background(), wire.DecodeRequest{}, timeouts)
-	is.Equal(verdict.As(err).Code, verdict.CodeOverloaded) // connections are bounded
+	is.Equal(verdict.As(err).Code, verdict.CodeOverloaded) // the number of connections is bounded
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	ended := make(chan error, 1)
 	go func() {
--- a/endpoint/client/connect_test.go
+++ b/endpoint/client/connect_test.go
@@ -13,10 +13,10 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// call is one exchange with an address.
+// call makes one call to an address.
 type call func(ctx context.Context, address string, o client.Options) error
 
-// calls are the ways in which a client opens a connection.
+// calls returns one call for each way in which a client opens a connection.
 func calls() map[string]call {
 	times := client.Timeouts{First: testTimeout, Idle: testTimeout}
 	return map[string]call{
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestAConnectionThatIsNotMadeInTimeIsUnavailable: a host without power takes no
-// connection. That is not the request's deadline, which would end the request
-// though nothing was sent and other endpoints are free.
+// TestDialTimeoutIsUnavailable guards against reporting a dial timeout, as to a host
+// without power, as the request's deadline: that would end the request although
+// nothing was sent and other endpoints are free.
 func TestDialTimeoutIsUnavailable(t *testing.T) {
 	full, err := standin.NewFullBacklog("127.0.0.1:0")
 	if err != nil {
--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -12,9 +12,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// dedicated is one exchange on a connection of its own. Closing it, or its
-// caller's leaving, aborts the connection at once; the deadline of its context
-// leaves what has arrived.
+// dedicatedExchange is one exchange on its own connection. Close, or a cancelled
+// context, aborts the connection immediately. After the deadline of the context,
+// data that has already been received can still be read.
 type dedicatedExchange struct {
 	ctx       context.Context
 	address   string
@@ -27,20 +27,20 @@
 	once      sync.Once
 }
 
-// open dials, sends the request once and reads the response's head until the
-// deadline. It takes req over.
-func (e *Engine) open(ctx context.Context, what string, req *fasthttp.Request, deadline time.Time) (*dedicatedExchange, error) {
+// open dials, sends the request once and reads the header of the response, until
+// the deadline. It takes ownership of req.
+func (e *Engine) open(ctx context.Context, operation string, req *fasthttp.Request, deadline time.Time) (*dedicatedExchange, error) {
 	defer fasthttp.ReleaseRequest(req)
-	release, err := e.acquireConn(ctx, what)
+	release, err := e.acquireConn(ctx, operation)
 	if err != nil {
 		return nil, err
 	}
 	conn, err := dial(ctx, e.address, e.options.DialTimeout)
 	if err != nil {
 		release()
-		return nil, transportError(e.address, what, err)
+		return nil, transportError(e.address, operation, err)
 	}
-	d := &dedicatedExchange{ctx: ctx, address: e.address, operation: what, conn: conn, reader: bufio.NewReader(conn), release: release}
+	d := &dedicatedExchange{ctx: ctx, address: e.address, operation: operation, conn: conn, reader: bufio.NewReader(conn), release: release}
 	d.resp = fasthttp.AcquireResponse()
 	d.stop = conn.EndWith(ctx)
 	req.SetHost(e.address)
@@ -52,20 +52,21 @@
 	return d, nil
 }
 
-// acquire takes one of the bounded places for dedicated connections.
-func (e *Engine) acquireConn(ctx context.Context, what string) (func(), error) {
+// acquireConn takes one of the bounded number of slots for dedicated connections.
+// The returned function releases it.
+func (e *Engine) acquireConn(ctx context.Context, operation string) (func(), error) {
 	if err := contextError(ctx); err != nil {
-		return nil, transportError(e.address, what, &notSentError{cause: err})
+		return nil, transportError(e.address, operation, &notSentError{cause: err})
 	}
 	select {
 	case e.connSlots <- struct{}{}:
 		return func() { <-e.connSlots }, nil
 	default:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s at %s: no free connection", what, e.address)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s at %s: no free connection", operation, e.address)
 	}
 }
 
-// send writes the request and reads the head of the response.
+// send writes the request and reads the header of the response.
 func (d *dedicatedExchange) send(req *fasthttp.Request, deadline time.Time) error {
 	if err := d.conn.SetDeadline(deadline); err != nil {
 		return err
@@ -81,7 +82,8 @@
 	return d.resp.ReadLimitBody(d.reader, 0)
 }
 
-// fail gives an error its verdict; the end of the context is named as cause.
+// classifyError returns an error with a verdict. If the context has ended, its
+// error becomes the cause.
 func (d *dedicatedExchange) classifyError(err error) error {
 	cause := contextError(d.ctx)
 	if cause == nil {
@@ -94,7 +96,7 @@
 	return transportError(d.address, d.operation, cause)
 }
 
-// Close aborts the connection at once.
+// Close aborts the connection immediately.
 func (d *dedicatedExchange) Close() {
 	d.once.Do(func() {
 		d.stop()
--- a/endpoint/client/engine.go
+++ b/endpoint/client/engine.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Engine is the client of one model engine. Prefills and streams have a
-// connection each, so that they can be aborted at once; short calls share a pool.
+// Engine is the client of one model engine. Each prefill and each stream has its
+// own connection, so that it can be aborted immediately; short calls share a pool.
 type Engine struct {
 	*pooled
 	connSlots chan struct{}
@@ -24,16 +24,17 @@
 	return &Engine{pooled: p, connSlots: make(chan struct{}, p.options.MaxConns)}
 }
 
-// Prefill orders the reading of a prompt and waits for its end. When ctx ends
-// first, the connection is aborted and the engine may go on: cancel it there.
+// Prefill orders the prefill of a prompt and waits for its result. When ctx ends
+// first, the connection is aborted but the engine may continue: the caller must
+// cancel the request at the engine.
 func (e *Engine) Prefill(ctx context.Context, r wire.PrefillRequest) (wire.PrefillResponse, error) {
 	var out wire.PrefillResponse
 	req, err := newRequest(fasthttp.MethodPost, wire.PathPrefill, r)
 	if err != nil {
 		return out, err
 	}
-	const what = "prefill"
-	d, err := e.open(ctx, what, req, deadlineOf(ctx, e.options.Timeout))
+	const operation = "prefill"
+	d, err := e.open(ctx, operation, req, deadlineOf(ctx, e.options.Timeout))
 	if err != nil {
 		return out, err
 	}
@@ -43,12 +44,12 @@
 		return out, err
 	}
 	if d.resp.StatusCode() >= fasthttp.StatusBadRequest {
-		return out, statusError(e.address, what, d.resp, body)
+		return out, statusError(e.address, operation, d.resp, body)
 	}
-	return out, decodeBody(e.address, what, body, &out)
+	return out, decodeBody(e.address, operation, body, &out)
 }
 
-// body reads the whole body, at most limit bytes.
+// body reads the body, at most limit bytes of a streamed one.
 func (d *dedicatedExchange) body(limit int) ([]byte, error) {
 	stream := d.resp.BodyStream()
 	if stream == nil {
@@ -61,8 +62,8 @@
 	return body, nil
 }
 
-// Decode orders the writing of an answer. It returns once the engine has
-// imported the KV cache. The stream lives no longer than ctx.
+// Decode orders a decode. It returns once the engine has imported the KV cache. The
+// stream ends with ctx at the latest.
 func (e *Engine) Decode(ctx context.Context, r wire.DecodeRequest, t Timeouts) (*Stream, error) {
 	req, err := newRequest(fasthttp.MethodPost, wire.PathCompletions, r)
 	if err != nil {
@@ -71,7 +72,8 @@
 	return e.stream(ctx, "decode", req, t)
 }
 
-// ResumeRequest goes on with a stream behind event After, for a new owner.
+// ResumeRequest requests the events of a stream after event After, and makes the
+// given process its owner.
 type ResumeRequest struct {
 	Request     string
 	After       int
@@ -79,7 +81,7 @@
 	Incarnation uint64
 }
 
-// Resume goes on with a stream that the engine still holds.
+// Resume continues a stream that the engine still holds.
 func (e *Engine) Resume(ctx context.Context, r ResumeRequest, t Timeouts) (*Stream, error) {
 	query := url.Values{}
 	query.Set("request", r.Request)
@@ -94,8 +96,8 @@
 }
 
 // stream opens an exchange whose response is a stream of events.
-func (e *Engine) stream(ctx context.Context, what string, req *fasthttp.Request, t Timeouts) (*Stream, error) {
-	d, err := e.open(ctx, what, req, time.Now().Add(t.First))
+func (e *Engine) stream(ctx context.Context, operation string, req *fasthttp.Request, t Timeouts) (*Stream, error) {
+	d, err := e.open(ctx, operation, req, time.Now().Add(t.First))
 	if err != nil {
 		return nil, err
 	}
@@ -107,10 +109,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return nil, statusError(e.address, what, d.resp, body)
+	return nil, statusError(e.address, operation, d.resp, body)
 }
 
-// Cancel ends a request in whatever state it is.
+// Cancel cancels a request in any state.
 func (e *Engine) Cancel(ctx context.Context, r wire.CancelRequest) (wire.CancelResponse, error) {
 	var out wire.CancelResponse
 	err := e.call(ctx, fasthttp.MethodPost, wire.PathCancel, r, &out)
@@ -122,27 +124,27 @@
 	return e.call(ctx, fasthttp.MethodPost, wire.PathRelease, r, nil)
 }
 
-// Requests lists what the engine holds memory for.
+// Requests lists the requests for which the engine holds memory.
 func (e *Engine) Requests(ctx context.Context) (wire.RequestList, error) {
 	var out wire.RequestList
 	err := e.call(ctx, fasthttp.MethodGet, wire.PathRequests, nil, &out)
 	return out, err
 }
 
-// Load reads the engine's report of itself, which lags.
+// Load reads the engine's load report, which may be out of date.
 func (e *Engine) Load(ctx context.Context) (wire.LoadReport, error) {
 	return readLoad(ctx, e.pooled)
 }
 
-// load reads the load report of an endpoint.
+// readLoad reads an endpoint's load report.
 func readLoad(ctx context.Context, p *pooled) (wire.LoadReport, error) {
 	var out wire.LoadReport
 	err := p.call(ctx, fasthttp.MethodGet, wire.PathLoad, nil, &out)
 	return out, err
 }
 
-// CacheEvents reads the cache events behind number after; they come late and
-// with gaps.
+// CacheEvents reads the cache events after number after. Events may be delayed or
+// missing.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) (wire.CacheEvents, error) {
 	var out wire.CacheEvents
 	path := wire.PathCache + "?after=" + strconv.FormatUint(after, 10)
@@ -150,14 +152,14 @@
 	return out, err
 }
 
-// Order sets the desired state; repeating it is harmless.
+// Order sets the desired state of the engine. It is idempotent.
 func (e *Engine) Order(ctx context.Context, o wire.Order) (wire.OrderResponse, error) {
 	var out wire.OrderResponse
 	err := e.call(ctx, fasthttp.MethodPost, wire.PathOrders, o, &out)
 	return out, err
 }
 
-// OrderState reads the state back.
+// OrderState reads the state of the engine with respect to its order.
 func (e *Engine) OrderState(ctx context.Context) (wire.OrderResponse, error) {
 	var out wire.OrderResponse
 	err := e.call(ctx, fasthttp.MethodGet, wire.PathOrders, nil, &out)
--- a/endpoint/client/errors.go
+++ b/endpoint/client/errors.go
@@ -13,7 +13,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Codes of errors that only endpoints give; all others are in package verdict.
+// Codes of errors that only endpoints return; all other codes are in package
+// verdict.
 const (
 	CodeKVGone    verdict.Code = wire.ErrorKVGone
 	CodeRole      verdict.Code = wire.ErrorRole
@@ -31,20 +32,20 @@
 // Error implements error.
 func (e *notSentError) Error() string { return "not sent: " + e.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *notSentError) Unwrap() error { return e.cause }
 
-// endedError says that the call's context had ended.
+// contextEndedError marks a failure because the call's context has ended.
 type contextEndedError struct{ cause error }
 
 // Error implements error.
 func (e *contextEndedError) Error() string { return e.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *contextEndedError) Unwrap() error { return e.cause }
 
-// ended is how a context ended; nil while it goes on. A deadline that has passed
-// counts at once: other timers may tell of it before the context does.
+// contextError returns the error of a context that has ended, or nil. It checks the
+// deadline as well, since other timers may fire before the context reports it.
 func contextError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return &contextEndedError{cause: err}
@@ -55,26 +56,26 @@
 	return nil
 }
 
-// transportError turns a failed exchange into an error with a verdict.
-func transportError(address, what string, err error) error {
+// transportError returns the error, with a verdict, of a failed exchange.
+func transportError(address, operation string, err error) error {
 	var notSent *notSentError
 	v := verdict.MayHaveRun
 	if errors.As(err, &notSent) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 		v = verdict.NotRun
 	}
-	return verdict.New(v, transportCode(err, v), "%s at %s failed", what, address).WithCause(err)
+	return verdict.New(v, transportCode(err, v), "%s at %s failed", operation, address).WithCause(err)
 }
 
-// transportCode names the cause of a failed exchange. A connection that was not
-// made in time is the endpoint's failure, which another one may cure; only the
-// end of the request's own time is its deadline.
+// transportCode returns the code of a failed exchange. A dial timeout is a failure
+// of the endpoint, after which another endpoint may serve the request; before
+// anything was sent, CodeDeadline is used only for the request's own deadline.
 func transportCode(err error, v verdict.Verdict) verdict.Code {
-	var over *contextEndedError
+	var ctxEnded *contextEndedError
 	var netErr net.Error
 	switch {
 	case errors.Is(err, context.Canceled):
 		return verdict.CodeCallerGone
-	case errors.As(err, &over):
+	case errors.As(err, &ctxEnded):
 		return verdict.CodeDeadline
 	case errors.Is(err, fasthttp.ErrNoFreeConns):
 		return verdict.CodeOverloaded
@@ -87,9 +88,9 @@
 	}
 }
 
-// statusError turns an error response into an error with a verdict: not run
-// only if the endpoint said so.
-func statusError(address, what string, resp *fasthttp.Response, body []byte) error {
+// statusError returns the error, with a verdict, of an error response. The verdict
+// is NotRun only if the endpoint reports it.
+func statusError(address, operation string, resp *fasthttp.Response, body []byte) error {
 	v := verdict.MayHaveRun
 	if reportsNotRun(resp) {
 		v = verdict.NotRun
@@ -98,16 +99,16 @@
 	if json.Unmarshal(body, &parsed) != nil {
 		parsed.Message = "no readable error body"
 	}
-	e := verdict.New(v, verdict.Code(parsed.Code), "%s at %s: status %d: %s", what, address, resp.StatusCode(), parsed.Message)
+	e := verdict.New(v, verdict.Code(parsed.Code), "%s at %s: status %d: %s", operation, address, resp.StatusCode(), parsed.Message)
 	return e.WithRetryAfter(retryAfter(resp, parsed))
 }
 
-// saysNotRun tells whether the endpoint says that it did not run the call.
+// reportsNotRun reports whether a response states that the call was not run.
 func reportsNotRun(resp *fasthttp.Response) bool {
 	return string(resp.Header.Peek(wire.HeaderNotRun)) == "true"
 }
 
-// retryAfter reads the advice from the body, else from the header.
+// retryAfter returns the advised retry delay from the body, else from the header.
 func retryAfter(resp *fasthttp.Response, body wire.ErrorBody) time.Duration {
 	if body.RetryAfterMS > 0 {
 		return time.Duration(body.RetryAfterMS) * time.Millisecond
--- a/endpoint/client/fuzz_test.go
+++ b/endpoint/client/fuzz_test.go
@@ -17,7 +17,7 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// fuzzConn is a connection of which only the deadlines are used.
+// fuzzConn is a connection that ignores deadlines and Close.
 type fuzzConn struct{ net.Conn }
 
 // SetReadDeadline implements net.Conn.
@@ -26,9 +26,9 @@
 // Close implements net.Conn.
 func (fuzzConn) Close() error { return nil }
 
-// FuzzStream: whatever an engine sends as the answer to an order, the stream
-// ends, with io.EOF only behind a finish, else with an error that never claims
-// that the request has not run.
+// FuzzStream checks that for any response of an engine to an order the stream ends:
+// with io.EOF only after a finish, and otherwise with an error whose verdict is not
+// NotRun.
 func FuzzStream(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Endpoint-Incarnation: 4\r\n"
 	events := "data: {\"request\":\"a\",\"seq\":1,\"text\":\"x\"}\n\n: comment\n\ndata:{\"seq\":2,\"finish\":\"stop\"}\n\n"
@@ -73,8 +73,8 @@
 	}
 }
 
-// FuzzReply: whatever the platform or an endpoint sends as a reply, it is read
-// or refused, and an error says not run only where the reply does.
+// FuzzReply checks that any reply of the platform or an endpoint is decoded or
+// rejected, and that an error has the verdict NotRun only if the reply states it.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n{\"applied\":true,\"versions\":[1]}"))
 	f.Add([]byte("HTTP/1.1 503 X\r\nX-Not-Run: true\r\nRetry-After: -5\r\nContent-Length: 21\r\n\r\n{\"code\":\"overloaded\"}"))
@@ -99,7 +99,7 @@
 			t.Fatalf("status error %v", verr)
 		}
 		if verr.Verdict == verdict.NotRun && !reportsNotRun(resp) {
-			t.Fatalf("%v without the header", verr)
+			t.Fatalf("%v without the header of a call that was not run", verr)
 		}
 		plainResponse(resp)
 	})
--- a/endpoint/client/options.go
+++ b/endpoint/client/options.go
@@ -1,41 +1,41 @@
-// Package client holds the adapters through which a daemon meets the platform
-// and the endpoints. Each call is sent at most once: there is no retry in here.
-// Every error is a *verdict.Error; its verdict is NotRun only where that is
-// certain. A real platform's adapter replaces this package, see docs/PLATFORM.md.
+// Package client implements the clients with which a daemon calls the platform and
+// the endpoints. Each call is sent at most once: this package never retries. Every
+// error is a *verdict.Error; its verdict is NotRun only if that is certain. The
+// adapter of a real platform replaces this package, see docs/PLATFORM.md.
 package client
 
 import "time"
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout is many round trips between failure domains, and leaves
-	// a request time for another endpoint.
+	// DefaultDialTimeout is many times the round trip between failure domains, and
+	// leaves a request time to try another endpoint.
 	DefaultDialTimeout      = 150 * time.Millisecond
 	DefaultTimeout          = 30 * time.Second
 	DefaultMaxConns         = 256
 	DefaultMaxResponseBytes = 8 << 20
-	// idleConnLife is below any server's own limit, so that a pooled connection
-	// is seldom found closed.
+	// idleConnLife is shorter than the idle timeout of any server, so that a pooled
+	// connection has rarely been closed by the server.
 	idleConnLife = 5 * time.Second
 )
 
-// Options of a client; zero fields take the defaults.
+// Options configures a client; zero fields take the defaults.
 type Options struct {
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
 	// Timeout bounds a call whose context has no deadline.
 	Timeout time.Duration
-	// MaxConns bounds the pooled connections, and apart from them the streams
-	// and prefills at once.
+	// MaxConns bounds the number of pooled connections and, separately, the number
+	// of concurrent streams and prefills.
 	MaxConns int
 	// MaxResponseBytes bounds the body of one response, in bytes.
 	MaxResponseBytes int
-	// OnIncarnation, if set, is told the incarnation that each response of the
-	// address carries. It must not block.
+	// OnIncarnation, if set, is called with the incarnation in each response of the
+	// address. It must not block.
 	OnIncarnation func(address string, incarnation uint64)
 }
 
-// withDefaults fills in the fields that are zero.
+// withDefaults returns the options with zero fields set to their defaults.
 func (o Options) withDefaults() Options {
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = DefaultDialTimeout
--- a/endpoint/client/plain.go
+++ b/endpoint/client/plain.go
@@ -12,22 +12,22 @@
 // Header is one header of a call.
 type Header struct{ Name, Value string }
 
-// PlainRequest is one call of a plain service.
+// PlainRequest is one call to a plain service.
 type PlainRequest struct {
 	Method string
-	// Path with its query.
+	// Path includes the query.
 	Path string
-	// Headers are sent as they stand; the caller has filtered them.
+	// Headers are sent unchanged; the caller must filter them.
 	Headers []Header
 	Body    []byte
 }
 
-// PlainResponse is the answer of a plain service, whatever its status.
+// PlainResponse is the response of a plain service, with any status.
 type PlainResponse struct {
 	Status  int
 	Headers []Header
 	Body    []byte
-	// Incarnation of the endpoint; 0 if it did not say.
+	// Incarnation is the endpoint's incarnation; 0 if the response has none.
 	Incarnation uint64
 }
 
@@ -37,11 +37,11 @@
 // NewPlain returns a client of the plain endpoint at address.
 func NewPlain(address string, o Options) *Plain { return &Plain{newPooled(address, o)} }
 
-// Call sends the call once. A response that says that the call did not run is
-// an error with that verdict; any other response is returned as it is.
+// Call sends the call once. If the response states that the call was not run, Call
+// returns an error with the verdict NotRun; it returns any other response unchanged.
 func (p *Plain) Call(ctx context.Context, in PlainRequest) (PlainResponse, error) {
 	if !validTarget(in.Path) {
-		return PlainResponse{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "path %q can't be sent", in.Path)
+		return PlainResponse{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "path %q is not a valid request target", in.Path)
 	}
 	req, err := newRequest(in.Method, "http://"+p.address+in.Path, nil)
 	if err != nil {
@@ -51,25 +51,25 @@
 		req.Header.Add(h.Name, h.Value)
 	}
 	req.SetBody(in.Body)
-	what := in.Method + " " + in.Path
-	resp, err := p.exchange(ctx, what, req)
+	operation := in.Method + " " + in.Path
+	resp, err := p.exchange(ctx, operation, req)
 	if err != nil {
 		return PlainResponse{}, err
 	}
 	defer fasthttp.ReleaseResponse(resp)
 	if reportsNotRun(resp) {
-		return PlainResponse{}, statusError(p.address, what, resp, resp.Body())
+		return PlainResponse{}, statusError(p.address, operation, resp, resp.Body())
 	}
 	return plainResponse(resp), nil
 }
 
-// properTarget tells whether a path stands in a request as it is.
+// validTarget reports whether a path can be sent unchanged as a request target.
 func validTarget(path string) bool {
 	improper := func(r rune) bool { return r <= ' ' || r == '#' || r >= 0x7f }
 	return strings.HasPrefix(path, "/") && !strings.ContainsFunc(path, improper)
 }
 
-// plainResponse copies a response out of the library's buffers.
+// plainResponse copies a response from the library's buffers.
 func plainResponse(resp *fasthttp.Response) PlainResponse {
 	out := PlainResponse{
 		Status:      resp.StatusCode(),
@@ -82,7 +82,7 @@
 	return out
 }
 
-// Load reads the endpoint's report of itself, which lags.
+// Load reads the endpoint's load report, which may be out of date.
 func (p *Plain) Load(ctx context.Context) (wire.LoadReport, error) {
 	return readLoad(ctx, p.pooled)
 }
--- a/endpoint/client/platform.go
+++ b/endpoint/client/platform.go
@@ -14,15 +14,15 @@
 // NewTable returns a client of the table service at address.
 func NewTable(address string, o Options) *Table { return &Table{newPooled(address, o)} }
 
-// Transact applies a transaction. An error whose verdict is MayHaveRun leaves
-// the effect unknown: read it back.
+// Transact applies a transaction. After an error whose verdict is MayHaveRun the
+// effect is unknown and must be read back.
 func (t *Table) Transact(ctx context.Context, tx wire.Transaction) (wire.TransactionResult, error) {
 	var out wire.TransactionResult
 	err := t.call(ctx, fasthttp.MethodPost, wire.PathTransact, tx, &out)
 	return out, err
 }
 
-// Read reads rows. The answer may be from an earlier state.
+// Read reads rows. The result may be an earlier state.
 func (t *Table) Read(ctx context.Context, r wire.ReadRequest) (wire.ReadResponse, error) {
 	var out wire.ReadResponse
 	err := t.call(ctx, fasthttp.MethodPost, wire.PathRead, r, &out)
@@ -35,7 +35,7 @@
 // NewObjects returns a client of the object store at address.
 func NewObjects(address string, o Options) *Objects { return &Objects{newPooled(address, o)} }
 
-// Get reads an object; CodeNotFound if there is none.
+// Get reads an object. The error has CodeNotFound if the object does not exist.
 func (c *Objects) Get(ctx context.Context, name string) ([]byte, error) {
 	req, err := newRequest(fasthttp.MethodGet, wire.PathObjects+url.PathEscape(name), nil)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// Put writes an object whole.
+// Put writes an object, replacing it if it exists.
 func (c *Objects) Put(ctx context.Context, name string, value []byte) error {
 	req, err := newRequest(fasthttp.MethodPut, wire.PathObjects+url.PathEscape(name), nil)
 	if err != nil {
@@ -76,7 +76,7 @@
 // NewHosts returns a client of the host list at address.
 func NewHosts(address string, o Options) *Hosts { return &Hosts{newPooled(address, o)} }
 
-// List reads the host list, which lags.
+// List reads the host list, which may be out of date.
 func (h *Hosts) List(ctx context.Context) (wire.HostList, error) {
 	var out wire.HostList
 	err := h.call(ctx, fasthttp.MethodGet, wire.PathHosts, nil, &out)
@@ -89,7 +89,7 @@
 // NewWeights returns a client of the weight store at address.
 func NewWeights(address string, o Options) *Weights { return &Weights{newPooled(address, o)} }
 
-// Reserve asks for one load of a model.
+// Reserve requests permission for one load of a model.
 func (w *Weights) Reserve(ctx context.Context, model string) (wire.WeightGrant, error) {
 	var out wire.WeightGrant
 	err := w.call(ctx, fasthttp.MethodGet, wire.PathWeights+url.PathEscape(model), nil, &out)
--- a/endpoint/client/pooled.go
+++ b/endpoint/client/pooled.go
@@ -21,60 +21,60 @@
 	host    *fasthttp.HostClient
 }
 
-// newPooled returns a client that never sends a call twice.
+// newPooled returns a client that sends each call at most once.
 func newPooled(address string, o Options) *pooled {
-	opt := o.withDefaults()
+	options := o.withDefaults()
 	host := &fasthttp.HostClient{
 		Addr:                      address,
-		MaxConns:                  opt.MaxConns,
+		MaxConns:                  options.MaxConns,
 		MaxIdleConnDuration:       idleConnLife,
-		MaxResponseBodySize:       opt.MaxResponseBytes,
+		MaxResponseBodySize:       options.MaxResponseBytes,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                neverRetry,
 		NoDefaultUserAgentHeader:  true,
 		DisablePathNormalizing:    true,
 		Dial: func(addr string) (net.Conn, error) {
-			conn, err := dial(context.Background(), addr, opt.DialTimeout)
+			conn, err := dial(context.Background(), addr, options.DialTimeout)
 			if err != nil {
-				return nil, err // a nil *Conn is no nil net.Conn
+				return nil, err // returning conn would give a non-nil net.Conn with a nil *Conn
 			}
 			return conn, nil
 		},
 	}
-	return &pooled{address: address, options: opt, host: host}
+	return &pooled{address: address, options: options, host: host}
 }
 
-// neverRetry refuses every retry of the library.
+// neverRetry disables the retries of the library.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
 	return false, false
 }
 
-// dial opens a connection; a failure is certain not to have sent a byte.
+// dial opens a connection. Its errors are notSentErrors, since nothing was sent.
 func dial(ctx context.Context, address string, timeout time.Duration) (*netconn.Conn, error) {
 	dialer := netconn.Dialer{Dialer: net.Dialer{Timeout: timeout}}
 	conn, err := dialer.Dial(ctx, address)
 	if err == nil {
 		return conn, nil
 	}
-	if over := contextError(ctx); over != nil {
-		err = over
+	if ctxErr := contextError(ctx); ctxErr != nil {
+		err = ctxErr
 	}
 	return nil, &notSentError{cause: err}
 }
 
-// reply is a whole response, copied out of the library's buffers.
+// reply is the result of a call: a response or an error.
 type reply struct {
 	resp *fasthttp.Response
 	err  error
 }
 
-// exchange sends the request once. It takes req over. When the caller leaves,
-// the call goes on unattended until its deadline and its reply is dropped. The
-// caller releases the response.
-func (p *pooled) exchange(ctx context.Context, what string, req *fasthttp.Request) (*fasthttp.Response, error) {
+// exchange sends the request once. It takes ownership of req, and the caller must
+// release the response. When ctx is cancelled, exchange returns immediately; the
+// call continues in the background until its deadline and its reply is dropped.
+func (p *pooled) exchange(ctx context.Context, operation string, req *fasthttp.Request) (*fasthttp.Response, error) {
 	if err := contextError(ctx); err != nil {
 		fasthttp.ReleaseRequest(req)
-		return nil, transportError(p.address, what, &notSentError{cause: err})
+		return nil, transportError(p.address, operation, &notSentError{cause: err})
 	}
 	req.SetHost(p.address)
 	deadline := deadlineOf(ctx, p.options.Timeout)
@@ -90,26 +90,27 @@
 	case r = <-done:
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.Canceled) {
-			return nil, transportError(p.address, what, contextError(ctx))
+			return nil, transportError(p.address, operation, contextError(ctx))
 		}
-		// The deadline ends the call as well, unless its reply has arrived.
+		// The call has the same deadline, so it ends too; a reply that has already
+		// arrived is still returned.
 		r = <-done
 	}
 	if r.err != nil {
-		return nil, transportError(p.address, what, r.err)
+		return nil, transportError(p.address, operation, r.err)
 	}
 	p.report(r.resp)
 	return r.resp, nil
 }
 
-// report tells the incarnation that a response carries.
+// report passes the incarnation in a response, if any, to OnIncarnation.
 func (p *pooled) report(resp *fasthttp.Response) {
 	if incarnation := incarnationOf(resp); incarnation != 0 {
 		p.options.OnIncarnation(p.address, incarnation)
 	}
 }
 
-// incarnationOf reads the incarnation of a response; 0 if it has none.
+// incarnationOf returns the incarnation in a response; 0 if it has none.
 func incarnationOf(resp *fasthttp.Response) uint64 {
 	n, err := strconv.ParseUint(string(resp.Header.Peek(wire.HeaderIncarnation)), 10, 64)
 	if err != nil {
@@ -118,7 +119,7 @@
 	return n
 }
 
-// deadlineOf returns the context's deadline, or one that is timeout away.
+// deadlineOf returns the deadline of the context, or timeout from now if it has none.
 func deadlineOf(ctx context.Context, timeout time.Duration) time.Time {
 	if deadline, ok := ctx.Deadline(); ok {
 		return deadline
@@ -126,23 +127,23 @@
 	return time.Now().Add(timeout)
 }
 
-// call sends in as JSON, if it is not nil, and reads the response into out, if
-// that is not nil.
+// call sends in as JSON unless it is nil, and decodes the response into out unless
+// it is nil.
 func (p *pooled) call(ctx context.Context, method, path string, in, out any) error {
 	req, err := newRequest(method, path, in)
 	if err != nil {
 		return err
 	}
-	what := method + " " + path
-	resp, err := p.exchange(ctx, what, req)
+	operation := method + " " + path
+	resp, err := p.exchange(ctx, operation, req)
 	if err != nil {
 		return err
 	}
 	defer fasthttp.ReleaseResponse(resp)
 	if resp.StatusCode() >= fasthttp.StatusBadRequest {
-		return statusError(p.address, what, resp, resp.Body())
+		return statusError(p.address, operation, resp, resp.Body())
 	}
-	return decodeBody(p.address, what, resp.Body(), out)
+	return decodeBody(p.address, operation, resp.Body(), out)
 }
 
 // newRequest builds a request with a JSON body.
@@ -163,16 +164,17 @@
 	return req, nil
 }
 
-// decodeBody reads a JSON body into out. The call has run by then.
-func decodeBody(address, what string, body []byte, out any) error {
+// decodeBody decodes a JSON body into out. Its errors have the verdict Ran, since
+// the endpoint has responded.
+func decodeBody(address, operation string, body []byte, out any) error {
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "%s at %s: unreadable response", what, address).WithCause(err)
+		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "%s at %s: unreadable response", operation, address).WithCause(err)
 	}
 	return nil
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (p *pooled) Close() { p.host.CloseIdleConnections() }
--- a/endpoint/client/stream.go
+++ b/endpoint/client/stream.go
@@ -16,16 +16,17 @@
 
 var dataPrefix = []byte("data:")
 
-// Timeouts of a stream.
+// Timeouts are the timeouts of a stream.
 type Timeouts struct {
-	// First bounds the wait for the head of the response, which comes once the
-	// KV cache is imported.
+	// First bounds the time until the header of the response arrives, which the
+	// engine sends after it has imported the KV cache.
 	First time.Duration
-	// Idle bounds the wait for each event.
+	// Idle bounds the time until each event arrives.
 	Idle time.Duration
 }
 
-// Stream is a running answer. One goroutine reads it; any may close it.
+// Stream is an answer in progress. Only one goroutine may read it; any goroutine
+// may close it.
 type Stream struct {
 	d           *dedicatedExchange
 	idle        time.Duration
@@ -34,7 +35,7 @@
 	finished    bool
 }
 
-// newStream reads events from an opened exchange.
+// newStream returns a stream of the events of an opened exchange.
 func newStream(d *dedicatedExchange, idle time.Duration) *Stream {
 	var body io.Reader = bytes.NewReader(nil)
 	if s := d.resp.BodyStream(); s != nil {
@@ -45,12 +46,12 @@
 	return &Stream{d: d, idle: idle, scanner: scanner, incarnation: incarnationOf(d.resp)}
 }
 
-// Incarnation is the engine's incarnation as the response gave it.
+// Incarnation returns the engine's incarnation from the response; 0 if it has none.
 func (s *Stream) Incarnation() uint64 { return s.incarnation }
 
-// Next waits for the next event, no longer than the idle timeout. Behind the
-// event that has a Finish it returns io.EOF. Any other error is a
-// *verdict.Error: the request may go on at the engine.
+// Next waits for the next event, at most for the idle timeout. After the event that
+// has a Finish it returns io.EOF. Any other error is a *verdict.Error: the request
+// may still be running at the engine.
 func (s *Stream) Next() (wire.TokenEvent, error) {
 	if s.finished {
 		return wire.TokenEvent{}, io.EOF
@@ -82,5 +83,5 @@
 	return event, nil
 }
 
-// Close aborts the connection at once; a Next that waits ends.
+// Close aborts the connection immediately; a pending Next returns an error.
 func (s *Stream) Close() { s.d.Close() }
