--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -1,7 +1,7 @@
-// Package netconn opens connections whose time limits give way to what arrived
-// while this process was held up. A process that gets no processor, or is
-// stopped, finds its timers due when it goes on; without care they end an
-// exchange whose answer lies ready.
+// Package netconn provides connections on which data that has already been received
+// takes precedence over an expired deadline. When a process has been stopped or
+// starved of processor time, its timers fire as soon as it resumes and would end an
+// exchange whose answer is already in the socket buffer.
 package netconn
 
 import (
@@ -15,29 +15,29 @@
 	"time"
 )
 
-// longAgo is a deadline that has passed.
+// pastDeadline is a deadline that has passed.
 var pastDeadline = time.Unix(1, 0)
 
-// maxLateBytes are read behind one deadline at the most, so that an endpoint
-// which never stops sending can't hold a request past its time.
+// maxLateBytes bounds the bytes that are read after a deadline, so that an endpoint
+// which sends without end can't keep a request running past its deadline.
 const maxLateBytes = 1 << 20
 
-// Conn is a TCP connection whose reads prefer bytes that have arrived to a
-// deadline that has passed. The net.Conn methods are those of its connection.
+// Conn is a TCP connection whose reads return received data even after the deadline
+// has passed. All methods not defined here are those of the wrapped connection.
 type Conn struct {
 	net.Conn
 
 	mu      sync.Mutex
 	expired bool
-	// late is how many bytes were read behind the present deadline.
+	// lateBytes is the number of bytes that were read after the current deadline.
 	lateBytes int
 }
 
 // New wraps a connection.
 func New(c net.Conn) *Conn { return &Conn{Conn: c} }
 
-// Read implements net.Conn. Behind the deadline it reads what has arrived, and
-// gives the deadline's error once nothing has.
+// Read implements net.Conn. After the deadline it returns data that has been
+// received, and the deadline error once there is none.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -52,8 +52,8 @@
 	return 0, err
 }
 
-// arrived reads once without waiting. ready is false if nothing was there; with
-// ready, an n of 0 is the connection's end.
+// readAvailable reads once without blocking. ready is false if nothing could be
+// read; if ready is true, n = 0 means the end of the connection.
 func (c *Conn) readAvailable(b []byte) (n int, ready bool) {
 	raw, err := c.SyscallConn()
 	if err != nil || len(b) == 0 {
@@ -61,7 +61,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// A deadline that has passed forbids the read below, too.
+	// The read below fails as well while an expired deadline is set.
 	if c.lateBytes == maxLateBytes || c.Conn.SetReadDeadline(time.Time{}) != nil {
 		return 0, false
 	}
@@ -79,8 +79,8 @@
 	return n, true
 }
 
-// Expire ends the time of all reads, those under way and those to come: they
-// give what has arrived and then the deadline's error.
+// Expire expires the deadline of all pending and future reads and writes. Reads
+// return received data and then the deadline error.
 func (c *Conn) Expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,8 +88,8 @@
 	_ = c.Conn.SetDeadline(pastDeadline) // fails on a closed connection only
 }
 
-// EndWith ends the connection with ctx: at once where its caller left, by Expire
-// where its deadline passed. stop undoes it as context.AfterFunc's does.
+// EndWith closes the connection when ctx is cancelled, and calls Expire when the
+// deadline of ctx passes. stop works as that of context.AfterFunc.
 func (c *Conn) EndWith(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -100,7 +100,7 @@
 	})
 }
 
-// SetReadDeadline implements net.Conn. It changes nothing behind Expire.
+// SetReadDeadline implements net.Conn. It has no effect after Expire.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +111,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline implements net.Conn. It changes nothing behind Expire.
+// SetDeadline implements net.Conn. It has no effect after Expire.
 func (c *Conn) SetDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// pair returns both ends of a connection, the first one wrapped.
+// pair returns both ends of a connection; the first one is wrapped in a Conn.
 func pair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	is := is.New(t)
@@ -31,8 +31,8 @@
 	return New(dialled), accepted
 }
 
-// awaitArrival waits until bytes, or the end, lie in the connection's socket,
-// whatever its deadline.
+// awaitReadable waits until data or the end of the stream has been received by the
+// socket, independent of the connection's deadline.
 func awaitReadable(t *testing.T, c *Conn) {
 	t.Helper()
 	is := is.New(t)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestAnAnswerThatHasArrivedGoesBeforeADeadline: the process was held up past
-// the deadline while the answer came.
+// TestReceivedDataTakesPrecedenceOverDeadline guards against losing an answer that
+// arrived while the process was stalled past the deadline.
 func TestReceivedDataTakesPrecedenceOverDeadline(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
@@ -61,12 +61,12 @@
 	is.NoErr(err)
 	is.Equal(string(b[:n]), "answer")
 
-	_, err = c.Read(b[:]) // the deadline stands where nothing has arrived
+	_, err = c.Read(b[:]) // without received data the deadline applies
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// TestAnEndThatHasArrivedGoesBeforeADeadline: an answer without a length ends
-// with its connection.
+// TestReceivedEOFTakesPrecedenceOverDeadline checks the end of the connection, which
+// also ends an answer without a length.
 func TestReceivedEOFTakesPrecedenceOverDeadline(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
@@ -77,8 +77,8 @@
 	is.Equal(err, io.EOF)
 }
 
-// TestAFloodEndsWithItsDeadline: an endpoint that never stops sending must not
-// hold a request past its time for longer than what lies in a socket takes.
+// TestReadsAfterDeadlineAreBounded guards against an endpoint that sends without end
+// and so keeps a request running past its deadline.
 func TestReadsAfterDeadlineAreBounded(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
@@ -104,7 +104,7 @@
 	}
 	is.Equal(got, maxLateBytes)
 
-	is.NoErr(c.SetReadDeadline(time.Time{})) // new time, new bytes
+	is.NoErr(c.SetReadDeadline(time.Time{})) // a new deadline resets the bound
 	_, err := c.Read(b)
 	is.NoErr(err)
 }
@@ -116,7 +116,7 @@
 	is.NoErr(err)
 	awaitReadable(t, c)
 	c.Expire()
-	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Hour))) // no reader waits on
+	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Hour))) // has no effect after Expire
 	var b [16]byte
 	n, err := c.Read(b[:])
 	is.NoErr(err)
@@ -127,8 +127,8 @@
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// TestADeadlineOfTheContextKeepsWhatHasArrived, while a caller who left needs
-// nothing any more.
+// TestContextDeadlineKeepsReceivedData checks that received data can be read after
+// the deadline of the context, and that cancelling the context closes the connection.
 func TestContextDeadlineKeepsReceivedData(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
--- a/endpoint/netconn/dial.go
+++ b/endpoint/netconn/dial.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// lateAfter is how far behind its limit a dial ends only where this process was
-// held up.
+// lateThreshold is the delay past its timeout with which a dial ends only if this
+// process was stalled.
 const lateThreshold = 20 * time.Millisecond
 
-// Dialer opens connections. Its Timeout must be set.
+// Dialer opens connections. Timeout must be set.
 type Dialer struct {
 	net.Dialer
-	// now is the clock; nil for the system's.
+	// now is the clock; nil means time.Now.
 	now func() time.Time
 }
 
-// Dial opens a TCP connection. Where its limit struck late, the connection may
-// have been made meanwhile, so it is dialled once more.
+// Dial opens a TCP connection. If the timeout fired late because this process was
+// stalled, the endpoint may have answered in time, so Dial tries once more.
 func (d *Dialer) Dial(ctx context.Context, address string) (*Conn, error) {
-	began := d.currentTime()
+	start := d.currentTime()
 	conn, err := d.DialContext(ctx, "tcp", address)
-	if err != nil && ctx.Err() == nil && d.timedOutLate(began, err) {
+	if err != nil && ctx.Err() == nil && d.timedOutLate(start, err) {
 		conn, err = d.DialContext(ctx, "tcp", address)
 	}
 	if err != nil {
@@ -32,11 +32,12 @@
 	return New(conn), nil
 }
 
-// late says whether a dial ended by its limit, and well behind it.
-func (d *Dialer) timedOutLate(began time.Time, err error) bool {
+// timedOutLate reports whether a dial timed out more than lateThreshold after its
+// timeout.
+func (d *Dialer) timedOutLate(start time.Time, err error) bool {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
-	return timedOut && d.currentTime().Sub(began) > d.Timeout+lateThreshold
+	return timedOut && d.currentTime().Sub(start) > d.Timeout+lateThreshold
 }
 
 func (d *Dialer) currentTime() time.Time {
--- a/endpoint/netconn/dial_test.go
+++ b/endpoint/netconn/dial_test.go
@@ -12,8 +12,8 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// countDials dials an address that answers nothing, by a clock that shows how
-// long each dial took, and counts the attempts.
+// countDials dials an address that does not answer and returns the number of
+// attempts. By the test's clock each attempt takes the given time.
 func countDials(t *testing.T, took time.Duration) int {
 	t.Helper()
 	is := is.New(t)
@@ -35,8 +35,8 @@
 	return dials
 }
 
-// TestADialThatWasHeldUpIsMadeAgain: the limit struck while this process got no
-// processor, not because the endpoint was silent.
+// TestDelayedDialIsRetried checks that a dial is repeated if its timeout fired late,
+// because this process was stalled, and only then.
 func TestDelayedDialIsRetried(t *testing.T) {
 	is := is.New(t)
 	is.Equal(countDials(t, 500*time.Millisecond), 2)
--- a/endpoint/netconn/write.go
+++ b/endpoint/netconn/write.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// WriteRequest writes a request. sent says whether a byte of it was handed to
-// the connection: where none was, the request has certainly not run.
+// WriteRequest writes a request. sent reports whether any byte of it was written to
+// the connection: if none was, the request has certainly not run.
 func (c *Conn) WriteRequest(req *fasthttp.Request) (sent bool, err error) {
 	counter := &countingWriter{dst: c}
 	writer := bufio.NewWriter(counter)
@@ -19,7 +19,7 @@
 	return counter.written > 0, err
 }
 
-// countingWriter counts the bytes that were handed on.
+// countingWriter counts the bytes that are written to dst.
 type countingWriter struct {
 	dst     io.Writer
 	written int
