--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// pair returns both ends of a connection, the first one wrapped.
+// pair returns both ends of a connection; the first one is wrapped in a Conn.
 func pair(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	is := is.New(t)
@@ -31,9 +31,9 @@
 	return New(dialled), accepted
 }
 
-// awaitArrival waits until bytes, or the end, lie in the connection's socket,
-// whatever its deadline.
-func awaitArrival(t *testing.T, c *Conn) {
+// awaitReadable waits until data or the end of the stream has been received by the
+// socket, independent of the connection's deadline.
+func awaitReadable(t *testing.T, c *Conn) {
 	t.Helper()
 	is := is.New(t)
 	raw, err := c.SyscallConn()
@@ -47,39 +47,39 @@
 	}
 }
 
-// TestAnAnswerThatHasArrivedGoesBeforeADeadline: the process was held up past
-// the deadline while the answer came.
-func TestAnAnswerThatHasArrivedGoesBeforeADeadline(t *testing.T) {
+// TestReceivedDataTakesPrecedenceOverDeadline guards against losing an answer that
+// arrived while the process was stalled past the deadline.
+func TestReceivedDataTakesPrecedenceOverDeadline(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	_, err := other.Write([]byte("answer"))
 	is.NoErr(err)
-	awaitArrival(t, c)
-	is.NoErr(c.SetReadDeadline(longAgo))
+	awaitReadable(t, c)
+	is.NoErr(c.SetReadDeadline(pastDeadline))
 	var b [16]byte
 	n, err := c.Read(b[:])
 	is.NoErr(err)
 	is.Equal(string(b[:n]), "answer")
 
-	_, err = c.Read(b[:]) // the deadline stands where nothing has arrived
+	_, err = c.Read(b[:]) // without received data the deadline applies
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// TestAnEndThatHasArrivedGoesBeforeADeadline: an answer without a length ends
-// with its connection.
-func TestAnEndThatHasArrivedGoesBeforeADeadline(t *testing.T) {
+// TestReceivedEOFTakesPrecedenceOverDeadline checks the end of the connection, which
+// also ends an answer without a length.
+func TestReceivedEOFTakesPrecedenceOverDeadline(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	is.NoErr(other.Close())
-	awaitArrival(t, c)
-	is.NoErr(c.SetReadDeadline(longAgo))
+	awaitReadable(t, c)
+	is.NoErr(c.SetReadDeadline(pastDeadline))
 	_, err := c.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
 }
 
-// TestAFloodEndsWithItsDeadline: an endpoint that never stops sending must not
-// hold a request past its time for longer than what lies in a socket takes.
-func TestAFloodEndsWithItsDeadline(t *testing.T) {
+// TestReadsAfterDeadlineAreBounded guards against an endpoint that sends without end
+// and so keeps a request running past its deadline.
+func TestReadsAfterDeadlineAreBounded(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	go func() {
@@ -90,11 +90,11 @@
 			}
 		}
 	}()
-	is.NoErr(c.SetReadDeadline(longAgo))
+	is.NoErr(c.SetReadDeadline(pastDeadline))
 	got := 0
 	b := make([]byte, 4096)
 	for got <= maxLateBytes {
-		awaitArrival(t, c)
+		awaitReadable(t, c)
 		n, err := c.Read(b)
 		if err != nil {
 			is.True(errors.Is(err, os.ErrDeadlineExceeded))
@@ -104,19 +104,19 @@
 	}
 	is.Equal(got, maxLateBytes)
 
-	is.NoErr(c.SetReadDeadline(time.Time{})) // new time, new bytes
+	is.NoErr(c.SetReadDeadline(time.Time{})) // a new deadline resets the bound
 	_, err := c.Read(b)
 	is.NoErr(err)
 }
 
-func TestAnExpiredConnectionGivesWhatHasArrived(t *testing.T) {
+func TestExpiredConnectionReturnsReceivedData(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	_, err := other.Write([]byte("an"))
 	is.NoErr(err)
-	awaitArrival(t, c)
+	awaitReadable(t, c)
 	c.Expire()
-	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Hour))) // no reader waits on
+	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Hour))) // has no effect after Expire
 	var b [16]byte
 	n, err := c.Read(b[:])
 	is.NoErr(err)
@@ -127,15 +127,15 @@
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// TestADeadlineOfTheContextKeepsWhatHasArrived, while a caller who left needs
-// nothing any more.
-func TestADeadlineOfTheContextKeepsWhatHasArrived(t *testing.T) {
+// TestContextDeadlineKeepsReceivedData checks that received data can be read after
+// the deadline of the context, and that cancelling the context closes the connection.
+func TestContextDeadlineKeepsReceivedData(t *testing.T) {
 	is := is.New(t)
 	c, other := pair(t)
 	_, err := other.Write([]byte("answer"))
 	is.NoErr(err)
-	awaitArrival(t, c)
-	ctx, cancel := context.WithDeadline(context.Background(), longAgo)
+	awaitReadable(t, c)
+	ctx, cancel := context.WithDeadline(context.Background(), pastDeadline)
 	defer cancel()
 	is.True(!c.EndWith(ctx)())
 	var b [16]byte
@@ -152,7 +152,7 @@
 	is.Equal(err, io.EOF)
 }
 
-func TestExpireEndsAReadThatWaits(t *testing.T) {
+func TestExpireUnblocksRead(t *testing.T) {
 	is := is.New(t)
 	c, _ := pair(t)
 	ended := make(chan error, 1)
