--- a/standin/engine.go
+++ b/standin/engine.go
@@ -128,11 +128,11 @@
 // Start listens at addr.
 func (e *Engine) Start(addr string) (*Server, error) {
 	return e.start(addr, &standIn{
-		faults:   e.faults,
-		serve:    e.serve,
-		inject:   e.Inject,
-		counters: func() any { return e.Counters() },
-		losable:  func(ctx *fasthttp.RequestCtx) bool { return ctx.IsPost() && !isPull(ctx) },
+		faults:         e.faults,
+		serve:          e.serve,
+		inject:         e.Inject,
+		counters:       func() any { return e.Counters() },
+		replyCanBeLost: func(ctx *fasthttp.RequestCtx) bool { return ctx.IsPost() && !isPull(ctx) },
 	})
 }
 
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -29,11 +29,11 @@
 // Start listens at addr.
 func (h *HostList) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
-		faults:   h.faults,
-		serve:    h.serve,
-		inject:   h.Inject,
-		counters: func() any { return h.Counters() },
-		losable:  func(*fasthttp.RequestCtx) bool { return false },
+		faults:         h.faults,
+		serve:          h.serve,
+		inject:         h.Inject,
+		counters:       func() any { return h.Counters() },
+		replyCanBeLost: func(*fasthttp.RequestCtx) bool { return false },
 	})
 }
 
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -34,11 +34,11 @@
 // Start listens at addr.
 func (o *Objects) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
-		faults:   o.faults,
-		serve:    o.serve,
-		inject:   o.Inject,
-		counters: func() any { return o.Counters() },
-		losable:  func(ctx *fasthttp.RequestCtx) bool { return ctx.IsPut() },
+		faults:         o.faults,
+		serve:          o.serve,
+		inject:         o.Inject,
+		counters:       func() any { return o.Counters() },
+		replyCanBeLost: func(ctx *fasthttp.RequestCtx) bool { return ctx.IsPut() },
 	})
 }
 
--- a/standin/plainservice.go
+++ b/standin/plainservice.go
@@ -77,11 +77,11 @@
 // Start listens at addr.
 func (p *PlainService) Start(addr string) (*Server, error) {
 	return p.start(addr, &standIn{
-		faults:   p.faults,
-		serve:    p.serve,
-		inject:   p.Inject,
-		counters: func() any { return p.Counters() },
-		losable:  func(ctx *fasthttp.RequestCtx) bool { return !isProbe(string(ctx.Path())) },
+		faults:         p.faults,
+		serve:          p.serve,
+		inject:         p.Inject,
+		counters:       func() any { return p.Counters() },
+		replyCanBeLost: func(ctx *fasthttp.RequestCtx) bool { return !isProbe(string(ctx.Path())) },
 	})
 }
 
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -15,7 +15,7 @@
 	// counters returns what the control path shows.
 	counters func() any
 	// losable tells whether the reply of a call may be lost.
-	losable func(ctx *fasthttp.RequestCtx) bool
+	replyCanBeLost func(ctx *fasthttp.RequestCtx) bool
 	// process, if set, is the process that takes calls now: a call that hangs
 	// is lost when it ends.
 	process func() process
@@ -39,7 +39,7 @@
 	state := s.faults.state()
 	pause(nil, state.delay)
 	succeeded := ctx.Response.StatusCode() < fasthttp.StatusBadRequest
-	if succeeded && s.losable(ctx) && s.faults.draw(state.loseReplies) {
+	if succeeded && s.replyCanBeLost(ctx) && s.faults.draw(state.loseReplies) {
 		cut(ctx)
 	}
 }
--- a/standin/table_serve.go
+++ b/standin/table_serve.go
@@ -14,11 +14,11 @@
 // Start listens at addr.
 func (t *Table) Start(addr string) (*Server, error) {
 	in := &standIn{
-		faults:   t.faults,
-		serve:    t.serve,
-		inject:   t.Inject,
-		counters: func() any { return t.Counters() },
-		losable:  func(ctx *fasthttp.RequestCtx) bool { return string(ctx.Path()) == wire.PathTransact },
+		faults:         t.faults,
+		serve:          t.serve,
+		inject:         t.Inject,
+		counters:       func() any { return t.Counters() },
+		replyCanBeLost: func(ctx *fasthttp.RequestCtx) bool { return string(ctx.Path()) == wire.PathTransact },
 	}
 	return startStandIn(addr, in)
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -39,11 +39,11 @@
 // Start listens at addr.
 func (w *Weights) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
-		faults:   w.faults,
-		serve:    w.serve,
-		inject:   w.Inject,
-		counters: func() any { return w.Counters() },
-		losable:  func(*fasthttp.RequestCtx) bool { return true },
+		faults:         w.faults,
+		serve:          w.serve,
+		inject:         w.Inject,
+		counters:       func() any { return w.Counters() },
+		replyCanBeLost: func(*fasthttp.RequestCtx) bool { return true },
 	})
 }
 
