--- a/standin/engine.go
+++ b/standin/engine.go
@@ -220,7 +220,7 @@
 }
 
 // work is what every request in the engine has.
-type work struct {
+type engineRequest struct {
 	id     string
 	owner  owner
 	stage  string
@@ -233,7 +233,7 @@
 
 // abort answers a call whose work has ended early: a cancel is told, but the
 // end of the process breaks the connection, as it would.
-func (w *work) abort(ctx *fasthttp.RequestCtx, f *failure) {
+func (w *engineRequest) abort(ctx *fasthttp.RequestCtx, f *failure) {
 	if w.process.Err() != nil {
 		cut(ctx)
 		return
@@ -242,7 +242,7 @@
 }
 
 // newWork begins a request within a process.
-func newWork(m *memory, id string, o owner, stage string) work {
+func newWork(m *memory, id string, o owner, stage string) engineRequest {
 	ctx, cancel := context.WithCancel(m.proc.ctx)
-	return work{id: id, owner: o, stage: stage, since: time.Now(), ctx: ctx, cancel: cancel, process: m.proc.ctx}
+	return engineRequest{id: id, owner: o, stage: stage, since: time.Now(), ctx: ctx, cancel: cancel, process: m.proc.ctx}
 }
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -14,7 +14,7 @@
 
 // decode is an answer that is being written, or a finished one that is kept.
 type decode struct {
-	work
+	engineRequest
 	request wire.DecodeRequest
 	events  []wire.TokenEvent
 	// changed is closed and replaced on each event.
@@ -72,9 +72,9 @@
 		return nil, nil, refused(fasthttp.StatusTooManyRequests, wire.ErrorFull, "no free slot")
 	}
 	d := &decode{
-		work:    newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stageImport),
-		request: r,
-		changed: make(chan struct{}),
+		engineRequest: newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stageImport),
+		request:       r,
+		changed:       make(chan struct{}),
 	}
 	m.decodes[r.Request] = d
 	m.running++
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -12,7 +12,7 @@
 
 // prefill is a prompt that waits or is being read.
 type prefill struct {
-	work
+	engineRequest
 	request wire.PrefillRequest
 	arrival uint64
 	// done is closed once response or failure is set.
@@ -68,10 +68,10 @@
 	}
 	m.arrivals++
 	job := &prefill{
-		work:    newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stagePrefill),
-		request: r,
-		arrival: m.arrivals,
-		done:    make(chan struct{}),
+		engineRequest: newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stagePrefill),
+		request:       r,
+		arrival:       m.arrivals,
+		done:          make(chan struct{}),
 	}
 	m.prefills[r.Request] = job
 	heap.Push(&m.queue, job)
