--- a/standin/engine.go
+++ b/standin/engine.go
@@ -233,7 +233,7 @@
 
 // abort answers a call whose work has ended early: a cancel is told, but the
 // end of the process breaks the connection, as it would.
-func (w *engineRequest) abort(ctx *fasthttp.RequestCtx, f *failure) {
+func (w *engineRequest) replyAborted(ctx *fasthttp.RequestCtx, f *failure) {
 	if w.process.Err() != nil {
 		cut(ctx)
 		return
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -38,11 +38,11 @@
 	began := time.Now()
 	if f := e.importKV(d.ctx, d.id, r.Source); f != nil {
 		e.failImport(m, d)
-		d.abort(ctx, f)
+		d.replyAborted(ctx, f)
 		return
 	}
 	if !e.beginDecode(m, d) {
-		d.abort(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
+		d.replyAborted(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
 		return
 	}
 	stream := e.attach(d)
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -47,7 +47,7 @@
 	case <-job.done:
 		answer(ctx, job.response, job.failure)
 	default:
-		job.abort(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
+		job.replyAborted(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
 	}
 }
 
