--- a/standin/engine.go
+++ b/standin/engine.go
@@ -242,7 +242,7 @@
 }
 
 // newWork begins a request within a process.
-func newWork(m *memory, id string, o owner, stage string) engineRequest {
+func newEngineRequest(m *memory, id string, o owner, stage string) engineRequest {
 	ctx, cancel := context.WithCancel(m.proc.ctx)
 	return engineRequest{id: id, owner: o, stage: stage, since: time.Now(), ctx: ctx, cancel: cancel, process: m.proc.ctx}
 }
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -72,7 +72,7 @@
 		return nil, nil, refused(fasthttp.StatusTooManyRequests, wire.ErrorFull, "no free slot")
 	}
 	d := &decode{
-		engineRequest: newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stageImport),
+		engineRequest: newEngineRequest(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stageImport),
 		request:       r,
 		changed:       make(chan struct{}),
 	}
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -68,7 +68,7 @@
 	}
 	m.arrivals++
 	job := &prefill{
-		engineRequest: newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stagePrefill),
+		engineRequest: newEngineRequest(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stagePrefill),
 		request:       r,
 		arrival:       m.arrivals,
 		done:          make(chan struct{}),
