--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -134,7 +134,7 @@
 func (e *Engine) decodeLoop(m *memory, d *decode, transfer time.Duration) {
 	seed := xxhash.Sum64String(d.request.Prompt)
 	for seq := d.request.Continue + 1; seq <= d.request.MaxTokens; seq++ {
-		if !e.faults.work(d.ctx.Done(), e.pace(m)) {
+		if !e.faults.simulateWork(d.ctx.Done(), e.pace(m)) {
 			return
 		}
 		event := wire.TokenEvent{Request: d.id, Seq: seq, Text: answerToken(seed, seq)}
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -132,7 +132,7 @@
 	computed := tokens - cached
 	began := time.Now()
 	work := e.prefillTime(computed)
-	finished := e.faults.work(job.ctx.Done(), work)
+	finished := e.faults.simulateWork(job.ctx.Done(), work)
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/plainservice.go
+++ b/standin/plainservice.go
@@ -148,7 +148,7 @@
 		refusal.write(ctx)
 		return
 	}
-	finished := p.faults.work(proc.ctx.Done(), p.cfg.WorkTime)
+	finished := p.faults.simulateWork(proc.ctx.Done(), p.cfg.WorkTime)
 	p.finish(proc)
 	if !finished {
 		cut(ctx)
--- a/standin/work.go
+++ b/standin/work.go
@@ -4,7 +4,7 @@
 
 // work waits for as long as d of work takes; false if stop closed or the
 // stand-in ended first. A change of the slow fault holds for the work that is left.
-func (s *faults) work(stop <-chan struct{}, d time.Duration) bool {
+func (s *faults) simulateWork(stop <-chan struct{}, d time.Duration) bool {
 	for left := d; left > 0; {
 		s.mu.Lock()
 		slow, changed := s.current.slow, s.changed
