--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -139,7 +139,7 @@
 	m.busy = false
 	e.counters.PrefillTokensCached += int64(cached)
 	if !finished || job.ctx.Err() != nil {
-		e.abortPrefill(computed, workDone(time.Since(began), e.faults.state().slow), work)
+		e.abortPrefill(computed, completedWork(time.Since(began), e.faults.state().slow), work)
 		return
 	}
 	e.counters.PrefillTokens += int64(computed)
--- a/standin/work.go
+++ b/standin/work.go
@@ -16,7 +16,7 @@
 			return true
 		case <-changed:
 			timer.Stop()
-			left -= workDone(time.Since(began), slow)
+			left -= completedWork(time.Since(began), slow)
 		case <-stop:
 			timer.Stop()
 			return false
@@ -29,7 +29,7 @@
 }
 
 // workDone is the work that a time was enough for.
-func workDone(spent time.Duration, slow float64) time.Duration {
+func completedWork(spent time.Duration, slow float64) time.Duration {
 	if slow <= 0 {
 		return spent
 	}
