--- a/standin/faults.go
+++ b/standin/faults.go
@@ -149,7 +149,7 @@
 }
 
 // pause waits for d; false if stop closed first.
-func pause(stop <-chan struct{}, d time.Duration) bool {
+func sleep(stop <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -37,7 +37,7 @@
 	}
 	s.serve(ctx)
 	state := s.faults.state()
-	pause(nil, state.delay)
+	sleep(nil, state.delay)
 	succeeded := ctx.Response.StatusCode() < fasthttp.StatusBadRequest
 	if succeeded && s.replyCanBeLost(ctx) && s.faults.draw(state.loseReplies) {
 		cut(ctx)
--- a/standin/table_serve.go
+++ b/standin/table_serve.go
@@ -74,7 +74,7 @@
 	reservation := limiter.Reserve()
 	delay := reservation.Delay()
 	if delay <= maxQueueDelay {
-		pause(t.faults.closed, delay)
+		sleep(t.faults.closed, delay)
 		return nil
 	}
 	reservation.Cancel()
