--- a/standin/faults.go
+++ b/standin/faults.go
@@ -42,12 +42,12 @@
 func (s *faults) apply(f wire.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	set(&s.current.down, f.Down)
-	set(&s.current.hang, f.Hang)
-	set(&s.current.stall, f.StallTransfers)
-	set(&s.current.loseReplies, f.LoseReplies)
-	set(&s.current.staleReads, f.StaleReads)
-	set(&s.current.slow, f.Slow)
+	setIfPresent(&s.current.down, f.Down)
+	setIfPresent(&s.current.hang, f.Hang)
+	setIfPresent(&s.current.stall, f.StallTransfers)
+	setIfPresent(&s.current.loseReplies, f.LoseReplies)
+	setIfPresent(&s.current.staleReads, f.StaleReads)
+	setIfPresent(&s.current.slow, f.Slow)
 	if f.DelayMS != nil {
 		s.current.delay = time.Duration(*f.DelayMS) * time.Millisecond
 	}
@@ -59,7 +59,7 @@
 }
 
 // set copies a value that is given.
-func set[T any](to *T, from *T) {
+func setIfPresent[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
 	}
