--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -108,7 +108,7 @@
 }
 
 // stamp sets the incarnation header of a response.
-func stamp(ctx *fasthttp.RequestCtx, incarnation uint64) {
+func setIncarnationHeader(ctx *fasthttp.RequestCtx, incarnation uint64) {
 	ctx.Response.Header.Set(wire.HeaderIncarnation, strconv.FormatUint(incarnation, 10))
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -172,7 +172,7 @@
 
 // serve handles a call.
 func (e *Engine) serve(ctx *fasthttp.RequestCtx) {
-	stamp(ctx, e.Incarnation())
+	setIncarnationHeader(ctx, e.Incarnation())
 	handler := e.route(string(ctx.Method()), string(ctx.Path()))
 	if handler == nil {
 		notFound(ctx)
--- a/standin/plainservice.go
+++ b/standin/plainservice.go
@@ -117,7 +117,7 @@
 
 // serve handles a call.
 func (p *PlainService) serve(ctx *fasthttp.RequestCtx) {
-	stamp(ctx, p.Incarnation())
+	setIncarnationHeader(ctx, p.Incarnation())
 	switch string(ctx.Path()) {
 	case wire.PathLoad:
 		setJSON(ctx, p.report())
