--- a/standin/engine.go
+++ b/standin/engine.go
@@ -235,7 +235,7 @@
 // end of the process breaks the connection, as it would.
 func (w *engineRequest) replyAborted(ctx *fasthttp.RequestCtx, f *failure) {
 	if w.process.Err() != nil {
-		cut(ctx)
+		resetConnection(ctx)
 		return
 	}
 	f.write(ctx)
--- a/standin/plainservice.go
+++ b/standin/plainservice.go
@@ -151,7 +151,7 @@
 	finished := p.faults.simulateWork(proc.ctx.Done(), p.cfg.WorkTime)
 	p.finish(proc)
 	if !finished {
-		cut(ctx)
+		resetConnection(ctx)
 		return
 	}
 	ctx.SetContentType("text/plain")
--- a/standin/server.go
+++ b/standin/server.go
@@ -198,7 +198,7 @@
 }
 
 // cut resets the connection of a call, so that its reply is lost.
-func cut(ctx *fasthttp.RequestCtx) {
+func resetConnection(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*trackedConn); ok {
 		c.reset()
 	}
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if !s.faults.waitHang(s.ended()) {
-		cut(ctx)
+		resetConnection(ctx)
 		return
 	}
 	if s.faults.state().down {
@@ -40,7 +40,7 @@
 	sleep(nil, state.delay)
 	succeeded := ctx.Response.StatusCode() < fasthttp.StatusBadRequest
 	if succeeded && s.replyCanBeLost(ctx) && s.faults.draw(state.loseReplies) {
-		cut(ctx)
+		resetConnection(ctx)
 	}
 }
 
