--- a/standin/engine_cancel.go
+++ b/standin/engine_cancel.go
@@ -10,7 +10,7 @@
 // serveCancel ends a request in whatever state it is.
 func (e *Engine) serveCancel(ctx *fasthttp.RequestCtx) {
 	var r wire.CancelRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -26,7 +26,7 @@
 // serveDecode takes a slot, imports the KV cache and streams the answer.
 func (e *Engine) serveDecode(ctx *fasthttp.RequestCtx) {
 	var r wire.DecodeRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -99,7 +99,7 @@
 // serveRelease frees an exported KV cache.
 func (e *Engine) serveRelease(ctx *fasthttp.RequestCtx) {
 	var r wire.ReleaseRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
@@ -116,7 +116,7 @@
 // servePull answers another engine's pull.
 func (e *Engine) servePull(ctx *fasthttp.RequestCtx) {
 	var r pullRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -45,7 +45,7 @@
 // serveOrder takes an order.
 func (e *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	var o wire.Order
-	if f := parse(ctx, &o); f != nil {
+	if f := decodeBody(ctx, &o); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -24,7 +24,7 @@
 // servePrefill handles a prefill order and waits for its end.
 func (e *Engine) servePrefill(ctx *fasthttp.RequestCtx) {
 	var r wire.PrefillRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/platform_control.go
+++ b/standin/platform_control.go
@@ -110,7 +110,7 @@
 // inject applies a fault that came as a body.
 func (c controlStarter) inject(ctx *fasthttp.RequestCtx) {
 	var fault wire.Fault
-	if f := parse(ctx, &fault); f != nil {
+	if f := decodeBody(ctx, &fault); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -63,7 +63,7 @@
 }
 
 // parse reads the JSON body of a call.
-func parse(ctx *fasthttp.RequestCtx, into any) *failure {
+func decodeBody(ctx *fasthttp.RequestCtx, into any) *failure {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
 		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "unreadable body: "+err.Error())
 	}
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -59,7 +59,7 @@
 		return
 	}
 	var fault wire.Fault
-	if f := parse(ctx, &fault); f != nil {
+	if f := decodeBody(ctx, &fault); f != nil {
 		f.write(ctx)
 		return
 	}
--- a/standin/table_serve.go
+++ b/standin/table_serve.go
@@ -39,7 +39,7 @@
 // serveTransact handles a transaction.
 func (t *Table) serveTransact(ctx *fasthttp.RequestCtx) {
 	var tx wire.Transaction
-	if f := parse(ctx, &tx); f != nil {
+	if f := decodeBody(ctx, &tx); f != nil {
 		f.write(ctx)
 		return
 	}
@@ -57,7 +57,7 @@
 // serveRead handles a read.
 func (t *Table) serveRead(ctx *fasthttp.RequestCtx) {
 	var r wire.ReadRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
