--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -35,7 +35,7 @@
 	}
 	select {
 	case <-job.done:
-		answer(ctx, job.response, job.failure)
+		writeReply(ctx, job.response, job.failure)
 	case <-job.ctx.Done():
 		e.answerAborted(ctx, job)
 	}
@@ -45,7 +45,7 @@
 func (e *Engine) answerAborted(ctx *fasthttp.RequestCtx, job *prefill) {
 	select {
 	case <-job.done:
-		answer(ctx, job.response, job.failure)
+		writeReply(ctx, job.response, job.failure)
 	default:
 		job.replyAborted(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
 	}
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -43,7 +43,7 @@
 }
 
 // answer sends a value as JSON, or the failure if there is one.
-func answer(ctx *fasthttp.RequestCtx, value any, f *failure) {
+func writeReply(ctx *fasthttp.RequestCtx, value any, f *failure) {
 	if f != nil {
 		f.write(ctx)
 		return
