--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -37,12 +37,12 @@
 	case <-job.done:
 		writeReply(ctx, job.response, job.failure)
 	case <-job.ctx.Done():
-		e.answerAborted(ctx, job)
+		e.replyPrefillAborted(ctx, job)
 	}
 }
 
 // answerAborted answers a prefill that was cancelled or lost to a crash.
-func (e *Engine) answerAborted(ctx *fasthttp.RequestCtx, job *prefill) {
+func (e *Engine) replyPrefillAborted(ctx *fasthttp.RequestCtx, job *prefill) {
 	select {
 	case <-job.done:
 		writeReply(ctx, job.response, job.failure)
