--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -60,12 +60,12 @@
 		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order's fencing number is old").write(ctx)
 		return
 	}
-	e.obey(o)
+	e.applyOrder(o)
 	setJSON(ctx, e.orders.response())
 }
 
 // obey begins the change that an order asks for. The caller holds mu.
-func (e *Engine) obey(o wire.Order) {
+func (e *Engine) applyOrder(o wire.Order) {
 	was := e.orders.now
 	e.orders.now = o
 	e.counters.Orders++
