--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -54,7 +54,7 @@
 	if id == "" {
 		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "request has no id")
 	}
-	if e.buried(id) {
+	if e.hasTombstone(id) {
 		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled")
 	}
 	if f := e.leavingRefusal(); f != nil {
@@ -74,7 +74,7 @@
 }
 
 // buried tells whether a tombstone stands for a request. The caller holds mu.
-func (e *Engine) buried(id string) bool {
+func (e *Engine) hasTombstone(id string) bool {
 	at, ok := e.memory.cancelled.Peek(id)
 	return ok && time.Since(at) < e.cfg.TombstoneLife
 }
