--- a/standin/engine.go
+++ b/standin/engine.go
@@ -152,7 +152,7 @@
 
 // crash replaces the memory by that of a new process. The caller holds mu.
 func (e *Engine) crash() {
-	e.loseMemory()
+	e.discardMemory()
 	e.restart()
 	e.memory = newMemory(e.cfg, e.proc)
 	e.noteLoad()
@@ -160,7 +160,7 @@
 }
 
 // loseMemory counts the prefill work that a crash destroys. The caller holds mu.
-func (e *Engine) loseMemory() {
+func (e *Engine) discardMemory() {
 	for _, kv := range e.memory.kvs {
 		kv.expiry.Stop()
 		e.counters.PrefillTokensWasted += int64(kv.computed)
