--- a/standin/engine.go
+++ b/standin/engine.go
@@ -144,7 +144,7 @@
 	if f.Crash {
 		e.crash()
 	}
-	e.noteLoad()
+	e.recordLoad()
 }
 
 // Crash ends the incarnation: all state and all connections are lost.
@@ -155,7 +155,7 @@
 	e.discardMemory()
 	e.restart()
 	e.memory = newMemory(e.cfg, e.proc)
-	e.noteLoad()
+	e.recordLoad()
 	go e.prefillLoop(e.memory)
 }
 
--- a/standin/engine_cancel.go
+++ b/standin/engine_cancel.go
@@ -73,7 +73,7 @@
 	delete(e.memory.prefills, id)
 	job.cancel()
 	e.memory.queue.remove(job)
-	e.noteLoad()
+	e.recordLoad()
 	return true
 }
 
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -79,7 +79,7 @@
 	m.decodes[r.Request] = d
 	m.running++
 	e.counters.MaxRunning = max(e.counters.MaxRunning, m.running)
-	e.noteLoad()
+	e.recordLoad()
 	return m, d, nil
 }
 
@@ -101,7 +101,7 @@
 		m.running--
 	}
 	d.forget()
-	e.noteLoad()
+	e.recordLoad()
 }
 
 // forget ends the work and frees the tokens.
@@ -190,7 +190,7 @@
 		m.finished[0] = nil
 		m.finished = m.finished[1:]
 	}
-	e.noteLoad()
+	e.recordLoad()
 	time.AfterFunc(e.cfg.FinishedLife, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -83,7 +83,7 @@
 	e.orders.ready = false
 	e.orders.change++
 	change := e.orders.change
-	e.noteLoad()
+	e.recordLoad()
 	time.AfterFunc(takes, func() { e.endChange(change) })
 }
 
@@ -95,5 +95,5 @@
 		return
 	}
 	e.orders.ready = true
-	e.noteLoad()
+	e.recordLoad()
 }
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -75,7 +75,7 @@
 	}
 	m.prefills[r.Request] = job
 	heap.Push(&m.queue, job)
-	e.noteLoad()
+	e.recordLoad()
 	select {
 	case m.queued <- struct{}{}:
 	default:
@@ -109,7 +109,7 @@
 			continue
 		}
 		m.busy = true
-		e.noteLoad()
+		e.recordLoad()
 		return job
 	}
 	return nil
@@ -147,7 +147,7 @@
 	job.response = e.export(m, job, tokens, cached)
 	delete(m.prefills, job.id)
 	close(job.done)
-	e.noteLoad()
+	e.recordLoad()
 }
 
 // prefillTime is how long the reading of so many tokens takes.
@@ -158,7 +158,7 @@
 // abortPrefill counts the share of a prefill that was done in vain. The caller
 // holds mu.
 func (e *Engine) abortPrefill(tokens int, spent, work time.Duration) {
-	e.noteLoad()
+	e.recordLoad()
 	if work <= 0 {
 		return
 	}
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -101,7 +101,7 @@
 }
 
 // noteLoad keeps the report of now, to be shown later. The caller holds mu.
-func (e *Engine) noteLoad() { e.load.set(time.Now(), e.currentLoad()) }
+func (e *Engine) recordLoad() { e.load.set(time.Now(), e.currentLoad()) }
 
 // currentLoad is the report of now. Model and role are empty while a change runs.
 func (e *Engine) currentLoad() wire.LoadReport {
