--- a/standin/engine.go
+++ b/standin/engine.go
@@ -100,23 +100,23 @@
 // Engine is a model engine. Its mutex, that of endpoint, guards all state.
 type Engine struct {
 	*endpoint
-	cfg      EngineConfig
-	memory   *memory
-	orders   orderState
-	load     *lagged[wire.LoadReport]
-	decoded  runCounter
-	counters EngineCounters
-	pulls    *fasthttp.Client
+	cfg        EngineConfig
+	memory     *memory
+	orders     orderState
+	load       *lagged[wire.LoadReport]
+	decoded    runCounter
+	counters   EngineCounters
+	pullClient *fasthttp.Client
 }
 
 // NewEngine returns an engine.
 func NewEngine(cfg EngineConfig) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
-		endpoint: newEndpoint(cfg.Seed, cfg.RestartDelay, cfg.LeaveGrace),
-		cfg:      cfg,
-		decoded:  newRunCounter(),
-		pulls:    newPullClient(),
+		endpoint:   newEndpoint(cfg.Seed, cfg.RestartDelay, cfg.LeaveGrace),
+		cfg:        cfg,
+		decoded:    newRunCounter(),
+		pullClient: newPullClient(),
 	}
 	e.orders = newOrderState(cfg)
 	e.memory = newMemory(cfg, e.proc)
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -164,7 +164,7 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + address + pathPull)
 	req.SetBodyRaw(body)
-	if err := e.pulls.DoTimeout(req, resp, pullTimeout); err != nil {
+	if err := e.pullClient.DoTimeout(req, resp, pullTimeout); err != nil {
 		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache's engine can't be reached: "+err.Error())
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
