--- a/standin/engine.go
+++ b/standin/engine.go
@@ -104,7 +104,7 @@
 	memory     *memory
 	orders     orderState
 	load       *lagged[wire.LoadReport]
-	decoded    runCounter
+	decodeRuns runCounter
 	counters   EngineCounters
 	pullClient *fasthttp.Client
 }
@@ -115,7 +115,7 @@
 	e := &Engine{
 		endpoint:   newEndpoint(cfg.Seed, cfg.RestartDelay, cfg.LeaveGrace),
 		cfg:        cfg,
-		decoded:    newRunCounter(),
+		decodeRuns: newRunCounter(),
 		pullClient: newPullClient(),
 	}
 	e.orders = newOrderState(cfg)
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -119,7 +119,7 @@
 	}
 	d.stage = stageDecode
 	e.counters.Decodes++
-	if e.decoded.add(d.id) > 1 {
+	if e.decodeRuns.add(d.id) > 1 {
 		e.counters.RanTwice++
 	}
 	if strings.Contains(d.request.Prompt, CrashMarker) {
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -52,7 +52,7 @@
 	c.Hanging = e.faults.hangingCalls()
 	c.Running = e.memory.running
 	c.KVHeld = len(e.memory.kvs)
-	c.DecodeRuns = e.decoded.list()
+	c.DecodeRuns = e.decodeRuns.list()
 	for id, d := range e.memory.decodes {
 		if d.stage != stageFinished && e.memory.cancelled.Contains(id) {
 			c.HeldAfterCancel++
