--- a/standin/engine_cancel.go
+++ b/standin/engine_cancel.go
@@ -39,7 +39,7 @@
 		if d.stage == stageFinished {
 			state = wire.CancelFinished
 		}
-		e.drop(e.memory, d)
+		e.dropDecode(e.memory, d)
 	}
 	return state
 }
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -88,11 +88,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counters.ImportsFailed++
-	e.drop(m, d)
+	e.dropDecode(m, d)
 }
 
 // drop forgets a request and frees its slot. The caller holds mu.
-func (e *Engine) drop(m *memory, d *decode) {
+func (e *Engine) dropDecode(m *memory, d *decode) {
 	if m.decodes[d.id] != d {
 		return
 	}
@@ -186,7 +186,7 @@
 	m.running--
 	m.finished = append(m.finished, d)
 	if len(m.finished) > finishedCount {
-		e.drop(m, m.finished[0])
+		e.dropDecode(m, m.finished[0])
 		m.finished[0] = nil
 		m.finished = m.finished[1:]
 	}
@@ -194,6 +194,6 @@
 	time.AfterFunc(e.cfg.FinishedLife, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.drop(m, d)
+		e.dropDecode(m, d)
 	})
 }
