--- a/standin/engine.go
+++ b/standin/engine.go
@@ -166,7 +166,7 @@
 		e.counters.PrefillTokensWasted += int64(kv.computed)
 	}
 	for _, d := range e.memory.decodes {
-		d.forget()
+		d.discard()
 	}
 }
 
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -100,12 +100,12 @@
 	if d.stage != stageFinished {
 		m.running--
 	}
-	d.forget()
+	d.discard()
 	e.recordLoad()
 }
 
 // forget ends the work and frees the tokens.
-func (d *decode) forget() {
+func (d *decode) discard() {
 	d.cancel()
 	d.events = nil
 }
