--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -64,11 +64,11 @@
 	if !e.orders.ready {
 		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is loading")
 	}
-	if e.orders.now.Role != role {
-		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's role is "+e.orders.now.Role)
+	if e.orders.current.Role != role {
+		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's role is "+e.orders.current.Role)
 	}
-	if model != "" && model != e.orders.now.Model {
-		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's model is "+e.orders.now.Model)
+	if model != "" && model != e.orders.current.Model {
+		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's model is "+e.orders.current.Model)
 	}
 	return nil
 }
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -9,8 +9,8 @@
 
 // orderState is what an engine was ordered to be. It outlives a crash.
 type orderState struct {
-	now   wire.Order
-	ready bool
+	current wire.Order
+	ready   bool
 	// change numbers the changes, so that an older one's end is ignored.
 	change int
 }
@@ -18,19 +18,19 @@
 // newOrderState is the state of an engine before its first order.
 func newOrderState(cfg EngineConfig) orderState {
 	return orderState{
-		now:   wire.Order{Model: cfg.Model, Adapter: cfg.Adapter, Version: cfg.Version, Role: cfg.Role},
-		ready: true,
+		current: wire.Order{Model: cfg.Model, Adapter: cfg.Adapter, Version: cfg.Version, Role: cfg.Role},
+		ready:   true,
 	}
 }
 
 // response is the state as a body.
 func (s orderState) response() wire.OrderResponse {
 	return wire.OrderResponse{
-		Fence:   s.now.Fence,
-		Model:   s.now.Model,
-		Adapter: s.now.Adapter,
-		Version: s.now.Version,
-		Role:    s.now.Role,
+		Fence:   s.current.Fence,
+		Model:   s.current.Model,
+		Adapter: s.current.Adapter,
+		Version: s.current.Version,
+		Role:    s.current.Role,
 		Ready:   s.ready,
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cfg.ChecksFencing && o.Fence < e.orders.now.Fence {
+	if e.cfg.ChecksFencing && o.Fence < e.orders.current.Fence {
 		e.counters.OrdersRefused++
 		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order's fencing number is old").write(ctx)
 		return
@@ -66,8 +66,8 @@
 
 // obey begins the change that an order asks for. The caller holds mu.
 func (e *Engine) applyOrder(o wire.Order) {
-	was := e.orders.now
-	e.orders.now = o
+	was := e.orders.current
+	e.orders.current = o
 	e.counters.Orders++
 	if o.Fence < was.Fence {
 		e.counters.OldFencesObeyed++
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -117,8 +117,8 @@
 		report.Running++
 	}
 	if e.orders.ready {
-		report.Model = e.orders.now.Model
-		report.Role = e.orders.now.Role
+		report.Model = e.orders.current.Model
+		report.Role = e.orders.current.Role
 	}
 	return report
 }
