--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -50,15 +50,15 @@
 		}
 		if c.blocks.Len() >= c.size {
 			oldest, _, _ := c.blocks.RemoveOldest()
-			c.note(now, oldest, false, f)
+			c.recordEvent(now, oldest, false, f)
 		}
 		c.blocks.Add(block, struct{}{})
-		c.note(now, block, true, f)
+		c.recordEvent(now, block, true, f)
 	}
 }
 
 // note numbers an event; one that falls into a gap is not kept.
-func (c *prefixCache) note(now time.Time, block uint64, stored bool, f *faults) {
+func (c *prefixCache) recordEvent(now time.Time, block uint64, stored bool, f *faults) {
 	c.number++
 	if f.draw(c.gap) {
 		return
