--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -14,12 +14,12 @@
 
 // prefixCache holds the blocks whose KV cache an engine still has.
 type prefixCache struct {
-	blocks *simplelru.LRU[uint64, struct{}]
-	size   int
-	lag    time.Duration
-	gap    float64
-	number uint64
-	log    []stamped[wire.CacheEventItem]
+	blocks     *simplelru.LRU[uint64, struct{}]
+	size       int
+	lag        time.Duration
+	gap        float64
+	lastNumber uint64
+	log        []stamped[wire.CacheEventItem]
 }
 
 // newPrefixCache returns an empty cache.
@@ -59,11 +59,11 @@
 
 // note numbers an event; one that falls into a gap is not kept.
 func (c *prefixCache) recordEvent(now time.Time, block uint64, stored bool, f *faults) {
-	c.number++
+	c.lastNumber++
 	if f.draw(c.gap) {
 		return
 	}
-	item := wire.CacheEventItem{Number: c.number, Block: block, Stored: stored}
+	item := wire.CacheEventItem{Number: c.lastNumber, Block: block, Stored: stored}
 	c.log = append(c.log, stamped[wire.CacheEventItem]{at: now, value: item})
 	if len(c.log) > cacheLogEvents {
 		c.log = c.log[len(c.log)-cacheLogEvents:]
