--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -17,7 +17,7 @@
 	blocks     *simplelru.LRU[uint64, struct{}]
 	size       int
 	lag        time.Duration
-	gap        float64
+	eventLoss  float64
 	lastNumber uint64
 	log        []stamped[wire.CacheEventItem]
 }
@@ -25,10 +25,10 @@
 // newPrefixCache returns an empty cache.
 func newPrefixCache(cfg EngineConfig) *prefixCache {
 	return &prefixCache{
-		blocks: newLRU[uint64, struct{}](cfg.CacheBlocks),
-		size:   cfg.CacheBlocks,
-		lag:    cfg.CacheLag,
-		gap:    cfg.CacheGap,
+		blocks:    newLRU[uint64, struct{}](cfg.CacheBlocks),
+		size:      cfg.CacheBlocks,
+		lag:       cfg.CacheLag,
+		eventLoss: cfg.CacheGap,
 	}
 }
 
@@ -60,7 +60,7 @@
 // note numbers an event; one that falls into a gap is not kept.
 func (c *prefixCache) recordEvent(now time.Time, block uint64, stored bool, f *faults) {
 	c.lastNumber++
-	if f.draw(c.gap) {
+	if f.draw(c.eventLoss) {
 		return
 	}
 	item := wire.CacheEventItem{Number: c.lastNumber, Block: block, Stored: stored}
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -152,9 +152,9 @@
 	is.Equal(len(events), 4) // three stored, one dropped
 	is.Equal(len(c.after(start.Add(time.Second), events[2].Number)), 1)
 
-	c.gap = 1
+	c.eventLoss = 1
 	c.store(start, []uint64{4}, f)
-	c.gap = 0
+	c.eventLoss = 0
 	c.store(start, []uint64{5}, f)
 	later := c.after(start.Add(time.Second), events[3].Number)
 	is.Equal(later[0].Number, events[3].Number+3) // the two events between were lost
