--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -71,7 +71,7 @@
 }
 
 // after lists the visible events behind a number.
-func (c *prefixCache) after(now time.Time, number uint64) []wire.CacheEventItem {
+func (c *prefixCache) eventsAfter(now time.Time, number uint64) []wire.CacheEventItem {
 	out := []wire.CacheEventItem{}
 	for _, e := range c.log {
 		if e.at.After(now.Add(-c.lag)) {
@@ -92,5 +92,5 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	setJSON(ctx, wire.CacheEvents{Events: e.memory.cache.after(time.Now(), after)})
+	setJSON(ctx, wire.CacheEvents{Events: e.memory.cache.eventsAfter(time.Now(), after)})
 }
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -147,15 +147,15 @@
 	c.store(start, []uint64{1, 2, 3}, f)
 	is.Equal(c.hits([]uint64{1}), 0) // dropped as the least recently used
 	is.Equal(c.hits([]uint64{2, 3}), 2)
-	is.Equal(len(c.after(start.Add(999*time.Millisecond), 0)), 0) // late
-	events := c.after(start.Add(time.Second), 0)
+	is.Equal(len(c.eventsAfter(start.Add(999*time.Millisecond), 0)), 0) // late
+	events := c.eventsAfter(start.Add(time.Second), 0)
 	is.Equal(len(events), 4) // three stored, one dropped
-	is.Equal(len(c.after(start.Add(time.Second), events[2].Number)), 1)
+	is.Equal(len(c.eventsAfter(start.Add(time.Second), events[2].Number)), 1)
 
 	c.eventLoss = 1
 	c.store(start, []uint64{4}, f)
 	c.eventLoss = 0
 	c.store(start, []uint64{5}, f)
-	later := c.after(start.Add(time.Second), events[3].Number)
+	later := c.eventsAfter(start.Add(time.Second), events[3].Number)
 	is.Equal(later[0].Number, events[3].Number+3) // the two events between were lost
 }
