--- a/standin/engine.go
+++ b/standin/engine.go
@@ -57,9 +57,9 @@
 	// CacheBlocks bounds the prefix cache, in blocks of package prefixhash.
 	CacheBlocks int
 	// CacheLag is how late cache events are; CacheGap is the share that is lost.
-	CacheLag time.Duration
-	CacheGap float64
-	LoadLag  time.Duration
+	CacheLag       time.Duration
+	CacheEventLoss float64
+	LoadLag        time.Duration
 	// LoadTime and RoleTime are how long the two kinds of orders take.
 	LoadTime, RoleTime time.Duration
 	// FinishedLife is how long a finished answer is kept for a resume.
--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -28,7 +28,7 @@
 		blocks:    newLRU[uint64, struct{}](cfg.CacheBlocks),
 		size:      cfg.CacheBlocks,
 		lag:       cfg.CacheLag,
-		eventLoss: cfg.CacheGap,
+		eventLoss: cfg.CacheEventLoss,
 	}
 }
 
