--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -191,7 +191,7 @@
 		m.finished = m.finished[1:]
 	}
 	e.recordLoad()
-	time.AfterFunc(e.cfg.FinishedLife, func() {
+	time.AfterFunc(e.cfg.FinishedLifetime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.dropDecode(m, d)
