--- a/standin/engine.go
+++ b/standin/engine.go
@@ -63,10 +63,10 @@
 	// LoadTime and RoleTime are how long the two kinds of orders take.
 	LoadTime, RoleTime time.Duration
 	// FinishedLife is how long a finished answer is kept for a resume.
-	FinishedLifetime time.Duration
-	TombstoneLife    time.Duration
-	RestartDelay     time.Duration
-	LeaveGrace       time.Duration
+	FinishedLifetime  time.Duration
+	TombstoneLifetime time.Duration
+	RestartDelay      time.Duration
+	LeaveGrace        time.Duration
 	// ChecksFencing makes it refuse orders with an old fencing number.
 	ChecksFencing bool
 	// Links that imports go over. Default: links of its own at 2 and 1 GB/s.
@@ -90,7 +90,7 @@
 	defaults.Set(&c.LoadTime, DefaultLoadTime)
 	defaults.Set(&c.RoleTime, DefaultRoleTime)
 	defaults.Set(&c.FinishedLifetime, DefaultFinishedLife)
-	defaults.Set(&c.TombstoneLife, DefaultTombstoneLife)
+	defaults.Set(&c.TombstoneLifetime, DefaultTombstoneLife)
 	if c.Links == nil {
 		c.Links = NewLinks(DefaultRateWithin, DefaultRateAcross)
 	}
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -76,5 +76,5 @@
 // buried tells whether a tombstone stands for a request. The caller holds mu.
 func (e *Engine) hasTombstone(id string) bool {
 	at, ok := e.memory.cancelled.Peek(id)
-	return ok && time.Since(at) < e.cfg.TombstoneLife
+	return ok && time.Since(at) < e.cfg.TombstoneLifetime
 }
