--- a/standin/engine.go
+++ b/standin/engine.go
@@ -22,7 +22,7 @@
 	DefaultCacheLag               = 50 * time.Millisecond
 	DefaultLoadTime               = 400 * time.Millisecond
 	DefaultRoleTime               = 100 * time.Millisecond
-	DefaultFinishedLife           = 10 * time.Second
+	DefaultFinishedLifetime       = 10 * time.Second
 	DefaultTombstoneLife          = time.Minute
 	// MaxAnswerTokens bounds the answer to one request.
 	MaxAnswerTokens     = 8192
@@ -89,7 +89,7 @@
 	defaults.Set(&c.LoadLag, DefaultLoadLag)
 	defaults.Set(&c.LoadTime, DefaultLoadTime)
 	defaults.Set(&c.RoleTime, DefaultRoleTime)
-	defaults.Set(&c.FinishedLifetime, DefaultFinishedLife)
+	defaults.Set(&c.FinishedLifetime, DefaultFinishedLifetime)
 	defaults.Set(&c.TombstoneLifetime, DefaultTombstoneLife)
 	if c.Links == nil {
 		c.Links = NewLinks(DefaultRateWithin, DefaultRateAcross)
