--- a/standin/engine.go
+++ b/standin/engine.go
@@ -23,7 +23,7 @@
 	DefaultLoadTime               = 400 * time.Millisecond
 	DefaultRoleTime               = 100 * time.Millisecond
 	DefaultFinishedLifetime       = 10 * time.Second
-	DefaultTombstoneLife          = time.Minute
+	DefaultTombstoneLifetime      = time.Minute
 	// MaxAnswerTokens bounds the answer to one request.
 	MaxAnswerTokens     = 8192
 	defaultAnswerTokens = 16
@@ -90,7 +90,7 @@
 	defaults.Set(&c.LoadTime, DefaultLoadTime)
 	defaults.Set(&c.RoleTime, DefaultRoleTime)
 	defaults.Set(&c.FinishedLifetime, DefaultFinishedLifetime)
-	defaults.Set(&c.TombstoneLifetime, DefaultTombstoneLife)
+	defaults.Set(&c.TombstoneLifetime, DefaultTombstoneLifetime)
 	if c.Links == nil {
 		c.Links = NewLinks(DefaultRateWithin, DefaultRateAcross)
 	}
