--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -70,7 +70,7 @@
 	e.orders.current = o
 	e.counters.Orders++
 	if o.Fence < was.Fence {
-		e.counters.OldFencesObeyed++
+		e.counters.StaleFencesApplied++
 	}
 	was.Fence = o.Fence
 	if o == was {
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -35,10 +35,10 @@
 	Hanging int   `json:"hanging"`
 	Crashes int64 `json:"crashes"`
 	// AfterLeave counts run orders that came after the leave grace.
-	AfterLeave      int64 `json:"after_leave"`
-	Orders          int64 `json:"orders"`
-	OrdersRefused   int64 `json:"orders_refused"`
-	OldFencesObeyed int64 `json:"old_fences_obeyed"`
+	AfterLeave         int64 `json:"after_leave"`
+	Orders             int64 `json:"orders"`
+	OrdersRefused      int64 `json:"orders_refused"`
+	StaleFencesApplied int64 `json:"old_fences_obeyed"`
 	// DecodeRuns holds how often each request was decoded here.
 	DecodeRuns []Runs `json:"decode_runs"`
 }
