--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -18,7 +18,7 @@
 	// DefaultLoadLag is how old a load report is.
 	DefaultLoadLag = 100 * time.Millisecond
 	// countedKeys bounds how many requests or keys an endpoint counts.
-	countedKeys = 1 << 16
+	maxCountedKeys = 1 << 16
 )
 
 // process is one start of an endpoint. It ends when the endpoint crashes.
--- a/standin/runs.go
+++ b/standin/runs.go
@@ -14,7 +14,7 @@
 }
 
 // newRunCounter returns an empty counter.
-func newRunCounter() runCounter { return runCounter{runs: newLRU[string, int](countedKeys)} }
+func newRunCounter() runCounter { return runCounter{runs: newLRU[string, int](maxCountedKeys)} }
 
 // newLRU returns a bounded map that forgets what was used least recently.
 func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
