--- a/standin/engine.go
+++ b/standin/engine.go
@@ -27,7 +27,7 @@
 	// MaxAnswerTokens bounds the answer to one request.
 	MaxAnswerTokens     = 8192
 	defaultAnswerTokens = 16
-	tombstoneCount      = 1 << 14
+	maxTombstones       = 1 << 14
 	finishedCount       = 512
 )
 
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -44,7 +44,7 @@
 		kvs:       map[string]*exportedKV{},
 		decodes:   map[string]*decode{},
 		cache:     newPrefixCache(cfg),
-		cancelled: newLRU[string, time.Time](tombstoneCount),
+		cancelled: newLRU[string, time.Time](maxTombstones),
 	}
 }
 
