--- a/standin/engine.go
+++ b/standin/engine.go
@@ -28,7 +28,7 @@
 	MaxAnswerTokens     = 8192
 	defaultAnswerTokens = 16
 	maxTombstones       = 1 << 14
-	finishedCount       = 512
+	maxFinished         = 512
 )
 
 // The roles of an engine, as in package live.
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -185,7 +185,7 @@
 	d.stage = stageFinished
 	m.running--
 	m.finished = append(m.finished, d)
-	if len(m.finished) > finishedCount {
+	if len(m.finished) > maxFinished {
 		e.dropDecode(m, m.finished[0])
 		m.finished[0] = nil
 		m.finished = m.finished[1:]
