--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -10,7 +10,7 @@
 )
 
 // cacheLogEvents bounds how many cache events an engine keeps.
-const cacheLogEvents = 8192
+const maxCacheEvents = 8192
 
 // prefixCache holds the blocks whose KV cache an engine still has.
 type prefixCache struct {
@@ -65,8 +65,8 @@
 	}
 	item := wire.CacheEventItem{Number: c.lastNumber, Block: block, Stored: stored}
 	c.log = append(c.log, stamped[wire.CacheEventItem]{at: now, value: item})
-	if len(c.log) > cacheLogEvents {
-		c.log = c.log[len(c.log)-cacheLogEvents:]
+	if len(c.log) > maxCacheEvents {
+		c.log = c.log[len(c.log)-maxCacheEvents:]
 	}
 }
 
