--- a/standin/table.go
+++ b/standin/table.go
@@ -19,7 +19,7 @@
 	defaultReadLimit   = 1000
 	treeDegree         = 32
 	// snapshots is how many earlier states a stale read may come from.
-	snapshots = 32
+	maxSnapshots = 32
 )
 
 // TableConfig sets up a Table; zero fields take the defaults.
@@ -119,7 +119,7 @@
 // snapshot keeps the state before a transaction for stale reads.
 func (t *Table) snapshot() {
 	t.earlier = append(t.earlier, t.rows.Clone())
-	if len(t.earlier) > snapshots {
+	if len(t.earlier) > maxSnapshots {
 		t.earlier[0] = nil
 		t.earlier = t.earlier[1:]
 	}
