--- a/standin/table.go
+++ b/standin/table.go
@@ -46,11 +46,11 @@
 	writes *rate.Limiter
 	reads  *rate.Limiter
 
-	mu       sync.Mutex
-	rows     *btree.BTreeG[wire.Row]
-	earlier  []*btree.BTreeG[wire.Row]
-	version  uint64
-	counters TableCounters
+	mu        sync.Mutex
+	rows      *btree.BTreeG[wire.Row]
+	snapshots []*btree.BTreeG[wire.Row]
+	version   uint64
+	counters  TableCounters
 }
 
 // NewTable returns an empty table.
@@ -118,10 +118,10 @@
 
 // snapshot keeps the state before a transaction for stale reads.
 func (t *Table) snapshot() {
-	t.earlier = append(t.earlier, t.rows.Clone())
-	if len(t.earlier) > maxSnapshots {
-		t.earlier[0] = nil
-		t.earlier = t.earlier[1:]
+	t.snapshots = append(t.snapshots, t.rows.Clone())
+	if len(t.snapshots) > maxSnapshots {
+		t.snapshots[0] = nil
+		t.snapshots = t.snapshots[1:]
 	}
 }
 
@@ -144,9 +144,9 @@
 	defer t.mu.Unlock()
 	t.counters.Reads++
 	tree := t.rows
-	if stale && len(t.earlier) > 0 {
+	if stale && len(t.snapshots) > 0 {
 		t.counters.StaleReads++
-		tree = t.earlier[t.faults.intN(len(t.earlier))]
+		tree = t.snapshots[t.faults.intN(len(t.snapshots))]
 	}
 	return wire.ReadResponse{Rows: append(readKeys(tree, r.Keys), readPrefix(tree, r)...)}
 }
