--- a/standin/engine.go
+++ b/standin/engine.go
@@ -25,10 +25,10 @@
 	DefaultFinishedLifetime       = 10 * time.Second
 	DefaultTombstoneLifetime      = time.Minute
 	// MaxAnswerTokens bounds the answer to one request.
-	MaxAnswerTokens     = 8192
-	defaultAnswerTokens = 16
-	maxTombstones       = 1 << 14
-	maxFinished         = 512
+	MaxAnswerTokens  = 8192
+	defaultMaxTokens = 16
+	maxTombstones    = 1 << 14
+	maxFinished      = 512
 )
 
 // The roles of an engine, as in package live.
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -61,7 +61,7 @@
 		return nil, nil, refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "max_tokens or continue is out of range")
 	}
 	if r.MaxTokens <= 0 {
-		r.MaxTokens = defaultAnswerTokens
+		r.MaxTokens = defaultMaxTokens
 	}
 	m := e.memory
 	if _, ok := m.decodes[r.Request]; ok {
