--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -11,7 +11,7 @@
 
 const (
 	// smallestBacklog leaves room for one connection that nobody accepts.
-	smallestBacklog = 0
+	minBacklog = 0
 	// fillTimeout bounds the attempt to connect that finds the backlog full.
 	fillTimeout = 100 * time.Millisecond
 	// maxFill bounds the connections that fill the backlog.
@@ -74,7 +74,7 @@
 	if err := syscall.Bind(fd, socket); err != nil {
 		return nil, err
 	}
-	if err := syscall.Listen(fd, smallestBacklog); err != nil {
+	if err := syscall.Listen(fd, minBacklog); err != nil {
 		return nil, err
 	}
 	return net.FileListener(file)
