--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -13,7 +13,7 @@
 	// smallestBacklog leaves room for one connection that nobody accepts.
 	minBacklog = 0
 	// fillTimeout bounds the attempt to connect that finds the backlog full.
-	fillTimeout = 100 * time.Millisecond
+	fillDialTimeout = 100 * time.Millisecond
 	// maxFill bounds the connections that fill the backlog.
 	maxFill = 8
 )
@@ -33,7 +33,7 @@
 	}
 	b := &FullBacklog{listener: listener}
 	for range maxFill {
-		conn, err := net.DialTimeout("tcp", b.Addr(), fillTimeout)
+		conn, err := net.DialTimeout("tcp", b.Addr(), fillDialTimeout)
 		if err != nil {
 			return b, nil
 		}
