--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -15,7 +15,7 @@
 	// fillTimeout bounds the attempt to connect that finds the backlog full.
 	fillDialTimeout = 100 * time.Millisecond
 	// maxFill bounds the connections that fill the backlog.
-	maxFill = 8
+	maxFillConns = 8
 )
 
 // FullBacklog is an address that answers no attempt to connect, as a host that
@@ -32,7 +32,7 @@
 		return nil, eris.Wrapf(err, "can't listen with a small backlog at %s", addr)
 	}
 	b := &FullBacklog{listener: listener}
-	for range maxFill {
+	for range maxFillConns {
 		conn, err := net.DialTimeout("tcp", b.Addr(), fillDialTimeout)
 		if err != nil {
 			return b, nil
@@ -40,7 +40,7 @@
 		b.waiting = append(b.waiting, conn)
 	}
 	b.Close()
-	return nil, eris.Errorf("the backlog at %s takes more than %d connections", addr, maxFill)
+	return nil, eris.Errorf("the backlog at %s takes more than %d connections", addr, maxFillConns)
 }
 
 // Addr is the address, host:port.
