--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -27,7 +27,7 @@
 
 // NewFullBacklog listens at addr, host:port; port 0 takes a free one.
 func NewFullBacklog(addr string) (*FullBacklog, error) {
-	listener, err := listenSmall(addr)
+	listener, err := listenMinBacklog(addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "can't listen with a small backlog at %s", addr)
 	}
@@ -55,7 +55,7 @@
 }
 
 // listenSmall listens with the smallest backlog, which package net can't set.
-func listenSmall(addr string) (net.Listener, error) {
+func listenMinBacklog(addr string) (net.Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
 		return nil, err
