--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -22,7 +22,7 @@
 // is without power or cut off. Attempts hang until they time out.
 type FullBacklog struct {
 	listener net.Listener
-	waiting  []net.Conn
+	conns    []net.Conn
 }
 
 // NewFullBacklog listens at addr, host:port; port 0 takes a free one.
@@ -37,7 +37,7 @@
 		if err != nil {
 			return b, nil
 		}
-		b.waiting = append(b.waiting, conn)
+		b.conns = append(b.conns, conn)
 	}
 	b.Close()
 	return nil, eris.Errorf("the backlog at %s takes more than %d connections", addr, maxFillConns)
@@ -49,7 +49,7 @@
 // Close ends it; attempts to connect are refused from then on.
 func (b *FullBacklog) Close() {
 	_ = b.listener.Close()
-	for _, conn := range b.waiting {
+	for _, conn := range b.conns {
 		_ = conn.Close()
 	}
 }
