--- a/standin/share.go
+++ b/standin/share.go
@@ -22,7 +22,7 @@
 }
 
 // endSlack is what rounding may leave of a transfer, in bytes.
-const endSlack = 1e-3
+const endToleranceBytes = 1e-3
 
 // join adds a transfer.
 func (s *share) join(now time.Duration, bytes int64) *shareItem {
@@ -59,7 +59,7 @@
 // next is when the next transfer ends if none joins; only with transfers.
 func (s *share) next() time.Duration {
 	left := s.items[0].target - s.served
-	if left <= endSlack {
+	if left <= endToleranceBytes {
 		return s.last
 	}
 	seconds := left * float64(len(s.items)) / s.rate
