--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -67,13 +67,13 @@
 	defer e.mu.Unlock()
 	list := wire.RequestList{Incarnation: e.proc.incarnation, Requests: []wire.RunningRequest{}}
 	for _, p := range e.memory.prefills {
-		list.Requests = append(list.Requests, listed(p.id, p.owner, p.stage, p.since))
+		list.Requests = append(list.Requests, newRunningRequest(p.id, p.owner, p.stage, p.since))
 	}
 	for _, kv := range e.memory.kvs {
-		list.Requests = append(list.Requests, listed(kv.id, kv.owner, stageKV, kv.since))
+		list.Requests = append(list.Requests, newRunningRequest(kv.id, kv.owner, stageKV, kv.since))
 	}
 	for _, d := range e.memory.decodes {
-		list.Requests = append(list.Requests, listed(d.id, d.owner, d.stage, d.since))
+		list.Requests = append(list.Requests, newRunningRequest(d.id, d.owner, d.stage, d.since))
 	}
 	sort.Slice(list.Requests, func(i, j int) bool {
 		a, b := list.Requests[i], list.Requests[j]
@@ -83,7 +83,7 @@
 }
 
 // listed is one entry of the list.
-func listed(id string, o owner, stage string, since time.Time) wire.RunningRequest {
+func newRunningRequest(id string, o owner, stage string, since time.Time) wire.RunningRequest {
 	return wire.RunningRequest{
 		Request:          id,
 		Owner:            o.name,
