--- a/standin/links.go
+++ b/standin/links.go
@@ -21,7 +21,7 @@
 
 // linkPath is the state of one path.
 type linkPath struct {
-	share share
+	share sharedLink
 	timer *time.Timer
 }
 
@@ -72,7 +72,7 @@
 	if key.from == key.to {
 		rate = l.within
 	}
-	p := &linkPath{share: share{rate: rate}}
+	p := &linkPath{share: sharedLink{rate: rate}}
 	l.paths[key] = p
 	return p
 }
--- a/standin/share.go
+++ b/standin/share.go
@@ -7,7 +7,7 @@
 
 // share is a link whose rate is shared equally by its transfers. It is a plain
 // state: the time goes in, the transfers that ended come out.
-type share struct {
+type sharedLink struct {
 	rate   float64 // bytes a second
 	last   time.Duration
 	served float64 // bytes that a transfer present from the start would have got
@@ -25,7 +25,7 @@
 const endToleranceBytes = 1e-3
 
 // join adds a transfer.
-func (s *share) join(now time.Duration, bytes int64) *shareItem {
+func (s *sharedLink) join(now time.Duration, bytes int64) *shareItem {
 	s.advance(now)
 	item := &shareItem{target: s.served + float64(bytes), done: make(chan struct{})}
 	heap.Push(&s.items, item)
@@ -33,7 +33,7 @@
 }
 
 // leave drops a transfer that did not end.
-func (s *share) leave(now time.Duration, item *shareItem) {
+func (s *sharedLink) leave(now time.Duration, item *shareItem) {
 	s.advance(now)
 	if item.index >= 0 {
 		heap.Remove(&s.items, item.index)
@@ -42,7 +42,7 @@
 
 // advance serves the transfers until now and ends those that are through. A
 // transfer that ends in between leaves its share to the others from then on.
-func (s *share) advance(now time.Duration) {
+func (s *sharedLink) advance(now time.Duration) {
 	for len(s.items) > 0 && s.next() <= now {
 		at := s.next()
 		item := heap.Pop(&s.items).(*shareItem)
@@ -57,7 +57,7 @@
 }
 
 // next is when the next transfer ends if none joins; only with transfers.
-func (s *share) next() time.Duration {
+func (s *sharedLink) next() time.Duration {
 	left := s.items[0].target - s.served
 	if left <= endToleranceBytes {
 		return s.last
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -13,7 +13,7 @@
 
 func TestTransfersShareTheRate(t *testing.T) {
 	is := is.New(t)
-	s := share{rate: 1000}
+	s := sharedLink{rate: 1000}
 	first := s.join(0, 1000)
 	second := s.join(500*time.Millisecond, 1000) // first has 500 bytes left
 	s.advance(1499 * time.Millisecond)
@@ -27,7 +27,7 @@
 
 func TestLeavingTransferGivesItsShareBack(t *testing.T) {
 	is := is.New(t)
-	s := share{rate: 1000}
+	s := sharedLink{rate: 1000}
 	stays := s.join(0, 1000)
 	leaves := s.join(0, 1000)
 	s.leave(time.Second, leaves)
@@ -56,7 +56,7 @@
 
 // shareEnds gives the step at which each transfer ends by share.
 func shareEnds(starts, sizes []int, rate float64, step time.Duration) []int {
-	s := share{rate: rate}
+	s := sharedLink{rate: rate}
 	items := make([]*shareItem, len(starts))
 	ends := make([]int, len(starts))
 	for left, now := len(starts), 0; left > 0; now++ {
