--- a/standin/share.go
+++ b/standin/share.go
@@ -15,7 +15,7 @@
 }
 
 // shareItem is one transfer; it ends when served reaches its target.
-type shareItem struct {
+type transfer struct {
 	target float64
 	done   chan struct{}
 	index  int
@@ -25,15 +25,15 @@
 const endToleranceBytes = 1e-3
 
 // join adds a transfer.
-func (s *sharedLink) join(now time.Duration, bytes int64) *shareItem {
+func (s *sharedLink) join(now time.Duration, bytes int64) *transfer {
 	s.advance(now)
-	item := &shareItem{target: s.served + float64(bytes), done: make(chan struct{})}
+	item := &transfer{target: s.served + float64(bytes), done: make(chan struct{})}
 	heap.Push(&s.items, item)
 	return item
 }
 
 // leave drops a transfer that did not end.
-func (s *sharedLink) leave(now time.Duration, item *shareItem) {
+func (s *sharedLink) leave(now time.Duration, item *transfer) {
 	s.advance(now)
 	if item.index >= 0 {
 		heap.Remove(&s.items, item.index)
@@ -45,7 +45,7 @@
 func (s *sharedLink) advance(now time.Duration) {
 	for len(s.items) > 0 && s.next() <= now {
 		at := s.next()
-		item := heap.Pop(&s.items).(*shareItem)
+		item := heap.Pop(&s.items).(*transfer)
 		s.served = item.target
 		s.last = max(s.last, at)
 		close(item.done)
@@ -67,7 +67,7 @@
 }
 
 // shareHeap orders transfers by their targets.
-type shareHeap []*shareItem
+type shareHeap []*transfer
 
 // Len implements heap.Interface.
 func (h shareHeap) Len() int { return len(h) }
@@ -83,7 +83,7 @@
 
 // Push implements heap.Interface.
 func (h *shareHeap) Push(x any) {
-	item := x.(*shareItem)
+	item := x.(*transfer)
 	item.index = len(*h)
 	*h = append(*h, item)
 }
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -57,7 +57,7 @@
 // shareEnds gives the step at which each transfer ends by share.
 func shareEnds(starts, sizes []int, rate float64, step time.Duration) []int {
 	s := sharedLink{rate: rate}
-	items := make([]*shareItem, len(starts))
+	items := make([]*transfer, len(starts))
 	ends := make([]int, len(starts))
 	for left, now := len(starts), 0; left > 0; now++ {
 		for i, start := range starts {
@@ -105,7 +105,7 @@
 }
 
 // ended tells whether a transfer is through.
-func ended(item *shareItem) bool {
+func ended(item *transfer) bool {
 	select {
 	case <-item.done:
 		return true
