--- a/standin/share.go
+++ b/standin/share.go
@@ -11,7 +11,7 @@
 	rate   float64 // bytes a second
 	last   time.Duration
 	served float64 // bytes that a transfer present from the start would have got
-	items  shareHeap
+	items  transferHeap
 }
 
 // shareItem is one transfer; it ends when served reaches its target.
@@ -67,29 +67,29 @@
 }
 
 // shareHeap orders transfers by their targets.
-type shareHeap []*transfer
+type transferHeap []*transfer
 
 // Len implements heap.Interface.
-func (h shareHeap) Len() int { return len(h) }
+func (h transferHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h shareHeap) Less(i, j int) bool { return h[i].target < h[j].target }
+func (h transferHeap) Less(i, j int) bool { return h[i].target < h[j].target }
 
 // Swap implements heap.Interface.
-func (h shareHeap) Swap(i, j int) {
+func (h transferHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (h *shareHeap) Push(x any) {
+func (h *transferHeap) Push(x any) {
 	item := x.(*transfer)
 	item.index = len(*h)
 	*h = append(*h, item)
 }
 
 // Pop implements heap.Interface.
-func (h *shareHeap) Pop() any {
+func (h *transferHeap) Pop() any {
 	old := *h
 	item := old[len(old)-1]
 	old[len(old)-1] = nil
