--- a/standin/share.go
+++ b/standin/share.go
@@ -8,10 +8,10 @@
 // share is a link whose rate is shared equally by its transfers. It is a plain
 // state: the time goes in, the transfers that ended come out.
 type sharedLink struct {
-	rate   float64 // bytes a second
-	last   time.Duration
-	served float64 // bytes that a transfer present from the start would have got
-	items  transferHeap
+	rate      float64 // bytes a second
+	updatedAt time.Duration
+	served    float64 // bytes that a transfer present from the start would have got
+	items     transferHeap
 }
 
 // shareItem is one transfer; it ends when served reaches its target.
@@ -47,23 +47,23 @@
 		at := s.next()
 		item := heap.Pop(&s.items).(*transfer)
 		s.served = item.target
-		s.last = max(s.last, at)
+		s.updatedAt = max(s.updatedAt, at)
 		close(item.done)
 	}
-	if len(s.items) > 0 && now > s.last {
-		s.served += (now - s.last).Seconds() * s.rate / float64(len(s.items))
+	if len(s.items) > 0 && now > s.updatedAt {
+		s.served += (now - s.updatedAt).Seconds() * s.rate / float64(len(s.items))
 	}
-	s.last = max(s.last, now)
+	s.updatedAt = max(s.updatedAt, now)
 }
 
 // next is when the next transfer ends if none joins; only with transfers.
 func (s *sharedLink) next() time.Duration {
 	left := s.items[0].target - s.served
 	if left <= endToleranceBytes {
-		return s.last
+		return s.updatedAt
 	}
 	seconds := left * float64(len(s.items)) / s.rate
-	return s.last + time.Duration(seconds*float64(time.Second)) + 1
+	return s.updatedAt + time.Duration(seconds*float64(time.Second)) + 1
 }
 
 // shareHeap orders transfers by their targets.
