--- a/standin/links.go
+++ b/standin/links.go
@@ -82,7 +82,7 @@
 	if p.timer != nil {
 		p.timer.Stop()
 	}
-	if len(p.share.items) == 0 {
+	if len(p.share.transfers) == 0 {
 		return
 	}
 	p.timer = time.AfterFunc(p.share.next()-l.now(), func() {
--- a/standin/share.go
+++ b/standin/share.go
@@ -11,7 +11,7 @@
 	rate      float64 // bytes a second
 	updatedAt time.Duration
 	served    float64 // bytes that a transfer present from the start would have got
-	items     transferHeap
+	transfers transferHeap
 }
 
 // shareItem is one transfer; it ends when served reaches its target.
@@ -28,7 +28,7 @@
 func (s *sharedLink) join(now time.Duration, bytes int64) *transfer {
 	s.advance(now)
 	item := &transfer{target: s.served + float64(bytes), done: make(chan struct{})}
-	heap.Push(&s.items, item)
+	heap.Push(&s.transfers, item)
 	return item
 }
 
@@ -36,33 +36,33 @@
 func (s *sharedLink) leave(now time.Duration, item *transfer) {
 	s.advance(now)
 	if item.index >= 0 {
-		heap.Remove(&s.items, item.index)
+		heap.Remove(&s.transfers, item.index)
 	}
 }
 
 // advance serves the transfers until now and ends those that are through. A
 // transfer that ends in between leaves its share to the others from then on.
 func (s *sharedLink) advance(now time.Duration) {
-	for len(s.items) > 0 && s.next() <= now {
+	for len(s.transfers) > 0 && s.next() <= now {
 		at := s.next()
-		item := heap.Pop(&s.items).(*transfer)
+		item := heap.Pop(&s.transfers).(*transfer)
 		s.served = item.target
 		s.updatedAt = max(s.updatedAt, at)
 		close(item.done)
 	}
-	if len(s.items) > 0 && now > s.updatedAt {
-		s.served += (now - s.updatedAt).Seconds() * s.rate / float64(len(s.items))
+	if len(s.transfers) > 0 && now > s.updatedAt {
+		s.served += (now - s.updatedAt).Seconds() * s.rate / float64(len(s.transfers))
 	}
 	s.updatedAt = max(s.updatedAt, now)
 }
 
 // next is when the next transfer ends if none joins; only with transfers.
 func (s *sharedLink) next() time.Duration {
-	left := s.items[0].target - s.served
+	left := s.transfers[0].target - s.served
 	if left <= endToleranceBytes {
 		return s.updatedAt
 	}
-	seconds := left * float64(len(s.items)) / s.rate
+	seconds := left * float64(len(s.transfers)) / s.rate
 	return s.updatedAt + time.Duration(seconds*float64(time.Second)) + 1
 }
 
