--- a/standin/links.go
+++ b/standin/links.go
@@ -45,7 +45,7 @@
 func (l *Links) Transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mu.Lock()
 	p := l.path(path{from, to})
-	item := p.share.join(l.now(), bytes)
+	item := p.share.add(l.now(), bytes)
 	l.arm(p)
 	l.mu.Unlock()
 	select {
--- a/standin/share.go
+++ b/standin/share.go
@@ -25,7 +25,7 @@
 const endToleranceBytes = 1e-3
 
 // join adds a transfer.
-func (s *sharedLink) join(now time.Duration, bytes int64) *transfer {
+func (s *sharedLink) add(now time.Duration, bytes int64) *transfer {
 	s.advance(now)
 	item := &transfer{target: s.served + float64(bytes), done: make(chan struct{})}
 	heap.Push(&s.transfers, item)
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -14,8 +14,8 @@
 func TestTransfersShareTheRate(t *testing.T) {
 	is := is.New(t)
 	s := sharedLink{rate: 1000}
-	first := s.join(0, 1000)
-	second := s.join(500*time.Millisecond, 1000) // first has 500 bytes left
+	first := s.add(0, 1000)
+	second := s.add(500*time.Millisecond, 1000) // first has 500 bytes left
 	s.advance(1499 * time.Millisecond)
 	is.True(!ended(first)) // alone it would have ended at 1 s
 	s.advance(1501 * time.Millisecond)
@@ -28,8 +28,8 @@
 func TestLeavingTransferGivesItsShareBack(t *testing.T) {
 	is := is.New(t)
 	s := sharedLink{rate: 1000}
-	stays := s.join(0, 1000)
-	leaves := s.join(0, 1000)
+	stays := s.add(0, 1000)
+	leaves := s.add(0, 1000)
 	s.leave(time.Second, leaves)
 	s.advance(1499 * time.Millisecond)
 	is.True(!ended(stays))
@@ -62,7 +62,7 @@
 	for left, now := len(starts), 0; left > 0; now++ {
 		for i, start := range starts {
 			if start == now {
-				items[i] = s.join(time.Duration(now)*step, int64(sizes[i]))
+				items[i] = s.add(time.Duration(now)*step, int64(sizes[i]))
 			}
 		}
 		s.advance(time.Duration(now) * step)
