--- a/standin/links.go
+++ b/standin/links.go
@@ -55,7 +55,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.share.leave(l.now(), item)
+	p.share.remove(l.now(), item)
 	l.arm(p)
 	return ctx.Err()
 }
--- a/standin/share.go
+++ b/standin/share.go
@@ -33,7 +33,7 @@
 }
 
 // leave drops a transfer that did not end.
-func (s *sharedLink) leave(now time.Duration, item *transfer) {
+func (s *sharedLink) remove(now time.Duration, item *transfer) {
 	s.advance(now)
 	if item.index >= 0 {
 		heap.Remove(&s.transfers, item.index)
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -30,7 +30,7 @@
 	s := sharedLink{rate: 1000}
 	stays := s.add(0, 1000)
 	leaves := s.add(0, 1000)
-	s.leave(time.Second, leaves)
+	s.remove(time.Second, leaves)
 	s.advance(1499 * time.Millisecond)
 	is.True(!ended(stays))
 	s.advance(1501 * time.Millisecond)
