--- a/standin/links.go
+++ b/standin/links.go
@@ -85,7 +85,7 @@
 	if len(p.share.transfers) == 0 {
 		return
 	}
-	p.timer = time.AfterFunc(p.share.next()-l.now(), func() {
+	p.timer = time.AfterFunc(p.share.nextEnd()-l.now(), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		p.share.advance(l.now())
--- a/standin/share.go
+++ b/standin/share.go
@@ -43,8 +43,8 @@
 // advance serves the transfers until now and ends those that are through. A
 // transfer that ends in between leaves its share to the others from then on.
 func (s *sharedLink) advance(now time.Duration) {
-	for len(s.transfers) > 0 && s.next() <= now {
-		at := s.next()
+	for len(s.transfers) > 0 && s.nextEnd() <= now {
+		at := s.nextEnd()
 		item := heap.Pop(&s.transfers).(*transfer)
 		s.served = item.target
 		s.updatedAt = max(s.updatedAt, at)
@@ -57,7 +57,7 @@
 }
 
 // next is when the next transfer ends if none joins; only with transfers.
-func (s *sharedLink) next() time.Duration {
+func (s *sharedLink) nextEnd() time.Duration {
 	left := s.transfers[0].target - s.served
 	if left <= endToleranceBytes {
 		return s.updatedAt
