--- a/standin/links.go
+++ b/standin/links.go
@@ -13,11 +13,11 @@
 	within, across float64
 
 	mu    sync.Mutex
-	paths map[path]*linkPath
+	paths map[linkKey]*linkPath
 }
 
 // path is a direction between failure domains.
-type path struct{ from, to string }
+type linkKey struct{ from, to string }
 
 // linkPath is the state of one path.
 type linkPath struct {
@@ -28,14 +28,14 @@
 // NewLinks returns links with a rate within each failure domain and one for
 // each direction across two, in bytes a second.
 func NewLinks(within, across float64) *Links {
-	return &Links{start: time.Now(), within: within, across: across, paths: map[path]*linkPath{}}
+	return &Links{start: time.Now(), within: within, across: across, paths: map[linkKey]*linkPath{}}
 }
 
 // SetRate changes the rate of one direction, in bytes a second.
 func (l *Links) SetRate(from, to string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.path(path{from, to})
+	p := l.path(linkKey{from, to})
 	p.share.advance(l.now())
 	p.share.rate = rate
 	l.arm(p)
@@ -44,7 +44,7 @@
 // Transfer carries bytes and returns when they are through or ctx ended.
 func (l *Links) Transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mu.Lock()
-	p := l.path(path{from, to})
+	p := l.path(linkKey{from, to})
 	item := p.share.add(l.now(), bytes)
 	l.arm(p)
 	l.mu.Unlock()
@@ -64,7 +64,7 @@
 func (l *Links) now() time.Duration { return time.Since(l.start) }
 
 // path returns the state of one direction.
-func (l *Links) path(key path) *linkPath {
+func (l *Links) path(key linkKey) *linkPath {
 	if p, ok := l.paths[key]; ok {
 		return p
 	}
