--- a/standin/links.go
+++ b/standin/links.go
@@ -13,14 +13,14 @@
 	within, across float64
 
 	mu    sync.Mutex
-	paths map[linkKey]*linkPath
+	paths map[linkKey]*linkState
 }
 
 // path is a direction between failure domains.
 type linkKey struct{ from, to string }
 
 // linkPath is the state of one path.
-type linkPath struct {
+type linkState struct {
 	share sharedLink
 	timer *time.Timer
 }
@@ -28,7 +28,7 @@
 // NewLinks returns links with a rate within each failure domain and one for
 // each direction across two, in bytes a second.
 func NewLinks(within, across float64) *Links {
-	return &Links{start: time.Now(), within: within, across: across, paths: map[linkKey]*linkPath{}}
+	return &Links{start: time.Now(), within: within, across: across, paths: map[linkKey]*linkState{}}
 }
 
 // SetRate changes the rate of one direction, in bytes a second.
@@ -64,7 +64,7 @@
 func (l *Links) now() time.Duration { return time.Since(l.start) }
 
 // path returns the state of one direction.
-func (l *Links) path(key linkKey) *linkPath {
+func (l *Links) path(key linkKey) *linkState {
 	if p, ok := l.paths[key]; ok {
 		return p
 	}
@@ -72,13 +72,13 @@
 	if key.from == key.to {
 		rate = l.within
 	}
-	p := &linkPath{share: sharedLink{rate: rate}}
+	p := &linkState{share: sharedLink{rate: rate}}
 	l.paths[key] = p
 	return p
 }
 
 // arm sets the timer to the next end of a transfer.
-func (l *Links) arm(p *linkPath) {
+func (l *Links) arm(p *linkState) {
 	if p.timer != nil {
 		p.timer.Stop()
 	}
