--- a/standin/links.go
+++ b/standin/links.go
@@ -21,7 +21,7 @@
 
 // linkPath is the state of one path.
 type linkState struct {
-	share sharedLink
+	link  sharedLink
 	timer *time.Timer
 }
 
@@ -36,8 +36,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.path(linkKey{from, to})
-	p.share.advance(l.now())
-	p.share.rate = rate
+	p.link.advance(l.now())
+	p.link.rate = rate
 	l.arm(p)
 }
 
@@ -45,7 +45,7 @@
 func (l *Links) Transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mu.Lock()
 	p := l.path(linkKey{from, to})
-	item := p.share.add(l.now(), bytes)
+	item := p.link.add(l.now(), bytes)
 	l.arm(p)
 	l.mu.Unlock()
 	select {
@@ -55,7 +55,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.share.remove(l.now(), item)
+	p.link.remove(l.now(), item)
 	l.arm(p)
 	return ctx.Err()
 }
@@ -72,7 +72,7 @@
 	if key.from == key.to {
 		rate = l.within
 	}
-	p := &linkState{share: sharedLink{rate: rate}}
+	p := &linkState{link: sharedLink{rate: rate}}
 	l.paths[key] = p
 	return p
 }
@@ -82,13 +82,13 @@
 	if p.timer != nil {
 		p.timer.Stop()
 	}
-	if len(p.share.transfers) == 0 {
+	if len(p.link.transfers) == 0 {
 		return
 	}
-	p.timer = time.AfterFunc(p.share.nextEnd()-l.now(), func() {
+	p.timer = time.AfterFunc(p.link.nextEnd()-l.now(), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		p.share.advance(l.now())
+		p.link.advance(l.now())
 		l.arm(p)
 	})
 }
