--- a/standin/links.go
+++ b/standin/links.go
@@ -12,8 +12,8 @@
 	start          time.Time
 	within, across float64
 
-	mu    sync.Mutex
-	paths map[linkKey]*linkState
+	mu     sync.Mutex
+	states map[linkKey]*linkState
 }
 
 // path is a direction between failure domains.
@@ -28,7 +28,7 @@
 // NewLinks returns links with a rate within each failure domain and one for
 // each direction across two, in bytes a second.
 func NewLinks(within, across float64) *Links {
-	return &Links{start: time.Now(), within: within, across: across, paths: map[linkKey]*linkState{}}
+	return &Links{start: time.Now(), within: within, across: across, states: map[linkKey]*linkState{}}
 }
 
 // SetRate changes the rate of one direction, in bytes a second.
@@ -65,7 +65,7 @@
 
 // path returns the state of one direction.
 func (l *Links) path(key linkKey) *linkState {
-	if p, ok := l.paths[key]; ok {
+	if p, ok := l.states[key]; ok {
 		return p
 	}
 	rate := l.across
@@ -73,7 +73,7 @@
 		rate = l.within
 	}
 	p := &linkState{link: sharedLink{rate: rate}}
-	l.paths[key] = p
+	l.states[key] = p
 	return p
 }
 
