--- a/standin/links.go
+++ b/standin/links.go
@@ -35,7 +35,7 @@
 func (l *Links) SetRate(from, to string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.path(linkKey{from, to})
+	p := l.state(linkKey{from, to})
 	p.link.advance(l.now())
 	p.link.rate = rate
 	l.arm(p)
@@ -44,7 +44,7 @@
 // Transfer carries bytes and returns when they are through or ctx ended.
 func (l *Links) Transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mu.Lock()
-	p := l.path(linkKey{from, to})
+	p := l.state(linkKey{from, to})
 	item := p.link.add(l.now(), bytes)
 	l.arm(p)
 	l.mu.Unlock()
@@ -64,7 +64,7 @@
 func (l *Links) now() time.Duration { return time.Since(l.start) }
 
 // path returns the state of one direction.
-func (l *Links) path(key linkKey) *linkState {
+func (l *Links) state(key linkKey) *linkState {
 	if p, ok := l.states[key]; ok {
 		return p
 	}
