--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -19,7 +19,7 @@
 	lag        time.Duration
 	eventLoss  float64
 	lastNumber uint64
-	log        []stamped[wire.CacheEventItem]
+	log        []timestamped[wire.CacheEventItem]
 }
 
 // newPrefixCache returns an empty cache.
@@ -64,7 +64,7 @@
 		return
 	}
 	item := wire.CacheEventItem{Number: c.lastNumber, Block: block, Stored: stored}
-	c.log = append(c.log, stamped[wire.CacheEventItem]{at: now, value: item})
+	c.log = append(c.log, timestamped[wire.CacheEventItem]{at: now, value: item})
 	if len(c.log) > maxCacheEvents {
 		c.log = c.log[len(c.log)-maxCacheEvents:]
 	}
--- a/standin/lagged.go
+++ b/standin/lagged.go
@@ -5,23 +5,23 @@
 // lagged shows a value as it was some time ago.
 type lagged[T any] struct {
 	lag     time.Duration
-	history []stamped[T]
+	history []timestamped[T]
 }
 
 // stamped is a value and when it was set.
-type stamped[T any] struct {
+type timestamped[T any] struct {
 	at    time.Time
 	value T
 }
 
 // newLagged starts with a value that is visible at once.
 func newLagged[T any](lag time.Duration, value T) *lagged[T] {
-	return &lagged[T]{lag: lag, history: []stamped[T]{{value: value}}}
+	return &lagged[T]{lag: lag, history: []timestamped[T]{{value: value}}}
 }
 
 // set notes a new value.
 func (l *lagged[T]) set(now time.Time, value T) {
-	l.history = append(l.history, stamped[T]{at: now, value: value})
+	l.history = append(l.history, timestamped[T]{at: now, value: value})
 	l.prune(now)
 }
 
