--- a/standin/server.go
+++ b/standin/server.go
@@ -109,7 +109,7 @@
 	aborts := s.aborts
 	listener := s.listener
 	if listener != nil {
-		listener.dead = true
+		listener.aborted = true
 	}
 	s.mu.Unlock()
 	if listener != nil {
@@ -147,7 +147,7 @@
 	net.Listener
 	server *Server
 	// dead is set once the server was aborted; guarded by the server's mutex.
-	dead bool
+	aborted bool
 }
 
 // Accept implements net.Listener.
@@ -168,7 +168,7 @@
 func (l *trackingListener) track(c *trackedConn) bool {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
-	if l.dead {
+	if l.aborted {
 		return false
 	}
 	l.server.conns[c] = struct{}{}
