--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -19,16 +19,16 @@
 
 // memory is all that an engine loses when it crashes.
 type memory struct {
-	proc     process
-	prefills map[string]*prefill
-	queue    prefillQueue
-	queued   chan struct{}
-	busy     bool
-	kvs      map[string]*exportedKV
-	decodes  map[string]*decode
-	running  int
-	finished []*decode
-	cache    *prefixCache
+	proc        process
+	prefills    map[string]*prefill
+	queue       prefillQueue
+	queueSignal chan struct{}
+	busy        bool
+	kvs         map[string]*exportedKV
+	decodes     map[string]*decode
+	running     int
+	finished    []*decode
+	cache       *prefixCache
 	// cancelled holds the tombstones and when each was set.
 	cancelled *simplelru.LRU[string, time.Time]
 	arrivals  uint64
@@ -38,13 +38,13 @@
 // newMemory returns the memory of a process that begins.
 func newMemory(cfg EngineConfig, proc process) *memory {
 	return &memory{
-		proc:      proc,
-		prefills:  map[string]*prefill{},
-		queued:    make(chan struct{}, 1),
-		kvs:       map[string]*exportedKV{},
-		decodes:   map[string]*decode{},
-		cache:     newPrefixCache(cfg),
-		cancelled: newLRU[string, time.Time](maxTombstones),
+		proc:        proc,
+		prefills:    map[string]*prefill{},
+		queueSignal: make(chan struct{}, 1),
+		kvs:         map[string]*exportedKV{},
+		decodes:     map[string]*decode{},
+		cache:       newPrefixCache(cfg),
+		cancelled:   newLRU[string, time.Time](maxTombstones),
 	}
 }
 
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -77,7 +77,7 @@
 	heap.Push(&m.queue, job)
 	e.recordLoad()
 	select {
-	case m.queued <- struct{}{}:
+	case m.queueSignal <- struct{}{}:
 	default:
 	}
 	return job, nil
@@ -92,7 +92,7 @@
 			continue
 		}
 		select {
-		case <-m.queued:
+		case <-m.queueSignal:
 		case <-m.proc.ctx.Done():
 			return
 		}
