--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -23,7 +23,7 @@
 	prefills    map[string]*prefill
 	queue       prefillQueue
 	queueSignal chan struct{}
-	busy        bool
+	prefilling  bool
 	kvs         map[string]*exportedKV
 	decodes     map[string]*decode
 	running     int
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -108,7 +108,7 @@
 		if job.ctx.Err() != nil {
 			continue
 		}
-		m.busy = true
+		m.prefilling = true
 		e.recordLoad()
 		return job
 	}
@@ -136,7 +136,7 @@
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m.busy = false
+	m.prefilling = false
 	e.counters.PrefillTokensCached += int64(cached)
 	if !finished || job.ctx.Err() != nil {
 		e.abortPrefill(computed, completedWork(time.Since(began), e.faults.state().slow), work)
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -113,7 +113,7 @@
 		Slots:       e.cfg.Slots,
 		Leaving:     e.isLeaving(),
 	}
-	if m.busy {
+	if m.prefilling {
 		report.Running++
 	}
 	if e.orders.ready {
