--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -52,9 +52,9 @@
 
 // export keeps the KV cache of a finished prefill. The caller holds mu.
 func (e *Engine) export(m *memory, job *prefill, tokens, cached int) wire.PrefillResponse {
-	m.exports++
+	m.exportCount++
 	kv := &exportedKV{
-		name:     fmt.Sprintf("%s-%d-%d", e.cfg.Name, m.proc.incarnation, m.exports),
+		name:     fmt.Sprintf("%s-%d-%d", e.cfg.Name, m.proc.incarnation, m.exportCount),
 		id:       job.id,
 		owner:    job.owner,
 		since:    time.Now(),
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -30,9 +30,9 @@
 	finished    []*decode
 	cache       *prefixCache
 	// cancelled holds the tombstones and when each was set.
-	cancelled *simplelru.LRU[string, time.Time]
-	arrivals  uint64
-	exports   uint64
+	cancelled   *simplelru.LRU[string, time.Time]
+	arrivals    uint64
+	exportCount uint64
 }
 
 // newMemory returns the memory of a process that begins.
