--- a/standin/engine.go
+++ b/standin/engine.go
@@ -163,7 +163,7 @@
 func (e *Engine) discardMemory() {
 	for _, kv := range e.memory.kvs {
 		kv.expiry.Stop()
-		e.counters.PrefillTokensWasted += int64(kv.computed)
+		e.counters.PrefillTokensWasted += int64(kv.computedTokens)
 	}
 	for _, d := range e.memory.decodes {
 		d.discard()
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -20,13 +20,13 @@
 // exportedKV is a KV cache that waits for its import. It stays within its life
 // also while it is being transferred.
 type exportedKV struct {
-	name     string
-	id       string
-	owner    owner
-	since    time.Time
-	bytes    int64
-	computed int
-	expiry   *time.Timer
+	name           string
+	id             string
+	owner          owner
+	since          time.Time
+	bytes          int64
+	computedTokens int
+	expiry         *time.Timer
 }
 
 // pullRequest asks for a KV cache: first whether it is there, then, with End
@@ -54,12 +54,12 @@
 func (e *Engine) export(m *memory, job *prefill, tokens, cached int) wire.PrefillResponse {
 	m.exportCount++
 	kv := &exportedKV{
-		name:     fmt.Sprintf("%s-%d-%d", e.cfg.Name, m.proc.incarnation, m.exportCount),
-		id:       job.id,
-		owner:    job.owner,
-		since:    time.Now(),
-		bytes:    int64(tokens) * e.cfg.KVBytesPerToken,
-		computed: tokens - cached,
+		name:           fmt.Sprintf("%s-%d-%d", e.cfg.Name, m.proc.incarnation, m.exportCount),
+		id:             job.id,
+		owner:          job.owner,
+		since:          time.Now(),
+		bytes:          int64(tokens) * e.cfg.KVBytesPerToken,
+		computedTokens: tokens - cached,
 	}
 	m.kvs[kv.name] = kv
 	kv.expiry = time.AfterFunc(e.cfg.KVLife, func() { e.expire(m, kv.name) })
@@ -91,7 +91,7 @@
 	kv.expiry.Stop()
 	delete(e.memory.kvs, name)
 	if wasted {
-		e.counters.PrefillTokensWasted += int64(kv.computed)
+		e.counters.PrefillTokensWasted += int64(kv.computedTokens)
 	}
 	return true
 }
