--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -7,12 +7,12 @@
 
 // Sizes of the two sites.
 const (
-	siteEngines    = 18
-	sitePrefill    = 9
-	sitePlains     = 4
-	siteVersion    = "1"
-	bunkerWaste    = 0.2
-	companeroWaste = 0.8
+	siteEngineCount = 18
+	sitePrefill     = 9
+	sitePlains      = 4
+	siteVersion     = "1"
+	bunkerWaste     = 0.2
+	companeroWaste  = 0.8
 	// companeroPatienceMS: the match notes can wait a little.
 	companeroPatienceMS = 1000
 )
@@ -41,7 +41,7 @@
 // numbers.
 func site(name, model, service string, domains []string) PlatformConfig {
 	cfg := PlatformConfig{Name: name, Domains: domains, ModelService: model, PlainService: service}
-	for i := range siteEngines {
+	for i := range siteEngineCount {
 		cfg.Engines = append(cfg.Engines, siteEngine(model, i, domains[i%len(domains)]))
 	}
 	for i := range sitePlains {
