--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -7,12 +7,12 @@
 
 // Sizes of the two sites.
 const (
-	siteEngineCount = 18
-	sitePrefill     = 9
-	sitePlains      = 4
-	siteVersion     = "1"
-	bunkerWaste     = 0.2
-	companeroWaste  = 0.8
+	siteEngineCount  = 18
+	sitePrefillCount = 9
+	sitePlains       = 4
+	siteVersion      = "1"
+	bunkerWaste      = 0.2
+	companeroWaste   = 0.8
 	// companeroPatienceMS: the match notes can wait a little.
 	companeroPatienceMS = 1000
 )
@@ -59,7 +59,7 @@
 // siteEngine is engine i of a site.
 func siteEngine(model string, i int, domain string) EngineConfig {
 	role := RolePrefill
-	if i >= sitePrefill {
+	if i >= sitePrefillCount {
 		role = RoleDecode
 	}
 	return EngineConfig{
