--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -9,7 +9,7 @@
 const (
 	siteEngineCount  = 18
 	sitePrefillCount = 9
-	sitePlains       = 4
+	sitePlainCount   = 4
 	siteVersion      = "1"
 	bunkerWaste      = 0.2
 	companeroWaste   = 0.8
@@ -44,7 +44,7 @@
 	for i := range siteEngineCount {
 		cfg.Engines = append(cfg.Engines, siteEngine(model, i, domains[i%len(domains)]))
 	}
-	for i := range sitePlains {
+	for i := range sitePlainCount {
 		cfg.Plains = append(cfg.Plains, PlainConfig{
 			Name:     fmt.Sprintf("%s-%02d", service, i+1),
 			Domain:   domains[i%len(domains)],
