--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -7,12 +7,12 @@
 
 // Sizes of the two sites.
 const (
-	siteEngineCount  = 18
-	sitePrefillCount = 9
-	sitePlainCount   = 4
-	siteVersion      = "1"
-	bunkerWaste      = 0.2
-	companeroWaste   = 0.8
+	siteEngineCount   = 18
+	sitePrefillCount  = 9
+	sitePlainCount    = 4
+	siteVersion       = "1"
+	bunkerWasteWeight = 0.2
+	companeroWaste    = 0.8
 	// companeroPatienceMS: the match notes can wait a little.
 	companeroPatienceMS = 1000
 )
@@ -21,7 +21,7 @@
 // weighs more than wasted prefill.
 func Bunker() PlatformConfig {
 	cfg := site("bunker", "document-summariser", "order-desk", []string{"aktau-port", "kuryk", "bautino", "aktau-city"})
-	cfg.WasteWeight = bunkerWaste
+	cfg.WasteWeight = bunkerWasteWeight
 	cfg.Seed = 1
 	return cfg
 }
