--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -7,12 +7,12 @@
 
 // Sizes of the two sites.
 const (
-	siteEngineCount   = 18
-	sitePrefillCount  = 9
-	sitePlainCount    = 4
-	siteVersion       = "1"
-	bunkerWasteWeight = 0.2
-	companeroWaste    = 0.8
+	siteEngineCount      = 18
+	sitePrefillCount     = 9
+	sitePlainCount       = 4
+	siteVersion          = "1"
+	bunkerWasteWeight    = 0.2
+	companeroWasteWeight = 0.8
 	// companeroPatienceMS: the match notes can wait a little.
 	companeroPatienceMS = 1000
 )
@@ -30,7 +30,7 @@
 // more than goodput.
 func Companeros() PlatformConfig {
 	cfg := site("companeros", "matching-model", "mobile-endpoint", []string{"quetzal-norte", "xela-sur", "toto-centro", "atitlan-sala"})
-	cfg.WasteWeight = companeroWaste
+	cfg.WasteWeight = companeroWasteWeight
 	cfg.PatienceMS = companeroPatienceMS
 	cfg.Seed = 2
 	return cfg
