--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -45,7 +45,7 @@
 		starts := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(t, "starts")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 500), len(starts), len(starts)).Draw(t, "sizes")
 		want := naiveEnds(starts, sizes, rate, step)
-		got := shareEnds(starts, sizes, rate, step)
+		got := sharedLinkEnds(starts, sizes, rate, step)
 		for i := range want {
 			if math.Abs(float64(want[i]-got[i])) > float64(len(starts)+1) {
 				t.Fatalf("transfer %d ends at step %d, naive says %d", i, got[i], want[i])
@@ -55,7 +55,7 @@
 }
 
 // shareEnds gives the step at which each transfer ends by share.
-func shareEnds(starts, sizes []int, rate float64, step time.Duration) []int {
+func sharedLinkEnds(starts, sizes []int, rate float64, step time.Duration) []int {
 	s := sharedLink{rate: rate}
 	items := make([]*transfer, len(starts))
 	ends := make([]int, len(starts))
