--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -44,7 +44,7 @@
 		const rate, step = 1000.0, time.Millisecond
 		starts := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(t, "starts")
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 500), len(starts), len(starts)).Draw(t, "sizes")
-		want := naiveEnds(starts, sizes, rate, step)
+		want := steppedEnds(starts, sizes, rate, step)
 		got := sharedLinkEnds(starts, sizes, rate, step)
 		for i := range want {
 			if math.Abs(float64(want[i]-got[i])) > float64(len(starts)+1) {
@@ -77,7 +77,7 @@
 }
 
 // naiveEnds gives the same by serving each step's bytes in equal parts.
-func naiveEnds(starts, sizes []int, rate float64, step time.Duration) []int {
+func steppedEnds(starts, sizes []int, rate float64, step time.Duration) []int {
 	remaining := make([]float64, len(starts))
 	for i, size := range sizes {
 		remaining[i] = float64(size)
