--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -14,12 +14,12 @@
 )
 
 // patience bounds every wait of a test; no test passes by it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // frozen as a slow fault keeps all work from ending.
 const frozen = 1e9
 
-var streamPatience = client.Timeouts{First: patience, Idle: patience}
+var streamPatience = client.Timeouts{First: testTimeout, Idle: testTimeout}
 
 type starter interface {
 	Start(string) (*standin.Server, error)
@@ -41,7 +41,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	deadline := time.NewTimer(patience)
+	deadline := time.NewTimer(testTimeout)
 	defer deadline.Stop()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
@@ -66,7 +66,7 @@
 	t.Helper()
 	cfg := standin.EngineConfig{
 		Name: "prefill", Domain: "aktau-port", Model: "m", Role: standin.RolePrefill,
-		PrefillTokensPerSecond: 1e6, DecodeTokenMS: 0.1, KVLife: patience, Seed: 1,
+		PrefillTokensPerSecond: 1e6, DecodeTokenMS: 0.1, KVLife: testTimeout, Seed: 1,
 	}
 	if change != nil {
 		change(&cfg)
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -52,7 +52,7 @@
 
 func TestPlainServiceSlotsAndReceipts(t *testing.T) {
 	is := is.New(t)
-	service := standin.NewPlainService(standin.PlainConfig{Slots: 1, WorkTime: patience})
+	service := standin.NewPlainService(standin.PlainConfig{Slots: 1, WorkTime: testTimeout})
 	c := client.NewPlain(serve(t, service), client.Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	call := client.PlainRequest{Method: "POST", Path: "/stems", Headers: []client.Header{{Name: wire.HeaderIdempotencyKey, Value: "k"}}, Body: []byte("b")}
