--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -190,22 +190,22 @@
 	p.run(t, "r1", "prompt", 60).Close()
 	is.Equal(p.decode.Counters().Running, 1) // goes on without a stream
 	p.decode.Inject(wire.Fault{Slow: ptr(1.0)})
-	stream, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", Owner: "d1", Incarnation: 1}, streamPatience)
+	stream, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", Owner: "d1", Incarnation: 1}, streamTimeouts)
 	is.NoErr(err)
 	head := collect(t, stream, 0, 3)
 	stream.Close()
-	resumed, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 5}, streamPatience)
+	resumed, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 5}, streamTimeouts)
 	is.NoErr(err)
 	defer resumed.Close()
 
 	state, err := p.toDecode.Cancel(ctx, wire.CancelRequest{Request: "r1", Owner: "d1", OwnerIncarnation: 1})
 	is.NoErr(err)
 	is.Equal(state.State, wire.CancelOtherOwner) // the former owner can't end it
-	_, err = p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 4}, streamPatience)
+	_, err = p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 4}, streamTimeouts)
 	is.Equal(verdict.As(err).Code, client.CodeOwner)
 
 	is.Equal(head+collect(t, resumed, 3, 0), standin.Answer("prompt", 60))
-	again, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 58, Owner: "d2", Incarnation: 5}, streamPatience)
+	again, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 58, Owner: "d2", Incarnation: 5}, streamTimeouts)
 	is.NoErr(err) // a finished answer is kept
 	defer again.Close()
 	is.Equal(collect(t, again, 58, 0), standin.AnswerToken("prompt", 59)+standin.AnswerToken("prompt", 60))
@@ -216,7 +216,7 @@
 	is := is.New(t)
 	p := newPair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6 })
 	earlier := p.run(t, "r1", "prompt", 4)
-	later, err := p.toDecode.Resume(context.Background(), client.ResumeRequest{Request: "r1", Owner: "d2", Incarnation: 1}, streamPatience)
+	later, err := p.toDecode.Resume(context.Background(), client.ResumeRequest{Request: "r1", Owner: "d2", Incarnation: 1}, streamTimeouts)
 	is.NoErr(err)
 	defer later.Close()
 	_, err = earlier.Next()
@@ -231,7 +231,7 @@
 	stream, err := p.toDecode.Decode(context.Background(), wire.DecodeRequest{
 		Request: "r2", Prompt: "prompt", MaxTokens: 9, Continue: 4,
 		Source: wire.KVSource{Address: p.prefillAddr, KV: kv.KV, Domain: "aktau-port"},
-	}, streamPatience)
+	}, streamTimeouts)
 	is.NoErr(err)
 	defer stream.Close()
 	is.Equal(standin.Answer("prompt", 4)+collect(t, stream, 4, 0), standin.Answer("prompt", 9))
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -19,7 +19,7 @@
 // frozen as a slow fault keeps all work from ending.
 const frozen = 1e9
 
-var streamPatience = client.Timeouts{First: testTimeout, Idle: testTimeout}
+var streamTimeouts = client.Timeouts{First: testTimeout, Idle: testTimeout}
 
 type starter interface {
 	Start(string) (*standin.Server, error)
@@ -92,7 +92,7 @@
 	return p.toDecode.Decode(ctx, wire.DecodeRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", Prompt: prompt, MaxTokens: maxTokens,
 		Source: wire.KVSource{Address: p.prefillAddr, KV: kv.KV, Bytes: kv.KVBytes, Domain: "aktau-port"},
-	}, streamPatience)
+	}, streamTimeouts)
 }
 
 // run reads and begins to write a request.
