--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -126,7 +126,7 @@
 func TestCancelEndsAQueuedAndARunningPrefill(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, nil)
-	p.prefill.Inject(wire.Fault{Slow: ptr(frozen)})
+	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	failed := make(chan error, 2)
 	for waiting, id := range []string{"running", "queued"} {
 		go func() {
@@ -186,7 +186,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	p := newPair(t, nil)
-	p.decode.Inject(wire.Fault{Slow: ptr(frozen)})
+	p.decode.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	p.run(t, "r1", "prompt", 60).Close()
 	is.Equal(p.decode.Counters().Running, 1) // goes on without a stream
 	p.decode.Inject(wire.Fault{Slow: ptr(1.0)})
@@ -257,7 +257,7 @@
 func TestHigherPriorityIsReadFirst(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, nil)
-	p.prefill.Inject(wire.Fault{Slow: ptr(frozen)})
+	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	results := map[string]chan wire.PrefillResponse{}
 	send := func(id string, priority, waiting int) {
 		result := make(chan wire.PrefillResponse, 1)
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -17,7 +17,7 @@
 const testTimeout = 20 * time.Second
 
 // frozen as a slow fault keeps all work from ending.
-const frozen = 1e9
+const frozenSlowdown = 1e9
 
 var streamTimeouts = client.Timeouts{First: testTimeout, Idle: testTimeout}
 
