--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -55,14 +55,14 @@
 }
 
 // pair is a prefill and a decode engine with their clients.
-type pair struct {
+type enginePair struct {
 	prefill, decode         *standin.Engine
 	prefillAddr, decodeAddr string
 	toPrefill, toDecode     *client.Engine
 }
 
 // newPair starts two fast engines; change adapts their configuration.
-func newPair(t *testing.T, change func(*standin.EngineConfig)) *pair {
+func newPair(t *testing.T, change func(*standin.EngineConfig)) *enginePair {
 	t.Helper()
 	cfg := standin.EngineConfig{
 		Name: "prefill", Domain: "aktau-port", Model: "m", Role: standin.RolePrefill,
@@ -71,7 +71,7 @@
 	if change != nil {
 		change(&cfg)
 	}
-	p := &pair{prefill: standin.NewEngine(cfg)}
+	p := &enginePair{prefill: standin.NewEngine(cfg)}
 	cfg.Name, cfg.Role = "decode", standin.RoleDecode
 	p.decode = standin.NewEngine(cfg)
 	p.prefillAddr, p.decodeAddr = serve(t, p.prefill), serve(t, p.decode)
@@ -81,14 +81,14 @@
 }
 
 // read orders the prefill of a prompt.
-func (p *pair) read(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
+func (p *enginePair) read(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
 	return p.toPrefill.Prefill(ctx, wire.PrefillRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", CacheSalt: "team", Prompt: prompt,
 	})
 }
 
 // write orders the decode of a request that was read.
-func (p *pair) write(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
+func (p *enginePair) write(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
 	return p.toDecode.Decode(ctx, wire.DecodeRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", Prompt: prompt, MaxTokens: maxTokens,
 		Source: wire.KVSource{Address: p.prefillAddr, KV: kv.KV, Bytes: kv.KVBytes, Domain: "aktau-port"},
@@ -96,7 +96,7 @@
 }
 
 // run reads and begins to write a request.
-func (p *pair) run(t *testing.T, id, prompt string, maxTokens int) *client.Stream {
+func (p *enginePair) run(t *testing.T, id, prompt string, maxTokens int) *client.Stream {
 	t.Helper()
 	kv, err := p.read(context.Background(), id, prompt)
 	if err != nil {
