--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -16,7 +16,7 @@
 
 func TestEngineLifeCycle(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	prompt := strings.Repeat("nomination ", 200)
 	stream := p.run(t, "r1", prompt, 40)
 	first, err := stream.Next()
@@ -39,7 +39,7 @@
 
 func TestKVExpiresAndItsWorkIsWasted(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
 	prompt := strings.Repeat("x", 400)
 	kv, err := p.read(context.Background(), "r1", prompt)
 	is.NoErr(err)
@@ -53,7 +53,7 @@
 
 func TestFullSlotsRefuse(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.Slots = 1; c.DecodeTokenMS = 1e6 })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.Slots = 1; c.DecodeTokenMS = 1e6 })
 	p.run(t, "r1", "one", 4)
 	kv, err := p.read(context.Background(), "r2", "two")
 	is.NoErr(err)
@@ -70,7 +70,7 @@
 
 func TestMarkedPromptCrashesEachEngineThatRunsIt(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	before := p.prefill.Incarnation()
 	_, err := p.read(context.Background(), "r1", "bad "+standin.CrashMarker)
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
@@ -84,7 +84,7 @@
 
 func TestCrashLosesStateAndStreams(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6; c.RestartDelay = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6; c.RestartDelay = time.Millisecond })
 	stream := p.run(t, "r1", "one", 4)
 	_, err := p.read(context.Background(), "r2", strings.Repeat("x", 400))
 	is.NoErr(err)
@@ -104,7 +104,7 @@
 
 func TestCallThatHangsInACrashIsLost(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	p.prefill.Inject(wire.Fault{Hang: ptr(true)})
 	failed := make(chan error, 1)
 	go func() {
@@ -125,7 +125,7 @@
 
 func TestCancelEndsAQueuedAndARunningPrefill(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	failed := make(chan error, 2)
 	for waiting, id := range []string{"running", "queued"} {
@@ -151,7 +151,7 @@
 
 func TestCancelBeforeTheRunOrderLeavesATombstone(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	cancelled, err := p.toPrefill.Cancel(context.Background(), wire.CancelRequest{Request: "r1"})
 	is.NoErr(err)
 	is.Equal(cancelled.State, wire.CancelUnknown)
@@ -163,7 +163,7 @@
 
 func TestCancelEndsAStalledImport(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	p.decode.Inject(wire.Fault{StallTransfers: ptr(true)})
 	kv, err := p.read(context.Background(), "r1", "one")
 	is.NoErr(err)
@@ -185,7 +185,7 @@
 func TestBrokenStreamGoesOnAndIsResumedByANewOwner(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	p.decode.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	p.run(t, "r1", "prompt", 60).Close()
 	is.Equal(p.decode.Counters().Running, 1) // goes on without a stream
@@ -214,7 +214,7 @@
 
 func TestLaterStreamEndsTheEarlierOne(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6 })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6 })
 	earlier := p.run(t, "r1", "prompt", 4)
 	later, err := p.toDecode.Resume(context.Background(), client.ResumeRequest{Request: "r1", Owner: "d2", Incarnation: 1}, streamTimeouts)
 	is.NoErr(err)
@@ -225,7 +225,7 @@
 
 func TestContinuationGoesOnBehindTheDeliveredTokens(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	kv, err := p.read(context.Background(), "r2", "prompt")
 	is.NoErr(err)
 	stream, err := p.toDecode.Decode(context.Background(), wire.DecodeRequest{
@@ -239,7 +239,7 @@
 
 func TestPrefixCacheIsPerSalt(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.CacheLag = time.Nanosecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.CacheLag = time.Nanosecond })
 	prompt := strings.Repeat("y", 2048)
 	_, err := p.read(context.Background(), "r1", prompt)
 	is.NoErr(err)
@@ -256,7 +256,7 @@
 
 func TestHigherPriorityIsReadFirst(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	results := map[string]chan wire.PrefillResponse{}
 	send := func(id string, priority, waiting int) {
@@ -303,7 +303,7 @@
 
 func TestLeavingEngineRefusesAfterItsGrace(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.LeaveGrace = time.Nanosecond; c.LoadLag = time.Nanosecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.LeaveGrace = time.Nanosecond; c.LoadLag = time.Nanosecond })
 	p.prefill.Inject(wire.Fault{Leaving: ptr(true)})
 	_, err := p.read(context.Background(), "r1", "one")
 	is.Equal(verdict.Of(err), verdict.NotRun)
@@ -316,7 +316,7 @@
 
 func TestWrongRoleIsNotRun(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	_, err := p.toDecode.Prefill(context.Background(), wire.PrefillRequest{Request: "r1", Prompt: "x"})
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, client.CodeRole)
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -62,7 +62,7 @@
 }
 
 // newPair starts two fast engines; change adapts their configuration.
-func newPair(t *testing.T, change func(*standin.EngineConfig)) *enginePair {
+func newEnginePair(t *testing.T, change func(*standin.EngineConfig)) *enginePair {
 	t.Helper()
 	cfg := standin.EngineConfig{
 		Name: "prefill", Domain: "aktau-port", Model: "m", Role: standin.RolePrefill,
