--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
 	prompt := strings.Repeat("x", 400)
-	kv, err := p.read(context.Background(), "r1", prompt)
+	kv, err := p.orderPrefill(context.Background(), "r1", prompt)
 	is.NoErr(err)
 	eventually(t, "expiry", func() bool { return p.prefill.Counters().KVExpired == 1 })
 	_, err = p.write(context.Background(), "r1", prompt, 4, kv)
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.Slots = 1; c.DecodeTokenMS = 1e6 })
 	p.run(t, "r1", "one", 4)
-	kv, err := p.read(context.Background(), "r2", "two")
+	kv, err := p.orderPrefill(context.Background(), "r2", "two")
 	is.NoErr(err)
 	_, err = p.write(context.Background(), "r2", "two", 4, kv)
 	is.Equal(verdict.Of(err), verdict.NotRun)
@@ -72,11 +72,11 @@
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	before := p.prefill.Incarnation()
-	_, err := p.read(context.Background(), "r1", "bad "+standin.CrashMarker)
+	_, err := p.orderPrefill(context.Background(), "r1", "bad "+standin.CrashMarker)
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 	is.Equal(p.prefill.Incarnation(), before+1)
 	eventually(t, "restart", func() bool {
-		_, err := p.read(context.Background(), "r2", "good")
+		_, err := p.orderPrefill(context.Background(), "r2", "good")
 		return err == nil
 	})
 	is.Equal(p.prefill.Counters().Crashes, int64(1))
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6; c.RestartDelay = time.Millisecond })
 	stream := p.run(t, "r1", "one", 4)
-	_, err := p.read(context.Background(), "r2", strings.Repeat("x", 400))
+	_, err := p.orderPrefill(context.Background(), "r2", strings.Repeat("x", 400))
 	is.NoErr(err)
 	p.decode.Crash()
 	p.prefill.Crash()
@@ -108,7 +108,7 @@
 	p.prefill.Inject(wire.Fault{Hang: ptr(true)})
 	failed := make(chan error, 1)
 	go func() {
-		_, err := p.read(context.Background(), "r1", "one")
+		_, err := p.orderPrefill(context.Background(), "r1", "one")
 		failed <- err
 	}()
 	eventually(t, "hang", func() bool { return p.prefill.Counters().Hanging == 1 })
@@ -117,7 +117,7 @@
 	eventually(t, "loss", func() bool { return p.prefill.Counters().Hanging == 0 })
 	p.prefill.Inject(wire.Fault{Hang: ptr(false)})
 	eventually(t, "restart", func() bool {
-		_, err := p.read(context.Background(), "r2", "two")
+		_, err := p.orderPrefill(context.Background(), "r2", "two")
 		return err == nil
 	})
 	is.Equal(p.prefill.Counters().Prefills, int64(1)) // the lost call never ran
@@ -130,7 +130,7 @@
 	failed := make(chan error, 2)
 	for waiting, id := range []string{"running", "queued"} {
 		go func() {
-			_, err := p.read(context.Background(), id, "prompt")
+			_, err := p.orderPrefill(context.Background(), id, "prompt")
 			failed <- err
 		}()
 		eventually(t, id, func() bool {
@@ -155,7 +155,7 @@
 	cancelled, err := p.toPrefill.Cancel(context.Background(), wire.CancelRequest{Request: "r1"})
 	is.NoErr(err)
 	is.Equal(cancelled.State, wire.CancelUnknown)
-	_, err = p.read(context.Background(), "r1", "late")
+	_, err = p.orderPrefill(context.Background(), "r1", "late")
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, client.CodeCancelled)
 	is.Equal(p.prefill.Counters().Prefills, int64(0))
@@ -165,7 +165,7 @@
 	is := is.New(t)
 	p := newEnginePair(t, nil)
 	p.decode.Inject(wire.Fault{StallTransfers: ptr(true)})
-	kv, err := p.read(context.Background(), "r1", "one")
+	kv, err := p.orderPrefill(context.Background(), "r1", "one")
 	is.NoErr(err)
 	failed := make(chan error, 1)
 	go func() {
@@ -226,7 +226,7 @@
 func TestContinuationGoesOnBehindTheDeliveredTokens(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, nil)
-	kv, err := p.read(context.Background(), "r2", "prompt")
+	kv, err := p.orderPrefill(context.Background(), "r2", "prompt")
 	is.NoErr(err)
 	stream, err := p.toDecode.Decode(context.Background(), wire.DecodeRequest{
 		Request: "r2", Prompt: "prompt", MaxTokens: 9, Continue: 4,
@@ -241,9 +241,9 @@
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.CacheLag = time.Nanosecond })
 	prompt := strings.Repeat("y", 2048)
-	_, err := p.read(context.Background(), "r1", prompt)
+	_, err := p.orderPrefill(context.Background(), "r1", prompt)
 	is.NoErr(err)
-	again, err := p.read(context.Background(), "r2", prompt)
+	again, err := p.orderPrefill(context.Background(), "r2", prompt)
 	is.NoErr(err)
 	is.Equal(again.CachedTokens, 512)
 	other, err := p.toPrefill.Prefill(context.Background(), wire.PrefillRequest{Request: "r3", CacheSalt: "other", Prompt: prompt})
@@ -305,7 +305,7 @@
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.LeaveGrace = time.Nanosecond; c.LoadLag = time.Nanosecond })
 	p.prefill.Inject(wire.Fault{Leaving: ptr(true)})
-	_, err := p.read(context.Background(), "r1", "one")
+	_, err := p.orderPrefill(context.Background(), "r1", "one")
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, verdict.CodeLeaving)
 	load, err := p.toPrefill.Load(context.Background())
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -81,7 +81,7 @@
 }
 
 // read orders the prefill of a prompt.
-func (p *enginePair) read(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
+func (p *enginePair) orderPrefill(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
 	return p.toPrefill.Prefill(ctx, wire.PrefillRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", CacheSalt: "team", Prompt: prompt,
 	})
@@ -98,7 +98,7 @@
 // run reads and begins to write a request.
 func (p *enginePair) run(t *testing.T, id, prompt string, maxTokens int) *client.Stream {
 	t.Helper()
-	kv, err := p.read(context.Background(), id, prompt)
+	kv, err := p.orderPrefill(context.Background(), id, prompt)
 	if err != nil {
 		t.Fatal(err)
 	}
