--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -44,7 +44,7 @@
 	kv, err := p.orderPrefill(context.Background(), "r1", prompt)
 	is.NoErr(err)
 	eventually(t, "expiry", func() bool { return p.prefill.Counters().KVExpired == 1 })
-	_, err = p.write(context.Background(), "r1", prompt, 4, kv)
+	_, err = p.orderDecode(context.Background(), "r1", prompt, 4, kv)
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, client.CodeKVGone)
 	is.Equal(p.prefill.Counters().PrefillTokensWasted, int64(100))
@@ -57,13 +57,13 @@
 	p.run(t, "r1", "one", 4)
 	kv, err := p.orderPrefill(context.Background(), "r2", "two")
 	is.NoErr(err)
-	_, err = p.write(context.Background(), "r2", "two", 4, kv)
+	_, err = p.orderDecode(context.Background(), "r2", "two", 4, kv)
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, verdict.CodeOverloaded)
 	cancelled, err := p.toDecode.Cancel(context.Background(), wire.CancelRequest{Request: "r1"})
 	is.NoErr(err)
 	is.Equal(cancelled.State, wire.CancelDone)
-	_, err = p.write(context.Background(), "r2", "two", 4, kv)
+	_, err = p.orderDecode(context.Background(), "r2", "two", 4, kv)
 	is.NoErr(err) // the refusal left the KV cache in its place
 	is.Equal(p.decode.Counters().MaxRunning, 1)
 }
@@ -169,7 +169,7 @@
 	is.NoErr(err)
 	failed := make(chan error, 1)
 	go func() {
-		_, err := p.write(context.Background(), "r1", "one", 4, kv)
+		_, err := p.orderDecode(context.Background(), "r1", "one", 4, kv)
 		failed <- err
 	}()
 	eventually(t, "import", func() bool { return p.decode.Counters().Running == 1 })
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -88,7 +88,7 @@
 }
 
 // write orders the decode of a request that was read.
-func (p *enginePair) write(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
+func (p *enginePair) orderDecode(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
 	return p.toDecode.Decode(ctx, wire.DecodeRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", Prompt: prompt, MaxTokens: maxTokens,
 		Source: wire.KVSource{Address: p.prefillAddr, KV: kv.KV, Bytes: kv.KVBytes, Domain: "aktau-port"},
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stream, err := p.write(context.Background(), id, prompt, maxTokens, kv)
+	stream, err := p.orderDecode(context.Background(), id, prompt, maxTokens, kv)
 	if err != nil {
 		t.Fatal(err)
 	}
