--- a/standin/answer.go
+++ b/standin/answer.go
@@ -8,15 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CrashMarker in a prompt crashes each engine that runs it.
+// CrashMarker, contained in a prompt, crashes each engine that runs the prompt.
 const CrashMarker = "[[crash]]"
 
-// AnswerToken returns token seq, from 1, of the answer to a prompt.
+// AnswerToken returns the output token at place seq, counted from 1, of the
+// answer to a prompt.
 func AnswerToken(prompt string, seq int) string {
 	return answerToken(xxhash.Sum64String(prompt), seq)
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the whole answer to a prompt with maxTokens output tokens.
 func Answer(prompt string, maxTokens int) string {
 	var b strings.Builder
 	seed := xxhash.Sum64String(prompt)
@@ -26,7 +27,8 @@
 	return b.String()
 }
 
-// answerToken derives a token from the hash of the prompt and its place.
+// answerToken derives a token from the hash of the prompt (seed) and the place of
+// the token in the answer (seq).
 func answerToken(seed uint64, seq int) string {
 	var raw [16]byte
 	binary.LittleEndian.PutUint64(raw[:8], seed)
--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -10,26 +10,29 @@
 )
 
 const (
-	// smallestBacklog leaves room for one connection that nobody accepts.
+	// minBacklog leaves room for one connection that is not accepted.
 	minBacklog = 0
-	// fillTimeout bounds the attempt to connect that finds the backlog full.
+	// fillDialTimeout bounds each dial that fills the backlog; a dial that times
+	// out shows that the backlog is full.
 	fillDialTimeout = 100 * time.Millisecond
-	// maxFill bounds the connections that fill the backlog.
+	// maxFillConns bounds the connections that fill the backlog.
 	maxFillConns = 8
 )
 
-// FullBacklog is an address that answers no attempt to connect, as a host that
-// is without power or cut off. Attempts hang until they time out.
+// FullBacklog is a listener with a full backlog. Attempts to connect to its
+// address hang until they time out, as with a host that has lost power or its
+// network.
 type FullBacklog struct {
 	listener net.Listener
 	conns    []net.Conn
 }
 
-// NewFullBacklog listens at addr, host:port; port 0 takes a free one.
+// NewFullBacklog listens at addr, host:port, and fills the backlog; port 0 takes
+// a free port.
 func NewFullBacklog(addr string) (*FullBacklog, error) {
 	listener, err := listenMinBacklog(addr)
 	if err != nil {
-		return nil, eris.Wrapf(err, "can't listen with a small backlog at %s", addr)
+		return nil, eris.Wrapf(err, "can't listen with the minimum backlog at %s", addr)
 	}
 	b := &FullBacklog{listener: listener}
 	for range maxFillConns {
@@ -40,13 +43,14 @@
 		b.conns = append(b.conns, conn)
 	}
 	b.Close()
-	return nil, eris.Errorf("the backlog at %s takes more than %d connections", addr, maxFillConns)
+	return nil, eris.Errorf("the backlog at %s is not full after %d connections", addr, maxFillConns)
 }
 
-// Addr is the address, host:port.
+// Addr returns the address, host:port.
 func (b *FullBacklog) Addr() string { return b.listener.Addr().String() }
 
-// Close ends it; attempts to connect are refused from then on.
+// Close closes the listener and the connections in its backlog; later attempts to
+// connect are refused.
 func (b *FullBacklog) Close() {
 	_ = b.listener.Close()
 	for _, conn := range b.conns {
@@ -54,7 +58,8 @@
 	}
 }
 
-// listenSmall listens with the smallest backlog, which package net can't set.
+// listenMinBacklog listens at a TCP over IPv4 address with the minimum backlog,
+// which package net can't set.
 func listenMinBacklog(addr string) (net.Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
@@ -65,7 +70,7 @@
 		return nil, err
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
+	defer func() { _ = file.Close() }() // net.FileListener duplicates the descriptor
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, err
 	}
@@ -80,15 +85,15 @@
 	return net.FileListener(file)
 }
 
-// FillBacklog makes the stand-in answer no further attempt to connect until it
-// is closed; connections that are open go on.
+// FillBacklog makes attempts to connect to the stand-in hang until it is closed.
+// Open connections keep working.
 func (s *Server) FillBacklog() error {
 	s.mu.Lock()
-	s.aborts++ // nobody reopens it
+	s.aborts++ // makes a pending reopen outdated
 	listener := s.listener
 	s.mu.Unlock()
 	if err := listener.Close(); err != nil {
-		return eris.Wrapf(err, "stand-in at %s", s.address)
+		return eris.Wrapf(err, "can't close the listener of the stand-in at %s", s.address)
 	}
 	full, err := NewFullBacklog(s.address)
 	if err != nil {
@@ -100,10 +105,10 @@
 	return nil
 }
 
-// FillBacklog makes the endpoint answer no further attempt to connect until it
-// is closed; connections that are open go on.
+// FillBacklog makes attempts to connect to the endpoint hang until it is closed.
+// Open connections keep working.
 func (e *endpoint) FillBacklog() error { return e.server.FillBacklog() }
 
-// ResetConnections resets the connections that are open now, as a network does
-// that breaks; the endpoint goes on with its work.
+// ResetConnections resets the open connections, as in a network failure; the
+// endpoint continues its work.
 func (e *endpoint) ResetConnections() { e.server.ResetConnections() }
--- a/standin/document.go
+++ b/standin/document.go
@@ -6,11 +6,11 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// LabelService is the label of plain endpoints that Document's pools select.
+// LabelService is the label by which Document's pools select plain endpoints.
 const LabelService = "samphirequay/service"
 
-// Document returns the live configuration that fits a platform, without teams
-// and at revision 0.
+// Document returns the live configuration of a platform, without teams and at
+// revision 0.
 func Document(cfg PlatformConfig, addresses Addresses) live.Document {
 	defaults.Set(&cfg.RateWithin, DefaultRateWithin)
 	defaults.Set(&cfg.RateAcross, DefaultRateAcross)
@@ -22,7 +22,8 @@
 	}
 }
 
-// documentServices lists the services of a site; each has a pool of its name.
+// documentServices lists the services of a site. Each has a pool of the same
+// name.
 func documentServices(cfg PlatformConfig) []live.Service {
 	var out []live.Service
 	if cfg.ModelService != "" {
@@ -67,21 +68,21 @@
 
 // documentEndpoints lists the engines and plain endpoints of a site.
 func documentEndpoints(cfg PlatformConfig, addresses Addresses) []live.Endpoint {
-	at := make(map[string]string, len(addresses.Endpoints))
+	addressOf := make(map[string]string, len(addresses.Endpoints))
 	for _, e := range addresses.Endpoints {
-		at[e.Name] = e.Address
+		addressOf[e.Name] = e.Address
 	}
 	var out []live.Endpoint
 	for _, e := range cfg.Engines {
-		out = append(out, engineEndpoint(e.withDefaults(), at[e.Name]))
+		out = append(out, engineEndpoint(e.withDefaults(), addressOf[e.Name]))
 	}
 	for _, p := range cfg.Plains {
-		out = append(out, plainEndpoint(p.withDefaults(), at[p.Name]))
+		out = append(out, plainEndpoint(p.withDefaults(), addressOf[p.Name]))
 	}
 	return out
 }
 
-// engineEndpoint describes an engine.
+// engineEndpoint returns the configuration entry of an engine.
 func engineEndpoint(e EngineConfig, address string) live.Endpoint {
 	return live.Endpoint{
 		Name: id.Endpoint(e.Name),
@@ -99,7 +100,7 @@
 	}
 }
 
-// plainEndpoint describes a plain endpoint.
+// plainEndpoint returns the configuration entry of a plain endpoint.
 func plainEndpoint(p PlainConfig, address string) live.Endpoint {
 	return live.Endpoint{
 		Name: id.Endpoint(p.Name),
@@ -114,7 +115,8 @@
 	}
 }
 
-// documentLinks lists a link for each direction between failure domains.
+// documentLinks lists a link for each ordered pair of failure domains, including
+// one within each domain.
 func documentLinks(cfg PlatformConfig) []live.Link {
 	var out []live.Link
 	for _, from := range cfg.Domains {
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -11,24 +11,27 @@
 )
 
 const (
-	// DefaultLeaveGrace is how long a leaving endpoint still takes new work.
+	// DefaultLeaveGrace is how long a leaving endpoint still accepts new work.
 	DefaultLeaveGrace = 3 * time.Second
-	// DefaultSlots is how many requests or calls an endpoint runs at once.
+	// DefaultSlots is how many requests or calls an endpoint runs concurrently.
 	DefaultSlots = 4
-	// DefaultLoadLag is how old a load report is.
+	// DefaultLoadLag is the delay after which a load report shows a change.
 	DefaultLoadLag = 100 * time.Millisecond
-	// countedKeys bounds how many requests or keys an endpoint counts.
+	// maxCountedKeys bounds the requests or idempotency keys whose runs an
+	// endpoint counts.
 	maxCountedKeys = 1 << 16
 )
 
-// process is one start of an endpoint. It ends when the endpoint crashes.
+// process is one incarnation of an endpoint. It ends when the endpoint crashes
+// or stops.
 type process struct {
 	incarnation uint64
 	ctx         context.Context
 	end         context.CancelFunc
 }
 
-// endpoint is what engines and plain services share: incarnations and crashes.
+// endpoint is the common part of engines and plain services: incarnations,
+// crashes and leaving.
 type endpoint struct {
 	faults       *faults
 	restartDelay time.Duration
@@ -40,8 +43,9 @@
 	crashes int64
 }
 
-// newEndpoint returns an endpoint in its first incarnation. Incarnations begin
-// with the time in milliseconds, so that a later process has a higher one.
+// newEndpoint returns an endpoint in its first incarnation. The first incarnation
+// number is the time in milliseconds since 1970, so that a stand-in process
+// started later has a higher number.
 func newEndpoint(seed uint64, restartDelay, leaveGrace time.Duration) *endpoint {
 	if restartDelay <= 0 {
 		restartDelay = DefaultRestartDelay
@@ -54,13 +58,13 @@
 	return e
 }
 
-// newProcess begins an incarnation.
+// newProcess starts an incarnation.
 func newProcess(incarnation uint64) process {
 	ctx, end := context.WithCancel(context.Background())
 	return process{incarnation: incarnation, ctx: ctx, end: end}
 }
 
-// start listens at addr.
+// start starts the endpoint's server at addr, host:port.
 func (e *endpoint) start(addr string, in *standIn) (*Server, error) {
 	in.process = e.process
 	server, err := startStandIn(addr, in)
@@ -74,14 +78,14 @@
 	return server, nil
 }
 
-// stop ends the incarnation for good.
+// stop ends the current incarnation without starting a new one.
 func (e *endpoint) stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.proc.end()
 }
 
-// restart ends the incarnation, cuts all connections, and listens again after
+// restart ends the incarnation, resets all connections, and listens again after
 // the restart delay. The caller holds mu.
 func (e *endpoint) restart() {
 	e.crashes++
@@ -95,24 +99,24 @@
 	time.AfterFunc(e.restartDelay, func() { server.reopen(aborts) })
 }
 
-// process is the current process.
+// process returns the current process.
 func (e *endpoint) process() process {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.proc
 }
 
-// Incarnation is the current incarnation.
+// Incarnation returns the number of the current incarnation.
 func (e *endpoint) Incarnation() uint64 {
 	return e.process().incarnation
 }
 
-// stamp sets the incarnation header of a response.
 func setIncarnationHeader(ctx *fasthttp.RequestCtx, incarnation uint64) {
 	ctx.Response.Header.Set(wire.HeaderIncarnation, strconv.FormatUint(incarnation, 10))
 }
 
-// leavingRefusal refuses new work once the grace of a leaving endpoint is over.
+// leavingRefusal returns the refusal of new work once the leave grace of a
+// leaving endpoint is over; nil before that.
 func (e *endpoint) leavingRefusal() *failure {
 	since, leaving := e.faults.leavingSince()
 	if !leaving || time.Since(since) < e.leaveGrace {
@@ -121,7 +125,7 @@
 	return refused(fasthttp.StatusServiceUnavailable, wire.ErrorLeaving, "endpoint is leaving")
 }
 
-// isLeaving tells whether the endpoint says that it leaves.
+// isLeaving reports whether the endpoint announces that it is leaving.
 func (e *endpoint) isLeaving() bool {
 	_, leaving := e.faults.leavingSince()
 	return leaving
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -24,7 +24,7 @@
 	DefaultRoleTime               = 100 * time.Millisecond
 	DefaultFinishedLifetime       = 10 * time.Second
 	DefaultTombstoneLifetime      = time.Minute
-	// MaxAnswerTokens bounds the answer to one request.
+	// MaxAnswerTokens bounds the output tokens of one request.
 	MaxAnswerTokens  = 8192
 	defaultMaxTokens = 16
 	maxTombstones    = 1 << 14
@@ -37,44 +37,51 @@
 	RoleDecode  = "decode"
 )
 
-// EngineConfig sets up an Engine; zero fields take the defaults.
+// EngineConfig configures an Engine; zero fields take the defaults.
 type EngineConfig struct {
 	Name   string
 	Domain string
-	// Model, Adapter, Version and Role that it has at its start.
+	// Model, Adapter, Version and Role are those of the engine at its start.
 	Model, Adapter, Version, Role string
-	// Slots is how many requests it decodes at once.
+	// Slots is how many requests the engine decodes concurrently.
 	Slots                  int
 	PrefillTokensPerSecond float64
-	// DecodeTokenMS is the time for one output token of a request alone.
+	// DecodeTokenMS is the time per output token of a request that runs alone.
 	DecodeTokenMS float64
-	// BatchSlowdown is the share by which each further request slows the pace.
+	// BatchSlowdown is the fraction by which each further running request
+	// lengthens the time per output token.
 	BatchSlowdown float64
 	// PrefillQueue bounds the prefills that wait.
-	PrefillQueue    int
+	PrefillQueue int
+	// KVLife is how long an exported KV cache is kept for its import.
 	KVLife          time.Duration
 	KVBytesPerToken int64
 	// CacheBlocks bounds the prefix cache, in blocks of package prefixhash.
 	CacheBlocks int
-	// CacheLag is how late cache events are; CacheGap is the share that is lost.
+	// CacheLag is the delay after which cache events are visible; CacheEventLoss
+	// is the probability that an event is lost.
 	CacheLag       time.Duration
 	CacheEventLoss float64
-	LoadLag        time.Duration
-	// LoadTime and RoleTime are how long the two kinds of orders take.
+	// LoadLag is the delay after which load reports show a change.
+	LoadLag time.Duration
+	// LoadTime is how long an order takes that changes the model, the adapter or
+	// the version; RoleTime is how long one takes that changes only the role.
 	LoadTime, RoleTime time.Duration
-	// FinishedLife is how long a finished answer is kept for a resume.
-	FinishedLifetime  time.Duration
+	// FinishedLifetime is how long a finished answer is kept for a resume.
+	FinishedLifetime time.Duration
+	// TombstoneLifetime is how long a cancelled request's id is refused.
 	TombstoneLifetime time.Duration
 	RestartDelay      time.Duration
 	LeaveGrace        time.Duration
-	// ChecksFencing makes it refuse orders with an old fencing number.
+	// ChecksFencing makes the engine refuse orders with a stale fencing number.
 	ChecksFencing bool
-	// Links that imports go over. Default: links of its own at 2 and 1 GB/s.
+	// Links carry the KV imports. Default: links used by this engine alone, with
+	// 2 GB/s within a failure domain and 1 GB/s across.
 	Links *Links
 	Seed  uint64
 }
 
-// withDefaults fills in the fields that are zero.
+// withDefaults replaces zero fields by their defaults.
 func (c EngineConfig) withDefaults() EngineConfig {
 	defaults.Set(&c.Role, RolePrefill)
 	defaults.Set(&c.Slots, DefaultSlots)
@@ -97,7 +104,8 @@
 	return c
 }
 
-// Engine is a model engine. Its mutex, that of endpoint, guards all state.
+// Engine is a simulated model engine. The mutex of the embedded endpoint guards
+// all its state.
 type Engine struct {
 	*endpoint
 	cfg        EngineConfig
@@ -125,7 +133,7 @@
 	return e
 }
 
-// Start listens at addr.
+// Start starts the engine's server at addr, host:port.
 func (e *Engine) Start(addr string) (*Server, error) {
 	return e.start(addr, &standIn{
 		faults:         e.faults,
@@ -150,7 +158,7 @@
 // Crash ends the incarnation: all state and all connections are lost.
 func (e *Engine) Crash() { e.Inject(wire.Fault{Crash: true}) }
 
-// crash replaces the memory by that of a new process. The caller holds mu.
+// crash replaces the memory with that of a new process. The caller holds mu.
 func (e *Engine) crash() {
 	e.discardMemory()
 	e.restart()
@@ -159,7 +167,8 @@
 	go e.prefillLoop(e.memory)
 }
 
-// loseMemory counts the prefill work that a crash destroys. The caller holds mu.
+// discardMemory stops the expiry timers and the decodes, and counts the prefill
+// work of the exported KV caches as wasted. The caller holds mu.
 func (e *Engine) discardMemory() {
 	for _, kv := range e.memory.kvs {
 		kv.expiry.Stop()
@@ -181,7 +190,7 @@
 	handler(ctx)
 }
 
-// route finds the handler of a call; nil if there is none.
+// route returns the handler of a method and path; nil if there is none.
 func (e *Engine) route(method, path string) fasthttp.RequestHandler {
 	switch method + " " + path {
 	case http.MethodPost + " " + wire.PathPrefill:
@@ -213,13 +222,13 @@
 	}
 }
 
-// owner is the daemon process that waits for a request.
+// owner is the daemon process that waits for the result of a request.
 type owner struct {
 	name        string
 	incarnation uint64
 }
 
-// work is what every request in the engine has.
+// engineRequest is the common part of all requests in an engine.
 type engineRequest struct {
 	id     string
 	owner  owner
@@ -227,12 +236,12 @@
 	since  time.Time
 	ctx    context.Context
 	cancel context.CancelFunc
-	// process ends when the engine's process does.
+	// process is done when the engine's process ends.
 	process context.Context
 }
 
-// abort answers a call whose work has ended early: a cancel is told, but the
-// end of the process breaks the connection, as it would.
+// replyAborted replies to a call whose work ended early: with the failure after
+// a cancel, and with a reset connection after a crash, as from a real process.
 func (w *engineRequest) replyAborted(ctx *fasthttp.RequestCtx, f *failure) {
 	if w.process.Err() != nil {
 		resetConnection(ctx)
@@ -241,7 +250,7 @@
 	f.write(ctx)
 }
 
-// newWork begins a request within a process.
+// newEngineRequest returns a request whose context ends with the process.
 func newEngineRequest(m *memory, id string, o owner, stage string) engineRequest {
 	ctx, cancel := context.WithCancel(m.proc.ctx)
 	return engineRequest{id: id, owner: o, stage: stage, since: time.Now(), ctx: ctx, cancel: cancel, process: m.proc.ctx}
--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -9,10 +9,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// cacheLogEvents bounds how many cache events an engine keeps.
+// maxCacheEvents bounds the cache events that an engine keeps.
 const maxCacheEvents = 8192
 
-// prefixCache holds the blocks whose KV cache an engine still has.
+// prefixCache tracks the prompt blocks whose KV cache an engine holds, and keeps
+// the log of cache events.
 type prefixCache struct {
 	blocks     *simplelru.LRU[uint64, struct{}]
 	size       int
@@ -32,7 +33,8 @@
 	}
 }
 
-// hits counts the leading blocks that are cached, and marks them as used.
+// hits returns the number of leading blocks that are cached, and marks them as
+// recently used.
 func (c *prefixCache) hits(blocks []uint64) int {
 	for i, block := range blocks {
 		if _, ok := c.blocks.Get(block); !ok {
@@ -42,7 +44,8 @@
 	return len(blocks)
 }
 
-// store adds blocks and notes the events.
+// store adds blocks, evicts the least recently used blocks if the cache is full,
+// and records the events.
 func (c *prefixCache) store(now time.Time, blocks []uint64, f *faults) {
 	for _, block := range blocks {
 		if _, ok := c.blocks.Get(block); ok {
@@ -57,7 +60,8 @@
 	}
 }
 
-// note numbers an event; one that falls into a gap is not kept.
+// recordEvent numbers an event and appends it to the log. A lost event takes a
+// number, but is not kept.
 func (c *prefixCache) recordEvent(now time.Time, block uint64, stored bool, f *faults) {
 	c.lastNumber++
 	if f.draw(c.eventLoss) {
@@ -70,7 +74,7 @@
 	}
 }
 
-// after lists the visible events behind a number.
+// eventsAfter lists the visible events with a number above the given one.
 func (c *prefixCache) eventsAfter(now time.Time, number uint64) []wire.CacheEventItem {
 	out := []wire.CacheEventItem{}
 	for _, e := range c.log {
@@ -84,7 +88,8 @@
 	return out
 }
 
-// serveCacheEvents answers with the cache events behind a number.
+// serveCacheEvents returns the visible cache events whose numbers are above the
+// query argument after.
 func (e *Engine) serveCacheEvents(ctx *fasthttp.RequestCtx) {
 	after, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	if err != nil {
--- a/standin/engine_cancel.go
+++ b/standin/engine_cancel.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// serveCancel ends a request in whatever state it is.
+// serveCancel cancels a request in any stage.
 func (e *Engine) serveCancel(ctx *fasthttp.RequestCtx) {
 	var r wire.CancelRequest
 	if f := decodeBody(ctx, &r); f != nil {
@@ -19,8 +19,8 @@
 	setJSON(ctx, wire.CancelResponse{State: e.cancel(r)})
 }
 
-// cancel ends a request and leaves a tombstone, so that a run order that comes
-// later is refused. The caller holds mu.
+// cancel ends a request and leaves a tombstone, so that a run order for the
+// request that arrives later is refused. The caller holds mu.
 func (e *Engine) cancel(r wire.CancelRequest) string {
 	if e.otherOwner(r) {
 		return wire.CancelOtherOwner
@@ -44,27 +44,29 @@
 	return state
 }
 
-// otherOwner tells whether a conditional cancel meets another owner.
+// otherOwner reports whether a conditional cancel names an owner other than that
+// of the request. The caller holds mu.
 func (e *Engine) otherOwner(r wire.CancelRequest) bool {
 	if r.Owner == "" {
 		return false
 	}
-	by := owner{r.Owner, r.OwnerIncarnation}
-	if d, ok := e.memory.decodes[r.Request]; ok && d.owner != by {
+	canceller := owner{r.Owner, r.OwnerIncarnation}
+	if d, ok := e.memory.decodes[r.Request]; ok && d.owner != canceller {
 		return true
 	}
-	if p, ok := e.memory.prefills[r.Request]; ok && p.owner != by {
+	if p, ok := e.memory.prefills[r.Request]; ok && p.owner != canceller {
 		return true
 	}
 	for _, kv := range e.memory.kvs {
-		if kv.id == r.Request && kv.owner != by {
+		if kv.id == r.Request && kv.owner != canceller {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelPrefill ends a prefill that waits or runs.
+// cancelPrefill ends a waiting or running prefill; false if there is none. The
+// caller holds mu.
 func (e *Engine) cancelPrefill(id string) bool {
 	job, ok := e.memory.prefills[id]
 	if !ok {
@@ -77,7 +79,8 @@
 	return true
 }
 
-// cancelKV drops the exported KV caches of a request.
+// cancelKV drops the exported KV caches of a request; false if there is none.
+// The caller holds mu.
 func (e *Engine) cancelKV(id string) bool {
 	found := false
 	for name, kv := range e.memory.kvs {
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -9,21 +9,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// finishLength is the Finish of an answer that has all its tokens.
+// finishLength is the Finish value of an answer that reached its token limit.
 const finishLength = "length"
 
-// decode is an answer that is being written, or a finished one that is kept.
+// decode is the decode of one request: importing, running, or finished and kept
+// for a resume.
 type decode struct {
 	engineRequest
 	request wire.DecodeRequest
 	events  []wire.TokenEvent
-	// changed is closed and replaced on each event.
+	// changed is closed and replaced on each event and each new stream.
 	changed chan struct{}
-	// stream numbers the streams; only the latest is served.
+	// stream is the number of the latest stream, the only one that is served.
 	stream int
 }
 
-// serveDecode takes a slot, imports the KV cache and streams the answer.
+// serveDecode takes a slot, imports the KV cache and streams the output tokens.
 func (e *Engine) serveDecode(ctx *fasthttp.RequestCtx) {
 	var r wire.DecodeRequest
 	if f := decodeBody(ctx, &r); f != nil {
@@ -50,7 +51,7 @@
 	e.streamEvents(ctx, d, stream, r.Continue)
 }
 
-// takeSlot takes a slot for a run order, or refuses it.
+// takeSlot takes a slot for a run order, or returns the failure.
 func (e *Engine) takeSlot(r wire.DecodeRequest) (*memory, *decode, *failure) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,7 +66,7 @@
 	}
 	m := e.memory
 	if _, ok := m.decodes[r.Request]; ok {
-		return nil, nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine holds this request")
+		return nil, nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine already holds this request")
 	}
 	if m.running >= e.cfg.Slots {
 		e.counters.Refused++
@@ -91,7 +92,7 @@
 	e.dropDecode(m, d)
 }
 
-// drop forgets a request and frees its slot. The caller holds mu.
+// dropDecode removes a request and frees its slot. The caller holds mu.
 func (e *Engine) dropDecode(m *memory, d *decode) {
 	if m.decodes[d.id] != d {
 		return
@@ -104,13 +105,14 @@
 	e.recordLoad()
 }
 
-// forget ends the work and frees the tokens.
+// discard cancels the work and frees the stored events.
 func (d *decode) discard() {
 	d.cancel()
 	d.events = nil
 }
 
-// beginDecode counts the run; false if the request was cancelled meanwhile.
+// beginDecode counts the run; false if the request was cancelled during its
+// import, or if its prompt crashes the engine.
 func (e *Engine) beginDecode(m *memory, d *decode) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,9 +131,9 @@
 	return true
 }
 
-// decodeLoop writes the answer token by token until its end or a cancel. It
-// goes on when its stream breaks, since a resume may come.
-func (e *Engine) decodeLoop(m *memory, d *decode, transfer time.Duration) {
+// decodeLoop emits the output tokens one by one until the end or a cancel. It
+// continues when the stream breaks, since the request may be resumed.
+func (e *Engine) decodeLoop(m *memory, d *decode, transferTime time.Duration) {
 	seed := xxhash.Sum64String(d.request.Prompt)
 	for seq := d.request.Continue + 1; seq <= d.request.MaxTokens; seq++ {
 		if !e.faults.simulateWork(d.ctx.Done(), e.pace(m)) {
@@ -139,14 +141,15 @@
 		}
 		event := wire.TokenEvent{Request: d.id, Seq: seq, Text: answerToken(seed, seq)}
 		if seq == d.request.Continue+1 {
-			event.TransferMS = float64(transfer) / float64(time.Millisecond)
+			event.TransferMS = float64(transferTime) / float64(time.Millisecond)
 		}
 		e.emit(d, event)
 	}
 	e.finish(m, d)
 }
 
-// pace is the time for one token of each running request, when not slowed.
+// pace returns the time per output token at the current batch size, without the
+// Slow fault.
 func (e *Engine) pace(m *memory) time.Duration {
 	e.mu.Lock()
 	running := m.running
@@ -155,7 +158,7 @@
 	return time.Duration(e.cfg.DecodeTokenMS * factor * float64(time.Millisecond))
 }
 
-// emit keeps an event and wakes the stream.
+// emit stores an event and wakes the stream, unless the request was cancelled.
 func (e *Engine) emit(d *decode, event wire.TokenEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -166,14 +169,14 @@
 	d.append(event)
 }
 
-// append keeps an event and wakes the stream. The caller holds the engine's mu.
+// append stores an event and wakes the stream. The caller holds the engine's mu.
 func (d *decode) append(event wire.TokenEvent) {
 	d.events = append(d.events, event)
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// finish frees the slot and keeps the answer for a resume.
+// finish frees the slot and keeps the finished answer for a resume.
 func (e *Engine) finish(m *memory, d *decode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// pathPull is how a decode engine pulls a KV cache from a prefill engine.
-	// It is between stand-ins only.
+	// pathPull is the path on which a decode engine pulls a KV cache from a
+	// prefill engine. Only stand-ins use it.
 	pathPull    = "/v1/kv/pull"
 	pullTimeout = 2 * time.Second
 )
 
-// exportedKV is a KV cache that waits for its import. It stays within its life
-// also while it is being transferred.
+// exportedKV is a KV cache that waits for its import. Its lifetime (KVLife) also
+// runs while it is being transferred.
 type exportedKV struct {
 	name           string
 	id             string
@@ -29,23 +29,24 @@
 	expiry         *time.Timer
 }
 
-// pullRequest asks for a KV cache: first whether it is there, then, with End
-// set, to drop it because it is through.
+// pullRequest is a call for a KV cache: the first checks that it exists and gets
+// its size, the second, with End set, drops it after the transfer.
 type pullRequest struct {
 	Request string `json:"request"`
 	KV      string `json:"kv"`
 	End     bool   `json:"end"`
 }
 
-// pullResponse tells the size of a KV cache.
+// pullResponse carries the size of a KV cache, in bytes.
 type pullResponse struct {
 	Bytes int64 `json:"bytes"`
 }
 
-// isPull tells whether a call comes from another stand-in.
+// isPull reports whether a call is a pull by another engine.
 func isPull(ctx *fasthttp.RequestCtx) bool { return string(ctx.Path()) == pathPull }
 
-// newPullClient returns the client by which engines pull from each other.
+// newPullClient returns the HTTP client for pulls from other engines. It makes
+// no retries.
 func newPullClient() *fasthttp.Client {
 	return &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, MaxIdleConnDuration: time.Second}
 }
@@ -72,7 +73,7 @@
 	}
 }
 
-// expire drops a KV cache that nobody imported in time.
+// expire drops a KV cache that was not imported within its lifetime.
 func (e *Engine) expire(m *memory, name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,8 +82,8 @@
 	}
 }
 
-// dropKV forgets a KV cache; wasted counts its work as done in vain. The
-// caller holds mu.
+// dropKV removes a KV cache; wasted counts its computed tokens as wasted. It
+// returns false if there is no such cache. The caller holds mu.
 func (e *Engine) dropKV(name string, wasted bool) bool {
 	kv, ok := e.memory.kvs[name]
 	if !ok {
@@ -96,7 +97,7 @@
 	return true
 }
 
-// serveRelease frees an exported KV cache.
+// serveRelease frees an exported KV cache that will not be imported.
 func (e *Engine) serveRelease(ctx *fasthttp.RequestCtx) {
 	var r wire.ReleaseRequest
 	if f := decodeBody(ctx, &r); f != nil {
@@ -113,7 +114,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// servePull answers another engine's pull.
+// servePull serves another engine's pull.
 func (e *Engine) servePull(ctx *fasthttp.RequestCtx) {
 	var r pullRequest
 	if f := decodeBody(ctx, &r); f != nil {
@@ -134,7 +135,7 @@
 	setJSON(ctx, pullResponse{Bytes: kv.bytes})
 }
 
-// importKV pulls the KV cache of a request and returns when it is through.
+// importKV pulls the KV cache of a request and returns when the transfer ended.
 func (e *Engine) importKV(ctx context.Context, id string, source wire.KVSource) *failure {
 	pull := pullRequest{Request: id, KV: source.KV}
 	size, f := e.pull(source.Address, pull)
@@ -142,17 +143,18 @@
 		return f
 	}
 	if !e.faults.waitWhile(ctx.Done(), func(s faultState) bool { return s.stall }) {
-		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled in its import")
+		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled during its KV import")
 	}
 	if e.cfg.Links.Transfer(ctx, source.Domain, e.cfg.Domain, size) != nil {
-		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled in its import")
+		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled during its KV import")
 	}
 	pull.End = true
 	_, f = e.pull(source.Address, pull)
 	return f
 }
 
-// pull makes one call to the engine that holds a KV cache.
+// pull makes one pull call to the engine that holds a KV cache and returns the
+// size of the cache in bytes.
 func (e *Engine) pull(address string, in pullRequest) (int64, *failure) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -165,14 +167,14 @@
 	req.SetRequestURI("http://" + address + pathPull)
 	req.SetBodyRaw(body)
 	if err := e.pullClient.DoTimeout(req, resp, pullTimeout); err != nil {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache's engine can't be reached: "+err.Error())
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "can't reach the engine that holds the KV cache: "+err.Error())
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache is gone at "+address)
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache pull was refused by "+address)
 	}
 	var out pullResponse
 	if err := json.Unmarshal(resp.Body(), &out); err != nil {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "unreadable answer of "+address)
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "can't decode the pull response of "+address)
 	}
 	return out.Bytes, nil
 }
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -17,7 +17,7 @@
 	stageFinished = "finished"
 )
 
-// memory is all that an engine loses when it crashes.
+// memory is the volatile state of an engine, which is lost in a crash.
 type memory struct {
 	proc        process
 	prefills    map[string]*prefill
@@ -29,13 +29,14 @@
 	running     int
 	finished    []*decode
 	cache       *prefixCache
-	// cancelled holds the tombstones and when each was set.
+	// cancelled holds the tombstones: the ids of cancelled requests and when
+	// each was cancelled.
 	cancelled   *simplelru.LRU[string, time.Time]
 	arrivals    uint64
 	exportCount uint64
 }
 
-// newMemory returns the memory of a process that begins.
+// newMemory returns the empty memory of a new process.
 func newMemory(cfg EngineConfig, proc process) *memory {
 	return &memory{
 		proc:        proc,
@@ -48,8 +49,8 @@
 	}
 }
 
-// refuseWork tells why an engine can't take a new request of a role and model;
-// nil if it can. The caller holds mu.
+// refuseWork returns why the engine can't accept a new request for a role and
+// model; nil if it can. The caller holds mu.
 func (e *Engine) refuseWork(id, role, model string) *failure {
 	if id == "" {
 		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "request has no id")
@@ -62,7 +63,7 @@
 		return f
 	}
 	if !e.orders.ready {
-		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is loading")
+		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is changing its model or role")
 	}
 	if e.orders.current.Role != role {
 		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's role is "+e.orders.current.Role)
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// buried tells whether a tombstone stands for a request. The caller holds mu.
+// hasTombstone reports whether a request has a tombstone that has not expired.
+// The caller holds mu.
 func (e *Engine) hasTombstone(id string) bool {
 	at, ok := e.memory.cancelled.Peek(id)
 	return ok && time.Since(at) < e.cfg.TombstoneLifetime
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -7,15 +7,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// orderState is what an engine was ordered to be. It outlives a crash.
+// orderState is the model and role that the engine was last ordered to have. It
+// survives a crash.
 type orderState struct {
 	current wire.Order
 	ready   bool
-	// change numbers the changes, so that an older one's end is ignored.
+	// change is the number of the latest change, so that the end of an earlier
+	// change is ignored.
 	change int
 }
 
-// newOrderState is the state of an engine before its first order.
+// newOrderState returns the state of an engine before its first order.
 func newOrderState(cfg EngineConfig) orderState {
 	return orderState{
 		current: wire.Order{Model: cfg.Model, Adapter: cfg.Adapter, Version: cfg.Version, Role: cfg.Role},
@@ -23,7 +25,7 @@
 	}
 }
 
-// response is the state as a body.
+// response returns the state as a response body.
 func (s orderState) response() wire.OrderResponse {
 	return wire.OrderResponse{
 		Fence:   s.current.Fence,
@@ -35,14 +37,15 @@
 	}
 }
 
-// serveOrderState answers with the state.
+// serveOrderState returns the current order state.
 func (e *Engine) serveOrderState(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	setJSON(ctx, e.orders.response())
 }
 
-// serveOrder takes an order.
+// serveOrder applies an order, or refuses it if its role is unknown or its
+// fencing number is stale.
 func (e *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	var o wire.Order
 	if f := decodeBody(ctx, &o); f != nil {
@@ -50,44 +53,45 @@
 		return
 	}
 	if o.Role != RolePrefill && o.Role != RoleDecode {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "no such role: "+o.Role).write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "unknown role: "+o.Role).write(ctx)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ChecksFencing && o.Fence < e.orders.current.Fence {
 		e.counters.OrdersRefused++
-		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order's fencing number is old").write(ctx)
+		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order has a stale fencing number").write(ctx)
 		return
 	}
 	e.applyOrder(o)
 	setJSON(ctx, e.orders.response())
 }
 
-// obey begins the change that an order asks for. The caller holds mu.
+// applyOrder starts the change to the model and role of an order. The caller
+// holds mu.
 func (e *Engine) applyOrder(o wire.Order) {
-	was := e.orders.current
+	previous := e.orders.current
 	e.orders.current = o
 	e.counters.Orders++
-	if o.Fence < was.Fence {
+	if o.Fence < previous.Fence {
 		e.counters.StaleFencesApplied++
 	}
-	was.Fence = o.Fence
-	if o == was {
+	previous.Fence = o.Fence
+	if o == previous {
 		return
 	}
-	takes := e.cfg.LoadTime
-	if was.Role = o.Role; o == was {
-		takes = e.cfg.RoleTime
+	duration := e.cfg.LoadTime
+	if previous.Role = o.Role; o == previous {
+		duration = e.cfg.RoleTime
 	}
 	e.orders.ready = false
 	e.orders.change++
 	change := e.orders.change
 	e.recordLoad()
-	time.AfterFunc(takes, func() { e.endChange(change) })
+	time.AfterFunc(duration, func() { e.endChange(change) })
 }
 
-// endChange makes the engine ready, unless a newer change runs.
+// endChange marks the engine ready, unless a newer change is in progress.
 func (e *Engine) endChange(change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// prefill is a prompt that waits or is being read.
+// prefill is the job of computing one prompt's KV cache, waiting or running.
 type prefill struct {
 	engineRequest
 	request wire.PrefillRequest
@@ -21,7 +21,7 @@
 	failure  *failure
 }
 
-// servePrefill handles a prefill order and waits for its end.
+// servePrefill queues a prefill order and waits for its end.
 func (e *Engine) servePrefill(ctx *fasthttp.RequestCtx) {
 	var r wire.PrefillRequest
 	if f := decodeBody(ctx, &r); f != nil {
@@ -41,7 +41,8 @@
 	}
 }
 
-// answerAborted answers a prefill that was cancelled or lost to a crash.
+// replyPrefillAborted replies to a prefill that was cancelled or lost in a
+// crash, with its result if it finished before that.
 func (e *Engine) replyPrefillAborted(ctx *fasthttp.RequestCtx, job *prefill) {
 	select {
 	case <-job.done:
@@ -51,7 +52,7 @@
 	}
 }
 
-// enqueuePrefill puts a prefill into the queue.
+// enqueuePrefill adds a prefill to the queue, or returns the failure.
 func (e *Engine) enqueuePrefill(r wire.PrefillRequest) (*prefill, *failure) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 	m := e.memory
 	if _, ok := m.prefills[r.Request]; ok {
-		return nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "request is in its prefill")
+		return nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine already holds a prefill of this request")
 	}
 	if len(m.queue) >= e.cfg.PrefillQueue {
 		e.counters.Refused++
@@ -83,7 +84,7 @@
 	return job, nil
 }
 
-// prefillLoop reads the queued prompts one by one until the process ends.
+// prefillLoop runs the queued prefills one by one until the process ends.
 func (e *Engine) prefillLoop(m *memory) {
 	for {
 		job := e.nextPrefill(m)
@@ -99,7 +100,8 @@
 	}
 }
 
-// nextPrefill takes the next prefill from the queue; nil if there is none.
+// nextPrefill removes the next prefill from the queue and skips cancelled ones;
+// nil if there is none.
 func (e *Engine) nextPrefill(m *memory) *prefill {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// runPrefill reads one prompt and exports its KV cache.
+// runPrefill computes the uncached part of one prompt and exports the KV cache.
 func (e *Engine) runPrefill(m *memory, job *prefill) {
 	e.mu.Lock()
 	e.counters.Prefills++
@@ -131,15 +133,15 @@
 
 	computed := tokens - cached
 	began := time.Now()
-	work := e.prefillTime(computed)
-	finished := e.faults.simulateWork(job.ctx.Done(), work)
+	duration := e.prefillTime(computed)
+	finished := e.faults.simulateWork(job.ctx.Done(), duration)
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	m.prefilling = false
 	e.counters.PrefillTokensCached += int64(cached)
 	if !finished || job.ctx.Err() != nil {
-		e.abortPrefill(computed, completedWork(time.Since(began), e.faults.state().slow), work)
+		e.abortPrefill(computed, completedWork(time.Since(began), e.faults.state().slow), duration)
 		return
 	}
 	e.counters.PrefillTokens += int64(computed)
@@ -150,20 +152,21 @@
 	e.recordLoad()
 }
 
-// prefillTime is how long the reading of so many tokens takes.
+// prefillTime returns how long the prefill of a number of tokens takes, without
+// the Slow fault.
 func (e *Engine) prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / e.cfg.PrefillTokensPerSecond * float64(time.Second))
 }
 
-// abortPrefill counts the share of a prefill that was done in vain. The caller
-// holds mu.
+// abortPrefill counts the completed part of an aborted prefill as wasted: spent
+// of work, for that many tokens. The caller holds mu.
 func (e *Engine) abortPrefill(tokens int, spent, work time.Duration) {
 	e.recordLoad()
 	if work <= 0 {
 		return
 	}
-	share := min(1, float64(spent)/float64(work))
-	wasted := int64(share * float64(tokens))
+	fraction := min(1, float64(spent)/float64(work))
+	wasted := int64(fraction * float64(tokens))
 	e.counters.PrefillTokens += wasted
 	e.counters.PrefillTokensWasted += wasted
 }
@@ -197,7 +200,7 @@
 	return job
 }
 
-// remove takes a prefill out of the queue, if it is there.
+// remove deletes a prefill from the queue, if it is queued.
 func (q *prefillQueue) remove(job *prefill) {
 	for i, other := range *q {
 		if other == job {
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -8,12 +8,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// EngineCounters counts what an Engine did.
+// EngineCounters are the counters of an Engine.
 type EngineCounters struct {
 	Prefills            int64 `json:"prefills"`
 	PrefillTokens       int64 `json:"prefill_tokens"`
 	PrefillTokensCached int64 `json:"prefill_tokens_cached"`
-	// PrefillTokensWasted were read, but their KV cache was never imported.
+	// PrefillTokensWasted counts computed prompt tokens whose KV cache was not
+	// imported.
 	PrefillTokensWasted int64 `json:"prefill_tokens_wasted"`
 	KVImported          int64 `json:"kv_imported"`
 	KVExpired           int64 `json:"kv_expired"`
@@ -21,29 +22,29 @@
 	ImportsFailed       int64 `json:"imports_failed"`
 	Decodes             int64 `json:"decodes"`
 	Tokens              int64 `json:"tokens"`
-	// RanTwice counts decodes of a request that had been decoded here before.
+	// RanTwice counts decodes of a request that this engine had decoded before.
 	RanTwice   int64 `json:"ran_twice"`
 	Resumes    int64 `json:"resumes"`
 	Cancels    int64 `json:"cancels"`
 	Refused    int64 `json:"refused"`
 	MaxRunning int   `json:"max_running"`
-	// HeldAfterCancel counts the slots that cancelled requests hold now.
+	// HeldAfterCancel is the number of slots that cancelled requests hold now.
 	HeldAfterCancel int `json:"held_after_cancel"`
 	Running         int `json:"running"`
 	KVHeld          int `json:"kv_held"`
-	// Hanging counts the calls that a fault holds back now.
+	// Hanging is the number of calls that the Hang fault holds back now.
 	Hanging int   `json:"hanging"`
 	Crashes int64 `json:"crashes"`
-	// AfterLeave counts run orders that came after the leave grace.
+	// AfterLeave counts run orders that arrived after the leave grace.
 	AfterLeave         int64 `json:"after_leave"`
 	Orders             int64 `json:"orders"`
 	OrdersRefused      int64 `json:"orders_refused"`
 	StaleFencesApplied int64 `json:"old_fences_obeyed"`
-	// DecodeRuns holds how often each request was decoded here.
+	// DecodeRuns lists how often this engine decoded each request.
 	DecodeRuns []Runs `json:"decode_runs"`
 }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (e *Engine) Counters() EngineCounters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,7 +62,7 @@
 	return c
 }
 
-// serveRequests lists what the engine holds memory for.
+// serveRequests lists the requests for which the engine holds memory.
 func (e *Engine) serveRequests(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,7 +83,7 @@
 	setJSON(ctx, list)
 }
 
-// listed is one entry of the list.
+// newRunningRequest returns one entry of the request list.
 func newRunningRequest(id string, o owner, stage string, since time.Time) wire.RunningRequest {
 	return wire.RunningRequest{
 		Request:          id,
@@ -93,17 +94,19 @@
 	}
 }
 
-// serveLoad answers with the lagging report.
+// serveLoad returns the lagging load report.
 func (e *Engine) serveLoad(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	setJSON(ctx, e.load.get(time.Now()))
 }
 
-// noteLoad keeps the report of now, to be shown later. The caller holds mu.
+// recordLoad records the current load report; it becomes visible after LoadLag.
+// The caller holds mu.
 func (e *Engine) recordLoad() { e.load.set(time.Now(), e.currentLoad()) }
 
-// currentLoad is the report of now. Model and role are empty while a change runs.
+// currentLoad returns the load report without lag. Model and role are empty
+// while a change is in progress. The caller holds mu, except in NewEngine.
 func (e *Engine) currentLoad() wire.LoadReport {
 	m := e.memory
 	report := wire.LoadReport{
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -10,7 +10,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// attach makes a new stream of an answer; older streams of it end.
+// attach starts a new stream of a request's events and returns its number; the
+// earlier streams of the request end.
 func (e *Engine) attach(d *decode) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -20,17 +21,18 @@
 	return d.stream
 }
 
-// serveResume goes on with a stream for a new owner.
+// serveResume hands a request to a new owner and streams its events after the
+// given sequence number.
 func (e *Engine) serveResume(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	after, err := strconv.Atoi(string(args.Peek("after")))
 	if err != nil || after < 0 {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "after is not a number").write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "after is not a non-negative integer").write(ctx)
 		return
 	}
 	incarnation, err := strconv.ParseUint(string(args.Peek("incarnation")), 10, 64)
 	if err != nil {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "incarnation is not a number").write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "incarnation is not an unsigned integer").write(ctx)
 		return
 	}
 	d, f := e.takeOver(string(args.Peek("request")), owner{string(args.Peek("owner")), incarnation})
@@ -41,8 +43,8 @@
 	e.streamEvents(ctx, d, e.attach(d), after)
 }
 
-// takeOver gives a request to a new owner. An earlier incarnation of the owner
-// can't take it back.
+// takeOver assigns a request to a new owner. An earlier incarnation of the same
+// owner is refused.
 func (e *Engine) takeOver(id string, to owner) (*decode, *failure) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,7 +60,7 @@
 	return d, nil
 }
 
-// streamEvents sends the events behind a sequence number as they come.
+// streamEvents sends the events after a sequence number as they are emitted.
 func (e *Engine) streamEvents(ctx *fasthttp.RequestCtx, d *decode, stream, after int) {
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.ImmediateHeaderFlush = true
@@ -87,8 +89,9 @@
 	})
 }
 
-// eventsAfter returns the events behind a sequence number and what to wait for;
-// nil if the stream was replaced or the request is gone.
+// eventsAfter returns the events after a sequence number and a channel that is
+// closed on the next change; the channel is nil if the stream was replaced or
+// the request has ended.
 func (e *Engine) eventsAfter(d *decode, stream, after int) ([]wire.TokenEvent, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +105,7 @@
 	return append([]wire.TokenEvent(nil), d.events[first:]...), d.changed
 }
 
-// writeEvents sends events and flushes them.
+// writeEvents writes events as server-sent events and flushes them.
 func writeEvents(w *bufio.Writer, events []wire.TokenEvent) error {
 	for _, event := range events {
 		data, err := json.Marshal(event)
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -26,18 +26,18 @@
 	is.Equal(first.Text+collect(t, stream, 1, 0), standin.Answer(prompt, 40))
 	is.Equal(stream.Incarnation(), p.decode.Incarnation())
 
-	read, wrote := p.prefill.Counters(), p.decode.Counters()
-	is.Equal(read.Prefills, int64(1))
-	is.Equal(read.PrefillTokens, int64(550))
-	is.Equal(read.KVImported, int64(1))
-	is.Equal(read.PrefillTokensWasted, int64(0))
-	is.Equal(read.KVHeld, 0)
-	is.Equal(wrote.Running, 0)
-	is.Equal(wrote.MaxRunning, 1)
-	is.Equal(wrote.DecodeRuns, []standin.Runs{{Name: "r1", Runs: 1}})
+	prefilled, decoded := p.prefill.Counters(), p.decode.Counters()
+	is.Equal(prefilled.Prefills, int64(1))
+	is.Equal(prefilled.PrefillTokens, int64(550))
+	is.Equal(prefilled.KVImported, int64(1))
+	is.Equal(prefilled.PrefillTokensWasted, int64(0))
+	is.Equal(prefilled.KVHeld, 0)
+	is.Equal(decoded.Running, 0)
+	is.Equal(decoded.MaxRunning, 1)
+	is.Equal(decoded.DecodeRuns, []standin.Runs{{Name: "r1", Runs: 1}})
 }
 
-func TestKVExpiresAndItsWorkIsWasted(t *testing.T) {
+func TestExpiredKVCountsAsWastedWork(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
 	prompt := strings.Repeat("x", 400)
@@ -64,11 +64,11 @@
 	is.NoErr(err)
 	is.Equal(cancelled.State, wire.CancelDone)
 	_, err = p.orderDecode(context.Background(), "r2", "two", 4, kv)
-	is.NoErr(err) // the refusal left the KV cache in its place
+	is.NoErr(err) // the refusal did not drop the KV cache
 	is.Equal(p.decode.Counters().MaxRunning, 1)
 }
 
-func TestMarkedPromptCrashesEachEngineThatRunsIt(t *testing.T) {
+func TestCrashMarkerInPromptCrashesEngine(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	before := p.prefill.Incarnation()
@@ -102,7 +102,7 @@
 	is.Equal(list.Incarnation, p.decode.Incarnation())
 }
 
-func TestCallThatHangsInACrashIsLost(t *testing.T) {
+func TestHangingCallIsLostInCrash(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	p.prefill.Inject(wire.Fault{Hang: ptr(true)})
@@ -120,10 +120,10 @@
 		_, err := p.orderPrefill(context.Background(), "r2", "two")
 		return err == nil
 	})
-	is.Equal(p.prefill.Counters().Prefills, int64(1)) // the lost call never ran
+	is.Equal(p.prefill.Counters().Prefills, int64(1)) // the lost call was not run
 }
 
-func TestCancelEndsAQueuedAndARunningPrefill(t *testing.T) {
+func TestCancelEndsQueuedAndRunningPrefill(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, nil)
 	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
@@ -149,7 +149,7 @@
 	is.Equal(len(list.Requests), 0)
 }
 
-func TestCancelBeforeTheRunOrderLeavesATombstone(t *testing.T) {
+func TestCancelBeforeRunOrderLeavesTombstone(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, nil)
 	cancelled, err := p.toPrefill.Cancel(context.Background(), wire.CancelRequest{Request: "r1"})
@@ -161,7 +161,7 @@
 	is.Equal(p.prefill.Counters().Prefills, int64(0))
 }
 
-func TestCancelEndsAStalledImport(t *testing.T) {
+func TestCancelEndsStalledImport(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, nil)
 	p.decode.Inject(wire.Fault{StallTransfers: ptr(true)})
@@ -182,13 +182,13 @@
 	is.Equal(p.prefill.Counters().KVReleased, int64(1))
 }
 
-func TestBrokenStreamGoesOnAndIsResumedByANewOwner(t *testing.T) {
+func TestDecodeSurvivesBrokenStreamAndIsResumedByNewOwner(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	p := newEnginePair(t, nil)
 	p.decode.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	p.run(t, "r1", "prompt", 60).Close()
-	is.Equal(p.decode.Counters().Running, 1) // goes on without a stream
+	is.Equal(p.decode.Counters().Running, 1) // the decode continues without a stream
 	p.decode.Inject(wire.Fault{Slow: ptr(1.0)})
 	stream, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", Owner: "d1", Incarnation: 1}, streamTimeouts)
 	is.NoErr(err)
@@ -200,7 +200,7 @@
 
 	state, err := p.toDecode.Cancel(ctx, wire.CancelRequest{Request: "r1", Owner: "d1", OwnerIncarnation: 1})
 	is.NoErr(err)
-	is.Equal(state.State, wire.CancelOtherOwner) // the former owner can't end it
+	is.Equal(state.State, wire.CancelOtherOwner) // the former owner can't cancel the request
 	_, err = p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 4}, streamTimeouts)
 	is.Equal(verdict.As(err).Code, client.CodeOwner)
 
@@ -212,7 +212,7 @@
 	is.Equal(p.decode.Counters().Decodes, int64(1))
 }
 
-func TestLaterStreamEndsTheEarlierOne(t *testing.T) {
+func TestNewStreamEndsEarlierStream(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6 })
 	earlier := p.run(t, "r1", "prompt", 4)
@@ -223,7 +223,7 @@
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 }
 
-func TestContinuationGoesOnBehindTheDeliveredTokens(t *testing.T) {
+func TestContinuationStartsAfterDeliveredTokens(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, nil)
 	kv, err := p.orderPrefill(context.Background(), "r2", "prompt")
@@ -254,7 +254,7 @@
 	is.Equal(len(events.Events), 16)
 }
 
-func TestHigherPriorityIsReadFirst(t *testing.T) {
+func TestHigherPriorityIsPrefilledFirst(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, nil)
 	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
@@ -275,7 +275,7 @@
 	send("low", 1, 2)
 	send("high", 9, 3)
 	p.prefill.Inject(wire.Fault{Slow: ptr(1.0)})
-	for place, id := range []string{"running", "high", "low"} { // exports are numbered
+	for place, id := range []string{"running", "high", "low"} { // the KV names end with the number of the export
 		is.True(strings.HasSuffix((<-results[id]).KV, fmt.Sprintf("-%d", place+1)))
 	}
 }
@@ -301,7 +301,7 @@
 	}
 }
 
-func TestLeavingEngineRefusesAfterItsGrace(t *testing.T) {
+func TestLeavingEngineRefusesAfterGrace(t *testing.T) {
 	is := is.New(t)
 	p := newEnginePair(t, func(c *standin.EngineConfig) { c.LeaveGrace = time.Nanosecond; c.LoadLag = time.Nanosecond })
 	p.prefill.Inject(wire.Fault{Leaving: ptr(true)})
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -8,7 +8,8 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// faults are the faults that one stand-in shows now.
+// faults are the injected faults of one stand-in and the generator for random
+// ones.
 type faults struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -20,7 +21,7 @@
 	once    sync.Once
 }
 
-// faultState is the set of standing faults.
+// faultState is the set of faults that last until they are changed.
 type faultState struct {
 	down, hang, stall       bool
 	delay                   time.Duration
@@ -28,7 +29,7 @@
 	slow                    float64
 }
 
-// newFaults returns no faults; draws come from the seed.
+// newFaults returns a state without faults; the seed sets the random generator.
 func newFaults(seed uint64) *faults {
 	return &faults{
 		rng:     rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
@@ -38,7 +39,7 @@
 	}
 }
 
-// apply changes the faults that are set in f.
+// apply changes the faults that f sets and wakes all waits.
 func (s *faults) apply(f wire.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,14 +59,14 @@
 	s.changed = make(chan struct{})
 }
 
-// set copies a value that is given.
+// setIfPresent copies a value unless its pointer is nil.
 func setIfPresent[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
-// setLeaving notes when the endpoint began to leave.
+// setLeaving records when the endpoint began to leave. The caller holds mu.
 func (s *faults) setLeaving(leaving bool) {
 	if !leaving {
 		s.leaving = time.Time{}
@@ -76,66 +77,68 @@
 	}
 }
 
-// state returns the standing faults.
+// state returns the current faults.
 func (s *faults) state() faultState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-// leavingSince tells whether the endpoint leaves, and since when.
+// leavingSince returns when the endpoint began to leave; false if it is not
+// leaving.
 func (s *faults) leavingSince() (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaving, !s.leaving.IsZero()
 }
 
-// draw tells whether a fault of the given share strikes.
-func (s *faults) draw(share float64) bool {
+// draw returns true with the given probability.
+func (s *faults) draw(probability float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return share > 0 && s.rng.Float64() < share
+	return probability > 0 && s.rng.Float64() < probability
 }
 
-// intN draws a number below n.
+// intN returns a random integer from 0 to n-1.
 func (s *faults) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.IntN(n)
 }
 
-// waitHang holds a call back while the stand-in hangs; false if stop or the
-// stand-in ended first.
+// waitHang blocks a call while the Hang fault is set; false if stop was closed or
+// the stand-in was closed first.
 func (s *faults) waitHang(stop <-chan struct{}) bool {
 	s.addHanging(1)
 	defer s.addHanging(-1)
 	return s.waitWhile(stop, func(f faultState) bool { return f.hang })
 }
 
-// addHanging counts the calls that are held back.
+// addHanging adds n to the number of calls that are held back.
 func (s *faults) addHanging(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hanging += n
 }
 
-// hangingCalls is how many calls are held back now.
+// hangingCalls returns the number of calls that are held back now.
 func (s *faults) hangingCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hanging
 }
 
-// close ends all waits.
+// close ends all current and later waits.
 func (s *faults) close() { s.once.Do(func() { close(s.closed) }) }
 
-// waitWhile blocks while the fault stands; false if stop or the stand-in ended first.
-func (s *faults) waitWhile(stop <-chan struct{}, stands func(faultState) bool) bool {
+// waitWhile blocks while active returns true for the current faults; false if
+// stop was closed or the stand-in was closed first.
+func (s *faults) waitWhile(stop <-chan struct{}, active func(faultState) bool) bool {
 	for {
 		s.mu.Lock()
-		now, changed := s.current, s.changed
+		current, changed := s.current, s.changed
 		s.mu.Unlock()
-		if !stands(now) {
+		if !active(current) {
 			return true
 		}
 		select {
@@ -148,7 +151,7 @@
 	}
 }
 
-// pause waits for d; false if stop closed first.
+// sleep waits for d; false if stop was closed first.
 func sleep(stop <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -13,10 +13,10 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// patience bounds every wait of a test; no test passes by it.
+// testTimeout bounds the waits of the tests. No test passes by reaching it.
 const testTimeout = 20 * time.Second
 
-// frozen as a slow fault keeps all work from ending.
+// frozenSlowdown is a Slow fault under which no work ends during a test.
 const frozenSlowdown = 1e9
 
 var streamTimeouts = client.Timeouts{First: testTimeout, Idle: testTimeout}
@@ -25,7 +25,7 @@
 	Start(string) (*standin.Server, error)
 }
 
-// serve starts a stand-in for the time of a test.
+// serve starts a stand-in for the duration of a test and returns its address.
 func serve(t *testing.T, s starter) string {
 	t.Helper()
 	server, err := s.Start("127.0.0.1:0")
@@ -38,8 +38,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds and fails the test at the timeout.
+func eventually(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	deadline := time.NewTimer(testTimeout)
 	defer deadline.Stop()
@@ -49,19 +49,20 @@
 		select {
 		case <-tick.C:
 		case <-deadline.C:
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
 
-// pair is a prefill and a decode engine with their clients.
+// enginePair is a prefill engine and a decode engine with their clients.
 type enginePair struct {
 	prefill, decode         *standin.Engine
 	prefillAddr, decodeAddr string
 	toPrefill, toDecode     *client.Engine
 }
 
-// newPair starts two fast engines; change adapts their configuration.
+// newEnginePair starts two fast engines; change, if set, adapts their
+// configuration.
 func newEnginePair(t *testing.T, change func(*standin.EngineConfig)) *enginePair {
 	t.Helper()
 	cfg := standin.EngineConfig{
@@ -80,14 +81,14 @@
 	return p
 }
 
-// read orders the prefill of a prompt.
+// orderPrefill runs the prefill of a prompt.
 func (p *enginePair) orderPrefill(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
 	return p.toPrefill.Prefill(ctx, wire.PrefillRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", CacheSalt: "team", Prompt: prompt,
 	})
 }
 
-// write orders the decode of a request that was read.
+// orderDecode starts the decode of a request whose prefill was run.
 func (p *enginePair) orderDecode(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
 	return p.toDecode.Decode(ctx, wire.DecodeRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", Prompt: prompt, MaxTokens: maxTokens,
@@ -95,7 +96,7 @@
 	}, streamTimeouts)
 }
 
-// run reads and begins to write a request.
+// run runs the prefill of a request and starts its decode.
 func (p *enginePair) run(t *testing.T, id, prompt string, maxTokens int) *client.Stream {
 	t.Helper()
 	kv, err := p.orderPrefill(context.Background(), id, prompt)
@@ -110,8 +111,8 @@
 	return stream
 }
 
-// collect reads n events, or all if n is 0, and checks that they are in order
-// behind event after. It returns the text.
+// collect reads n events, or all if n is 0, and checks that their sequence
+// numbers follow after without a gap. It returns the text.
 func collect(t *testing.T, s *client.Stream, after, n int) string {
 	t.Helper()
 	var text strings.Builder
@@ -125,7 +126,7 @@
 		}
 		after++
 		if event.Seq != after {
-			t.Fatalf("event %d came in the place of %d", event.Seq, after)
+			t.Fatalf("got event %d, want event %d", event.Seq, after)
 		}
 		text.WriteString(event.Text)
 	}
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -8,12 +8,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// HostCounters counts what a host list did.
+// HostCounters are the counters of a HostList.
 type HostCounters struct {
 	Reads int64 `json:"reads"`
 }
 
-// HostList is the platform's list of entry hosts, which lags.
+// HostList is the platform's list of entry hosts. Readers see a change after the
+// lag.
 type HostList struct {
 	faults   *faults
 	mu       sync.Mutex
@@ -21,12 +22,12 @@
 	counters HostCounters
 }
 
-// NewHostList returns a list whose first state is visible at once.
+// NewHostList returns a list whose initial hosts are visible immediately.
 func NewHostList(lag time.Duration, hosts []wire.Host, seed uint64) *HostList {
 	return &HostList{faults: newFaults(seed), hosts: newLagged(lag, hosts)}
 }
 
-// Start listens at addr.
+// Start starts the host list's server at addr, host:port.
 func (h *HostList) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
 		faults:         h.faults,
@@ -37,14 +38,14 @@
 	})
 }
 
-// Set replaces the list; callers see it after the lag.
+// Set replaces the list; readers see the change after the lag.
 func (h *HostList) Set(hosts []wire.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hosts.set(time.Now(), append([]wire.Host(nil), hosts...))
 }
 
-// Inject applies a fault; a list of hosts in it replaces the list.
+// Inject applies a fault; a non-nil Hosts in it replaces the list.
 func (h *HostList) Inject(f wire.Fault) {
 	h.faults.apply(f)
 	if f.Hosts != nil {
@@ -52,7 +53,7 @@
 	}
 }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (h *HostList) Counters() HostCounters {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/standin/links.go
+++ b/standin/links.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Links are the rate-limited paths between failure domains. All engines of one
-// process share them.
+// Links are the rate-limited links within and between failure domains. All
+// engines of a Platform share them.
 type Links struct {
 	start          time.Time
 	within, across float64
@@ -16,10 +16,10 @@
 	states map[linkKey]*linkState
 }
 
-// path is a direction between failure domains.
+// linkKey identifies a link by its direction between failure domains.
 type linkKey struct{ from, to string }
 
-// linkPath is the state of one path.
+// linkState is the state of one link.
 type linkState struct {
 	link  sharedLink
 	timer *time.Timer
@@ -31,22 +31,23 @@
 	return &Links{start: time.Now(), within: within, across: across, states: map[linkKey]*linkState{}}
 }
 
-// SetRate changes the rate of one direction, in bytes a second.
+// SetRate changes the rate of one direction to rate, in bytes a second.
 func (l *Links) SetRate(from, to string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.state(linkKey{from, to})
-	p.link.advance(l.now())
-	p.link.rate = rate
-	l.arm(p)
+	s := l.state(linkKey{from, to})
+	s.link.advance(l.now())
+	s.link.rate = rate
+	l.arm(s)
 }
 
-// Transfer carries bytes and returns when they are through or ctx ended.
+// Transfer simulates the transfer of a number of bytes. It returns when the
+// transfer is complete, or the error of ctx if that ends first.
 func (l *Links) Transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mu.Lock()
-	p := l.state(linkKey{from, to})
-	item := p.link.add(l.now(), bytes)
-	l.arm(p)
+	s := l.state(linkKey{from, to})
+	item := s.link.add(l.now(), bytes)
+	l.arm(s)
 	l.mu.Unlock()
 	select {
 	case <-item.done:
@@ -55,41 +56,43 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.link.remove(l.now(), item)
-	l.arm(p)
+	s.link.remove(l.now(), item)
+	l.arm(s)
 	return ctx.Err()
 }
 
-// now is the time since the links were made.
+// now returns the time since the links were created.
 func (l *Links) now() time.Duration { return time.Since(l.start) }
 
-// path returns the state of one direction.
+// state returns the state of one link, created on first use. The caller holds
+// mu.
 func (l *Links) state(key linkKey) *linkState {
-	if p, ok := l.states[key]; ok {
-		return p
+	if s, ok := l.states[key]; ok {
+		return s
 	}
 	rate := l.across
 	if key.from == key.to {
 		rate = l.within
 	}
-	p := &linkState{link: sharedLink{rate: rate}}
-	l.states[key] = p
-	return p
+	s := &linkState{link: sharedLink{rate: rate}}
+	l.states[key] = s
+	return s
 }
 
-// arm sets the timer to the next end of a transfer.
-func (l *Links) arm(p *linkState) {
-	if p.timer != nil {
-		p.timer.Stop()
+// arm sets the timer of a link to the next end of a transfer. The caller holds
+// mu.
+func (l *Links) arm(s *linkState) {
+	if s.timer != nil {
+		s.timer.Stop()
 	}
-	if len(p.link.transfers) == 0 {
+	if len(s.link.transfers) == 0 {
 		return
 	}
-	p.timer = time.AfterFunc(p.link.nextEnd()-l.now(), func() {
+	s.timer = time.AfterFunc(s.link.nextEnd()-l.now(), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		p.link.advance(l.now())
-		l.arm(p)
+		s.link.advance(l.now())
+		l.arm(s)
 	})
 }
 
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -8,17 +8,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// MaxObjectBytes bounds one object, in bytes.
+// MaxObjectBytes is the maximum size of an object, in bytes.
 const MaxObjectBytes = 16 << 20
 
-// ObjectCounters counts what an object store did.
+// ObjectCounters are the counters of an object store.
 type ObjectCounters struct {
 	Gets    int64 `json:"gets"`
 	Puts    int64 `json:"puts"`
 	Objects int   `json:"objects"`
 }
 
-// Objects is the object store.
+// Objects is a simulated object store.
 type Objects struct {
 	faults   *faults
 	mu       sync.Mutex
@@ -31,7 +31,7 @@
 	return &Objects{faults: newFaults(seed), objects: map[string][]byte{}}
 }
 
-// Start listens at addr.
+// Start starts the object store's server at addr, host:port.
 func (o *Objects) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
 		faults:         o.faults,
@@ -45,7 +45,7 @@
 // Inject applies a fault.
 func (o *Objects) Inject(f wire.Fault) { o.faults.apply(f) }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (o *Objects) Counters() ObjectCounters {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -92,7 +92,7 @@
 	o.counters.Gets++
 	body, ok := o.objects[name]
 	if !ok {
-		failed(fasthttp.StatusNotFound, wire.ErrorNotFound, "no object "+name).write(ctx)
+		failed(fasthttp.StatusNotFound, wire.ErrorNotFound, "object not found: "+name).write(ctx)
 		return
 	}
 	ctx.SetBody(body)
--- a/standin/plainservice.go
+++ b/standin/plainservice.go
@@ -9,15 +9,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// DefaultWorkTime is how long a plain call runs.
+// DefaultWorkTime is how long a call of a plain service runs.
 const DefaultWorkTime = 10 * time.Millisecond
 
-// PlainConfig sets up a PlainService; zero fields take the defaults.
+// PlainConfig configures a PlainService; zero fields take the defaults.
 type PlainConfig struct {
 	Name   string
 	Domain string
-	// Service that it stands for; the label of its endpoint.
-	Service      string
+	// Service is the name of the simulated service and the value of the
+	// endpoint's LabelService label.
+	Service string
+	// Slots is how many calls the service runs concurrently.
 	Slots        int
 	WorkTime     time.Duration
 	LoadLag      time.Duration
@@ -26,7 +28,7 @@
 	Seed         uint64
 }
 
-// withDefaults fills in the fields that are zero.
+// withDefaults replaces unset fields by their defaults.
 func (c PlainConfig) withDefaults() PlainConfig {
 	if c.Slots <= 0 {
 		c.Slots = DefaultSlots
@@ -40,20 +42,21 @@
 	return c
 }
 
-// PlainCounters counts what a PlainService did.
+// PlainCounters are the counters of a PlainService.
 type PlainCounters struct {
-	// Calls that were run; Refused ones were not.
+	// Calls counts the calls that were run, Refused those that were not.
 	Calls      int64 `json:"calls"`
 	Refused    int64 `json:"refused"`
 	Crashes    int64 `json:"crashes"`
 	MaxRunning int   `json:"max_running"`
-	// AfterLeave counts calls that came after the leave grace.
+	// AfterLeave counts calls that arrived after the leave grace.
 	AfterLeave int64 `json:"after_leave"`
-	// Keys holds how often each idempotency key ran here.
+	// Keys lists how often this service ran each idempotency key.
 	Keys []Runs `json:"keys"`
 }
 
-// PlainService runs calls on any path.
+// PlainService is a simulated plain service. It runs calls on all paths except
+// those of the probes.
 type PlainService struct {
 	*endpoint
 	cfg      PlainConfig
@@ -74,7 +77,7 @@
 	}
 }
 
-// Start listens at addr.
+// Start starts the service's server at addr, host:port.
 func (p *PlainService) Start(addr string) (*Server, error) {
 	return p.start(addr, &standIn{
 		faults:         p.faults,
@@ -85,7 +88,8 @@
 	})
 }
 
-// Inject applies a fault. LoseReplies runs calls and then cuts the connection.
+// Inject applies a fault. Under LoseReplies a call is run, and then its
+// connection is reset.
 func (p *PlainService) Inject(f wire.Fault) {
 	p.faults.apply(f)
 	if !f.Crash {
@@ -97,7 +101,7 @@
 	p.restart()
 }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (p *PlainService) Counters() PlainCounters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,12 +111,13 @@
 	return c
 }
 
-// Receipt is the body of the answer to a call with this key and body.
+// Receipt returns the response body of a call with the given idempotency key and
+// request body.
 func Receipt(key string, body []byte) string {
 	return fmt.Sprintf("receipt %016x %016x", xxhash.Sum64String(key), xxhash.Sum64(body))
 }
 
-// isProbe tells questions about the service from calls of it.
+// isProbe reports whether a path is that of a load or health probe.
 func isProbe(path string) bool { return path == wire.PathLoad || path == wire.PathHealth }
 
 // serve handles a call.
@@ -127,7 +132,7 @@
 	}
 }
 
-// report is the service's view of itself, lagging.
+// report returns the load report, whose Running lags by LoadLag.
 func (p *PlainService) report() wire.LoadReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +145,7 @@
 	}
 }
 
-// run runs a call in a slot.
+// run runs a call in a slot, or refuses it.
 func (p *PlainService) run(ctx *fasthttp.RequestCtx) {
 	key := string(ctx.Request.Header.Peek(wire.HeaderIdempotencyKey))
 	proc, refusal := p.begin(key)
@@ -181,7 +186,7 @@
 	return p.proc, nil
 }
 
-// finish frees the slot, unless the process that held it has ended.
+// finish frees the slot, unless the endpoint has restarted since.
 func (p *PlainService) finish(proc process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -10,64 +10,71 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// Names of the platform's own stand-ins, as targets of faults.
+// The names of the platform services' stand-ins as targets of faults.
 const (
 	TargetTable   = "table"
 	TargetObjects = "objects"
 	TargetHosts   = "hosts"
 	TargetWeights = "weights"
-	// PathAddresses of a Platform's control address gives its Addresses.
+	// PathAddresses is the path at a Platform's control address that returns
+	// its Addresses.
 	PathAddresses = "/control/addresses"
 
 	defaultListenHost = "127.0.0.1"
-	// DefaultHostsLag is how late the host list is.
+	// DefaultHostsLag is the delay after which the host list shows a change.
 	DefaultHostsLag = 2 * time.Second
 )
 
-// PlatformConfig sets up all stand-ins of one site; zero fields take the defaults.
+// PlatformConfig configures all stand-ins of one site; zero fields take the
+// defaults.
 type PlatformConfig struct {
 	Name string
-	// Host is the IP number to listen at. Default: loopback.
+	// Host is the IP address to listen at. Default: loopback.
 	Host string
-	// BasePort is the control address's port; all others follow in the order of
-	// Addresses. 0 takes free ports.
+	// BasePort is the port of the control address; the other stand-ins take the
+	// following ports in the order of Addresses. 0 takes free ports.
 	BasePort int
 	// Domains are the failure domains.
 	Domains []string
-	// RateWithin and RateAcross are the links' rates, in bytes a second.
+	// RateWithin and RateAcross are the rates of the links within a failure
+	// domain and across two, in bytes a second.
 	RateWithin, RateAcross float64
-	// ModelService and PlainService are what Document calls the services.
+	// ModelService and PlainService are the names of the services in Document;
+	// empty leaves the service out.
 	ModelService, PlainService string
-	// WasteWeight of the model service, see package live.
+	// WasteWeight is that of the model service, see package live.
 	WasteWeight float64
-	// PatienceMS of the model service and PlainPatienceMS of the plain one; 0
-	// leaves the default.
+	// PatienceMS is that of the model service, PlainPatienceMS that of the plain
+	// service, see package live; 0 takes the default.
 	PatienceMS, PlainPatienceMS int
 	Engines                     []EngineConfig
 	Plains                      []PlainConfig
 	Table                       TableConfig
-	// Hosts is the first host list; HostsLag is how late changes show.
+	// Hosts is the initial host list; HostsLag is the delay after which it shows
+	// a change.
 	Hosts          []wire.Host
 	HostsLag       time.Duration
 	LoadsPerSecond float64
-	// Seed of all stand-ins that have none of their own.
+	// Seed is the seed of the platform services and the base of the seeds of
+	// the endpoints; a Table or an endpoint with its own seed keeps it.
 	Seed uint64
 }
 
-// EndpointAddress is where an endpoint listens.
+// EndpointAddress is the address, host:port, of an endpoint.
 type EndpointAddress struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Addresses are where the stand-ins of a platform listen.
+// Addresses are the addresses, host:port, of the stand-ins of a platform.
 type Addresses struct {
 	Control string `json:"control"`
 	Table   string `json:"table"`
 	Objects string `json:"objects"`
 	Hosts   string `json:"hosts"`
 	Weights string `json:"weights"`
-	// Endpoints are the engines, then the plain services, as configured.
+	// Endpoints lists the engines, then the plain services, in the order of the
+	// configuration.
 	Endpoints []EndpointAddress `json:"endpoints"`
 }
 
@@ -87,12 +94,13 @@
 	nextPort  int
 }
 
-// starter is what listens.
+// starter is a stand-in whose server can be started.
 type starter interface {
 	Start(addr string) (*Server, error)
 }
 
-// StartPlatform starts all stand-ins, each on a listener of its own.
+// StartPlatform starts all stand-ins of a platform, each with its own listener.
+// If one fails to start, it closes the others and returns the error.
 func StartPlatform(cfg PlatformConfig) (*Platform, error) {
 	defaults.Set(&cfg.Host, defaultListenHost)
 	defaults.Set(&cfg.RateWithin, DefaultRateWithin)
@@ -117,7 +125,7 @@
 
 // startAll starts the stand-ins in the order of Addresses.
 func (p *Platform) startAll() error {
-	own := []struct {
+	services := []struct {
 		address *string
 		standIn starter
 	}{
@@ -127,7 +135,7 @@
 		{&p.addresses.Hosts, p.Hosts},
 		{&p.addresses.Weights, p.Weights},
 	}
-	for _, s := range own {
+	for _, s := range services {
 		address, err := p.listen(s.standIn)
 		if err != nil {
 			return err
@@ -159,7 +167,7 @@
 	return nil
 }
 
-// listenEndpoint starts an endpoint and notes its address.
+// listenEndpoint starts an endpoint and records its address.
 func (p *Platform) listenEndpoint(name string, s starter) error {
 	address, err := p.listen(s)
 	if err != nil {
@@ -169,7 +177,7 @@
 	return nil
 }
 
-// listen starts a stand-in at the next port.
+// listen starts a stand-in at the next port and returns its address.
 func (p *Platform) listen(s starter) (string, error) {
 	server, err := s.Start(net.JoinHostPort(p.cfg.Host, strconv.Itoa(p.nextPort)))
 	if err != nil {
@@ -182,13 +190,14 @@
 	return server.Addr(), nil
 }
 
-// Addresses tells where the stand-ins listen.
+// Addresses returns the addresses of the stand-ins.
 func (p *Platform) Addresses() Addresses { return p.addresses }
 
-// Config is the configuration that the platform was started with.
+// Config returns the platform's configuration, including the defaults that
+// StartPlatform set.
 func (p *Platform) Config() PlatformConfig { return p.cfg }
 
-// Close ends all stand-ins.
+// Close closes all stand-ins.
 func (p *Platform) Close() {
 	for _, server := range p.servers {
 		server.Close()
--- a/standin/platform_control.go
+++ b/standin/platform_control.go
@@ -18,10 +18,10 @@
 	return nil
 }
 
-// injector is a stand-in that takes faults.
+// injector is a stand-in that accepts faults.
 type injector interface{ Inject(wire.Fault) }
 
-// target finds a stand-in by its name; nil if there is none.
+// target returns the stand-in with a name; nil if there is none.
 func (p *Platform) target(name string) injector {
 	switch name {
 	case TargetTable:
@@ -46,13 +46,13 @@
 	return nil
 }
 
-// NamedEngine is the counters of one engine.
+// NamedEngine holds the name and the counters of one engine.
 type NamedEngine struct {
 	Name     string         `json:"name"`
 	Counters EngineCounters `json:"counters"`
 }
 
-// NamedPlain is the counters of one plain service.
+// NamedPlain holds the name and the counters of one plain service.
 type NamedPlain struct {
 	Name     string        `json:"name"`
 	Counters PlainCounters `json:"counters"`
@@ -68,7 +68,7 @@
 	Plains  []NamedPlain   `json:"plains"`
 }
 
-// Counters returns the counts of all stand-ins.
+// Counters returns copies of the current counters of all stand-ins.
 func (p *Platform) Counters() PlatformCounters {
 	c := PlatformCounters{
 		Table:   p.Table.Counters(),
@@ -85,15 +85,15 @@
 	return c
 }
 
-// controlStarter listens for a platform's control address.
+// controlStarter serves a platform's control address.
 type controlStarter struct{ platform *Platform }
 
-// Start listens at addr.
+// Start starts the control server at addr, host:port.
 func (c controlStarter) Start(addr string) (*Server, error) {
 	return startServer(addr, c.handle)
 }
 
-// handle answers the control paths.
+// handle serves the control paths.
 func (c controlStarter) handle(ctx *fasthttp.RequestCtx) {
 	switch {
 	case ctx.IsGet() && string(ctx.Path()) == PathAddresses:
@@ -107,7 +107,7 @@
 	}
 }
 
-// inject applies a fault that came as a body.
+// inject applies the fault in the body of a call.
 func (c controlStarter) inject(ctx *fasthttp.RequestCtx) {
 	var fault wire.Fault
 	if f := decodeBody(ctx, &fault); f != nil {
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-func TestSitesHaveTheirSizes(t *testing.T) {
+func TestSiteProfilesHaveExpectedSizes(t *testing.T) {
 	for _, cfg := range []standin.PlatformConfig{standin.Bunker(), standin.Companeros()} {
 		t.Run(cfg.Name, func(t *testing.T) {
 			is := is.New(t)
--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sizes of the two sites.
+// The sizes and the settings of the two sites.
 const (
 	siteEngineCount      = 18
 	sitePrefillCount     = 9
@@ -13,11 +13,12 @@
 	siteVersion          = "1"
 	bunkerWasteWeight    = 0.2
 	companeroWasteWeight = 0.8
-	// companeroPatienceMS: the match notes can wait a little.
+	// companeroPatienceMS is the patience for match notes, which tolerate a short
+	// wait.
 	companeroPatienceMS = 1000
 )
 
-// Bunker is the site of the Caspian Bunker Suppliers Association: goodput
+// Bunker returns the configuration of the site of the Caspian Bunker Suppliers Association: goodput
 // weighs more than wasted prefill.
 func Bunker() PlatformConfig {
 	cfg := site("bunker", "document-summariser", "order-desk", []string{"aktau-port", "kuryk", "bautino", "aktau-city"})
@@ -26,7 +27,7 @@
 	return cfg
 }
 
-// Companeros is the site of Compañeros de Ruta Xelajú: wasted prefill weighs
+// Companeros returns the configuration of the site of Compañeros de Ruta Xelajú: wasted prefill weighs
 // more than goodput.
 func Companeros() PlatformConfig {
 	cfg := site("companeros", "matching-model", "mobile-endpoint", []string{"quetzal-norte", "xela-sur", "toto-centro", "atitlan-sala"})
@@ -36,9 +37,9 @@
 	return cfg
 }
 
-// site lays out a site: engines and plain endpoints spread over the failure
-// domains, half of the engines in each role, every other one checking fencing
-// numbers.
+// site returns the configuration of a site: engines and plain endpoints are
+// spread over the failure domains, half of the engines have each role, and every
+// other engine checks fencing numbers.
 func site(name, model, service string, domains []string) PlatformConfig {
 	cfg := PlatformConfig{Name: name, Domains: domains, ModelService: model, PlainService: service}
 	for i := range siteEngineCount {
@@ -56,7 +57,7 @@
 	return cfg
 }
 
-// siteEngine is engine i of a site.
+// siteEngine returns the configuration of engine i, counted from 0, of a site.
 func siteEngine(model string, i int, domain string) EngineConfig {
 	role := RolePrefill
 	if i >= sitePrefillCount {
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -18,17 +18,17 @@
 	retryAfter time.Duration
 }
 
-// refused returns a failure of a call that was not run.
+// refused returns the failure of a call that was not run.
 func refused(status int, code, message string) *failure {
 	return &failure{status: status, notRun: true, code: code, message: message}
 }
 
-// failed returns a failure of a call that may have run.
+// failed returns the failure of a call that may have run.
 func failed(status int, code, message string) *failure {
 	return &failure{status: status, code: code, message: message}
 }
 
-// write sends the failure.
+// write replaces the response by the failure.
 func (f *failure) write(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Reset()
 	ctx.SetStatusCode(f.status)
@@ -42,7 +42,8 @@
 	setJSON(ctx, wire.ErrorBody{Code: f.code, Message: f.message, RetryAfterMS: int(f.retryAfter / time.Millisecond)})
 }
 
-// answer sends a value as JSON, or the failure if there is one.
+// writeReply sets the response to a value as JSON, or to the failure if f is not
+// nil.
 func writeReply(ctx *fasthttp.RequestCtx, value any, f *failure) {
 	if f != nil {
 		f.write(ctx)
@@ -51,26 +52,26 @@
 	setJSON(ctx, value)
 }
 
-// setJSON sets the body to a value as JSON.
+// setJSON sets the response body to a value as JSON.
 func setJSON(ctx *fasthttp.RequestCtx, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		ctx.Error("stand-in can't encode its answer: "+err.Error(), fasthttp.StatusInternalServerError)
+		ctx.Error("stand-in can't encode its response: "+err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
 }
 
-// parse reads the JSON body of a call.
+// decodeBody decodes the JSON body of a call.
 func decodeBody(ctx *fasthttp.RequestCtx, into any) *failure {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
-		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "unreadable body: "+err.Error())
+		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "can't decode the request body: "+err.Error())
 	}
 	return nil
 }
 
-// notFound answers a path that a stand-in does not have.
+// notFound replies to a call of an unknown path.
 func notFound(ctx *fasthttp.RequestCtx) {
 	refused(fasthttp.StatusNotFound, wire.ErrorBadRequest, "no such path").write(ctx)
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -14,11 +14,12 @@
 	readBufferBytes = 16 << 10
 	idleTimeout     = time.Minute
 	reopenRetry     = 10 * time.Millisecond
-	// DefaultRestartDelay is how long a crashed endpoint stays away.
+	// DefaultRestartDelay is how long a crashed endpoint does not listen.
 	DefaultRestartDelay = 300 * time.Millisecond
 )
 
-// Server listens for one stand-in.
+// Server is the HTTP server of one stand-in. It can be aborted and reopened at
+// the same address.
 type Server struct {
 	handler fasthttp.RequestHandler
 	address string
@@ -27,13 +28,14 @@
 	listener *trackingListener
 	conns    map[*trackedConn]struct{}
 	closed   bool
-	// aborts counts the aborts, so that only the last one's reopen counts.
+	// aborts counts the aborts, so that a reopen after an earlier abort is
+	// ignored.
 	aborts  int
 	onClose []func()
 	serving sync.WaitGroup
 }
 
-// startServer listens at addr, host:port; port 0 takes a free one.
+// startServer listens at addr, host:port; port 0 takes a free port.
 func startServer(addr string, handler fasthttp.RequestHandler) (*Server, error) {
 	s := &Server{handler: handler, address: addr, conns: map[*trackedConn]struct{}{}}
 	if err := s.listen(0); err != nil {
@@ -77,17 +79,18 @@
 	return nil
 }
 
-// outdated tells whether a reopen behind abort number aborts is no longer due.
+// outdated reports whether a reopen after abort number aborts is no longer due.
 func (s *Server) outdated(aborts int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed || s.aborts != aborts
 }
 
-// Addr is the address, host:port, with the port that was taken.
+// Addr returns the address, host:port, with the actual port.
 func (s *Server) Addr() string { return s.address }
 
-// Close ends the stand-in: the listener and all connections.
+// Close stops the stand-in: it closes the listener, resets all connections and
+// waits for the server to end.
 func (s *Server) Close() {
 	s.mu.Lock()
 	hooks := s.onClose
@@ -101,8 +104,8 @@
 	s.serving.Wait()
 }
 
-// abort closes the listener and resets all connections. It returns the abort's
-// number for reopen.
+// abort closes the listener and resets all connections. It returns the number of
+// the abort for reopen.
 func (s *Server) abort() int {
 	s.mu.Lock()
 	s.aborts++
@@ -119,8 +122,8 @@
 	return aborts
 }
 
-// ResetConnections resets the connections that are open now, as a network does
-// that breaks; the stand-in goes on with its work.
+// ResetConnections resets the open connections, as in a network failure; the
+// stand-in continues its work.
 func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	conns := make([]*trackedConn, 0, len(s.conns))
@@ -133,7 +136,7 @@
 	}
 }
 
-// reopen listens again at the same address behind an abort; it tries until it
+// reopen listens again at the same address after an abort; it retries until it
 // succeeds or the server is closed or aborted again.
 func (s *Server) reopen(aborts int) {
 	if s.listen(aborts) == nil {
@@ -142,11 +145,12 @@
 	time.AfterFunc(reopenRetry, func() { s.reopen(aborts) })
 }
 
-// trackingListener notes each connection, so that all can be reset.
+// trackingListener registers each connection with the server, so that all can be
+// reset.
 type trackingListener struct {
 	net.Listener
 	server *Server
-	// dead is set once the server was aborted; guarded by the server's mutex.
+	// aborted is set once the server was aborted; guarded by the server's mutex.
 	aborted bool
 }
 
@@ -164,7 +168,7 @@
 	return tracked, nil
 }
 
-// track notes a connection; false if the server was aborted meanwhile.
+// track registers a connection; false if the server was aborted meanwhile.
 func (l *trackingListener) track(c *trackedConn) bool {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
@@ -175,7 +179,7 @@
 	return true
 }
 
-// trackedConn is a connection that can be reset from outside.
+// trackedConn is a connection that the server can reset.
 type trackedConn struct {
 	net.Conn
 	server *Server
@@ -189,7 +193,7 @@
 	return c.Conn.Close()
 }
 
-// reset closes the connection as a process that dies does.
+// reset closes the connection with a TCP reset, as if the process had crashed.
 func (c *trackedConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -197,14 +201,14 @@
 	_ = c.Close()
 }
 
-// cut resets the connection of a call, so that its reply is lost.
+// resetConnection resets the connection of a call, so that its reply is lost.
 func resetConnection(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*trackedConn); ok {
 		c.reset()
 	}
 }
 
-// silentLogger drops the library's lines about broken connections.
+// silentLogger discards fasthttp's log lines about broken connections.
 type silentLogger struct{}
 
 // Printf implements fasthttp.Logger.
--- a/standin/share.go
+++ b/standin/share.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// share is a link whose rate is shared equally by its transfers. It is a plain
-// state: the time goes in, the transfers that ended come out.
+// sharedLink is a link whose rate is shared equally by its transfers (processor
+// sharing). It reads no clock: callers pass the time. The done channels of
+// ended transfers are closed.
 type sharedLink struct {
 	rate      float64 // bytes a second
 	updatedAt time.Duration
-	served    float64 // bytes that a transfer present from the start would have got
+	served    float64 // bytes that a transfer present from the start would have received
 	transfers transferHeap
 }
 
-// shareItem is one transfer; it ends when served reaches its target.
+// transfer is one transfer of a link; it ends when served reaches its target.
 type transfer struct {
 	target float64
 	done   chan struct{}
 	index  int
 }
 
-// endSlack is what rounding may leave of a transfer, in bytes.
+// endToleranceBytes is the remainder that rounding may leave of a transfer, in
+// bytes.
 const endToleranceBytes = 1e-3
 
-// join adds a transfer.
+// add starts a transfer of a number of bytes.
 func (s *sharedLink) add(now time.Duration, bytes int64) *transfer {
 	s.advance(now)
 	item := &transfer{target: s.served + float64(bytes), done: make(chan struct{})}
@@ -32,7 +34,7 @@
 	return item
 }
 
-// leave drops a transfer that did not end.
+// remove removes a transfer that has not ended.
 func (s *sharedLink) remove(now time.Duration, item *transfer) {
 	s.advance(now)
 	if item.index >= 0 {
@@ -40,8 +42,8 @@
 	}
 }
 
-// advance serves the transfers until now and ends those that are through. A
-// transfer that ends in between leaves its share to the others from then on.
+// advance serves the transfers until now and ends the complete ones. From the
+// time at which a transfer ends the others share its rate.
 func (s *sharedLink) advance(now time.Duration) {
 	for len(s.transfers) > 0 && s.nextEnd() <= now {
 		at := s.nextEnd()
@@ -56,7 +58,8 @@
 	s.updatedAt = max(s.updatedAt, now)
 }
 
-// next is when the next transfer ends if none joins; only with transfers.
+// nextEnd returns when the next transfer ends if none is added. There must be at
+// least one transfer.
 func (s *sharedLink) nextEnd() time.Duration {
 	left := s.transfers[0].target - s.served
 	if left <= endToleranceBytes {
@@ -66,7 +69,7 @@
 	return s.updatedAt + time.Duration(seconds*float64(time.Second)) + 1
 }
 
-// shareHeap orders transfers by their targets.
+// transferHeap orders transfers by their targets.
 type transferHeap []*transfer
 
 // Len implements heap.Interface.
--- a/standin/share_test.go
+++ b/standin/share_test.go
@@ -17,29 +17,30 @@
 	first := s.add(0, 1000)
 	second := s.add(500*time.Millisecond, 1000) // first has 500 bytes left
 	s.advance(1499 * time.Millisecond)
-	is.True(!ended(first)) // alone it would have ended at 1 s
+	is.True(!ended(first)) // without the second transfer it would have ended at 1 s
 	s.advance(1501 * time.Millisecond)
 	is.True(ended(first))
 	is.True(!ended(second))
-	s.advance(2001 * time.Millisecond) // the second has the link for itself again
+	s.advance(2001 * time.Millisecond) // the second has the full rate again
 	is.True(ended(second))
 }
 
-func TestLeavingTransferGivesItsShareBack(t *testing.T) {
+func TestRemovedTransferReturnsItsShare(t *testing.T) {
 	is := is.New(t)
 	s := sharedLink{rate: 1000}
-	stays := s.add(0, 1000)
-	leaves := s.add(0, 1000)
-	s.remove(time.Second, leaves)
+	kept := s.add(0, 1000)
+	removed := s.add(0, 1000)
+	s.remove(time.Second, removed)
 	s.advance(1499 * time.Millisecond)
-	is.True(!ended(stays))
+	is.True(!ended(kept))
 	s.advance(1501 * time.Millisecond)
-	is.True(ended(stays))
-	is.True(!ended(leaves))
+	is.True(ended(kept))
+	is.True(!ended(removed))
 }
 
-// TestShareAgainstSmallSteps compares the ends with a simulation in small steps.
-func TestShareAgainstSmallSteps(t *testing.T) {
+// TestSharedLinkAgainstSteppedSimulation compares the ends of the transfers with
+// those of a simulation in steps of 1 ms.
+func TestSharedLinkAgainstSteppedSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, step = 1000.0, time.Millisecond
 		starts := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(t, "starts")
@@ -48,13 +49,13 @@
 		got := sharedLinkEnds(starts, sizes, rate, step)
 		for i := range want {
 			if math.Abs(float64(want[i]-got[i])) > float64(len(starts)+1) {
-				t.Fatalf("transfer %d ends at step %d, naive says %d", i, got[i], want[i])
+				t.Fatalf("transfer %d ends at step %d, in the stepped simulation at step %d", i, got[i], want[i])
 			}
 		}
 	})
 }
 
-// shareEnds gives the step at which each transfer ends by share.
+// sharedLinkEnds returns the step at which each transfer ends on a sharedLink.
 func sharedLinkEnds(starts, sizes []int, rate float64, step time.Duration) []int {
 	s := sharedLink{rate: rate}
 	items := make([]*transfer, len(starts))
@@ -76,7 +77,8 @@
 	return ends
 }
 
-// naiveEnds gives the same by serving each step's bytes in equal parts.
+// steppedEnds returns the step at which each transfer ends if the bytes of each
+// step are divided equally among the running transfers.
 func steppedEnds(starts, sizes []int, rate float64, step time.Duration) []int {
 	remaining := make([]float64, len(starts))
 	for i, size := range sizes {
@@ -104,7 +106,7 @@
 	return ends
 }
 
-// ended tells whether a transfer is through.
+// ended reports whether a transfer has ended.
 func ended(item *transfer) bool {
 	select {
 	case <-item.done:
@@ -114,7 +116,7 @@
 	}
 }
 
-func TestTransferEndsWithItsContextAndWithItsBytes(t *testing.T) {
+func TestTransferEndsOnCancelAndOnCompletion(t *testing.T) {
 	is := is.New(t)
 	l := NewLinks(1, 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,7 +129,7 @@
 	is.NoErr(<-ended)
 }
 
-func TestLaggedShowsTheValueOfALagAgo(t *testing.T) {
+func TestLaggedReturnsValueFromOneLagAgo(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	l := newLagged(time.Second, "old")
@@ -139,17 +141,17 @@
 	is.Equal(l.get(start.Add(1500*time.Millisecond)), "new")
 }
 
-func TestPrefixCacheIsBoundedAndItsEventsComeLateAndWithGaps(t *testing.T) {
+func TestPrefixCacheIsBoundedAndItsEventsLagAndCanBeLost(t *testing.T) {
 	is := is.New(t)
 	f := newFaults(1)
 	c := newPrefixCache(EngineConfig{CacheBlocks: 2, CacheLag: time.Second})
 	start := time.Unix(1000, 0)
 	c.store(start, []uint64{1, 2, 3}, f)
-	is.Equal(c.hits([]uint64{1}), 0) // dropped as the least recently used
+	is.Equal(c.hits([]uint64{1}), 0) // evicted as the least recently used
 	is.Equal(c.hits([]uint64{2, 3}), 2)
-	is.Equal(len(c.eventsAfter(start.Add(999*time.Millisecond), 0)), 0) // late
+	is.Equal(len(c.eventsAfter(start.Add(999*time.Millisecond), 0)), 0) // not visible yet
 	events := c.eventsAfter(start.Add(time.Second), 0)
-	is.Equal(len(events), 4) // three stored, one dropped
+	is.Equal(len(events), 4) // three stored, one evicted
 	is.Equal(len(c.eventsAfter(start.Add(time.Second), events[2].Number)), 1)
 
 	c.eventLoss = 1
@@ -157,5 +159,5 @@
 	c.eventLoss = 0
 	c.store(start, []uint64{5}, f)
 	later := c.eventsAfter(start.Add(time.Second), events[3].Number)
-	is.Equal(later[0].Number, events[3].Number+3) // the two events between were lost
+	is.Equal(later[0].Number, events[3].Number+3) // the two events in between were lost
 }
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -5,23 +5,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// standIn is what the shared handler needs of a stand-in.
+// standIn holds the callbacks of one stand-in that the shared handler needs.
 type standIn struct {
 	faults *faults
-	// serve handles all paths but the control path.
+	// serve handles all paths except the control path.
 	serve fasthttp.RequestHandler
-	// inject applies a fault that came by the control path.
+	// inject applies a fault received on the control path.
 	inject func(wire.Fault)
-	// counters returns what the control path shows.
+	// counters returns the counters that the control path reports.
 	counters func() any
-	// losable tells whether the reply of a call may be lost.
+	// replyCanBeLost reports whether the LoseReplies fault applies to a call.
 	replyCanBeLost func(ctx *fasthttp.RequestCtx) bool
-	// process, if set, is the process that takes calls now: a call that hangs
-	// is lost when it ends.
+	// process, if set, returns the process that serves calls now. A hanging call
+	// is lost when that process ends.
 	process func() process
 }
 
-// handler puts the faults around a stand-in's own handler.
+// handler applies the injected faults to each call and runs the stand-in's own
+// handler.
 func (s *standIn) handler(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == wire.PathControl {
 		s.control(ctx)
@@ -44,7 +45,8 @@
 	}
 }
 
-// ended is closed once the present process ends; nil for one that never does.
+// ended returns a channel that is closed when the current process ends; nil for
+// a stand-in whose process never ends.
 func (s *standIn) ended() <-chan struct{} {
 	if s.process == nil {
 		return nil
@@ -52,7 +54,8 @@
 	return s.process().ctx.Done()
 }
 
-// control answers the control path: GET counters, POST a fault.
+// control serves the control path: GET returns the counters, POST injects a
+// fault.
 func (s *standIn) control(ctx *fasthttp.RequestCtx) {
 	if ctx.IsGet() {
 		setJSON(ctx, s.counters())
@@ -67,7 +70,8 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// startStandIn listens for a stand-in and ends its waits with the server.
+// startStandIn starts a server for a stand-in. Closing the server ends all waits
+// of the stand-in's faults.
 func startStandIn(addr string, in *standIn) (*Server, error) {
 	server, err := startServer(addr, in.handler)
 	if err != nil {
--- a/standin/table.go
+++ b/standin/table.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// DefaultWritesPerSecond is the rate of transactions.
+	// DefaultWritesPerSecond is the rate limit of transactions.
 	DefaultWritesPerSecond = 400.0
-	// DefaultReadsPerSecond is the rate of reads.
+	// DefaultReadsPerSecond is the rate limit of reads.
 	DefaultReadsPerSecond = 2000.0
-	// MaxTransactionPuts bounds the puts, and the conditions, of one transaction.
+	// MaxTransactionPuts bounds both the puts and the conditions of a transaction.
 	MaxTransactionPuts = 256
 	defaultReadLimit   = 1000
 	treeDegree         = 32
-	// snapshots is how many earlier states a stale read may come from.
+	// maxSnapshots bounds the earlier states that stale reads return.
 	maxSnapshots = 32
 )
 
-// TableConfig sets up a Table; zero fields take the defaults.
+// TableConfig configures a Table; zero fields take the defaults.
 type TableConfig struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 	Seed            uint64
 }
 
-// TableCounters counts what a Table did.
+// TableCounters are the counters of a Table.
 type TableCounters struct {
 	Transactions int64 `json:"transactions"`
 	Applied      int64 `json:"applied"`
@@ -40,7 +40,7 @@
 	Rows         int   `json:"rows"`
 }
 
-// Table is the transactional table service.
+// Table is a simulated transactional table service.
 type Table struct {
 	faults *faults
 	writes *rate.Limiter
@@ -69,13 +69,14 @@
 	}
 }
 
-// burst allows a tenth of a second's rate at once.
+// burst returns the burst size of a rate limit: the calls of a tenth of a second,
+// at least 1.
 func burst(perSecond float64) int { return max(1, int(perSecond/10)) }
 
 // Inject applies a fault.
 func (t *Table) Inject(f wire.Fault) { t.faults.apply(f) }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (t *Table) Counters() TableCounters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +85,7 @@
 	return c
 }
 
-// Transact applies a transaction, without the rate and the faults.
+// Transact applies a transaction, bypassing the rate limit and the faults.
 func (t *Table) Transact(tx wire.Transaction) wire.TransactionResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +105,8 @@
 	return result
 }
 
-// failedConditions lists the keys whose condition does not hold.
+// failedConditions lists the keys whose condition does not hold. The caller
+// holds mu.
 func (t *Table) failedConditions(conditions []wire.Condition) []string {
 	var out []string
 	for _, c := range conditions {
@@ -116,7 +118,7 @@
 	return out
 }
 
-// snapshot keeps the state before a transaction for stale reads.
+// snapshot keeps the current state for stale reads. The caller holds mu.
 func (t *Table) snapshot() {
 	t.snapshots = append(t.snapshots, t.rows.Clone())
 	if len(t.snapshots) > maxSnapshots {
@@ -125,7 +127,8 @@
 	}
 }
 
-// put writes or deletes a row and returns its version; 0 for a deleted one.
+// put writes or deletes a row and returns its new version; 0 for a deleted row.
+// The caller holds mu.
 func (t *Table) put(put wire.Put) uint64 {
 	if put.Delete {
 		t.rows.Delete(wire.Row{Key: put.Key})
@@ -135,10 +138,10 @@
 	return t.version
 }
 
-// Read reads the newest rows, without the rate and the faults.
+// Read reads the newest rows, bypassing the rate limit and the faults.
 func (t *Table) Read(r wire.ReadRequest) wire.ReadResponse { return t.read(r, false) }
 
-// read reads rows from the newest or from an earlier state.
+// read reads rows from the newest state, or from a random earlier one if stale.
 func (t *Table) read(r wire.ReadRequest, stale bool) wire.ReadResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,7 +167,7 @@
 	return rows
 }
 
-// readPrefix reads rows under a prefix in key order, behind After.
+// readPrefix reads the rows under a prefix with keys above After, in key order.
 func readPrefix(tree *btree.BTreeG[wire.Row], r wire.ReadRequest) []wire.Row {
 	if r.Prefix == "" {
 		return nil
--- a/standin/table_serve.go
+++ b/standin/table_serve.go
@@ -8,10 +8,10 @@
 	"golang.org/x/time/rate"
 )
 
-// maxQueueDelay is how long a call may be held back to keep the rate.
+// maxQueueDelay is the longest delay of a call to keep the rate limit.
 const maxQueueDelay = 200 * time.Millisecond
 
-// Start listens at addr.
+// Start starts the table's server at addr, host:port.
 func (t *Table) Start(addr string) (*Server, error) {
 	in := &standIn{
 		faults:         t.faults,
@@ -69,7 +69,8 @@
 	setJSON(ctx, t.read(r, stale))
 }
 
-// admit delays a call to the rate, or refuses it when the delay would be long.
+// admit delays a call to keep the rate limit, or returns the refusal if the delay
+// would exceed maxQueueDelay.
 func (t *Table) admit(limiter *rate.Limiter) *failure {
 	reservation := limiter.Reserve()
 	delay := reservation.Delay()
@@ -81,7 +82,7 @@
 	t.mu.Lock()
 	t.counters.OverRate++
 	t.mu.Unlock()
-	f := refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "table is over its rate")
+	f := refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "table rate limit exceeded")
 	f.retryAfter = delay
 	return f
 }
--- a/standin/table_test.go
+++ b/standin/table_test.go
@@ -13,7 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTableAgainstMap compares transactions and reads with a plain map.
+// TestTableAgainstMap compares random transactions and reads on a table with the
+// same ones on a plain map.
 func TestTableAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -33,7 +34,7 @@
 			case holds && put.Delete:
 				delete(model, key)
 			case holds:
-				is.True(result.Versions[0] > version) // versions only rise
+				is.True(result.Versions[0] > version) // versions only increase
 				model[key] = wire.Row{Key: key, Value: put.Value, Version: result.Versions[0]}
 			}
 			rows := table.Read(wire.ReadRequest{Prefix: "k"}).Rows
@@ -69,7 +70,7 @@
 	is.Equal(rest[0].Key, "b/3")
 }
 
-func TestLostReplyTookEffectAndIsReadBack(t *testing.T) {
+func TestTransactionWithLostReplyIsApplied(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := standin.NewTable(standin.TableConfig{})
@@ -77,13 +78,13 @@
 	table.Inject(wire.Fault{LoseReplies: ptr(1.0)})
 	_, err := c.Transact(ctx, wire.Transaction{Puts: []wire.Put{{Key: "a", Value: []byte("x")}}})
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
-	is.Equal(table.Counters().Transactions, int64(1)) // sent once
+	is.Equal(table.Counters().Transactions, int64(1)) // the client does not retry
 	read, err := c.Read(ctx, wire.ReadRequest{Keys: []string{"a"}})
 	is.NoErr(err)
 	is.Equal(string(read.Rows[0].Value), "x")
 }
 
-func TestStaleReadComesFromAnEarlierState(t *testing.T) {
+func TestStaleReadReturnsEarlierState(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := standin.NewTable(standin.TableConfig{Seed: 3})
@@ -92,20 +93,20 @@
 	table.Inject(wire.Fault{StaleReads: ptr(1.0)})
 	read, err := c.Read(ctx, wire.ReadRequest{Keys: []string{"a"}})
 	is.NoErr(err)
-	is.Equal(read.Rows[0].Version, uint64(0)) // the only earlier state is the empty one
+	is.Equal(read.Rows[0].Version, uint64(0)) // the only earlier state is empty
 	table.Inject(wire.Fault{StaleReads: ptr(0.0)})
 	read, err = c.Read(ctx, wire.ReadRequest{Keys: []string{"a"}})
 	is.NoErr(err)
 	is.Equal(string(read.Rows[0].Value), "new")
 }
 
-func TestTableOutageAndRateAreNotRun(t *testing.T) {
+func TestTableOutageAndRateLimitReportNotRun(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := standin.NewTable(standin.TableConfig{WritesPerSecond: 0.001})
 	c := client.NewTable(serve(t, table), client.Options{})
 	put := wire.Transaction{Puts: []wire.Put{{Key: "a"}}}
-	_, err := c.Transact(ctx, put) // the burst of one
+	_, err := c.Transact(ctx, put) // within the burst of 1
 	is.NoErr(err)
 	_, err = c.Transact(ctx, put)
 	is.Equal(verdict.Of(err), verdict.NotRun)
@@ -134,7 +135,7 @@
 	list.Inject(wire.Fault{Hosts: []wire.Host{{Name: "two"}}})
 	seen, err := hosts.List(ctx)
 	is.NoErr(err)
-	is.Equal(seen.Hosts[0].Name, "one") // lags
+	is.Equal(seen.Hosts[0].Name, "one") // the change is not visible before the lag ends
 
 	weights := client.NewWeights(serve(t, standin.NewWeights(0.01, 1)), client.Options{})
 	grant, err := weights.Reserve(ctx, "model")
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -10,16 +10,17 @@
 	"golang.org/x/time/rate"
 )
 
-// DefaultLoadsPerSecond is the weight store's rate.
+// DefaultLoadsPerSecond is the default rate at which the weight store grants
+// loads.
 const DefaultLoadsPerSecond = 2.0
 
-// WeightCounters counts what a weight store did.
+// WeightCounters are the counters of a weight store.
 type WeightCounters struct {
 	Granted int64 `json:"granted"`
 	Refused int64 `json:"refused"`
 }
 
-// Weights is the weight store: it grants loads at a limited rate.
+// Weights is a simulated weight store, which grants loads at a limited rate.
 type Weights struct {
 	faults   *faults
 	limiter  *rate.Limiter
@@ -27,7 +28,8 @@
 	counters WeightCounters
 }
 
-// NewWeights returns a store that grants so many loads a second.
+// NewWeights returns a store that grants loadsPerSecond loads a second; 0 or less
+// takes the default.
 func NewWeights(loadsPerSecond float64, seed uint64) *Weights {
 	if loadsPerSecond <= 0 {
 		loadsPerSecond = DefaultLoadsPerSecond
@@ -36,7 +38,7 @@
 	return &Weights{faults: newFaults(seed), limiter: limiter}
 }
 
-// Start listens at addr.
+// Start starts the weight store's server at addr, host:port.
 func (w *Weights) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
 		faults:         w.faults,
@@ -50,7 +52,7 @@
 // Inject applies a fault.
 func (w *Weights) Inject(f wire.Fault) { w.faults.apply(f) }
 
-// Counters returns the counts so far.
+// Counters returns a copy of the current counters.
 func (w *Weights) Counters() WeightCounters {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,7 +69,7 @@
 	setJSON(ctx, w.grant())
 }
 
-// grant allows a load, or tells when to ask again.
+// grant grants a load, or returns the delay after which to retry.
 func (w *Weights) grant() wire.WeightGrant {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/work.go
+++ b/standin/work.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// work waits for as long as d of work takes; false if stop closed or the
-// stand-in ended first. A change of the slow fault holds for the work that is left.
+// simulateWork waits for as long as work of duration d takes under the Slow
+// fault; false if stop was closed or the stand-in was closed first. A change of
+// the fault applies to the remaining work.
 func (s *faults) simulateWork(stop <-chan struct{}, d time.Duration) bool {
 	for left := d; left > 0; {
 		s.mu.Lock()
@@ -28,7 +29,7 @@
 	return true
 }
 
-// workDone is the work that a time was enough for.
+// completedWork returns the work that is done in a time under a slowdown factor.
 func completedWork(spent time.Duration, slow float64) time.Duration {
 	if slow <= 0 {
 		return spent
