--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -16,7 +16,8 @@
 // testTimeout bounds the waits of the tests. No test passes by reaching it.
 const testTimeout = 20 * time.Second
 
-// frozenSlowdown is a Slow fault under which no work ends during a test.
+// frozenSlowdown is a factor for the Slow fault under which no simulated work
+// ends during a test.
 const frozenSlowdown = 1e9
 
 var streamTimeouts = client.Timeouts{First: testTimeout, Idle: testTimeout}
--- a/standin/profiles.go
+++ b/standin/profiles.go
@@ -18,8 +18,8 @@
 	companeroPatienceMS = 1000
 )
 
-// Bunker returns the configuration of the site of the Caspian Bunker Suppliers Association: goodput
-// weighs more than wasted prefill.
+// Bunker returns the configuration of the site of the Caspian Bunker Suppliers
+// Association: goodput weighs more than wasted prefill.
 func Bunker() PlatformConfig {
 	cfg := site("bunker", "document-summariser", "order-desk", []string{"aktau-port", "kuryk", "bautino", "aktau-city"})
 	cfg.WasteWeight = bunkerWasteWeight
@@ -27,8 +27,8 @@
 	return cfg
 }
 
-// Companeros returns the configuration of the site of Compañeros de Ruta Xelajú: wasted prefill weighs
-// more than goodput.
+// Companeros returns the configuration of the site of Compañeros de Ruta Xelajú:
+// wasted prefill weighs more than goodput.
 func Companeros() PlatformConfig {
 	cfg := site("companeros", "matching-model", "mobile-endpoint", []string{"quetzal-norte", "xela-sur", "toto-centro", "atitlan-sala"})
 	cfg.WasteWeight = companeroWasteWeight
