--- a/standin/work.go
+++ b/standin/work.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// work waits for as long as d of work takes; false if stop closed or the
-// stand-in ended first. A change of the slow fault holds for the work that is left.
-func (s *faults) work(stop <-chan struct{}, d time.Duration) bool {
+// simulateWork waits for as long as work of duration d takes under the Slow
+// fault; false if stop was closed or the stand-in was closed first. A change of
+// the fault applies to the remaining work.
+func (s *faults) simulateWork(stop <-chan struct{}, d time.Duration) bool {
 	for left := d; left > 0; {
 		s.mu.Lock()
 		slow, changed := s.current.slow, s.changed
@@ -16,7 +17,7 @@
 			return true
 		case <-changed:
 			timer.Stop()
-			left -= workDone(time.Since(began), slow)
+			left -= completedWork(time.Since(began), slow)
 		case <-stop:
 			timer.Stop()
 			return false
@@ -28,8 +29,8 @@
 	return true
 }
 
-// workDone is the work that a time was enough for.
-func workDone(spent time.Duration, slow float64) time.Duration {
+// completedWork returns the work that is done in a time under a slowdown factor.
+func completedWork(spent time.Duration, slow float64) time.Duration {
 	if slow <= 0 {
 		return spent
 	}
