--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -6,12 +6,12 @@
 	"github.com/matryer/is"
 )
 
-func TestAKeyBelongsToOneOwner(t *testing.T) {
+func TestKeyHasOneOwner(t *testing.T) {
 	is := is.New(t)
 	r := NewRing[string]()
 	is.NoErr(r.Add(Of([]byte("k1")), "desk"))
 	is.NoErr(r.Add(Of([]byte("k2")), "desk"))
-	is.NoErr(r.Add(Of([]byte("k1")), "desk")) // twice in one team is no conflict
+	is.NoErr(r.Add(Of([]byte("k1")), "desk")) // a repeated key of the same team is no conflict
 	is.Equal(r.Add(Of([]byte("k1")), "trek"), ErrTaken)
 	is.Equal(r.Add(Of(nil), "trek"), ErrEmpty)
 	owner, ok := r.Owner(Of([]byte("k2")))
@@ -22,19 +22,19 @@
 	is.Equal(r.Len(), 2)
 }
 
-func TestAHashIsReadAsItIsWritten(t *testing.T) {
+func TestHashRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := Of([]byte("key"))
-	read, err := Parse(h.String())
+	parsed, err := Parse(h.String())
 	is.NoErr(err)
-	is.Equal(read, h)
+	is.Equal(parsed, h)
 	_, err = Parse("abc")
 	is.True(err != nil)
 	_, err = Parse(h.String() + "00")
 	is.True(err != nil)
 }
 
-func TestALookUpAllocatesNothing(t *testing.T) {
+func TestLookupDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	r := NewRing[string]()
 	is.NoErr(r.Add(Of([]byte("k1")), "desk"))
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -15,29 +15,29 @@
 // epoch is the wall time at time zero.
 var epoch = time.Unix(1_000_000, 0)
 
-// host is one process of a daemon; it does what daemon/broker and
-// daemon/cancels do.
+// host is one process of a daemon. It stands in for daemon/broker and
+// daemon/cancels.
 type host struct {
-	w         *world
+	sim       *simulation
 	self      id.Process
 	dead      bool
-	asker     *pairing.Asker
+	requester *pairing.Asker
 	managers  map[id.Pool]*pool.Manager
 	ledgers   map[id.Pool]sched.Scheduler
 	poison    *poison.Ledger
 	canceller *reap.Canceller
 	reaper    *reap.Reaper
-	// active are the attempts that this process answers for.
+	// active holds the attempts that this process owns.
 	active map[id.Request]bool
 	jobs   map[id.Request]*job
 	onDone map[reap.Key][]func()
 }
 
-func newHost(w *world, self id.Process) *host {
+func newHost(s *simulation, self id.Process) *host {
 	return &host{
-		w:         w,
+		sim:       s,
 		self:      self,
-		asker:     pairing.New(self, pairing.Options{}),
+		requester: pairing.New(self, pairing.Options{}),
 		managers:  map[id.Pool]*pool.Manager{},
 		ledgers:   map[id.Pool]sched.Scheduler{},
 		poison:    poison.New(poison.Config{}),
@@ -49,65 +49,67 @@
 	}
 }
 
-// start plans what the process does again and again.
+// start schedules the periodic work of the process.
 func (h *host) start() {
-	h.w.after(0, h.tick)
-	h.w.after(0, h.report)
-	h.w.after(h.w.between(0, time.Second), h.lists)
+	h.sim.after(0, h.tick)
+	h.sim.after(0, h.readLoads)
+	h.sim.after(h.sim.between(0, time.Second), h.readRequestLists)
 }
 
-// tick does what is due in all parts.
+// tick runs the due timers of the requester, the managers and the canceller.
 func (h *host) tick() {
 	if h.dead {
 		return
 	}
-	next := h.w.now + h.pace(20*ms)
-	h.output(h.asker.Tick(h.w.now))
+	next := h.sim.now + h.interval(20*ms)
+	h.handleOutput(h.requester.Tick(h.sim.now))
 	for _, p := range pools {
 		m := h.managers[p]
 		if m == nil {
 			continue
 		}
-		if m.Next() <= h.w.now {
-			h.actions(p, m.Tick(h.w.now))
+		if m.Next() <= h.sim.now {
+			h.executeActions(p, m.Tick(h.sim.now))
 		}
 		next = min(next, m.Next())
 	}
-	if h.canceller.Next() <= h.w.now {
-		h.orders(h.canceller.Tick(h.w.now))
+	if h.canceller.Next() <= h.sim.now {
+		h.executeCancels(h.canceller.Tick(h.sim.now))
 	}
-	h.w.after(max(ms, next-h.w.now), h.tick)
+	h.sim.after(max(ms, next-h.sim.now), h.tick)
 }
 
-// schedules says whether this daemon decides for a pool: as its owner, or since
-// others take it for the owner.
+// schedules reports whether this daemon schedules a pool: because it is the owner,
+// or because other daemons consider it the owner.
 func (h *host) schedules(p id.Pool) bool {
-	return h.asker.Owner(p) == h.self.Daemon || h.managers[p] != nil
+	return h.requester.Owner(p) == h.self.Daemon || h.managers[p] != nil
 }
 
-// report reads the load of the endpoints whose pools this daemon schedules.
-func (h *host) report() {
+// readLoads periodically reads the load of the endpoints in the pools that this
+// daemon schedules.
+func (h *host) readLoads() {
 	if h.dead {
 		return
 	}
-	for _, e := range h.w.doc.Endpoints {
+	for _, e := range h.sim.doc.Endpoints {
 		p := id.Pool(e.Labels["pool"])
 		if !h.schedules(p) {
 			continue
 		}
-		l := h.w.engines[e.Name].load()
-		h.w.after(h.w.between(ms, 100*ms), func() {
+		l := h.sim.engines[e.Name].load()
+		h.sim.after(h.sim.between(ms, 100*ms), func() {
 			if !h.dead && h.schedules(p) {
-				h.actions(p, h.manager(p).Load(h.w.now, l))
-				h.orders(h.canceller.Incarnation(h.w.now, l.Endpoint, l.Incarnation))
+				h.executeActions(p, h.manager(p).Load(h.sim.now, l))
+				h.executeCancels(h.canceller.Incarnation(h.sim.now, l.Endpoint, l.Incarnation))
 			}
 		})
 	}
-	h.w.after(h.pace(100*ms), h.report)
+	h.sim.after(h.interval(100*ms), h.readLoads)
 }
 
-// lists audits the ledgers, reads what the endpoints hold and reaps the orphans.
-func (h *host) lists() {
+// readRequestLists periodically audits the ledgers, reads the request lists of the
+// endpoints and reaps orphaned requests.
+func (h *host) readRequestLists() {
 	if h.dead {
 		return
 	}
@@ -116,44 +118,44 @@
 			ledger.Audit()
 		}
 	}
-	for _, name := range h.w.names {
-		l := h.w.engines[name].list()
-		h.w.after(h.w.between(ms, 300*ms), func() {
+	for _, name := range h.sim.engineNames {
+		l := h.sim.engines[name].list()
+		h.sim.after(h.sim.between(ms, 300*ms), func() {
 			if h.dead {
 				return
 			}
-			h.orders(h.canceller.Incarnation(h.w.now, name, l.Incarnation))
-			for _, o := range h.reaper.List(h.w.now, l, func(r id.Request) bool { return h.active[r] }) {
-				h.orders(h.canceller.Add(h.w.now, o))
+			h.executeCancels(h.canceller.Incarnation(h.sim.now, name, l.Incarnation))
+			for _, o := range h.reaper.List(h.sim.now, l, func(r id.Request) bool { return h.active[r] }) {
+				h.executeCancels(h.canceller.Add(h.sim.now, o))
 			}
 		})
 	}
-	h.w.after(h.pace(time.Second), h.lists)
+	h.sim.after(h.interval(time.Second), h.readRequestLists)
 }
 
-// pace slows down what is done again and again once all is quiet.
-func (h *host) pace(d time.Duration) time.Duration {
-	if h.w.slow {
+// interval returns d, or a longer interval once the simulation polls slowly.
+func (h *host) interval(d time.Duration) time.Duration {
+	if h.sim.slowPolling {
 		return 5 * time.Second
 	}
 	return d
 }
 
-// learn takes a view of the members.
-func (h *host) learn(view []id.Process) {
+// updateMembers applies a view of the members.
+func (h *host) updateMembers(view []id.Process) {
 	if h.dead {
 		return
 	}
 	names := []id.Daemon{h.self.Daemon}
 	for _, p := range view {
-		h.reaper.ProcessAlive(h.w.now, p)
+		h.reaper.ProcessAlive(h.sim.now, p)
 		if p.Daemon != h.self.Daemon {
 			names = append(names, p.Daemon)
 		}
 	}
-	h.output(h.asker.Members(h.w.now, names))
+	h.handleOutput(h.requester.Members(h.sim.now, names))
 	for _, p := range pools {
-		if h.asker.Owner(p) != h.self.Daemon {
+		if h.requester.Owner(p) != h.self.Daemon {
 			delete(h.managers, p)
 		}
 	}
@@ -163,10 +165,10 @@
 	if h.dead {
 		return
 	}
-	h.reaper.ProcessGone(h.w.now, p)
+	h.reaper.ProcessGone(h.sim.now, p)
 	for _, name := range pools {
 		if m := h.managers[name]; m != nil {
-			h.actions(name, m.ProcessGone(h.w.now, p))
+			h.executeActions(name, m.ProcessGone(h.sim.now, p))
 		}
 	}
 }
@@ -180,22 +182,22 @@
 		Poison: h.poison,
 		Epoch:  epoch,
 		NewScheduler: func(view sched.HealthView) sched.Scheduler {
-			h.ledgers[p] = h.w.policy(sched.Options{
-				Pool: p, Self: h.self, Seed: h.w.seed, Health: view,
-				Violation: func(name, detail string) { h.w.fail("%s of %s: %s: %s", p, h.self, name, detail) },
+			h.ledgers[p] = h.sim.policy(sched.Options{
+				Pool: p, Self: h.self, Seed: h.sim.seed, Health: view,
+				Violation: func(name, detail string) { h.sim.fail("%s of %s: %s: %s", p, h.self, name, detail) },
 			})
 			return h.ledgers[p]
 		},
 	})
 	h.managers[p] = m
-	h.actions(p, m.Configure(h.w.now, h.w.doc))
+	h.executeActions(p, m.Configure(h.sim.now, h.sim.doc))
 	return m
 }
 
-// output sends the asker's messages and takes its answers.
-func (h *host) output(out pairing.Output) {
+// handleOutput sends the requester's messages and delivers its answers and bindings.
+func (h *host) handleOutput(out pairing.Output) {
 	for _, a := range out.Answers {
-		h.answer(a)
+		h.handleAnswer(a)
 	}
 	for _, b := range out.Bindings {
 		if j := h.jobs[b.Request]; j != nil {
@@ -207,74 +209,75 @@
 	}
 }
 
-// send hands a message to a pool's owner, at once if that is this daemon.
+// send sends a message to a pool's owner; if that is this daemon, the message is
+// handled immediately.
 func (h *host) send(m pairing.Message) {
 	if m.Progress != nil && m.Progress.Progress.Phase == sched.PhaseCancelled {
-		h.w.stats.givenBack++
+		h.sim.stats.cancelledGrants++
 	}
 	if m.To == h.self.Daemon {
-		h.handle(m)
+		h.handleMessage(m)
 		return
 	}
-	h.w.post(h.self.Daemon, m.To, func(to *host) { to.handle(m) })
+	h.sim.post(h.self.Daemon, m.To, func(to *host) { to.handleMessage(m) })
 }
 
-func (h *host) handle(m pairing.Message) {
-	now := h.w.now
+func (h *host) handleMessage(m pairing.Message) {
+	now := h.sim.now
 	switch {
 	case m.Want != nil:
-		h.actions(m.Want.Pool, h.manager(m.Want.Pool).Want(now, *m.Want))
+		h.executeActions(m.Want.Pool, h.manager(m.Want.Pool).Want(now, *m.Want))
 	case m.Withdraw != nil:
-		h.actions(m.Withdraw.Pool, h.manager(m.Withdraw.Pool).Withdraw(now, m.Withdraw.Request))
+		h.executeActions(m.Withdraw.Pool, h.manager(m.Withdraw.Pool).Withdraw(now, m.Withdraw.Request))
 	case m.Progress != nil:
-		h.actions(m.Progress.Pool, h.manager(m.Progress.Pool).Progress(now, m.Progress.Progress))
+		h.executeActions(m.Progress.Pool, h.manager(m.Progress.Pool).Progress(now, m.Progress.Progress))
 	case m.Adopt != nil:
-		h.actions(m.Adopt.Want.Pool, h.manager(m.Adopt.Want.Pool).Adopt(now, *m.Adopt))
+		h.executeActions(m.Adopt.Want.Pool, h.manager(m.Adopt.Want.Pool).Adopt(now, *m.Adopt))
 	}
 }
 
-// actions carries out what a manager decided.
-func (h *host) actions(p id.Pool, actions []sched.Action) {
-	for _, a := range actions {
+// executeActions delivers a manager's actions to their daemons.
+func (h *host) executeActions(p id.Pool, executeActions []sched.Action) {
+	for _, a := range executeActions {
 		h.checkGrant(p, a.Grant)
 		take := func(to *host) {
 			switch {
 			case a.Grant != nil:
-				to.output(to.asker.Granted(p, *a.Grant))
+				to.handleOutput(to.requester.Granted(p, *a.Grant))
 			case a.Binding != nil:
-				to.output(to.asker.Bound(*a.Binding))
+				to.handleOutput(to.requester.Bound(*a.Binding))
 			default:
-				to.output(to.asker.Refused(h.self.Daemon, *a.Refusal))
+				to.handleOutput(to.requester.Refused(h.self.Daemon, *a.Refusal))
 			}
 		}
 		if a.To.Daemon == h.self.Daemon {
 			take(h)
 			continue
 		}
-		h.w.post(h.self.Daemon, a.To.Daemon, take)
+		h.sim.post(h.self.Daemon, a.To.Daemon, take)
 	}
 }
 
-// checkGrant holds a grant against the truth about its endpoints.
+// checkGrant checks a grant against the actual state of its endpoints.
 func (h *host) checkGrant(p id.Pool, g *sched.Grant) {
 	if g == nil {
 		return
 	}
 	for i, name := range []id.Endpoint{g.Prefill, g.Decode} {
-		e := h.w.engines[name]
-		if e == nil || !slices.Contains(h.w.poolNames(p, i), name) {
-			h.w.fail("grant of %s: endpoint %q is not of the right role and pool", g.Request, name)
+		e := h.sim.engines[name]
+		if e == nil || !slices.Contains(h.sim.poolNames(p, i), name) {
+			h.sim.fail("grant of %s: endpoint %q has the wrong role or pool", g.Request, name)
 		}
-		if e.leaving && h.w.now-e.leavingSince > leavingBound && g.ExpiresIn > 0 && !h.w.started[g.Request] {
-			h.w.fail("grant of %s by %s to %s, which leaves since %v", g.Request, h.self, name, h.w.now-e.leavingSince)
+		if e.leaving && h.sim.now-e.leavingSince > leavingGrace && g.ExpiresIn > 0 && !h.sim.started[g.Request] {
+			h.sim.fail("grant of %s by %s to %s, which has been leaving for %v", g.Request, h.self, name, h.sim.now-e.leavingSince)
 		}
 	}
 }
 
-// poolNames lists the prefill (0) or decode (1) endpoints of a pool.
-func (w *world) poolNames(p id.Pool, role int) []id.Endpoint {
+// poolNames returns the prefill (0) or decode (1) endpoints of a pool.
+func (s *simulation) poolNames(p id.Pool, role int) []id.Endpoint {
 	var out []id.Endpoint
-	for i, e := range w.doc.Endpoints {
+	for i, e := range s.doc.Endpoints {
 		if e.Labels["pool"] == string(p) && i%2 == role {
 			out = append(out, e.Name)
 		}
@@ -282,25 +285,26 @@
 	return out
 }
 
-// cancel orders the end of a request at an endpoint; done hears of it.
+// cancel cancels a request at an endpoint; done, if set, is called once the
+// cancel is complete.
 func (h *host) cancel(e id.Endpoint, r id.Request, incarnation id.Incarnation, settled bool, done func()) {
-	h.w.stats.cancels++
+	h.sim.stats.cancels++
 	key := reap.Key{Endpoint: e, Request: r}
 	if done != nil {
 		h.onDone[key] = append(h.onDone[key], done)
 	}
-	h.orders(h.canceller.Add(h.w.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
+	h.executeCancels(h.canceller.Add(h.sim.now, reap.Order{Key: key, Incarnation: incarnation, RunSettled: settled}))
 }
 
-// orders carries out what the canceller wants; calls and replies may be lost.
-func (h *host) orders(actions []reap.Action) {
+// executeCancels executes the canceller's actions; calls and replies may be lost.
+func (h *host) executeCancels(actions []reap.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Cancel != nil:
 			h.sendCancel(*a.Cancel)
 		case a.Done != nil:
 			if a.Done.Reason == reap.DoneAcknowledged {
-				h.w.ended[a.Done.Key] = true
+				h.sim.ended[a.Done.Key] = true
 			}
 			waiting := h.onDone[a.Done.Key]
 			delete(h.onDone, a.Done.Key)
@@ -312,17 +316,17 @@
 }
 
 func (h *host) sendCancel(c reap.Cancel) {
-	h.w.after(h.w.latency(), func() {
-		if h.w.chance(0.05) {
-			h.ifAlive(func() { h.canceller.Failed(h.w.now, c.Key) })
+	h.sim.after(h.sim.latency(), func() {
+		if h.sim.chance(0.05) {
+			h.ifAlive(func() { h.canceller.Failed(h.sim.now, c.Key) })
 			return
 		}
-		state := h.w.engines[c.Key.Endpoint].cancel(c.Key.Request, c.Owner)
-		if h.w.chance(0.05) {
+		state := h.sim.engines[c.Key.Endpoint].cancel(c.Key.Request, c.Owner)
+		if h.sim.chance(0.05) {
 			return
 		}
-		h.w.after(h.w.latency(), func() {
-			h.ifAlive(func() { h.orders(h.canceller.Reply(h.w.now, c.Key, state)) })
+		h.sim.after(h.sim.latency(), func() {
+			h.ifAlive(func() { h.executeCancels(h.canceller.Reply(h.sim.now, c.Key, state)) })
 		})
 	})
 }
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -14,22 +14,23 @@
 
 const (
 	maxAttempts = 4
-	// orderTimeout is when an order without a reply counts as unknown.
+	// orderTimeout is the time after which the result of an order without a reply
+	// counts as unknown.
 	orderTimeout = time.Second
-	// idleTimeout is when a stream without progress counts as broken.
+	// idleTimeout is the time after which a stream without progress counts as broken.
 	idleTimeout = 3 * time.Second
 )
 
-// caller is one party that wants a whole answer, each token once.
+// caller sends one request and expects a complete answer with each token once.
 type caller struct {
-	w         *world
+	sim       *simulation
 	n         int
 	pool      id.Pool
 	tokens    int
 	delivered int
 	finished  bool
-	// over says that the caller has its answer, an error, or is gone.
-	over     bool
+	// ended is set once the caller has its answer or an error, or has disconnected.
+	ended    bool
 	attempts int
 	avoid    []id.Endpoint
 	job      *job
@@ -37,26 +38,26 @@
 
 // job is one attempt of a caller's request at one daemon.
 type job struct {
-	h     *host
-	c     *caller
-	id    id.Request
-	want  sched.Want
-	grant *sched.Grant
-	seq   *stream.Sequencer
-	// to is the endpoint that decodes; transfer begins the decode order of a
-	// provisional grant that waits for it.
-	to       id.Endpoint
-	bound    bool
-	transfer func()
-	// ordered and decoding say how far it has come.
-	ordered  bool
-	decoding bool
-	over     bool
-	began    bool
-	last     time.Duration
+	host      *host
+	caller    *caller
+	id        id.Request
+	want      sched.Want
+	grant     *sched.Grant
+	sequencer *stream.Sequencer
+	// decodeEndpoint is the endpoint that decodes; transfer starts the decode and is
+	// set from the end of the prefill, possibly waiting for a binding, until it runs.
+	decodeEndpoint id.Endpoint
+	bound          bool
+	transfer       func()
+	// prefillOrdered and decoding are set once the respective order was sent.
+	prefillOrdered bool
+	decoding       bool
+	ended          bool
+	streamStarted  bool
+	lastProgress   time.Duration
 }
 
-// event is one token of the caller's answer; the last one is terminal.
+// event returns the expected event with number seq; the last one is terminal.
 func (c *caller) event(attempt id.Request, seq int) stream.Event {
 	if seq > c.tokens {
 		return stream.Event{Attempt: attempt, Seq: seq, Finish: "stop"}
@@ -64,171 +65,174 @@
 	return stream.Event{Attempt: attempt, Seq: seq, Text: fmt.Sprintf("%d.%d ", c.n, seq)}
 }
 
-// take checks that the caller gets its answer whole, once and in order.
-func (c *caller) take(j *job, e stream.Event) {
+// deliver checks that the caller receives its answer completely, once and in order.
+func (c *caller) deliver(j *job, e stream.Event) {
 	want := c.event(j.id, c.delivered+1)
-	if c.over || c.finished || c.job != j || e != want {
-		c.w.fail("caller %d got %+v, wants %+v (over %v)", c.n, e, want, c.over)
+	if c.ended || c.finished || c.job != j || e != want {
+		c.sim.fail("caller %d got %+v, want %+v (ended %v)", c.n, e, want, c.ended)
 	}
 	c.delivered++
 	c.finished = e.Terminal()
 }
 
-// begin makes an attempt at a daemon.
-func (c *caller) begin(h *host) {
-	if c.over || h == nil || h.dead {
-		c.giveUp()
+// startAttempt starts an attempt at a daemon.
+func (c *caller) startAttempt(h *host) {
+	if c.ended || h == nil || h.dead {
+		c.fail()
 		return
 	}
 	c.attempts++
-	j := &job{h: h, c: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), last: c.w.now}
+	j := &job{host: h, caller: c, id: id.Request(fmt.Sprintf("r%06d.%d", c.n, c.attempts)), lastProgress: c.sim.now}
 	team := id.Team(fmt.Sprint("t", c.n%3))
 	j.want = sched.Want{
 		Request: j.id, Team: team, Service: id.Service(c.pool), Pool: c.pool, From: h.self,
 		PromptTokens: 200 + c.n%600, OutputTokens: c.tokens, Priority: 5, Avoid: c.avoid, Attempt: c.attempts,
 		Fingerprint: poison.Print(team, id.Service(c.pool), []byte(fmt.Sprint(c.n))).String(),
 	}
-	j.seq = stream.New(j.id, c.delivered, 0)
+	j.sequencer = stream.New(j.id, c.delivered, 0)
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	c.w.asks[j.id] = &ask{host: h}
-	h.output(h.asker.Ask(c.w.now, j.want, 800*ms))
+	c.sim.asks[j.id] = &askRecord{host: h}
+	h.handleOutput(h.requester.Ask(c.sim.now, j.want, 800*ms))
 }
 
-func (c *caller) giveUp() {
-	if !c.over {
-		c.over = true
-		c.w.stats.failed++
+func (c *caller) fail() {
+	if !c.ended {
+		c.ended = true
+		c.sim.stats.failed++
 	}
 }
 
-// retry makes another attempt after one that failed.
+// retry schedules another attempt after a failed one.
 func (c *caller) retry(h *host) {
-	if c.over || c.attempts >= maxAttempts {
-		c.giveUp()
+	if c.ended || c.attempts >= maxAttempts {
+		c.fail()
 		return
 	}
-	c.w.after(c.w.between(10*ms, 60*ms), func() { c.begin(h) })
+	c.sim.after(c.sim.between(10*ms, 60*ms), func() { c.startAttempt(h) })
 }
 
-// leave is what a caller does that hangs up.
-func (c *caller) leave() {
-	if c.over {
+// disconnect ends the request of a caller that closes its connection.
+func (c *caller) disconnect() {
+	if c.ended {
 		return
 	}
-	c.over = true
-	c.w.stats.gone++
-	if c.job != nil && !c.job.over && !c.job.h.dead {
-		c.job.abandon()
+	c.ended = true
+	c.sim.stats.disconnected++
+	if c.job != nil && !c.job.ended && !c.job.host.dead {
+		c.job.cancel()
 	}
 }
 
-// answer takes what the asker answers; each Ask has one answer.
-func (h *host) answer(a pairing.Answer) {
-	k := h.w.asks[a.Request]
-	k.answers++
+// handleAnswer handles an answer of the requester and checks that each Ask has
+// exactly one.
+func (h *host) handleAnswer(a pairing.Answer) {
+	record := h.sim.asks[a.Request]
+	record.answers++
 	j := h.jobs[a.Request]
-	if k.host != h || k.answers > 1 || k.withdrawn || j == nil {
-		h.w.fail("ask %s: answer %d after withdrawal=%v", a.Request, k.answers, k.withdrawn)
+	if record.host != h || record.answers > 1 || record.withdrawn || j == nil {
+		h.sim.fail("ask %s: answer %d after withdrawal=%v", a.Request, record.answers, record.withdrawn)
 	}
 	if a.Err == nil {
 		j.grant = a.Grant
-		j.to = a.Grant.Decode
-		h.w.after(a.Grant.StartIn, j.prefill)
+		j.decodeEndpoint = a.Grant.Decode
+		h.sim.after(a.Grant.StartIn, j.prefill)
 		return
 	}
-	if a.Err.Verdict != verdict.NotRun || h.w.started[a.Request] {
-		h.w.fail("ask %s was refused as %v and has run=%v", a.Request, a.Err.Verdict, h.w.started[a.Request])
+	if a.Err.Verdict != verdict.NotRun || h.sim.started[a.Request] {
+		h.sim.fail("ask %s was refused with verdict %v, started=%v", a.Request, a.Err.Verdict, h.sim.started[a.Request])
 	}
-	h.w.stats.refused++
+	h.sim.stats.refused++
 	delete(h.active, j.id)
 	j.end()
-	j.c.retry(h)
+	j.caller.retry(h)
 }
 
 func (j *job) end() {
-	j.over = true
-	delete(j.h.jobs, j.id)
+	j.ended = true
+	delete(j.host.jobs, j.id)
 }
 
-// report tells the pool's owner; a final phase ends this process's part.
-func (j *job) report(p sched.Progress) {
-	if j.h.dead {
+// reportProgress sends a progress report to the pool's owner. After a final phase
+// the attempt is no longer active at this process.
+func (j *job) reportProgress(p sched.Progress) {
+	if j.host.dead {
 		return
 	}
 	p.Request = j.id
-	j.h.output(j.h.asker.Progress(j.h.w.now, p))
+	j.host.handleOutput(j.host.requester.Progress(j.host.sim.now, p))
 	if p.Phase >= sched.PhaseDone {
-		delete(j.h.active, j.id)
+		delete(j.host.active, j.id)
 	}
 }
 
-// order sends an order to an engine; the reply may be lost, which shows by the
-// timeout. got hears once.
-func (j *job) order(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
+// sendOrder sends an order to an engine and calls got once, with the reply or, if
+// it is lost, after the timeout.
+func (j *job) sendOrder(e *engine, send func(done func(outcome)), got func(o outcome, known bool)) {
 	heard := false
 	hear := func(o outcome, known bool) {
-		if !heard && !j.over && !j.h.dead {
+		if !heard && !j.ended && !j.host.dead {
 			heard = true
 			got(o, known)
 		}
 	}
-	j.h.w.after(j.h.w.latency(), func() {
+	j.host.sim.after(j.host.sim.latency(), func() {
 		send(func(o outcome) {
-			if !j.h.w.chance(0.005) {
-				j.h.w.after(j.h.w.latency(), func() { hear(o, true) })
+			if !j.host.sim.chance(0.005) {
+				j.host.sim.after(j.host.sim.latency(), func() { hear(o, true) })
 			}
 		})
 	})
-	j.h.w.after(orderTimeout, func() { hear(broken, false) })
+	j.host.sim.after(orderTimeout, func() { hear(broken, false) })
 }
 
 func (j *job) prefill() {
-	if j.over || j.h.dead {
+	if j.ended || j.host.dead {
 		return
 	}
-	j.ordered = true
-	j.report(sched.Progress{Phase: sched.PhasePrefilling})
-	e := j.h.w.engines[j.grant.Prefill]
-	j.order(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
+	j.prefillOrdered = true
+	j.reportProgress(sched.Progress{Phase: sched.PhasePrefilling})
+	e := j.host.sim.engines[j.grant.Prefill]
+	j.sendOrder(e, func(done func(outcome)) { e.prefill(j, done) }, func(o outcome, known bool) {
 		if o == accepted {
-			j.prefilled(e)
+			j.awaitBinding(e)
 			return
 		}
 		if o == broken {
-			j.h.cancel(e.name, j.id, 0, known, nil)
+			j.host.cancel(e.name, j.id, 0, known, nil)
 		}
-		j.failed(e.name, o, known)
+		j.handleFailure(e.name, o, known)
 	})
 }
 
-// prefilled waits for the binding of a provisional grant.
-func (j *job) prefilled(from *engine) {
+// awaitBinding starts the transfer, for a provisional grant once it is bound or
+// BindWithin has passed.
+func (j *job) awaitBinding(from *engine) {
 	j.transfer = func() {
 		j.transfer = nil
-		if !j.over && !j.h.dead {
+		if !j.ended && !j.host.dead {
 			j.decode(from)
 		}
 	}
-	j.report(sched.Progress{Phase: sched.PhaseTransferring, PromptTokens: j.want.PromptTokens, PrefillTime: 30 * ms})
+	j.reportProgress(sched.Progress{Phase: sched.PhaseTransferring, PromptTokens: j.want.PromptTokens, PrefillTime: 30 * ms})
 	if !j.grant.Provisional || j.bound {
 		j.startTransfer()
 		return
 	}
-	j.h.w.after(j.grant.BindWithin, j.startTransfer)
+	j.host.sim.after(j.grant.BindWithin, j.startTransfer)
 }
 
-// bind names the endpoint whose slot a provisional grant has got.
+// bind sets the endpoint whose slot was assigned to a provisional grant.
 func (j *job) bind(e id.Endpoint) {
 	if !j.decoding {
-		j.to = e
+		j.decodeEndpoint = e
 		j.bound = true
 		j.startTransfer()
 	}
 }
 
-// startTransfer begins the transfer if it waits.
+// startTransfer starts the transfer if it is pending.
 func (j *job) startTransfer() {
 	if j.transfer != nil {
 		j.transfer()
@@ -237,140 +241,141 @@
 
 func (j *job) decode(from *engine) {
 	j.decoding = true
-	j.last = j.h.w.now
-	e := j.h.w.engines[j.to]
+	j.lastProgress = j.host.sim.now
+	e := j.host.sim.engines[j.decodeEndpoint]
 	refuse := func(o outcome, known bool) {
 		switch {
-		case j.over || j.h.dead:
+		case j.ended || j.host.dead:
 		case o == broken:
-			j.breakOff(known)
+			j.abortDecode(known)
 		default:
-			j.h.cancel(from.name, j.id, 0, true, nil)
-			j.failed(e.name, o, known)
+			j.host.cancel(from.name, j.id, 0, true, nil)
+			j.handleFailure(e.name, o, known)
 		}
 	}
-	j.h.w.after(j.h.w.latency(), func() {
-		e.decode(j, from, func(o outcome) { j.h.w.after(j.h.w.latency(), func() { refuse(o, true) }) })
+	j.host.sim.after(j.host.sim.latency(), func() {
+		e.decode(j, from, func(o outcome) { j.host.sim.after(j.host.sim.latency(), func() { refuse(o, true) }) })
 	})
-	j.watch()
+	j.watchIdle()
 }
 
-// watch breaks a stream off that makes no progress.
-func (j *job) watch() {
-	j.h.w.after(idleTimeout, func() {
+// watchIdle aborts a stream that makes no progress.
+func (j *job) watchIdle() {
+	j.host.sim.after(idleTimeout, func() {
 		switch {
-		case j.over || j.h.dead:
-		case j.h.w.now-j.last >= idleTimeout:
-			j.breakOff(false)
+		case j.ended || j.host.dead:
+		case j.host.sim.now-j.lastProgress >= idleTimeout:
+			j.abortDecode(false)
 		default:
-			j.watch()
+			j.watchIdle()
 		}
 	})
 }
 
-// breakOff ends a decode of unknown state: its slot counts as held until the
-// engine has confirmed.
-func (j *job) breakOff(crashed bool) {
-	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.to, Crashed: crashed}
-	j.h.cancel(j.to, j.id, 0, false, func() { j.report(p) })
+// abortDecode ends a decode whose state is unknown: its slot counts as held until
+// the cancel is complete.
+func (j *job) abortDecode(crashed bool) {
+	p := sched.Progress{Phase: sched.PhaseFailed, Endpoint: j.decodeEndpoint, Crashed: crashed}
+	j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.reportProgress(p) })
 	j.end()
-	j.c.avoid = append(j.c.avoid, j.to)
-	j.c.retry(j.h)
+	j.caller.avoid = append(j.caller.avoid, j.decodeEndpoint)
+	j.caller.retry(j.host)
 }
 
-func (j *job) failed(e id.Endpoint, o outcome, known bool) {
-	j.report(sched.Progress{
+func (j *job) handleFailure(e id.Endpoint, o outcome, known bool) {
+	j.reportProgress(sched.Progress{
 		Phase: sched.PhaseFailed, Endpoint: e, Full: o == refusedFull, Leaving: o == refusedLeaving, Crashed: o == broken && known,
 	})
 	j.end()
-	j.c.avoid = append(j.c.avoid, e)
-	j.c.retry(j.h)
+	j.caller.avoid = append(j.caller.avoid, e)
+	j.caller.retry(j.host)
 }
 
-// receive takes an event of the stream.
+// receive handles an event of the stream.
 func (j *job) receive(e stream.Event) {
-	if j.over || j.h.dead {
+	if j.ended || j.host.dead {
 		return
 	}
-	ready, err := j.seq.Push(e)
+	ready, err := j.sequencer.Push(e)
 	if err != nil {
-		j.breakOff(false)
+		j.abortDecode(false)
 		return
 	}
 	for _, e := range ready {
-		if !j.began {
-			j.began = true
-			j.report(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.to, TransferTime: 20 * ms})
+		if !j.streamStarted {
+			j.streamStarted = true
+			j.reportProgress(sched.Progress{Phase: sched.PhaseDecoding, Endpoint: j.decodeEndpoint, TransferTime: 20 * ms})
 		}
-		j.last = j.h.w.now
-		j.c.take(j, e)
+		j.lastProgress = j.host.sim.now
+		j.caller.deliver(j, e)
 	}
-	if j.seq.Ended() {
-		j.c.over = true
-		j.h.w.stats.answered++
-		j.report(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.c.delivered})
+	if j.sequencer.Ended() {
+		j.caller.ended = true
+		j.host.sim.stats.answered++
+		j.reportProgress(sched.Progress{Phase: sched.PhaseDone, OutputTokens: j.caller.delivered})
 		j.end()
 	}
 }
 
-// abandon ends an attempt whose caller is gone.
-func (j *job) abandon() {
+// cancel ends an attempt whose caller has disconnected.
+func (j *job) cancel() {
 	switch {
 	case j.grant == nil:
-		j.h.w.asks[j.id].withdrawn = true
-		delete(j.h.active, j.id)
-		j.h.output(j.h.asker.Withdraw(j.id))
+		j.host.sim.asks[j.id].withdrawn = true
+		delete(j.host.active, j.id)
+		j.host.handleOutput(j.host.requester.Withdraw(j.id))
 	case !j.decoding:
-		if j.ordered {
-			j.h.cancel(j.grant.Prefill, j.id, 0, false, nil)
+		if j.prefillOrdered {
+			j.host.cancel(j.grant.Prefill, j.id, 0, false, nil)
 		}
-		j.report(sched.Progress{Phase: sched.PhaseCancelled})
+		j.reportProgress(sched.Progress{Phase: sched.PhaseCancelled})
 	default:
-		j.h.cancel(j.to, j.id, 0, false, func() { j.report(sched.Progress{Phase: sched.PhaseCancelled}) })
+		j.host.cancel(j.decodeEndpoint, j.id, 0, false, func() { j.reportProgress(sched.Progress{Phase: sched.PhaseCancelled}) })
 	}
 	j.end()
 }
 
-// hostDied is what callers do whose daemon died: some come back through another.
-func (j *job) hostDied() {
-	j.over = true
-	c := j.c
-	if c.over {
+// handleHostExit is called when the job's daemon process exits: some callers
+// disconnect, the others reconnect to another daemon.
+func (j *job) handleHostExit() {
+	j.ended = true
+	c := j.caller
+	if c.ended {
 		return
 	}
-	if c.w.rng.IntN(3) == 0 {
-		c.leave()
+	if c.sim.rng.IntN(3) == 0 {
+		c.disconnect()
 		return
 	}
-	c.w.after(c.w.between(100*ms, 1500*ms), func() { c.comeBack(j) })
+	c.sim.after(c.sim.between(100*ms, 1500*ms), func() { c.reconnect(j) })
 }
 
-// comeBack goes on with the answer at another daemon, by the engine that writes
-// it if it can.
-func (c *caller) comeBack(old *job) {
-	alive := c.w.alive()
-	if c.over || len(alive) == 0 {
-		c.giveUp()
+// reconnect continues the answer at another daemon: it resumes the engine's stream
+// if possible, else it starts a new attempt.
+func (c *caller) reconnect(old *job) {
+	alive := c.sim.alive()
+	if c.ended || len(alive) == 0 {
+		c.fail()
 		return
 	}
-	h := alive[c.w.rng.IntN(len(alive))]
+	h := alive[c.sim.rng.IntN(len(alive))]
 	if c.delivered == 0 || !old.decoding {
-		c.begin(h)
+		c.startAttempt(h)
 		return
 	}
-	j := &job{h: h, c: c, id: old.id, want: old.want, decoding: true, began: true, last: c.w.now}
+	j := &job{host: h, caller: c, id: old.id, want: old.want, decoding: true, streamStarted: true, lastProgress: c.sim.now}
 	j.want.From = h.self
-	j.grant = &sched.Grant{Request: j.id, Decode: old.to, Owner: h.self}
-	j.to = old.to
-	j.seq = stream.New(j.id, c.delivered, 0)
-	if !c.w.engines[j.to].resume(j, c.delivered) {
-		c.begin(h)
+	j.grant = &sched.Grant{Request: j.id, Decode: old.decodeEndpoint, Owner: h.self}
+	j.decodeEndpoint = old.decodeEndpoint
+	j.sequencer = stream.New(j.id, c.delivered, 0)
+	if !c.sim.engines[j.decodeEndpoint].resume(j, c.delivered) {
+		c.startAttempt(h)
 		return
 	}
-	c.w.stats.resumed++
+	c.sim.stats.resumed++
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	h.output(h.asker.Resume(c.w.now, j.want, *j.grant))
-	j.watch()
+	h.handleOutput(h.requester.Resume(c.sim.now, j.want, *j.grant))
+	j.watchIdle()
 }
--- a/daemon/app/conns.go
+++ b/daemon/app/callerconns.go
@@ -6,38 +6,38 @@
 	"sync"
 )
 
-// connections remembers the callers' open connections, so that Kill can break
-// them as the end of the process would, and those beyond the bounds be refused.
-type connections struct {
-	// most bounds them, mostOfIP those from one address.
-	most, mostOfIP int
+// callerConns tracks the callers' open connections: Kill resets them, as the end
+// of the process would, and requests on connections over the limits are refused.
+type callerConns struct {
+	// maxTotal limits all connections, maxPerIP those from one IP address.
+	maxTotal, maxPerIP int
 
 	mu   sync.Mutex
 	open map[*trackedConn]struct{}
 	ips  map[string]int
 }
 
-func newConnections(most, mostOfIP int) *connections {
-	return &connections{
-		most: most, mostOfIP: mostOfIP,
+func newCallerConns(maxTotal, maxPerIP int) *callerConns {
+	return &callerConns{
+		maxTotal: maxTotal, maxPerIP: maxPerIP,
 		open: make(map[*trackedConn]struct{}),
 		ips:  make(map[string]int),
 	}
 }
 
-// trackingListener tells connections of each one that it accepts.
+// trackingListener adds each TCP connection that it accepts to a list.
 type trackingListener struct {
 	net.Listener
-	list *connections
+	list *callerConns
 }
 
-// trackedConn stays a *net.TCPConn for whoever asks for its file descriptor.
+// trackedConn embeds a *net.TCPConn, so that its file descriptor stays accessible.
 type trackedConn struct {
 	*net.TCPConn
-	list *connections
+	list *callerConns
 	ip   string
-	// surplus is set where the bounds were reached before it came.
-	surplus bool
+	// overLimit is set if the limits were reached before the connection was accepted.
+	overLimit bool
 }
 
 // Accept implements net.Listener.
@@ -53,26 +53,26 @@
 	return l.list.add(tcp), nil
 }
 
-func (c *connections) add(tcp *net.TCPConn) *trackedConn {
+func (c *callerConns) add(tcp *net.TCPConn) *trackedConn {
 	t := &trackedConn{TCPConn: tcp, list: c}
 	if at, ok := tcp.RemoteAddr().(*net.TCPAddr); ok {
 		t.ip = at.IP.String()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.surplus = len(c.open) >= c.most || c.ips[t.ip] >= c.mostOfIP
+	t.overLimit = len(c.open) >= c.maxTotal || c.ips[t.ip] >= c.maxPerIP
 	c.open[t] = struct{}{}
 	c.ips[t.ip]++
 	return t
 }
 
-// surplus says whether a connection is beyond the bounds.
-func surplus(conn net.Conn) bool {
+// isOverLimit reports whether a connection was accepted over the limits.
+func isOverLimit(conn net.Conn) bool {
 	if secured, ok := conn.(*tls.Conn); ok {
 		conn = secured.NetConn()
 	}
 	tracked, ok := conn.(*trackedConn)
-	return ok && tracked.surplus
+	return ok && tracked.overLimit
 }
 
 // Close implements net.Conn.
@@ -81,8 +81,8 @@
 	return t.TCPConn.Close()
 }
 
-// remove forgets a connection, once.
-func (c *connections) remove(t *trackedConn) {
+// remove removes a connection; a repeated call has no effect.
+func (c *callerConns) remove(t *trackedConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.open[t]; !ok {
@@ -95,8 +95,8 @@
 	}
 }
 
-// closeAll breaks all connections at once.
-func (c *connections) closeAll() {
+// closeAll resets all connections: without lingering, Close discards unsent data.
+func (c *callerConns) closeAll() {
 	c.mu.Lock()
 	all := make([]*trackedConn, 0, len(c.open))
 	for t := range c.open {
--- a/daemon/app/failure_test.go
+++ b/daemon/app/failure_test.go
@@ -19,14 +19,16 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// slowTokens makes answers last long enough for a fault to meet them.
-func (f *testFleet) slowTokens(factor float64) {
+// slowEngines slows all engines by a factor, so that answers are still running
+// when a fault is injected.
+func (f *testFleet) slowEngines(factor float64) {
 	for _, e := range f.platform.Engines {
 		e.Inject(wire.Fault{Slow: &factor})
 	}
 }
 
-// startStream begins an answer and returns once its first event is there.
+// startStream requests a streamed answer and returns when its first event has
+// arrived.
 func (f *testFleet) startStream(d *Daemon, prompt string, tokens int) *http.Response {
 	f.t.Helper()
 	is := is.New(f.t)
@@ -43,12 +45,12 @@
 func TestOrphansOfAKilledDaemonAreReaped(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
-	f.slowTokens(4)
+	f.slowEngines(4)
 	resp := f.startStream(f.daemons[1], strings.Repeat("barge slot check. ", 40), 2000)
 	defer resp.Body.Close()
 	is.True(f.held("decode") == 1)
 	f.daemons[1].Kill()
-	f.until("a survivor cancelled the orphan", func() bool { return f.held("") == 0 })
+	f.waitFor("a survivor cancelled the orphan", func() bool { return f.held("") == 0 })
 }
 
 func TestPoolOwnerKilledUnderLoadLosesNothing(t *testing.T) {
@@ -70,7 +72,7 @@
 		go func() {
 			defer wg.Done()
 			defer resp.Body.Close()
-			texts[i], _, _ = readStream(t, resp, 0)
+			texts[i], _, _ = readSSE(t, resp, 0)
 		}()
 	}
 	for _, d := range f.daemons {
@@ -83,7 +85,7 @@
 		prompt := fmt.Sprintf("packet %d %s", i, strings.Repeat("nomination. ", 40))
 		is.Equal(text, standin.Answer(prompt, 60))
 	}
-	f.until("the pool has a new owner that grants", func() bool {
+	f.waitFor("the pool has a new owner that grants", func() bool {
 		body := opapi.CompletionRequest{Model: model, Prompt: "after", MaxTokens: 2}
 		status, _ := f.do(f.completionRequest(context.Background(), caller, teamKey, body))
 		return status == http.StatusOK
@@ -93,12 +95,12 @@
 func TestPlannedStopInterruptsNothing(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), func(s *settings.Settings) { s.Timings.EntryLifetimeMS = 500 })
-	f.slowTokens(3)
+	f.slowEngines(3)
 	prompt := strings.Repeat("bill of lading. ", 40)
 	resp := f.startStream(f.daemons[0], prompt, 60)
 	defer resp.Body.Close()
 	f.daemons[0].BeginStop()
-	f.until("others name it no more", func() bool {
+	f.waitFor("other daemons no longer list the leaving one", func() bool {
 		for _, a := range f.daemons[1].entryAnswer().Addresses {
 			if a.Address == f.daemons[0].CallerAddr() {
 				return false
@@ -106,11 +108,11 @@
 		}
 		return true
 	})
-	// A caller that kept its address is still served.
+	// A caller that cached the daemon's address is still served.
 	status, _ := f.do(f.completionRequest(context.Background(), f.daemons[0], teamKey,
 		opapi.CompletionRequest{Model: model, Prompt: "kept address", MaxTokens: 2}))
 	is.Equal(status, http.StatusOK)
-	text, _, ended := readStream(t, resp, 0)
+	text, _, ended := readSSE(t, resp, 0)
 	is.True(ended)
 	is.Equal(text, standin.Answer(prompt, 60))
 	<-f.daemons[0].Done()
@@ -124,17 +126,17 @@
 	ops := []opapi.Op{{Action: "label", Kind: live.KindEndpoint, Name: name, Labels: live.Labels{live.LabelLeaving: "true"}}}
 	status, _ := f.change(f.daemons[0], opapi.ChangeRequest{ID: "drain", Ops: ops})
 	is.Equal(status, http.StatusOK)
-	f.until("the drain is in force", func() bool { return f.daemons[0].Revision() >= 2 && f.daemons[1].Revision() >= 2 })
+	f.waitFor("the drain is in force", func() bool { return f.daemons[0].Revision() >= 2 && f.daemons[1].Revision() >= 2 })
 	before := engine.Counters().Decodes
 	for i := range 30 {
 		body := opapi.CompletionRequest{Model: model, Prompt: fmt.Sprintf("note %d", i), MaxTokens: 1}
 		status, _ := f.do(f.completionRequest(context.Background(), f.daemons[i%2], teamKey, body))
 		is.Equal(status, http.StatusOK)
 	}
-	is.Equal(engine.Counters().Decodes, before) // no new work on the leaving one
+	is.Equal(engine.Counters().Decodes, before) // the leaving endpoint gets no new work
 }
 
-func TestRacingOperatorsOneWinsAndTheOtherIsTold(t *testing.T) {
+func TestOneOfTwoConcurrentChangesConflicts(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	f.platform.Table.Inject(wire.Fault{LoseReplies: ptr(0.3), StaleReads: ptr(0.3)})
@@ -162,14 +164,14 @@
 				var e opapi.ErrorBody
 				is.NoErr(json.Unmarshal(bodies[i], &e))
 				if !strings.Contains(e.Error.Message, "team/alpha") {
-					t.Fatalf("the loser is not told what it ran into: %s", e.Error.Message)
+					t.Fatalf("the conflict does not name the item: %s", e.Error.Message)
 				}
 			default:
 				t.Fatalf("status %d: %s", s, bodies[i])
 			}
 		}
 		is.Equal(won, 1)
-		f.until("the winner is in force everywhere", func() bool {
+		f.waitFor("the accepted change is in force on all daemons", func() bool {
 			for _, d := range f.daemons {
 				if d.Revision() != expect+1 {
 					return false
@@ -180,7 +182,7 @@
 	}
 }
 
-func TestChangeIsRefusedClearlyWhileTheStoreIsDown(t *testing.T) {
+func TestChangeIsRefusedWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 1, standin.Bunker(), nil)
 	f.platform.Table.Inject(wire.Fault{Down: ptr(true)})
@@ -197,7 +199,7 @@
 	f.platform.Table.Inject(wire.Fault{Down: ptr(true)})
 	f.daemons[2].Kill()
 	f.daemons[2] = f.start(2)
-	f.until("the newcomer is ready", func() bool {
+	f.waitFor("the new daemon is ready", func() bool {
 		ready, _ := f.daemons[2].ready()
 		return ready
 	})
@@ -212,7 +214,7 @@
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	poison := "history " + standin.CrashMarker
 	quarantined := false
-	f.until("the request is quarantined", func() bool {
+	f.waitFor("the request is quarantined", func() bool {
 		for _, d := range f.daemons {
 			status, body := f.do(f.completionRequest(context.Background(), d, teamKey,
 				opapi.CompletionRequest{Model: model, Prompt: poison, MaxTokens: 2}))
@@ -220,7 +222,7 @@
 			quarantined = strings.Contains(string(body), "quarantined") && status == http.StatusUnprocessableEntity
 			status, _ = f.do(f.completionRequest(context.Background(), d, teamKey,
 				opapi.CompletionRequest{Model: model, Prompt: "innocent", MaxTokens: 2}))
-			is.True(status != http.StatusUnprocessableEntity) // nobody else is convicted
+			is.True(status != http.StatusUnprocessableEntity) // no other request is quarantined
 		}
 		return quarantined
 	})
--- a/daemon/app/limits_test.go
+++ b/daemon/app/limits_test.go
@@ -14,9 +14,9 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// TestATeamKeepsItsLimitWhicheverDaemonItsCallersTurnTo, and the others are
-// served.
-func TestATeamKeepsItsLimitWhicheverDaemonItsCallersTurnTo(t *testing.T) {
+// TestTeamLimitHoldsAcrossDaemons: a team's limit holds however its requests are
+// spread over the daemons, and other teams are still served.
+func TestTeamLimitHoldsAcrossDaemons(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 2, standin.Bunker(), nil)
 	item, err := json.Marshal(live.Team{Name: "beta", KeyHashes: []string{live.HashKey(otherKey)}, LimitPerSecond: 0.01, LimitBurst: 4})
@@ -26,17 +26,17 @@
 	is.Equal(status, http.StatusOK)
 	var answer opapi.ChangeAnswer
 	is.NoErr(json.Unmarshal(body, &answer))
-	f.until("the limit is in force", func() bool {
+	f.waitFor("the limit is in force", func() bool {
 		return f.daemons[0].Revision() >= answer.Revision && f.daemons[1].Revision() >= answer.Revision
 	})
-	ask := func(d *Daemon, key string) (int, string) {
+	complete := func(d *Daemon, key string) (int, string) {
 		req := f.completionRequest(context.Background(), d, key, opapi.CompletionRequest{Model: model, Prompt: "a", MaxTokens: 1})
 		status, body := f.do(req)
 		return status, string(body)
 	}
 	served := 0
 	for i := range 12 {
-		status, body := ask(f.daemons[i%2], otherKey)
+		status, body := complete(f.daemons[i%2], otherKey)
 		if status == http.StatusOK {
 			served++
 			continue
@@ -45,7 +45,7 @@
 		is.True(strings.Contains(body, "team_limit"))
 		is.True(strings.Contains(body, "not-run"))
 	}
-	is.True(served >= 2 && served <= 4) // half of the burst is there at once, and all of it is the most
-	status, _ = ask(f.daemons[0], teamKey)
+	is.True(served >= 2 && served <= 4) // at least the half of the burst that is available at once, at most the whole burst
+	status, _ = complete(f.daemons[0], teamKey)
 	is.Equal(status, http.StatusOK)
 }
--- a/daemon/app/spread_test.go
+++ b/daemon/app/replicate_test.go
@@ -15,9 +15,9 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// TestAcceptedChangeOutlivesItsDaemonAndTheStore: the daemon that saw the
-// acceptance dies at once, and the table is gone as well.
-func TestAcceptedChangeOutlivesItsDaemonAndTheStore(t *testing.T) {
+// TestAcceptedChangeSurvivesLossOfItsDaemonAndTheStore: the daemon that accepted a
+// change and the platform's table both fail right after the acceptance.
+func TestAcceptedChangeSurvivesLossOfItsDaemonAndTheStore(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(t, 3, standin.Bunker(), nil)
 	item, err := json.Marshal(live.Team{Name: "gamma", KeyHashes: []string{live.HashKey("gamma-key")}})
@@ -30,22 +30,22 @@
 	f.daemons[0].Kill()
 	var answer opapi.ChangeAnswer
 	is.NoErr(json.Unmarshal(body, &answer))
-	f.until("the survivors have the change", func() bool {
+	f.waitFor("the survivors have the change", func() bool {
 		return f.daemons[1].Revision() >= answer.Revision && f.daemons[2].Revision() >= answer.Revision
 	})
 }
 
-func TestFirstHoldersAreDifferentDaemons(t *testing.T) {
+func TestReplicaTargetsAreDistinct(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(firstFor("c", nil)), 0)
+	is.Equal(len(selectReplicas("c", nil)), 0)
 	var others []id.Daemon
 	for i := range 9 {
 		others = append(others, id.Daemon(fmt.Sprintf("d%d", i)))
 	}
 	seen := map[id.Daemon]bool{}
-	for _, d := range firstFor("a change", others) {
+	for _, d := range selectReplicas("a change", others) {
 		seen[d] = true
 	}
-	is.Equal(len(seen), firstHolders)
-	is.Equal(len(firstFor("a change", others[:2])), 2)
+	is.Equal(len(seen), replicaTargets)
+	is.Equal(len(selectReplicas("a change", others[:2])), 2)
 }
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -30,8 +30,9 @@
 	"github.com/samphirequay/samphirequay/endpoint/client"
 )
 
-// Start listens and starts every duty. An address in use is an error that
-// names it; nothing is left running then.
+// Start listens and starts every component. If an address can't be listened on, it
+// returns an error that names the setting and the address, with no listener left
+// open.
 func (d *Daemon) Start() error {
 	if err := d.listen(); err != nil {
 		d.closeListeners()
@@ -40,44 +41,44 @@
 	d.startStore()
 	d.startFleet()
 	d.startRequests()
-	close(d.wired)
+	close(d.started)
 	d.watchKeys("peers", d.peerKeys)
 	d.watchKeys("callers", d.callerKeys)
 	d.serve()
-	d.logger.Event("daemon_started", "incarnation", d.self.Incarnation, "domain", d.set.Domain, "policy", d.set.Policy,
+	d.logger.Event("daemon_started", "incarnation", d.self.Incarnation, "domain", d.settings.Domain, "policy", d.settings.Policy,
 		"callers", d.CallerAddr(), "operators", d.OperatorAddr(), "peers", d.PeerAddr())
 	return nil
 }
 
 func (d *Daemon) listen() error {
 	var err error
-	keepalive, idle := ConnectionTimes(member.Mode(d.set.Membership.Mode))
-	if d.callerLn, err = listenTCP("callers", d.set.Listen.Callers); err != nil {
+	keepalive, idle := ConnectionTimes(member.Mode(d.settings.Membership.Mode))
+	if d.callerLn, err = listenTCP("callers", d.settings.Listen.Callers); err != nil {
 		return err
 	}
-	if d.operatorLn, err = listenTCP("operators", d.set.Listen.Operators); err != nil {
+	if d.operatorLn, err = listenTCP("operators", d.settings.Listen.Operators); err != nil {
 		return err
 	}
-	if d.set.Listen.Debug != "" {
-		if d.debugLn, err = listenTCP("debug", d.set.Listen.Debug); err != nil {
+	if d.settings.Listen.Debug != "" {
+		if d.debugLn, err = listenTCP("debug", d.settings.Listen.Debug); err != nil {
 			return err
 		}
 	}
 	d.transport, err = peer.Listen(peer.Config{
 		Self:      d.self,
-		Listen:    d.set.Listen.Peers,
+		Listen:    d.settings.Listen.Peers,
 		Keys:      d.peerKeys,
 		Handler:   newPeerHandler(d),
 		KindName:  link.KindName(kindNames),
 		Registry:  d.metrics,
-		RingSize:  d.set.Limits.PeerRing,
+		RingSize:  d.settings.Limits.PeerRing,
 		Report:    d.logger.Debug,
 		Keepalive: keepalive,
 
 		IdleTimeout: idle,
 	})
 	if err != nil {
-		return eris.Wrapf(err, "listen.peers %s", d.set.Listen.Peers)
+		return eris.Wrapf(err, "listen.peers %s", d.settings.Listen.Peers)
 	}
 	return nil
 }
@@ -98,10 +99,10 @@
 	}
 }
 
-// startStore starts what meets the platform and the endpoints.
+// startStore starts the components that call the platform and the endpoints.
 func (d *Daemon) startStore() {
 	d.endpoints = endpoints.New(nil)
-	table := client.NewTable(d.set.Platform.Table, d.platformOptions())
+	table := client.NewTable(d.settings.Platform.Table, d.platformOptions())
 	d.store = store.New(store.TableService{Client: table}, d.work, d.metrics)
 	d.retries = newRetrier(d.now, d.newRand())
 	d.cancels = cancels.Start(cancels.Config{
@@ -112,45 +113,45 @@
 		Metrics:   d.metrics,
 		Log:       d.logger.Event,
 		Now:       d.now,
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 }
 
-// startFleet starts membership, pairing and configuration, in this order: each
-// is told of by those after it.
+// startFleet starts the components that work with the other daemons, from the
+// configuration to the reports. Each may call those started before it.
 func (d *Daemon) startFleet() {
 	d.configs = configs.Start(configs.Config{
 		Store:     d.store,
 		Peers:     peerFetcher{d},
 		Metrics:   d.metrics,
-		Installed: d.installed,
-		Spread:    d.spreadRecord,
+		Installed: d.applyConfig,
+		Spread:    d.replicateRecord,
 		Log:       d.logger.Event,
 		Violation: d.metrics.Violation,
 		Now:       d.now,
 		Rand:      d.newRand(),
 		Follower:  revision.DefaultFollowerConfig(),
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 	d.broker = broker.New(broker.Config{
 		Self:       d.self,
 		Local:      d.localPolicy(),
 		NewManager: d.newManager,
-		Sender:     d.links(),
+		Sender:     d.peerSender(),
 		Poison:     d.poison,
-		Spread:     func(s poison.State) { d.links().SendEvidence(d.members.Others(), s) },
-		Relay:      func(s poison.State) { d.links().RelayEvidence(d.members.Others(), s) },
+		Spread:     func(s poison.State) { d.peerSender().SendEvidence(d.members.Others(), s) },
+		Relay:      func(s poison.State) { d.peerSender().RelayEvidence(d.members.Others(), s) },
 		Epoch:      d.epoch,
 		Metrics:    d.metrics,
 		Now:        d.now,
-		Ready:      d.wired,
+		Ready:      d.started,
 	})
 	d.quotas = d.newQuotas()
 	d.claims = claims.Start(claims.Config{
 		Self:       d.self,
 		Writers:    claimWriters{d},
 		Store:      d.store,
-		Objects:    client.NewObjects(d.set.Platform.Objects, d.platformOptions()),
+		Objects:    client.NewObjects(d.settings.Platform.Objects, d.platformOptions()),
 		Work:       d.work,
 		Metrics:    d.metrics,
 		OwnerAlive: d.processAlive,
@@ -161,24 +162,24 @@
 		Core:     d.memberConfig(),
 		Self:     d.memberEntry(),
 		Seeds:    d.seeds(),
-		Hosts:    client.NewHosts(d.set.Platform.Hosts, d.platformOptions()),
-		Sender:   d.links(),
+		Hosts:    client.NewHosts(d.settings.Platform.Hosts, d.platformOptions()),
+		Sender:   d.peerSender(),
 		Listener: fleetListener{d},
 		Metrics:  d.metrics,
 		Local:    d.memberLocal,
 		Log:      d.logger.Event,
 		Now:      d.now,
 		Rand:     d.newRand(),
-		Ready:    d.wired,
+		Ready:    d.started,
 	})
 	d.placer = placer.Start(placer.Config{
 		Self:      d.self,
 		Store:     d.store,
-		Weights:   client.NewWeights(d.set.Platform.Weights, d.platformOptions()),
+		Weights:   client.NewWeights(d.settings.Platform.Weights, d.platformOptions()),
 		Endpoints: d.endpoints,
 		Work:      d.work,
 		Metrics:   d.metrics,
-		Decide:    d.decidePlacement,
+		Decide:    d.recordPlacement,
 		Log:       d.logger.Event,
 		Drain:     d.drain,
 		Demand:    d.demand,
@@ -186,7 +187,7 @@
 		Rand:      d.newRand(),
 		Lease:     lease.DefaultConfig(),
 		Core:      placement.DefaultConfig(),
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 	d.reports = reports.Start(reports.Config{
 		Endpoints: d.endpoints,
@@ -197,35 +198,35 @@
 		Metrics:   d.metrics,
 		Now:       d.now,
 		Rand:      d.newRand(),
-		Ready:     d.wired,
+		Ready:     d.started,
 	})
 }
 
 func (d *Daemon) memberConfig() member.Config {
-	cfg := member.DefaultConfig(member.Mode(d.set.Membership.Mode))
-	cfg.Period = d.set.Membership.PeriodMS.Duration()
-	cfg.SuspectAfter = d.set.Membership.SuspectAfterMS.Duration()
-	cfg.DeadAfter = d.set.Membership.DeadAfterMS.Duration()
+	cfg := member.DefaultConfig(member.Mode(d.settings.Membership.Mode))
+	cfg.Period = d.settings.Membership.PeriodMS.Duration()
+	cfg.SuspectAfter = d.settings.Membership.SuspectAfterMS.Duration()
+	cfg.DeadAfter = d.settings.Membership.DeadAfterMS.Duration()
 	return cfg
 }
 
 func (d *Daemon) memberEntry() member.Entry {
 	return member.Entry{
 		Process:       d.self,
-		Domain:        d.set.Domain,
-		Address:       cmp.Or(d.set.Advertise.Peers, d.PeerAddr()),
+		Domain:        d.settings.Domain,
+		Address:       cmp.Or(d.settings.Advertise.Peers, d.PeerAddr()),
 		CallerAddress: d.advertisedCallers(),
 	}
 }
 
 func (d *Daemon) advertisedCallers() string {
-	return cmp.Or(d.set.Advertise.Callers, d.CallerAddr())
+	return cmp.Or(d.settings.Advertise.Callers, d.CallerAddr())
 }
 
 func (d *Daemon) seeds() []member.Host {
 	var out []member.Host
-	for _, p := range d.set.SeedPeers {
-		if p.Name != d.set.Daemon {
+	for _, p := range d.settings.SeedPeers {
+		if p.Name != d.settings.Daemon {
 			out = append(out, member.Host{Name: p.Name, Address: p.Address})
 		}
 	}
@@ -233,13 +234,13 @@
 }
 
 func (d *Daemon) localPolicy() bool {
-	return d.set.Policy == settings.PolicyOptimistic || d.set.Policy == settings.PolicyNaive
+	return d.settings.Policy == settings.PolicyOptimistic || d.settings.Policy == settings.PolicyNaive
 }
 
 // serve starts the HTTP servers.
 func (d *Daemon) serve() {
-	go d.serveOn("callers", d.secure(trackingListener{d.callerLn, d.connections}), d.front.Serve)
-	go d.serveOn("operators", d.secure(d.operatorLn), d.operator.Serve)
+	go d.serveOn("callers", d.wrapTLS(trackingListener{d.callerLn, d.connections}), d.front.Serve)
+	go d.serveOn("operators", d.wrapTLS(d.operatorLn), d.operator.Serve)
 	if d.debugLn == nil {
 		return
 	}
@@ -254,13 +255,13 @@
 	}
 }
 
-// watchKeys reads the files of a key store again and again, so that keys are
-// replaced without a restart.
+// watchKeys polls the files of a key store, so that keys are replaced without a
+// restart. It does nothing if s is nil.
 func (d *Daemon) watchKeys(name string, s *keys.Store) {
 	if s == nil {
 		return
 	}
-	ticker := time.NewTicker(d.set.KeysPollMS.Duration())
+	ticker := time.NewTicker(d.settings.KeysPollMS.Duration())
 	go func() {
 		defer ticker.Stop()
 		s.Watch(d.ctx, ticker.C, func(changed bool, err error) {
--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// defaultMaxTokens is what OpenAI-style clients mean when they name none.
+	// defaultMaxTokens applies if a request sets no max_tokens, as in OpenAI's API.
 	defaultMaxTokens = 16
-	// limitMaxTokens bounds an answer.
-	limitMaxTokens = 8192
+	// maxMaxTokens is the largest max_tokens that a request may set.
+	maxMaxTokens = 8192
 )
 
 // completions serves POST /v1/completions.
@@ -35,23 +35,23 @@
 	}
 	job.Arrived = arrived
 	endCount := s.stats.begin(job.Team.Name)
-	callerCtx, endWatch := s.Watcher.Watch(s.base, ctx.Conn())
+	callerCtx, endWatch := s.Watcher.Watch(s.baseCtx, ctx.Conn())
 	run := newRun(s, job, func() {
 		endWatch()
 		endCount()
 	})
 	ctx.Response.Header.Set(opapi.HeaderRequest, string(job.ID))
 	if body.Stream {
-		s.streamed(ctx, callerCtx, run)
+		s.serveStream(ctx, callerCtx, run)
 		return
 	}
-	s.whole(ctx, callerCtx, run)
+	s.serveWhole(ctx, callerCtx, run)
 }
 
-// classify authenticates the request and turns its body into a job.
+// classify authenticates the request and builds the job from its body.
 func (s *Server) classify(ctx *fasthttp.RequestCtx) (*completion.Job, *opapi.CompletionRequest, *verdict.Error) {
 	if !ctx.IsPost() {
-		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s takes POST", opapi.PathCompletions)
+		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s only accepts POST", opapi.PathCompletions)
 	}
 	team, err := s.authenticate(ctx)
 	if err != nil {
@@ -73,7 +73,7 @@
 		MaxTokens:   body.MaxTokens,
 		Fingerprint: poison.Print(team.Name, svc.Name, []byte(body.Prompt)).String(),
 	}
-	if err := s.resumePoint(ctx, job, body); err != nil {
+	if err := s.applyResumeToken(ctx, job, body); err != nil {
 		return nil, nil, err
 	}
 	return job, body, nil
@@ -84,35 +84,36 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(body); err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the body is no JSON completion request: %v (at byte %d)", err, decoder.InputOffset())
+			"the body is not a JSON completion request: %v (at byte %d)", err, decoder.InputOffset())
 	}
 	switch {
 	case body.Model == "":
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the field model is missing")
 	case body.Prompt == "":
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the field prompt is missing or empty")
-	case body.MaxTokens < 1 || body.MaxTokens > limitMaxTokens:
+	case body.MaxTokens < 1 || body.MaxTokens > maxMaxTokens:
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the field max_tokens is %d, not between 1 and %d", body.MaxTokens, limitMaxTokens)
+			"the field max_tokens is %d and must be between 1 and %d", body.MaxTokens, maxMaxTokens)
 	}
 	return body, nil
 }
 
-// resumePoint reads Last-Event-ID, if there is one.
-func (s *Server) resumePoint(ctx *fasthttp.RequestCtx, job *completion.Job, body *opapi.CompletionRequest) *verdict.Error {
+// applyResumeToken verifies the resume token in the Last-Event-ID header, if there
+// is one, and sets the request id and the resume point of the job from it.
+func (s *Server) applyResumeToken(ctx *fasthttp.RequestCtx, job *completion.Job, body *opapi.CompletionRequest) *verdict.Error {
 	header := string(ctx.Request.Header.Peek(opapi.HeaderLastEventID))
 	if header == "" {
 		return nil
 	}
 	token, err := s.Tokens.Verify(header, job.Team.Name, time.Now())
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the header %s holds no valid resume token: %v", opapi.HeaderLastEventID, err)
+		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the header %s contains no valid resume token: %v", opapi.HeaderLastEventID, err)
 	}
 	if token.RequestHash != resume.HashRequest(job.Prompt, job.MaxTokens) || token.Service != job.Service.Name {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the resume token belongs to another request body")
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the resume token was issued for another request body")
 	}
 	if body.Delivered != "" && token.TextHash != resume.HashText(body.Delivered) {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the field delivered is not the text that the resume token stands for")
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the field delivered is not the text that the resume token was issued for")
 	}
 	job.ID = id.Request(token.Request)
 	job.Resume = &completion.ResumePoint{
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// whole answers with one JSON body.
-func (s *Server) whole(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
+// serveWhole answers with one JSON body that contains the whole answer.
+func (s *Server) serveWhole(ctx *fasthttp.RequestCtx, callerCtx context.Context, run *run) {
 	defer run.end()
 	go run.serve(callerCtx)
 	text := strings.Builder{}
--- a/daemon/hangup/hangup.go
+++ b/daemon/hangup/hangup.go
@@ -1,11 +1,11 @@
-// Package hangup notices that a caller has closed its connection while the
-// daemon writes nothing to it. fasthttp's RequestCtx.Done does not fire then.
+// Package hangup detects that a caller has closed its connection while the daemon
+// writes nothing to it. fasthttp's RequestCtx.Done does not fire in this case.
 //
-// It asks the kernel with poll(2) for POLLRDHUP, which is set when the peer
-// closed or shut down its sending side, whether or not bytes are left to read;
-// so it works beneath TLS, too, where a close arrives as unread bytes. A caller
-// that shuts down only its sending side counts as gone: HTTP/1.1 clients that
-// want an answer keep it open.
+// It calls poll(2) for POLLRDHUP, which the kernel sets when the peer has closed
+// the connection or shut down its sending side, even with bytes left to read. So
+// it also works with TLS, where a close arrives as unread bytes. A caller that
+// shuts down only its sending side counts as gone, since HTTP/1.1 clients that
+// wait for an answer keep it open.
 package hangup
 
 import (
@@ -19,38 +19,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// DefaultInterval is how often the connections are looked at.
+// DefaultInterval is the time between polls of the connections.
 const DefaultInterval = 25 * time.Millisecond
 
-// goneEvents are the poll results that mean the peer has closed.
-const goneEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
+// closedEvents are the poll results that mean that the peer has closed.
+const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
 
-// Watcher looks at all connections whose requests are being served.
+// Watcher polls all connections whose requests are being served.
 type Watcher struct {
 	mu    sync.Mutex
-	conns map[*watched]struct{}
-	// wake has an item once there is something to look at again.
+	conns map[*watchedConn]struct{}
+	// wake receives an item when a connection is added.
 	wake chan struct{}
 	stop chan struct{}
 	done chan struct{}
 }
 
-type watched struct {
+type watchedConn struct {
 	raw    syscall.RawConn
 	cancel context.CancelCauseFunc
 }
 
-// ErrGone is the cause of a context that a Watcher cancelled.
+// ErrGone is the cause with which a Watcher cancels a context.
 var ErrGone = goneError{}
 
 type goneError struct{}
 
 func (goneError) Error() string { return "the caller closed its connection" }
 
-// New starts a Watcher that looks at its connections every interval.
+// New starts a Watcher that polls its connections every interval.
 func New(interval time.Duration) *Watcher {
 	w := &Watcher{
-		conns: make(map[*watched]struct{}),
+		conns: make(map[*watchedConn]struct{}),
 		wake:  make(chan struct{}, 1),
 		stop:  make(chan struct{}),
 		done:  make(chan struct{}),
@@ -59,22 +59,22 @@
 	return w
 }
 
-// Close ends the watcher; contexts that it gave out stay as they are.
+// Close stops the Watcher. It does not cancel the contexts that Watch returned.
 func (w *Watcher) Close() {
 	close(w.stop)
 	<-w.done
 }
 
-// Watch returns a context that ends with cause ErrGone when the peer of conn
-// closes, and a function that ends the watch. A conn without a file descriptor
-// is not watched.
+// Watch returns a context that is cancelled with cause ErrGone when the peer of
+// conn closes, and a function that ends the watch and cancels the context. A conn
+// without a file descriptor is not watched.
 func (w *Watcher) Watch(parent context.Context, conn net.Conn) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	raw := rawConn(conn)
 	if raw == nil {
 		return ctx, func() { cancel(context.Canceled) }
 	}
-	e := &watched{raw: raw, cancel: cancel}
+	e := &watchedConn{raw: raw, cancel: cancel}
 	w.mu.Lock()
 	w.conns[e] = struct{}{}
 	w.mu.Unlock()
@@ -105,7 +105,7 @@
 	return raw
 }
 
-// run looks every interval while there are connections, and sleeps otherwise.
+// run polls every interval while there are connections, and otherwise waits for one.
 func (w *Watcher) run(interval time.Duration) {
 	defer close(w.done)
 	timer := time.NewTimer(interval)
@@ -116,7 +116,7 @@
 			return
 		case <-w.wake:
 		}
-		for w.look() > 0 {
+		for w.pollAll() > 0 {
 			timer.Reset(interval)
 			select {
 			case <-w.stop:
@@ -127,8 +127,9 @@
 	}
 }
 
-// look polls every watched connection once and returns how many there were.
-func (w *Watcher) look() int {
+// pollAll polls every watched connection once, cancels those that the peer closed,
+// and returns how many it polled.
+func (w *Watcher) pollAll() int {
 	all := w.snapshot()
 	for _, e := range all {
 		if !peerClosed(e.raw) {
@@ -142,10 +143,10 @@
 	return len(all)
 }
 
-func (w *Watcher) snapshot() []*watched {
+func (w *Watcher) snapshot() []*watchedConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	all := make([]*watched, 0, len(w.conns))
+	all := make([]*watchedConn, 0, len(w.conns))
 	for e := range w.conns {
 		all = append(all, e)
 	}
@@ -157,7 +158,7 @@
 	err := raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds, 0)
-		closed = err == nil && n > 0 && fds[0].Revents&goneEvents != 0
+		closed = err == nil && n > 0 && fds[0].Revents&closedEvents != 0
 	})
 	return closed || err != nil
 }
--- a/daemon/settings/parse.go
+++ b/daemon/settings/parse.go
@@ -17,8 +17,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks start-up settings; name stands in the faults. The
-// settings are nil when there is a fault.
+// Parse reads and checks start-up settings. Faults report name as the file. The
+// settings are nil if there is a fault.
 func Parse(name string, data []byte) (*Settings, Faults) {
 	src := openSource(name, data)
 	s := Defaults()
@@ -28,7 +28,7 @@
 	}
 	s.derive()
 	for _, f := range s.check() {
-		src.at(f.field, f.message)
+		src.addFault(f.field, f.message)
 	}
 	if len(src.faults) > 0 {
 		return nil, src.sorted()
@@ -45,8 +45,8 @@
 	return ParseDocument(path, data)
 }
 
-// ParseDocument reads and checks a live configuration; name stands in the
-// faults. The document has its defaults filled in; it is nil when there is a
+// ParseDocument reads and checks a live configuration. Faults report name as
+// the file. The document has its defaults filled in; it is nil if there is a
 // fault.
 func ParseDocument(name string, data []byte) (*live.Document, Faults) {
 	src := openSource(name, data)
@@ -57,7 +57,7 @@
 	}
 	doc := live.Normalize(raw)
 	for _, f := range live.Check(doc) {
-		src.at(f.Path, f.Message)
+		src.addFault(f.Path, f.Message)
 	}
 	if len(src.faults) > 0 {
 		return nil, src.sorted()
@@ -66,8 +66,8 @@
 }
 
 // Decode reads JSON with comments strictly into the struct that to points to,
-// and applies its validate tags; name stands in the faults. It is for settings
-// of other programs than the daemon's own.
+// and applies its validate tags. Faults report name as the file. It serves
+// settings other than the type Settings.
 func Decode(name string, data []byte, to any) Faults {
 	src := openSource(name, data)
 	src.decode(to)
@@ -75,14 +75,14 @@
 		return src.sorted()
 	}
 	c := &checker{}
-	c.tags(to)
+	c.validateTags(to)
 	for _, f := range c.faults {
-		src.at(f.field, f.message)
+		src.addFault(f.field, f.message)
 	}
 	return src.sorted()
 }
 
-// DecodeFile is Decode for a file.
+// DecodeFile applies Decode to the content of a file.
 func DecodeFile(path string, to any) Faults {
 	data, faults := readFile(path)
 	if faults != nil {
@@ -91,8 +91,8 @@
 	return Decode(path, data, to)
 }
 
-// decode reads the content into the struct that to points to, unless there are
-// faults.
+// decode reads the content strictly into the struct that to points to. It does
+// nothing if faults are already recorded.
 func (s *source) decode(to any) {
 	if len(s.faults) > 0 {
 		return
@@ -101,8 +101,8 @@
 	if len(s.faults) > 0 {
 		return
 	}
-	if err := json.Unmarshal(s.standard(), to); err != nil {
-		s.at("", err.Error())
+	if err := json.Unmarshal(s.standardJSON(), to); err != nil {
+		s.addFault("", err.Error())
 	}
 }
 
--- a/endpoint/client/client_test.go
+++ b/endpoint/client/client_test.go
@@ -17,25 +17,25 @@
 	"github.com/valyala/fasthttp"
 )
 
-// patience bounds every wait of a test; no test passes by it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test; no test relies on its expiry.
+const testTimeout = 20 * time.Second
 
-// scripted is a server that reads one request on each connection, tells it,
-// and then does what the test says.
-type scripted struct {
-	address string
-	got     chan string
+// scriptedServer is a server that reads one request on each connection, sends its
+// request line to requests and then calls a function of the test.
+type scriptedServer struct {
+	address  string
+	requests chan string
 }
 
-// newScripted starts a server; reply gets each connection behind its request
-// and the connection is closed when it returns.
-func newScripted(t *testing.T, reply func(net.Conn)) *scripted {
+// newScriptedServer starts a server. It calls reply with each connection after the
+// request was read, and closes the connection when reply returns.
+func newScriptedServer(t *testing.T, reply func(net.Conn)) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{address: listener.Addr().String(), got: make(chan string, 64)}
+	s := &scriptedServer{address: listener.Addr().String(), requests: make(chan string, 64)}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
@@ -49,7 +49,7 @@
 				if req.Read(bufio.NewReader(conn)) != nil {
 					return
 				}
-				s.got <- string(req.Header.Method()) + " " + string(req.Header.RequestURI())
+				s.requests <- string(req.Header.Method()) + " " + string(req.Header.RequestURI())
 				reply(conn)
 			})
 		}
@@ -61,19 +61,19 @@
 	return s
 }
 
-// hold keeps a connection open until the other side closes it.
-func hold(conn net.Conn) {
+// awaitClose keeps a connection open until the peer closes it.
+func awaitClose(conn net.Conn) {
 	var one [1]byte
 	_, _ = conn.Read(one[:])
 }
 
-// TestCallsAreSentOnce runs each method against a server that runs the call
-// and cuts the connection.
+// TestCallsAreSentOnce checks for each method that a call is not repeated when the
+// server runs it and closes the connection without a reply.
 func TestCallsAreSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE"} {
 		t.Run(method, func(t *testing.T) {
 			is := is.New(t)
-			service, address := cuttingService(t)
+			service, address := newDisconnectingService(t)
 			_, err := client.NewPlain(address, client.Options{}).Call(context.Background(), client.PlainRequest{
 				Method: method, Path: "/stems", Headers: []client.Header{{Name: wire.HeaderIdempotencyKey, Value: "k"}},
 			})
@@ -83,17 +83,17 @@
 	}
 }
 
-// TestLibraryDefaultSendsAgain shows that the check above can fail: the library
-// alone repeats a GET.
-func TestLibraryDefaultSendsAgain(t *testing.T) {
+// TestLibraryDefaultRetries shows that TestCallsAreSentOnce can fail: with its
+// defaults the library repeats a GET.
+func TestLibraryDefaultRetries(t *testing.T) {
 	is := is.New(t)
-	service, address := cuttingService(t)
+	service, address := newDisconnectingService(t)
 	err := (&fasthttp.HostClient{Addr: address}).Do(getRequest(address), &fasthttp.Response{})
 	is.True(err != nil)
 	is.True(service.Counters().Keys[0].Runs > 1)
 }
 
-// getRequest is a GET with an idempotency key.
+// getRequest returns a GET request with an idempotency key.
 func getRequest(address string) *fasthttp.Request {
 	req := &fasthttp.Request{}
 	req.SetRequestURI("http://" + address + "/stems")
@@ -101,8 +101,9 @@
 	return req
 }
 
-// cuttingService runs every call and cuts its connection.
-func cuttingService(t *testing.T) (*standin.PlainService, string) {
+// newDisconnectingService starts a service that runs every call and closes its
+// connection without a reply.
+func newDisconnectingService(t *testing.T) (*standin.PlainService, string) {
 	t.Helper()
 	service := standin.NewPlainService(standin.PlainConfig{WorkTime: 1})
 	always := 1.0
@@ -115,11 +116,11 @@
 	return service, server.Addr()
 }
 
-// TestTypedCallsAreSentOnce does the same for the calls with a connection of
-// their own and for the typed ones.
+// TestTypedCallsAreSentOnce checks the same for calls on dedicated connections and
+// for the typed calls.
 func TestTypedCallsAreSentOnce(t *testing.T) {
 	ctx := context.Background()
-	timeouts := client.Timeouts{First: patience, Idle: patience}
+	timeouts := client.Timeouts{First: testTimeout, Idle: testTimeout}
 	calls := map[string]func(address string) error{
 		"prefill": func(a string) error {
 			_, err := client.NewEngine(a, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
@@ -150,26 +151,26 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newScripted(t, func(net.Conn) {})
+			s := newScriptedServer(t, func(net.Conn) {})
 			is.Equal(verdict.Of(call(s.address)), verdict.MayHaveRun)
-			is.Equal(len(s.got), 1)
+			is.Equal(len(s.requests), 1)
 		})
 	}
 }
 
-func TestPathIsSentAsItStands(t *testing.T) {
+func TestPathIsSentUnchanged(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) { _, _ = conn.Write([]byte("HTTP/1.1 204 x\r\nConnection: close\r\n\r\n")) })
+	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte("HTTP/1.1 204 x\r\nConnection: close\r\n\r\n")) })
 	plain := client.NewPlain(s.address, client.Options{})
 	for _, path := range []string{"/a/../b//c?x=%2F&y", "//other/b", "/%61"} {
 		response, err := plain.Call(context.Background(), client.PlainRequest{Method: "POST", Path: path})
 		is.NoErr(err)
 		is.Equal(response.Status, 204)
-		is.Equal(<-s.got, "POST "+path)
+		is.Equal(<-s.requests, "POST "+path)
 	}
 	_, err := plain.Call(context.Background(), client.PlainRequest{Method: "POST", Path: "/a\r\nb"})
 	is.Equal(verdict.Of(err), verdict.NotRun)
-	is.Equal(len(s.got), 0)
+	is.Equal(len(s.requests), 0)
 }
 
 func TestRefusedDialIsNotRun(t *testing.T) {
@@ -185,10 +186,10 @@
 	is.Equal(verdict.As(err).Code, verdict.CodeUnavailable)
 }
 
-func TestErrorStatusIsNotRunOnlyIfTheEndpointSaysSo(t *testing.T) {
+func TestErrorStatusIsNotRunOnlyWithHeader(t *testing.T) {
 	is := is.New(t)
 	for header, want := range map[string]verdict.Verdict{"X-Not-Run: true\r\n": verdict.NotRun, "": verdict.MayHaveRun} {
-		s := newScripted(t, func(conn net.Conn) {
+		s := newScriptedServer(t, func(conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 x\r\n%sRetry-After: 2\r\nContent-Length: 0\r\n\r\n", header)
 		})
 		_, err := client.NewTable(s.address, client.Options{}).Read(context.Background(), wire.ReadRequest{})
@@ -199,11 +200,11 @@
 	}
 }
 
-func TestEndOfContextEndsARunningPrefill(t *testing.T) {
+func TestContextCancellationAbortsPrefill(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	s := newScripted(t, func(conn net.Conn) {
-		hold(conn)
+	s := newScriptedServer(t, func(conn net.Conn) {
+		awaitClose(conn)
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -212,34 +213,34 @@
 		_, err := client.NewEngine(s.address, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
 		result <- err
 	}()
-	<-s.got // the order was sent
+	<-s.requests // the order was sent
 	cancel()
 	err := <-result
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 	is.Equal(verdict.As(err).Code, verdict.CodeCallerGone)
 	<-closed // the connection was aborted
 	_, err = client.NewEngine(s.address, client.Options{}).Prefill(ctx, wire.PrefillRequest{})
-	is.Equal(verdict.Of(err), verdict.NotRun) // ended before anything was sent
-	is.Equal(len(s.got), 0)
+	is.Equal(verdict.Of(err), verdict.NotRun) // ctx ended before anything was sent
+	is.Equal(len(s.requests), 0)
 }
 
-// streamHead opens a stream of events.
+// streamHead is the header of a response that streams events.
 const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Endpoint-Incarnation: 77\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// chunk is one event as a chunk.
+// chunk returns an event in an HTTP chunk.
 func chunk(seq int) string {
 	event := fmt.Sprintf("id: %d\ndata: {\"request\":\"r\",\"seq\":%d,\"text\":\"t\"}\n\n", seq, seq)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(event), event)
 }
 
-func TestStalledStreamEndsByItsIdleTimeout(t *testing.T) {
+func TestStalledStreamTimesOut(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
-		hold(conn)
+		awaitClose(conn)
 	})
 	engine := client.NewEngine(s.address, client.Options{})
-	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: patience, Idle: 50 * time.Millisecond})
+	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: testTimeout, Idle: 50 * time.Millisecond})
 	is.NoErr(err)
 	defer stream.Close()
 	is.Equal(stream.Incarnation(), uint64(77))
@@ -251,22 +252,22 @@
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 }
 
-func TestCloseAbortsAStreamAtOnce(t *testing.T) {
+func TestCloseAbortsStream(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte(streamHead + chunk(1)))
-		hold(conn)
+		awaitClose(conn)
 		close(closed)
 	})
 	engine := client.NewEngine(s.address, client.Options{MaxConns: 1})
-	timeouts := client.Timeouts{First: patience, Idle: patience}
+	timeouts := client.Timeouts{First: testTimeout, Idle: testTimeout}
 	stream, err := engine.Decode(context.Background(), wire.DecodeRequest{}, timeouts)
 	is.NoErr(err)
 	_, err = stream.Next()
 	is.NoErr(err)
 	_, err = engine.Decode(context.Background(), wire.DecodeRequest{}, timeouts)
-	is.Equal(verdict.As(err).Code, verdict.CodeOverloaded) // connections are bounded
+	is.Equal(verdict.As(err).Code, verdict.CodeOverloaded) // the number of connections is bounded
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	ended := make(chan error, 1)
 	go func() {
@@ -278,10 +279,10 @@
 	<-closed
 }
 
-func TestTruncatedStreamIsNoAnswer(t *testing.T) {
+func TestTruncatedStreamIsAnError(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + chunk(1) + "0\r\n\r\n")) })
-	stream, err := client.NewEngine(s.address, client.Options{}).Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: patience, Idle: patience})
+	s := newScriptedServer(t, func(conn net.Conn) { _, _ = conn.Write([]byte(streamHead + chunk(1) + "0\r\n\r\n")) })
+	stream, err := client.NewEngine(s.address, client.Options{}).Decode(context.Background(), wire.DecodeRequest{}, client.Timeouts{First: testTimeout, Idle: testTimeout})
 	is.NoErr(err)
 	defer stream.Close()
 	_, err = stream.Next()
@@ -292,7 +293,7 @@
 
 func TestResponsesAreBoundedAndIncarnationsReported(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(conn net.Conn) {
+	s := newScriptedServer(t, func(conn net.Conn) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Endpoint-Incarnation: 9\r\nContent-Length: 20\r\n\r\n{\"running\":12345678}")
 	})
 	var seen uint64
--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -12,61 +12,62 @@
 	"github.com/valyala/fasthttp"
 )
 
-// dedicated is one exchange on a connection of its own. Closing it, or its
-// caller's leaving, aborts the connection at once; the deadline of its context
-// leaves what has arrived.
-type dedicated struct {
-	ctx     context.Context
-	address string
-	what    string
-	conn    *netconn.Conn
-	reader  *bufio.Reader
-	resp    *fasthttp.Response
-	stop    func() bool
-	release func()
-	once    sync.Once
+// dedicatedExchange is one exchange on its own connection. Close, or a cancelled
+// context, aborts the connection immediately. After the deadline of the context,
+// data that has already been received can still be read.
+type dedicatedExchange struct {
+	ctx       context.Context
+	address   string
+	operation string
+	conn      *netconn.Conn
+	reader    *bufio.Reader
+	resp      *fasthttp.Response
+	stop      func() bool
+	release   func()
+	once      sync.Once
 }
 
-// open dials, sends the request once and reads the response's head until the
-// deadline. It takes req over.
-func (e *Engine) open(ctx context.Context, what string, req *fasthttp.Request, deadline time.Time) (*dedicated, error) {
+// open dials, sends the request once and reads the header of the response, until
+// the deadline. It takes ownership of req.
+func (e *Engine) open(ctx context.Context, operation string, req *fasthttp.Request, deadline time.Time) (*dedicatedExchange, error) {
 	defer fasthttp.ReleaseRequest(req)
-	release, err := e.acquire(ctx, what)
+	release, err := e.acquireConn(ctx, operation)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := dial(ctx, e.address, e.opt.DialTimeout)
+	conn, err := dial(ctx, e.address, e.options.DialTimeout)
 	if err != nil {
 		release()
-		return nil, transportError(e.address, what, err)
+		return nil, transportError(e.address, operation, err)
 	}
-	d := &dedicated{ctx: ctx, address: e.address, what: what, conn: conn, reader: bufio.NewReader(conn), release: release}
+	d := &dedicatedExchange{ctx: ctx, address: e.address, operation: operation, conn: conn, reader: bufio.NewReader(conn), release: release}
 	d.resp = fasthttp.AcquireResponse()
 	d.stop = conn.EndWith(ctx)
 	req.SetHost(e.address)
 	if err := d.send(req, deadline); err != nil {
 		d.Close()
-		return nil, d.fail(err)
+		return nil, d.classifyError(err)
 	}
 	e.report(d.resp)
 	return d, nil
 }
 
-// acquire takes one of the bounded places for dedicated connections.
-func (e *Engine) acquire(ctx context.Context, what string) (func(), error) {
-	if err := ended(ctx); err != nil {
-		return nil, transportError(e.address, what, &notSentError{cause: err})
+// acquireConn takes one of the bounded number of slots for dedicated connections.
+// The returned function releases it.
+func (e *Engine) acquireConn(ctx context.Context, operation string) (func(), error) {
+	if err := contextError(ctx); err != nil {
+		return nil, transportError(e.address, operation, &notSentError{cause: err})
 	}
 	select {
-	case e.places <- struct{}{}:
-		return func() { <-e.places }, nil
+	case e.connSlots <- struct{}{}:
+		return func() { <-e.connSlots }, nil
 	default:
-		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s at %s: no free connection", what, e.address)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s at %s: no free connection", operation, e.address)
 	}
 }
 
-// send writes the request and reads the head of the response.
-func (d *dedicated) send(req *fasthttp.Request, deadline time.Time) error {
+// send writes the request and reads the header of the response.
+func (d *dedicatedExchange) send(req *fasthttp.Request, deadline time.Time) error {
 	if err := d.conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -81,21 +82,22 @@
 	return d.resp.ReadLimitBody(d.reader, 0)
 }
 
-// fail gives an error its verdict; the end of the context is named as cause.
-func (d *dedicated) fail(err error) error {
-	cause := ended(d.ctx)
+// classifyError returns an error with a verdict. If the context has ended, its
+// error becomes the cause.
+func (d *dedicatedExchange) classifyError(err error) error {
+	cause := contextError(d.ctx)
 	if cause == nil {
-		return transportError(d.address, d.what, err)
+		return transportError(d.address, d.operation, err)
 	}
 	var notSent *notSentError
 	if errors.As(err, &notSent) {
-		return transportError(d.address, d.what, &notSentError{cause: cause})
+		return transportError(d.address, d.operation, &notSentError{cause: cause})
 	}
-	return transportError(d.address, d.what, cause)
+	return transportError(d.address, d.operation, cause)
 }
 
-// Close aborts the connection at once.
-func (d *dedicated) Close() {
+// Close aborts the connection immediately.
+func (d *dedicatedExchange) Close() {
 	d.once.Do(func() {
 		d.stop()
 		_ = d.conn.Close()
--- a/endpoint/netconn/write.go
+++ b/endpoint/netconn/write.go
@@ -7,10 +7,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// WriteRequest writes a request. sent says whether a byte of it was handed to
-// the connection: where none was, the request has certainly not run.
+// WriteRequest writes a request. sent reports whether any byte of it was written to
+// the connection: if none was, the request has certainly not run.
 func (c *Conn) WriteRequest(req *fasthttp.Request) (sent bool, err error) {
-	counter := &countingWriter{to: c}
+	counter := &countingWriter{dst: c}
 	writer := bufio.NewWriter(counter)
 	err = req.Write(writer)
 	if err == nil {
@@ -19,15 +19,15 @@
 	return counter.written > 0, err
 }
 
-// countingWriter counts the bytes that were handed on.
+// countingWriter counts the bytes that are written to dst.
 type countingWriter struct {
-	to      io.Writer
+	dst     io.Writer
 	written int
 }
 
 // Write implements io.Writer.
 func (w *countingWriter) Write(b []byte) (int, error) {
-	n, err := w.to.Write(b)
+	n, err := w.dst.Write(b)
 	w.written += n
 	return n, err
 }
--- a/standin/backlog.go
+++ b/standin/backlog.go
@@ -10,52 +10,57 @@
 )
 
 const (
-	// smallestBacklog leaves room for one connection that nobody accepts.
-	smallestBacklog = 0
-	// fillTimeout bounds the attempt to connect that finds the backlog full.
-	fillTimeout = 100 * time.Millisecond
-	// maxFill bounds the connections that fill the backlog.
-	maxFill = 8
+	// minBacklog leaves room for one connection that is not accepted.
+	minBacklog = 0
+	// fillDialTimeout bounds each dial that fills the backlog; a dial that times
+	// out shows that the backlog is full.
+	fillDialTimeout = 100 * time.Millisecond
+	// maxFillConns bounds the connections that fill the backlog.
+	maxFillConns = 8
 )
 
-// FullBacklog is an address that answers no attempt to connect, as a host that
-// is without power or cut off. Attempts hang until they time out.
+// FullBacklog is a listener with a full backlog. Attempts to connect to its
+// address hang until they time out, as with a host that has lost power or its
+// network.
 type FullBacklog struct {
 	listener net.Listener
-	waiting  []net.Conn
+	conns    []net.Conn
 }
 
-// NewFullBacklog listens at addr, host:port; port 0 takes a free one.
+// NewFullBacklog listens at addr, host:port, and fills the backlog; port 0 takes
+// a free port.
 func NewFullBacklog(addr string) (*FullBacklog, error) {
-	listener, err := listenSmall(addr)
+	listener, err := listenMinBacklog(addr)
 	if err != nil {
-		return nil, eris.Wrapf(err, "can't listen with a small backlog at %s", addr)
+		return nil, eris.Wrapf(err, "can't listen with the minimum backlog at %s", addr)
 	}
 	b := &FullBacklog{listener: listener}
-	for range maxFill {
-		conn, err := net.DialTimeout("tcp", b.Addr(), fillTimeout)
+	for range maxFillConns {
+		conn, err := net.DialTimeout("tcp", b.Addr(), fillDialTimeout)
 		if err != nil {
 			return b, nil
 		}
-		b.waiting = append(b.waiting, conn)
+		b.conns = append(b.conns, conn)
 	}
 	b.Close()
-	return nil, eris.Errorf("the backlog at %s takes more than %d connections", addr, maxFill)
+	return nil, eris.Errorf("the backlog at %s is not full after %d connections", addr, maxFillConns)
 }
 
-// Addr is the address, host:port.
+// Addr returns the address, host:port.
 func (b *FullBacklog) Addr() string { return b.listener.Addr().String() }
 
-// Close ends it; attempts to connect are refused from then on.
+// Close closes the listener and the connections in its backlog; later attempts to
+// connect are refused.
 func (b *FullBacklog) Close() {
 	_ = b.listener.Close()
-	for _, conn := range b.waiting {
+	for _, conn := range b.conns {
 		_ = conn.Close()
 	}
 }
 
-// listenSmall listens with the smallest backlog, which package net can't set.
-func listenSmall(addr string) (net.Listener, error) {
+// listenMinBacklog listens at a TCP over IPv4 address with the minimum backlog,
+// which package net can't set.
+func listenMinBacklog(addr string) (net.Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
 		return nil, err
@@ -65,7 +70,7 @@
 		return nil, err
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
+	defer func() { _ = file.Close() }() // net.FileListener duplicates the descriptor
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, err
 	}
@@ -74,21 +79,21 @@
 	if err := syscall.Bind(fd, socket); err != nil {
 		return nil, err
 	}
-	if err := syscall.Listen(fd, smallestBacklog); err != nil {
+	if err := syscall.Listen(fd, minBacklog); err != nil {
 		return nil, err
 	}
 	return net.FileListener(file)
 }
 
-// FillBacklog makes the stand-in answer no further attempt to connect until it
-// is closed; connections that are open go on.
+// FillBacklog makes attempts to connect to the stand-in hang until it is closed.
+// Open connections keep working.
 func (s *Server) FillBacklog() error {
 	s.mu.Lock()
-	s.aborts++ // nobody reopens it
+	s.aborts++ // makes a pending reopen outdated
 	listener := s.listener
 	s.mu.Unlock()
 	if err := listener.Close(); err != nil {
-		return eris.Wrapf(err, "stand-in at %s", s.address)
+		return eris.Wrapf(err, "can't close the listener of the stand-in at %s", s.address)
 	}
 	full, err := NewFullBacklog(s.address)
 	if err != nil {
@@ -100,10 +105,10 @@
 	return nil
 }
 
-// FillBacklog makes the endpoint answer no further attempt to connect until it
-// is closed; connections that are open go on.
+// FillBacklog makes attempts to connect to the endpoint hang until it is closed.
+// Open connections keep working.
 func (e *endpoint) FillBacklog() error { return e.server.FillBacklog() }
 
-// ResetConnections resets the connections that are open now, as a network does
-// that breaks; the endpoint goes on with its work.
+// ResetConnections resets the open connections, as in a network failure; the
+// endpoint continues its work.
 func (e *endpoint) ResetConnections() { e.server.ResetConnections() }
--- a/standin/engine_cache.go
+++ b/standin/engine_cache.go
@@ -9,30 +9,32 @@
 	"github.com/valyala/fasthttp"
 )
 
-// cacheLogEvents bounds how many cache events an engine keeps.
-const cacheLogEvents = 8192
+// maxCacheEvents bounds the cache events that an engine keeps.
+const maxCacheEvents = 8192
 
-// prefixCache holds the blocks whose KV cache an engine still has.
+// prefixCache tracks the prompt blocks whose KV cache an engine holds, and keeps
+// the log of cache events.
 type prefixCache struct {
-	blocks *simplelru.LRU[uint64, struct{}]
-	size   int
-	lag    time.Duration
-	gap    float64
-	number uint64
-	log    []stamped[wire.CacheEventItem]
+	blocks     *simplelru.LRU[uint64, struct{}]
+	size       int
+	lag        time.Duration
+	eventLoss  float64
+	lastNumber uint64
+	log        []timestamped[wire.CacheEventItem]
 }
 
 // newPrefixCache returns an empty cache.
 func newPrefixCache(cfg EngineConfig) *prefixCache {
 	return &prefixCache{
-		blocks: newLRU[uint64, struct{}](cfg.CacheBlocks),
-		size:   cfg.CacheBlocks,
-		lag:    cfg.CacheLag,
-		gap:    cfg.CacheGap,
+		blocks:    newLRU[uint64, struct{}](cfg.CacheBlocks),
+		size:      cfg.CacheBlocks,
+		lag:       cfg.CacheLag,
+		eventLoss: cfg.CacheEventLoss,
 	}
 }
 
-// hits counts the leading blocks that are cached, and marks them as used.
+// hits returns the number of leading blocks that are cached, and marks them as
+// recently used.
 func (c *prefixCache) hits(blocks []uint64) int {
 	for i, block := range blocks {
 		if _, ok := c.blocks.Get(block); !ok {
@@ -42,7 +44,8 @@
 	return len(blocks)
 }
 
-// store adds blocks and notes the events.
+// store adds blocks, evicts the least recently used blocks if the cache is full,
+// and records the events.
 func (c *prefixCache) store(now time.Time, blocks []uint64, f *faults) {
 	for _, block := range blocks {
 		if _, ok := c.blocks.Get(block); ok {
@@ -50,28 +53,29 @@
 		}
 		if c.blocks.Len() >= c.size {
 			oldest, _, _ := c.blocks.RemoveOldest()
-			c.note(now, oldest, false, f)
+			c.recordEvent(now, oldest, false, f)
 		}
 		c.blocks.Add(block, struct{}{})
-		c.note(now, block, true, f)
+		c.recordEvent(now, block, true, f)
 	}
 }
 
-// note numbers an event; one that falls into a gap is not kept.
-func (c *prefixCache) note(now time.Time, block uint64, stored bool, f *faults) {
-	c.number++
-	if f.draw(c.gap) {
+// recordEvent numbers an event and appends it to the log. A lost event takes a
+// number, but is not kept.
+func (c *prefixCache) recordEvent(now time.Time, block uint64, stored bool, f *faults) {
+	c.lastNumber++
+	if f.draw(c.eventLoss) {
 		return
 	}
-	item := wire.CacheEventItem{Number: c.number, Block: block, Stored: stored}
-	c.log = append(c.log, stamped[wire.CacheEventItem]{at: now, value: item})
-	if len(c.log) > cacheLogEvents {
-		c.log = c.log[len(c.log)-cacheLogEvents:]
+	item := wire.CacheEventItem{Number: c.lastNumber, Block: block, Stored: stored}
+	c.log = append(c.log, timestamped[wire.CacheEventItem]{at: now, value: item})
+	if len(c.log) > maxCacheEvents {
+		c.log = c.log[len(c.log)-maxCacheEvents:]
 	}
 }
 
-// after lists the visible events behind a number.
-func (c *prefixCache) after(now time.Time, number uint64) []wire.CacheEventItem {
+// eventsAfter lists the visible events with a number above the given one.
+func (c *prefixCache) eventsAfter(now time.Time, number uint64) []wire.CacheEventItem {
 	out := []wire.CacheEventItem{}
 	for _, e := range c.log {
 		if e.at.After(now.Add(-c.lag)) {
@@ -84,7 +88,8 @@
 	return out
 }
 
-// serveCacheEvents answers with the cache events behind a number.
+// serveCacheEvents returns the visible cache events whose numbers are above the
+// query argument after.
 func (e *Engine) serveCacheEvents(ctx *fasthttp.RequestCtx) {
 	after, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	if err != nil {
@@ -92,5 +97,5 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	setJSON(ctx, wire.CacheEvents{Events: e.memory.cache.after(time.Now(), after)})
+	setJSON(ctx, wire.CacheEvents{Events: e.memory.cache.eventsAfter(time.Now(), after)})
 }
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -17,44 +17,45 @@
 	stageFinished = "finished"
 )
 
-// memory is all that an engine loses when it crashes.
+// memory is the volatile state of an engine, which is lost in a crash.
 type memory struct {
-	proc     process
-	prefills map[string]*prefill
-	queue    prefillQueue
-	queued   chan struct{}
-	busy     bool
-	kvs      map[string]*exportedKV
-	decodes  map[string]*decode
-	running  int
-	finished []*decode
-	cache    *prefixCache
-	// cancelled holds the tombstones and when each was set.
-	cancelled *simplelru.LRU[string, time.Time]
-	arrivals  uint64
-	exports   uint64
+	proc        process
+	prefills    map[string]*prefill
+	queue       prefillQueue
+	queueSignal chan struct{}
+	prefilling  bool
+	kvs         map[string]*exportedKV
+	decodes     map[string]*decode
+	running     int
+	finished    []*decode
+	cache       *prefixCache
+	// cancelled holds the tombstones: the ids of cancelled requests and when
+	// each was cancelled.
+	cancelled   *simplelru.LRU[string, time.Time]
+	arrivals    uint64
+	exportCount uint64
 }
 
-// newMemory returns the memory of a process that begins.
+// newMemory returns the empty memory of a new process.
 func newMemory(cfg EngineConfig, proc process) *memory {
 	return &memory{
-		proc:      proc,
-		prefills:  map[string]*prefill{},
-		queued:    make(chan struct{}, 1),
-		kvs:       map[string]*exportedKV{},
-		decodes:   map[string]*decode{},
-		cache:     newPrefixCache(cfg),
-		cancelled: newLRU[string, time.Time](tombstoneCount),
+		proc:        proc,
+		prefills:    map[string]*prefill{},
+		queueSignal: make(chan struct{}, 1),
+		kvs:         map[string]*exportedKV{},
+		decodes:     map[string]*decode{},
+		cache:       newPrefixCache(cfg),
+		cancelled:   newLRU[string, time.Time](maxTombstones),
 	}
 }
 
-// refuseWork tells why an engine can't take a new request of a role and model;
-// nil if it can. The caller holds mu.
+// refuseWork returns why the engine can't accept a new request for a role and
+// model; nil if it can. The caller holds mu.
 func (e *Engine) refuseWork(id, role, model string) *failure {
 	if id == "" {
 		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "request has no id")
 	}
-	if e.buried(id) {
+	if e.hasTombstone(id) {
 		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled")
 	}
 	if f := e.leavingRefusal(); f != nil {
@@ -62,19 +63,20 @@
 		return f
 	}
 	if !e.orders.ready {
-		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is loading")
+		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is changing its model or role")
 	}
-	if e.orders.now.Role != role {
-		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's role is "+e.orders.now.Role)
+	if e.orders.current.Role != role {
+		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's role is "+e.orders.current.Role)
 	}
-	if model != "" && model != e.orders.now.Model {
-		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's model is "+e.orders.now.Model)
+	if model != "" && model != e.orders.current.Model {
+		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's model is "+e.orders.current.Model)
 	}
 	return nil
 }
 
-// buried tells whether a tombstone stands for a request. The caller holds mu.
-func (e *Engine) buried(id string) bool {
+// hasTombstone reports whether a request has a tombstone that has not expired.
+// The caller holds mu.
+func (e *Engine) hasTombstone(id string) bool {
 	at, ok := e.memory.cancelled.Peek(id)
-	return ok && time.Since(at) < e.cfg.TombstoneLife
+	return ok && time.Since(at) < e.cfg.TombstoneLifetime
 }
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -7,87 +7,91 @@
 	"github.com/valyala/fasthttp"
 )
 
-// orderState is what an engine was ordered to be. It outlives a crash.
+// orderState is the model and role that the engine was last ordered to have. It
+// survives a crash.
 type orderState struct {
-	now   wire.Order
-	ready bool
-	// change numbers the changes, so that an older one's end is ignored.
+	current wire.Order
+	ready   bool
+	// change is the number of the latest change, so that the end of an earlier
+	// change is ignored.
 	change int
 }
 
-// newOrderState is the state of an engine before its first order.
+// newOrderState returns the state of an engine before its first order.
 func newOrderState(cfg EngineConfig) orderState {
 	return orderState{
-		now:   wire.Order{Model: cfg.Model, Adapter: cfg.Adapter, Version: cfg.Version, Role: cfg.Role},
-		ready: true,
+		current: wire.Order{Model: cfg.Model, Adapter: cfg.Adapter, Version: cfg.Version, Role: cfg.Role},
+		ready:   true,
 	}
 }
 
-// response is the state as a body.
+// response returns the state as a response body.
 func (s orderState) response() wire.OrderResponse {
 	return wire.OrderResponse{
-		Fence:   s.now.Fence,
-		Model:   s.now.Model,
-		Adapter: s.now.Adapter,
-		Version: s.now.Version,
-		Role:    s.now.Role,
+		Fence:   s.current.Fence,
+		Model:   s.current.Model,
+		Adapter: s.current.Adapter,
+		Version: s.current.Version,
+		Role:    s.current.Role,
 		Ready:   s.ready,
 	}
 }
 
-// serveOrderState answers with the state.
+// serveOrderState returns the current order state.
 func (e *Engine) serveOrderState(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	setJSON(ctx, e.orders.response())
 }
 
-// serveOrder takes an order.
+// serveOrder applies an order, or refuses it if its role is unknown or its
+// fencing number is stale.
 func (e *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	var o wire.Order
-	if f := parse(ctx, &o); f != nil {
+	if f := decodeBody(ctx, &o); f != nil {
 		f.write(ctx)
 		return
 	}
 	if o.Role != RolePrefill && o.Role != RoleDecode {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "no such role: "+o.Role).write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "unknown role: "+o.Role).write(ctx)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cfg.ChecksFencing && o.Fence < e.orders.now.Fence {
+	if e.cfg.ChecksFencing && o.Fence < e.orders.current.Fence {
 		e.counters.OrdersRefused++
-		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order's fencing number is old").write(ctx)
+		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order has a stale fencing number").write(ctx)
 		return
 	}
-	e.obey(o)
+	e.applyOrder(o)
 	setJSON(ctx, e.orders.response())
 }
 
-// obey begins the change that an order asks for. The caller holds mu.
-func (e *Engine) obey(o wire.Order) {
-	was := e.orders.now
-	e.orders.now = o
+// applyOrder starts the change to the model and role of an order. The caller
+// holds mu.
+func (e *Engine) applyOrder(o wire.Order) {
+	previous := e.orders.current
+	e.orders.current = o
 	e.counters.Orders++
-	if o.Fence < was.Fence {
-		e.counters.OldFencesObeyed++
+	if o.Fence < previous.Fence {
+		e.counters.StaleFencesApplied++
 	}
-	was.Fence = o.Fence
-	if o == was {
+	previous.Fence = o.Fence
+	if o == previous {
 		return
 	}
-	takes := e.cfg.LoadTime
-	if was.Role = o.Role; o == was {
-		takes = e.cfg.RoleTime
+	duration := e.cfg.LoadTime
+	if previous.Role = o.Role; o == previous {
+		duration = e.cfg.RoleTime
 	}
 	e.orders.ready = false
 	e.orders.change++
 	change := e.orders.change
-	e.noteLoad()
-	time.AfterFunc(takes, func() { e.endChange(change) })
+	e.recordLoad()
+	time.AfterFunc(duration, func() { e.endChange(change) })
 }
 
-// endChange makes the engine ready, unless a newer change runs.
+// endChange marks the engine ready, unless a newer change is in progress.
 func (e *Engine) endChange(change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,5 +99,5 @@
 		return
 	}
 	e.orders.ready = true
-	e.noteLoad()
+	e.recordLoad()
 }
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -10,9 +10,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// prefill is a prompt that waits or is being read.
+// prefill is the job of computing one prompt's KV cache, waiting or running.
 type prefill struct {
-	work
+	engineRequest
 	request wire.PrefillRequest
 	arrival uint64
 	// done is closed once response or failure is set.
@@ -21,10 +21,10 @@
 	failure  *failure
 }
 
-// servePrefill handles a prefill order and waits for its end.
+// servePrefill queues a prefill order and waits for its end.
 func (e *Engine) servePrefill(ctx *fasthttp.RequestCtx) {
 	var r wire.PrefillRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
@@ -35,23 +35,24 @@
 	}
 	select {
 	case <-job.done:
-		answer(ctx, job.response, job.failure)
+		writeReply(ctx, job.response, job.failure)
 	case <-job.ctx.Done():
-		e.answerAborted(ctx, job)
+		e.replyPrefillAborted(ctx, job)
 	}
 }
 
-// answerAborted answers a prefill that was cancelled or lost to a crash.
-func (e *Engine) answerAborted(ctx *fasthttp.RequestCtx, job *prefill) {
+// replyPrefillAborted replies to a prefill that was cancelled or lost in a
+// crash, with its result if it finished before that.
+func (e *Engine) replyPrefillAborted(ctx *fasthttp.RequestCtx, job *prefill) {
 	select {
 	case <-job.done:
-		answer(ctx, job.response, job.failure)
+		writeReply(ctx, job.response, job.failure)
 	default:
-		job.abort(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
+		job.replyAborted(ctx, failed(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled"))
 	}
 }
 
-// enqueuePrefill puts a prefill into the queue.
+// enqueuePrefill adds a prefill to the queue, or returns the failure.
 func (e *Engine) enqueuePrefill(r wire.PrefillRequest) (*prefill, *failure) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 	m := e.memory
 	if _, ok := m.prefills[r.Request]; ok {
-		return nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "request is in its prefill")
+		return nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine already holds a prefill of this request")
 	}
 	if len(m.queue) >= e.cfg.PrefillQueue {
 		e.counters.Refused++
@@ -68,22 +69,22 @@
 	}
 	m.arrivals++
 	job := &prefill{
-		work:    newWork(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stagePrefill),
-		request: r,
-		arrival: m.arrivals,
-		done:    make(chan struct{}),
+		engineRequest: newEngineRequest(m, r.Request, owner{r.Owner, r.OwnerIncarnation}, stagePrefill),
+		request:       r,
+		arrival:       m.arrivals,
+		done:          make(chan struct{}),
 	}
 	m.prefills[r.Request] = job
 	heap.Push(&m.queue, job)
-	e.noteLoad()
+	e.recordLoad()
 	select {
-	case m.queued <- struct{}{}:
+	case m.queueSignal <- struct{}{}:
 	default:
 	}
 	return job, nil
 }
 
-// prefillLoop reads the queued prompts one by one until the process ends.
+// prefillLoop runs the queued prefills one by one until the process ends.
 func (e *Engine) prefillLoop(m *memory) {
 	for {
 		job := e.nextPrefill(m)
@@ -92,14 +93,15 @@
 			continue
 		}
 		select {
-		case <-m.queued:
+		case <-m.queueSignal:
 		case <-m.proc.ctx.Done():
 			return
 		}
 	}
 }
 
-// nextPrefill takes the next prefill from the queue; nil if there is none.
+// nextPrefill removes the next prefill from the queue and skips cancelled ones;
+// nil if there is none.
 func (e *Engine) nextPrefill(m *memory) *prefill {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,14 +110,14 @@
 		if job.ctx.Err() != nil {
 			continue
 		}
-		m.busy = true
-		e.noteLoad()
+		m.prefilling = true
+		e.recordLoad()
 		return job
 	}
 	return nil
 }
 
-// runPrefill reads one prompt and exports its KV cache.
+// runPrefill computes the uncached part of one prompt and exports the KV cache.
 func (e *Engine) runPrefill(m *memory, job *prefill) {
 	e.mu.Lock()
 	e.counters.Prefills++
@@ -131,15 +133,15 @@
 
 	computed := tokens - cached
 	began := time.Now()
-	work := e.prefillTime(computed)
-	finished := e.faults.work(job.ctx.Done(), work)
+	duration := e.prefillTime(computed)
+	finished := e.faults.simulateWork(job.ctx.Done(), duration)
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m.busy = false
+	m.prefilling = false
 	e.counters.PrefillTokensCached += int64(cached)
 	if !finished || job.ctx.Err() != nil {
-		e.abortPrefill(computed, workDone(time.Since(began), e.faults.state().slow), work)
+		e.abortPrefill(computed, completedWork(time.Since(began), e.faults.state().slow), duration)
 		return
 	}
 	e.counters.PrefillTokens += int64(computed)
@@ -147,23 +149,24 @@
 	job.response = e.export(m, job, tokens, cached)
 	delete(m.prefills, job.id)
 	close(job.done)
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// prefillTime is how long the reading of so many tokens takes.
+// prefillTime returns how long the prefill of a number of tokens takes, without
+// the Slow fault.
 func (e *Engine) prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / e.cfg.PrefillTokensPerSecond * float64(time.Second))
 }
 
-// abortPrefill counts the share of a prefill that was done in vain. The caller
-// holds mu.
+// abortPrefill counts the completed part of an aborted prefill as wasted: spent
+// of work, for that many tokens. The caller holds mu.
 func (e *Engine) abortPrefill(tokens int, spent, work time.Duration) {
-	e.noteLoad()
+	e.recordLoad()
 	if work <= 0 {
 		return
 	}
-	share := min(1, float64(spent)/float64(work))
-	wasted := int64(share * float64(tokens))
+	fraction := min(1, float64(spent)/float64(work))
+	wasted := int64(fraction * float64(tokens))
 	e.counters.PrefillTokens += wasted
 	e.counters.PrefillTokensWasted += wasted
 }
@@ -197,7 +200,7 @@
 	return job
 }
 
-// remove takes a prefill out of the queue, if it is there.
+// remove deletes a prefill from the queue, if it is queued.
 func (q *prefillQueue) remove(job *prefill) {
 	for i, other := range *q {
 		if other == job {
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -16,7 +16,7 @@
 
 func TestEngineLifeCycle(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	prompt := strings.Repeat("nomination ", 200)
 	stream := p.run(t, "r1", prompt, 40)
 	first, err := stream.Next()
@@ -26,25 +26,25 @@
 	is.Equal(first.Text+collect(t, stream, 1, 0), standin.Answer(prompt, 40))
 	is.Equal(stream.Incarnation(), p.decode.Incarnation())
 
-	read, wrote := p.prefill.Counters(), p.decode.Counters()
-	is.Equal(read.Prefills, int64(1))
-	is.Equal(read.PrefillTokens, int64(550))
-	is.Equal(read.KVImported, int64(1))
-	is.Equal(read.PrefillTokensWasted, int64(0))
-	is.Equal(read.KVHeld, 0)
-	is.Equal(wrote.Running, 0)
-	is.Equal(wrote.MaxRunning, 1)
-	is.Equal(wrote.DecodeRuns, []standin.Runs{{Name: "r1", Runs: 1}})
+	prefilled, decoded := p.prefill.Counters(), p.decode.Counters()
+	is.Equal(prefilled.Prefills, int64(1))
+	is.Equal(prefilled.PrefillTokens, int64(550))
+	is.Equal(prefilled.KVImported, int64(1))
+	is.Equal(prefilled.PrefillTokensWasted, int64(0))
+	is.Equal(prefilled.KVHeld, 0)
+	is.Equal(decoded.Running, 0)
+	is.Equal(decoded.MaxRunning, 1)
+	is.Equal(decoded.DecodeRuns, []standin.Runs{{Name: "r1", Runs: 1}})
 }
 
-func TestKVExpiresAndItsWorkIsWasted(t *testing.T) {
+func TestExpiredKVCountsAsWastedWork(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
 	prompt := strings.Repeat("x", 400)
-	kv, err := p.read(context.Background(), "r1", prompt)
+	kv, err := p.orderPrefill(context.Background(), "r1", prompt)
 	is.NoErr(err)
 	eventually(t, "expiry", func() bool { return p.prefill.Counters().KVExpired == 1 })
-	_, err = p.write(context.Background(), "r1", prompt, 4, kv)
+	_, err = p.orderDecode(context.Background(), "r1", prompt, 4, kv)
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, client.CodeKVGone)
 	is.Equal(p.prefill.Counters().PrefillTokensWasted, int64(100))
@@ -53,30 +53,30 @@
 
 func TestFullSlotsRefuse(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.Slots = 1; c.DecodeTokenMS = 1e6 })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.Slots = 1; c.DecodeTokenMS = 1e6 })
 	p.run(t, "r1", "one", 4)
-	kv, err := p.read(context.Background(), "r2", "two")
+	kv, err := p.orderPrefill(context.Background(), "r2", "two")
 	is.NoErr(err)
-	_, err = p.write(context.Background(), "r2", "two", 4, kv)
+	_, err = p.orderDecode(context.Background(), "r2", "two", 4, kv)
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, verdict.CodeOverloaded)
 	cancelled, err := p.toDecode.Cancel(context.Background(), wire.CancelRequest{Request: "r1"})
 	is.NoErr(err)
 	is.Equal(cancelled.State, wire.CancelDone)
-	_, err = p.write(context.Background(), "r2", "two", 4, kv)
-	is.NoErr(err) // the refusal left the KV cache in its place
+	_, err = p.orderDecode(context.Background(), "r2", "two", 4, kv)
+	is.NoErr(err) // the refusal did not drop the KV cache
 	is.Equal(p.decode.Counters().MaxRunning, 1)
 }
 
-func TestMarkedPromptCrashesEachEngineThatRunsIt(t *testing.T) {
+func TestCrashMarkerInPromptCrashesEngine(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	before := p.prefill.Incarnation()
-	_, err := p.read(context.Background(), "r1", "bad "+standin.CrashMarker)
+	_, err := p.orderPrefill(context.Background(), "r1", "bad "+standin.CrashMarker)
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 	is.Equal(p.prefill.Incarnation(), before+1)
 	eventually(t, "restart", func() bool {
-		_, err := p.read(context.Background(), "r2", "good")
+		_, err := p.orderPrefill(context.Background(), "r2", "good")
 		return err == nil
 	})
 	is.Equal(p.prefill.Counters().Crashes, int64(1))
@@ -84,9 +84,9 @@
 
 func TestCrashLosesStateAndStreams(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6; c.RestartDelay = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6; c.RestartDelay = time.Millisecond })
 	stream := p.run(t, "r1", "one", 4)
-	_, err := p.read(context.Background(), "r2", strings.Repeat("x", 400))
+	_, err := p.orderPrefill(context.Background(), "r2", strings.Repeat("x", 400))
 	is.NoErr(err)
 	p.decode.Crash()
 	p.prefill.Crash()
@@ -102,13 +102,13 @@
 	is.Equal(list.Incarnation, p.decode.Incarnation())
 }
 
-func TestCallThatHangsInACrashIsLost(t *testing.T) {
+func TestHangingCallIsLostInCrash(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.RestartDelay = time.Millisecond })
 	p.prefill.Inject(wire.Fault{Hang: ptr(true)})
 	failed := make(chan error, 1)
 	go func() {
-		_, err := p.read(context.Background(), "r1", "one")
+		_, err := p.orderPrefill(context.Background(), "r1", "one")
 		failed <- err
 	}()
 	eventually(t, "hang", func() bool { return p.prefill.Counters().Hanging == 1 })
@@ -117,20 +117,20 @@
 	eventually(t, "loss", func() bool { return p.prefill.Counters().Hanging == 0 })
 	p.prefill.Inject(wire.Fault{Hang: ptr(false)})
 	eventually(t, "restart", func() bool {
-		_, err := p.read(context.Background(), "r2", "two")
+		_, err := p.orderPrefill(context.Background(), "r2", "two")
 		return err == nil
 	})
-	is.Equal(p.prefill.Counters().Prefills, int64(1)) // the lost call never ran
+	is.Equal(p.prefill.Counters().Prefills, int64(1)) // the lost call was not run
 }
 
-func TestCancelEndsAQueuedAndARunningPrefill(t *testing.T) {
+func TestCancelEndsQueuedAndRunningPrefill(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
-	p.prefill.Inject(wire.Fault{Slow: ptr(frozen)})
+	p := newEnginePair(t, nil)
+	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	failed := make(chan error, 2)
 	for waiting, id := range []string{"running", "queued"} {
 		go func() {
-			_, err := p.read(context.Background(), id, "prompt")
+			_, err := p.orderPrefill(context.Background(), id, "prompt")
 			failed <- err
 		}()
 		eventually(t, id, func() bool {
@@ -149,27 +149,27 @@
 	is.Equal(len(list.Requests), 0)
 }
 
-func TestCancelBeforeTheRunOrderLeavesATombstone(t *testing.T) {
+func TestCancelBeforeRunOrderLeavesTombstone(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	cancelled, err := p.toPrefill.Cancel(context.Background(), wire.CancelRequest{Request: "r1"})
 	is.NoErr(err)
 	is.Equal(cancelled.State, wire.CancelUnknown)
-	_, err = p.read(context.Background(), "r1", "late")
+	_, err = p.orderPrefill(context.Background(), "r1", "late")
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, client.CodeCancelled)
 	is.Equal(p.prefill.Counters().Prefills, int64(0))
 }
 
-func TestCancelEndsAStalledImport(t *testing.T) {
+func TestCancelEndsStalledImport(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	p.decode.Inject(wire.Fault{StallTransfers: ptr(true)})
-	kv, err := p.read(context.Background(), "r1", "one")
+	kv, err := p.orderPrefill(context.Background(), "r1", "one")
 	is.NoErr(err)
 	failed := make(chan error, 1)
 	go func() {
-		_, err := p.write(context.Background(), "r1", "one", 4, kv)
+		_, err := p.orderDecode(context.Background(), "r1", "one", 4, kv)
 		failed <- err
 	}()
 	eventually(t, "import", func() bool { return p.decode.Counters().Running == 1 })
@@ -182,56 +182,56 @@
 	is.Equal(p.prefill.Counters().KVReleased, int64(1))
 }
 
-func TestBrokenStreamGoesOnAndIsResumedByANewOwner(t *testing.T) {
+func TestDecodeSurvivesBrokenStreamAndIsResumedByNewOwner(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	p := newPair(t, nil)
-	p.decode.Inject(wire.Fault{Slow: ptr(frozen)})
+	p := newEnginePair(t, nil)
+	p.decode.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	p.run(t, "r1", "prompt", 60).Close()
-	is.Equal(p.decode.Counters().Running, 1) // goes on without a stream
+	is.Equal(p.decode.Counters().Running, 1) // the decode continues without a stream
 	p.decode.Inject(wire.Fault{Slow: ptr(1.0)})
-	stream, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", Owner: "d1", Incarnation: 1}, streamPatience)
+	stream, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", Owner: "d1", Incarnation: 1}, streamTimeouts)
 	is.NoErr(err)
 	head := collect(t, stream, 0, 3)
 	stream.Close()
-	resumed, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 5}, streamPatience)
+	resumed, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 5}, streamTimeouts)
 	is.NoErr(err)
 	defer resumed.Close()
 
 	state, err := p.toDecode.Cancel(ctx, wire.CancelRequest{Request: "r1", Owner: "d1", OwnerIncarnation: 1})
 	is.NoErr(err)
-	is.Equal(state.State, wire.CancelOtherOwner) // the former owner can't end it
-	_, err = p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 4}, streamPatience)
+	is.Equal(state.State, wire.CancelOtherOwner) // the former owner can't cancel the request
+	_, err = p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 3, Owner: "d2", Incarnation: 4}, streamTimeouts)
 	is.Equal(verdict.As(err).Code, client.CodeOwner)
 
 	is.Equal(head+collect(t, resumed, 3, 0), standin.Answer("prompt", 60))
-	again, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 58, Owner: "d2", Incarnation: 5}, streamPatience)
+	again, err := p.toDecode.Resume(ctx, client.ResumeRequest{Request: "r1", After: 58, Owner: "d2", Incarnation: 5}, streamTimeouts)
 	is.NoErr(err) // a finished answer is kept
 	defer again.Close()
 	is.Equal(collect(t, again, 58, 0), standin.AnswerToken("prompt", 59)+standin.AnswerToken("prompt", 60))
 	is.Equal(p.decode.Counters().Decodes, int64(1))
 }
 
-func TestLaterStreamEndsTheEarlierOne(t *testing.T) {
+func TestNewStreamEndsEarlierStream(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6 })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.DecodeTokenMS = 1e6 })
 	earlier := p.run(t, "r1", "prompt", 4)
-	later, err := p.toDecode.Resume(context.Background(), client.ResumeRequest{Request: "r1", Owner: "d2", Incarnation: 1}, streamPatience)
+	later, err := p.toDecode.Resume(context.Background(), client.ResumeRequest{Request: "r1", Owner: "d2", Incarnation: 1}, streamTimeouts)
 	is.NoErr(err)
 	defer later.Close()
 	_, err = earlier.Next()
 	is.Equal(verdict.Of(err), verdict.MayHaveRun)
 }
 
-func TestContinuationGoesOnBehindTheDeliveredTokens(t *testing.T) {
+func TestContinuationStartsAfterDeliveredTokens(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
-	kv, err := p.read(context.Background(), "r2", "prompt")
+	p := newEnginePair(t, nil)
+	kv, err := p.orderPrefill(context.Background(), "r2", "prompt")
 	is.NoErr(err)
 	stream, err := p.toDecode.Decode(context.Background(), wire.DecodeRequest{
 		Request: "r2", Prompt: "prompt", MaxTokens: 9, Continue: 4,
 		Source: wire.KVSource{Address: p.prefillAddr, KV: kv.KV, Domain: "aktau-port"},
-	}, streamPatience)
+	}, streamTimeouts)
 	is.NoErr(err)
 	defer stream.Close()
 	is.Equal(standin.Answer("prompt", 4)+collect(t, stream, 4, 0), standin.Answer("prompt", 9))
@@ -239,11 +239,11 @@
 
 func TestPrefixCacheIsPerSalt(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.CacheLag = time.Nanosecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.CacheLag = time.Nanosecond })
 	prompt := strings.Repeat("y", 2048)
-	_, err := p.read(context.Background(), "r1", prompt)
+	_, err := p.orderPrefill(context.Background(), "r1", prompt)
 	is.NoErr(err)
-	again, err := p.read(context.Background(), "r2", prompt)
+	again, err := p.orderPrefill(context.Background(), "r2", prompt)
 	is.NoErr(err)
 	is.Equal(again.CachedTokens, 512)
 	other, err := p.toPrefill.Prefill(context.Background(), wire.PrefillRequest{Request: "r3", CacheSalt: "other", Prompt: prompt})
@@ -254,10 +254,10 @@
 	is.Equal(len(events.Events), 16)
 }
 
-func TestHigherPriorityIsReadFirst(t *testing.T) {
+func TestHigherPriorityIsPrefilledFirst(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
-	p.prefill.Inject(wire.Fault{Slow: ptr(frozen)})
+	p := newEnginePair(t, nil)
+	p.prefill.Inject(wire.Fault{Slow: ptr(frozenSlowdown)})
 	results := map[string]chan wire.PrefillResponse{}
 	send := func(id string, priority, waiting int) {
 		result := make(chan wire.PrefillResponse, 1)
@@ -275,7 +275,7 @@
 	send("low", 1, 2)
 	send("high", 9, 3)
 	p.prefill.Inject(wire.Fault{Slow: ptr(1.0)})
-	for place, id := range []string{"running", "high", "low"} { // exports are numbered
+	for place, id := range []string{"running", "high", "low"} { // the KV names end with the number of the export
 		is.True(strings.HasSuffix((<-results[id]).KV, fmt.Sprintf("-%d", place+1)))
 	}
 }
@@ -301,11 +301,11 @@
 	}
 }
 
-func TestLeavingEngineRefusesAfterItsGrace(t *testing.T) {
+func TestLeavingEngineRefusesAfterGrace(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, func(c *standin.EngineConfig) { c.LeaveGrace = time.Nanosecond; c.LoadLag = time.Nanosecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.LeaveGrace = time.Nanosecond; c.LoadLag = time.Nanosecond })
 	p.prefill.Inject(wire.Fault{Leaving: ptr(true)})
-	_, err := p.read(context.Background(), "r1", "one")
+	_, err := p.orderPrefill(context.Background(), "r1", "one")
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, verdict.CodeLeaving)
 	load, err := p.toPrefill.Load(context.Background())
@@ -316,7 +316,7 @@
 
 func TestWrongRoleIsNotRun(t *testing.T) {
 	is := is.New(t)
-	p := newPair(t, nil)
+	p := newEnginePair(t, nil)
 	_, err := p.toDecode.Prefill(context.Background(), wire.PrefillRequest{Request: "r1", Prompt: "x"})
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(verdict.As(err).Code, client.CodeRole)
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -13,19 +13,20 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// patience bounds every wait of a test; no test passes by it.
-const patience = 20 * time.Second
+// testTimeout bounds the waits of the tests. No test passes by reaching it.
+const testTimeout = 20 * time.Second
 
-// frozen as a slow fault keeps all work from ending.
-const frozen = 1e9
+// frozenSlowdown is a factor for the Slow fault under which no simulated work
+// ends during a test.
+const frozenSlowdown = 1e9
 
-var streamPatience = client.Timeouts{First: patience, Idle: patience}
+var streamTimeouts = client.Timeouts{First: testTimeout, Idle: testTimeout}
 
 type starter interface {
 	Start(string) (*standin.Server, error)
 }
 
-// serve starts a stand-in for the time of a test.
+// serve starts a stand-in for the duration of a test and returns its address.
 func serve(t *testing.T, s starter) string {
 	t.Helper()
 	server, err := s.Start("127.0.0.1:0")
@@ -38,10 +39,10 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds and fails the test at the timeout.
+func eventually(t *testing.T, description string, holds func() bool) {
 	t.Helper()
-	deadline := time.NewTimer(patience)
+	deadline := time.NewTimer(testTimeout)
 	defer deadline.Stop()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
@@ -49,29 +50,30 @@
 		select {
 		case <-tick.C:
 		case <-deadline.C:
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
 
-// pair is a prefill and a decode engine with their clients.
-type pair struct {
+// enginePair is a prefill engine and a decode engine with their clients.
+type enginePair struct {
 	prefill, decode         *standin.Engine
 	prefillAddr, decodeAddr string
 	toPrefill, toDecode     *client.Engine
 }
 
-// newPair starts two fast engines; change adapts their configuration.
-func newPair(t *testing.T, change func(*standin.EngineConfig)) *pair {
+// newEnginePair starts two fast engines; change, if set, adapts their
+// configuration.
+func newEnginePair(t *testing.T, change func(*standin.EngineConfig)) *enginePair {
 	t.Helper()
 	cfg := standin.EngineConfig{
 		Name: "prefill", Domain: "aktau-port", Model: "m", Role: standin.RolePrefill,
-		PrefillTokensPerSecond: 1e6, DecodeTokenMS: 0.1, KVLife: patience, Seed: 1,
+		PrefillTokensPerSecond: 1e6, DecodeTokenMS: 0.1, KVLife: testTimeout, Seed: 1,
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	p := &pair{prefill: standin.NewEngine(cfg)}
+	p := &enginePair{prefill: standin.NewEngine(cfg)}
 	cfg.Name, cfg.Role = "decode", standin.RoleDecode
 	p.decode = standin.NewEngine(cfg)
 	p.prefillAddr, p.decodeAddr = serve(t, p.prefill), serve(t, p.decode)
@@ -80,29 +82,29 @@
 	return p
 }
 
-// read orders the prefill of a prompt.
-func (p *pair) read(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
+// orderPrefill runs the prefill of a prompt.
+func (p *enginePair) orderPrefill(ctx context.Context, id, prompt string) (wire.PrefillResponse, error) {
 	return p.toPrefill.Prefill(ctx, wire.PrefillRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", CacheSalt: "team", Prompt: prompt,
 	})
 }
 
-// write orders the decode of a request that was read.
-func (p *pair) write(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
+// orderDecode starts the decode of a request whose prefill was run.
+func (p *enginePair) orderDecode(ctx context.Context, id, prompt string, maxTokens int, kv wire.PrefillResponse) (*client.Stream, error) {
 	return p.toDecode.Decode(ctx, wire.DecodeRequest{
 		Request: id, Owner: "d1", OwnerIncarnation: 1, Model: "m", Prompt: prompt, MaxTokens: maxTokens,
 		Source: wire.KVSource{Address: p.prefillAddr, KV: kv.KV, Bytes: kv.KVBytes, Domain: "aktau-port"},
-	}, streamPatience)
+	}, streamTimeouts)
 }
 
-// run reads and begins to write a request.
-func (p *pair) run(t *testing.T, id, prompt string, maxTokens int) *client.Stream {
+// run runs the prefill of a request and starts its decode.
+func (p *enginePair) run(t *testing.T, id, prompt string, maxTokens int) *client.Stream {
 	t.Helper()
-	kv, err := p.read(context.Background(), id, prompt)
+	kv, err := p.orderPrefill(context.Background(), id, prompt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stream, err := p.write(context.Background(), id, prompt, maxTokens, kv)
+	stream, err := p.orderDecode(context.Background(), id, prompt, maxTokens, kv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +112,8 @@
 	return stream
 }
 
-// collect reads n events, or all if n is 0, and checks that they are in order
-// behind event after. It returns the text.
+// collect reads n events, or all if n is 0, and checks that their sequence
+// numbers follow after without a gap. It returns the text.
 func collect(t *testing.T, s *client.Stream, after, n int) string {
 	t.Helper()
 	var text strings.Builder
@@ -125,7 +127,7 @@
 		}
 		after++
 		if event.Seq != after {
-			t.Fatalf("event %d came in the place of %d", event.Seq, after)
+			t.Fatalf("got event %d, want event %d", event.Seq, after)
 		}
 		text.WriteString(event.Text)
 	}
--- a/standin/links.go
+++ b/standin/links.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// Links are the rate-limited paths between failure domains. All engines of one
-// process share them.
+// Links are the rate-limited links within and between failure domains. All
+// engines of a Platform share them.
 type Links struct {
 	start          time.Time
 	within, across float64
 
-	mu    sync.Mutex
-	paths map[path]*linkPath
+	mu     sync.Mutex
+	states map[linkKey]*linkState
 }
 
-// path is a direction between failure domains.
-type path struct{ from, to string }
+// linkKey identifies a link by its direction between failure domains.
+type linkKey struct{ from, to string }
 
-// linkPath is the state of one path.
-type linkPath struct {
-	share share
+// linkState is the state of one link.
+type linkState struct {
+	link  sharedLink
 	timer *time.Timer
 }
 
 // NewLinks returns links with a rate within each failure domain and one for
 // each direction across two, in bytes a second.
 func NewLinks(within, across float64) *Links {
-	return &Links{start: time.Now(), within: within, across: across, paths: map[path]*linkPath{}}
+	return &Links{start: time.Now(), within: within, across: across, states: map[linkKey]*linkState{}}
 }
 
-// SetRate changes the rate of one direction, in bytes a second.
+// SetRate changes the rate of one direction to rate, in bytes a second.
 func (l *Links) SetRate(from, to string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.path(path{from, to})
-	p.share.advance(l.now())
-	p.share.rate = rate
-	l.arm(p)
+	s := l.state(linkKey{from, to})
+	s.link.advance(l.now())
+	s.link.rate = rate
+	l.arm(s)
 }
 
-// Transfer carries bytes and returns when they are through or ctx ended.
+// Transfer simulates the transfer of a number of bytes. It returns when the
+// transfer is complete, or the error of ctx if that ends first.
 func (l *Links) Transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mu.Lock()
-	p := l.path(path{from, to})
-	item := p.share.join(l.now(), bytes)
-	l.arm(p)
+	s := l.state(linkKey{from, to})
+	item := s.link.add(l.now(), bytes)
+	l.arm(s)
 	l.mu.Unlock()
 	select {
 	case <-item.done:
@@ -55,41 +56,43 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.share.leave(l.now(), item)
-	l.arm(p)
+	s.link.remove(l.now(), item)
+	l.arm(s)
 	return ctx.Err()
 }
 
-// now is the time since the links were made.
+// now returns the time since the links were created.
 func (l *Links) now() time.Duration { return time.Since(l.start) }
 
-// path returns the state of one direction.
-func (l *Links) path(key path) *linkPath {
-	if p, ok := l.paths[key]; ok {
-		return p
+// state returns the state of one link, created on first use. The caller holds
+// mu.
+func (l *Links) state(key linkKey) *linkState {
+	if s, ok := l.states[key]; ok {
+		return s
 	}
 	rate := l.across
 	if key.from == key.to {
 		rate = l.within
 	}
-	p := &linkPath{share: share{rate: rate}}
-	l.paths[key] = p
-	return p
+	s := &linkState{link: sharedLink{rate: rate}}
+	l.states[key] = s
+	return s
 }
 
-// arm sets the timer to the next end of a transfer.
-func (l *Links) arm(p *linkPath) {
-	if p.timer != nil {
-		p.timer.Stop()
+// arm sets the timer of a link to the next end of a transfer. The caller holds
+// mu.
+func (l *Links) arm(s *linkState) {
+	if s.timer != nil {
+		s.timer.Stop()
 	}
-	if len(p.share.items) == 0 {
+	if len(s.link.transfers) == 0 {
 		return
 	}
-	p.timer = time.AfterFunc(p.share.next()-l.now(), func() {
+	s.timer = time.AfterFunc(s.link.nextEnd()-l.now(), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		p.share.advance(l.now())
-		l.arm(p)
+		s.link.advance(l.now())
+		l.arm(s)
 	})
 }
 
--- a/standin/table_serve.go
+++ b/standin/table_serve.go
@@ -8,17 +8,17 @@
 	"golang.org/x/time/rate"
 )
 
-// maxQueueDelay is how long a call may be held back to keep the rate.
+// maxQueueDelay is the longest delay of a call to keep the rate limit.
 const maxQueueDelay = 200 * time.Millisecond
 
-// Start listens at addr.
+// Start starts the table's server at addr, host:port.
 func (t *Table) Start(addr string) (*Server, error) {
 	in := &standIn{
-		faults:   t.faults,
-		serve:    t.serve,
-		inject:   t.Inject,
-		counters: func() any { return t.Counters() },
-		losable:  func(ctx *fasthttp.RequestCtx) bool { return string(ctx.Path()) == wire.PathTransact },
+		faults:         t.faults,
+		serve:          t.serve,
+		inject:         t.Inject,
+		counters:       func() any { return t.Counters() },
+		replyCanBeLost: func(ctx *fasthttp.RequestCtx) bool { return string(ctx.Path()) == wire.PathTransact },
 	}
 	return startStandIn(addr, in)
 }
@@ -39,7 +39,7 @@
 // serveTransact handles a transaction.
 func (t *Table) serveTransact(ctx *fasthttp.RequestCtx) {
 	var tx wire.Transaction
-	if f := parse(ctx, &tx); f != nil {
+	if f := decodeBody(ctx, &tx); f != nil {
 		f.write(ctx)
 		return
 	}
@@ -57,7 +57,7 @@
 // serveRead handles a read.
 func (t *Table) serveRead(ctx *fasthttp.RequestCtx) {
 	var r wire.ReadRequest
-	if f := parse(ctx, &r); f != nil {
+	if f := decodeBody(ctx, &r); f != nil {
 		f.write(ctx)
 		return
 	}
@@ -69,19 +69,20 @@
 	setJSON(ctx, t.read(r, stale))
 }
 
-// admit delays a call to the rate, or refuses it when the delay would be long.
+// admit delays a call to keep the rate limit, or returns the refusal if the delay
+// would exceed maxQueueDelay.
 func (t *Table) admit(limiter *rate.Limiter) *failure {
 	reservation := limiter.Reserve()
 	delay := reservation.Delay()
 	if delay <= maxQueueDelay {
-		pause(t.faults.closed, delay)
+		sleep(t.faults.closed, delay)
 		return nil
 	}
 	reservation.Cancel()
 	t.mu.Lock()
 	t.counters.OverRate++
 	t.mu.Unlock()
-	f := refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "table is over its rate")
+	f := refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "table rate limit exceeded")
 	f.retryAfter = delay
 	return f
 }
