--- a/cmd/internal/logstory/read.go
+++ b/cmd/internal/logstory/read.go
@@ -96,7 +96,7 @@
 		return Line{}, false
 	}
 	for decoder.ScanKeyval() {
-		if err := line.take(string(decoder.Key()), string(decoder.Value())); err != nil {
+		if err := line.setField(string(decoder.Key()), string(decoder.Value())); err != nil {
 			return Line{}, false
 		}
 	}
@@ -104,7 +104,7 @@
 	return line, complete
 }
 
-func (l *Line) take(key, value string) error {
+func (l *Line) setField(key, value string) error {
 	switch key {
 	case "ts":
 		at, err := time.Parse(time.RFC3339Nano, value)
