--- a/cmd/internal/logstory/read.go
+++ b/cmd/internal/logstory/read.go
@@ -30,7 +30,7 @@
 const lineStart = "ts="
 
 // maxLine bounds one line, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Logs are the lines that were read.
 type Logs struct {
@@ -42,7 +42,7 @@
 // Read adds the lines of a log.
 func (l *Logs) Read(name string, from io.Reader) error {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Text())
 		if !ok {
