--- a/cmd/internal/logstory/read.go
+++ b/cmd/internal/logstory/read.go
@@ -44,7 +44,7 @@
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Text())
+		line, ok := parseLine(scanner.Text())
 		if !ok {
 			l.Unreadable++
 			continue
@@ -85,7 +85,7 @@
 }
 
 // parse reads one line.
-func parse(text string) (Line, bool) {
+func parseLine(text string) (Line, bool) {
 	start := strings.Index(text, lineStart)
 	if start < 0 {
 		return Line{}, false
