--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -19,7 +19,7 @@
 
 // around is how far before a request's first and behind its last line other
 // lines may bear on it.
-const around = 5 * time.Second
+const contextWindow = 5 * time.Second
 
 // aboutEndpoints are the events that tell what became of an endpoint.
 var aboutEndpoints = []string{
@@ -72,8 +72,8 @@
 
 // span is the time in which other lines may bear on the request.
 func (s *Story) span() (from, to time.Time) {
-	from = s.Own[0].At.Add(-around)
-	to = s.Own[len(s.Own)-1].At.Add(around / 5)
+	from = s.Own[0].At.Add(-contextWindow)
+	to = s.Own[len(s.Own)-1].At.Add(contextWindow / 5)
 	if took, ok := s.took(); ok {
 		from = from.Add(-took)
 	}
@@ -116,7 +116,7 @@
 			}
 			seen[key] = true
 		case slices.Contains(aboutDaemons, line.Event) && daemons[line.Daemon]:
-		case line.Event == "pool_state" && line.Fields["pool"] == s.service() && !line.At.Before(from.Add(around-time.Second)):
+		case line.Event == "pool_state" && line.Fields["pool"] == s.service() && !line.At.Before(from.Add(contextWindow-time.Second)):
 		default:
 			continue
 		}
