--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -22,7 +22,7 @@
 const contextWindow = 5 * time.Second
 
 // aboutEndpoints are the events that tell what became of an endpoint.
-var aboutEndpoints = []string{
+var endpointEvents = []string{
 	"endpoint_changed", "endpoint_gone", "health_changed", "role_change_begun", "role_ordered", "role_change_ended",
 }
 
@@ -108,7 +108,7 @@
 			continue
 		}
 		switch {
-		case slices.Contains(aboutEndpoints, line.Event) && endpoints[line.Fields[fieldEndpoint]]:
+		case slices.Contains(endpointEvents, line.Event) && endpoints[line.Fields[fieldEndpoint]]:
 			// All daemons learn the same of an endpoint: once is enough.
 			key := line.Event + line.Text()
 			if seen[key] {
