--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -27,7 +27,7 @@
 }
 
 // aboutDaemons are the events that tell what a daemon could rely on.
-var aboutDaemons = []string{
+var daemonEvents = []string{
 	"dependency_lost", "dependency_regained", "config_in_force", "tables_learnt", "member_stalled", "member_declared_dead",
 	"daemon_leaving", "daemon_closing", "daemon_stopped", "daemon_started",
 }
@@ -115,7 +115,7 @@
 				continue
 			}
 			seen[key] = true
-		case slices.Contains(aboutDaemons, line.Event) && daemons[line.Daemon]:
+		case slices.Contains(daemonEvents, line.Event) && daemons[line.Daemon]:
 		case line.Event == "pool_state" && line.Fields["pool"] == s.service() && !line.At.Before(from.Add(contextWindow-time.Second)):
 		default:
 			continue
