--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -60,13 +60,13 @@
 	if len(s.Own) == 0 {
 		return nil, ErrUnknown
 	}
-	byTime(s.Own)
+	sortByTime(s.Own)
 	s.findBeside(l)
 	s.judge(l)
 	return s, nil
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
@@ -122,7 +122,7 @@
 		}
 		s.Beside = append(s.Beside, line)
 	}
-	byTime(s.Beside)
+	sortByTime(s.Beside)
 }
 
 // service is the one that the request was sent to, if a line tells.
