--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -61,7 +61,7 @@
 		return nil, ErrUnknown
 	}
 	sortByTime(s.Own)
-	s.findBeside(l)
+	s.findRelated(l)
 	s.judge(l)
 	return s, nil
 }
@@ -91,7 +91,7 @@
 	return 0, false
 }
 
-func (s *Story) findBeside(l *Logs) {
+func (s *Story) findRelated(l *Logs) {
 	from, to := s.span()
 	daemons, endpoints := map[string]bool{}, map[string]bool{}
 	for _, line := range s.Own {
