--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -62,7 +62,7 @@
 	}
 	sortByTime(s.Own)
 	s.findRelated(l)
-	s.judge(l)
+	s.findCause(l)
 	return s, nil
 }
 
@@ -136,7 +136,7 @@
 }
 
 // judge says in a sentence what came of the request, and where the logs are silent.
-func (s *Story) judge(l *Logs) {
+func (s *Story) findCause(l *Logs) {
 	var end *Line
 	for i := range s.Own {
 		if s.Own[i].Event == eventEnd {
