--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -144,7 +144,7 @@
 		}
 	}
 	if end == nil {
-		s.noEnd(l)
+		s.explainMissingEnd(l)
 		return
 	}
 	f := end.Fields
@@ -158,7 +158,7 @@
 }
 
 // noEnd tells of a request whose end is not logged.
-func (s *Story) noEnd(l *Logs) {
+func (s *Story) explainMissingEnd(l *Logs) {
 	last := s.Own[len(s.Own)-1]
 	s.Cause = fmt.Sprintf("its end is not logged; the last line is %s of %s", last.Event, last.Daemon)
 	after := last.At
