--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -74,14 +74,14 @@
 func (s *Story) span() (from, to time.Time) {
 	from = s.Own[0].At.Add(-contextWindow)
 	to = s.Own[len(s.Own)-1].At.Add(contextWindow / 5)
-	if took, ok := s.took(); ok {
+	if took, ok := s.duration(); ok {
 		from = from.Add(-took)
 	}
 	return from, to
 }
 
 // took is how long the request took, if its end is logged.
-func (s *Story) took() (time.Duration, bool) {
+func (s *Story) duration() (time.Duration, bool) {
 	for _, line := range s.Own {
 		if line.Event == eventEnd {
 			d, err := time.ParseDuration(line.Fields["took"])
