--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -178,7 +178,7 @@
 			return
 		}
 	}
-	if end := l.end(); end.Sub(after) >= fallsSilent {
+	if end := l.end(); end.Sub(after) >= silentAfter {
 		s.Silent = append(s.Silent, fmt.Sprintf("%s logs nothing behind %s, others do until %s: its process ended, stood still or was cut off",
 			last.Daemon, after.Format(time.RFC3339Nano), end.Format(time.RFC3339Nano)))
 		return
@@ -189,7 +189,7 @@
 // fallsSilent is how long a daemon must log nothing while others do to count as
 // silent: one that is alive logs a line on its pools each second, or on what it
 // serves.
-const fallsSilent = 5 * time.Second
+const silentAfter = 5 * time.Second
 
 // end is the time of the last line of all.
 func (l *Logs) end() time.Time {
