--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -178,7 +178,7 @@
 			return
 		}
 	}
-	if end := l.end(); end.Sub(after) >= silentAfter {
+	if end := l.lastLineTime(); end.Sub(after) >= silentAfter {
 		s.Silent = append(s.Silent, fmt.Sprintf("%s logs nothing behind %s, others do until %s: its process ended, stood still or was cut off",
 			last.Daemon, after.Format(time.RFC3339Nano), end.Format(time.RFC3339Nano)))
 		return
@@ -192,7 +192,7 @@
 const silentAfter = 5 * time.Second
 
 // end is the time of the last line of all.
-func (l *Logs) end() time.Time {
+func (l *Logs) lastLineTime() time.Time {
 	var end time.Time
 	for _, line := range l.Lines {
 		if line.At.After(end) {
