--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -33,7 +33,7 @@
 }
 
 // ErrUnknown says that no line names the request.
-var ErrUnknown = errors.New("no line names this request: the id is wrong, the logs lack its daemon, or its lines were dropped")
+var ErrUnknownRequest = errors.New("no line names this request: the id is wrong, the logs lack its daemon, or its lines were dropped")
 
 // Story is what the logs tell of one request.
 type Story struct {
@@ -58,7 +58,7 @@
 		}
 	}
 	if len(s.Own) == 0 {
-		return nil, ErrUnknown
+		return nil, ErrUnknownRequest
 	}
 	sortByTime(s.Own)
 	s.findRelated(l)
--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -88,7 +88,7 @@
 func TestAnUnknownRequestIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := logs(t).Tell("nobody")
-	is.True(errors.Is(err, ErrUnknown))
+	is.True(errors.Is(err, ErrUnknownRequest))
 	var none Logs
 	is.True(none.ReadPath(t.TempDir(), nil) != nil)
 	is.NoErr(none.ReadPath("-", strings.NewReader(city)))
