--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-const city = `2.1 city ts=2026-01-02T03:04:05.1Z daemon=city level=info event=granted request=a pairing=1 prefill=i-1 decode=i-2 owner=port#1
+const cityLog = `2.1 city ts=2026-01-02T03:04:05.1Z daemon=city level=info event=granted request=a pairing=1 prefill=i-1 decode=i-2 owner=port#1
 ts=2026-01-02T03:04:05.6Z daemon=city level=info event=attempt_failed request=a step=decode endpoint=i-2 code=endpoint_failed why="the exchange broke"
 ts=2026-01-02T03:04:05.7Z daemon=city level=info event=request request=a service=s outcome=endpoint_failed status=0 took=700ms why="endpoint_failed (may-have-run): the exchange broke" reason="it may not run again"
 ts=2026-01-02T03:04:06Z daemon=city level=info event=granted request=b pairing=1 prefill=i-1 decode=i-2
@@ -27,7 +27,7 @@
 func logs(t *testing.T) *Logs {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"city.log": city, "port.log": port} {
+	for name, text := range map[string]string{"city.log": cityLog, "port.log": port} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 	is.True(errors.Is(err, ErrUnknownRequest))
 	var none Logs
 	is.True(none.ReadPath(t.TempDir(), nil) != nil)
-	is.NoErr(none.ReadPath("-", strings.NewReader(city)))
+	is.NoErr(none.ReadPath("-", strings.NewReader(cityLog)))
 	_, err = none.Tell("a")
 	is.NoErr(err)
 }
