--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -18,7 +18,7 @@
 ts=2026-01-02T03:04:0
 `
 
-const port = `ts=2026-01-02T03:04:05.3Z daemon=port level=info event=endpoint_gone endpoint=i-2 service=s
+const portLog = `ts=2026-01-02T03:04:05.3Z daemon=port level=info event=endpoint_gone endpoint=i-2 service=s
 ts=2026-01-02T03:04:05.2Z daemon=port level=info event=pool_state pool=s queued=7
 ts=2026-01-02T03:04:05.2Z daemon=port level=info event=endpoint_gone endpoint=i-9 service=s
 ts=2026-01-02T03:05:05.3Z daemon=port level=info event=health_changed endpoint=i-2 state=ejected
@@ -27,7 +27,7 @@
 func logs(t *testing.T) *Logs {
 	t.Helper()
 	dir := t.TempDir()
-	for name, text := range map[string]string{"city.log": cityLog, "port.log": port} {
+	for name, text := range map[string]string{"city.log": cityLog, "port.log": portLog} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
