--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -24,7 +24,7 @@
 ts=2026-01-02T03:05:05.3Z daemon=port level=info event=health_changed endpoint=i-2 state=ejected
 `
 
-func logs(t *testing.T) *Logs {
+func readLogs(t *testing.T) *Logs {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range map[string]string{"city.log": cityLog, "port.log": portLog} {
@@ -49,7 +49,7 @@
 
 func TestTheLinesOfSeveralDaemonsAreOneStory(t *testing.T) {
 	is := is.New(t)
-	l := logs(t)
+	l := readLogs(t)
 	is.Equal(l.Unreadable, 1) // the cut line
 	s, err := l.Tell("a")
 	is.NoErr(err)
@@ -61,7 +61,7 @@
 
 func TestAnEndThatIsNotLoggedIsSaid(t *testing.T) {
 	is := is.New(t)
-	s, err := logs(t).Tell("b")
+	s, err := readLogs(t).Tell("b")
 	is.NoErr(err)
 	is.Equal(s.Cause, "its end is not logged; the last line is granted of city")
 	is.Equal(s.Silent, []string{"city was started anew at 2026-01-02T03:04:07Z: its former process ended without a word"})
@@ -87,7 +87,7 @@
 
 func TestAnUnknownRequestIsAnError(t *testing.T) {
 	is := is.New(t)
-	_, err := logs(t).Tell("nobody")
+	_, err := readLogs(t).Tell("nobody")
 	is.True(errors.Is(err, ErrUnknownRequest))
 	var none Logs
 	is.True(none.ReadPath(t.TempDir(), nil) != nil)
