--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -39,7 +39,7 @@
 	return &l
 }
 
-func events(lines []Line) string {
+func eventNames(lines []Line) string {
 	var out []string
 	for _, l := range lines {
 		out = append(out, l.Event)
@@ -53,8 +53,8 @@
 	is.Equal(l.Unreadable, 1) // the cut line
 	s, err := l.Tell("a")
 	is.NoErr(err)
-	is.Equal(events(s.Own), "granted attempt_failed request")
-	is.Equal(events(s.Beside), "pool_state endpoint_gone")
+	is.Equal(eventNames(s.Own), "granted attempt_failed request")
+	is.Equal(eventNames(s.Beside), "pool_state endpoint_gone")
 	is.Equal(s.Cause, "endpoint_failed after 700ms at city: endpoint_failed (may-have-run): the exchange broke; not tried again: it may not run again")
 	is.Equal(len(s.Silent), 0)
 }
