--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -47,7 +47,7 @@
 	return strings.Join(out, " ")
 }
 
-func TestTheLinesOfSeveralDaemonsAreOneStory(t *testing.T) {
+func TestLinesOfSeveralDaemonsAreMerged(t *testing.T) {
 	is := is.New(t)
 	l := readLogs(t)
 	is.Equal(l.Unreadable, 1) // the cut line
