--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -59,7 +59,7 @@
 	is.Equal(len(s.Silent), 0)
 }
 
-func TestAnEndThatIsNotLoggedIsSaid(t *testing.T) {
+func TestMissingEndIsReported(t *testing.T) {
 	is := is.New(t)
 	s, err := readLogs(t).Tell("b")
 	is.NoErr(err)
