--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -69,7 +69,7 @@
 
 // TestADaemonThatFallsSilentIsNamed: it logged on for a while after the
 // request's last line, and nothing after that while others did.
-func TestADaemonThatFallsSilentIsNamed(t *testing.T) {
+func TestSilentDaemonIsReported(t *testing.T) {
 	is := is.New(t)
 	l := &Logs{}
 	text := `ts=2026-01-02T03:04:06Z daemon=city level=info event=granted request=b pairing=1 prefill=i-1 decode=i-2
