--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -85,7 +85,7 @@
 	is.True(strings.HasPrefix(s.Silent[0], "city logs nothing behind 2026-01-02T03:04:06.5Z, others do until 2026-01-02T03:04:30Z"))
 }
 
-func TestAnUnknownRequestIsAnError(t *testing.T) {
+func TestUnknownRequestIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := readLogs(t).Tell("nobody")
 	is.True(errors.Is(err, ErrUnknownRequest))
