--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -70,8 +70,8 @@
 	var out []request
 	open := map[string]int{}
 	for _, a := range attempts {
-		key := a.route + " " + a.print
-		if i, ok := open[key]; ok && a.print != "" && follows(out[i], a) {
+		key := a.route + " " + a.fingerprint
+		if i, ok := open[key]; ok && a.fingerprint != "" && follows(out[i], a) {
 			out[i] = append(out[i], a)
 			continue
 		}
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -42,7 +42,7 @@
 	id, route, service, kind string
 	daemon                   string
 	team                     string
-	print                    string
+	fingerprint              string
 	arrived                  time.Time
 	took                     time.Duration
 	target                   time.Duration
@@ -120,7 +120,7 @@
 		return
 	}
 	b.granted[id] = &attempt{
-		id: id, route: f.text("route"), kind: kindStream, print: f.text("print"), arrived: l.At, outcome: outcomeNoEnd,
+		id: id, route: f.text("route"), kind: kindStream, fingerprint: f.text("print"), arrived: l.At, outcome: outcomeNoEnd,
 		daemon: l.Daemon,
 	}
 }
@@ -130,20 +130,20 @@
 		return
 	}
 	a := &attempt{
-		id:      f.text("request"),
-		route:   f.text("route"),
-		service: f.text("service"),
-		kind:    f.text("kind"),
-		print:   f.text("print"),
-		took:    f.duration("took"),
-		target:  f.duration("target"),
-		outcome: f.text("outcome"),
-		reason:  f.text("reason"),
-		team:    f.text("team"),
-		notRun:  f.text("verdict") == verdictNotRun,
-		inTime:  f.text("in_time") == "true",
-		queue:   f.optional("waited"),
-		read:    f.optional("read"),
+		id:          f.text("request"),
+		route:       f.text("route"),
+		service:     f.text("service"),
+		kind:        f.text("kind"),
+		fingerprint: f.text("print"),
+		took:        f.duration("took"),
+		target:      f.duration("target"),
+		outcome:     f.text("outcome"),
+		reason:      f.text("reason"),
+		team:        f.text("team"),
+		notRun:      f.text("verdict") == verdictNotRun,
+		inTime:      f.text("in_time") == "true",
+		queue:       f.optional("waited"),
+		read:        f.optional("read"),
 	}
 	a.arrived = l.At.Add(-a.took)
 	a.answer = a.took
