--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -99,7 +99,7 @@
 	last := r.last()
 	c.Asked++
 	switch {
-	case last.outcome == outcomeAnswered && last.inTime && r.returned()+last.answer <= last.target:
+	case last.outcome == outcomeAnswered && last.inTime && r.returned()+last.timeToAnswer <= last.target:
 		c.InTime++
 	case last.outcome == outcomeAnswered:
 		c.Late++
@@ -157,13 +157,13 @@
 	share := 1 / float64(len(late))
 	for _, r := range late {
 		last := r.last()
-		rest := max(0, last.answer-last.queue-last.read-last.failedBefore)
+		rest := max(0, last.timeToAnswer-last.queue-last.read-last.failedBefore)
 		out.Return += share * milliseconds(r.returned())
 		out.Queue += share * milliseconds(last.queue)
 		out.Prefill += share * milliseconds(last.read)
 		out.Retries += share * milliseconds(last.failedBefore)
 		out.Rest += share * milliseconds(rest)
-		if r.returned()+last.answer <= last.target {
+		if r.returned()+last.timeToAnswer <= last.target {
 			out.Paused++
 		}
 	}
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -48,7 +48,7 @@
 	target                   time.Duration
 	// answer is when the answer came, behind the arrival: of a stream its first
 	// event.
-	answer       time.Duration
+	timeToAnswer time.Duration
 	queue, read  time.Duration
 	outcome      string
 	reason       string
@@ -146,9 +146,9 @@
 		read:        f.optional("read"),
 	}
 	a.arrived = l.At.Add(-a.took)
-	a.answer = a.took
+	a.timeToAnswer = a.took
 	if first := f.optional("first"); first > 0 {
-		a.answer = first
+		a.timeToAnswer = first
 	}
 	if f.err == nil && b.within(a.arrived) {
 		b.attempts = append(b.attempts, a)
