--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -157,9 +157,9 @@
 	share := 1 / float64(len(late))
 	for _, r := range late {
 		last := r.last()
-		rest := max(0, last.timeToAnswer-last.queue-last.read-last.failedBefore)
+		rest := max(0, last.timeToAnswer-last.queueTime-last.read-last.failedBefore)
 		out.Return += share * milliseconds(r.returned())
-		out.Queue += share * milliseconds(last.queue)
+		out.Queue += share * milliseconds(last.queueTime)
 		out.Prefill += share * milliseconds(last.read)
 		out.Retries += share * milliseconds(last.failedBefore)
 		out.Rest += share * milliseconds(rest)
