--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -157,10 +157,10 @@
 	share := 1 / float64(len(late))
 	for _, r := range late {
 		last := r.last()
-		rest := max(0, last.timeToAnswer-last.queueTime-last.read-last.failedBefore)
+		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedBefore)
 		out.Return += share * milliseconds(r.returned())
 		out.Queue += share * milliseconds(last.queueTime)
-		out.Prefill += share * milliseconds(last.read)
+		out.Prefill += share * milliseconds(last.prefillTime)
 		out.Retries += share * milliseconds(last.failedBefore)
 		out.Rest += share * milliseconds(rest)
 		if r.returned()+last.timeToAnswer <= last.target {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -48,13 +48,13 @@
 	target                   time.Duration
 	// answer is when the answer came, behind the arrival: of a stream its first
 	// event.
-	timeToAnswer    time.Duration
-	queueTime, read time.Duration
-	outcome         string
-	reason          string
-	notRun          bool
-	inTime          bool
-	failedBefore    time.Duration
+	timeToAnswer           time.Duration
+	queueTime, prefillTime time.Duration
+	outcome                string
+	reason                 string
+	notRun                 bool
+	inTime                 bool
+	failedBefore           time.Duration
 }
 
 // builder gathers lines.
@@ -143,7 +143,7 @@
 		notRun:      f.text("verdict") == verdictNotRun,
 		inTime:      f.text("in_time") == "true",
 		queueTime:   f.optional("waited"),
-		read:        f.optional("read"),
+		prefillTime: f.optional("read"),
 	}
 	a.arrived = l.At.Add(-a.took)
 	a.timeToAnswer = a.took
