--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -26,7 +26,7 @@
 		return cmp.Or(x.arrived.Compare(y.arrived), cmp.Compare(x.id, y.id))
 	})
 	for _, a := range b.attempts {
-		a.failedBefore = b.retries[a.id]
+		a.failedTime = b.retries[a.id]
 	}
 	out := &Account{
 		From:  b.attempts[0].arrived.Truncate(time.Second),
@@ -157,11 +157,11 @@
 	share := 1 / float64(len(late))
 	for _, r := range late {
 		last := r.last()
-		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedBefore)
+		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedTime)
 		out.Return += share * milliseconds(r.returned())
 		out.Queue += share * milliseconds(last.queueTime)
 		out.Prefill += share * milliseconds(last.prefillTime)
-		out.Retries += share * milliseconds(last.failedBefore)
+		out.Retries += share * milliseconds(last.failedTime)
 		out.Rest += share * milliseconds(rest)
 		if r.returned()+last.timeToAnswer <= last.target {
 			out.Paused++
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -54,7 +54,7 @@
 	reason                 string
 	notRun                 bool
 	inTime                 bool
-	failedBefore           time.Duration
+	failedTime             time.Duration
 }
 
 // builder gathers lines.
