--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -92,14 +92,14 @@
 func (r request) last() *attempt { return r[len(r)-1] }
 
 // returned is the time between the first arrival and that of the last attempt.
-func (r request) returned() time.Duration { return r.last().arrived.Sub(r.first().arrived) }
+func (r request) retryDelay() time.Duration { return r.last().arrived.Sub(r.first().arrived) }
 
 // count adds a request to the counts.
 func (c *Counts) count(r request) {
 	last := r.last()
 	c.Asked++
 	switch {
-	case last.outcome == outcomeAnswered && last.inTime && r.returned()+last.timeToAnswer <= last.target:
+	case last.outcome == outcomeAnswered && last.inTime && r.retryDelay()+last.timeToAnswer <= last.target:
 		c.InTime++
 	case last.outcome == outcomeAnswered:
 		c.Late++
@@ -158,12 +158,12 @@
 	for _, r := range late {
 		last := r.last()
 		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedTime)
-		out.Return += share * milliseconds(r.returned())
+		out.Return += share * milliseconds(r.retryDelay())
 		out.Queue += share * milliseconds(last.queueTime)
 		out.Prefill += share * milliseconds(last.prefillTime)
 		out.Retries += share * milliseconds(last.failedTime)
 		out.Rest += share * milliseconds(rest)
-		if r.returned()+last.timeToAnswer <= last.target {
+		if r.retryDelay()+last.timeToAnswer <= last.target {
 			out.Paused++
 		}
 	}
