--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -11,7 +11,7 @@
 
 // returnsWithin is how long after an unanswered attempt another one with the
 // same fingerprint counts as its caller's return.
-const returnsWithin = 20 * time.Second
+const retryWindow = 20 * time.Second
 
 // request is what a caller wanted: one attempt or several.
 type request []*attempt
@@ -84,7 +84,7 @@
 // follows says whether an attempt is a request's caller that has come back.
 func follows(r request, a *attempt) bool {
 	last := r[len(r)-1]
-	return last.outcome != outcomeAnswered && a.arrived.Sub(last.arrived) < returnsWithin
+	return last.outcome != outcomeAnswered && a.arrived.Sub(last.arrived) < retryWindow
 }
 
 func (r request) first() *attempt { return r[0] }
