--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -71,7 +71,7 @@
 	open := map[string]int{}
 	for _, a := range attempts {
 		key := a.route + " " + a.fingerprint
-		if i, ok := open[key]; ok && a.fingerprint != "" && follows(out[i], a) {
+		if i, ok := open[key]; ok && a.fingerprint != "" && isRetry(out[i], a) {
 			out[i] = append(out[i], a)
 			continue
 		}
@@ -82,7 +82,7 @@
 }
 
 // follows says whether an attempt is a request's caller that has come back.
-func follows(r request, a *attempt) bool {
+func isRetry(r request, a *attempt) bool {
 	last := r[len(r)-1]
 	return last.outcome != outcomeAnswered && a.arrived.Sub(last.arrived) < retryWindow
 }
