--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -40,7 +40,7 @@
 			out.To = end
 		}
 	}
-	requests := group(b.attempts)
+	requests := groupAttempts(b.attempts)
 	out.Routes = routes(requests)
 	out.Reasons = reasons(b.attempts)
 	out.Vain = b.causes(out.From, out.To)
@@ -66,7 +66,7 @@
 
 // group joins the attempts of one request: the next one with the same
 // fingerprint after one that was not answered.
-func group(attempts []*attempt) []request {
+func groupAttempts(attempts []*attempt) []request {
 	var out []request
 	open := map[string]int{}
 	for _, a := range attempts {
