--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -123,12 +123,12 @@
 	}
 	var out []Route
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
-		out = append(out, routeOf(name, byName[name]))
+		out = append(out, newRoute(name, byName[name]))
 	}
 	return out
 }
 
-func routeOf(name string, requests []request) Route {
+func newRoute(name string, requests []request) Route {
 	first := requests[0].first()
 	out := Route{Name: name, Service: first.service, Kind: first.kind}
 	var late []request
