--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -144,7 +144,7 @@
 		}
 	}
 	out.LateTime = lateTime(late)
-	out.Refusals = waits(requests)
+	out.Refusals = refusalWaits(requests)
 	return out
 }
 
@@ -171,7 +171,7 @@
 }
 
 // waits tells of the refusals of requests that did not run.
-func waits(requests []request) Waits {
+func refusalWaits(requests []request) Waits {
 	var took []time.Duration
 	out := Waits{}
 	for _, r := range requests {
