--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -143,13 +143,13 @@
 			out.Served += out.Answered() - before.Answered()
 		}
 	}
-	out.LateTime = lateTime(late)
+	out.LateTime = meanLateTime(late)
 	out.Refusals = refusalWaits(requests)
 	return out
 }
 
 // lateTime averages where the time of late requests went.
-func lateTime(late []request) LateTime {
+func meanLateTime(late []request) LateTime {
 	var out LateTime
 	if len(late) == 0 {
 		return out
