--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -42,7 +42,7 @@
 	}
 	requests := groupAttempts(b.attempts)
 	out.Routes = routes(requests)
-	out.Reasons = reasons(b.attempts)
+	out.Reasons = countReasons(b.attempts)
 	out.Vain = b.causes(out.From, out.To)
 	out.Seconds = b.seconds(out.From, requests)
 	out.Pools = b.poolsFrom(out.From, out.To)
@@ -199,7 +199,7 @@
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // reasons counts how attempts ended unanswered, the most frequent first.
-func reasons(attempts []*attempt) []Reason {
+func countReasons(attempts []*attempt) []Reason {
 	counts := map[Reason]int{}
 	for _, a := range attempts {
 		if a.outcome != outcomeAnswered {
