--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -43,7 +43,7 @@
 	requests := groupAttempts(b.attempts)
 	out.Routes = routes(requests)
 	out.Reasons = countReasons(b.attempts)
-	out.Vain = b.causes(out.From, out.To)
+	out.Vain = b.wastedByCause(out.From, out.To)
 	out.Seconds = b.seconds(out.From, requests)
 	out.Pools = b.poolsFrom(out.From, out.To)
 	return out, nil
@@ -222,7 +222,7 @@
 }
 
 // causes counts the prompts that were read in vain, the most tokens first.
-func (b *builder) causes(from, to time.Time) []Vain {
+func (b *builder) wastedByCause(from, to time.Time) []Vain {
 	byCause := map[string]Vain{}
 	for _, v := range b.vain {
 		if v.at.Before(from) || v.at.After(to) {
