--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -45,7 +45,7 @@
 	out.Reasons = countReasons(b.attempts)
 	out.Vain = b.wastedByCause(out.From, out.To)
 	out.Seconds = b.seconds(out.From, requests)
-	out.Pools = b.poolsFrom(out.From, out.To)
+	out.Pools = b.poolStates(out.From, out.To)
 	return out, nil
 }
 
@@ -270,7 +270,7 @@
 }
 
 // poolsFrom gives the states of the pools within the span.
-func (b *builder) poolsFrom(from, to time.Time) []Pool {
+func (b *builder) poolStates(from, to time.Time) []Pool {
 	var out []Pool
 	for _, l := range b.pools {
 		if l.at.Before(from) || l.at.After(to) {
