--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -21,7 +21,7 @@
 	if len(b.attempts) == 0 {
 		return nil, ErrNothing
 	}
-	b.addNoEnds()
+	b.addUnended()
 	slices.SortFunc(b.attempts, func(x, y *attempt) int {
 		return cmp.Or(x.arrived.Compare(y.arrived), cmp.Compare(x.id, y.id))
 	})
@@ -51,7 +51,7 @@
 
 // addNoEnds adds the attempts that were given engines and whose end is not
 // logged.
-func (b *builder) addNoEnds() {
+func (b *builder) addUnended() {
 	ended := make(map[string]bool, len(b.attempts))
 	for _, a := range b.attempts {
 		ended[a.id] = true
