--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -146,7 +146,7 @@
 func Make(logs *logstory.Logs, o Options) (*Account, error) {
 	b := newBuilder(o)
 	for i := range logs.Lines {
-		b.take(&logs.Lines[i])
+		b.addLine(&logs.Lines[i])
 	}
 	return b.finish(logs)
 }
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -90,7 +90,7 @@
 }
 
 // take reads one line. One whose fields can't be read counts as unreadable.
-func (b *builder) take(l *logstory.Line) {
+func (b *builder) addLine(l *logstory.Line) {
 	f := fields{values: l.Fields}
 	b.seen(l)
 	switch l.Event {
