--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -97,7 +97,7 @@
 	case eventRequest:
 		b.request(l, &f)
 	case eventGranted:
-		b.given(l, &f)
+		b.addGrant(l, &f)
 	case eventFailed:
 		b.failed(l, &f)
 	case eventWasted:
@@ -114,7 +114,7 @@
 
 // given takes an attempt that was given engines: it stands in for one whose end
 // is not logged.
-func (b *builder) given(l *logstory.Line, f *fields) {
+func (b *builder) addGrant(l *logstory.Line, f *fields) {
 	id := f.text("request")
 	if b.granted[id] != nil || f.text("route") == "" || !b.within(l.At) {
 		return
