--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -95,7 +95,7 @@
 	b.seen(l)
 	switch l.Event {
 	case eventRequest:
-		b.request(l, &f)
+		b.addAttempt(l, &f)
 	case eventGranted:
 		b.addGrant(l, &f)
 	case eventFailed:
@@ -125,7 +125,7 @@
 	}
 }
 
-func (b *builder) request(l *logstory.Line, f *fields) {
+func (b *builder) addAttempt(l *logstory.Line, f *fields) {
 	if f.text("route") == "" {
 		return
 	}
