--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -99,7 +99,7 @@
 	case eventGranted:
 		b.addGrant(l, &f)
 	case eventFailed:
-		b.failed(l, &f)
+		b.addFailure(l, &f)
 	case eventWasted:
 		b.vain = append(b.vain, vainRead{at: l.At, cause: "no decode: " + f.text("code"), tokens: f.number("tokens")})
 	case eventResumed:
@@ -162,7 +162,7 @@
 // failed takes a failed sending. A prefill that was given up may have been read
 // all the same, and the KV cache that a decode took is gone with it; a decode that
 // has not run left it to another one.
-func (b *builder) failed(l *logstory.Line, f *fields) {
+func (b *builder) addFailure(l *logstory.Line, f *fields) {
 	b.retries[f.text("request")] += f.duration("took")
 	code := f.text("code")
 	cause := ""
