--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -105,7 +105,7 @@
 	case eventResumed:
 		b.vain = append(b.vain, vainRead{at: l.At, cause: "read again for a stream that broke", tokens: f.number("tokens")})
 	case eventPoolState:
-		b.poolState(l, &f)
+		b.addPoolState(l, &f)
 	}
 	if f.err != nil {
 		b.bad++
@@ -181,7 +181,7 @@
 	}
 }
 
-func (b *builder) poolState(l *logstory.Line, f *fields) {
+func (b *builder) addPoolState(l *logstory.Line, f *fields) {
 	p := Pool{
 		Pool:     f.text("pool"),
 		Prefills: f.number("prefills"),
