--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -26,7 +26,7 @@
 type life struct{ started, last time.Time }
 
 // seen notes a line of a daemon.
-func (b *builder) seen(l *logstory.Line) {
+func (b *builder) recordDaemon(l *logstory.Line) {
 	d := b.lives[l.Daemon]
 	if d == nil {
 		d = &life{}
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -92,7 +92,7 @@
 // take reads one line. One whose fields can't be read counts as unreadable.
 func (b *builder) addLine(l *logstory.Line) {
 	f := fields{values: l.Fields}
-	b.seen(l)
+	b.recordDaemon(l)
 	switch l.Event {
 	case eventRequest:
 		b.addAttempt(l, &f)
