--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -58,7 +58,7 @@
 	}
 	for id, a := range b.granted {
 		if !ended[id] {
-			a.reason = b.untold(a)
+			a.reason = b.missingEndReason(a)
 			b.attempts = append(b.attempts, a)
 		}
 	}
--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -40,7 +40,7 @@
 }
 
 // untold is why the end of an attempt is not logged.
-func (b *builder) untold(a *attempt) string {
+func (b *builder) missingEndReason(a *attempt) string {
 	d := b.lives[a.daemon]
 	switch {
 	case d.started.After(a.arrived):
