--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -27,10 +27,10 @@
 
 // seen notes a line of a daemon.
 func (b *builder) recordDaemon(l *logstory.Line) {
-	d := b.lives[l.Daemon]
+	d := b.daemons[l.Daemon]
 	if d == nil {
 		d = &life{}
-		b.lives[l.Daemon] = d
+		b.daemons[l.Daemon] = d
 	}
 	if l.Event == eventStarted {
 		d.started = later(d.started, l.At)
@@ -41,7 +41,7 @@
 
 // untold is why the end of an attempt is not logged.
 func (b *builder) missingEndReason(a *attempt) string {
-	d := b.lives[a.daemon]
+	d := b.daemons[a.daemon]
 	switch {
 	case d.started.After(a.arrived):
 		return reasonLost
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -69,8 +69,8 @@
 	pools   []poolLine
 	bad     int
 	// lives are the daemons that logged, by name; last is the newest line.
-	lives map[string]*life
-	last  time.Time
+	daemons map[string]*life
+	last    time.Time
 }
 
 // vainRead is one prompt that was read in vain.
@@ -86,7 +86,7 @@
 }
 
 func newBuilder(o Options) *builder {
-	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, lives: map[string]*life{}}
+	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*life{}}
 }
 
 // take reads one line. One whose fields can't be read counts as unreadable.
