--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -23,13 +23,13 @@
 
 // life is what a daemon's lines tell of its processes: when the last one started,
 // and when it last logged.
-type life struct{ started, last time.Time }
+type daemonTimes struct{ started, last time.Time }
 
 // seen notes a line of a daemon.
 func (b *builder) recordDaemon(l *logstory.Line) {
 	d := b.daemons[l.Daemon]
 	if d == nil {
-		d = &life{}
+		d = &daemonTimes{}
 		b.daemons[l.Daemon] = d
 	}
 	if l.Event == eventStarted {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -69,7 +69,7 @@
 	pools   []poolLine
 	bad     int
 	// lives are the daemons that logged, by name; last is the newest line.
-	daemons map[string]*life
+	daemons map[string]*daemonTimes
 	last    time.Time
 }
 
@@ -86,7 +86,7 @@
 }
 
 func newBuilder(o Options) *builder {
-	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*life{}}
+	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*daemonTimes{}}
 }
 
 // take reads one line. One whose fields can't be read counts as unreadable.
