--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -33,7 +33,7 @@
 		Lines: len(logs.Lines),
 	}
 	if all := len(logs.Lines) + logs.Unreadable; all > 0 {
-		out.Unreadable = float64(logs.Unreadable+b.bad) / float64(all)
+		out.Unreadable = float64(logs.Unreadable+b.unreadable) / float64(all)
 	}
 	for _, a := range b.attempts {
 		if end := a.arrived.Add(a.took); end.After(out.To) {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -64,10 +64,10 @@
 	// retries is the time of the failed sendings of each attempt, by its id.
 	retries map[string]time.Duration
 	// granted are the attempts that were given engines, by their id.
-	granted map[string]*attempt
-	vain    []vainRead
-	pools   []poolLine
-	bad     int
+	granted    map[string]*attempt
+	vain       []vainRead
+	pools      []poolLine
+	unreadable int
 	// lives are the daemons that logged, by name; last is the newest line.
 	daemons map[string]*daemonTimes
 	last    time.Time
@@ -108,7 +108,7 @@
 		b.addPoolState(l, &f)
 	}
 	if f.err != nil {
-		b.bad++
+		b.unreadable++
 	}
 }
 
