--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -224,7 +224,7 @@
 // causes counts the prompts that were read in vain, the most tokens first.
 func (b *builder) wastedByCause(from, to time.Time) []Vain {
 	byCause := map[string]Vain{}
-	for _, v := range b.vain {
+	for _, v := range b.wasted {
 		if v.at.Before(from) || v.at.After(to) {
 			continue
 		}
@@ -256,7 +256,7 @@
 	for _, r := range requests {
 		at(r.first().arrived, r.first().kind).count(r)
 	}
-	for _, v := range b.vain {
+	for _, v := range b.wasted {
 		if b.within(v.at) && !v.at.Before(from) {
 			at(v.at, kindStream).VainTokens += v.tokens
 		}
