--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -65,7 +65,7 @@
 	retries map[string]time.Duration
 	// granted are the attempts that were given engines, by their id.
 	granted    map[string]*attempt
-	wasted     []vainRead
+	wasted     []wastedPrompt
 	pools      []poolLine
 	unreadable int
 	// lives are the daemons that logged, by name; last is the newest line.
@@ -74,7 +74,7 @@
 }
 
 // vainRead is one prompt that was read in vain.
-type vainRead struct {
+type wastedPrompt struct {
 	at     time.Time
 	cause  string
 	tokens int
@@ -101,9 +101,9 @@
 	case eventFailed:
 		b.addFailure(l, &f)
 	case eventWasted:
-		b.wasted = append(b.wasted, vainRead{at: l.At, cause: "no decode: " + f.text("code"), tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "no decode: " + f.text("code"), tokens: f.number("tokens")})
 	case eventResumed:
-		b.wasted = append(b.wasted, vainRead{at: l.At, cause: "read again for a stream that broke", tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "read again for a stream that broke", tokens: f.number("tokens")})
 	case eventPoolState:
 		b.addPoolState(l, &f)
 	}
@@ -177,7 +177,7 @@
 		}
 	}
 	if cause != "" {
-		b.wasted = append(b.wasted, vainRead{at: l.At, cause: cause, tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: cause, tokens: f.number("tokens")})
 	}
 }
 
