--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -257,7 +257,7 @@
 		at(r.first().arrived, r.first().kind).count(r)
 	}
 	for _, v := range b.wasted {
-		if b.within(v.at) && !v.at.Before(from) {
+		if b.inSpan(v.at) && !v.at.Before(from) {
 			at(v.at, kindStream).VainTokens += v.tokens
 		}
 	}
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -116,7 +116,7 @@
 // is not logged.
 func (b *builder) addGrant(l *logstory.Line, f *fields) {
 	id := f.text("request")
-	if b.granted[id] != nil || f.text("route") == "" || !b.within(l.At) {
+	if b.granted[id] != nil || f.text("route") == "" || !b.inSpan(l.At) {
 		return
 	}
 	b.granted[id] = &attempt{
@@ -150,12 +150,12 @@
 	if first := f.optional("first"); first > 0 {
 		a.timeToAnswer = first
 	}
-	if f.err == nil && b.within(a.arrived) {
+	if f.err == nil && b.inSpan(a.arrived) {
 		b.attempts = append(b.attempts, a)
 	}
 }
 
-func (b *builder) within(at time.Time) bool {
+func (b *builder) inSpan(at time.Time) bool {
 	return (b.options.From.IsZero() || !at.Before(b.options.From)) && (b.options.To.IsZero() || at.Before(b.options.To))
 }
 
