--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -9,7 +9,7 @@
 // The reasons of attempts whose end is not logged.
 const (
 	// reasonLost: the daemon started again behind the grant.
-	reasonLost = "lost with its daemon, which started again"
+	reasonRestarted = "lost with its daemon, which started again"
 	// reasonSilent: the daemon logged nothing more.
 	reasonSilent = "lost with its daemon, which logged nothing more"
 	// reasonUntold: the daemon went on; its line was dropped, or the request
@@ -44,7 +44,7 @@
 	d := b.daemons[a.daemon]
 	switch {
 	case d.started.After(a.arrived):
-		return reasonLost
+		return reasonRestarted
 	case b.last.Sub(d.last) > silentAfter:
 		return reasonSilent
 	default:
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -28,7 +28,7 @@
 		is.Equal(r.Outcome, outcomeNoEnd)
 		why[r.Reason] = r.Count
 	}
-	is.Equal(why, map[string]int{reasonLost: 1, reasonSilent: 1, reasonUntold: 1})
+	is.Equal(why, map[string]int{reasonRestarted: 1, reasonSilent: 1, reasonUntold: 1})
 }
 
 // TestAStartBeforeTheGrantLosesNothing: it was the start of the daemon that
