--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -14,7 +14,7 @@
 	reasonSilent = "lost with its daemon, which logged nothing more"
 	// reasonUntold: the daemon went on; its line was dropped, or the request
 	// still ran when the logs ended.
-	reasonUntold = "its daemon went on and tells no end"
+	reasonNotLogged = "its daemon went on and tells no end"
 )
 
 // silentAfter is how long before the end of all logs a daemon's last line counts
@@ -48,7 +48,7 @@
 	case b.last.Sub(d.last) > silentAfter:
 		return reasonSilent
 	default:
-		return reasonUntold
+		return reasonNotLogged
 	}
 }
 
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -28,7 +28,7 @@
 		is.Equal(r.Outcome, outcomeNoEnd)
 		why[r.Reason] = r.Count
 	}
-	is.Equal(why, map[string]int{reasonRestarted: 1, reasonSilent: 1, reasonUntold: 1})
+	is.Equal(why, map[string]int{reasonRestarted: 1, reasonSilent: 1, reasonNotLogged: 1})
 }
 
 // TestAStartBeforeTheGrantLosesNothing: it was the start of the daemon that
@@ -40,7 +40,7 @@
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=100ms outcome=answered status=200 in_time=true\n"
 	a, err := Make(read(t, text), Options{})
 	is.NoErr(err)
-	is.Equal(a.Reasons[0].Reason, reasonUntold)
+	is.Equal(a.Reasons[0].Reason, reasonNotLogged)
 }
 
 // TestADecodeThatBrokeReadItsPromptInVain: its KV cache is gone with it; one that
