--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -204,7 +204,7 @@
 
 func (f *fields) text(key string) string { return f.values[key] }
 
-func (f *fields) fail(key string, err error) {
+func (f *fields) setError(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
 	}
@@ -213,7 +213,7 @@
 func (f *fields) duration(key string) time.Duration {
 	d, err := time.ParseDuration(f.values[key])
 	if err != nil {
-		f.fail(key, err)
+		f.setError(key, err)
 	}
 	return d
 }
@@ -229,7 +229,7 @@
 func (f *fields) number(key string) int {
 	n, err := strconv.Atoi(f.values[key])
 	if err != nil {
-		f.fail(key, err)
+		f.setError(key, err)
 	}
 	return n
 }
