--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -20,7 +20,7 @@
 }
 
 func (a *Account) kinds() []string {
-	return names(a.Seconds, func(s Second) string { return s.Kind })
+	return distinctNames(a.Seconds, func(s Second) string { return s.Kind })
 }
 
 // outcomes draws what became of a kind's requests, by the second of arrival.
@@ -85,11 +85,11 @@
 }
 
 func (a *Account) poolNames() []string {
-	return names(a.Pools, func(p Pool) string { return p.Pool })
+	return distinctNames(a.Pools, func(p Pool) string { return p.Pool })
 }
 
 // names lists the names that items have, sorted, each once.
-func names[T any](items []T, of func(T) string) []string {
+func distinctNames[T any](items []T, of func(T) string) []string {
 	var out []string
 	for _, item := range items {
 		out = append(out, of(item))
