--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -12,7 +12,7 @@
 
 // Report gives the account as a report whose figures can be drawn.
 func (a *Account) Report() *experiment.Report {
-	figures := []experiment.Figure{a.memory(), a.roles()}
+	figures := []experiment.Figure{a.memoryFigure(), a.roles()}
 	for _, kind := range a.kinds() {
 		figures = append(figures, a.outcomes(kind))
 	}
@@ -52,7 +52,7 @@
 }
 
 // memory draws the share of the decode engines' memory that is held.
-func (a *Account) memory() experiment.Figure {
+func (a *Account) memoryFigure() experiment.Figure {
 	return a.pools("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
 		"held": func(p *Pool) float64 { return p.MemoryHeld },
 	})
