--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -12,7 +12,7 @@
 
 // Report gives the account as a report whose figures can be drawn.
 func (a *Account) Report() *experiment.Report {
-	figures := []experiment.Figure{a.memoryFigure(), a.roles()}
+	figures := []experiment.Figure{a.memoryFigure(), a.rolesFigure()}
 	for _, kind := range a.kinds() {
 		figures = append(figures, a.outcomes(kind))
 	}
@@ -59,7 +59,7 @@
 }
 
 // roles draws the engines by role, and the queue.
-func (a *Account) roles() experiment.Figure {
+func (a *Account) rolesFigure() experiment.Figure {
 	return a.pools("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
 		"prefill": func(p *Pool) float64 { return float64(p.Prefills) },
 		"decode":  func(p *Pool) float64 { return float64(p.Decodes) },
