--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -14,7 +14,7 @@
 func (a *Account) Report() *experiment.Report {
 	figures := []experiment.Figure{a.memoryFigure(), a.rolesFigure()}
 	for _, kind := range a.kinds() {
-		figures = append(figures, a.outcomes(kind))
+		figures = append(figures, a.outcomesFigure(kind))
 	}
 	return &experiment.Report{Experiment: Name, Data: a, Figures: figures}
 }
@@ -24,7 +24,7 @@
 }
 
 // outcomes draws what became of a kind's requests, by the second of arrival.
-func (a *Account) outcomes(kind string) experiment.Figure {
+func (a *Account) outcomesFigure(kind string) experiment.Figure {
 	lines := []struct {
 		name string
 		of   func(s *Second) int
