--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -53,21 +53,21 @@
 
 // memory draws the share of the decode engines' memory that is held.
 func (a *Account) memoryFigure() experiment.Figure {
-	return a.pools("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
+	return a.poolFigure("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
 		"held": func(p *Pool) float64 { return p.MemoryHeld },
 	})
 }
 
 // roles draws the engines by role, and the queue.
 func (a *Account) rolesFigure() experiment.Figure {
-	return a.pools("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
+	return a.poolFigure("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
 		"prefill": func(p *Pool) float64 { return float64(p.Prefills) },
 		"decode":  func(p *Pool) float64 { return float64(p.Decodes) },
 		"queued":  func(p *Pool) float64 { return float64(p.Queued) },
 	})
 }
 
-func (a *Account) pools(name, title, unit string, lines map[string]func(p *Pool) float64) experiment.Figure {
+func (a *Account) poolFigure(name, title, unit string, lines map[string]func(p *Pool) float64) experiment.Figure {
 	f := experiment.Figure{Name: name, Title: title, XLabel: "second", YLabel: unit}
 	for _, pool := range a.poolNames() {
 		for _, line := range slices.Sorted(maps.Keys(lines)) {
