--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -103,7 +103,7 @@
 		c.InTime++
 	case last.outcome == outcomeAnswered:
 		c.Late++
-	case last.outcome == outcomeLeft && len(r) == 1 && last.took < last.target:
+	case last.outcome == outcomeCallerGone && len(r) == 1 && last.took < last.target:
 		c.Left++
 	case last.outcome == outcomeNoEnd:
 		c.NoEnd++
@@ -176,7 +176,7 @@
 	out := Waits{}
 	for _, r := range requests {
 		for i, a := range r {
-			if a.outcome == outcomeAnswered || !a.notRun || a.outcome == outcomeLeft {
+			if a.outcome == outcomeAnswered || !a.notRun || a.outcome == outcomeCallerGone {
 				continue
 			}
 			took = append(took, a.took)
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -22,8 +22,8 @@
 
 // Words of the fields.
 const (
-	outcomeAnswered = "answered"
-	outcomeLeft     = "caller_gone"
+	outcomeAnswered   = "answered"
+	outcomeCallerGone = "caller_gone"
 	// outcomeTeamLimit is that of a request beyond its team's limit.
 	outcomeTeamLimit = "team_limit"
 	// outcomeNoEnd is the account's own word for an end that is not logged.
@@ -168,7 +168,7 @@
 	cause := ""
 	switch f.text("step") {
 	case stepPrefill:
-		if code == "deadline" || code == outcomeLeft {
+		if code == "deadline" || code == outcomeCallerGone {
 			cause = "prefill given up: " + code
 		}
 	case stepDecode:
