--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -107,7 +107,7 @@
 	is.True(asked(first) > 0 && asked(second) > 0)
 	is.True(asked(first)+asked(second) >= asked(whole)) // one that came back across the bound counts on both sides
 	_, err = Make(read(t, dayText(t)), Options{From: whole.To.Add(time.Hour)})
-	is.True(errors.Is(err, ErrNothing))
+	is.True(errors.Is(err, ErrNoRequests))
 }
 
 // TestBadLinesAreLeftOutAndCounted: cut lines, bytes that are no text, and
@@ -121,7 +121,7 @@
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
 	is.Equal(route(a, "route-3").Asked, 20)
 	_, err = Make(read(t, "no log at all\n"), Options{})
-	is.True(errors.Is(err, ErrNothing))
+	is.True(errors.Is(err, ErrNoRequests))
 }
 
 func TestTheAccountIsWrittenWithPlots(t *testing.T) {
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -19,7 +19,7 @@
 // finish makes the account of what was gathered.
 func (b *builder) finish(logs *logstory.Logs) (*Account, error) {
 	if len(b.attempts) == 0 {
-		return nil, ErrNothing
+		return nil, ErrNoRequests
 	}
 	b.addUnended()
 	slices.SortFunc(b.attempts, func(x, y *attempt) int {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -35,7 +35,7 @@
 )
 
 // ErrNothing says that the logs hold no request.
-var ErrNothing = errors.New("no line tells of the end of a request on a route: these are no daemons' logs, or the span of time holds none")
+var ErrNoRequests = errors.New("no line tells of the end of a request on a route: these are no daemons' logs, or the span of time holds none")
 
 // attempt is one attempt of a caller, as its daemon logged its end.
 type attempt struct {
