--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -14,7 +14,7 @@
 )
 
 // day is a piece of a real day's log, its names replaced.
-const day = "testdata/day.log"
+const dayLog = "testdata/day.log"
 
 func read(t *testing.T, text string) *logstory.Logs {
 	t.Helper()
@@ -27,7 +27,7 @@
 
 func dayText(t *testing.T) string {
 	t.Helper()
-	raw, err := os.ReadFile(day)
+	raw, err := os.ReadFile(dayLog)
 	if err != nil {
 		t.Fatal(err)
 	}
