--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -16,7 +16,7 @@
 // day is a piece of a real day's log, its names replaced.
 const dayLog = "testdata/day.log"
 
-func read(t *testing.T, text string) *logstory.Logs {
+func readLogs(t *testing.T, text string) *logstory.Logs {
 	t.Helper()
 	var logs logstory.Logs
 	if err := logs.Read("test", strings.NewReader(text)); err != nil {
@@ -47,7 +47,7 @@
 // this code, gave the same figures.
 func TestTheAccountOfADay(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(read(t, dayText(t)), Options{})
+	a, err := Make(readLogs(t, dayText(t)), Options{})
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
@@ -75,7 +75,7 @@
 	}
 	refused := line("01.1", "x1", "outcome=overloaded verdict=not-run status=0 reason=full")
 	answered := line("03.1", "x2", "outcome=answered status=200 in_time=true")
-	a, err := Make(read(t, refused+answered), Options{})
+	a, err := Make(readLogs(t, refused+answered), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Asked: 1, Late: 1})
 	is.Equal(a.Routes[0].CameBack, 1)
@@ -84,19 +84,19 @@
 	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
 	// Another caller's, or one behind an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
-	a, err = Make(read(t, refused+answered+again), Options{})
+	a, err = Make(readLogs(t, refused+answered+again), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Asked: 2, InTime: 1, Late: 1})
 }
 
 func TestASpanLeavesOutWhatArrivedOutsideIt(t *testing.T) {
 	is := is.New(t)
-	whole, err := Make(read(t, dayText(t)), Options{})
+	whole, err := Make(readLogs(t, dayText(t)), Options{})
 	is.NoErr(err)
 	middle := whole.From.Add(20 * time.Second)
-	first, err := Make(read(t, dayText(t)), Options{To: middle})
+	first, err := Make(readLogs(t, dayText(t)), Options{To: middle})
 	is.NoErr(err)
-	second, err := Make(read(t, dayText(t)), Options{From: middle})
+	second, err := Make(readLogs(t, dayText(t)), Options{From: middle})
 	is.NoErr(err)
 	asked := func(a *Account) (n int) {
 		for i := range a.Routes {
@@ -106,7 +106,7 @@
 	}
 	is.True(asked(first) > 0 && asked(second) > 0)
 	is.True(asked(first)+asked(second) >= asked(whole)) // one that came back across the bound counts on both sides
-	_, err = Make(read(t, dayText(t)), Options{From: whole.To.Add(time.Hour)})
+	_, err = Make(readLogs(t, dayText(t)), Options{From: whole.To.Add(time.Hour)})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
@@ -116,17 +116,17 @@
 	is := is.New(t)
 	text := dayText(t)
 	bad := "ts=2026-03-24T23:44:50Z daemon=d level=info event=pool_state pool=p prefills=many\n" + "\xff\xfe\x00\n" + text[:200] + "\n"
-	a, err := Make(read(t, bad+text), Options{})
+	a, err := Make(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
 	is.Equal(route(a, "route-3").Asked, 20)
-	_, err = Make(read(t, "no log at all\n"), Options{})
+	_, err = Make(readLogs(t, "no log at all\n"), Options{})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
 func TestTheAccountIsWrittenWithPlots(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(read(t, dayText(t)), Options{})
+	a, err := Make(readLogs(t, dayText(t)), Options{})
 	is.NoErr(err)
 	dir := t.TempDir()
 	is.NoErr(a.Report().Write(dir))
