--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -25,7 +25,7 @@
 	return &logs
 }
 
-func dayText(t *testing.T) string {
+func readDayLog(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile(dayLog)
 	if err != nil {
@@ -47,7 +47,7 @@
 // this code, gave the same figures.
 func TestTheAccountOfADay(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(readLogs(t, dayText(t)), Options{})
+	a, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
@@ -91,12 +91,12 @@
 
 func TestASpanLeavesOutWhatArrivedOutsideIt(t *testing.T) {
 	is := is.New(t)
-	whole, err := Make(readLogs(t, dayText(t)), Options{})
+	whole, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	middle := whole.From.Add(20 * time.Second)
-	first, err := Make(readLogs(t, dayText(t)), Options{To: middle})
+	first, err := Make(readLogs(t, readDayLog(t)), Options{To: middle})
 	is.NoErr(err)
-	second, err := Make(readLogs(t, dayText(t)), Options{From: middle})
+	second, err := Make(readLogs(t, readDayLog(t)), Options{From: middle})
 	is.NoErr(err)
 	asked := func(a *Account) (n int) {
 		for i := range a.Routes {
@@ -106,7 +106,7 @@
 	}
 	is.True(asked(first) > 0 && asked(second) > 0)
 	is.True(asked(first)+asked(second) >= asked(whole)) // one that came back across the bound counts on both sides
-	_, err = Make(readLogs(t, dayText(t)), Options{From: whole.To.Add(time.Hour)})
+	_, err = Make(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
@@ -114,7 +114,7 @@
 // fields that can't be read.
 func TestBadLinesAreLeftOutAndCounted(t *testing.T) {
 	is := is.New(t)
-	text := dayText(t)
+	text := readDayLog(t)
 	bad := "ts=2026-03-24T23:44:50Z daemon=d level=info event=pool_state pool=p prefills=many\n" + "\xff\xfe\x00\n" + text[:200] + "\n"
 	a, err := Make(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
@@ -126,7 +126,7 @@
 
 func TestTheAccountIsWrittenWithPlots(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(readLogs(t, dayText(t)), Options{})
+	a, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	dir := t.TempDir()
 	is.NoErr(a.Report().Write(dir))
