--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -34,7 +34,7 @@
 	return string(raw)
 }
 
-func route(a *Account, name string) Route {
+func findRoute(a *Account, name string) Route {
 	for _, r := range a.Routes {
 		if r.Name == name {
 			return r
@@ -51,11 +51,11 @@
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
-	is.Equal(route(a, "route-1").Counts, Counts{Asked: 9, InTime: 7, Failed: 2})
-	is.Equal(route(a, "route-2").Counts, Counts{Asked: 10, InTime: 8, Failed: 2})
-	is.Equal(route(a, "route-3").Counts, Counts{Asked: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
-	is.Equal(route(a, "route-3").Refusals.Back, 3)
-	is.Equal(route(a, "route-3").LateTime.Paused, 3)
+	is.Equal(findRoute(a, "route-1").Counts, Counts{Asked: 9, InTime: 7, Failed: 2})
+	is.Equal(findRoute(a, "route-2").Counts, Counts{Asked: 10, InTime: 8, Failed: 2})
+	is.Equal(findRoute(a, "route-3").Counts, Counts{Asked: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
+	is.Equal(findRoute(a, "route-3").Refusals.Back, 3)
+	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
 	is.Equal(a.Vain[0], Vain{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
 	sum := Counts{}
 	for _, s := range a.Seconds {
@@ -119,7 +119,7 @@
 	a, err := Make(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
-	is.Equal(route(a, "route-3").Asked, 20)
+	is.Equal(findRoute(a, "route-3").Asked, 20)
 	_, err = Make(readLogs(t, "no log at all\n"), Options{})
 	is.True(errors.Is(err, ErrNoRequests))
 }
