--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -45,7 +45,7 @@
 
 // TestTheAccountOfADay: a count of the last lines by fingerprint, made apart from
 // this code, gave the same figures.
-func TestTheAccountOfADay(t *testing.T) {
+func TestAccountOfADay(t *testing.T) {
 	is := is.New(t)
 	a, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
