--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -67,7 +67,7 @@
 
 // TestARequestThatCameBackCountsOnce, by what became of its last attempt, and
 // from its first arrival.
-func TestARequestThatCameBackCountsOnce(t *testing.T) {
+func TestRetriedRequestCountsOnce(t *testing.T) {
 	is := is.New(t)
 	line := func(at, id, end string) string {
 		return "ts=2026-12-03T10:00:" + at + "Z daemon=d level=info event=request request=" + id +
