--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -89,7 +89,7 @@
 	is.Equal(a.Routes[0].Counts, Counts{Asked: 2, InTime: 1, Late: 1})
 }
 
-func TestASpanLeavesOutWhatArrivedOutsideIt(t *testing.T) {
+func TestSpanExcludesArrivalsOutsideIt(t *testing.T) {
 	is := is.New(t)
 	whole, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
