--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -112,7 +112,7 @@
 
 // TestBadLinesAreLeftOutAndCounted: cut lines, bytes that are no text, and
 // fields that can't be read.
-func TestBadLinesAreLeftOutAndCounted(t *testing.T) {
+func TestUnreadableLinesAreSkippedAndCounted(t *testing.T) {
 	is := is.New(t)
 	text := readDayLog(t)
 	bad := "ts=2026-03-24T23:44:50Z daemon=d level=info event=pool_state pool=p prefills=many\n" + "\xff\xfe\x00\n" + text[:200] + "\n"
