--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -124,7 +124,7 @@
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
-func TestTheAccountIsWrittenWithPlots(t *testing.T) {
+func TestAccountIsWrittenWithPlots(t *testing.T) {
 	is := is.New(t)
 	a, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
