--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -8,7 +8,7 @@
 
 // TestARequestWithoutAnEndIsToldWhy: on call must see whether the daemon died
 // under it, or its line is missing.
-func TestARequestWithoutAnEndIsToldWhy(t *testing.T) {
+func TestMissingEndHasAReason(t *testing.T) {
 	is := is.New(t)
 	line := func(at, daemon, rest string) string {
 		return "ts=2026-12-03T10:00:" + at + "Z daemon=" + daemon + " level=info " + rest + "\n"
