--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -33,7 +33,7 @@
 
 // TestAStartBeforeTheGrantLosesNothing: it was the start of the daemon that
 // granted.
-func TestAStartBeforeTheGrantLosesNothing(t *testing.T) {
+func TestStartBeforeGrantIsNoRestart(t *testing.T) {
 	is := is.New(t)
 	text := "ts=2026-12-03T10:00:01Z daemon=d1 level=info event=daemon_started\n" +
 		"ts=2026-12-03T10:00:02Z daemon=d1 level=info event=granted request=x route=r print=x\n" +
