--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -45,7 +45,7 @@
 
 // TestADecodeThatBrokeReadItsPromptInVain: its KV cache is gone with it; one that
 // was refused left the cache to another engine.
-func TestADecodeThatBrokeReadItsPromptInVain(t *testing.T) {
+func TestBrokenDecodeCountsPromptAsWasted(t *testing.T) {
 	is := is.New(t)
 	failed := func(step, verdict, code string) string {
 		return "ts=2026-12-03T10:00:02Z daemon=d1 level=info event=attempt_failed request=x step=" + step +
