--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -37,7 +37,7 @@
 // plot is one figure; Before is empty if the earlier run has none.
 type plot struct{ Title, Now, Before string }
 
-func newPage(run *Run, before *earlier) *page {
+func newPage(run *Run, before *previousRun) *page {
 	p := &page{Run: run, Before: before.run}
 	for _, outcome := range run.Outcomes {
 		p.Sections = append(p.Sections, newSection(outcome, before.reports[outcome.Name]))
--- a/cmd/internal/report/report.go
+++ b/cmd/internal/report/report.go
@@ -105,15 +105,15 @@
 }
 
 // earlier holds the earlier run.
-type earlier struct {
+type previousRun struct {
 	run     *Run
 	reports map[string]*experiment.Report
 }
 
 // load reads the earlier run's reports of the same experiments. One that is
 // missing is left out; one that can't be read is an error.
-func load(dir string, run *Run) (*earlier, error) {
-	e := &earlier{reports: make(map[string]*experiment.Report)}
+func load(dir string, run *Run) (*previousRun, error) {
+	e := &previousRun{reports: make(map[string]*experiment.Report)}
 	if dir == "" {
 		return e, nil
 	}
@@ -138,7 +138,7 @@
 }
 
 // write writes the earlier reports and their plots.
-func (e *earlier) write(dir string) error {
+func (e *previousRun) write(dir string) error {
 	for _, report := range e.reports {
 		if err := report.Write(dir); err != nil {
 			return err
