--- a/cmd/internal/report/report.go
+++ b/cmd/internal/report/report.go
@@ -62,7 +62,7 @@
 	for i := range run.Outcomes {
 		writeReport(dir, &run.Outcomes[i])
 	}
-	before, err := load(previous, run)
+	before, err := loadPrevious(previous, run)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 
 // load reads the earlier run's reports of the same experiments. One that is
 // missing is left out; one that can't be read is an error.
-func load(dir string, run *Run) (*previousRun, error) {
+func loadPrevious(dir string, run *Run) (*previousRun, error) {
 	e := &previousRun{reports: make(map[string]*experiment.Report)}
 	if dir == "" {
 		return e, nil
