--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -77,7 +77,7 @@
 	for _, text := range now {
 		best, most := -1, 0
 		for i, other := range before {
-			if n := commonStart(text, other); !used[i] && n > most {
+			if n := commonPrefixFields(text, other); !used[i] && n > most {
 				best, most = i, n
 			}
 		}
@@ -92,7 +92,7 @@
 }
 
 // commonStart counts the fields that two lines have in common at their starts.
-func commonStart(a, b string) int {
+func commonPrefixFields(a, b string) int {
 	fields, others := strings.Fields(a), strings.Fields(b)
 	n := 0
 	for n < len(fields) && n < len(others) && fields[n] == others[n] {
