--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -17,7 +17,7 @@
 )
 
 // runOf runs two tiny experiments, of which the second fails.
-func runOf(goodput string, begun time.Time) *Run {
+func testRun(goodput string, begun time.Time) *Run {
 	tiny := func(_ context.Context, env experiment.Env) (*experiment.Report, error) {
 		return &experiment.Report{
 			Experiment: "tiny", Seed: env.Seed,
@@ -40,7 +40,7 @@
 	parent := t.TempDir()
 	first, second := filepath.Join(parent, "first"), filepath.Join(parent, "second")
 	noon := time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
-	is.NoErr(Write(first, "", runOf("20", noon)))
+	is.NoErr(Write(first, "", testRun("20", noon)))
 	page := read(t, filepath.Join(first, IndexFile))
 	is.True(strings.Contains(page, "The previous run has no report of it."))
 	is.True(!strings.Contains(page, "previous/"))
@@ -49,7 +49,7 @@
 	previous, err := Latest(second)
 	is.NoErr(err)
 	is.Equal(filepath.Base(previous), "first")
-	run := runOf("30", noon.Add(time.Hour))
+	run := testRun("30", noon.Add(time.Hour))
 	is.Equal(run.Failed(), 2)
 	is.NoErr(Write(second, previous, run))
 	page = read(t, filepath.Join(second, IndexFile))
@@ -78,7 +78,7 @@
 
 func TestMissingPreviousRunIsTold(t *testing.T) {
 	is := is.New(t)
-	run := runOf("20", time.Time{})
+	run := testRun("20", time.Time{})
 	is.True(Write(t.TempDir(), filepath.Join(t.TempDir(), "nowhere"), run) != nil)
 	damaged := t.TempDir()
 	is.NoErr(os.WriteFile(filepath.Join(damaged, "tiny.json"), []byte("{"), 0o644))
@@ -89,7 +89,7 @@
 
 func TestReportThatCannotBeWrittenLeavesTheOthers(t *testing.T) {
 	is := is.New(t)
-	run := runOf("20", time.Time{})
+	run := testRun("20", time.Time{})
 	run.Outcomes = append(run.Outcomes, experiment.Outcome{Name: "odd", Report: &experiment.Report{Experiment: "odd", Data: math.NaN()}})
 	dir := t.TempDir()
 	is.NoErr(Write(dir, "", run))
