--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -76,7 +76,7 @@
 	is.Equal(filepath.Base(latest), "first") // never the run itself
 }
 
-func TestMissingPreviousRunIsTold(t *testing.T) {
+func TestMissingPreviousRunIsAnError(t *testing.T) {
 	is := is.New(t)
 	run := testRun("20", time.Time{})
 	is.True(Write(t.TempDir(), filepath.Join(t.TempDir(), "nowhere"), run) != nil)
