--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -87,7 +87,7 @@
 	is.True(strings.Contains(err.Error(), "previous run: tiny.json"))
 }
 
-func TestReportThatCannotBeWrittenLeavesTheOthers(t *testing.T) {
+func TestUnwritableReportKeepsTheOthers(t *testing.T) {
 	is := is.New(t)
 	run := testRun("20", time.Time{})
 	run.Outcomes = append(run.Outcomes, experiment.Outcome{Name: "odd", Report: &experiment.Report{Experiment: "odd", Data: math.NaN()}})
