--- a/cmd/internal/fleet/address.go
+++ b/cmd/internal/fleet/address.go
@@ -21,7 +21,7 @@
 var loopback = [4]byte{127, 0, 0, 1}
 
 // takeAddress takes a free port of the loopback interface.
-func takeAddress() (*address, error) {
+func reserveAddress() (*address, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, eris.Wrap(err, "take an address: socket")
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -30,7 +30,7 @@
 func (m *member) listen() (settings.Listen, error) {
 	l := settings.Listen{Peers: anyPort, Debug: anyPort}
 	for _, at := range []*string{&l.Callers, &l.Operators} {
-		a, err := takeAddress()
+		a, err := reserveAddress()
 		if err != nil {
 			return l, eris.Wrapf(err, "daemon %s", m.name)
 		}
