--- a/cmd/internal/fleet/address_test.go
+++ b/cmd/internal/fleet/address_test.go
@@ -29,7 +29,7 @@
 
 	_, err = net.Dial("tcp", at)
 	is.True(errors.Is(err, syscall.ECONNREFUSED))
-	_, err = (&net.ListenConfig{Control: withoutReuse}).Listen(context.Background(), "tcp", at)
+	_, err = (&net.ListenConfig{Control: disableReuse}).Listen(context.Background(), "tcp", at)
 	is.True(errors.Is(err, syscall.EADDRINUSE))
 	f.Close()
 	ln, err := net.Listen("tcp", at)
@@ -38,7 +38,7 @@
 }
 
 // withoutReuse binds as one does who asks for any free port.
-func withoutReuse(_, _ string, c syscall.RawConn) error {
+func disableReuse(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 0)
 	})
