--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -49,7 +49,7 @@
 // Bounds of starting and stopping.
 const (
 	readyTimeout  = 20 * time.Second
-	pollPause     = 20 * time.Millisecond
+	pollInterval  = 20 * time.Millisecond
 	stopTimeout   = 10 * time.Second
 	entryLifetime = 2000
 	drainTime     = 5000
--- a/cmd/internal/fleet/configure.go
+++ b/cmd/internal/fleet/configure.go
@@ -101,7 +101,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
