--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -48,11 +48,11 @@
 
 // Bounds of starting and stopping.
 const (
-	readyTimeout  = 20 * time.Second
-	pollInterval  = 20 * time.Millisecond
-	stopTimeout   = 10 * time.Second
-	entryLifetime = 2000
-	drainTime     = 5000
+	readyTimeout    = 20 * time.Second
+	pollInterval    = 20 * time.Millisecond
+	stopTimeout     = 10 * time.Second
+	entryLifetimeMS = 2000
+	drainTime       = 5000
 )
 
 // document is the live configuration that fits the sites and teams.
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -96,7 +96,7 @@
 	if f.config.Policy != "" {
 		s.Policy = f.config.Policy
 	}
-	s.Timings.EntryLifetimeMS = entryLifetime
+	s.Timings.EntryLifetimeMS = entryLifetimeMS
 	s.Timings.DrainMS = drainTime
 	return s
 }
