--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -52,7 +52,7 @@
 	pollInterval    = 20 * time.Millisecond
 	stopTimeout     = 10 * time.Second
 	entryLifetimeMS = 2000
-	drainTime       = 5000
+	drainTimeMS     = 5000
 )
 
 // document is the live configuration that fits the sites and teams.
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -97,7 +97,7 @@
 		s.Policy = f.config.Policy
 	}
 	s.Timings.EntryLifetimeMS = entryLifetimeMS
-	s.Timings.DrainMS = drainTime
+	s.Timings.DrainMS = drainTimeMS
 	return s
 }
 
