--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -109,7 +109,7 @@
 }
 
 // take returns the daemon at a place and leaves the place empty.
-func (f *Fleet) take(i int) *app.Daemon {
+func (f *Fleet) detachDaemon(i int) *app.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	daemon := f.members[i].daemon
@@ -119,14 +119,14 @@
 
 // Kill ends a daemon abruptly, as a process that dies does.
 func (f *Fleet) Kill(i int) {
-	if daemon := f.take(i); daemon != nil {
+	if daemon := f.detachDaemon(i); daemon != nil {
 		daemon.Kill()
 	}
 }
 
 // Stop ends a daemon by a planned stop.
 func (f *Fleet) Stop(ctx context.Context, i int) error {
-	daemon := f.take(i)
+	daemon := f.detachDaemon(i)
 	if daemon == nil {
 		return eris.Errorf("no daemon runs at place %d", i)
 	}
