--- a/cmd/internal/fleet/address_test.go
+++ b/cmd/internal/fleet/address_test.go
@@ -20,7 +20,7 @@
 //
 //	ended="status=400 code= verdict= daemon=127.0.0.1:35661 body={\"code\":\"bad_request\",\"message\":\"request has no id\"}"
 //	daemon=aktau-port-1 event=daemon_started callers=127.0.0.1:35661
-func TestAKilledDaemonsAddressIsNobodyElses(t *testing.T) {
+func TestAddressOfKilledDaemonStaysReserved(t *testing.T) {
 	is := is.New(t)
 	f, err := Start(context.Background(), Config{Sites: []standin.PlatformConfig{standin.Bunker()}})
 	is.NoErr(err)
