--- a/cmd/internal/fleet/fleet_test.go
+++ b/cmd/internal/fleet/fleet_test.go
@@ -40,7 +40,7 @@
 
 // TestFleetAnswersBesideADeadDaemon guards against requests that end without an
 // answer though their callers come back as advised, around the death of a daemon.
-func TestFleetAnswersBesideADeadDaemon(t *testing.T) {
+func TestFleetAnswersAfterDaemonDeath(t *testing.T) {
 	is := is.New(t)
 	f, err := Start(context.Background(), Config{
 		Sites: []standin.PlatformConfig{standin.Bunker()}, Daemons: 3,
