--- a/cmd/internal/logstory/read.go
+++ b/cmd/internal/logstory/read.go
@@ -1,5 +1,5 @@
-// Package logstory joins what several daemons logged about one request into one
-// story, oldest line first, and says where it is silent.
+// Package logstory collects the log lines of several daemons about one request,
+// oldest first, derives the request's outcome and reports gaps in the logs.
 package logstory
 
 import (
@@ -16,30 +16,31 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one line of a log.
+// Line is one parsed log line of a daemon.
 type Line struct {
 	At     time.Time
 	Daemon string
 	Event  string
-	// Fields holds all other pairs, Order their keys as they stand.
+	// Fields holds all other pairs except the level, Order their keys in the
+	// order of the line.
 	Fields map[string]string
 	Order  []string
 }
 
-// lineStart begins each line of a daemon's log; collectors may write before it.
+// lineStart begins each line of a daemon's log. Log collectors may prepend text.
 const lineStart = "ts="
 
-// maxLine bounds one line, in bytes.
+// maxLineBytes bounds one line; reading a log with a longer line fails.
 const maxLineBytes = 1 << 20
 
-// Logs are the lines that were read.
+// Logs holds the lines that were read.
 type Logs struct {
 	Lines []Line
-	// Unreadable counts lines that are no daemon's, or were cut off.
+	// Unreadable counts truncated lines and lines that no daemon logged.
 	Unreadable int
 }
 
-// Read adds the lines of a log.
+// Read adds the lines of a log; name identifies the log in errors.
 func (l *Logs) Read(name string, from io.Reader) error {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLineBytes)
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// ReadPath adds a file, or all files under a folder; "-" stands for stdin.
+// ReadPath adds the lines of a file, of all files under a folder, or of stdin if
+// path is "-".
 func (l *Logs) ReadPath(path string, stdin io.Reader) error {
 	if path == "-" {
 		return l.Read("standard input", stdin)
@@ -71,7 +73,7 @@
 		return l.readFile(file)
 	})
 	if err == nil && found == 0 {
-		return fmt.Errorf("%s: no files there", path)
+		return fmt.Errorf("%s: the folder contains no files", path)
 	}
 	return err
 }
@@ -84,7 +86,8 @@
 	return errors.Join(l.Read(path, file), file.Close())
 }
 
-// parse reads one line.
+// parseLine parses one line. It returns false if the line is truncated or is not a
+// daemon's log line.
 func parseLine(text string) (Line, bool) {
 	start := strings.Index(text, lineStart)
 	if start < 0 {
--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -8,48 +8,51 @@
 	"time"
 )
 
-// Fields of the daemons' lines.
+// Field names of the daemons' log lines.
 const (
 	fieldRequest  = "request"
 	fieldEndpoint = "endpoint"
 )
 
-// eventEnd is the line that ends a request.
+// eventEnd is the event that a daemon logs at the end of a request.
 const eventEnd = "request"
 
-// around is how far before a request's first and behind its last line other
-// lines may bear on it.
+// contextWindow is the time before a request's first line in which lines about its
+// endpoints and daemons count as related. After its last line, a fifth of this
+// time counts.
 const contextWindow = 5 * time.Second
 
-// aboutEndpoints are the events that tell what became of an endpoint.
+// endpointEvents are the events that report changes of an endpoint.
 var endpointEvents = []string{
 	"endpoint_changed", "endpoint_gone", "health_changed", "role_change_begun", "role_ordered", "role_change_ended",
 }
 
-// aboutDaemons are the events that tell what a daemon could rely on.
+// daemonEvents are the events that report the state of a daemon, its peers and its
+// dependencies.
 var daemonEvents = []string{
 	"dependency_lost", "dependency_regained", "config_in_force", "tables_learnt", "member_stalled", "member_declared_dead",
 	"daemon_leaving", "daemon_closing", "daemon_stopped", "daemon_started",
 }
 
-// ErrUnknown says that no line names the request.
+// ErrUnknownRequest means that no line names the request.
 var ErrUnknownRequest = errors.New("no line names this request: the id is wrong, the logs lack its daemon, or its lines were dropped")
 
-// Story is what the logs tell of one request.
+// Story holds the log lines about one request and its outcome.
 type Story struct {
 	Request string
 	// Own are the lines that name the request.
 	Own []Line
-	// Beside are lines on its endpoints and daemons at about that time, and on
-	// the state of the pool while it waited.
+	// Beside are lines about its endpoints and daemons at about that time, and
+	// about the state of the pool during the request.
 	Beside []Line
-	// Silent says where the logs tell nothing.
+	// Silent describes gaps in the logs.
 	Silent []string
-	// Cause is the outcome in one sentence.
+	// Cause describes the outcome in one sentence.
 	Cause string
 }
 
-// Tell joins what the logs tell of a request.
+// Tell collects the lines about a request and derives its outcome. It returns
+// ErrUnknownRequest if no line names the request.
 func (l *Logs) Tell(request string) (*Story, error) {
 	s := &Story{Request: request}
 	for _, line := range l.Lines {
@@ -70,7 +73,7 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// span is the time in which other lines may bear on the request.
+// span returns the time range in which other lines count as related.
 func (s *Story) span() (from, to time.Time) {
 	from = s.Own[0].At.Add(-contextWindow)
 	to = s.Own[len(s.Own)-1].At.Add(contextWindow / 5)
@@ -80,7 +83,7 @@
 	return from, to
 }
 
-// took is how long the request took, if its end is logged.
+// duration returns how long the request took, and false if its end is not logged.
 func (s *Story) duration() (time.Duration, bool) {
 	for _, line := range s.Own {
 		if line.Event == eventEnd {
@@ -109,7 +112,7 @@
 		}
 		switch {
 		case slices.Contains(endpointEvents, line.Event) && endpoints[line.Fields[fieldEndpoint]]:
-			// All daemons learn the same of an endpoint: once is enough.
+			// All daemons log the same change of an endpoint: keep it once.
 			key := line.Event + line.Text()
 			if seen[key] {
 				continue
@@ -125,7 +128,8 @@
 	sortByTime(s.Beside)
 }
 
-// service is the one that the request was sent to, if a line tells.
+// service returns the service that the request was sent to, or an empty name if no
+// line names it.
 func (s *Story) service() string {
 	for _, line := range s.Own {
 		if name := line.Fields["service"]; name != "" {
@@ -135,7 +139,8 @@
 	return ""
 }
 
-// judge says in a sentence what came of the request, and where the logs are silent.
+// findCause sets Cause from the line of the request's end. Without such a line it
+// explains why the end may be missing.
 func (s *Story) findCause(l *Logs) {
 	var end *Line
 	for i := range s.Own {
@@ -157,7 +162,7 @@
 	}
 }
 
-// noEnd tells of a request whose end is not logged.
+// explainMissingEnd sets Cause and Silent for a request whose end is not logged.
 func (s *Story) explainMissingEnd(l *Logs) {
 	last := s.Own[len(s.Own)-1]
 	s.Cause = fmt.Sprintf("its end is not logged; the last line is %s of %s", last.Event, last.Daemon)
@@ -183,15 +188,15 @@
 			last.Daemon, after.Format(time.RFC3339Nano), end.Format(time.RFC3339Nano)))
 		return
 	}
-	s.Silent = append(s.Silent, last.Daemon+" logs on: the request may still run, or its last line was dropped")
+	s.Silent = append(s.Silent, last.Daemon+" continues to log: the request may still run, or its last line was dropped")
 }
 
-// fallsSilent is how long a daemon must log nothing while others do to count as
-// silent: one that is alive logs a line on its pools each second, or on what it
-// serves.
+// silentAfter is how long a daemon must log nothing while others do to count as
+// silent: a running daemon logs the state of its pools each second, or the
+// requests that it serves.
 const silentAfter = 5 * time.Second
 
-// end is the time of the last line of all.
+// lastLineTime returns the time of the newest line of all daemons.
 func (l *Logs) lastLineTime() time.Time {
 	var end time.Time
 	for _, line := range l.Lines {
@@ -202,7 +207,7 @@
 	return end
 }
 
-// Text gives a line's pairs as they were logged.
+// Text returns the pairs of Fields as they were logged.
 func (l Line) Text() string {
 	var b strings.Builder
 	for i, key := range l.Order {
--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -50,7 +50,7 @@
 func TestLinesOfSeveralDaemonsAreMerged(t *testing.T) {
 	is := is.New(t)
 	l := readLogs(t)
-	is.Equal(l.Unreadable, 1) // the cut line
+	is.Equal(l.Unreadable, 1) // the truncated line
 	s, err := l.Tell("a")
 	is.NoErr(err)
 	is.Equal(eventNames(s.Own), "granted attempt_failed request")
@@ -67,8 +67,8 @@
 	is.Equal(s.Silent, []string{"city was started anew at 2026-01-02T03:04:07Z: its former process ended without a word"})
 }
 
-// TestADaemonThatFallsSilentIsNamed: it logged on for a while after the
-// request's last line, and nothing after that while others did.
+// The daemon logged for a while after the request's last line, and then nothing
+// while another daemon continued to log.
 func TestSilentDaemonIsReported(t *testing.T) {
 	is := is.New(t)
 	l := &Logs{}
