--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -1,7 +1,7 @@
-// Package account says from the daemons' log lines what became of the requests
-// of a span of time: by outcome and reason, where the time of the late ones
-// went, what each refusal waited, which prompts were read in vain, and what the
-// pools were doing meanwhile.
+// Package account summarizes the requests of a span of time from the daemons' log
+// lines: outcomes and reasons, how late answers spent their time, how long
+// refusals took, which prompts were wasted (their prefill was of no use), and the
+// state of the pools.
 package account
 
 import (
@@ -10,114 +10,117 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// Account is what the logs of a span of time come to.
+// Account is the summary of the logs of a span of time.
 type Account struct {
-	// From and To bound the span; From is the second zero of all times below.
+	// From and To bound the span; the offsets in seconds below count from From.
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
-	// Lines were read, Unreadable is the share of all lines that could not be.
+	// Lines counts the lines read, Unreadable is the share of all lines that could
+	// not be read, 0 to 1.
 	Lines      int     `json:"lines"`
 	Unreadable float64 `json:"unreadable_share"`
-	// Routes holds one account a route that got requests, by name.
+	// Routes holds the routes that received requests, sorted by name.
 	Routes []Route `json:"routes"`
-	// Reasons count what ended attempts that were not answered.
+	// Reasons counts the attempts that were not answered, by reason.
 	Reasons []Reason `json:"reasons"`
-	// Vain lists the causes for which prompts were read in vain.
+	// Vain counts the wasted prompts by cause.
 	Vain []Vain `json:"vain"`
-	// Seconds holds what came in each second.
+	// Seconds counts the requests by the second of their arrival.
 	Seconds []Second `json:"seconds"`
-	// Pools holds the state of the pools as their owners logged it.
+	// Pools holds the states of the pools as their owners logged them.
 	Pools []Pool `json:"pools"`
 }
 
-// Counts are requests by outcome; one that came back counts once.
+// Counts counts requests by outcome; a request and its retries by the caller count
+// once.
 type Counts struct {
 	Asked int `json:"asked"`
-	// InTime and Late were answered.
+	// InTime and Late count answered requests.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
-	// Refused did not run; Failed may have.
+	// Refused counts requests that did not run, Failed those that may have run.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	// Left are requests whose callers went before the answer was due.
+	// Left counts requests whose callers disconnected before the answer was due.
 	Left int `json:"left"`
-	// NoEnd are streams that were given engines and whose end is not logged:
-	// their daemon was killed, or its line dropped. Of plain calls nothing is
-	// logged before their end.
+	// NoEnd counts streams that were granted engines and whose end is not logged:
+	// their daemon was killed, or the line was dropped. Plain calls are not counted
+	// here, since nothing is logged before their end.
 	NoEnd int `json:"no_end"`
 }
 
 // Answered counts the answered requests.
 func (c *Counts) Answered() int { return c.InTime + c.Late }
 
-// Route is the account of one route.
+// Route is the summary of one route.
 type Route struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Kind is the route's kind, as the daemons name it.
+	// Kind is the route's kind as the daemons log it.
 	Kind string `json:"kind"`
 	Counts
-	// CameBack counts the requests that were sent again after a refusal or a
-	// failure, Served those of them that were answered then.
+	// CameBack counts the requests that their callers retried after a refusal or a
+	// failure, Served those of them that were then answered.
 	CameBack int `json:"came_back"`
 	Served   int `json:"came_back_served"`
-	// Late is where the time of the late answers went.
+	// LateTime is how the late answers spent their time.
 	LateTime LateTime `json:"late_time"`
-	// Refusals tells what the refusals waited before they came.
+	// Refusals holds the times from arrival to refusal.
 	Refusals Waits `json:"refusals"`
 }
 
 // LateTime is the mean time of late answers, in milliseconds.
 type LateTime struct {
-	// Return is the time between a request's first arrival and that of the
-	// attempt that was answered.
+	// Return is the time from a request's first arrival to the arrival of the
+	// retry that was answered.
 	Return float64 `json:"return_ms"`
-	// Queue is the wait for engines, Prefill the reading of the prompt, Retries
-	// the attempts that failed, Rest the transfer and the first event, or the
-	// call itself.
+	// Queue is the time in the queue for engines, Prefill that of the prefill,
+	// Retries that of the daemon's failed attempts at endpoints, Rest that of the
+	// transfer and the first event, or of the plain call itself.
 	Queue   float64 `json:"queue_ms"`
 	Prefill float64 `json:"prefill_ms"`
 	Retries float64 `json:"retries_ms"`
 	Rest    float64 `json:"rest_ms"`
-	// Paused counts those that were late only by a pause between two events.
+	// Paused counts the answers that were late only because of a pause between two
+	// events.
 	Paused int `json:"paused"`
 }
 
-// Waits are times from an arrival to its refusal, in milliseconds.
+// Waits holds the times from arrival to refusal, in milliseconds.
 type Waits struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
 	Max   float64 `json:"max_ms"`
-	// Back counts the refused requests that came back.
+	// Back counts the refusals that the caller retried.
 	Back int `json:"back"`
 }
 
-// Reason counts attempts that ended unanswered in one way.
+// Reason counts the unanswered attempts with one route, outcome and reason.
 type Reason struct {
 	Route string `json:"route"`
-	// Team is whose limit ended them; empty for other outcomes.
+	// Team is the team whose limit refused them; empty for other outcomes.
 	Team    string `json:"team,omitempty"`
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
 	Count   int    `json:"count"`
 }
 
-// Vain counts the prompts that were read in vain for one cause.
+// Vain counts the wasted prompts of one cause and their tokens.
 type Vain struct {
 	Cause  string `json:"cause"`
 	Count  int    `json:"count"`
 	Tokens int    `json:"tokens"`
 }
 
-// Second is what came within one second, by what became of it.
+// Second counts the requests that first arrived within one second, by outcome.
 type Second struct {
-	// At is the second, from the account's beginning.
+	// At is the second, counted from Account.From.
 	At int `json:"at_s"`
-	// Kind is the kind of the routes.
+	// Kind is the routes' kind.
 	Kind string `json:"kind"`
 	Counts
-	// VainTokens were read in vain by prompts given up in this second.
+	// VainTokens counts the tokens of prompts that were wasted in this second.
 	VainTokens int `json:"vain_tokens"`
 }
 
@@ -125,24 +128,26 @@
 type Pool struct {
 	AtSeconds float64 `json:"at_s"`
 	Pool      string  `json:"pool"`
-	// Prefills and Decodes are engines by role, Working the prefill engines at
-	// work, Running the requests at the decode engines.
+	// Prefills and Decodes count the engines by role, Working the busy prefill
+	// engines, Running the requests on the decode engines.
 	Prefills int `json:"prefills"`
 	Working  int `json:"prefills_working"`
 	Decodes  int `json:"decodes"`
 	Running  int `json:"decodes_running"`
-	// MemoryHeld is the share of the decode engines' memory that is held.
+	// MemoryHeld is the share of the decode engines' memory that is held, 0 to 1.
 	MemoryHeld float64 `json:"memory_held_share"`
 	Queued     int     `json:"queued"`
 }
 
-// Options choose what an account is made of.
+// Options select the requests of an account.
 type Options struct {
-	// From and To bound the arrivals; zero for no bound.
+	// From (inclusive) and To (exclusive) bound the arrivals; the zero time means
+	// no bound.
 	From, To time.Time
 }
 
-// Make makes the account of log lines.
+// Make builds the account of log lines. It returns ErrNoRequests if they hold no
+// end of a request within the bounds.
 func Make(logs *logstory.Logs, o Options) (*Account, error) {
 	b := newBuilder(o)
 	for i := range logs.Lines {
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -13,7 +13,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// day is a piece of a real day's log, its names replaced.
+// dayLog is part of a real day's log with names replaced.
 const dayLog = "testdata/day.log"
 
 func readLogs(t *testing.T, text string) *logstory.Logs {
@@ -43,8 +43,8 @@
 	return Route{}
 }
 
-// TestTheAccountOfADay: a count of the last lines by fingerprint, made apart from
-// this code, gave the same figures.
+// The expected figures come from a separate count of the requests' last lines by
+// fingerprint, made without this code.
 func TestAccountOfADay(t *testing.T) {
 	is := is.New(t)
 	a, err := Make(readLogs(t, readDayLog(t)), Options{})
@@ -65,8 +65,8 @@
 	is.Equal(len(a.Pools), 7) // the eighth was logged before the first arrival
 }
 
-// TestARequestThatCameBackCountsOnce, by what became of its last attempt, and
-// from its first arrival.
+// A retried request counts once, by the outcome of its last attempt and from its
+// first arrival.
 func TestRetriedRequestCountsOnce(t *testing.T) {
 	is := is.New(t)
 	line := func(at, id, end string) string {
@@ -82,7 +82,7 @@
 	is.Equal(a.Routes[0].Served, 1)
 	is.Equal(a.Routes[0].LateTime.Return, 2000.0)
 	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
-	// Another caller's, or one behind an answer, is another request.
+	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
 	a, err = Make(readLogs(t, refused+answered+again), Options{})
 	is.NoErr(err)
@@ -105,13 +105,13 @@
 		return n
 	}
 	is.True(asked(first) > 0 && asked(second) > 0)
-	is.True(asked(first)+asked(second) >= asked(whole)) // one that came back across the bound counts on both sides
+	is.True(asked(first)+asked(second) >= asked(whole)) // a request retried across the bound counts on both sides
 	_, err = Make(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
-// TestBadLinesAreLeftOutAndCounted: cut lines, bytes that are no text, and
-// fields that can't be read.
+// Truncated lines, lines that are not text and lines with fields that can't be
+// parsed are skipped and counted.
 func TestUnreadableLinesAreSkippedAndCounted(t *testing.T) {
 	is := is.New(t)
 	text := readDayLog(t)
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -9,14 +9,14 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// returnsWithin is how long after an unanswered attempt another one with the
-// same fingerprint counts as its caller's return.
+// retryWindow is how long after the arrival of an unanswered attempt another one
+// with the same fingerprint counts as its caller's retry.
 const retryWindow = 20 * time.Second
 
-// request is what a caller wanted: one attempt or several.
+// request is one request of a caller: its attempts in order of arrival.
 type request []*attempt
 
-// finish makes the account of what was gathered.
+// finish builds the account from the collected data.
 func (b *builder) finish(logs *logstory.Logs) (*Account, error) {
 	if len(b.attempts) == 0 {
 		return nil, ErrNoRequests
@@ -49,7 +49,7 @@
 	return out, nil
 }
 
-// addNoEnds adds the attempts that were given engines and whose end is not
+// addUnended adds the attempts that were granted engines and whose end is not
 // logged.
 func (b *builder) addUnended() {
 	ended := make(map[string]bool, len(b.attempts))
@@ -64,8 +64,8 @@
 	}
 }
 
-// group joins the attempts of one request: the next one with the same
-// fingerprint after one that was not answered.
+// groupAttempts groups the attempts by request: an attempt with the same route and
+// fingerprint after an unanswered one belongs to the same request.
 func groupAttempts(attempts []*attempt) []request {
 	var out []request
 	open := map[string]int{}
@@ -81,7 +81,7 @@
 	return out
 }
 
-// follows says whether an attempt is a request's caller that has come back.
+// isRetry reports whether an attempt is a retry of a request by its caller.
 func isRetry(r request, a *attempt) bool {
 	last := r[len(r)-1]
 	return last.outcome != outcomeAnswered && a.arrived.Sub(last.arrived) < retryWindow
@@ -91,10 +91,11 @@
 
 func (r request) last() *attempt { return r[len(r)-1] }
 
-// returned is the time between the first arrival and that of the last attempt.
+// retryDelay returns the time from the first arrival to the arrival of the last
+// attempt.
 func (r request) retryDelay() time.Duration { return r.last().arrived.Sub(r.first().arrived) }
 
-// count adds a request to the counts.
+// count adds a request by the outcome of its last attempt.
 func (c *Counts) count(r request) {
 	last := r.last()
 	c.Asked++
@@ -114,7 +115,7 @@
 	}
 }
 
-// routes makes the accounts of the routes.
+// routes summarizes the requests by route.
 func routes(requests []request) []Route {
 	byName := map[string][]request{}
 	for _, r := range requests {
@@ -148,7 +149,7 @@
 	return out
 }
 
-// lateTime averages where the time of late requests went.
+// meanLateTime averages the times of late requests.
 func meanLateTime(late []request) LateTime {
 	var out LateTime
 	if len(late) == 0 {
@@ -170,7 +171,7 @@
 	return out
 }
 
-// waits tells of the refusals of requests that did not run.
+// refusalWaits summarizes the times to refusal of attempts that did not run.
 func refusalWaits(requests []request) Waits {
 	var took []time.Duration
 	out := Waits{}
@@ -198,7 +199,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// reasons counts how attempts ended unanswered, the most frequent first.
+// countReasons counts the unanswered attempts by reason, the most frequent first.
 func countReasons(attempts []*attempt) []Reason {
 	counts := map[Reason]int{}
 	for _, a := range attempts {
@@ -221,7 +222,8 @@
 	return out
 }
 
-// causes counts the prompts that were read in vain, the most tokens first.
+// wastedByCause counts the wasted prompts by cause, sorted by tokens in descending
+// order.
 func (b *builder) wastedByCause(from, to time.Time) []Vain {
 	byCause := map[string]Vain{}
 	for _, v := range b.wasted {
@@ -269,7 +271,7 @@
 	return out
 }
 
-// poolsFrom gives the states of the pools within the span.
+// poolStates returns the states of the pools within the span, in order of time.
 func (b *builder) poolStates(from, to time.Time) []Pool {
 	var out []Pool
 	for _, l := range b.pools {
--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -8,24 +8,24 @@
 
 // The reasons of attempts whose end is not logged.
 const (
-	// reasonLost: the daemon started again behind the grant.
+	// reasonRestarted: the daemon restarted after the grant.
 	reasonRestarted = "lost with its daemon, which started again"
 	// reasonSilent: the daemon logged nothing more.
 	reasonSilent = "lost with its daemon, which logged nothing more"
-	// reasonUntold: the daemon went on; its line was dropped, or the request
-	// still ran when the logs ended.
-	reasonNotLogged = "its daemon went on and tells no end"
+	// reasonNotLogged: the daemon continued to run; its line was dropped, or the
+	// request was still running when the logs ended.
+	reasonNotLogged = "its daemon kept running and logged no end"
 )
 
-// silentAfter is how long before the end of all logs a daemon's last line counts
-// as its own end: one that lives tells something each 10 s.
+// silentAfter is how long before the newest line of all logs a daemon's last line
+// must be to count as the end of its process: a running daemon logs a line at least
+// every 10 s.
 const silentAfter = 12 * time.Second
 
-// life is what a daemon's lines tell of its processes: when the last one started,
-// and when it last logged.
+// daemonTimes holds when a daemon last started, and when it last logged.
 type daemonTimes struct{ started, last time.Time }
 
-// seen notes a line of a daemon.
+// recordDaemon updates the times of the daemon that logged a line.
 func (b *builder) recordDaemon(l *logstory.Line) {
 	d := b.daemons[l.Daemon]
 	if d == nil {
@@ -39,7 +39,8 @@
 	b.last = later(b.last, l.At)
 }
 
-// untold is why the end of an attempt is not logged.
+// missingEndReason returns the likely reason why the end of an attempt is not
+// logged.
 func (b *builder) missingEndReason(a *attempt) string {
 	d := b.daemons[a.daemon]
 	switch {
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestARequestWithoutAnEndIsToldWhy: on call must see whether the daemon died
-// under it, or its line is missing.
+// An on-call engineer must see whether the daemon died during the request, or only
+// the line of its end is missing.
 func TestMissingEndHasAReason(t *testing.T) {
 	is := is.New(t)
 	line := func(at, daemon, rest string) string {
@@ -31,8 +31,8 @@
 	is.Equal(why, map[string]int{reasonRestarted: 1, reasonSilent: 1, reasonNotLogged: 1})
 }
 
-// TestAStartBeforeTheGrantLosesNothing: it was the start of the daemon that
-// granted.
+// A daemon_started line before the grant belongs to the process that logged the
+// grant: the request was not lost by a restart.
 func TestStartBeforeGrantIsNoRestart(t *testing.T) {
 	is := is.New(t)
 	text := "ts=2026-12-03T10:00:01Z daemon=d1 level=info event=daemon_started\n" +
@@ -43,8 +43,8 @@
 	is.Equal(a.Reasons[0].Reason, reasonNotLogged)
 }
 
-// TestADecodeThatBrokeReadItsPromptInVain: its KV cache is gone with it; one that
-// was refused left the cache to another engine.
+// A decode that broke loses its KV cache, so its prompt counts as wasted. A refused
+// decode leaves the cache to another engine.
 func TestBrokenDecodeCountsPromptAsWasted(t *testing.T) {
 	is := is.New(t)
 	failed := func(step, verdict, code string) string {
@@ -56,5 +56,5 @@
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=2s outcome=answered status=200 in_time=true\n"
 	a, err := Make(readLogs(t, text), Options{})
 	is.NoErr(err)
-	is.Equal(a.Vain, []Vain{{Cause: "decode broke: endpoint_failed", Count: 1, Tokens: 3000}})
+	is.Equal(a.Vain, []Vain{{Cause: "decode failed: endpoint_failed", Count: 1, Tokens: 3000}})
 }
--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -7,10 +7,10 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/experiment"
 )
 
-// Name names the account's files.
+// Name is the base name of the account's files.
 const Name = "account"
 
-// Report gives the account as a report whose figures can be drawn.
+// Report returns the account as a report with its figures.
 func (a *Account) Report() *experiment.Report {
 	figures := []experiment.Figure{a.memoryFigure(), a.rolesFigure()}
 	for _, kind := range a.kinds() {
@@ -23,7 +23,7 @@
 	return distinctNames(a.Seconds, func(s Second) string { return s.Kind })
 }
 
-// outcomes draws what became of a kind's requests, by the second of arrival.
+// outcomesFigure shows the outcomes of a kind's requests by the second of arrival.
 func (a *Account) outcomesFigure(kind string) experiment.Figure {
 	lines := []struct {
 		name string
@@ -35,7 +35,7 @@
 		{"failed", func(s *Second) int { return s.Failed }},
 	}
 	f := experiment.Figure{
-		Name: "outcomes-" + kind, Title: "Requests by what became of them: " + kind,
+		Name: "outcomes-" + kind, Title: "Requests by outcome: " + kind,
 		XLabel: "second of the first arrival", YLabel: "requests",
 	}
 	for _, line := range lines {
@@ -51,14 +51,14 @@
 	return f
 }
 
-// memory draws the share of the decode engines' memory that is held.
+// memoryFigure shows the share of the decode engines' memory that is held.
 func (a *Account) memoryFigure() experiment.Figure {
 	return a.poolFigure("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
 		"held": func(p *Pool) float64 { return p.MemoryHeld },
 	})
 }
 
-// roles draws the engines by role, and the queue.
+// rolesFigure shows the engines by role and the length of the queue.
 func (a *Account) rolesFigure() experiment.Figure {
 	return a.poolFigure("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
 		"prefill": func(p *Pool) float64 { return float64(p.Prefills) },
@@ -88,7 +88,7 @@
 	return distinctNames(a.Pools, func(p Pool) string { return p.Pool })
 }
 
-// names lists the names that items have, sorted, each once.
+// distinctNames returns the distinct names of items, sorted.
 func distinctNames[T any](items []T, of func(T) string) []string {
 	var out []string
 	for _, item := range items {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// Events that an account is made of.
+// Log events that an account evaluates.
 const (
 	eventRequest   = "request"
 	eventGranted   = "granted"
@@ -20,13 +20,13 @@
 	eventStarted   = "daemon_started"
 )
 
-// Words of the fields.
+// Values of log fields.
 const (
 	outcomeAnswered   = "answered"
 	outcomeCallerGone = "caller_gone"
-	// outcomeTeamLimit is that of a request beyond its team's limit.
+	// outcomeTeamLimit is the outcome of a request beyond its team's limit.
 	outcomeTeamLimit = "team_limit"
-	// outcomeNoEnd is the account's own word for an end that is not logged.
+	// outcomeNoEnd stands for an end that is not logged; daemons never log it.
 	outcomeNoEnd  = "no_end"
 	verdictNotRun = "not-run"
 	stepPrefill   = "prefill"
@@ -34,10 +34,11 @@
 	kindStream    = "stream"
 )
 
-// ErrNothing says that the logs hold no request.
+// ErrNoRequests means that the logs hold no end of a request on a route within the
+// span.
 var ErrNoRequests = errors.New("no line tells of the end of a request on a route: these are no daemons' logs, or the span of time holds none")
 
-// attempt is one attempt of a caller, as its daemon logged its end.
+// attempt is one attempt of a caller as its daemon logged it.
 type attempt struct {
 	id, route, service, kind string
 	daemon                   string
@@ -46,8 +47,8 @@
 	arrived                  time.Time
 	took                     time.Duration
 	target                   time.Duration
-	// answer is when the answer came, behind the arrival: of a stream its first
-	// event.
+	// timeToAnswer is the time from the arrival to the answer, or to the first event
+	// of a stream.
 	timeToAnswer           time.Duration
 	queueTime, prefillTime time.Duration
 	outcome                string
@@ -57,23 +58,25 @@
 	failedTime             time.Duration
 }
 
-// builder gathers lines.
+// builder collects the data of an account from log lines.
 type builder struct {
 	options  Options
 	attempts []*attempt
-	// retries is the time of the failed sendings of each attempt, by its id.
+	// retries is the time that each attempt spent on failed attempts at endpoints,
+	// by its id.
 	retries map[string]time.Duration
-	// granted are the attempts that were given engines, by their id.
+	// granted holds the attempts that were granted engines, by their id.
 	granted    map[string]*attempt
 	wasted     []wastedPrompt
 	pools      []poolLine
 	unreadable int
-	// lives are the daemons that logged, by name; last is the newest line.
+	// daemons holds the daemons that logged, by name; last is the time of the newest
+	// line.
 	daemons map[string]*daemonTimes
 	last    time.Time
 }
 
-// vainRead is one prompt that was read in vain.
+// wastedPrompt is one prompt whose prefill was of no use.
 type wastedPrompt struct {
 	at     time.Time
 	cause  string
@@ -89,7 +92,8 @@
 	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*daemonTimes{}}
 }
 
-// take reads one line. One whose fields can't be read counts as unreadable.
+// addLine evaluates one line. A line with fields that can't be parsed counts as
+// unreadable.
 func (b *builder) addLine(l *logstory.Line) {
 	f := fields{values: l.Fields}
 	b.recordDaemon(l)
@@ -103,7 +107,7 @@
 	case eventWasted:
 		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "no decode: " + f.text("code"), tokens: f.number("tokens")})
 	case eventResumed:
-		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "read again for a stream that broke", tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "prefill repeated for a resumed stream", tokens: f.number("tokens")})
 	case eventPoolState:
 		b.addPoolState(l, &f)
 	}
@@ -112,8 +116,8 @@
 	}
 }
 
-// given takes an attempt that was given engines: it stands in for one whose end
-// is not logged.
+// addGrant adds an attempt that was granted engines. It is used if the end of the
+// attempt is not logged.
 func (b *builder) addGrant(l *logstory.Line, f *fields) {
 	id := f.text("request")
 	if b.granted[id] != nil || f.text("route") == "" || !b.inSpan(l.At) {
@@ -159,9 +163,10 @@
 	return (b.options.From.IsZero() || !at.Before(b.options.From)) && (b.options.To.IsZero() || at.Before(b.options.To))
 }
 
-// failed takes a failed sending. A prefill that was given up may have been read
-// all the same, and the KV cache that a decode took is gone with it; a decode that
-// has not run left it to another one.
+// addFailure evaluates a failed attempt at an endpoint. The prompt of an abandoned
+// prefill counts as wasted, since the engine may have processed it. A decode that
+// may have run loses the KV cache that it received; one that has not run leaves the
+// cache to another decode engine.
 func (b *builder) addFailure(l *logstory.Line, f *fields) {
 	b.retries[f.text("request")] += f.duration("took")
 	code := f.text("code")
@@ -169,11 +174,11 @@
 	switch f.text("step") {
 	case stepPrefill:
 		if code == "deadline" || code == outcomeCallerGone {
-			cause = "prefill given up: " + code
+			cause = "prefill abandoned: " + code
 		}
 	case stepDecode:
 		if f.text("verdict") != verdictNotRun {
-			cause = "decode broke: " + code
+			cause = "decode failed: " + code
 		}
 	}
 	if cause != "" {
@@ -196,7 +201,7 @@
 	b.pools = append(b.pools, poolLine{at: l.At, pool: p})
 }
 
-// fields reads a line's fields and keeps the first error.
+// fields parses a line's fields and keeps the first error.
 type fields struct {
 	values map[string]string
 	err    error
@@ -218,7 +223,7 @@
 	return d
 }
 
-// optional reads a duration that need not be there.
+// optional parses a duration; a missing field counts as 0.
 func (f *fields) optional(key string) time.Duration {
 	if f.values[key] == "" {
 		return 0
