--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -8,17 +8,17 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/experiment"
 )
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Run, Before *Run
 	Sections    []section
 }
 
-// section is about one experiment.
+// section shows one experiment.
 type section struct {
 	experiment.Outcome
 	Took string
-	// HasBefore tells whether the earlier run has a report of it.
+	// HasBefore reports whether the previous run has a report of the experiment.
 	HasBefore bool
 	Rows      []line
 	Plots     []plot
@@ -27,14 +27,15 @@
 // line is one line of a report, field by field.
 type line []field
 
-// field is one key=value pair, or a word, with the earlier value.
+// field is one key=value pair, or a word, with its previous value.
 type field struct {
 	Key, Value string
-	// Before is the earlier value where it was another one.
+	// Before is the previous value if it differs.
 	Before string
 }
 
-// plot is one figure; Before is empty if the earlier run has none.
+// plot holds the paths of one figure's images; Before is empty if the previous run
+// has no such figure.
 type plot struct{ Title, Now, Before string }
 
 func newPage(run *Run, before *previousRun) *page {
@@ -69,16 +70,17 @@
 	return s
 }
 
-// pairLines finds for each line the earlier one about the same run: the one
-// that has the most pairs at its start in common, and at least the first.
+// pairLines pairs each line with the previous run's line about the same
+// configuration: the unused line with the longest common prefix of fields, which
+// is at least one field.
 func pairLines(now, before []string) []line {
 	used := make([]bool, len(before))
 	lines := make([]line, 0, len(now))
 	for _, text := range now {
-		best, most := -1, 0
+		best, longest := -1, 0
 		for i, other := range before {
-			if n := commonPrefixFields(text, other); !used[i] && n > most {
-				best, most = i, n
+			if n := commonPrefixFields(text, other); !used[i] && n > longest {
+				best, longest = i, n
 			}
 		}
 		if best < 0 {
@@ -91,7 +93,7 @@
 	return lines
 }
 
-// commonStart counts the fields that two lines have in common at their starts.
+// commonPrefixFields returns the number of fields in the common prefix of two lines.
 func commonPrefixFields(a, b string) int {
 	fields, others := strings.Fields(a), strings.Fields(b)
 	n := 0
--- a/cmd/internal/report/report.go
+++ b/cmd/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes one page about a run of all experiments, beside the
-// figures of an earlier run.
+// Package report writes one HTML page about a run of experiments that compares
+// them with a previous run.
 package report
 
 import (
@@ -18,26 +18,27 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/version"
 )
 
-// Names of the files of a run.
+// Files and folders of a run.
 const (
-	// IndexFile is the page.
+	// IndexFile is the HTML page.
 	IndexFile = "index.html"
-	// SummaryFile holds the run in short, as JSON.
+	// SummaryFile holds the Run as JSON.
 	SummaryFile = "summary.json"
-	// previousFolder holds the earlier run's reports, so that the page stands alone.
+	// previousFolder holds a copy of the previous run's reports, so that the page
+	// does not depend on that run's folder.
 	previousFolder = "previous"
 )
 
-// Run is one run of experiments in short.
+// Run is the summary of one run of experiments.
 type Run struct {
 	Build version.Info `json:"build"`
 	Seed  uint64       `json:"seed"`
-	// Begun is when the run began.
+	// Begun is the start time of the run.
 	Begun    time.Time            `json:"begun"`
 	Outcomes []experiment.Outcome `json:"outcomes"`
 }
 
-// Failed counts the experiments that gave no report, or one with faults.
+// Failed returns the number of experiments without a report or with faults.
 func (r *Run) Failed() int {
 	n := 0
 	for i := range r.Outcomes {
@@ -53,8 +54,8 @@
 
 var indexTemplate = template.Must(template.New(IndexFile).Parse(indexText))
 
-// Write writes the reports, their plots, the summary and the page under dir.
-// previous is the folder of an earlier run; empty means that there is none.
+// Write writes the reports, their plots, the summary and the page to dir.
+// previous is the folder of the previous run, or empty if there is none.
 func Write(dir, previous string, run *Run) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return eris.Wrap(err, "folder of the run")
@@ -75,8 +76,8 @@
 	return writeIndex(dir, newPage(run, before))
 }
 
-// writeReport writes one report. One that can't be written counts as failed, so
-// that the page still shows the others.
+// writeReport writes one report. If that fails, the experiment counts as failed and
+// the page still shows the others.
 func writeReport(dir string, o *experiment.Outcome) {
 	if o.Report == nil {
 		return
@@ -104,14 +105,14 @@
 	return eris.Wrap(errors.Join(err, file.Close()), "write the page")
 }
 
-// earlier holds the earlier run.
+// previousRun holds the previous run and its reports by experiment.
 type previousRun struct {
 	run     *Run
 	reports map[string]*experiment.Report
 }
 
-// load reads the earlier run's reports of the same experiments. One that is
-// missing is left out; one that can't be read is an error.
+// loadPrevious reads the previous run's reports of the same experiments. It skips
+// missing reports and fails on reports that can't be read.
 func loadPrevious(dir string, run *Run) (*previousRun, error) {
 	e := &previousRun{reports: make(map[string]*experiment.Report)}
 	if dir == "" {
@@ -137,7 +138,7 @@
 	return e, nil
 }
 
-// write writes the earlier reports and their plots.
+// write writes the previous run's reports and their plots.
 func (e *previousRun) write(dir string) error {
 	for _, report := range e.reports {
 		if err := report.Write(dir); err != nil {
@@ -147,7 +148,8 @@
 	return nil
 }
 
-// readJSON reads a file; it gives nil if there is none.
+// readJSON decodes a JSON file of the previous run. It returns nil if the file does
+// not exist.
 func readJSON[T any](path string) (*T, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -163,8 +165,8 @@
 	return value, nil
 }
 
-// Latest finds the newest run in the folders beside dir, by its summary; it
-// gives an empty name if there is none.
+// Latest returns the folder of the newest run among the sibling folders of dir,
+// according to their summaries. It returns an empty name if there is none.
 func Latest(dir string) (string, error) {
 	own, err := filepath.Abs(dir)
 	if err != nil {
@@ -172,7 +174,7 @@
 	}
 	summaries, err := filepath.Glob(filepath.Join(filepath.Dir(own), "*", SummaryFile))
 	if err != nil {
-		return "", eris.Wrap(err, "look for an earlier run")
+		return "", eris.Wrap(err, "look for a previous run")
 	}
 	latest, begun := "", time.Time{}
 	for _, path := range summaries {
--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -16,7 +16,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/version"
 )
 
-// runOf runs two tiny experiments, of which the second fails.
+// testRun runs two small experiments; the first reports a fault, the second fails.
 func testRun(goodput string, begun time.Time) *Run {
 	tiny := func(_ context.Context, env experiment.Env) (*experiment.Report, error) {
 		return &experiment.Report{
@@ -45,7 +45,7 @@
 	is.True(strings.Contains(page, "The previous run has no report of it."))
 	is.True(!strings.Contains(page, "previous/"))
 
-	is.NoErr(os.Mkdir(filepath.Join(parent, "other"), 0o755)) // holds no run
+	is.NoErr(os.Mkdir(filepath.Join(parent, "other"), 0o755)) // contains no run
 	previous, err := Latest(second)
 	is.NoErr(err)
 	is.Equal(filepath.Base(previous), "first")
@@ -55,9 +55,9 @@
 	page = read(t, filepath.Join(second, IndexFile))
 	for _, wanted := range []string{
 		"<td>3</td>", "<td>9.9</td>", "<td>abcdef</td>", // seed, version, commit
-		"faults: 1", "one was lost", "no fleet", // what went wrong
+		"faults: 1", "one was lost", "no fleet", // faults and errors
 		`goodput=30 <span class="before">(before 20)</span>`,
-		"policy=naive load=0.7 goodput=1 \n", // unchanged: nothing beside it
+		"policy=naive load=0.7 goodput=1 \n", // unchanged: no previous value
 		"new=&lt;b&gt;",
 		`src="tiny-goodput.svg"`, `src="previous/tiny-goodput.svg"`,
 	} {
@@ -70,10 +70,10 @@
 
 	latest, err := Latest(filepath.Join(parent, "third"))
 	is.NoErr(err)
-	is.Equal(filepath.Base(latest), "second") // the newest of the two
+	is.Equal(filepath.Base(latest), "second") // the newer run
 	latest, err = Latest(second)
 	is.NoErr(err)
-	is.Equal(filepath.Base(latest), "first") // never the run itself
+	is.Equal(filepath.Base(latest), "first") // excludes the run itself
 }
 
 func TestMissingPreviousRunIsAnError(t *testing.T) {
