--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet starts daemons and stand-ins of the platform in one process,
-// each on sockets of its own on the loopback interface, for experiments and
-// for `samphirequay local`.
+// Package fleet runs daemons and stand-ins of the platform in one process, each on
+// its own sockets of the loopback interface. It serves experiments and
+// `samphirequay local`.
 package fleet
 
 import (
@@ -16,37 +16,38 @@
 
 // Config describes a fleet.
 type Config struct {
-	// Sites are the stand-ins. The first one's table service, object store,
-	// host list and weight store serve the daemons; of the others only the
-	// endpoints are used.
+	// Sites configure the stand-ins. The daemons use the table service, object
+	// store, host list and weight store of the first site, and only the endpoints
+	// of the others.
 	Sites []standin.PlatformConfig
-	// Daemons is how many daemons are started. Default 1.
+	// Daemons is the number of daemons to start. Default 1.
 	Daemons int
 	// Policy of the daemons. Default ledger.
 	Policy settings.Policy
-	// Teams that may send.
+	// Teams may send requests.
 	Teams []Team
-	// Log takes the daemons' log lines. Default: none.
+	// Log receives the daemons' log lines. By default they are discarded.
 	Log io.Writer
-	// Tune changes the settings of a daemon before it starts; may be nil.
+	// Tune modifies the settings of a daemon before it starts; may be nil.
 	Tune func(*settings.Settings)
-	// Change changes the live configuration before it is applied; may be nil.
+	// Change modifies the live configuration before it is applied; may be nil.
 	Change func(*live.Document)
 }
 
-// Team is a team with its key.
+// Team is a team of the live configuration with its key.
 type Team struct {
 	Name   string
 	Key    string
 	Weight float64
-	// MaxInFlight bounds its requests in the system; 0 leaves the default.
+	// MaxInFlight bounds its requests in the system; 0 means the default.
 	MaxInFlight int
 }
 
-// The operator's key of every fleet: it listens on the loopback interface only.
+// operatorKey is the operator's key of every fleet. It need not be secret, since
+// fleets listen on the loopback interface only.
 const operatorKey = "local-operator"
 
-// Bounds of starting and stopping.
+// Times of starting and stopping.
 const (
 	readyTimeout    = 20 * time.Second
 	pollInterval    = 20 * time.Millisecond
@@ -55,7 +56,7 @@
 	drainTimeMS     = 5000
 )
 
-// document is the live configuration that fits the sites and teams.
+// document returns the live configuration for the sites and teams.
 func (c Config) document(platforms []*standin.Platform) *live.Document {
 	doc := &live.Document{}
 	for _, t := range c.Teams {
--- a/cmd/internal/fleet/configure.go
+++ b/cmd/internal/fleet/configure.go
@@ -14,15 +14,16 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// Operator returns a client to all daemons that run.
+// Operator returns an operator client for all running daemons.
 func (f *Fleet) Operator() (*operator.Client, error) {
 	return operator.New(operator.Config{Addresses: f.OperatorAddresses(), Key: operatorKey})
 }
 
-// OperatorKey is the key of the fleet's operator.
+// OperatorKey returns the key of the fleet's operator.
 func (f *Fleet) OperatorKey() string { return operatorKey }
 
-// configure applies the live configuration and waits until it is in force.
+// configure applies the live configuration and waits until it is in force on all
+// running daemons.
 func (f *Fleet) configure(ctx context.Context) error {
 	client, err := f.Operator()
 	if err != nil {
@@ -33,7 +34,8 @@
 	if err != nil {
 		return err
 	}
-	// One id for all tries, so that a lost reply does no harm.
+	// All retries use the same id, so that a change whose reply was lost is not
+	// applied twice.
 	request := opapi.ChangeRequest{ID: ulid.Make().String(), Author: "fleet", Ops: ops}
 	var accepted opapi.ChangeAnswer
 	if err := poll(ctx, func() error {
@@ -45,8 +47,8 @@
 	return f.AwaitRevision(ctx, accepted.Revision)
 }
 
-// AwaitRevision waits until every daemon that runs takes requests and has a
-// revision.
+// AwaitRevision waits until every running daemon has the revision or a later one
+// and is ready for requests.
 func (f *Fleet) AwaitRevision(ctx context.Context, revision uint64) error {
 	callers := f.CallerAddresses()
 	for i, address := range f.OperatorAddresses() {
@@ -91,7 +93,8 @@
 	return nil
 }
 
-// poll repeats a step until it succeeds or ctx ends.
+// poll repeats a step until it succeeds, or until ctx ends; it then returns the
+// step's last error.
 func poll(ctx context.Context, step func() error) error {
 	for {
 		err := step()
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -14,19 +14,20 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// Places is the number of places for daemons, whether or not one runs there.
+// Places returns the number of members, with or without a running daemon.
 func (f *Fleet) Places() int { return len(f.members) }
 
-// Place finds the place of a daemon by its name; -1 if there is none.
+// Place returns the index of the member with a name, or -1 if there is none.
 func (f *Fleet) Place(name id.Daemon) int {
 	return slices.IndexFunc(f.members, func(m *member) bool { return m.name == name })
 }
 
-// Domain is the failure domain of a place.
+// Domain returns the failure domain of member i.
 func (f *Fleet) Domain(i int) id.Domain { return f.members[i].domain }
 
-// Owner is the place whose daemon schedules a pool, by the rule that all
-// daemons follow, once they know which of them run; -1 if none runs.
+// Owner returns the index of the member whose daemon schedules a pool, or -1 if no
+// daemon runs. It applies the rule that all daemons apply to the set of running
+// daemons, so it holds once they agree on that set.
 func (f *Fleet) Owner(pool id.Pool) int {
 	var running []id.Daemon
 	for i, m := range f.members {
@@ -40,14 +41,14 @@
 	return f.Place(rendezvous.Owner(string(pool), running))
 }
 
-// Hosts is the true host list: the daemons that run.
+// Hosts returns the true host list, that of the running daemons.
 func (f *Fleet) Hosts() []wire.Host { return f.hosts() }
 
-// SetHosts makes the platform's host list say something else than the truth.
+// SetHosts replaces the platform's host list, for example by a wrong one.
 func (f *Fleet) SetHosts(hosts []wire.Host) { f.Platform().Hosts.Set(hosts) }
 
-// Label sets labels on an item, as an operator does; an empty value removes
-// one. It returns the revision of the change.
+// Label sets labels on an item, as an operator does; an empty value removes a label.
+// It returns the revision of the change.
 func (f *Fleet) Label(ctx context.Context, kind live.Kind, name string, labels live.Labels) (uint64, error) {
 	client, err := f.Operator()
 	if err != nil {
@@ -63,7 +64,8 @@
 	return answer.Revision, nil
 }
 
-// Violations is how many invariants the daemons that run have seen broken.
+// Violations returns the number of invariant violations that the running daemons
+// have detected.
 func (f *Fleet) Violations() uint64 {
 	var n uint64
 	for i := range f.members {
@@ -74,7 +76,7 @@
 	return n
 }
 
-// EngineAddresses are where the model engines listen.
+// EngineAddresses returns the addresses of the model engines.
 func (f *Fleet) EngineAddresses() []string {
 	var out []string
 	for _, p := range f.platforms {
@@ -85,7 +87,7 @@
 	return out
 }
 
-// Decoded tells how often the engines began to write each attempt.
+// Decoded returns how often the engines started to decode each attempt.
 func (f *Fleet) Decoded() map[string]int {
 	runs := map[string]int{}
 	for _, p := range f.platforms {
--- a/cmd/internal/fleet/counters.go
+++ b/cmd/internal/fleet/counters.go
@@ -1,19 +1,20 @@
 package fleet
 
-// Work sums up the prefill work of a fleet's engines.
+// Work holds sums of the counters of a fleet's engines.
 type Work struct {
 	PrefillTokens int64 `json:"prefill_tokens"`
 	WastedTokens  int64 `json:"wasted_tokens"`
-	// RanTwice counts decodes of a request that an engine had decoded before.
+	// RanTwice counts decodes of a request that the same engine had decoded before.
 	RanTwice int64 `json:"ran_twice"`
-	// HeldAfterCancel counts decode slots that cancelled requests hold now.
+	// HeldAfterCancel is the number of decode slots that cancelled requests hold now.
 	HeldAfterCancel int `json:"held_after_cancel"`
-	// Running and KVHeld are what engines hold now.
+	// Running and KVHeld are the numbers of requests and KV caches that the engines
+	// hold now.
 	Running int `json:"running"`
 	KVHeld  int `json:"kv_held"`
 }
 
-// Work returns the sums so far.
+// Work returns the current sums.
 func (f *Fleet) Work() Work {
 	var w Work
 	for _, p := range f.platforms {
@@ -30,7 +31,8 @@
 	return w
 }
 
-// Since returns the work done after an earlier sum.
+// Since returns the sums with the counts of an earlier snapshot subtracted; the
+// numbers held now stay as they are.
 func (w Work) Since(earlier Work) Work {
 	w.PrefillTokens -= earlier.PrefillTokens
 	w.WastedTokens -= earlier.WastedTokens
@@ -38,7 +40,7 @@
 	return w
 }
 
-// WastedShare is the share of the prefill work that was wasted, 0 to 1.
+// WastedShare returns the share of the prefill tokens that were wasted, 0 to 1.
 func (w Work) WastedShare() float64 {
 	if w.PrefillTokens == 0 {
 		return 0
@@ -46,7 +48,7 @@
 	return float64(w.WastedTokens) / float64(w.PrefillTokens)
 }
 
-// PlainRuns tells how often the plain services ran each idempotency key.
+// PlainRuns returns how often the plain services ran each idempotency key.
 func (f *Fleet) PlainRuns() map[string]int {
 	runs := map[string]int{}
 	for _, p := range f.platforms {
--- a/cmd/internal/fleet/fleet.go
+++ b/cmd/internal/fleet/fleet.go
@@ -29,8 +29,8 @@
 	members []*member
 }
 
-// Start starts the stand-ins and the daemons, applies the live configuration
-// and returns once every daemon takes requests with it.
+// Start starts the stand-ins and the daemons, applies the live configuration and
+// waits until it is in force and every daemon is ready for requests.
 func Start(ctx context.Context, config Config) (*Fleet, error) {
 	if config.Daemons == 0 {
 		config.Daemons = 1
@@ -62,7 +62,7 @@
 	return f.configure(ctx)
 }
 
-// makeMembers spreads the daemons over the failure domains of the first site.
+// makeMembers distributes the daemons over the failure domains of the first site.
 func (f *Fleet) makeMembers() {
 	domains := f.config.Sites[0].Domains
 	for i := range f.config.Daemons {
@@ -72,12 +72,12 @@
 	}
 }
 
-// makeKeys makes the authority of the daemons' certificates and draws the
+// makeKeys creates the certificate authority of the daemons and generates the
 // resume secret.
 func (f *Fleet) makeKeys() error {
 	secret := make([]byte, settings.MinSecretBytes)
 	if _, err := rand.Read(secret); err != nil {
-		return eris.Wrap(err, "resume secret")
+		return eris.Wrap(err, "generate the resume secret")
 	}
 	f.secret = hex.EncodeToString(secret)
 	ca, err := keys.NewDevCA(time.Now())
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// hosts is the host list of the daemons that run.
+// hosts returns the host list of the running daemons.
 func (f *Fleet) hosts() []wire.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,10 +112,11 @@
 	return hosts
 }
 
-// Platform is the first site's stand-ins.
+// Platform returns the stand-ins of the first site.
 func (f *Fleet) Platform() *standin.Platform { return f.platforms[0] }
 
-// Inject sets faults of a stand-in of any site.
+// Inject sets a fault of a stand-in of any site: the first site that has the target
+// applies it.
 func (f *Fleet) Inject(fault wire.Fault) error {
 	var last error
 	for _, p := range f.platforms {
@@ -126,12 +127,14 @@
 	return last
 }
 
-// CallerAddresses are where the daemons that run listen for callers.
+// CallerAddresses returns the addresses on which the running daemons listen for
+// callers.
 func (f *Fleet) CallerAddresses() []string {
 	return f.addresses((*app.Daemon).CallerAddr)
 }
 
-// OperatorAddresses are where the daemons that run listen for operators.
+// OperatorAddresses returns the addresses on which the running daemons listen for
+// operators.
 func (f *Fleet) OperatorAddresses() []string {
 	return f.addresses((*app.Daemon).OperatorAddr)
 }
@@ -148,7 +151,7 @@
 	return out
 }
 
-// Close kills the daemons and ends the stand-ins.
+// Close kills the daemons, frees their addresses and closes the stand-ins.
 func (f *Fleet) Close() {
 	for i := range f.members {
 		f.Kill(i)
--- a/cmd/internal/fleet/fleet_test.go
+++ b/cmd/internal/fleet/fleet_test.go
@@ -11,7 +11,8 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// testProfile has short prompts, so that a slow run of the tests answers too.
+// testProfile returns a profile with short prompts, so that requests are answered
+// also when the tests run slowly.
 func testProfile() load.Profile {
 	p := load.Bunker()
 	p.MeanPromptTokens = 200
@@ -21,7 +22,8 @@
 	return p
 }
 
-// send sends requests with patience enough for any speed.
+// send sends 20 requests with enough attempts and time that a slow run of the tests
+// answers them all.
 func send(t *testing.T, f *Fleet, seed uint64) *load.Result {
 	t.Helper()
 	res, err := load.Run(context.Background(), load.Spec{
@@ -38,8 +40,8 @@
 	return res
 }
 
-// TestFleetAnswersBesideADeadDaemon guards against requests that end without an
-// answer though their callers come back as advised, around the death of a daemon.
+// Requests must not end unanswered around the death of a daemon if their callers
+// retry as advised.
 func TestFleetAnswersAfterDaemonDeath(t *testing.T) {
 	is := is.New(t)
 	f, err := Start(context.Background(), Config{
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -12,21 +12,23 @@
 	"github.com/samphirequay/samphirequay/daemon/settings"
 )
 
-// anyPort takes a free port of the loopback interface. Ports are taken by
-// binding, never found beforehand, so that fleets may start side by side.
+// anyPort requests a free port of the loopback interface. Ports are assigned by
+// binding and never searched for in advance, so that several fleets may start at the
+// same time.
 const anyPort = "127.0.0.1:0"
 
-// member is one place in the fleet and the daemon that runs there, if one does.
+// member is one member of the fleet with its daemon, which is nil while none runs.
 type member struct {
 	name   id.Daemon
 	domain id.Domain
 	daemon *app.Daemon
-	// addresses are those that the place's daemons listened at for callers and
-	// operators, the one that runs and the ones before it.
+	// addresses are the addresses for callers and operators of the member's current
+	// and former daemons.
 	addresses []*address
 }
 
-// listen takes addresses for the place's next daemon.
+// listen reserves addresses for the member's next daemon and returns its listen
+// settings.
 func (m *member) listen() (settings.Listen, error) {
 	l := settings.Listen{Peers: anyPort, Debug: anyPort}
 	for _, at := range []*string{&l.Callers, &l.Operators} {
@@ -40,7 +42,7 @@
 	return l, nil
 }
 
-// release gives the place's addresses back.
+// release frees the member's addresses.
 func (m *member) release() {
 	for _, a := range m.addresses {
 		a.release()
@@ -48,8 +50,8 @@
 	m.addresses = nil
 }
 
-// startMember starts a daemon at a place. Its seeds are the daemons that run;
-// those that start later find it by theirs.
+// startMember starts the daemon of a member. Its seed peers are the running daemons;
+// daemons that start later have it among their own seed peers.
 func (f *Fleet) startMember(m *member) error {
 	s := f.settings(m)
 	var err error
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// settings are the start-up settings of a daemon.
+// settings returns the start-up settings of a member's daemon.
 func (f *Fleet) settings(m *member) *settings.Settings {
 	s := settings.Defaults()
 	s.Daemon = m.name
@@ -101,14 +103,14 @@
 	return s
 }
 
-// Daemon is the daemon at a place, or nil.
+// Daemon returns the daemon of member i, or nil if none runs.
 func (f *Fleet) Daemon(i int) *app.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members[i].daemon
 }
 
-// take returns the daemon at a place and leaves the place empty.
+// detachDaemon removes the daemon from member i and returns it.
 func (f *Fleet) detachDaemon(i int) *app.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,33 +119,33 @@
 	return daemon
 }
 
-// Kill ends a daemon abruptly, as a process that dies does.
+// Kill ends the daemon of member i abruptly, like a process that is killed.
 func (f *Fleet) Kill(i int) {
 	if daemon := f.detachDaemon(i); daemon != nil {
 		daemon.Kill()
 	}
 }
 
-// Stop ends a daemon by a planned stop.
+// Stop ends the daemon of member i by a planned stop.
 func (f *Fleet) Stop(ctx context.Context, i int) error {
 	daemon := f.detachDaemon(i)
 	if daemon == nil {
-		return eris.Errorf("no daemon runs at place %d", i)
+		return eris.Errorf("member %d has no running daemon", i)
 	}
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	return daemon.Stop(ctx)
 }
 
-// Replace starts a new daemon with the same name, on sockets of its own, where
-// one was killed or stopped, and corrects the host list.
+// Replace starts a new daemon of member i with the same name on new sockets, after
+// the former one was killed or stopped, and updates the host list.
 func (f *Fleet) Replace(i int) error {
 	f.mu.Lock()
 	m := f.members[i]
 	taken := m.daemon != nil
 	f.mu.Unlock()
 	if taken {
-		return eris.Errorf("a daemon runs at place %d", i)
+		return eris.Errorf("member %d has a running daemon already", i)
 	}
 	if err := f.startMember(m); err != nil {
 		return err
