--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -29,7 +29,7 @@
 
 // listen reserves addresses for the member's next daemon and returns its listen
 // settings.
-func (m *member) listen() (settings.Listen, error) {
+func (m *member) reserveAddresses() (settings.Listen, error) {
 	l := settings.Listen{Peers: anyPort, Debug: anyPort}
 	for _, at := range []*string{&l.Callers, &l.Operators} {
 		a, err := reserveAddress()
@@ -55,7 +55,7 @@
 func (f *Fleet) startMember(m *member) error {
 	s := f.settings(m)
 	var err error
-	if s.Listen, err = m.listen(); err != nil {
+	if s.Listen, err = m.reserveAddresses(); err != nil {
 		return err
 	}
 	if f.config.Tune != nil {
