--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -44,7 +44,7 @@
 	out.Routes = routes(requests)
 	out.Reasons = countReasons(b.attempts)
 	out.Vain = b.wastedByCause(out.From, out.To)
-	out.Seconds = b.seconds(out.From, requests)
+	out.Seconds = b.countBySecond(out.From, requests)
 	out.Pools = b.poolStates(out.From, out.To)
 	return out, nil
 }
@@ -242,7 +242,7 @@
 }
 
 // seconds counts the requests by the second of their first arrival.
-func (b *builder) seconds(from time.Time, requests []request) []Second {
+func (b *builder) countBySecond(from time.Time, requests []request) []Second {
 	type key struct {
 		at   int
 		kind string
