--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -41,7 +41,7 @@
 		}
 	}
 	requests := groupAttempts(b.attempts)
-	out.Routes = routes(requests)
+	out.Routes = summarizeRoutes(requests)
 	out.Reasons = countReasons(b.attempts)
 	out.Vain = b.wastedByCause(out.From, out.To)
 	out.Seconds = b.countBySecond(out.From, requests)
@@ -116,7 +116,7 @@
 }
 
 // routes summarizes the requests by route.
-func routes(requests []request) []Route {
+func summarizeRoutes(requests []request) []Route {
 	byName := map[string][]request{}
 	for _, r := range requests {
 		name := r.first().route
