--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -60,7 +60,7 @@
 
 // builder collects the data of an account from log lines.
 type builder struct {
-	options  Options
+	span     Options
 	attempts []*attempt
 	// retries is the time that each attempt spent on failed attempts at endpoints,
 	// by its id.
@@ -89,7 +89,7 @@
 }
 
 func newBuilder(o Options) *builder {
-	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*daemonTimes{}}
+	return &builder{span: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*daemonTimes{}}
 }
 
 // addLine evaluates one line. A line with fields that can't be parsed counts as
@@ -160,7 +160,7 @@
 }
 
 func (b *builder) inSpan(at time.Time) bool {
-	return (b.options.From.IsZero() || !at.Before(b.options.From)) && (b.options.To.IsZero() || at.Before(b.options.To))
+	return (b.span.From.IsZero() || !at.Before(b.span.From)) && (b.span.To.IsZero() || at.Before(b.span.To))
 }
 
 // addFailure evaluates a failed attempt at an endpoint. The prompt of an abandoned
