--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -33,10 +33,10 @@
 		b.daemons[l.Daemon] = d
 	}
 	if l.Event == eventStarted {
-		d.started = later(d.started, l.At)
+		d.started = laterOf(d.started, l.At)
 	}
-	d.last = later(d.last, l.At)
-	b.last = later(b.last, l.At)
+	d.last = laterOf(d.last, l.At)
+	b.last = laterOf(b.last, l.At)
 }
 
 // missingEndReason returns the likely reason why the end of an attempt is not
@@ -53,7 +53,7 @@
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
