--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -20,12 +20,12 @@
 	Took string
 	// HasBefore reports whether the previous run has a report of the experiment.
 	HasBefore bool
-	Rows      []line
+	Rows      []row
 	Plots     []plot
 }
 
 // line is one line of a report, field by field.
-type line []field
+type row []field
 
 // field is one key=value pair, or a word, with its previous value.
 type field struct {
@@ -73,9 +73,9 @@
 // pairLines pairs each line with the previous run's line about the same
 // configuration: the unused line with the longest common prefix of fields, which
 // is at least one field.
-func pairLines(now, before []string) []line {
+func pairLines(now, before []string) []row {
 	used := make([]bool, len(before))
-	lines := make([]line, 0, len(now))
+	lines := make([]row, 0, len(now))
 	for _, text := range now {
 		best, longest := -1, 0
 		for i, other := range before {
@@ -103,13 +103,13 @@
 	return n
 }
 
-func newLine(text, before string) line {
+func newLine(text, before string) row {
 	earlier := make(map[string]string)
 	for _, f := range strings.Fields(before) {
 		key, value, _ := strings.Cut(f, "=")
 		earlier[key] = value
 	}
-	var l line
+	var l row
 	for _, f := range strings.Fields(text) {
 		key, value, _ := strings.Cut(f, "=")
 		next := field{Key: key, Value: value}
