--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -84,11 +84,11 @@
 			}
 		}
 		if best < 0 {
-			lines = append(lines, newLine(text, ""))
+			lines = append(lines, newRow(text, ""))
 			continue
 		}
 		used[best] = true
-		lines = append(lines, newLine(text, before[best]))
+		lines = append(lines, newRow(text, before[best]))
 	}
 	return lines
 }
@@ -103,7 +103,7 @@
 	return n
 }
 
-func newLine(text, before string) row {
+func newRow(text, before string) row {
 	earlier := make(map[string]string)
 	for _, f := range strings.Fields(before) {
 		key, value, _ := strings.Cut(f, "=")
