--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -52,7 +52,7 @@
 	if before == nil {
 		before = &experiment.Report{}
 	}
-	s.Rows = pairLines(outcome.Lines, before.Lines)
+	s.Rows = pairRows(outcome.Lines, before.Lines)
 	if outcome.Report == nil {
 		return s
 	}
@@ -73,7 +73,7 @@
 // pairLines pairs each line with the previous run's line about the same
 // configuration: the unused line with the longest common prefix of fields, which
 // is at least one field.
-func pairLines(now, before []string) []row {
+func pairRows(now, before []string) []row {
 	used := make([]bool, len(before))
 	lines := make([]row, 0, len(now))
 	for _, text := range now {
--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -101,7 +101,7 @@
 
 func TestLinesOfTheSameRunArePaired(t *testing.T) {
 	is := is.New(t)
-	lines := pairLines(
+	lines := pairRows(
 		[]string{"policy=a load=0.7 goodput=5", "policy=b load=0.7 goodput=6", "policy=c goodput=7"},
 		[]string{"policy=b load=0.9 goodput=1", "policy=b load=0.7 goodput=2", "policy=a load=0.7 goodput=3"},
 	)
