--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -99,7 +99,7 @@
 	is.True(strings.Contains(page, `src="tiny-goodput.svg"`))
 }
 
-func TestLinesOfTheSameRunArePaired(t *testing.T) {
+func TestLinesWithTheSameConfigurationArePaired(t *testing.T) {
 	is := is.New(t)
 	lines := pairRows(
 		[]string{"policy=a load=0.7 goodput=5", "policy=b load=0.7 goodput=6", "policy=c goodput=7"},
