--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -68,14 +68,14 @@
 // fingerprint after an unanswered one belongs to the same request.
 func groupAttempts(attempts []*attempt) []request {
 	var out []request
-	open := map[string]int{}
+	latest := map[string]int{} // index of the latest request by route and fingerprint
 	for _, a := range attempts {
 		key := a.route + " " + a.fingerprint
-		if i, ok := open[key]; ok && a.fingerprint != "" && isRetry(out[i], a) {
+		if i, ok := latest[key]; ok && a.fingerprint != "" && isRetry(out[i], a) {
 			out[i] = append(out[i], a)
 			continue
 		}
-		open[key] = len(out)
+		latest[key] = len(out)
 		out = append(out, request{a})
 	}
 	return out
@@ -115,7 +115,7 @@
 	}
 }
 
-// routes summarizes the requests by route.
+// summarizeRoutes summarizes the requests by route, sorted by name.
 func summarizeRoutes(requests []request) []Route {
 	byName := map[string][]request{}
 	for _, r := range requests {
@@ -241,7 +241,7 @@
 	})
 }
 
-// seconds counts the requests by the second of their first arrival.
+// countBySecond counts the requests by the second of their first arrival.
 func (b *builder) countBySecond(from time.Time, requests []request) []Second {
 	type key struct {
 		at   int
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -27,7 +27,7 @@
 	addresses []*address
 }
 
-// listen reserves addresses for the member's next daemon and returns its listen
+// reserveAddresses reserves addresses for the member's next daemon and returns its listen
 // settings.
 func (m *member) reserveAddresses() (settings.Listen, error) {
 	l := settings.Listen{Peers: anyPort, Debug: anyPort}
--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -24,7 +24,7 @@
 	Plots     []plot
 }
 
-// line is one line of a report, field by field.
+// row is one line of a report, field by field.
 type row []field
 
 // field is one key=value pair, or a word, with its previous value.
@@ -56,13 +56,13 @@
 	if outcome.Report == nil {
 		return s
 	}
-	earlier := make(map[string]bool)
+	previousFigures := make(map[string]bool)
 	for _, f := range before.Figures {
-		earlier[f.Name] = true
+		previousFigures[f.Name] = true
 	}
 	for _, f := range outcome.Report.Figures {
 		next := plot{Title: f.Title, Now: f.Name + ".svg"}
-		if earlier[f.Name] {
+		if previousFigures[f.Name] {
 			next.Before = fmt.Sprintf("%s/%s.svg", previousFolder, f.Name)
 		}
 		s.Plots = append(s.Plots, next)
@@ -70,12 +70,12 @@
 	return s
 }
 
-// pairLines pairs each line with the previous run's line about the same
+// pairRows pairs each line with the previous run's line about the same
 // configuration: the unused line with the longest common prefix of fields, which
 // is at least one field.
 func pairRows(now, before []string) []row {
 	used := make([]bool, len(before))
-	lines := make([]row, 0, len(now))
+	rows := make([]row, 0, len(now))
 	for _, text := range now {
 		best, longest := -1, 0
 		for i, other := range before {
@@ -84,13 +84,13 @@
 			}
 		}
 		if best < 0 {
-			lines = append(lines, newRow(text, ""))
+			rows = append(rows, newRow(text, ""))
 			continue
 		}
 		used[best] = true
-		lines = append(lines, newRow(text, before[best]))
+		rows = append(rows, newRow(text, before[best]))
 	}
-	return lines
+	return rows
 }
 
 // commonPrefixFields returns the number of fields in the common prefix of two lines.
@@ -104,19 +104,19 @@
 }
 
 func newRow(text, before string) row {
-	earlier := make(map[string]string)
+	previousValues := make(map[string]string)
 	for _, f := range strings.Fields(before) {
 		key, value, _ := strings.Cut(f, "=")
-		earlier[key] = value
+		previousValues[key] = value
 	}
-	var l row
+	var r row
 	for _, f := range strings.Fields(text) {
 		key, value, _ := strings.Cut(f, "=")
 		next := field{Key: key, Value: value}
-		if old := earlier[key]; old != value {
+		if old := previousValues[key]; old != value {
 			next.Before = old
 		}
-		l = append(l, next)
+		r = append(r, next)
 	}
-	return l
+	return r
 }
