--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -74,9 +74,9 @@
 	// Return is the time from a request's first arrival to the arrival of the
 	// retry that was answered.
 	Return float64 `json:"return_ms"`
-	// Queue is the time in the queue for engines, Prefill that of the prefill,
-	// Retries that of the daemon's failed attempts at endpoints, Rest that of the
-	// transfer and the first event, or of the plain call itself.
+	// Queue is the time in the queue for engines, Prefill the prefill time, Retries
+	// the time of the daemon's failed attempts at endpoints, Rest the time of the
+	// transfer and the first event, or of the plain call.
 	Queue   float64 `json:"queue_ms"`
 	Prefill float64 `json:"prefill_ms"`
 	Retries float64 `json:"retries_ms"`
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -27,8 +27,8 @@
 	addresses []*address
 }
 
-// reserveAddresses reserves addresses for the member's next daemon and returns its listen
-// settings.
+// reserveAddresses reserves addresses for the member's next daemon and returns its
+// listen settings.
 func (m *member) reserveAddresses() (settings.Listen, error) {
 	l := settings.Listen{Peers: anyPort, Debug: anyPort}
 	for _, at := range []*string{&l.Callers, &l.Operators} {
