--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// Events that an account is made of.
+// Log events that an account evaluates.
 const (
 	eventRequest   = "request"
 	eventGranted   = "granted"
@@ -20,13 +20,13 @@
 	eventStarted   = "daemon_started"
 )
 
-// Words of the fields.
+// Values of log fields.
 const (
-	outcomeAnswered = "answered"
-	outcomeLeft     = "caller_gone"
-	// outcomeTeamLimit is that of a request beyond its team's limit.
+	outcomeAnswered   = "answered"
+	outcomeCallerGone = "caller_gone"
+	// outcomeTeamLimit is the outcome of a request beyond its team's limit.
 	outcomeTeamLimit = "team_limit"
-	// outcomeNoEnd is the account's own word for an end that is not logged.
+	// outcomeNoEnd stands for an end that is not logged; daemons never log it.
 	outcomeNoEnd  = "no_end"
 	verdictNotRun = "not-run"
 	stepPrefill   = "prefill"
@@ -34,47 +34,50 @@
 	kindStream    = "stream"
 )
 
-// ErrNothing says that the logs hold no request.
-var ErrNothing = errors.New("no line tells of the end of a request on a route: these are no daemons' logs, or the span of time holds none")
+// ErrNoRequests means that the logs hold no end of a request on a route within the
+// span.
+var ErrNoRequests = errors.New("no line tells of the end of a request on a route: these are no daemons' logs, or the span of time holds none")
 
-// attempt is one attempt of a caller, as its daemon logged its end.
+// attempt is one attempt of a caller as its daemon logged it.
 type attempt struct {
 	id, route, service, kind string
 	daemon                   string
 	team                     string
-	print                    string
+	fingerprint              string
 	arrived                  time.Time
 	took                     time.Duration
 	target                   time.Duration
-	// answer is when the answer came, behind the arrival: of a stream its first
-	// event.
-	answer       time.Duration
-	queue, read  time.Duration
-	outcome      string
-	reason       string
-	notRun       bool
-	inTime       bool
-	failedBefore time.Duration
-}
-
-// builder gathers lines.
+	// timeToAnswer is the time from the arrival to the answer, or to the first event
+	// of a stream.
+	timeToAnswer           time.Duration
+	queueTime, prefillTime time.Duration
+	outcome                string
+	reason                 string
+	notRun                 bool
+	inTime                 bool
+	failedTime             time.Duration
+}
+
+// builder collects the data of an account from log lines.
 type builder struct {
-	options  Options
+	span     Options
 	attempts []*attempt
-	// retries is the time of the failed sendings of each attempt, by its id.
+	// retries is the time that each attempt spent on failed attempts at endpoints,
+	// by its id.
 	retries map[string]time.Duration
-	// granted are the attempts that were given engines, by their id.
-	granted map[string]*attempt
-	vain    []vainRead
-	pools   []poolLine
-	bad     int
-	// lives are the daemons that logged, by name; last is the newest line.
-	lives map[string]*life
-	last  time.Time
-}
-
-// vainRead is one prompt that was read in vain.
-type vainRead struct {
+	// granted holds the attempts that were granted engines, by their id.
+	granted    map[string]*attempt
+	wasted     []wastedPrompt
+	pools      []poolLine
+	unreadable int
+	// daemons holds the daemons that logged, by name; last is the time of the newest
+	// line.
+	daemons map[string]*daemonTimes
+	last    time.Time
+}
+
+// wastedPrompt is one prompt whose prefill was of no use.
+type wastedPrompt struct {
 	at     time.Time
 	cause  string
 	tokens int
@@ -86,102 +89,104 @@
 }
 
 func newBuilder(o Options) *builder {
-	return &builder{options: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, lives: map[string]*life{}}
+	return &builder{span: o, retries: map[string]time.Duration{}, granted: map[string]*attempt{}, daemons: map[string]*daemonTimes{}}
 }
 
-// take reads one line. One whose fields can't be read counts as unreadable.
-func (b *builder) take(l *logstory.Line) {
+// addLine evaluates one line. A line with fields that can't be parsed counts as
+// unreadable.
+func (b *builder) addLine(l *logstory.Line) {
 	f := fields{values: l.Fields}
-	b.seen(l)
+	b.recordDaemon(l)
 	switch l.Event {
 	case eventRequest:
-		b.request(l, &f)
+		b.addAttempt(l, &f)
 	case eventGranted:
-		b.given(l, &f)
+		b.addGrant(l, &f)
 	case eventFailed:
-		b.failed(l, &f)
+		b.addFailure(l, &f)
 	case eventWasted:
-		b.vain = append(b.vain, vainRead{at: l.At, cause: "no decode: " + f.text("code"), tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "no decode: " + f.text("code"), tokens: f.number("tokens")})
 	case eventResumed:
-		b.vain = append(b.vain, vainRead{at: l.At, cause: "read again for a stream that broke", tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: "prefill repeated for a resumed stream", tokens: f.number("tokens")})
 	case eventPoolState:
-		b.poolState(l, &f)
+		b.addPoolState(l, &f)
 	}
 	if f.err != nil {
-		b.bad++
+		b.unreadable++
 	}
 }
 
-// given takes an attempt that was given engines: it stands in for one whose end
-// is not logged.
-func (b *builder) given(l *logstory.Line, f *fields) {
+// addGrant adds an attempt that was granted engines. It is used if the end of the
+// attempt is not logged.
+func (b *builder) addGrant(l *logstory.Line, f *fields) {
 	id := f.text("request")
-	if b.granted[id] != nil || f.text("route") == "" || !b.within(l.At) {
+	if b.granted[id] != nil || f.text("route") == "" || !b.inSpan(l.At) {
 		return
 	}
 	b.granted[id] = &attempt{
-		id: id, route: f.text("route"), kind: kindStream, print: f.text("print"), arrived: l.At, outcome: outcomeNoEnd,
+		id: id, route: f.text("route"), kind: kindStream, fingerprint: f.text("print"), arrived: l.At, outcome: outcomeNoEnd,
 		daemon: l.Daemon,
 	}
 }
 
-func (b *builder) request(l *logstory.Line, f *fields) {
+func (b *builder) addAttempt(l *logstory.Line, f *fields) {
 	if f.text("route") == "" {
 		return
 	}
 	a := &attempt{
-		id:      f.text("request"),
-		route:   f.text("route"),
-		service: f.text("service"),
-		kind:    f.text("kind"),
-		print:   f.text("print"),
-		took:    f.duration("took"),
-		target:  f.duration("target"),
-		outcome: f.text("outcome"),
-		reason:  f.text("reason"),
-		team:    f.text("team"),
-		notRun:  f.text("verdict") == verdictNotRun,
-		inTime:  f.text("in_time") == "true",
-		queue:   f.optional("waited"),
-		read:    f.optional("read"),
+		id:          f.text("request"),
+		route:       f.text("route"),
+		service:     f.text("service"),
+		kind:        f.text("kind"),
+		fingerprint: f.text("print"),
+		took:        f.duration("took"),
+		target:      f.duration("target"),
+		outcome:     f.text("outcome"),
+		reason:      f.text("reason"),
+		team:        f.text("team"),
+		notRun:      f.text("verdict") == verdictNotRun,
+		inTime:      f.text("in_time") == "true",
+		queueTime:   f.optional("waited"),
+		prefillTime: f.optional("read"),
 	}
 	a.arrived = l.At.Add(-a.took)
-	a.answer = a.took
+	a.timeToAnswer = a.took
 	if first := f.optional("first"); first > 0 {
-		a.answer = first
+		a.timeToAnswer = first
 	}
-	if f.err == nil && b.within(a.arrived) {
+	if f.err == nil && b.inSpan(a.arrived) {
 		b.attempts = append(b.attempts, a)
 	}
 }
 
-func (b *builder) within(at time.Time) bool {
-	return (b.options.From.IsZero() || !at.Before(b.options.From)) && (b.options.To.IsZero() || at.Before(b.options.To))
+func (b *builder) inSpan(at time.Time) bool {
+	return (b.span.From.IsZero() || !at.Before(b.span.From)) && (b.span.To.IsZero() || at.Before(b.span.To))
 }
 
-// failed takes a failed sending. A prefill that was given up may have been read
-// all the same, and the KV cache that a decode took is gone with it; a decode that
-// has not run left it to another one.
-func (b *builder) failed(l *logstory.Line, f *fields) {
+// addFailure evaluates a failed attempt at an endpoint. The prompt of an abandoned
+// prefill counts as wasted, since the engine may have processed it. A decode that
+// may have run loses the KV cache that it received; one that has not run leaves the
+// cache to another decode engine.
+func (b *builder) addFailure(l *logstory.Line, f *fields) {
 	b.retries[f.text("request")] += f.duration("took")
 	code := f.text("code")
 	cause := ""
 	switch f.text("step") {
 	case stepPrefill:
-		if code == "deadline" || code == outcomeLeft {
-			cause = "prefill given up: " + code
+		if code == "deadline" || code == outcomeCallerGone {
+			cause = "prefill abandoned: " + code
 		}
 	case stepDecode:
 		if f.text("verdict") != verdictNotRun {
-			cause = "decode broke: " + code
+			cause = "decode failed: " + code
 		}
 	}
 	if cause != "" {
-		b.vain = append(b.vain, vainRead{at: l.At, cause: cause, tokens: f.number("tokens")})
+		b.wasted = append(b.wasted, wastedPrompt{at: l.At, cause: cause, tokens: f.number("tokens")})
 	}
 }
 
-func (b *builder) poolState(l *logstory.Line, f *fields) {
+func (b *builder) addPoolState(l *logstory.Line, f *fields) {
 	p := Pool{
 		Pool:     f.text("pool"),
 		Prefills: f.number("prefills"),
@@ -196,7 +201,7 @@
 	b.pools = append(b.pools, poolLine{at: l.At, pool: p})
 }
 
-// fields reads a line's fields and keeps the first error.
+// fields parses a line's fields and keeps the first error.
 type fields struct {
 	values map[string]string
 	err    error
@@ -204,7 +209,7 @@
 
 func (f *fields) text(key string) string { return f.values[key] }
 
-func (f *fields) fail(key string, err error) {
+func (f *fields) setError(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
 	}
@@ -213,12 +218,12 @@
 func (f *fields) duration(key string) time.Duration {
 	d, err := time.ParseDuration(f.values[key])
 	if err != nil {
-		f.fail(key, err)
+		f.setError(key, err)
 	}
 	return d
 }
 
-// optional reads a duration that need not be there.
+// optional parses a duration; a missing field counts as 0.
 func (f *fields) optional(key string) time.Duration {
 	if f.values[key] == "" {
 		return 0
@@ -229,7 +234,7 @@
 func (f *fields) number(key string) int {
 	n, err := strconv.Atoi(f.values[key])
 	if err != nil {
-		f.fail(key, err)
+		f.setError(key, err)
 	}
 	return n
 }
--- a/cmd/internal/report/page.go
+++ b/cmd/internal/report/page.go
@@ -8,36 +8,37 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/experiment"
 )
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Run, Before *Run
 	Sections    []section
 }
 
-// section is about one experiment.
+// section shows one experiment.
 type section struct {
 	experiment.Outcome
 	Took string
-	// HasBefore tells whether the earlier run has a report of it.
+	// HasBefore reports whether the previous run has a report of the experiment.
 	HasBefore bool
-	Rows      []line
+	Rows      []row
 	Plots     []plot
 }
 
-// line is one line of a report, field by field.
-type line []field
+// row is one line of a report, field by field.
+type row []field
 
-// field is one key=value pair, or a word, with the earlier value.
+// field is one key=value pair, or a word, with its previous value.
 type field struct {
 	Key, Value string
-	// Before is the earlier value where it was another one.
+	// Before is the previous value if it differs.
 	Before string
 }
 
-// plot is one figure; Before is empty if the earlier run has none.
+// plot holds the paths of one figure's images; Before is empty if the previous run
+// has no such figure.
 type plot struct{ Title, Now, Before string }
 
-func newPage(run *Run, before *earlier) *page {
+func newPage(run *Run, before *previousRun) *page {
 	p := &page{Run: run, Before: before.run}
 	for _, outcome := range run.Outcomes {
 		p.Sections = append(p.Sections, newSection(outcome, before.reports[outcome.Name]))
@@ -51,17 +52,17 @@
 	if before == nil {
 		before = &experiment.Report{}
 	}
-	s.Rows = pairLines(outcome.Lines, before.Lines)
+	s.Rows = pairRows(outcome.Lines, before.Lines)
 	if outcome.Report == nil {
 		return s
 	}
-	earlier := make(map[string]bool)
+	previousFigures := make(map[string]bool)
 	for _, f := range before.Figures {
-		earlier[f.Name] = true
+		previousFigures[f.Name] = true
 	}
 	for _, f := range outcome.Report.Figures {
 		next := plot{Title: f.Title, Now: f.Name + ".svg"}
-		if earlier[f.Name] {
+		if previousFigures[f.Name] {
 			next.Before = fmt.Sprintf("%s/%s.svg", previousFolder, f.Name)
 		}
 		s.Plots = append(s.Plots, next)
@@ -69,30 +70,31 @@
 	return s
 }
 
-// pairLines finds for each line the earlier one about the same run: the one
-// that has the most pairs at its start in common, and at least the first.
-func pairLines(now, before []string) []line {
+// pairRows pairs each line with the previous run's line about the same
+// configuration: the unused line with the longest common prefix of fields, which
+// is at least one field.
+func pairRows(now, before []string) []row {
 	used := make([]bool, len(before))
-	lines := make([]line, 0, len(now))
+	rows := make([]row, 0, len(now))
 	for _, text := range now {
-		best, most := -1, 0
+		best, longest := -1, 0
 		for i, other := range before {
-			if n := commonStart(text, other); !used[i] && n > most {
-				best, most = i, n
+			if n := commonPrefixFields(text, other); !used[i] && n > longest {
+				best, longest = i, n
 			}
 		}
 		if best < 0 {
-			lines = append(lines, newLine(text, ""))
+			rows = append(rows, newRow(text, ""))
 			continue
 		}
 		used[best] = true
-		lines = append(lines, newLine(text, before[best]))
+		rows = append(rows, newRow(text, before[best]))
 	}
-	return lines
+	return rows
 }
 
-// commonStart counts the fields that two lines have in common at their starts.
-func commonStart(a, b string) int {
+// commonPrefixFields returns the number of fields in the common prefix of two lines.
+func commonPrefixFields(a, b string) int {
 	fields, others := strings.Fields(a), strings.Fields(b)
 	n := 0
 	for n < len(fields) && n < len(others) && fields[n] == others[n] {
@@ -101,20 +103,20 @@
 	return n
 }
 
-func newLine(text, before string) line {
-	earlier := make(map[string]string)
+func newRow(text, before string) row {
+	previousValues := make(map[string]string)
 	for _, f := range strings.Fields(before) {
 		key, value, _ := strings.Cut(f, "=")
-		earlier[key] = value
+		previousValues[key] = value
 	}
-	var l line
+	var r row
 	for _, f := range strings.Fields(text) {
 		key, value, _ := strings.Cut(f, "=")
 		next := field{Key: key, Value: value}
-		if old := earlier[key]; old != value {
+		if old := previousValues[key]; old != value {
 			next.Before = old
 		}
-		l = append(l, next)
+		r = append(r, next)
 	}
-	return l
+	return r
 }
--- a/cmd/internal/report/report_test.go
+++ b/cmd/internal/report/report_test.go
@@ -16,8 +16,8 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/version"
 )
 
-// runOf runs two tiny experiments, of which the second fails.
-func runOf(goodput string, begun time.Time) *Run {
+// testRun runs two small experiments; the first reports a fault, the second fails.
+func testRun(goodput string, begun time.Time) *Run {
 	tiny := func(_ context.Context, env experiment.Env) (*experiment.Report, error) {
 		return &experiment.Report{
 			Experiment: "tiny", Seed: env.Seed,
@@ -40,24 +40,24 @@
 	parent := t.TempDir()
 	first, second := filepath.Join(parent, "first"), filepath.Join(parent, "second")
 	noon := time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
-	is.NoErr(Write(first, "", runOf("20", noon)))
+	is.NoErr(Write(first, "", testRun("20", noon)))
 	page := read(t, filepath.Join(first, IndexFile))
-	is.True(strings.Contains(page, "The previous run has no report of it."))
+	is.True(strings.Contains(page, "The previous run has no report of this experiment."))
 	is.True(!strings.Contains(page, "previous/"))
 
-	is.NoErr(os.Mkdir(filepath.Join(parent, "other"), 0o755)) // holds no run
+	is.NoErr(os.Mkdir(filepath.Join(parent, "other"), 0o755)) // contains no run
 	previous, err := Latest(second)
 	is.NoErr(err)
 	is.Equal(filepath.Base(previous), "first")
-	run := runOf("30", noon.Add(time.Hour))
+	run := testRun("30", noon.Add(time.Hour))
 	is.Equal(run.Failed(), 2)
 	is.NoErr(Write(second, previous, run))
 	page = read(t, filepath.Join(second, IndexFile))
 	for _, wanted := range []string{
 		"<td>3</td>", "<td>9.9</td>", "<td>abcdef</td>", // seed, version, commit
-		"faults: 1", "one was lost", "no fleet", // what went wrong
+		"faults: 1", "one was lost", "no fleet", // faults and errors
 		`goodput=30 <span class="before">(before 20)</span>`,
-		"policy=naive load=0.7 goodput=1 \n", // unchanged: nothing beside it
+		"policy=naive load=0.7 goodput=1 \n", // unchanged: no previous value
 		"new=&lt;b&gt;",
 		`src="tiny-goodput.svg"`, `src="previous/tiny-goodput.svg"`,
 	} {
@@ -70,15 +70,15 @@
 
 	latest, err := Latest(filepath.Join(parent, "third"))
 	is.NoErr(err)
-	is.Equal(filepath.Base(latest), "second") // the newest of the two
+	is.Equal(filepath.Base(latest), "second") // the newer run
 	latest, err = Latest(second)
 	is.NoErr(err)
-	is.Equal(filepath.Base(latest), "first") // never the run itself
+	is.Equal(filepath.Base(latest), "first") // excludes the run itself
 }
 
-func TestMissingPreviousRunIsTold(t *testing.T) {
+func TestMissingPreviousRunIsAnError(t *testing.T) {
 	is := is.New(t)
-	run := runOf("20", time.Time{})
+	run := testRun("20", time.Time{})
 	is.True(Write(t.TempDir(), filepath.Join(t.TempDir(), "nowhere"), run) != nil)
 	damaged := t.TempDir()
 	is.NoErr(os.WriteFile(filepath.Join(damaged, "tiny.json"), []byte("{"), 0o644))
@@ -87,9 +87,9 @@
 	is.True(strings.Contains(err.Error(), "previous run: tiny.json"))
 }
 
-func TestReportThatCannotBeWrittenLeavesTheOthers(t *testing.T) {
+func TestUnwritableReportKeepsTheOthers(t *testing.T) {
 	is := is.New(t)
-	run := runOf("20", time.Time{})
+	run := testRun("20", time.Time{})
 	run.Outcomes = append(run.Outcomes, experiment.Outcome{Name: "odd", Report: &experiment.Report{Experiment: "odd", Data: math.NaN()}})
 	dir := t.TempDir()
 	is.NoErr(Write(dir, "", run))
@@ -99,9 +99,9 @@
 	is.True(strings.Contains(page, `src="tiny-goodput.svg"`))
 }
 
-func TestLinesOfTheSameRunArePaired(t *testing.T) {
+func TestLinesWithTheSameConfigurationArePaired(t *testing.T) {
 	is := is.New(t)
-	lines := pairLines(
+	lines := pairRows(
 		[]string{"policy=a load=0.7 goodput=5", "policy=b load=0.7 goodput=6", "policy=c goodput=7"},
 		[]string{"policy=b load=0.9 goodput=1", "policy=b load=0.7 goodput=2", "policy=a load=0.7 goodput=3"},
 	)
