--- a/cmd/internal/load/account.go
+++ b/cmd/internal/load/account.go
@@ -15,7 +15,7 @@
 )
 
 // account books the records of a run.
-type account struct {
+type collector struct {
 	spec Spec
 
 	mu     sync.Mutex
@@ -49,8 +49,8 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-func newAccount(spec Spec) *account {
-	a := &account{spec: spec, totals: newTally(), lag: newHistogram()}
+func newAccount(spec Spec) *collector {
+	a := &collector{spec: spec, totals: newTally(), lag: newHistogram()}
 	for range spec.Teams {
 		a.teams = append(a.teams, newTally())
 	}
@@ -58,14 +58,14 @@
 }
 
 // addLag books how late an arrival was sent.
-func (a *account) addLag(d time.Duration) {
+func (a *collector) addLag(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	record(a.lag, d)
 }
 
 // add books one record. Faults count at any time; the rest after the warm-up.
-func (a *account) add(rec Record) {
+func (a *collector) add(rec Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if rec.Key != "" {
@@ -84,7 +84,7 @@
 }
 
 // checkRuns compares the calls with idempotency keys with how often they ran.
-func (a *account) checkRuns(runs map[string]int) {
+func (a *collector) checkRuns(runs map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, rec := range a.keyed {
@@ -165,7 +165,7 @@
 }
 
 // result sums up the account.
-func (a *account) result(elapsed time.Duration) *Result {
+func (a *collector) result(elapsed time.Duration) *Result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	measured := elapsed - a.spec.Warmup
--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -37,7 +37,7 @@
 	spec    Spec
 	prompts *Prompts
 	callers [][]*Caller
-	account *account
+	account *collector
 	runCtx  context.Context
 }
 
