--- a/cmd/internal/load/account.go
+++ b/cmd/internal/load/account.go
@@ -49,7 +49,7 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-func newAccount(spec Spec) *collector {
+func newCollector(spec Spec) *collector {
 	a := &collector{spec: spec, totals: newTally(), lag: newHistogram()}
 	for range spec.Teams {
 		a.teams = append(a.teams, newTally())
--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -53,7 +53,7 @@
 	defer client.CloseIdleConnections()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &runner{spec: spec, prompts: NewPrompts(spec.Seed, spec.Teams), account: newAccount(spec), runCtx: ctx}
+	r := &runner{spec: spec, prompts: NewPrompts(spec.Seed, spec.Teams), account: newCollector(spec), runCtx: ctx}
 	r.callers = makeCallers(spec, client)
 	started := time.Now()
 	r.sendAll(ctx, started, arrivals)
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -121,7 +121,7 @@
 
 func TestKeyThatRanTwiceIsDoubled(t *testing.T) {
 	is := is.New(t)
-	a := newAccount(Spec{Teams: testTeams(BehaviourNormal), Duration: time.Second}.withDefaults())
+	a := newCollector(Spec{Teams: testTeams(BehaviourNormal), Duration: time.Second}.withDefaults())
 	a.add(Record{Plain: true, Key: "a", Outcome: OutcomeAnswered})
 	a.add(Record{Plain: true, Key: "b", Outcome: OutcomeAnswered})
 	a.checkRuns(map[string]int{"a": 2, "b": 1})
@@ -131,7 +131,7 @@
 
 func TestWarmupIsLeftOutButItsFaultsCount(t *testing.T) {
 	is := is.New(t)
-	a := newAccount(Spec{Teams: testTeams(BehaviourNormal), Warmup: time.Second, Duration: 3 * time.Second}.withDefaults())
+	a := newCollector(Spec{Teams: testTeams(BehaviourNormal), Warmup: time.Second, Duration: 3 * time.Second}.withDefaults())
 	a.add(Record{At: 0, Outcome: OutcomeAnswered, Fault: FaultDoubled})
 	a.add(Record{At: 2 * time.Second, Outcome: OutcomeAnswered, FirstToken: time.Millisecond})
 	a.add(Record{At: 2 * time.Second, Outcome: OutcomeAnswered, FirstToken: time.Second})
