--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -34,11 +34,11 @@
 
 // runner holds what the requests of a run share.
 type runner struct {
-	spec    Spec
-	prompts *Prompts
-	callers [][]*Caller
-	account *collector
-	runCtx  context.Context
+	spec      Spec
+	prompts   *Prompts
+	callers   [][]*Caller
+	collector *collector
+	runCtx    context.Context
 }
 
 // Run sends the load of a spec and returns the account. It ends early, with
@@ -53,14 +53,14 @@
 	defer client.CloseIdleConnections()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &runner{spec: spec, prompts: NewPrompts(spec.Seed, spec.Teams), account: newCollector(spec), runCtx: ctx}
+	r := &runner{spec: spec, prompts: NewPrompts(spec.Seed, spec.Teams), collector: newCollector(spec), runCtx: ctx}
 	r.callers = makeCallers(spec, client)
 	started := time.Now()
 	r.sendAll(ctx, started, arrivals)
 	if spec.PlainRuns != nil {
-		r.account.checkRuns(spec.PlainRuns())
+		r.collector.checkRuns(spec.PlainRuns())
 	}
-	return r.account.result(time.Since(started)), nil
+	return r.collector.result(time.Since(started)), nil
 }
 
 // makeCallers returns the callers of each team.
@@ -84,7 +84,7 @@
 		if !sleep(ctx, time.Until(started.Add(a.At))) {
 			return
 		}
-		r.account.addLag(time.Since(started) - a.At)
+		r.collector.addLag(time.Since(started) - a.At)
 		wg.Go(func() { r.send(a) })
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	rec.Team = a.Team
 	rec.At = a.At
-	r.account.add(rec)
+	r.collector.add(rec)
 	if r.spec.OnDone != nil {
 		r.spec.OnDone()
 	}
