--- a/cmd/internal/load/account.go
+++ b/cmd/internal/load/account.go
@@ -18,10 +18,10 @@
 type collector struct {
 	spec Spec
 
-	mu     sync.Mutex
-	totals *tally
-	teams  []*tally
-	keyed  []Record
+	mu           sync.Mutex
+	totals       *tally
+	teams        []*tally
+	keyedRecords []Record
 	// endings are the error answers of the first requests that got no other.
 	endings []Ending
 	lag     *hdrhistogram.Histogram
@@ -69,7 +69,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if rec.Key != "" {
-		a.keyed = append(a.keyed, rec)
+		a.keyedRecords = append(a.keyedRecords, rec)
 	}
 	warm := rec.At >= a.spec.Warmup
 	if warm && rec.Outcome != OutcomeAnswered && rec.Ending != nil && len(a.endings) < maxEndings {
@@ -87,7 +87,7 @@
 func (a *collector) checkRuns(runs map[string]int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, rec := range a.keyed {
+	for _, rec := range a.keyedRecords {
 		rec.Fault = checkRuns(rec, runs[rec.Key])
 		a.totals.addFault(rec)
 		a.teams[rec.Team].addFault(rec)
