--- a/cmd/internal/load/account.go
+++ b/cmd/internal/load/account.go
@@ -19,8 +19,8 @@
 	spec Spec
 
 	mu           sync.Mutex
-	totals       *tally
-	teams        []*tally
+	totals       *stats
+	teams        []*stats
 	keyedRecords []Record
 	// endings are the error answers of the first requests that got no other.
 	endings []Ending
@@ -28,7 +28,7 @@
 }
 
 // tally sums up the records of a run or of one team.
-type tally struct {
+type stats struct {
 	counts Counts
 	ttft   *hdrhistogram.Histogram
 	pace   *hdrhistogram.Histogram
@@ -36,8 +36,8 @@
 	codes  map[string]int
 }
 
-func newTally() *tally {
-	return &tally{
+func newTally() *stats {
+	return &stats{
 		ttft:  newHistogram(),
 		pace:  newHistogram(),
 		plain: newHistogram(),
@@ -75,7 +75,7 @@
 	if warm && rec.Outcome != OutcomeAnswered && rec.Ending != nil && len(a.endings) < maxEndings {
 		a.endings = append(a.endings, *rec.Ending)
 	}
-	for _, t := range []*tally{a.totals, a.teams[rec.Team]} {
+	for _, t := range []*stats{a.totals, a.teams[rec.Team]} {
 		t.addFault(rec)
 		if warm {
 			t.add(rec, a.spec)
@@ -95,7 +95,7 @@
 }
 
 // addFault counts what must not happen at all.
-func (t *tally) addFault(rec Record) {
+func (t *stats) addFault(rec Record) {
 	switch rec.Fault {
 	case FaultDoubled:
 		t.counts.Doubled++
@@ -107,7 +107,7 @@
 }
 
 // add counts a record and its times.
-func (t *tally) add(rec Record, spec Spec) {
+func (t *stats) add(rec Record, spec Spec) {
 	t.counts.Requests++
 	t.counts.Attempts += rec.Attempts
 	t.counts.Resumes += rec.Resumes
@@ -131,7 +131,7 @@
 	}
 }
 
-func (t *tally) answered(rec Record, spec Spec) {
+func (t *stats) answered(rec Record, spec Spec) {
 	t.counts.Answered++
 	if rec.Plain {
 		record(t.plain, rec.Total)
@@ -184,7 +184,7 @@
 }
 
 // summary turns a tally into figures.
-func (t *tally) summary(measured time.Duration) Summary {
+func (t *stats) summary(measured time.Duration) Summary {
 	s := Summary{
 		Counts: t.counts,
 		TTFT:   quantiles(t.ttft),
