--- a/cmd/internal/load/account.go
+++ b/cmd/internal/load/account.go
@@ -36,7 +36,7 @@
 	codes  map[string]int
 }
 
-func newTally() *stats {
+func newStats() *stats {
 	return &stats{
 		ttft:  newHistogram(),
 		pace:  newHistogram(),
@@ -50,9 +50,9 @@
 }
 
 func newCollector(spec Spec) *collector {
-	a := &collector{spec: spec, totals: newTally(), lag: newHistogram()}
+	a := &collector{spec: spec, totals: newStats(), lag: newHistogram()}
 	for range spec.Teams {
-		a.teams = append(a.teams, newTally())
+		a.teams = append(a.teams, newStats())
 	}
 	return a
 }
