--- a/cmd/internal/load/account.go
+++ b/cmd/internal/load/account.go
@@ -116,7 +116,7 @@
 	}
 	switch rec.Outcome {
 	case OutcomeAnswered:
-		t.answered(rec, spec)
+		t.addAnswered(rec, spec)
 	case OutcomeRefused:
 		t.counts.Refused++
 	case OutcomeFailed:
@@ -131,7 +131,7 @@
 	}
 }
 
-func (t *stats) answered(rec Record, spec Spec) {
+func (t *stats) addAnswered(rec Record, spec Spec) {
 	t.counts.Answered++
 	if rec.Plain {
 		record(t.plain, rec.Total)
