--- a/cmd/internal/load/answer.go
+++ b/cmd/internal/load/answer.go
@@ -22,7 +22,7 @@
 	chunks  []string
 	seen    map[string]struct{}
 	lastID  string
-	finals  int
+	ends    int
 	repeats int
 	late    int
 }
@@ -41,7 +41,7 @@
 		a.seen[eventID] = struct{}{}
 		a.lastID = eventID
 	}
-	if a.finals > 0 && text != "" {
+	if a.ends > 0 && text != "" {
 		a.late++
 	}
 	if text != "" {
@@ -54,12 +54,12 @@
 func (a *answer) text() string { return strings.Join(a.chunks, "") }
 
 // finish takes the end of the answer.
-func (a *answer) finish() { a.finals++ }
+func (a *answer) finish() { a.ends++ }
 
 // fault compares the answer with the expected text; known is false if there
 // is none to compare with.
 func (a *answer) fault(expected string, known bool) Fault {
-	if a.repeats > 0 || a.finals > 1 || a.late > 0 {
+	if a.repeats > 0 || a.ends > 1 || a.late > 0 {
 		return FaultDoubled
 	}
 	if known {
@@ -67,7 +67,7 @@
 			return f
 		}
 	}
-	if a.finals == 0 {
+	if a.ends == 0 {
 		return FaultLost
 	}
 	return FaultNone
