--- a/cmd/internal/load/answer.go
+++ b/cmd/internal/load/answer.go
@@ -19,12 +19,12 @@
 
 // answer collects the events of one answer, over all connections of a caller.
 type answer struct {
-	chunks  []string
-	seen    map[string]struct{}
-	lastID  string
-	ends    int
-	repeats int
-	late    int
+	chunks     []string
+	seen       map[string]struct{}
+	lastID     string
+	ends       int
+	duplicates int
+	late       int
 }
 
 func newAnswer() *answer {
@@ -35,7 +35,7 @@
 func (a *answer) add(eventID, text string) bool {
 	if eventID != "" {
 		if _, dup := a.seen[eventID]; dup {
-			a.repeats++
+			a.duplicates++
 			return false
 		}
 		a.seen[eventID] = struct{}{}
@@ -59,7 +59,7 @@
 // fault compares the answer with the expected text; known is false if there
 // is none to compare with.
 func (a *answer) fault(expected string, known bool) Fault {
-	if a.repeats > 0 || a.ends > 1 || a.late > 0 {
+	if a.duplicates > 0 || a.ends > 1 || a.late > 0 {
 		return FaultDoubled
 	}
 	if known {
