--- a/cmd/internal/load/answer.go
+++ b/cmd/internal/load/answer.go
@@ -19,12 +19,12 @@
 
 // answer collects the events of one answer, over all connections of a caller.
 type answer struct {
-	chunks     []string
-	seen       map[string]struct{}
-	lastID     string
-	ends       int
-	duplicates int
-	late       int
+	chunks       []string
+	seen         map[string]struct{}
+	lastID       string
+	ends         int
+	duplicates   int
+	textAfterEnd int
 }
 
 func newAnswer() *answer {
@@ -42,7 +42,7 @@
 		a.lastID = eventID
 	}
 	if a.ends > 0 && text != "" {
-		a.late++
+		a.textAfterEnd++
 	}
 	if text != "" {
 		a.chunks = append(a.chunks, text)
@@ -59,7 +59,7 @@
 // fault compares the answer with the expected text; known is false if there
 // is none to compare with.
 func (a *answer) fault(expected string, known bool) Fault {
-	if a.duplicates > 0 || a.ends > 1 || a.late > 0 {
+	if a.duplicates > 0 || a.ends > 1 || a.textAfterEnd > 0 {
 		return FaultDoubled
 	}
 	if known {
