--- a/cmd/internal/load/answer.go
+++ b/cmd/internal/load/answer.go
@@ -91,7 +91,7 @@
 
 // misplaced names the fault of a chunk that does not follow what came before.
 func misplaced(chunks []string, i int, expected string, at int) Fault {
-	if repeatsEarlier(chunks, i) {
+	if isDuplicate(chunks, i) {
 		return FaultDoubled
 	}
 	if isSubsequence(chunks[i:], expected[at:]) {
@@ -101,7 +101,7 @@
 }
 
 // repeatsEarlier tells whether a chunk came before.
-func repeatsEarlier(chunks []string, i int) bool {
+func isDuplicate(chunks []string, i int) bool {
 	for _, earlier := range chunks[:i] {
 		if earlier == chunks[i] {
 			return true
