--- a/cmd/internal/load/answer.go
+++ b/cmd/internal/load/answer.go
@@ -81,7 +81,7 @@
 			at += len(chunk)
 			continue
 		}
-		return misplaced(chunks, i, expected, at)
+		return mismatchFault(chunks, i, expected, at)
 	}
 	if at < len(expected) {
 		return FaultLost
@@ -90,7 +90,7 @@
 }
 
 // misplaced names the fault of a chunk that does not follow what came before.
-func misplaced(chunks []string, i int, expected string, at int) Fault {
+func mismatchFault(chunks []string, i int, expected string, at int) Fault {
 	if isDuplicate(chunks, i) {
 		return FaultDoubled
 	}
