--- a/cmd/internal/load/arrival.go
+++ b/cmd/internal/load/arrival.go
@@ -85,7 +85,7 @@
 		if at >= end {
 			return out
 		}
-		out = append(out, draw(rng, spec.Seed, index, len(out), team.Profile, at))
+		out = append(out, drawArrival(rng, spec.Seed, index, len(out), team.Profile, at))
 	}
 }
 
@@ -105,7 +105,7 @@
 	return 1
 }
 
-func draw(rng *rand.Rand, seed uint64, team, number int, p Profile, at time.Duration) Arrival {
+func drawArrival(rng *rand.Rand, seed uint64, team, number int, p Profile, at time.Duration) Arrival {
 	a := Arrival{At: at, Team: team, Number: number}
 	a.Plain = rng.Float64() < p.PlainShare
 	keyed := rng.Float64() < p.NonIdempotentShare
