--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -89,7 +89,7 @@
 }
 
 // attempt is what one try at one address came to.
-type attempt struct {
+type attemptResult struct {
 	// done: the request has ended with the record's outcome.
 	done bool
 	// broke: the connection failed or broke; go on at another address.
@@ -108,7 +108,7 @@
 
 // loop makes attempts until the request has ended, the tries are used up or
 // the patience is over.
-func (c *Caller) loop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attempt) {
+func (c *Caller) loop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attemptResult) {
 	policy := retryPolicy()
 	for c.mayTry(rec) {
 		address, err := c.entry.pick(ctx)
@@ -152,12 +152,12 @@
 }
 
 // refused reads an error answer and decides whether the caller tries again.
-func (c *Caller) refused(resp *http.Response, rec *Record) attempt {
+func (c *Caller) refused(resp *http.Response, rec *Record) attemptResult {
 	return c.failed(readError(resp, rec), rec)
 }
 
 // failed books an error and decides whether the caller tries again.
-func (c *Caller) failed(detail opapi.ErrorDetail, rec *Record) attempt {
+func (c *Caller) failed(detail opapi.ErrorDetail, rec *Record) attemptResult {
 	rec.Code = detail.Code
 	rec.Outcome = OutcomeFailed
 	if detail.Verdict == verdict.NotRun.String() {
@@ -166,12 +166,12 @@
 	advised := time.Duration(detail.RetryAfterMS) * time.Millisecond
 	switch {
 	case c.team.Behaviour == BehaviourRetry:
-		return attempt{wait: retryForeverPause}
+		return attemptResult{wait: retryForeverPause}
 	case rec.Outcome == OutcomeRefused && advised > 0:
 		// A few callers spread over the advised time and half of it again.
-		return attempt{wait: advised + c.rng.jitter(advised/2)}
+		return attemptResult{wait: advised + c.rng.jitter(advised/2)}
 	default:
-		return attempt{done: true}
+		return attemptResult{done: true}
 	}
 }
 
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
 	defer cancel()
 	begun := time.Now()
-	c.loop(ctx, &rec, func(ctx context.Context, address string) attempt {
+	c.loop(ctx, &rec, func(ctx context.Context, address string) attemptResult {
 		return c.callOnce(ctx, address, body, key, &rec)
 	})
 	rec.Total = time.Since(begun)
@@ -40,28 +40,28 @@
 }
 
 // callOnce sends the call to one address.
-func (c *Caller) callOnce(ctx context.Context, address string, body []byte, key string, rec *Record) attempt {
+func (c *Caller) callOnce(ctx context.Context, address string, body []byte, key string, rec *Record) attemptResult {
 	path := opapi.PathServices + c.team.Profile.Plain + "/" + c.team.Profile.PlainPath
 	req, err := c.request(ctx, address, path, body)
 	if err != nil {
-		return attempt{broke: true}
+		return attemptResult{broke: true}
 	}
 	if key != "" {
 		req.Header.Set(opapi.HeaderIdempotencyKey, key)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return attempt{broke: !hungUp(ctx, err)}
+		return attemptResult{broke: !hungUp(ctx, err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return c.refused(resp, rec)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxPlainBytes)); err != nil {
-		return attempt{broke: !hungUp(ctx, err)}
+		return attemptResult{broke: !hungUp(ctx, err)}
 	}
 	rec.Outcome = OutcomeAnswered
-	return attempt{done: true}
+	return attemptResult{done: true}
 }
 
 // checkRuns names the fault of a call with a key, by how often it ran.
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -54,15 +54,15 @@
 }
 
 // try sends the request once, or resumes it, and reads until the end or a break.
-func (s *stream) try(ctx context.Context, address string) attempt {
+func (s *stream) try(ctx context.Context, address string) attemptResult {
 	s.request.Delivered = s.answer.text()
 	body, err := json.Marshal(s.request)
 	if err != nil {
-		return attempt{done: true}
+		return attemptResult{done: true}
 	}
 	req, err := s.caller.request(ctx, address, opapi.PathCompletions, body)
 	if err != nil {
-		return attempt{broke: true}
+		return attemptResult{broke: true}
 	}
 	if s.answer.lastID != "" {
 		req.Header.Set(opapi.HeaderLastEventID, s.answer.lastID)
@@ -70,7 +70,7 @@
 	}
 	resp, err := s.caller.client.Do(req)
 	if err != nil {
-		return attempt{broke: !hungUp(ctx, err)}
+		return attemptResult{broke: !hungUp(ctx, err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -81,16 +81,16 @@
 }
 
 // read takes events until the end of the answer, an error or a break.
-func (s *stream) read(ctx context.Context, resp *http.Response) attempt {
+func (s *stream) read(ctx context.Context, resp *http.Response) attemptResult {
 	events := newEventReader(resp.Body)
 	for {
 		e, err := events.next()
 		if errors.Is(err, io.EOF) && s.ended {
-			return attempt{done: true}
+			return attemptResult{done: true}
 		}
 		if err != nil {
 			s.gaveUp = hungUp(ctx, err) && time.Since(s.last) < stallLimit
-			return attempt{broke: !hungUp(ctx, err), done: s.ended}
+			return attemptResult{broke: !hungUp(ctx, err), done: s.ended}
 		}
 		if e.name == eventError {
 			return s.streamError(resp, e)
@@ -100,15 +100,15 @@
 }
 
 // refused handles an error answer in place of a stream.
-func (s *stream) refused(resp *http.Response) attempt {
+func (s *stream) refused(resp *http.Response) attemptResult {
 	return s.failed(readError(resp, s.rec))
 }
 
 // streamError handles an error event.
-func (s *stream) streamError(resp *http.Response, e event) attempt {
+func (s *stream) streamError(resp *http.Response, e event) attemptResult {
 	var body opapi.ErrorBody
 	if err := json.Unmarshal([]byte(e.data), &body); err != nil {
-		return attempt{broke: true}
+		return attemptResult{broke: true}
 	}
 	s.rec.Ending = newEnding(resp, body.Error, []byte(e.data))
 	return s.failed(body.Error)
@@ -116,10 +116,10 @@
 
 // failed books an error. An answer that was begun is resumed where the system
 // says that it is worth it, and when.
-func (s *stream) failed(detail opapi.ErrorDetail) attempt {
+func (s *stream) failed(detail opapi.ErrorDetail) attemptResult {
 	result := s.caller.failed(detail, s.rec)
 	if result.done && s.rec.OutputTokens > 0 && resumable(detail) {
-		return attempt{wait: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
+		return attemptResult{wait: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
 	}
 	return result
 }
