--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -93,7 +93,7 @@
 	// done: the request has ended with the record's outcome.
 	done bool
 	// broke: the connection failed or broke; go on at another address.
-	broke bool
+	connFailed bool
 	// wait before the next try.
 	wait time.Duration
 }
@@ -124,7 +124,7 @@
 		if result.done {
 			return
 		}
-		if result.broke {
+		if result.connFailed {
 			c.entry.broken(address)
 			result.wait = policy.NextBackOff()
 		}
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -44,21 +44,21 @@
 	path := opapi.PathServices + c.team.Profile.Plain + "/" + c.team.Profile.PlainPath
 	req, err := c.request(ctx, address, path, body)
 	if err != nil {
-		return attemptResult{broke: true}
+		return attemptResult{connFailed: true}
 	}
 	if key != "" {
 		req.Header.Set(opapi.HeaderIdempotencyKey, key)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return attemptResult{broke: !hungUp(ctx, err)}
+		return attemptResult{connFailed: !hungUp(ctx, err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return c.refused(resp, rec)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxPlainBytes)); err != nil {
-		return attemptResult{broke: !hungUp(ctx, err)}
+		return attemptResult{connFailed: !hungUp(ctx, err)}
 	}
 	rec.Outcome = OutcomeAnswered
 	return attemptResult{done: true}
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -62,7 +62,7 @@
 	}
 	req, err := s.caller.request(ctx, address, opapi.PathCompletions, body)
 	if err != nil {
-		return attemptResult{broke: true}
+		return attemptResult{connFailed: true}
 	}
 	if s.answer.lastID != "" {
 		req.Header.Set(opapi.HeaderLastEventID, s.answer.lastID)
@@ -70,7 +70,7 @@
 	}
 	resp, err := s.caller.client.Do(req)
 	if err != nil {
-		return attemptResult{broke: !hungUp(ctx, err)}
+		return attemptResult{connFailed: !hungUp(ctx, err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -90,7 +90,7 @@
 		}
 		if err != nil {
 			s.gaveUp = hungUp(ctx, err) && time.Since(s.last) < stallLimit
-			return attemptResult{broke: !hungUp(ctx, err), done: s.ended}
+			return attemptResult{connFailed: !hungUp(ctx, err), done: s.ended}
 		}
 		if e.name == eventError {
 			return s.streamError(resp, e)
@@ -108,7 +108,7 @@
 func (s *stream) streamError(resp *http.Response, e event) attemptResult {
 	var body opapi.ErrorBody
 	if err := json.Unmarshal([]byte(e.data), &body); err != nil {
-		return attemptResult{broke: true}
+		return attemptResult{connFailed: true}
 	}
 	s.rec.Ending = newEnding(resp, body.Error, []byte(e.data))
 	return s.failed(body.Error)
