--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -95,7 +95,7 @@
 	// broke: the connection failed or broke; go on at another address.
 	connFailed bool
 	// wait before the next try.
-	wait time.Duration
+	delay time.Duration
 }
 
 // retryPolicy paces a caller's tries after broken connections.
@@ -126,9 +126,9 @@
 		}
 		if result.connFailed {
 			c.entry.broken(address)
-			result.wait = policy.NextBackOff()
+			result.delay = policy.NextBackOff()
 		}
-		if !sleep(ctx, result.wait) {
+		if !sleep(ctx, result.delay) {
 			return
 		}
 	}
@@ -166,10 +166,10 @@
 	advised := time.Duration(detail.RetryAfterMS) * time.Millisecond
 	switch {
 	case c.team.Behaviour == BehaviourRetry:
-		return attemptResult{wait: retryForeverPause}
+		return attemptResult{delay: retryForeverPause}
 	case rec.Outcome == OutcomeRefused && advised > 0:
 		// A few callers spread over the advised time and half of it again.
-		return attemptResult{wait: advised + c.rng.jitter(advised/2)}
+		return attemptResult{delay: advised + c.rng.jitter(advised/2)}
 	default:
 		return attemptResult{done: true}
 	}
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -119,7 +119,7 @@
 func (s *stream) failed(detail opapi.ErrorDetail) attemptResult {
 	result := s.caller.failed(detail, s.rec)
 	if result.done && s.rec.OutputTokens > 0 && resumable(detail) {
-		return attemptResult{wait: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
+		return attemptResult{delay: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
 	}
 	return result
 }
