--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -108,7 +108,7 @@
 
 // loop makes attempts until the request has ended, the tries are used up or
 // the patience is over.
-func (c *Caller) loop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attemptResult) {
+func (c *Caller) retryLoop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attemptResult) {
 	policy := retryPolicy()
 	for c.mayTry(rec) {
 		address, err := c.entry.pick(ctx)
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
 	defer cancel()
 	begun := time.Now()
-	c.loop(ctx, &rec, func(ctx context.Context, address string) attemptResult {
+	c.retryLoop(ctx, &rec, func(ctx context.Context, address string) attemptResult {
 		return c.callOnce(ctx, address, body, key, &rec)
 	})
 	rec.Total = time.Since(begun)
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
 	defer cancel()
 	s := &stream{caller: c, request: request, answer: newAnswer(), rec: &rec, begun: time.Now()}
-	c.loop(ctx, &rec, s.try)
+	c.retryLoop(ctx, &rec, s.try)
 	s.conclude(prompt, maxTokens)
 	return rec
 }
