--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -110,7 +110,7 @@
 // the patience is over.
 func (c *Caller) retryLoop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attemptResult) {
 	policy := retryPolicy()
-	for c.mayTry(rec) {
+	for c.mayRetry(rec) {
 		address, err := c.entry.pick(ctx)
 		if err != nil {
 			if !sleep(ctx, max(policy.NextBackOff(), entryRetryPause)) {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (c *Caller) mayTry(rec *Record) bool {
+func (c *Caller) mayRetry(rec *Record) bool {
 	return rec.Attempts < c.spec.MaxAttempts || c.team.Behaviour == BehaviourRetry
 }
 
