--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -152,7 +152,7 @@
 }
 
 // refused reads an error answer and decides whether the caller tries again.
-func (c *Caller) refused(resp *http.Response, rec *Record) attemptResult {
+func (c *Caller) handleErrorResponse(resp *http.Response, rec *Record) attemptResult {
 	return c.failed(readError(resp, rec), rec)
 }
 
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -55,7 +55,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return c.refused(resp, rec)
+		return c.handleErrorResponse(resp, rec)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxPlainBytes)); err != nil {
 		return attemptResult{connFailed: !hungUp(ctx, err)}
