--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -153,11 +153,11 @@
 
 // refused reads an error answer and decides whether the caller tries again.
 func (c *Caller) handleErrorResponse(resp *http.Response, rec *Record) attemptResult {
-	return c.failed(readError(resp, rec), rec)
+	return c.handleError(readError(resp, rec), rec)
 }
 
 // failed books an error and decides whether the caller tries again.
-func (c *Caller) failed(detail opapi.ErrorDetail, rec *Record) attemptResult {
+func (c *Caller) handleError(detail opapi.ErrorDetail, rec *Record) attemptResult {
 	rec.Code = detail.Code
 	rec.Outcome = OutcomeFailed
 	if detail.Verdict == verdict.NotRun.String() {
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -117,7 +117,7 @@
 // failed books an error. An answer that was begun is resumed where the system
 // says that it is worth it, and when.
 func (s *stream) failed(detail opapi.ErrorDetail) attemptResult {
-	result := s.caller.failed(detail, s.rec)
+	result := s.caller.handleError(detail, s.rec)
 	if result.done && s.rec.OutputTokens > 0 && resumable(detail) {
 		return attemptResult{delay: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
 	}
