--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -166,7 +166,7 @@
 	advised := time.Duration(detail.RetryAfterMS) * time.Millisecond
 	switch {
 	case c.team.Behaviour == BehaviourRetry:
-		return attemptResult{delay: retryForeverPause}
+		return attemptResult{delay: immediateRetryDelay}
 	case rec.Outcome == OutcomeRefused && advised > 0:
 		// A few callers spread over the advised time and half of it again.
 		return attemptResult{delay: advised + c.rng.jitter(advised/2)}
@@ -178,7 +178,7 @@
 // retryForeverPause is the pause of a team that retries forever, whatever it
 // is advised. It is long enough that the load tool, which shares the host with
 // what it measures, does not become what is measured.
-const retryForeverPause = 50 * time.Millisecond
+const immediateRetryDelay = 50 * time.Millisecond
 
 // readError reads the JSON body of an error and books it as the request's last
 // one. What it lacks is taken from the headers.
