--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -113,7 +113,7 @@
 	for c.mayRetry(rec) {
 		address, err := c.entry.pick(ctx)
 		if err != nil {
-			if !sleep(ctx, max(policy.NextBackOff(), entryRetryPause)) {
+			if !sleep(ctx, max(policy.NextBackOff(), entryRetryDelay)) {
 				return
 			}
 			rec.Attempts++
--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -18,7 +18,7 @@
 const (
 	entryTimeout    = 2 * time.Second
 	maxEntryBytes   = 1 << 20
-	entryRetryPause = 100 * time.Millisecond
+	entryRetryDelay = 100 * time.Millisecond
 )
 
 // entryCache keeps an entry answer for its lifetime, as callers do. An address
