--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -223,6 +223,6 @@
 }
 
 // hungUp tells whether an error came from the caller's own context.
-func hungUp(ctx context.Context, err error) bool {
+func cancelledByCaller(ctx context.Context, err error) bool {
 	return ctx.Err() != nil || errors.Is(err, context.Canceled)
 }
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -51,14 +51,14 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return attemptResult{connFailed: !hungUp(ctx, err)}
+		return attemptResult{connFailed: !cancelledByCaller(ctx, err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return c.handleErrorResponse(resp, rec)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxPlainBytes)); err != nil {
-		return attemptResult{connFailed: !hungUp(ctx, err)}
+		return attemptResult{connFailed: !cancelledByCaller(ctx, err)}
 	}
 	rec.Outcome = OutcomeAnswered
 	return attemptResult{done: true}
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -70,7 +70,7 @@
 	}
 	resp, err := s.caller.client.Do(req)
 	if err != nil {
-		return attemptResult{connFailed: !hungUp(ctx, err)}
+		return attemptResult{connFailed: !cancelledByCaller(ctx, err)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -89,8 +89,8 @@
 			return attemptResult{done: true}
 		}
 		if err != nil {
-			s.gaveUp = hungUp(ctx, err) && time.Since(s.last) < stallLimit
-			return attemptResult{connFailed: !hungUp(ctx, err), done: s.ended}
+			s.gaveUp = cancelledByCaller(ctx, err) && time.Since(s.last) < stallLimit
+			return attemptResult{connFailed: !cancelledByCaller(ctx, err), done: s.ended}
 		}
 		if e.name == eventError {
 			return s.streamError(resp, e)
