--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -24,8 +24,8 @@
 // entryCache keeps an entry answer for its lifetime, as callers do. An address
 // whose connection broke is not used again until the answer is renewed.
 type entryCache struct {
-	client *http.Client
-	seeds  []string
+	client    *http.Client
+	bootstrap []string
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -36,7 +36,7 @@
 }
 
 func newEntryCache(client *http.Client, seeds []string, rng *rand.Rand) *entryCache {
-	return &entryCache{client: client, seeds: seeds, rng: rng, bad: map[string]bool{}}
+	return &entryCache{client: client, bootstrap: seeds, rng: rng, bad: map[string]bool{}}
 }
 
 // pick returns the address to use for a new connection.
@@ -125,7 +125,7 @@
 	for _, a := range c.answer.Addresses {
 		add(a.Address)
 	}
-	for _, s := range c.seeds {
+	for _, s := range c.bootstrap {
 		add(s)
 	}
 	c.rng.Shuffle(len(good), func(i, j int) { good[i], good[j] = good[j], good[i] })
