--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -31,12 +31,12 @@
 	rng     *rand.Rand
 	answer  opapi.EntryAnswer
 	expires time.Time
-	bad     map[string]bool
+	failed  map[string]bool
 	asked   int
 }
 
 func newEntryCache(client *http.Client, seeds []string, rng *rand.Rand) *entryCache {
-	return &entryCache{client: client, bootstrap: seeds, rng: rng, bad: map[string]bool{}}
+	return &entryCache{client: client, bootstrap: seeds, rng: rng, failed: map[string]bool{}}
 }
 
 // pick returns the address to use for a new connection.
@@ -55,12 +55,12 @@
 func (c *entryCache) broken(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bad[address] = true
+	c.failed[address] = true
 }
 
 func (c *entryCache) allBad() bool {
 	for _, a := range c.answer.Addresses {
-		if !c.bad[a.Address] {
+		if !c.failed[a.Address] {
 			return false
 		}
 	}
@@ -71,13 +71,13 @@
 func (c *entryCache) choose() string {
 	total := 0
 	for _, a := range c.answer.Addresses {
-		if !c.bad[a.Address] {
+		if !c.failed[a.Address] {
 			total += max(a.Weight, 1)
 		}
 	}
 	left := c.rng.IntN(total)
 	for _, a := range c.answer.Addresses {
-		if c.bad[a.Address] {
+		if c.failed[a.Address] {
 			continue
 		}
 		left -= max(a.Weight, 1)
@@ -99,7 +99,7 @@
 		}
 		c.answer = answer
 		c.expires = time.Now().Add(time.Duration(answer.LifetimeMS) * time.Millisecond)
-		c.bad = map[string]bool{}
+		c.failed = map[string]bool{}
 		c.asked++
 		return nil
 	}
@@ -116,7 +116,7 @@
 			return
 		}
 		seen[address] = true
-		if c.bad[address] {
+		if c.failed[address] {
 			rest = append(rest, address)
 		} else {
 			good = append(good, address)
