--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -27,12 +27,12 @@
 	client    *http.Client
 	bootstrap []string
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	answer  opapi.EntryAnswer
-	expires time.Time
-	failed  map[string]bool
-	asked   int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	answer    opapi.EntryAnswer
+	expires   time.Time
+	failed    map[string]bool
+	refreshes int
 }
 
 func newEntryCache(client *http.Client, seeds []string, rng *rand.Rand) *entryCache {
@@ -100,7 +100,7 @@
 		c.answer = answer
 		c.expires = time.Now().Add(time.Duration(answer.LifetimeMS) * time.Millisecond)
 		c.failed = map[string]bool{}
-		c.asked++
+		c.refreshes++
 		return nil
 	}
 	return eris.Wrap(last, "no address gave an entry answer")
