--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -43,7 +43,7 @@
 func (c *entryCache) pick(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().After(c.expires) || c.allBad() {
+	if time.Now().After(c.expires) || c.allFailed() {
 		if err := c.renew(ctx); err != nil {
 			return "", err
 		}
@@ -58,7 +58,7 @@
 	c.failed[address] = true
 }
 
-func (c *entryCache) allBad() bool {
+func (c *entryCache) allFailed() bool {
 	for _, a := range c.answer.Addresses {
 		if !c.failed[a.Address] {
 			return false
