--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -125,7 +125,7 @@
 			return
 		}
 		if result.connFailed {
-			c.entry.broken(address)
+			c.entry.markFailed(address)
 			result.delay = policy.NextBackOff()
 		}
 		if !sleep(ctx, result.delay) {
--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -52,7 +52,7 @@
 }
 
 // broken notes that a connection to an address failed or broke.
-func (c *entryCache) broken(address string) {
+func (c *entryCache) markFailed(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failed[address] = true
