--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -48,7 +48,7 @@
 			return "", err
 		}
 	}
-	return c.choose(), nil
+	return c.chooseWeighted(), nil
 }
 
 // broken notes that a connection to an address failed or broke.
@@ -68,7 +68,7 @@
 }
 
 // choose draws an address by weight among those that are not bad.
-func (c *entryCache) choose() string {
+func (c *entryCache) chooseWeighted() string {
 	total := 0
 	for _, a := range c.answer.Addresses {
 		if !c.failed[a.Address] {
