--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -91,7 +91,7 @@
 // renew asks the known addresses, in random order, until one answers.
 func (c *entryCache) renew(ctx context.Context) error {
 	var last error
-	for _, address := range c.known() {
+	for _, address := range c.candidates() {
 		answer, err := c.ask(ctx, address)
 		if err != nil {
 			last = err
@@ -108,7 +108,7 @@
 
 // known lists the addresses of the last answer and the first ones, shuffled,
 // those that did not break before the others.
-func (c *entryCache) known() []string {
+func (c *entryCache) candidates() []string {
 	var good, rest []string
 	seen := map[string]bool{}
 	add := func(address string) {
