--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -92,7 +92,7 @@
 func (c *entryCache) renew(ctx context.Context) error {
 	var last error
 	for _, address := range c.candidates() {
-		answer, err := c.ask(ctx, address)
+		answer, err := c.fetch(ctx, address)
 		if err != nil {
 			last = err
 			continue
@@ -134,7 +134,7 @@
 }
 
 // ask gets the entry answer from one address.
-func (c *entryCache) ask(ctx context.Context, address string) (opapi.EntryAnswer, error) {
+func (c *entryCache) fetch(ctx context.Context, address string) (opapi.EntryAnswer, error) {
 	var answer opapi.EntryAnswer
 	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
