--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -44,7 +44,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().After(c.expires) || c.allFailed() {
-		if err := c.renew(ctx); err != nil {
+		if err := c.refresh(ctx); err != nil {
 			return "", err
 		}
 	}
@@ -89,7 +89,7 @@
 }
 
 // renew asks the known addresses, in random order, until one answers.
-func (c *entryCache) renew(ctx context.Context) error {
+func (c *entryCache) refresh(ctx context.Context) error {
 	var last error
 	for _, address := range c.candidates() {
 		answer, err := c.fetch(ctx, address)
