--- a/cmd/internal/load/prompt.go
+++ b/cmd/internal/load/prompt.go
@@ -87,7 +87,7 @@
 // write makes a text of so many tokens.
 func (k TextKind) write(rng *rand.Rand, tokens int) string {
 	var b strings.Builder
-	b.Grow(max(tokens, 0)*bytesPerToken + maxSentence)
+	b.Grow(max(tokens, 0)*bytesPerToken + maxEntryLength)
 	for b.Len() < tokens*bytesPerToken {
 		if k == TextTraveller {
 			writeTravellerEntry(&b, rng)
@@ -99,7 +99,7 @@
 }
 
 // maxSentence is room for the longest entry, in bytes.
-const maxSentence = 512
+const maxEntryLength = 512
 
 // pick draws one word of a list.
 func pick(rng *rand.Rand, words []string) string {
