--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -99,7 +99,7 @@
 		timer := time.AfterFunc(cancelDelay(a), cancel)
 		defer timer.Stop()
 	}
-	rec := r.sendBy(ctx, caller, a, team)
+	rec := r.dispatch(ctx, caller, a, team)
 	if ctx.Err() != nil && rec.Outcome != OutcomeAnswered {
 		rec = cancelled(rec)
 	}
@@ -112,7 +112,7 @@
 }
 
 // sendBy sends a completion or a plain call.
-func (r *runner) sendBy(ctx context.Context, caller *Caller, a Arrival, team Team) Record {
+func (r *runner) dispatch(ctx context.Context, caller *Caller, a Arrival, team Team) Record {
 	if !a.Plain {
 		return caller.Complete(ctx, r.prompts.Prompt(a), team.Profile.OutputTokens)
 	}
