--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := &runner{spec: spec, prompts: NewPrompts(spec.Seed, spec.Teams), collector: newCollector(spec), runCtx: ctx}
-	r.callers = makeCallers(spec, client)
+	r.callers = newCallers(spec, client)
 	started := time.Now()
 	r.sendAll(ctx, started, arrivals)
 	if spec.PlainRuns != nil {
@@ -64,7 +64,7 @@
 }
 
 // makeCallers returns the callers of each team.
-func makeCallers(spec Spec, client *http.Client) [][]*Caller {
+func newCallers(spec Spec, client *http.Client) [][]*Caller {
 	all := make([][]*Caller, len(spec.Teams))
 	for i, team := range spec.Teams {
 		for n := range callersPerTeam {
