--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -48,13 +48,13 @@
 	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
 	defer cancel()
 	s := &stream{caller: c, request: request, answer: newAnswer(), rec: &rec, begun: time.Now()}
-	c.retryLoop(ctx, &rec, s.try)
+	c.retryLoop(ctx, &rec, s.attempt)
 	s.conclude(prompt, maxTokens)
 	return rec
 }
 
 // try sends the request once, or resumes it, and reads until the end or a break.
-func (s *stream) try(ctx context.Context, address string) attemptResult {
+func (s *stream) attempt(ctx context.Context, address string) attemptResult {
 	s.request.Delivered = s.answer.text()
 	body, err := json.Marshal(s.request)
 	if err != nil {
