--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -95,7 +95,7 @@
 		if e.name == eventError {
 			return s.streamError(resp, e)
 		}
-		s.take(e)
+		s.handleEvent(e)
 	}
 }
 
@@ -139,7 +139,7 @@
 }
 
 // take books one event.
-func (s *stream) take(e event) {
+func (s *stream) handleEvent(e event) {
 	if e.data == doneData {
 		s.answer.finish()
 		s.ended = true
