--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -153,11 +153,11 @@
 	if !s.answer.add(e.id, text) || text == "" {
 		return
 	}
-	s.clock(time.Now())
+	s.recordOutput(time.Now())
 }
 
 // clock books the time of an output.
-func (s *stream) clock(now time.Time) {
+func (s *stream) recordOutput(now time.Time) {
 	s.rec.OutputTokens++
 	if s.rec.OutputTokens == 1 {
 		s.rec.FirstToken = now.Sub(s.begun)
