--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -49,7 +49,7 @@
 	defer cancel()
 	s := &stream{caller: c, request: request, answer: newAnswer(), rec: &rec, begun: time.Now()}
 	c.retryLoop(ctx, &rec, s.attempt)
-	s.conclude(prompt, maxTokens)
+	s.complete(prompt, maxTokens)
 	return rec
 }
 
@@ -168,7 +168,7 @@
 }
 
 // conclude fills in the outcome and the faults of the answer.
-func (s *stream) conclude(prompt string, maxTokens int) {
+func (s *stream) complete(prompt string, maxTokens int) {
 	s.rec.Total = time.Since(s.begun)
 	s.rec.Pace = mean(s.rec.Gaps)
 	switch {
