--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -184,7 +184,7 @@
 	if known {
 		expected = s.caller.spec.Expect(s.caller.team.Profile.Model, prompt, maxTokens)
 	}
-	s.rec.Fault = s.conclusion(expected, known)
+	s.rec.Fault = s.classifyFault(expected, known)
 }
 
 // owed tells whether an answer was begun, or accepted with no error since.
@@ -194,7 +194,7 @@
 
 // conclusion names the fault of the answer. A part of an answer that ended in
 // an error is checked too: it may be short, not doubled or wrong.
-func (s *stream) conclusion(expected string, known bool) Fault {
+func (s *stream) classifyFault(expected string, known bool) Fault {
 	fault := s.answer.fault(expected, known)
 	if fault == FaultLost && !s.ended && (s.gaveUp || !s.owed()) {
 		return FaultNone
