--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -176,7 +176,7 @@
 		s.rec.Outcome = OutcomeAnswered
 	case s.gaveUp:
 		s.rec.Outcome = OutcomeCancelled
-	case s.owed():
+	case s.answerExpected():
 		s.rec.Outcome = OutcomeLost
 	}
 	var expected string
@@ -188,7 +188,7 @@
 }
 
 // owed tells whether an answer was begun, or accepted with no error since.
-func (s *stream) owed() bool {
+func (s *stream) answerExpected() bool {
 	return s.rec.OutputTokens > 0 || (s.accepted && s.rec.Code == "")
 }
 
@@ -196,7 +196,7 @@
 // an error is checked too: it may be short, not doubled or wrong.
 func (s *stream) classifyFault(expected string, known bool) Fault {
 	fault := s.answer.fault(expected, known)
-	if fault == FaultLost && !s.ended && (s.gaveUp || !s.owed()) {
+	if fault == FaultLost && !s.ended && (s.gaveUp || !s.answerExpected()) {
 		return FaultNone
 	}
 	return fault
