--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -32,7 +32,7 @@
 	// ended tells that the end of the answer came.
 	ended bool
 	// gaveUp tells that the caller hung up while the answer was coming.
-	gaveUp bool
+	cancelled bool
 }
 
 // stallLimit is the silence after which an answer that was begun counts as
@@ -89,7 +89,7 @@
 			return attemptResult{done: true}
 		}
 		if err != nil {
-			s.gaveUp = cancelledByCaller(ctx, err) && time.Since(s.last) < stallLimit
+			s.cancelled = cancelledByCaller(ctx, err) && time.Since(s.last) < stallLimit
 			return attemptResult{connFailed: !cancelledByCaller(ctx, err), done: s.ended}
 		}
 		if e.name == eventError {
@@ -174,7 +174,7 @@
 	switch {
 	case s.ended:
 		s.rec.Outcome = OutcomeAnswered
-	case s.gaveUp:
+	case s.cancelled:
 		s.rec.Outcome = OutcomeCancelled
 	case s.answerExpected():
 		s.rec.Outcome = OutcomeLost
@@ -196,7 +196,7 @@
 // an error is checked too: it may be short, not doubled or wrong.
 func (s *stream) classifyFault(expected string, known bool) Fault {
 	fault := s.answer.fault(expected, known)
-	if fault == FaultLost && !s.ended && (s.gaveUp || !s.answerExpected()) {
+	if fault == FaultLost && !s.ended && (s.cancelled || !s.answerExpected()) {
 		return FaultNone
 	}
 	return fault
