--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -25,7 +25,7 @@
 	request opapi.CompletionRequest
 	answer  *answer
 	rec     *Record
-	begun   time.Time
+	start   time.Time
 	last    time.Time
 	// accepted tells that the system took the request: an answer is owed.
 	accepted bool
@@ -47,7 +47,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
 	defer cancel()
-	s := &stream{caller: c, request: request, answer: newAnswer(), rec: &rec, begun: time.Now()}
+	s := &stream{caller: c, request: request, answer: newAnswer(), rec: &rec, start: time.Now()}
 	c.retryLoop(ctx, &rec, s.attempt)
 	s.complete(prompt, maxTokens)
 	return rec
@@ -160,7 +160,7 @@
 func (s *stream) recordOutput(now time.Time) {
 	s.rec.OutputTokens++
 	if s.rec.OutputTokens == 1 {
-		s.rec.FirstToken = now.Sub(s.begun)
+		s.rec.FirstToken = now.Sub(s.start)
 	} else {
 		s.rec.Gaps = append(s.rec.Gaps, now.Sub(s.last))
 	}
@@ -169,7 +169,7 @@
 
 // conclude fills in the outcome and the faults of the answer.
 func (s *stream) complete(prompt string, maxTokens int) {
-	s.rec.Total = time.Since(s.begun)
+	s.rec.Total = time.Since(s.start)
 	s.rec.Pace = mean(s.rec.Gaps)
 	switch {
 	case s.ended:
