--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -22,11 +22,11 @@
 type stream struct {
 	caller *Caller
 	// request is the body; a resume adds the text that came so far.
-	request opapi.CompletionRequest
-	answer  *answer
-	rec     *Record
-	start   time.Time
-	last    time.Time
+	request    opapi.CompletionRequest
+	answer     *answer
+	rec        *Record
+	start      time.Time
+	lastOutput time.Time
 	// accepted tells that the system took the request: an answer is owed.
 	accepted bool
 	// ended tells that the end of the answer came.
@@ -89,7 +89,7 @@
 			return attemptResult{done: true}
 		}
 		if err != nil {
-			s.cancelled = cancelledByCaller(ctx, err) && time.Since(s.last) < stallLimit
+			s.cancelled = cancelledByCaller(ctx, err) && time.Since(s.lastOutput) < stallLimit
 			return attemptResult{connFailed: !cancelledByCaller(ctx, err), done: s.ended}
 		}
 		if e.name == eventError {
@@ -162,9 +162,9 @@
 	if s.rec.OutputTokens == 1 {
 		s.rec.FirstToken = now.Sub(s.start)
 	} else {
-		s.rec.Gaps = append(s.rec.Gaps, now.Sub(s.last))
+		s.rec.Gaps = append(s.rec.Gaps, now.Sub(s.lastOutput))
 	}
-	s.last = now
+	s.lastOutput = now
 }
 
 // conclude fills in the outcome and the faults of the answer.
