--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -101,7 +101,7 @@
 
 // refused handles an error answer in place of a stream.
 func (s *stream) refused(resp *http.Response) attemptResult {
-	return s.failed(readError(resp, s.rec))
+	return s.handleError(readError(resp, s.rec))
 }
 
 // streamError handles an error event.
@@ -111,12 +111,12 @@
 		return attemptResult{connFailed: true}
 	}
 	s.rec.Ending = newEnding(resp, body.Error, []byte(e.data))
-	return s.failed(body.Error)
+	return s.handleError(body.Error)
 }
 
 // failed books an error. An answer that was begun is resumed where the system
 // says that it is worth it, and when.
-func (s *stream) failed(detail opapi.ErrorDetail) attemptResult {
+func (s *stream) handleError(detail opapi.ErrorDetail) attemptResult {
 	result := s.caller.handleError(detail, s.rec)
 	if result.done && s.rec.OutputTokens > 0 && resumable(detail) {
 		return attemptResult{delay: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
