--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -74,7 +74,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s.refused(resp)
+		return s.handleErrorResponse(resp)
 	}
 	s.accepted = true
 	return s.read(ctx, resp)
@@ -100,7 +100,7 @@
 }
 
 // refused handles an error answer in place of a stream.
-func (s *stream) refused(resp *http.Response) attemptResult {
+func (s *stream) handleErrorResponse(resp *http.Response) attemptResult {
 	return s.handleError(readError(resp, s.rec))
 }
 
