--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -119,13 +119,13 @@
 func (s *stream) handleError(detail opapi.ErrorDetail) attemptResult {
 	result := s.caller.handleError(detail, s.rec)
 	if result.done && s.rec.OutputTokens > 0 && resumable(detail) {
-		return attemptResult{delay: max(resumePause, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
+		return attemptResult{delay: max(resumeDelay, time.Duration(detail.RetryAfterMS)*time.Millisecond)}
 	}
 	return result
 }
 
 // resumePause is the wait before an answer that broke off with an error is resumed.
-const resumePause = 50 * time.Millisecond
+const resumeDelay = 50 * time.Millisecond
 
 // resumable tells whether an error within a stream leaves the answer to be
 // had at another address or a little later.
