--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-func completeOnce(t *testing.T, f *fake, seeds ...string) Record {
+func completeOnce(t *testing.T, f *fakeServer, seeds ...string) Record {
 	t.Helper()
 	client := NewClient()
 	t.Cleanup(client.CloseIdleConnections)
@@ -34,16 +34,16 @@
 func TestFaultsAreTold(t *testing.T) {
 	cases := []struct {
 		name string
-		set  func(*fake)
+		set  func(*fakeServer)
 		want Fault
 	}{
-		{"event repeated under its id", func(f *fake) { f.order = []int{0, 1, 1, 2, 3, 4}; f.sameIDs = true }, FaultDoubled},
-		{"text repeated under a new id", func(f *fake) { f.order = []int{0, 1, 1, 2, 3, 4} }, FaultDoubled},
-		{"whole answer twice", func(f *fake) { f.order = []int{0, 1, 2, 3, 4, 0, 1, 2, 3, 4} }, FaultDoubled},
-		{"two ends", func(f *fake) { f.twoEnds = true }, FaultDoubled},
-		{"hole", func(f *fake) { f.order = []int{0, 1, 3, 4} }, FaultLost},
-		{"short", func(f *fake) { f.order = []int{0, 1, 2} }, FaultLost},
-		{"out of order", func(f *fake) { f.order = []int{0, 2, 1, 3, 4} }, FaultWrong},
+		{"event repeated under its id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4}; f.sameIDs = true }, FaultDoubled},
+		{"text repeated under a new id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4} }, FaultDoubled},
+		{"whole answer twice", func(f *fakeServer) { f.order = []int{0, 1, 2, 3, 4, 0, 1, 2, 3, 4} }, FaultDoubled},
+		{"two ends", func(f *fakeServer) { f.twoEnds = true }, FaultDoubled},
+		{"hole", func(f *fakeServer) { f.order = []int{0, 1, 3, 4} }, FaultLost},
+		{"short", func(f *fakeServer) { f.order = []int{0, 1, 2} }, FaultLost},
+		{"out of order", func(f *fakeServer) { f.order = []int{0, 2, 1, 3, 4} }, FaultWrong},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -20,7 +20,7 @@
 func fakeExpect(string, string, int) string { return strings.Join(fakeWords, "") }
 
 // fake is a system that misbehaves on purpose.
-type fake struct {
+type fakeServer struct {
 	*httptest.Server
 	// order lists the indices of the tokens to send; nil sends each once.
 	order []int
@@ -46,9 +46,9 @@
 	runs    atomic.Int32
 }
 
-func newFake(t *testing.T) *fake {
+func newFake(t *testing.T) *fakeServer {
 	t.Helper()
-	f := &fake{}
+	f := &fakeServer{}
 	mux := http.NewServeMux()
 	mux.HandleFunc(opapi.PathEntry, f.entry)
 	mux.HandleFunc(opapi.PathCompletions, f.complete)
@@ -58,9 +58,9 @@
 	return f
 }
 
-func (f *fake) address() string { return f.Listener.Addr().String() }
+func (f *fakeServer) address() string { return f.Listener.Addr().String() }
 
-func (f *fake) entry(w http.ResponseWriter, _ *http.Request) {
+func (f *fakeServer) entry(w http.ResponseWriter, _ *http.Request) {
 	answer := opapi.EntryAnswer{LifetimeMS: 60000}
 	for _, a := range append(f.others, f.address()) {
 		answer.Addresses = append(answer.Addresses, opapi.EntryAddress{Address: a, Weight: 1})
@@ -68,7 +68,7 @@
 	writeJSON(w, answer)
 }
 
-func (f *fake) complete(w http.ResponseWriter, r *http.Request) {
+func (f *fakeServer) complete(w http.ResponseWriter, r *http.Request) {
 	f.bodies.Add(1)
 	if f.broken {
 		http.Error(w, "no code here", http.StatusBadGateway)
@@ -89,7 +89,7 @@
 	f.send(w, r, from)
 }
 
-func (f *fake) send(w http.ResponseWriter, r *http.Request, from int) {
+func (f *fakeServer) send(w http.ResponseWriter, r *http.Request, from int) {
 	order := f.order
 	if order == nil {
 		for i := range fakeWords {
@@ -122,7 +122,7 @@
 	w.(http.Flusher).Flush()
 }
 
-func (f *fake) plain(w http.ResponseWriter, _ *http.Request) {
+func (f *fakeServer) plain(w http.ResponseWriter, _ *http.Request) {
 	f.runs.Add(1)
 	writeJSON(w, map[string]bool{"ok": true})
 }
--- a/cmd/internal/load/resume_test.go
+++ b/cmd/internal/load/resume_test.go
@@ -12,7 +12,7 @@
 )
 
 // refuseResumes refuses the first resumes of a fake with an error.
-func refuseResumes(f *fake, count int32, detail opapi.ErrorDetail) {
+func refuseResumes(f *fakeServer, count int32, detail opapi.ErrorDetail) {
 	var left atomic.Int32
 	left.Store(count)
 	inner := f.Config.Handler
