--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -24,7 +24,7 @@
 
 func TestWholeAnswer(t *testing.T) {
 	is := is.New(t)
-	rec := completeOnce(t, newFake(t))
+	rec := completeOnce(t, newFakeServer(t))
 	is.Equal(rec.Outcome, OutcomeAnswered)
 	is.Equal(rec.Fault, FaultNone)
 	is.Equal(rec.OutputTokens, 5)
@@ -48,7 +48,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFake(t)
+			f := newFakeServer(t)
 			c.set(f)
 			is.Equal(completeOnce(t, f).Fault, c.want)
 		})
@@ -57,7 +57,7 @@
 
 func TestCutStreamIsResumed(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.cutAfter = 2
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeAnswered)
@@ -68,7 +68,7 @@
 
 func TestDeadAddressIsLeft(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.others = []string{closedAddress(t), closedAddress(t)}
 	rec := completeOnce(t, f, closedAddress(t))
 	is.Equal(rec.Outcome, OutcomeAnswered)
@@ -77,7 +77,7 @@
 
 func TestRetryAfterIsHonoured(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.refusals.Store(2)
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeAnswered)
@@ -86,7 +86,7 @@
 
 func TestRefusedIsNotLost(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.refusals.Store(1000)
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeRefused)
@@ -103,7 +103,7 @@
 
 func TestGivingUpAmidAnAnswerIsNoLoss(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.holdAfterFirst = true
 	client := &http.Client{Transport: cancelAfterRead{cancel}}
@@ -139,7 +139,7 @@
 
 func TestAnswerThatIsNeverResumedIsLost(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.cutAfter = 2
 	f.cutResumes = true
 	rec := completeOnce(t, f)
@@ -164,7 +164,7 @@
 // account; one without a code above all.
 func TestTheErrorThatEndedARequestIsTold(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.broken = true
 	res, err := Run(context.Background(), Spec{
 		Entry: []string{f.address()}, Rate: 1000, Requests: 1, Seed: 1,
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -46,7 +46,7 @@
 	runs    atomic.Int32
 }
 
-func newFake(t *testing.T) *fakeServer {
+func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
 	f := &fakeServer{}
 	mux := http.NewServeMux()
--- a/cmd/internal/load/resume_test.go
+++ b/cmd/internal/load/resume_test.go
@@ -30,7 +30,7 @@
 func TestRefusedResumeIsRepeatedWhereAdvised(t *testing.T) {
 	is := is.New(t)
 	ran := opapi.ErrorDetail{Code: verdict.CodeOverloaded, Verdict: verdict.Ran.String(), RetryAfterMS: 5}
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.cutAfter = 2
 	refuseResumes(f, 2, ran)
 	rec := completeOnce(t, f)
@@ -40,7 +40,7 @@
 
 	// Without advice the answer is lost, and that is told.
 	ran.RetryAfterMS = 0
-	f = newFake(t)
+	f = newFakeServer(t)
 	f.cutAfter = 2
 	refuseResumes(f, 2, ran)
 	rec = completeOnce(t, f)
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -89,7 +89,7 @@
 
 func TestRunAccountsForEveryRequest(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
+	f := newFakeServer(t)
 	f.cutAfter = 3
 	spec := Spec{
 		Entry: []string{f.address()}, Teams: testTeams(BehaviourNormal), Rate: 400, Requests: 60, Seed: 5,
