--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -58,7 +58,7 @@
 func TestCutStreamIsResumed(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
-	f.cutAfter = 2
+	f.disconnectAfter = 2
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeAnswered)
 	is.Equal(rec.Fault, FaultNone)
@@ -140,7 +140,7 @@
 func TestAnswerThatIsNeverResumedIsLost(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
-	f.cutAfter = 2
+	f.disconnectAfter = 2
 	f.cutResumes = true
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeLost)
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -27,7 +27,7 @@
 	// sameIDs gives a repeated token the id it had before.
 	sameIDs bool
 	// cutAfter breaks the first connection behind so many events; 0 never.
-	cutAfter int
+	disconnectAfter int
 	// cutResumes breaks resumes before anything is sent.
 	cutResumes bool
 	// holdAfterFirst waits behind the first event until the caller has gone.
@@ -97,7 +97,7 @@
 		}
 	}
 	for n, i := range order[from:] {
-		if f.cutAfter > 0 && from == 0 && n == f.cutAfter {
+		if f.disconnectAfter > 0 && from == 0 && n == f.disconnectAfter {
 			panic(http.ErrAbortHandler)
 		}
 		id := from + n + 1
--- a/cmd/internal/load/resume_test.go
+++ b/cmd/internal/load/resume_test.go
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	ran := opapi.ErrorDetail{Code: verdict.CodeOverloaded, Verdict: verdict.Ran.String(), RetryAfterMS: 5}
 	f := newFakeServer(t)
-	f.cutAfter = 2
+	f.disconnectAfter = 2
 	refuseResumes(f, 2, ran)
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeAnswered)
@@ -41,7 +41,7 @@
 	// Without advice the answer is lost, and that is told.
 	ran.RetryAfterMS = 0
 	f = newFakeServer(t)
-	f.cutAfter = 2
+	f.disconnectAfter = 2
 	refuseResumes(f, 2, ran)
 	rec = completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeLost)
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -90,7 +90,7 @@
 func TestRunAccountsForEveryRequest(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
-	f.cutAfter = 3
+	f.disconnectAfter = 3
 	spec := Spec{
 		Entry: []string{f.address()}, Teams: testTeams(BehaviourNormal), Rate: 400, Requests: 60, Seed: 5,
 		FirstTokenTarget: time.Minute, PaceTarget: time.Minute,
