--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -141,7 +141,7 @@
 	is := is.New(t)
 	f := newFakeServer(t)
 	f.disconnectAfter = 2
-	f.cutResumes = true
+	f.disconnectResumes = true
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeLost)
 	is.Equal(rec.Fault, FaultLost)
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -29,7 +29,7 @@
 	// cutAfter breaks the first connection behind so many events; 0 never.
 	disconnectAfter int
 	// cutResumes breaks resumes before anything is sent.
-	cutResumes bool
+	disconnectResumes bool
 	// holdAfterFirst waits behind the first event until the caller has gone.
 	holdAfterFirst bool
 	// twoEnds sends the end twice.
@@ -83,7 +83,7 @@
 		f.resumed.Store(id)
 		from, _ = strconv.Atoi(id)
 	}
-	if from > 0 && f.cutResumes {
+	if from > 0 && f.disconnectResumes {
 		panic(http.ErrAbortHandler)
 	}
 	f.send(w, r, from)
