--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -105,7 +105,7 @@
 	is := is.New(t)
 	f := newFakeServer(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	f.holdAfterFirst = true
+	f.stallAfterFirst = true
 	client := &http.Client{Transport: cancelAfterRead{cancel}}
 	t.Cleanup(http.DefaultTransport.(*http.Transport).CloseIdleConnections)
 	spec := Spec{Entry: []string{f.address()}, Expect: fakeExpect}
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -31,7 +31,7 @@
 	// cutResumes breaks resumes before anything is sent.
 	disconnectResumes bool
 	// holdAfterFirst waits behind the first event until the caller has gone.
-	holdAfterFirst bool
+	stallAfterFirst bool
 	// twoEnds sends the end twice.
 	twoEnds bool
 	// broken answers with an error that has neither code nor verdict.
@@ -105,7 +105,7 @@
 			id = i + 1
 		}
 		sendEvent(w, strconv.Itoa(id), fakeWords[i])
-		if f.holdAfterFirst {
+		if f.stallAfterFirst {
 			<-r.Context().Done()
 			return
 		}
