--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -40,7 +40,7 @@
 		{"event repeated under its id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4}; f.sameIDs = true }, FaultDoubled},
 		{"text repeated under a new id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4} }, FaultDoubled},
 		{"whole answer twice", func(f *fakeServer) { f.order = []int{0, 1, 2, 3, 4, 0, 1, 2, 3, 4} }, FaultDoubled},
-		{"two ends", func(f *fakeServer) { f.twoEnds = true }, FaultDoubled},
+		{"two ends", func(f *fakeServer) { f.duplicateEnd = true }, FaultDoubled},
 		{"hole", func(f *fakeServer) { f.order = []int{0, 1, 3, 4} }, FaultLost},
 		{"short", func(f *fakeServer) { f.order = []int{0, 1, 2} }, FaultLost},
 		{"out of order", func(f *fakeServer) { f.order = []int{0, 2, 1, 3, 4} }, FaultWrong},
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -33,7 +33,7 @@
 	// holdAfterFirst waits behind the first event until the caller has gone.
 	stallAfterFirst bool
 	// twoEnds sends the end twice.
-	twoEnds bool
+	duplicateEnd bool
 	// broken answers with an error that has neither code nor verdict.
 	broken bool
 	// refusals is how many requests are refused before one is taken.
@@ -111,7 +111,7 @@
 		}
 	}
 	fmt.Fprint(w, "data: [DONE]\n\n")
-	if f.twoEnds {
+	if f.duplicateEnd {
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	}
 }
