--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -37,7 +37,7 @@
 		set  func(*fakeServer)
 		want Fault
 	}{
-		{"event repeated under its id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4}; f.sameIDs = true }, FaultDoubled},
+		{"event repeated under its id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4}; f.reuseIDs = true }, FaultDoubled},
 		{"text repeated under a new id", func(f *fakeServer) { f.order = []int{0, 1, 1, 2, 3, 4} }, FaultDoubled},
 		{"whole answer twice", func(f *fakeServer) { f.order = []int{0, 1, 2, 3, 4, 0, 1, 2, 3, 4} }, FaultDoubled},
 		{"two ends", func(f *fakeServer) { f.duplicateEnd = true }, FaultDoubled},
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -25,7 +25,7 @@
 	// order lists the indices of the tokens to send; nil sends each once.
 	order []int
 	// sameIDs gives a repeated token the id it had before.
-	sameIDs bool
+	reuseIDs bool
 	// cutAfter breaks the first connection behind so many events; 0 never.
 	disconnectAfter int
 	// cutResumes breaks resumes before anything is sent.
@@ -101,7 +101,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		id := from + n + 1
-		if f.sameIDs {
+		if f.reuseIDs {
 			id = i + 1
 		}
 		sendEvent(w, strconv.Itoa(id), fakeWords[i])
