--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -69,7 +69,7 @@
 func TestDeadAddressIsLeft(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
-	f.others = []string{closedAddress(t), closedAddress(t)}
+	f.otherAddresses = []string{closedAddress(t), closedAddress(t)}
 	rec := completeOnce(t, f, closedAddress(t))
 	is.Equal(rec.Outcome, OutcomeAnswered)
 	is.Equal(f.bodies.Load(), int32(1))
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -39,7 +39,7 @@
 	// refusals is how many requests are refused before one is taken.
 	refusals atomic.Int32
 	// others are the addresses of the entry answer besides its own.
-	others []string
+	otherAddresses []string
 	// resumed holds the Last-Event-ID of the last resume.
 	resumed atomic.Value
 	bodies  atomic.Int32
@@ -62,7 +62,7 @@
 
 func (f *fakeServer) entry(w http.ResponseWriter, _ *http.Request) {
 	answer := opapi.EntryAnswer{LifetimeMS: 60000}
-	for _, a := range append(f.others, f.address()) {
+	for _, a := range append(f.otherAddresses, f.address()) {
 		answer.Addresses = append(answer.Addresses, opapi.EntryAddress{Address: a, Weight: 1})
 	}
 	writeJSON(w, answer)
