--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -72,7 +72,7 @@
 	f.otherAddresses = []string{closedAddress(t), closedAddress(t)}
 	rec := completeOnce(t, f, closedAddress(t))
 	is.Equal(rec.Outcome, OutcomeAnswered)
-	is.Equal(f.bodies.Load(), int32(1))
+	is.Equal(f.completionRequests.Load(), int32(1))
 }
 
 func TestRetryAfterIsHonoured(t *testing.T) {
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -41,9 +41,9 @@
 	// others are the addresses of the entry answer besides its own.
 	otherAddresses []string
 	// resumed holds the Last-Event-ID of the last resume.
-	resumed atomic.Value
-	bodies  atomic.Int32
-	runs    atomic.Int32
+	resumed            atomic.Value
+	completionRequests atomic.Int32
+	runs               atomic.Int32
 }
 
 func newFakeServer(t *testing.T) *fakeServer {
@@ -69,7 +69,7 @@
 }
 
 func (f *fakeServer) complete(w http.ResponseWriter, r *http.Request) {
-	f.bodies.Add(1)
+	f.completionRequests.Add(1)
 	if f.broken {
 		http.Error(w, "no code here", http.StatusBadGateway)
 		return
