--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -43,7 +43,7 @@
 	// resumed holds the Last-Event-ID of the last resume.
 	resumed            atomic.Value
 	completionRequests atomic.Int32
-	runs               atomic.Int32
+	plainRequests      atomic.Int32
 }
 
 func newFakeServer(t *testing.T) *fakeServer {
@@ -123,7 +123,7 @@
 }
 
 func (f *fakeServer) plain(w http.ResponseWriter, _ *http.Request) {
-	f.runs.Add(1)
+	f.plainRequests.Add(1)
 	writeJSON(w, map[string]bool{"ok": true})
 }
 
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -105,7 +105,7 @@
 	is.Equal(res.Total.Completions+res.Total.PlainAnswered, 60)
 	is.Equal(res.Total.Resumes, res.Total.Completions)
 	is.Equal(res.Total.Good, res.Total.Completions)
-	is.Equal(int(f.runs.Load()), res.Total.PlainAnswered)
+	is.Equal(int(f.plainRequests.Load()), res.Total.PlainAnswered)
 }
 
 func TestPlainRunsAreChecked(t *testing.T) {
