--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -31,7 +31,7 @@
 	is.Equal(len(rec.Gaps), 4)
 }
 
-func TestFaultsAreTold(t *testing.T) {
+func TestFaultsAreReported(t *testing.T) {
 	cases := []struct {
 		name string
 		set  func(*fakeServer)
