--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -66,7 +66,7 @@
 	is.Equal(f.resumed.Load(), "2")
 }
 
-func TestDeadAddressIsLeft(t *testing.T) {
+func TestUnreachableAddressIsSkipped(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
 	f.otherAddresses = []string{closedAddress(t), closedAddress(t)}
