--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -94,7 +94,7 @@
 	is.Equal(rec.Attempts, DefaultMaxAttempts)
 }
 
-func TestUnendedAnswerIsLost(t *testing.T) {
+func TestAnswerWithoutEndIsLost(t *testing.T) {
 	is := is.New(t)
 	a := newAnswer()
 	a.add("1", "alpha ")
