--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -101,7 +101,7 @@
 	is.Equal(a.fault("", false), FaultLost)
 }
 
-func TestGivingUpAmidAnAnswerIsNoLoss(t *testing.T) {
+func TestCancelledAnswerIsNotLost(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
 	ctx, cancel := context.WithCancel(context.Background())
