--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -162,7 +162,7 @@
 // TestTheErrorThatEndedARequestIsTold: of a request that ended without an
 // answer, what was sent, by whom and with which status must be readable in the
 // account; one without a code above all.
-func TestTheErrorThatEndedARequestIsTold(t *testing.T) {
+func TestFinalErrorIsReported(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
 	f.broken = true
