--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -129,7 +129,7 @@
 	is.Equal(a.result(time.Second).Total.Doubled, 1)
 }
 
-func TestWarmupIsLeftOutButItsFaultsCount(t *testing.T) {
+func TestWarmupIsExcludedButItsFaultsCount(t *testing.T) {
 	is := is.New(t)
 	a := newCollector(Spec{Teams: testTeams(BehaviourNormal), Warmup: time.Second, Duration: 3 * time.Second}.withDefaults())
 	a.add(Record{At: 0, Outcome: OutcomeAnswered, Fault: FaultDoubled})
