--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -142,7 +142,7 @@
 	is.Equal(res.Total.GoodputPerSecond, 0.5)
 }
 
-func TestSpecErrorsSayWhere(t *testing.T) {
+func TestSpecErrorsNameTheTeam(t *testing.T) {
 	is := is.New(t)
 	spec := Spec{Entry: []string{"x"}, Rate: 1, Requests: 1, Teams: []Team{{Name: "kuryk", Behaviour: "odd", Profile: Bunker()}}}
 	is.Equal(spec.Validate().Error(), `load: team kuryk: unknown behaviour "odd"`)
