--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -28,7 +28,7 @@
 	is.True(len(other) == 0 || first[0] != other[0])
 }
 
-func TestFloodLeavesOthersArrivalsAlone(t *testing.T) {
+func TestFloodDoesNotChangeOtherArrivals(t *testing.T) {
 	is := is.New(t)
 	spec := Spec{Teams: testTeams(BehaviourNormal), Rate: 50, Duration: 4 * time.Second, Seed: 7}
 	calm := arrivalsOf(Schedule(spec), 0)
