--- a/cmd/internal/load/resume_test.go
+++ b/cmd/internal/load/resume_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRefusedResumeIsRepeatedWhereAdvised has begun answers refused on resume.
-func TestRefusedResumeIsRepeatedWhereAdvised(t *testing.T) {
+func TestRefusedResumeIsRetriedAfterRetryAfter(t *testing.T) {
 	is := is.New(t)
 	ran := opapi.ErrorDetail{Code: verdict.CodeOverloaded, Verdict: verdict.Ran.String(), RetryAfterMS: 5}
 	f := newFakeServer(t)
