--- a/cmd/internal/load/answer.go
+++ b/cmd/internal/load/answer.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// Fault is what is wrong with an answer.
+// Fault classifies an incorrect answer.
 type Fault string
 
 // The faults of an answer.
 const (
-	// FaultNone: the answer is whole and right, as far as it can be told.
+	// FaultNone: no fault was detected.
 	FaultNone Fault = ""
-	// FaultLost: the answer, or a part of it, never came.
+	// FaultLost: the answer or a part of it was not received.
 	FaultLost Fault = "lost"
-	// FaultDoubled: a part of the answer, or its end, came twice.
+	// FaultDoubled: a part of the answer or its end marker was received twice.
 	FaultDoubled Fault = "doubled"
-	// FaultWrong: the answer holds text that isn't part of it, or is out of order.
+	// FaultWrong: the answer contains unexpected text or is out of order.
 	FaultWrong Fault = "wrong"
 )
 
-// answer collects the events of one answer, over all connections of a caller.
+// answer collects the events of one answer over all its connections.
 type answer struct {
 	chunks       []string
 	seen         map[string]struct{}
@@ -31,7 +31,8 @@
 	return &answer{seen: map[string]struct{}{}}
 }
 
-// add takes one event's text. It reports whether the event was new.
+// add appends the text of one event. It returns false if an event with the same
+// id was received before; events without an id count as new.
 func (a *answer) add(eventID, text string) bool {
 	if eventID != "" {
 		if _, dup := a.seen[eventID]; dup {
@@ -50,14 +51,14 @@
 	return true
 }
 
-// text is what came so far.
+// text returns the text received so far.
 func (a *answer) text() string { return strings.Join(a.chunks, "") }
 
-// finish takes the end of the answer.
+// finish records an end marker.
 func (a *answer) finish() { a.ends++ }
 
-// fault compares the answer with the expected text; known is false if there
-// is none to compare with.
+// fault classifies the answer. It compares the answer with the expected text
+// only if known is true.
 func (a *answer) fault(expected string, known bool) Fault {
 	if a.duplicates > 0 || a.ends > 1 || a.textAfterEnd > 0 {
 		return FaultDoubled
@@ -73,7 +74,8 @@
 	return FaultNone
 }
 
-// compare finds the first chunk that is not where it belongs and names the fault.
+// compare returns the fault of the first chunk that does not match the expected
+// text at its position.
 func compare(chunks []string, expected string) Fault {
 	at := 0
 	for i, chunk := range chunks {
@@ -89,7 +91,9 @@
 	return FaultNone
 }
 
-// misplaced names the fault of a chunk that does not follow what came before.
+// mismatchFault classifies chunk i, which does not match the expected text at
+// offset at: doubled if an earlier chunk is equal, lost if the remaining chunks
+// occur in order in the remaining text, otherwise wrong.
 func mismatchFault(chunks []string, i int, expected string, at int) Fault {
 	if isDuplicate(chunks, i) {
 		return FaultDoubled
@@ -100,7 +104,7 @@
 	return FaultWrong
 }
 
-// repeatsEarlier tells whether a chunk came before.
+// isDuplicate reports whether chunk i equals an earlier chunk.
 func isDuplicate(chunks []string, i int) bool {
 	for _, earlier := range chunks[:i] {
 		if earlier == chunks[i] {
@@ -110,7 +114,7 @@
 	return false
 }
 
-// isSubsequence tells whether all chunks stand in the text in their order.
+// isSubsequence reports whether all chunks occur in the text in their order.
 func isSubsequence(chunks []string, text string) bool {
 	for _, chunk := range chunks {
 		at := strings.Index(text, chunk)
--- a/cmd/internal/load/arrival.go
+++ b/cmd/internal/load/arrival.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Arrival is one request that is due at a time of the run.
+// Arrival is one scheduled request.
 type Arrival struct {
-	// At is the time since the start of the run.
+	// At is the arrival time, measured from the start of the run.
 	At time.Duration
 	// Team is the index of the team.
 	Team int
-	// Number counts within the team.
+	// Number is the sequence number within the team, from 0.
 	Number int
-	// Plain says that it calls the plain service.
+	// Plain is set for a call to the plain service.
 	Plain bool
-	// Key is the idempotency key of a non-idempotent plain call, else empty.
+	// Key is the idempotency key of a non-idempotent plain call, otherwise empty.
 	Key string
-	// PromptTokens is the length of a completion's prompt.
+	// PromptTokens is the length of a completion's prompt, in tokens.
 	PromptTokens int
-	// Prefix is the rank of the shared prefix it begins with.
+	// Prefix is the rank of the shared prefix with which the prompt begins.
 	Prefix int
-	// TextSeed seeds the unshared rest of the prompt.
+	// TextSeed seeds the text of the prompt after the shared prefix.
 	TextSeed uint64
 }
 
-// Schedule draws all arrivals of a run, in the order of time. Each team draws
-// from a source of its own, so that the arrivals of one don't depend on the
-// behaviour of another.
+// Schedule draws all arrivals of a run, sorted by time. Each team has its own
+// random source, so that the arrivals of a team don't depend on the behaviour of
+// another team.
 func Schedule(spec Spec) []Arrival {
 	spec = spec.withDefaults()
 	total := totalWeight(spec.Teams)
@@ -51,13 +51,13 @@
 	return all
 }
 
-// horizon is the time up to which arrivals are drawn.
+// horizon returns the time up to which arrivals are drawn.
 func (s Spec) horizon() time.Duration {
 	if s.Requests <= 0 {
 		return s.Duration
 	}
-	// Twice the mean time plus a margin holds enough arrivals but for a
-	// probability that vanishes; Schedule cuts what is too much.
+	// Twice the mean time plus a margin contains enough arrivals except with a
+	// negligible probability; Schedule truncates the surplus.
 	mean := float64(s.Requests) / s.Rate
 	return time.Duration((2*mean + 10/s.Rate) * float64(time.Second))
 }
@@ -89,12 +89,13 @@
 	}
 }
 
-// interval draws the time to the next arrival of a Poisson process.
+// interval draws the time to the next arrival of a Poisson process with a rate
+// in requests per second.
 func interval(rng *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// factorAt is the multiple of the rate at a time.
+// factorAt returns the factor of the rate at a time of the run.
 func (b Burst) factorAt(at time.Duration) float64 {
 	if b.Every <= 0 || b.Factor <= 0 {
 		return 1
--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -17,26 +17,28 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request as seen by its caller.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeAnswered: the whole answer came.
+	// OutcomeAnswered: the end of the answer was received.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeRefused: the system said "not run".
+	// OutcomeRefused: the system returned an error with the verdict "not run".
 	OutcomeRefused Outcome = "refused"
-	// OutcomeFailed: an error that may have run, or that ran.
+	// OutcomeFailed: the system returned an error for a request that ran or may
+	// have run.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeLost: accepted, and the rest of the answer never came.
+	// OutcomeLost: the request was accepted, but the rest of the answer was not
+	// received.
 	OutcomeLost Outcome = "lost"
-	// OutcomeUnreachable: no address took the request.
+	// OutcomeUnreachable: no address accepted the request.
 	OutcomeUnreachable Outcome = "unreachable"
-	// OutcomeCancelled: the caller hung up on purpose.
+	// OutcomeCancelled: the caller cancelled the request.
 	OutcomeCancelled Outcome = "cancelled"
 )
 
-// Record is the account of one request.
+// Record holds the outcome and the latencies of one request.
 type Record struct {
 	Team    int
 	At      time.Duration
@@ -44,32 +46,34 @@
 	Key     string
 	Outcome Outcome
 	Fault   Fault
-	// Code of the error, if there was one.
+	// Code is the code of the last error, empty for none.
 	Code verdict.Code
-	// Ending is the last error answer, if there was one.
+	// Ending is the last error response, nil for none.
 	Ending *Ending
-	// FirstToken is the time from the arrival to the first output.
+	// FirstToken is the time from the arrival to the first output; for a plain
+	// call it equals Total.
 	FirstToken time.Duration
-	// Pace is the mean time between the outputs that follow.
+	// Pace is the mean of Gaps.
 	Pace time.Duration
-	// Gaps are the times between two outputs.
+	// Gaps are the times between consecutive outputs.
 	Gaps []time.Duration
 	// Total is the time from the arrival to the end.
 	Total time.Duration
-	// Attempts sent and Resumes among them.
+	// Attempts counts all attempts, Resumes those that resumed a stream.
 	Attempts int
 	Resumes  int
-	// PromptTokens sent, as estimated, and OutputTokens received.
+	// PromptTokens is the estimated length of the prompt; OutputTokens counts the
+	// outputs received.
 	PromptTokens int
 	OutputTokens int
 }
 
 // Caller sends requests of one team and follows the entry answer.
 //
-// It uses net/http, not fasthttp: a caller must read a stream while it comes
-// and hang up in its midst by a context, and net/http's client does both.
-// Requests are built without GetBody, so that net/http can't repeat one whose
-// body it began to send; the caller's own repeats are counted.
+// It uses net/http, not fasthttp: a caller must read a response while it is
+// being streamed and cancel it through a context, and net/http's client supports
+// both. Requests have no GetBody, so that net/http can't resend a body that it
+// has begun to send; only the caller's own retries, which are counted, resend it.
 type Caller struct {
 	spec   Spec
 	team   Team
@@ -78,7 +82,7 @@
 	rng    *lockedRand
 }
 
-// NewCaller returns a caller of a team.
+// NewCaller returns a caller of a team. The client may be shared by callers.
 func NewCaller(spec Spec, team Team, client *http.Client, rng *rand.Rand) *Caller {
 	spec = spec.withDefaults()
 	shared := newLockedRand(rng)
@@ -88,17 +92,18 @@
 	}
 }
 
-// attempt is what one try at one address came to.
+// attemptResult is the result of one attempt at one address.
 type attemptResult struct {
-	// done: the request has ended with the record's outcome.
+	// done is set if the request has ended with the record's outcome.
 	done bool
-	// broke: the connection failed or broke; go on at another address.
+	// connFailed is set if the connection failed; the next attempt uses another
+	// address.
 	connFailed bool
-	// wait before the next try.
+	// delay before the next attempt.
 	delay time.Duration
 }
 
-// retryPolicy paces a caller's tries after broken connections.
+// retryPolicy returns the backoff after failed connections.
 func retryPolicy() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 20 * time.Millisecond
@@ -106,8 +111,8 @@
 	return b
 }
 
-// loop makes attempts until the request has ended, the tries are used up or
-// the patience is over.
+// retryLoop makes attempts until the request has ended, MaxAttempts is reached or
+// the context, which is bounded by Patience, ends.
 func (c *Caller) retryLoop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attemptResult) {
 	policy := retryPolicy()
 	for c.mayRetry(rec) {
@@ -138,50 +143,51 @@
 	return rec.Attempts < c.spec.MaxAttempts || c.team.Behaviour == BehaviourRetry
 }
 
-// request builds one HTTP request of the team.
+// request builds a POST request with the team's key.
 func (c *Caller) request(ctx context.Context, address, path string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the client can't send a body twice behind our back.
+	// Without GetBody the client can't resend the body on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+c.team.Key)
 	return req, nil
 }
 
-// refused reads an error answer and decides whether the caller tries again.
+// handleErrorResponse reads an error response and decides whether to retry.
 func (c *Caller) handleErrorResponse(resp *http.Response, rec *Record) attemptResult {
 	return c.handleError(readError(resp, rec), rec)
 }
 
-// failed books an error and decides whether the caller tries again.
+// handleError records an error and decides whether to retry.
 func (c *Caller) handleError(detail opapi.ErrorDetail, rec *Record) attemptResult {
 	rec.Code = detail.Code
 	rec.Outcome = OutcomeFailed
 	if detail.Verdict == verdict.NotRun.String() {
 		rec.Outcome = OutcomeRefused
 	}
-	advised := time.Duration(detail.RetryAfterMS) * time.Millisecond
+	delay := time.Duration(detail.RetryAfterMS) * time.Millisecond
 	switch {
 	case c.team.Behaviour == BehaviourRetry:
 		return attemptResult{delay: immediateRetryDelay}
-	case rec.Outcome == OutcomeRefused && advised > 0:
-		// A few callers spread over the advised time and half of it again.
-		return attemptResult{delay: advised + c.rng.jitter(advised/2)}
+	case rec.Outcome == OutcomeRefused && delay > 0:
+		// Jitter of up to half the retry delay spreads the callers.
+		return attemptResult{delay: delay + c.rng.jitter(delay/2)}
 	default:
 		return attemptResult{done: true}
 	}
 }
 
-// retryForeverPause is the pause of a team that retries forever, whatever it
-// is advised. It is long enough that the load tool, which shares the host with
-// what it measures, does not become what is measured.
+// immediateRetryDelay is the retry delay of BehaviourRetry, which ignores
+// Retry-After. It is long enough that the load generator, which shares the host
+// with the measured system, does not dominate the measurement.
 const immediateRetryDelay = 50 * time.Millisecond
 
-// readError reads the JSON body of an error and books it as the request's last
-// one. What it lacks is taken from the headers.
+// readError reads the JSON body of an error response and records it as the
+// request's last error. A missing verdict or retry delay is taken from the
+// headers.
 func readError(resp *http.Response, rec *Record) opapi.ErrorDetail {
 	var body opapi.ErrorBody
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxEntryBytes))
@@ -198,7 +204,8 @@
 	return body.Error
 }
 
-// retryAfter reads the Retry-After header, in seconds.
+// retryAfter parses the Retry-After header, in seconds; 0 if it is missing or
+// invalid.
 func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 {
@@ -207,7 +214,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// sleep waits; it reports false if the context ended before.
+// sleep waits for a duration. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -222,7 +229,8 @@
 	}
 }
 
-// hungUp tells whether an error came from the caller's own context.
+// cancelledByCaller reports whether an error was caused by the caller's own
+// context.
 func cancelledByCaller(ctx context.Context, err error) bool {
 	return ctx.Err() != nil || errors.Is(err, context.Canceled)
 }
--- a/cmd/internal/load/caller_test.go
+++ b/cmd/internal/load/caller_test.go
@@ -12,11 +12,11 @@
 	"github.com/matryer/is"
 )
 
-func completeOnce(t *testing.T, f *fakeServer, seeds ...string) Record {
+func completeOnce(t *testing.T, f *fakeServer, bootstrap ...string) Record {
 	t.Helper()
 	client := NewClient()
 	t.Cleanup(client.CloseIdleConnections)
-	spec := Spec{Entry: append(seeds, f.address()), Expect: fakeExpect}
+	spec := Spec{Entry: append(bootstrap, f.address()), Expect: fakeExpect}
 	team := Team{Name: "aktau", Key: "k", Profile: Bunker()}
 	c := NewCaller(spec, team, client, rand.New(rand.NewPCG(1, 1)))
 	return c.Complete(context.Background(), "a prompt", 5)
@@ -115,7 +115,7 @@
 	is.Equal(rec.Fault, FaultNone)
 }
 
-// cancelAfterRead hangs up once the first part of a stream has been read.
+// cancelAfterRead cancels the request after the first read of the response.
 type cancelAfterRead struct{ cancel context.CancelFunc }
 
 func (c cancelAfterRead) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -148,7 +148,7 @@
 	is.Equal(rec.Attempts, DefaultMaxAttempts)
 }
 
-// closedAddress returns an address at which nothing listens.
+// closedAddress returns an address with no listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -159,9 +159,9 @@
 	return l.Addr().String()
 }
 
-// TestTheErrorThatEndedARequestIsTold: of a request that ended without an
-// answer, what was sent, by whom and with which status must be readable in the
-// account; one without a code above all.
+// For a request that ended without an answer, the result must contain the error
+// response with its status and the daemon that sent it, even if the response has
+// no error code.
 func TestFinalErrorIsReported(t *testing.T) {
 	is := is.New(t)
 	f := newFakeServer(t)
--- a/cmd/internal/load/entry.go
+++ b/cmd/internal/load/entry.go
@@ -14,15 +14,15 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// Bounds of the entry answer.
+// Limits and delays for fetching the entry answer.
 const (
 	entryTimeout    = 2 * time.Second
 	maxEntryBytes   = 1 << 20
 	entryRetryDelay = 100 * time.Millisecond
 )
 
-// entryCache keeps an entry answer for its lifetime, as callers do. An address
-// whose connection broke is not used again until the answer is renewed.
+// entryCache caches the entry answer for its lifetime. An address whose
+// connection failed is not used again until the answer is refreshed.
 type entryCache struct {
 	client    *http.Client
 	bootstrap []string
@@ -35,11 +35,12 @@
 	refreshes int
 }
 
-func newEntryCache(client *http.Client, seeds []string, rng *rand.Rand) *entryCache {
-	return &entryCache{client: client, bootstrap: seeds, rng: rng, failed: map[string]bool{}}
+func newEntryCache(client *http.Client, bootstrap []string, rng *rand.Rand) *entryCache {
+	return &entryCache{client: client, bootstrap: bootstrap, rng: rng, failed: map[string]bool{}}
 }
 
-// pick returns the address to use for a new connection.
+// pick returns the address for the next attempt. It refreshes the entry answer if
+// the answer has expired or all its addresses have failed.
 func (c *entryCache) pick(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +52,7 @@
 	return c.chooseWeighted(), nil
 }
 
-// broken notes that a connection to an address failed or broke.
+// markFailed records that a connection to an address failed.
 func (c *entryCache) markFailed(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 	return true
 }
 
-// choose draws an address by weight among those that are not bad.
+// chooseWeighted draws an address, by weight, from those that have not failed.
 func (c *entryCache) chooseWeighted() string {
 	total := 0
 	for _, a := range c.answer.Addresses {
@@ -75,26 +76,27 @@
 			total += max(a.Weight, 1)
 		}
 	}
-	left := c.rng.IntN(total)
+	remaining := c.rng.IntN(total)
 	for _, a := range c.answer.Addresses {
 		if c.failed[a.Address] {
 			continue
 		}
-		left -= max(a.Weight, 1)
-		if left < 0 {
+		remaining -= max(a.Weight, 1)
+		if remaining < 0 {
 			return a.Address
 		}
 	}
 	return ""
 }
 
-// renew asks the known addresses, in random order, until one answers.
+// refresh fetches the entry answer from the candidate addresses in turn until one
+// succeeds.
 func (c *entryCache) refresh(ctx context.Context) error {
-	var last error
+	var lastErr error
 	for _, address := range c.candidates() {
 		answer, err := c.fetch(ctx, address)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		c.answer = answer
@@ -103,11 +105,12 @@
 		c.refreshes++
 		return nil
 	}
-	return eris.Wrap(last, "no address gave an entry answer")
+	return eris.Wrap(lastErr, "no address returned an entry answer")
 }
 
-// known lists the addresses of the last answer and the first ones, shuffled,
-// those that did not break before the others.
+// candidates returns the addresses of the last answer and the bootstrap addresses
+// without duplicates. Addresses that have not failed come first; both groups are
+// shuffled.
 func (c *entryCache) candidates() []string {
 	var good, rest []string
 	seen := map[string]bool{}
@@ -133,28 +136,28 @@
 	return append(good, rest...)
 }
 
-// ask gets the entry answer from one address.
+// fetch fetches the entry answer from one address.
 func (c *entryCache) fetch(ctx context.Context, address string) (opapi.EntryAnswer, error) {
 	var answer opapi.EntryAnswer
 	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+opapi.PathEntry, nil)
 	if err != nil {
-		return answer, eris.Wrapf(err, "entry answer of %s", address)
+		return answer, eris.Wrapf(err, "fetch entry answer from %s", address)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return answer, eris.Wrapf(err, "entry answer of %s", address)
+		return answer, eris.Wrapf(err, "fetch entry answer from %s", address)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answer, eris.Errorf("entry answer of %s: status %d", address, resp.StatusCode)
+		return answer, eris.Errorf("fetch entry answer from %s: status %d", address, resp.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxEntryBytes)).Decode(&answer); err != nil {
-		return answer, eris.Wrapf(err, "entry answer of %s", address)
+		return answer, eris.Wrapf(err, "fetch entry answer from %s", address)
 	}
 	if len(answer.Addresses) == 0 {
-		return answer, eris.Errorf("entry answer of %s: no address", address)
+		return answer, eris.Errorf("fetch entry answer from %s: no address", address)
 	}
 	return answer, nil
 }
--- a/cmd/internal/load/fake_test.go
+++ b/cmd/internal/load/fake_test.go
@@ -14,33 +14,36 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// fakeWords are the tokens of every answer of the fake.
+// fakeWords are the tokens of every answer of the fake server.
 var fakeWords = []string{"alpha ", "bravo ", "charlie ", "delta ", "echo "}
 
 func fakeExpect(string, string, int) string { return strings.Join(fakeWords, "") }
 
-// fake is a system that misbehaves on purpose.
+// fakeServer simulates a system with injected faults.
 type fakeServer struct {
 	*httptest.Server
-	// order lists the indices of the tokens to send; nil sends each once.
+	// order lists the indices of the tokens to send; nil sends each token once.
 	order []int
-	// sameIDs gives a repeated token the id it had before.
+	// reuseIDs sends a repeated token under its original event id.
 	reuseIDs bool
-	// cutAfter breaks the first connection behind so many events; 0 never.
+	// disconnectAfter closes the connection of a first attempt after this number of
+	// events; 0 for never.
 	disconnectAfter int
-	// cutResumes breaks resumes before anything is sent.
+	// disconnectResumes closes the connection of a resume before sending anything.
 	disconnectResumes bool
-	// holdAfterFirst waits behind the first event until the caller has gone.
+	// stallAfterFirst sends nothing after the first event until the caller
+	// disconnects.
 	stallAfterFirst bool
-	// twoEnds sends the end twice.
+	// duplicateEnd sends the end marker twice.
 	duplicateEnd bool
-	// broken answers with an error that has neither code nor verdict.
+	// broken responds with an error that has neither a code nor a verdict.
 	broken bool
-	// refusals is how many requests are refused before one is taken.
+	// refusals is the number of requests to refuse before one is accepted.
 	refusals atomic.Int32
-	// others are the addresses of the entry answer besides its own.
+	// otherAddresses are returned in the entry answer besides the server's own
+	// address.
 	otherAddresses []string
-	// resumed holds the Last-Event-ID of the last resume.
+	// resumed is the Last-Event-ID of the last resume.
 	resumed            atomic.Value
 	completionRequests atomic.Int32
 	plainRequests      atomic.Int32
--- a/cmd/internal/load/load.go
+++ b/cmd/internal/load/load.go
@@ -1,7 +1,8 @@
-// Package load is the load generator: seeded open-loop arrivals of several
-// teams with realistic prompts, callers that follow the entry answer and
-// resume broken streams, and an account of every answer: whole, lost, doubled
-// or wrong, with its time to first token and its pace.
+// Package load is the load generator. It draws seeded open-loop arrivals of
+// several teams with realistic prompts, sends them through callers that follow
+// the entry answer and resume interrupted streams, and classifies every answer
+// as whole, lost, doubled or wrong. It measures the time to first token and the
+// pace, which is the time between tokens.
 package load
 
 import (
@@ -11,47 +12,49 @@
 	"github.com/rotisserie/eris"
 )
 
-// Expect gives the answer that a model service must give to a prompt, as one
-// text. The stand-in engines answer by such a function.
+// Expect returns the whole text of the answer that a model service must give to
+// a prompt. The stand-in engines compute their answers with such a function.
 type Expect func(model, prompt string, maxTokens int) string
 
-// Behaviour is how the callers of a team act.
+// Behaviour selects how the callers of a team behave.
 type Behaviour string
 
 // The behaviours of a team's callers.
 const (
 	// BehaviourNormal waits for the answer and honours Retry-After.
 	BehaviourNormal Behaviour = "normal"
-	// BehaviourFlood arrives at FloodFactor times the team's share.
+	// BehaviourFlood sends at FloodFactor times the team's share of the rate.
 	BehaviourFlood Behaviour = "flood"
-	// BehaviourCancel hangs up shortly after sending.
+	// BehaviourCancel cancels each request shortly after sending it.
 	BehaviourCancel Behaviour = "cancel"
-	// BehaviourRetry sends a refused request again at once, for its whole patience.
+	// BehaviourRetry ignores Retry-After: it retries a request after every error,
+	// with only a short delay, until Patience expires.
 	BehaviourRetry Behaviour = "retry"
 )
 
-// FloodFactor multiplies the arrivals of a team that floods.
+// FloodFactor multiplies the arrival rate of a team with BehaviourFlood.
 const FloodFactor = 10
 
-// Team is one team that sends load.
+// Team is one team that sends requests.
 type Team struct {
-	// Name of the team, for the account.
+	// Name identifies the team in the result.
 	Name string
 	// Key is the team's bearer key.
 	Key string
-	// Weight is the team's share of the rate. Default 1.
+	// Weight is the team's relative share of the rate. Default 1.
 	Weight float64
-	// Behaviour of the team's callers. Default BehaviourNormal.
+	// Behaviour selects how the team's callers behave. Default BehaviourNormal.
 	Behaviour Behaviour
-	// Profile of the team's requests.
+	// Profile describes the team's requests.
 	Profile Profile
 }
 
-// Burst raises the rate for a while, again and again.
+// Burst describes periodic bursts of a higher rate.
 type Burst struct {
-	// Every is the time between the starts of two bursts; zero for none.
+	// Every is the time from the start of one burst to the start of the next;
+	// zero for no bursts.
 	Every time.Duration
-	// Length of a burst.
+	// Length is the duration of a burst.
 	Length time.Duration
 	// Factor multiplies the rate within a burst.
 	Factor float64
@@ -59,34 +62,37 @@
 
 // Spec describes one run of load.
 type Spec struct {
-	// Entry lists host:port addresses that are asked for the entry answer.
+	// Entry lists the host:port addresses from which the entry answer is fetched.
 	Entry []string
-	// Teams that send.
+	// Teams are the teams that send requests.
 	Teams []Team
-	// Rate is the sum of all arrivals, in requests a second, before floods
-	// and bursts.
+	// Rate is the total arrival rate of all teams in requests per second, without
+	// the factors of floods and bursts.
 	Rate float64
-	// Duration is how long requests arrive. Ignored if Requests is set.
+	// Duration is how long requests arrive. It is ignored if Requests is set.
 	Duration time.Duration
-	// Requests, if positive, ends the run after so many arrivals.
+	// Requests, if positive, ends the run after this number of arrivals.
 	Requests int
-	// Warmup leaves out of the account the requests that arrive before it.
+	// Warmup excludes the requests that arrive before this time from the result;
+	// their faults still count.
 	Warmup time.Duration
-	// Seed makes arrivals, prompts and choices reproducible.
+	// Seed makes arrivals, prompts and random choices reproducible.
 	Seed uint64
-	// Burst raises the rate at times.
+	// Burst describes periodic bursts.
 	Burst Burst
-	// FirstTokenTarget and PaceTarget decide what counts as goodput.
+	// FirstTokenTarget and PaceTarget are the latency targets that a completion
+	// must meet to count as goodput. Defaults 360 ms and 50 ms.
 	FirstTokenTarget time.Duration
 	PaceTarget       time.Duration
-	// MaxAttempts bounds how often a caller sends one request. Default 6.
+	// MaxAttempts bounds the attempts of one request. Default 6. BehaviourRetry
+	// ignores it.
 	MaxAttempts int
-	// Patience bounds how long a caller waits for its whole answer. Default 30 s.
+	// Patience is the timeout for the whole answer, over all attempts. Default 30 s.
 	Patience time.Duration
-	// Expect checks the answers; nil checks completeness only.
+	// Expect returns the expected answers; if nil, only completeness is checked.
 	Expect Expect
-	// PlainRuns, if set, tells at the end of the run how often the plain
-	// services ran each idempotency key.
+	// PlainRuns, if set, is called at the end of the run and returns how often the
+	// plain services ran each idempotency key.
 	PlainRuns func() map[string]int
 	// OnDone is called after each request; it may be nil.
 	OnDone func()
@@ -100,7 +106,7 @@
 	DefaultPatience         = 30 * time.Second
 )
 
-// withDefaults fills in what was left out.
+// withDefaults returns a copy with the defaults of unset fields filled in.
 func (s Spec) withDefaults() Spec {
 	if s.FirstTokenTarget == 0 {
 		s.FirstTokenTarget = DefaultFirstTokenTarget
@@ -133,7 +139,7 @@
 	return t
 }
 
-// Validate says what is wrong with a Spec and where.
+// Validate returns an error that names the first invalid field of a Spec.
 func (s Spec) Validate() error {
 	if len(s.Entry) == 0 {
 		return eris.New("load: no entry address")
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -11,16 +11,17 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// plainCall is the body of a call to a plain service.
+// plainCall is the JSON body of a call to a plain service.
 type plainCall struct {
 	Number int    `json:"number"`
 	Text   string `json:"text"`
 }
 
-// maxPlainBytes bounds the answer of a plain call, in bytes.
+// maxPlainBytes bounds the response body of a plain call, in bytes.
 const maxPlainBytes = 1 << 20
 
-// Call sends one call to the plain service; a key marks it as non-idempotent.
+// Call sends one call to the plain service, with retries. A non-empty key is sent
+// as the idempotency key of a non-idempotent call.
 func (c *Caller) Call(ctx context.Context, number int, text, key string) Record {
 	rec := Record{Outcome: OutcomeUnreachable, Plain: true, Key: key}
 	body, err := json.Marshal(plainCall{Number: number, Text: text})
@@ -30,16 +31,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	c.retryLoop(ctx, &rec, func(ctx context.Context, address string) attemptResult {
 		return c.callOnce(ctx, address, body, key, &rec)
 	})
-	rec.Total = time.Since(begun)
+	rec.Total = time.Since(start)
 	rec.FirstToken = rec.Total
 	return rec
 }
 
-// callOnce sends the call to one address.
+// callOnce makes one attempt of a call at one address.
 func (c *Caller) callOnce(ctx context.Context, address string, body []byte, key string, rec *Record) attemptResult {
 	path := opapi.PathServices + c.team.Profile.Plain + "/" + c.team.Profile.PlainPath
 	req, err := c.request(ctx, address, path, body)
@@ -64,7 +65,8 @@
 	return attemptResult{done: true}
 }
 
-// checkRuns names the fault of a call with a key, by how often it ran.
+// checkRuns returns the fault of a call with an idempotency key that ran the given
+// number of times.
 func checkRuns(rec Record, runs int) Fault {
 	switch {
 	case runs > 1:
--- a/cmd/internal/load/profile.go
+++ b/cmd/internal/load/profile.go
@@ -9,33 +9,34 @@
 
 // Profile describes the requests of one deployment.
 type Profile struct {
-	// Name of the profile.
+	// Name identifies the profile.
 	Name string
-	// Model is the model service that is asked.
+	// Model is the model service of the completions.
 	Model string
-	// Plain is the plain service that is called; empty for none.
+	// Plain is the plain service of the plain calls; empty for none.
 	Plain string
-	// PlainPath is the path of a plain call within its service.
+	// PlainPath is the path of the plain calls within their service.
 	PlainPath string
-	// MeanPromptTokens of the lognormal prompt length.
+	// MeanPromptTokens is the mean of the lognormal prompt length.
 	MeanPromptTokens float64
-	// PromptSigma is the standard deviation of the logarithm of the length.
+	// PromptSigma is the standard deviation of the logarithm of the prompt length.
 	PromptSigma float64
-	// MaxPromptTokens bounds the length. Default 24000.
+	// MaxPromptTokens bounds the prompt length. Default 24000.
 	MaxPromptTokens int
-	// OutputTokens asked for.
+	// OutputTokens is the max_tokens of a completion.
 	OutputTokens int
 	// PlainShare is the share of arrivals that call the plain service, 0 to 1.
 	PlainShare float64
 	// NonIdempotentShare is the share of plain calls with an idempotency key, 0 to 1.
 	NonIdempotentShare float64
-	// Prefixes is how many shared prefixes a team has.
+	// Prefixes is the number of shared prefixes of a team.
 	Prefixes int
-	// PrefixSkew is the Zipf exponent of their use, above 1.
+	// PrefixSkew is the Zipf exponent of the choice of prefixes, above 1.
 	PrefixSkew float64
-	// PrefixShare is the part of the mean prompt that is shared, 0 to 1.
+	// PrefixShare is the length of a shared prefix as a share of the mean prompt
+	// length, 0 to 1.
 	PrefixShare float64
-	// Text writes the prompts.
+	// Text is the kind of text of the prompts.
 	Text TextKind
 }
 
@@ -45,13 +46,14 @@
 	ProfileCompaneros = "companeros"
 )
 
-// Bounds on the length of a prompt, in tokens.
+// Bounds of the prompt length, in tokens.
 const (
 	minPromptTokens        = 40
 	defaultMaxPromptTokens = 24000
 )
 
-// Bunker is the order desk's profile: long nomination packets, short summaries.
+// Bunker returns the profile of the order desk: long nomination packets and short
+// summaries.
 func Bunker() Profile {
 	return Profile{
 		Name: ProfileBunker, Model: "document-summariser",
@@ -63,7 +65,8 @@
 	}
 }
 
-// Companeros is the matching service's profile: longer histories, shorter notes.
+// Companeros returns the profile of the matching service: longer histories and
+// shorter notes.
 func Companeros() Profile {
 	return Profile{
 		Name: ProfileCompaneros, Model: "matching-model",
@@ -75,7 +78,7 @@
 	}
 }
 
-// ProfileByName finds a profile.
+// ProfileByName returns the profile with a name.
 func ProfileByName(name string) (Profile, error) {
 	switch name {
 	case ProfileBunker:
@@ -100,14 +103,14 @@
 	return nil
 }
 
-// promptTokens draws the length of a prompt from the lognormal distribution
-// with the profile's mean.
+// promptTokens draws the length of a prompt in tokens from the lognormal
+// distribution, clamped to its bounds.
 func (p Profile) promptTokens(rng *rand.Rand) int {
 	n := int(math.Exp(p.logMean() + p.PromptSigma*rng.NormFloat64()))
 	return min(max(n, minPromptTokens), p.maxPromptTokens())
 }
 
-// logMean is the mean of the logarithm of the length.
+// logMean returns the mean of the logarithm of the prompt length.
 func (p Profile) logMean() float64 {
 	return math.Log(p.MeanPromptTokens) - p.PromptSigma*p.PromptSigma/2
 }
@@ -119,7 +122,8 @@
 	return defaultMaxPromptTokens
 }
 
-// ShareUpTo is the share of prompts of at most so many tokens, 0 to 1.
+// ShareUpTo returns the share of prompts with at most the given number of tokens,
+// 0 to 1.
 func (p Profile) ShareUpTo(tokens float64) float64 {
 	if tokens >= float64(p.maxPromptTokens()) {
 		return 1
@@ -128,7 +132,7 @@
 	return math.Erfc(-z/math.Sqrt2) / 2
 }
 
-// prefixRank draws which of the team's shared prefixes a prompt begins with.
+// prefixRank draws the rank of the shared prefix with which a prompt begins.
 func (p Profile) prefixRank(rng *rand.Rand) int {
 	if p.Prefixes <= 1 || p.PrefixSkew <= 1 {
 		return 0
--- a/cmd/internal/load/prompt.go
+++ b/cmd/internal/load/prompt.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Prompts writes the prompts of a run. It is safe for concurrent use.
+// Prompts generates the prompts of a run. It is safe for concurrent use.
 type Prompts struct {
 	seed  uint64
 	teams []Team
@@ -18,13 +18,13 @@
 
 type prefixKey struct{ team, rank int }
 
-// NewPrompts returns the writer of prompts for a run.
+// NewPrompts returns the prompt generator of a run.
 func NewPrompts(seed uint64, teams []Team) *Prompts {
 	return &Prompts{seed: seed, teams: teams, prefixes: map[prefixKey]string{}}
 }
 
-// Prompt writes the prompt of an arrival. The same seed and arrival give the
-// same text.
+// Prompt returns the prompt of an arrival. Equal seeds and arrivals give equal
+// prompts.
 func (p *Prompts) Prompt(a Arrival) string {
 	profile := p.teams[a.Team].Profile
 	prefix := p.prefix(a.Team, a.Prefix, profile)
@@ -36,7 +36,7 @@
 	return prefix + profile.Text.write(rng, rest)
 }
 
-// prefix returns the text that prompts of a team with one rank share.
+// prefix returns the prefix that all prompts of a team with the same rank share.
 func (p *Prompts) prefix(team, rank int, profile Profile) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,31 +52,32 @@
 	return text
 }
 
-// bytesPerToken is the length of an average token of English text.
+// bytesPerToken is the average length of a token of English text.
 const bytesPerToken = 4
 
-// CountTokens estimates the tokens of a text at four bytes each.
+// CountTokens estimates the number of tokens of a text, at four bytes per token.
 func CountTokens(text string) int {
 	return (len(text) + bytesPerToken - 1) / bytesPerToken
 }
 
-// truncate cuts a text to a number of tokens. The texts are ASCII.
+// truncate truncates a text to a number of tokens. It cuts at a byte offset, which
+// is safe because the texts are ASCII.
 func truncate(text string, tokens int) string {
 	return text[:min(len(text), max(tokens, 0)*bytesPerToken)]
 }
 
-// TextKind is what a prompt is about.
+// TextKind is the subject of the text of a prompt.
 type TextKind string
 
 // The kinds of texts.
 const (
-	// TextBunker writes nomination packets, delivery notes and certificates.
+	// TextBunker consists of nominations, delivery notes and quality certificates.
 	TextBunker TextKind = "bunker"
-	// TextTraveller writes travellers' histories.
+	// TextTraveller consists of travellers' histories.
 	TextTraveller TextKind = "traveller"
 )
 
-// instruction is the fixed head of the prompts of a kind.
+// instruction returns the first line of all prompts of a kind.
 func (k TextKind) instruction() string {
 	if k == TextTraveller {
 		return "Read the traveller's history and write a short match note with any safety concern."
@@ -84,7 +85,7 @@
 	return "Read the nomination packet, the delivery notes and the quality certificates, and write a short summary for the duty clerk."
 }
 
-// write makes a text of so many tokens.
+// write returns a random text with a number of tokens.
 func (k TextKind) write(rng *rand.Rand, tokens int) string {
 	var b strings.Builder
 	b.Grow(max(tokens, 0)*bytesPerToken + maxEntryLength)
@@ -98,10 +99,10 @@
 	return truncate(b.String(), tokens)
 }
 
-// maxSentence is room for the longest entry, in bytes.
+// maxEntryLength is the capacity reserved for the longest entry, in bytes.
 const maxEntryLength = 512
 
-// pick draws one word of a list.
+// pick draws one element of a list.
 func pick(rng *rand.Rand, words []string) string {
 	return words[rng.IntN(len(words))]
 }
--- a/cmd/internal/load/rand.go
+++ b/cmd/internal/load/rand.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// lockedRand is a random source that goroutines share.
+// lockedRand is a random source that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -14,14 +14,14 @@
 
 func newLockedRand(rng *rand.Rand) *lockedRand { return &lockedRand{rng: rng} }
 
-// fork returns a source of its own, seeded by this one.
+// fork returns a new source that is seeded from this one and is not locked.
 func (l *lockedRand) fork() *rand.Rand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return rand.New(rand.NewPCG(l.rng.Uint64(), l.rng.Uint64()))
 }
 
-// jitter draws a time below a bound.
+// jitter draws a duration below a bound; 0 if the bound is not positive.
 func (l *lockedRand) jitter(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
--- a/cmd/internal/load/result.go
+++ b/cmd/internal/load/result.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Counts of requests by how they ended.
+// Counts counts requests by outcome and fault, and sums their attempts and tokens.
 type Counts struct {
 	Requests      int `json:"requests"`
 	Answered      int `json:"answered"`
@@ -17,7 +17,7 @@
 	Failed        int `json:"failed"`
 	Unreachable   int `json:"unreachable"`
 	Cancelled     int `json:"cancelled"`
-	// Lost, Doubled and Wrong count faults, the warm-up's too.
+	// Lost, Doubled and Wrong count faults, including those of the warm-up.
 	Lost    int `json:"lost"`
 	Doubled int `json:"doubled"`
 	Wrong   int `json:"wrong"`
@@ -29,10 +29,11 @@
 	OutputTokens int `json:"output_tokens"`
 }
 
-// completionsSent is the number of requests that were completions.
+// completionsSent returns the number of requests that were completions.
 func (c Counts) completionsSent() int { return c.Requests - c.Plain }
 
-// Quantiles of a time, in milliseconds.
+// Quantiles holds the quantiles of a duration in milliseconds, and the number of
+// samples.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50MS float64 `json:"p50_ms"`
@@ -41,24 +42,25 @@
 	MaxMS float64 `json:"max_ms"`
 }
 
-// Summary gives the figures of a run or of one team.
+// Summary holds the measurements of a run or of one team.
 type Summary struct {
 	Counts
-	// GoodputPerSecond is answers that met both targets, a second.
+	// GoodputPerSecond is the number of completions that met both targets, per
+	// second of the measured time.
 	GoodputPerSecond float64 `json:"goodput_per_second"`
-	// GoodShare is their share of the completions that were sent, 0 to 1.
+	// GoodShare is the share of the sent completions that met both targets, 0 to 1.
 	GoodShare float64 `json:"good_share"`
 	// TTFT is the time to first token.
 	TTFT Quantiles `json:"ttft"`
-	// Pace is the time between two tokens.
+	// Pace is the time between consecutive outputs.
 	Pace Quantiles `json:"pace"`
-	// Plain is the whole time of plain calls.
+	// Plain is the latency of answered plain calls.
 	Plain Quantiles `json:"plain_time"`
-	// Codes counts the errors by their code.
+	// Codes counts the requests without an answer by error code.
 	Codes map[string]int `json:"codes,omitempty"`
 }
 
-// TeamResult gives the figures of one team.
+// TeamResult holds the measurements of one team.
 type TeamResult struct {
 	Team      string    `json:"team"`
 	Behaviour Behaviour `json:"behaviour"`
@@ -66,36 +68,38 @@
 	Summary
 }
 
-// Result is the account of a run.
+// Result is the result of a run.
 type Result struct {
 	Seed uint64  `json:"seed"`
 	Rate float64 `json:"rate"`
-	// Elapsed is the whole run; Measured is the part after the warm-up.
+	// Elapsed is the duration of the whole run, Measured that of the part after the
+	// warm-up.
 	Elapsed  time.Duration `json:"elapsed_ns"`
 	Measured time.Duration `json:"measured_ns"`
-	// Lag is how late the arrivals were sent. Where it is not far below the
-	// times that are measured, the host was too busy to measure.
+	// Lag is how late the arrivals were sent. If it is not far below the measured
+	// latencies, the host was too busy for a valid measurement.
 	Lag   Quantiles    `json:"lag"`
 	Total Summary      `json:"total"`
 	Teams []TeamResult `json:"teams"`
-	// Endings are the error answers with which requests ended, the first few.
+	// Endings are the final error responses of the first few requests without an
+	// answer.
 	Endings []Ending `json:"endings,omitempty"`
 }
 
-// Unanswered is the number of requests that ended without an answer and that
-// the caller did not give up on purpose.
+// Unanswered returns the number of requests that were neither answered nor
+// cancelled by the caller.
 func (r *Result) Unanswered() int {
 	c := r.Total.Counts
 	return c.Requests - c.Answered - c.Cancelled
 }
 
-// Faults is the number of answers that were lost, doubled or wrong.
+// Faults returns the number of answers that were lost, doubled or wrong.
 func (r *Result) Faults() int {
 	return r.Total.Lost + r.Total.Doubled + r.Total.Wrong
 }
 
-// Line gives the account as one line of key=value pairs, with the error answers
-// that requests ended with.
+// Line formats the result as one line of key=value pairs, including the final
+// error responses.
 func (r *Result) Line() string {
 	t := r.Total
 	var b strings.Builder
--- a/cmd/internal/load/resume_test.go
+++ b/cmd/internal/load/resume_test.go
@@ -11,13 +11,13 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// refuseResumes refuses the first resumes of a fake with an error.
+// refuseResumes makes the server refuse the first count resumes with an error.
 func refuseResumes(f *fakeServer, count int32, detail opapi.ErrorDetail) {
-	var left atomic.Int32
-	left.Store(count)
+	var remaining atomic.Int32
+	remaining.Store(count)
 	inner := f.Config.Handler
 	f.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(opapi.HeaderLastEventID) == "" || left.Add(-1) < 0 {
+		if r.Header.Get(opapi.HeaderLastEventID) == "" || remaining.Add(-1) < 0 {
 			inner.ServeHTTP(w, r)
 			return
 		}
@@ -26,23 +26,24 @@
 	})
 }
 
-// TestRefusedResumeIsRepeatedWhereAdvised has begun answers refused on resume.
+// A refused resume is retried if the error has a Retry-After delay, even if its
+// verdict is that the request ran.
 func TestRefusedResumeIsRetriedAfterRetryAfter(t *testing.T) {
 	is := is.New(t)
-	ran := opapi.ErrorDetail{Code: verdict.CodeOverloaded, Verdict: verdict.Ran.String(), RetryAfterMS: 5}
+	detail := opapi.ErrorDetail{Code: verdict.CodeOverloaded, Verdict: verdict.Ran.String(), RetryAfterMS: 5}
 	f := newFakeServer(t)
 	f.disconnectAfter = 2
-	refuseResumes(f, 2, ran)
+	refuseResumes(f, 2, detail)
 	rec := completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeAnswered)
 	is.Equal(rec.Fault, FaultNone)
 	is.Equal(rec.Resumes, 3)
 
-	// Without advice the answer is lost, and that is told.
-	ran.RetryAfterMS = 0
+	// Without a retry delay the answer is lost and reported as lost.
+	detail.RetryAfterMS = 0
 	f = newFakeServer(t)
 	f.disconnectAfter = 2
-	refuseResumes(f, 2, ran)
+	refuseResumes(f, 2, detail)
 	rec = completeOnce(t, f)
 	is.Equal(rec.Outcome, OutcomeLost)
 	is.Equal(rec.Fault, FaultLost)
--- a/cmd/internal/load/run.go
+++ b/cmd/internal/load/run.go
@@ -9,10 +9,12 @@
 	"time"
 )
 
-// callersPerTeam is how many callers, each with its own entry answer, a team has.
+// callersPerTeam is the number of callers per team; each caches its own entry
+// answer.
 const callersPerTeam = 4
 
-// Bounds of the HTTP clients.
+// Parameters of the HTTP client, of cancellations and of plain calls.
+// callerSeedStream keeps the random streams of callers apart from those of teams.
 const (
 	dialTimeout      = 2 * time.Second
 	idleConnections  = 512
@@ -32,7 +34,7 @@
 	}}
 }
 
-// runner holds what the requests of a run share.
+// runner holds the state that the requests of a run share.
 type runner struct {
 	spec      Spec
 	prompts   *Prompts
@@ -41,8 +43,8 @@
 	runCtx    context.Context
 }
 
-// Run sends the load of a spec and returns the account. It ends early, with
-// what was measured so far, when ctx is cancelled.
+// Run sends the requests of a spec and returns the result. If ctx is cancelled,
+// it ends early and returns the result so far.
 func Run(ctx context.Context, spec Spec) (*Result, error) {
 	if err := spec.Validate(); err != nil {
 		return nil, err
@@ -63,7 +65,7 @@
 	return r.collector.result(time.Since(started)), nil
 }
 
-// makeCallers returns the callers of each team.
+// newCallers returns the callers of each team, indexed by team.
 func newCallers(spec Spec, client *http.Client) [][]*Caller {
 	all := make([][]*Caller, len(spec.Teams))
 	for i, team := range spec.Teams {
@@ -75,8 +77,8 @@
 	return all
 }
 
-// sendAll sends each arrival at its time, whether or not earlier ones have
-// been answered (open loop), and waits for the answers.
+// sendAll sends each request at its arrival time, regardless of outstanding
+// requests (open loop), and waits for the answers.
 func (r *runner) sendAll(ctx context.Context, started time.Time, arrivals []Arrival) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -89,7 +91,7 @@
 	}
 }
 
-// send sends one request and books it.
+// send sends one request and adds its record to the collector.
 func (r *runner) send(a Arrival) {
 	team := r.spec.Teams[a.Team]
 	caller := r.callers[a.Team][a.Number%callersPerTeam]
@@ -111,7 +113,7 @@
 	}
 }
 
-// sendBy sends a completion or a plain call.
+// dispatch sends a completion or a plain call.
 func (r *runner) dispatch(ctx context.Context, caller *Caller, a Arrival, team Team) Record {
 	if !a.Plain {
 		return caller.Complete(ctx, r.prompts.Prompt(a), team.Profile.OutputTokens)
@@ -120,14 +122,15 @@
 	return caller.Call(ctx, a.Number, team.Profile.Text.write(rng, plainCallTokens), a.Key)
 }
 
-// cancelDelay is how long a team that cancels waits before it hangs up.
+// cancelDelay draws the delay after which a team with BehaviourCancel cancels a
+// request.
 func cancelDelay(a Arrival) time.Duration {
 	rng := rand.New(rand.NewPCG(a.TextSeed, 1))
 	return time.Duration(rng.Int64N(int64(maxCancelDelay)))
 }
 
-// cancelled books a request whose caller hung up: it is owed no answer, but
-// what came of it must still be neither doubled nor wrong.
+// cancelled returns the record of a request that its caller cancelled. An
+// incomplete answer is then no fault, but a doubled or wrong part still is.
 func cancelled(rec Record) Record {
 	rec.Outcome = OutcomeCancelled
 	if rec.Fault == FaultLost {
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -31,11 +31,11 @@
 func TestFloodDoesNotChangeOtherArrivals(t *testing.T) {
 	is := is.New(t)
 	spec := Spec{Teams: testTeams(BehaviourNormal), Rate: 50, Duration: 4 * time.Second, Seed: 7}
-	calm := arrivalsOf(Schedule(spec), 0)
+	normal := arrivalsOf(Schedule(spec), 0)
 	spec.Teams = testTeams(BehaviourFlood)
 	flooded := Schedule(spec)
-	is.Equal(calm, arrivalsOf(flooded, 0))
-	is.True(len(arrivalsOf(flooded, 1)) > 5*len(calm))
+	is.Equal(normal, arrivalsOf(flooded, 0))
+	is.True(len(arrivalsOf(flooded, 1)) > 5*len(normal))
 }
 
 func arrivalsOf(all []Arrival, team int) []Arrival {
--- a/cmd/internal/load/sse.go
+++ b/cmd/internal/load/sse.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxEventBytes bounds one line of a stream, in bytes.
+// maxEventBytes bounds one line of an event stream, in bytes.
 const maxEventBytes = 1 << 20
 
 // event is one server-sent event.
@@ -18,7 +18,7 @@
 	data string
 }
 
-// eventReader reads server-sent events off a stream.
+// eventReader reads server-sent events from a stream.
 type eventReader struct {
 	scanner *bufio.Scanner
 }
@@ -29,8 +29,8 @@
 	return &eventReader{scanner: s}
 }
 
-// next returns the next event with data; comments are skipped. It returns
-// io.EOF at the end of the stream; an event that was cut off is not returned.
+// next returns the next event with data and skips comments. It returns io.EOF at
+// the end of the stream and discards an incomplete last event.
 func (r *eventReader) next() (event, error) {
 	var e event
 	var data []string
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -18,28 +18,30 @@
 // eventError is the name of the event that carries an error within a stream.
 const eventError = "error"
 
-// stream is one streamed completion of a caller, over all its connections.
+// stream is the state of one streamed completion over all its connections.
 type stream struct {
 	caller *Caller
-	// request is the body; a resume adds the text that came so far.
+	// request is the request body; a resume adds the text received so far.
 	request    opapi.CompletionRequest
 	answer     *answer
 	rec        *Record
 	start      time.Time
 	lastOutput time.Time
-	// accepted tells that the system took the request: an answer is owed.
+	// accepted is set once the system has responded with status 200.
 	accepted bool
-	// ended tells that the end of the answer came.
+	// ended is set once the end marker of the answer was received.
 	ended bool
-	// gaveUp tells that the caller hung up while the answer was coming.
+	// cancelled is set if the caller cancelled the request while it was receiving
+	// the answer.
 	cancelled bool
 }
 
-// stallLimit is the silence after which an answer that was begun counts as
-// lost, not as given up by a caller whose patience ended.
+// stallLimit is the time without output after which an interrupted answer counts
+// as lost, not as cancelled, when the caller's timeout expires.
 const stallLimit = 5 * time.Second
 
-// Complete sends one streamed completion and follows it to its end.
+// Complete sends one streamed completion and reads its answer, with retries and
+// resumes.
 func (c *Caller) Complete(ctx context.Context, prompt string, maxTokens int) Record {
 	rec := Record{Outcome: OutcomeUnreachable, PromptTokens: CountTokens(prompt)}
 	request := opapi.CompletionRequest{
@@ -53,7 +55,8 @@
 	return rec
 }
 
-// try sends the request once, or resumes it, and reads until the end or a break.
+// attempt sends or resumes the request at one address and reads the stream until
+// its end or until the connection fails.
 func (s *stream) attempt(ctx context.Context, address string) attemptResult {
 	s.request.Delivered = s.answer.text()
 	body, err := json.Marshal(s.request)
@@ -80,7 +83,8 @@
 	return s.read(ctx, resp)
 }
 
-// read takes events until the end of the answer, an error or a break.
+// read handles events until the end of the answer, an error or a connection
+// failure.
 func (s *stream) read(ctx context.Context, resp *http.Response) attemptResult {
 	events := newEventReader(resp.Body)
 	for {
@@ -99,12 +103,12 @@
 	}
 }
 
-// refused handles an error answer in place of a stream.
+// handleErrorResponse handles an error response in place of a stream.
 func (s *stream) handleErrorResponse(resp *http.Response) attemptResult {
 	return s.handleError(readError(resp, s.rec))
 }
 
-// streamError handles an error event.
+// streamError handles an error event within a stream.
 func (s *stream) streamError(resp *http.Response, e event) attemptResult {
 	var body opapi.ErrorBody
 	if err := json.Unmarshal([]byte(e.data), &body); err != nil {
@@ -114,8 +118,8 @@
 	return s.handleError(body.Error)
 }
 
-// failed books an error. An answer that was begun is resumed where the system
-// says that it is worth it, and when.
+// handleError records an error. An answer that has begun is resumed if the error
+// is resumable, after the retry delay of the error but at least resumeDelay.
 func (s *stream) handleError(detail opapi.ErrorDetail) attemptResult {
 	result := s.caller.handleError(detail, s.rec)
 	if result.done && s.rec.OutputTokens > 0 && resumable(detail) {
@@ -124,11 +128,11 @@
 	return result
 }
 
-// resumePause is the wait before an answer that broke off with an error is resumed.
+// resumeDelay is the minimum delay before an answer is resumed after an error.
 const resumeDelay = 50 * time.Millisecond
 
-// resumable tells whether an error within a stream leaves the answer to be
-// had at another address or a little later.
+// resumable reports whether an answer can be resumed after an error, at another
+// address or after a delay.
 func resumable(detail opapi.ErrorDetail) bool {
 	switch detail.Code {
 	case verdict.CodeLeaving, verdict.CodeUnavailable, verdict.CodeEndpointFailed:
@@ -138,7 +142,7 @@
 	}
 }
 
-// take books one event.
+// handleEvent handles one event of the answer.
 func (s *stream) handleEvent(e event) {
 	if e.data == doneData {
 		s.answer.finish()
@@ -156,7 +160,7 @@
 	s.recordOutput(time.Now())
 }
 
-// clock books the time of an output.
+// recordOutput records the time of an output.
 func (s *stream) recordOutput(now time.Time) {
 	s.rec.OutputTokens++
 	if s.rec.OutputTokens == 1 {
@@ -167,7 +171,7 @@
 	s.lastOutput = now
 }
 
-// conclude fills in the outcome and the faults of the answer.
+// complete sets the outcome, the latencies and the fault of the record.
 func (s *stream) complete(prompt string, maxTokens int) {
 	s.rec.Total = time.Since(s.start)
 	s.rec.Pace = mean(s.rec.Gaps)
@@ -187,13 +191,14 @@
 	s.rec.Fault = s.classifyFault(expected, known)
 }
 
-// owed tells whether an answer was begun, or accepted with no error since.
+// answerExpected reports whether an answer has begun, or whether the request was
+// accepted and no attempt returned an error code.
 func (s *stream) answerExpected() bool {
 	return s.rec.OutputTokens > 0 || (s.accepted && s.rec.Code == "")
 }
 
-// conclusion names the fault of the answer. A part of an answer that ended in
-// an error is checked too: it may be short, not doubled or wrong.
+// classifyFault returns the fault of the answer. A partial answer that ended in an
+// error is checked too: it may be incomplete, but not doubled or wrong.
 func (s *stream) classifyFault(expected string, known bool) Fault {
 	fault := s.answer.fault(expected, known)
 	if fault == FaultLost && !s.ended && (s.cancelled || !s.answerExpected()) {
--- a/cmd/internal/load/words.go
+++ b/cmd/internal/load/words.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The word lists of the bunker trade.
+// Word lists for TextBunker.
 var (
 	vessels   = []string{"MT Karagiye", "MV Aral Breeze", "MT Beket Ata", "MV Tupkaragan", "MT Shagala", "MV Kenderli", "MT Zhanibek", "MV Caspian Tern", "MT Ustyurt", "MV Sor Kaydak"}
 	berths    = []string{"Aktau berth 4", "Aktau berth 9", "Kuryk ferry quay 2", "Bautino supply base", "Kuryk roads", "Aktau anchorage B", "Bautino anchorage"}
@@ -17,7 +17,8 @@
 	remarks   = []string{"Sample seals witnessed by the chief engineer.", "Ullage report signed without protest.", "Letter of protest on slow pumping attached.", "Hose connection delayed by swell.", "Notice of readiness accepted on arrival.", "Retained samples handed to the surveyor.", "Agent asks for a split delivery.", "Mass flow meter reading agreed by both sides."}
 )
 
-// writeBunkerEntry writes one line of a nomination packet, a delivery note or a certificate.
+// writeBunkerEntry appends one entry: a nomination, a delivery note, a quality
+// certificate or a remark.
 func writeBunkerEntry(b *strings.Builder, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
@@ -37,7 +38,7 @@
 	}
 }
 
-// The word lists of the travellers' histories.
+// Word lists for TextTraveller.
 var (
 	towns     = []string{"Quetzaltenango", "Totonicapan", "Panajachel", "San Pedro La Laguna", "Huehuetenango", "Zunil", "Momostenango", "Santiago Atitlan", "Nebaj", "Todos Santos"}
 	treks     = []string{"Santa Maria at dawn", "Tajumulco overnight", "Chicabal crater lake", "Siete Orejas ridge", "Indian Nose", "Cerro Quemado", "the Nebaj to Todos Santos walk"}
@@ -47,7 +48,7 @@
 	reviews   = []string{"Punctual and kind, shared water on the climb.", "Waited at the wrong corner of the terminal.", "Knew the path in the fog and kept the group together.", "Cancelled the evening before with a fair reason.", "Good company, quiet after midnight.", "Left the group on the way down without a word.", "Helped with a twisted ankle as far as the road."}
 )
 
-// writeTravellerEntry writes one line of a traveller's history.
+// writeTravellerEntry appends one entry of a traveller's history.
 func writeTravellerEntry(b *strings.Builder, rng *rand.Rand) {
 	switch rng.IntN(4) {
 	case 0:
