--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -60,7 +60,7 @@
 type caller struct {
 	name  string
 	rng   *rand.Rand
-	judge *Judge
+	judge *checker
 	teams *teams
 	conns map[*process]net.Conn
 	sent  int
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -10,7 +10,7 @@
 )
 
 // Judge collects broken promises.
-type Judge struct {
+type checker struct {
 	mu        sync.Mutex
 	found     []string
 	processes []*process
@@ -24,17 +24,17 @@
 }
 
 // NewJudge returns a Judge that has found nothing.
-func NewJudge() *Judge { return &Judge{outcomes: map[string]int{}} }
+func NewJudge() *checker { return &checker{outcomes: map[string]int{}} }
 
 // broken notes a broken promise.
-func (j *Judge) broken(format string, args ...any) {
+func (j *checker) broken(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.found = append(j.found, fmt.Sprintf(format, args...))
 }
 
 // allCalm says whether no fault has touched any daemon for a while.
-func (j *Judge) allCalm(at time.Time) bool {
+func (j *checker) allCalm(at time.Time) bool {
 	for _, p := range j.processes {
 		if !p.calm(at) {
 			return false
@@ -65,7 +65,7 @@
 func (o *outcome) answered() bool { return o.answer.Status == http.StatusOK && o.answer.Whole }
 
 // take judges what can be judged at once.
-func (j *Judge) take(o outcome) {
+func (j *checker) take(o outcome) {
 	j.mu.Lock()
 	j.outcomes[fmt.Sprintf("%s %d", o.kind.name, o.answer.Status)]++
 	if !o.kind.repeatable {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (j *Judge) takeAnswer(o outcome) {
+func (j *checker) takeAnswer(o outcome) {
 	switch {
 	case !o.answer.Signed:
 		j.broken("mixed: %s (%s) got a success without a signature", o.id, o.kind.name)
@@ -104,7 +104,7 @@
 }
 
 // settle judges what only the end shows: nothing runs any more.
-func (j *Judge) settle(w *world) {
+func (j *checker) settle(w *world) {
 	for _, id := range j.once {
 		if n := w.runs(id); n > 1 {
 			j.broken("twice: %s may run once and ran %d times", id, n)
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -48,7 +48,7 @@
 type run struct {
 	cfg       Config
 	world     *world
-	judge     *Judge
+	judge     *checker
 	processes []*process
 	served    atomic.Int64
 	asked     atomic.Int64
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -122,7 +122,7 @@
 func steady(request string) bool { return teamOf(request) == steadyTeam }
 
 // seen checks what a runner is told of a request's team.
-func (x *teams) seen(j *Judge, e *platformtest.Exchange) {
+func (x *teams) seen(j *checker, e *platformtest.Exchange) {
 	if e.Key() != "" {
 		j.broken("unasked: %s reached %s with its key", e.RequestID(), e.ID)
 	}
@@ -151,7 +151,7 @@
 }
 
 // settle judges the keys and the limit when nothing runs any more.
-func (x *teams) settle(j *Judge, w *world, sent []sentWith) {
+func (x *teams) settle(j *checker, w *world, sent []sentWith) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range sent {
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -56,7 +56,7 @@
 	version int
 	// ran counts the runs of each request.
 	ran   map[string]int
-	judge *Judge
+	judge *checker
 	teams *teams
 }
 
@@ -67,7 +67,7 @@
 // engineRunners is how many engines a fleet needs, likewise.
 func engineRunners(daemons int) int { return max(6, daemons) }
 
-func newWorld(judge *Judge, daemons int) (*world, error) {
+func newWorld(judge *checker, daemons int) (*world, error) {
 	store, err := platformtest.StartStore()
 	if err != nil {
 		return nil, err
