--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -24,7 +24,7 @@
 }
 
 // NewJudge returns a Judge that has found nothing.
-func NewJudge() *checker { return &checker{outcomes: map[string]int{}} }
+func newChecker() *checker { return &checker{outcomes: map[string]int{}} }
 
 // broken notes a broken promise.
 func (j *checker) broken(format string, args ...any) {
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -58,7 +58,7 @@
 
 // Run plays one seed. The error names the broken promises.
 func Run(ctx context.Context, cfg Config) error {
-	r := &run{cfg: cfg, judge: NewJudge()}
+	r := &run{cfg: cfg, judge: newChecker()}
 	if err := r.provision(); err != nil {
 		return err
 	}
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -42,7 +42,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			j := NewJudge()
+			j := newChecker()
 			o := whole(c.kind, "c5-5")
 			c.plant(&o)
 			j.take(o)
@@ -56,7 +56,7 @@
 func TestTheJudgeFindsRevokedKeysThatRunAndLimitsThatDoNotHold(t *testing.T) {
 	is := is.New(t)
 	found := func(late time.Duration, small int) int {
-		j, x := NewJudge(), newTeams()
+		j, x := newChecker(), newTeams()
 		x.next()()
 		sent := []sentWith{{id: "c0-1", turn: 0, at: x.revoked[0].Add(late)}, {id: "c0-2", turn: 1, at: x.revoked[0].Add(time.Hour)}}
 		for i := range small {
