--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -11,10 +11,10 @@
 
 // Judge collects broken promises.
 type checker struct {
-	mu        sync.Mutex
-	found     []string
-	processes []*process
-	outcomes  map[string]int
+	mu         sync.Mutex
+	violations []string
+	processes  []*process
+	outcomes   map[string]int
 	// refused and once are requests to look at when all is over: those that were
 	// said not to have run, and those that may run once.
 	refused []string
@@ -30,7 +30,7 @@
 func (j *checker) broken(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.found = append(j.found, fmt.Sprintf(format, args...))
+	j.violations = append(j.violations, fmt.Sprintf(format, args...))
 }
 
 // allCalm says whether no fault has touched any daemon for a while.
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -223,7 +223,7 @@
 func (r *run) report() error {
 	r.judge.mu.Lock()
 	defer r.judge.mu.Unlock()
-	for _, line := range r.judge.found {
+	for _, line := range r.judge.violations {
 		fmt.Fprintf(r.cfg.Out, "BROKEN %s\n", line)
 	}
 	var outcomes []string
@@ -232,8 +232,8 @@
 	}
 	slices.Sort(outcomes)
 	fmt.Fprintf(r.cfg.Out, "seed=%d daemons=%d requests=%d served=%d broken=%d (%s)\n", r.cfg.Seed, r.cfg.Daemons,
-		r.asked.Load(), r.served.Load(), len(r.judge.found), strings.Join(outcomes, ", "))
-	if n := len(r.judge.found); n > 0 {
+		r.asked.Load(), r.served.Load(), len(r.judge.violations), strings.Join(outcomes, ", "))
+	if n := len(r.judge.violations); n > 0 {
 		return eris.Errorf("%d promises were broken with seed %d", n, r.cfg.Seed)
 	}
 	return nil
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -47,7 +47,7 @@
 			c.plant(&o)
 			j.take(o)
 			j.settle(&world{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
-			is.Equal(len(j.found) > 0, c.found)
+			is.Equal(len(j.violations) > 0, c.found)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 			x.ran(fmt.Sprint("c1-", i))
 		}
 		x.settle(j, &world{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
-		return len(j.found)
+		return len(j.violations)
 	}
 	is.Equal(found(revokeTime, 19), 0)
 	is.Equal(found(revokeTime+time.Millisecond, 0), 1)
