--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -17,8 +17,8 @@
 	outcomes   map[string]int
 	// refused and once are requests to look at when all is over: those that were
 	// said not to have run, and those that may run once.
-	refused []string
-	once    []string
+	refused    []string
+	atMostOnce []string
 	// turning are the requests of the team whose key is replaced.
 	turning []sentWith
 }
@@ -69,7 +69,7 @@
 	j.mu.Lock()
 	j.outcomes[fmt.Sprintf("%s %d", o.kind.name, o.answer.Status)]++
 	if !o.kind.repeatable {
-		j.once = append(j.once, o.id)
+		j.atMostOnce = append(j.atMostOnce, o.id)
 	}
 	if o.answer.Status == http.StatusServiceUnavailable || o.answer.Status == http.StatusTooManyRequests {
 		j.refused = append(j.refused, o.id)
@@ -105,7 +105,7 @@
 
 // settle judges what only the end shows: nothing runs any more.
 func (j *checker) settle(w *world) {
-	for _, id := range j.once {
+	for _, id := range j.atMostOnce {
 		if n := w.runs(id); n > 1 {
 			j.broken("twice: %s may run once and ran %d times", id, n)
 		}
