--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -20,7 +20,7 @@
 	refused    []string
 	atMostOnce []string
 	// turning are the requests of the team whose key is replaced.
-	turning []sentWith
+	rotating []sentWith
 }
 
 // NewJudge returns a Judge that has found nothing.
@@ -75,7 +75,7 @@
 		j.refused = append(j.refused, o.id)
 	}
 	if o.turn >= 0 {
-		j.turning = append(j.turning, sentWith{id: o.id, turn: o.turn, at: o.sent})
+		j.rotating = append(j.rotating, sentWith{id: o.id, turn: o.turn, at: o.sent})
 	}
 	j.mu.Unlock()
 	if o.answered() {
@@ -115,7 +115,7 @@
 			j.broken("refused: %s was said not to have run and ran %d times", id, n)
 		}
 	}
-	w.teams.settle(j, w, j.turning)
+	w.teams.settle(j, w, j.rotating)
 	for _, p := range j.processes {
 		for _, end := range p.ownEnds() {
 			j.broken("ended: %s", end)
