--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -27,7 +27,7 @@
 func newChecker() *checker { return &checker{outcomes: map[string]int{}} }
 
 // broken notes a broken promise.
-func (j *checker) broken(format string, args ...any) {
+func (j *checker) violation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violations = append(j.violations, fmt.Sprintf(format, args...))
@@ -82,24 +82,24 @@
 		j.takeAnswer(o)
 	}
 	if o.calm && o.took > callerPatience+slack {
-		j.broken("time: %s (%s) took %v", o.id, o.kind.name, o.took)
+		j.violation("time: %s (%s) took %v", o.id, o.kind.name, o.took)
 	}
 	if o.answer.Status == http.StatusNotFound || o.answer.Status == http.StatusBadRequest {
-		j.broken("denied: %s (%s) got %d", o.id, o.kind.name, o.answer.Status)
+		j.violation("denied: %s (%s) got %d", o.id, o.kind.name, o.answer.Status)
 	}
 	if steady(o.id) && refusedTeam(o.answer.Status) {
-		j.broken("denied: %s (%s), whose team has a good key and no limit, got %d", o.id, o.kind.name, o.answer.Status)
+		j.violation("denied: %s (%s), whose team has a good key and no limit, got %d", o.id, o.kind.name, o.answer.Status)
 	}
 }
 
 func (j *checker) takeAnswer(o outcome) {
 	switch {
 	case !o.answer.Signed:
-		j.broken("mixed: %s (%s) got a success without a signature", o.id, o.kind.name)
+		j.violation("mixed: %s (%s) got a success without a signature", o.id, o.kind.name)
 	case o.answer.Request != o.id:
-		j.broken("mixed: %s (%s) got the answer to %q", o.id, o.kind.name, o.answer.Request)
+		j.violation("mixed: %s (%s) got the answer to %q", o.id, o.kind.name, o.answer.Request)
 	case o.answer.Body != o.kind.body(o.id):
-		j.broken("mixed or order: %s (%s) got a whole answer of %d bytes that isn't its own: %.200q", o.id, o.kind.name, len(o.answer.Body), o.answer.Body)
+		j.violation("mixed or order: %s (%s) got a whole answer of %d bytes that isn't its own: %.200q", o.id, o.kind.name, len(o.answer.Body), o.answer.Body)
 	}
 }
 
@@ -107,18 +107,18 @@
 func (j *checker) settle(w *world) {
 	for _, id := range j.atMostOnce {
 		if n := w.runs(id); n > 1 {
-			j.broken("twice: %s may run once and ran %d times", id, n)
+			j.violation("twice: %s may run once and ran %d times", id, n)
 		}
 	}
 	for _, id := range j.refused {
 		if n := w.runs(id); n > 0 {
-			j.broken("refused: %s was said not to have run and ran %d times", id, n)
+			j.violation("refused: %s was said not to have run and ran %d times", id, n)
 		}
 	}
 	w.teams.settle(j, w, j.rotating)
 	for _, p := range j.processes {
 		for _, end := range p.ownEnds() {
-			j.broken("ended: %s", end)
+			j.violation("ended: %s", end)
 		}
 	}
 }
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -110,7 +110,7 @@
 // failed notes an error of the run itself.
 func (r *run) failed(err error) {
 	if err != nil {
-		r.judge.broken("the run itself: %v", err)
+		r.judge.violation("the run itself: %v", err)
 	}
 }
 
@@ -191,7 +191,7 @@
 	time.Sleep(measured)
 	served, asked = r.served.Load()-served, r.asked.Load()-asked
 	if float64(served) < leastServed*float64(asked) || asked == 0 {
-		r.judge.broken("recovery: %d of %d requests served %v after the last fault", served, asked, recovery)
+		r.judge.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recovery)
 	}
 }
 
@@ -205,7 +205,7 @@
 		}
 		for _, p := range r.processes {
 			if p.calm(at) && !r.routeServed(p, path) && p.calm(time.Now()) {
-				r.judge.broken("configuration: %s does not serve %s %v after the change", p.name, path, configTime)
+				r.judge.violation("configuration: %s does not serve %s %v after the change", p.name, path, configTime)
 			}
 		}
 	})
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -124,10 +124,10 @@
 // seen checks what a runner is told of a request's team.
 func (x *teams) seen(j *checker, e *platformtest.Exchange) {
 	if e.Key() != "" {
-		j.broken("unasked: %s reached %s with its key", e.RequestID(), e.ID)
+		j.violation("unasked: %s reached %s with its key", e.RequestID(), e.ID)
 	}
 	if team := e.Team(); team != teamOf(e.RequestID()) {
-		j.broken("unasked: %s reached %s as one of team %q", e.RequestID(), e.ID, team)
+		j.violation("unasked: %s reached %s as one of team %q", e.RequestID(), e.ID, team)
 	}
 }
 
@@ -159,7 +159,7 @@
 			continue
 		}
 		if late := s.at.Sub(x.revoked[s.turn]); late > revokeTime && w.runs(s.id) > 0 {
-			j.broken("revoked: %s was sent %v after its key was taken away, and ran", s.id, late)
+			j.violation("revoked: %s was sent %v after its key was taken away, and ran", s.id, late)
 		}
 	}
 	at := make([]time.Time, 0, len(x.ranAt))
@@ -174,7 +174,7 @@
 			first++
 		}
 		if n := i - first + 1; float64(n) > allowed {
-			j.broken("limit: %d requests of the small team ran within %v, %.1f may", n, limitWindow, allowed)
+			j.violation("limit: %d requests of the small team ran within %v, %.1f may", n, limitWindow, allowed)
 			return
 		}
 	}
