--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -34,7 +34,7 @@
 }
 
 // allCalm says whether no fault has touched any daemon for a while.
-func (j *checker) allCalm(at time.Time) bool {
+func (j *checker) allStable(at time.Time) bool {
 	for _, p := range j.processes {
 		if !p.calm(at) {
 			return false
