--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -97,7 +97,7 @@
 		c.sent++
 		o := c.call(p, kinds[c.rng.IntN(len(kinds))], fmt.Sprintf("%s-%d", c.name, c.sent))
 		c.count(o)
-		c.judge.take(o)
+		c.judge.check(o)
 	}
 }
 
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -65,7 +65,7 @@
 func (o *outcome) answered() bool { return o.answer.Status == http.StatusOK && o.answer.Whole }
 
 // take judges what can be judged at once.
-func (j *checker) take(o outcome) {
+func (j *checker) check(o outcome) {
 	j.mu.Lock()
 	j.outcomes[fmt.Sprintf("%s %d", o.kind.name, o.answer.Status)]++
 	if !o.kind.repeatable {
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -45,7 +45,7 @@
 			j := newChecker()
 			o := whole(c.kind, "c5-5")
 			c.plant(&o)
-			j.take(o)
+			j.check(o)
 			j.settle(&world{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
 			is.Equal(len(j.violations) > 0, c.found)
 		})
