--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -79,7 +79,7 @@
 	}
 	j.mu.Unlock()
 	if o.answered() {
-		j.takeAnswer(o)
+		j.checkAnswer(o)
 	}
 	if o.calm && o.took > callerPatience+slack {
 		j.violation("time: %s (%s) took %v", o.id, o.kind.name, o.took)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (j *checker) takeAnswer(o outcome) {
+func (j *checker) checkAnswer(o outcome) {
 	switch {
 	case !o.answer.Signed:
 		j.violation("mixed: %s (%s) got a success without a signature", o.id, o.kind.name)
