--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	r.judge.settle(r.world)
+	r.judge.checkFinal(r.world)
 	return r.report()
 }
 
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -46,7 +46,7 @@
 			o := whole(c.kind, "c5-5")
 			c.plant(&o)
 			j.check(o)
-			j.settle(&world{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
+			j.checkFinal(&world{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
 			is.Equal(len(j.violations) > 0, c.found)
 		})
 	}
