--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -133,7 +133,7 @@
 func (c *caller) call(p *process, k callKind, id string) outcome {
 	begun := time.Now()
 	o := outcome{id: id, kind: k, sent: begun}
-	o.key, o.turn = c.teams.keyOf(c.name, c.rng.IntN)
+	o.key, o.keyIndex = c.teams.keyOf(c.name, c.rng.IntN)
 	calm := p.calm(begun)
 	c.renew()
 	conn := c.conns[p]
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -49,9 +49,9 @@
 	kind callKind
 	// sent is when it was sent, with which key; turn is which of the turning
 	// team's, -1 for another's.
-	sent time.Time
-	key  string
-	turn int
+	sent     time.Time
+	key      string
+	keyIndex int
 	// answer has no status where the connection ended without one.
 	answer platformtest.Answer
 	took   time.Duration
@@ -74,8 +74,8 @@
 	if o.answer.Status == http.StatusServiceUnavailable || o.answer.Status == http.StatusTooManyRequests {
 		j.refused = append(j.refused, o.id)
 	}
-	if o.turn >= 0 {
-		j.rotating = append(j.rotating, sentWith{id: o.id, turn: o.turn, at: o.sent})
+	if o.keyIndex >= 0 {
+		j.rotating = append(j.rotating, sentWith{id: o.id, turn: o.keyIndex, at: o.sent})
 	}
 	j.mu.Unlock()
 	if o.answered() {
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestTheJudgeFindsPlantedFaults(t *testing.T) {
 	whole := func(kind int, id string) outcome {
 		k := kinds[kind]
-		return outcome{id: id, kind: k, turn: -1, answer: platformtest.Answer{Status: 200, Signed: true, Whole: true, Request: id, Body: k.body(id)}}
+		return outcome{id: id, kind: k, keyIndex: -1, answer: platformtest.Answer{Status: 200, Signed: true, Whole: true, Request: id, Body: k.body(id)}}
 	}
 	cases := map[string]struct {
 		plant func(o *outcome)
