--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -145,7 +145,7 @@
 		conn = made
 	}
 	keep := c.exchange(conn, k, &o)
-	o.took = time.Since(begun)
+	o.elapsed = time.Since(begun)
 	o.calm = calm && p.calm(time.Now())
 	if keep {
 		c.conns[p] = conn
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -53,8 +53,8 @@
 	key      string
 	keyIndex int
 	// answer has no status where the connection ended without one.
-	answer platformtest.Answer
-	took   time.Duration
+	answer  platformtest.Answer
+	elapsed time.Duration
 	// left is set if the caller did not wait for the answer.
 	left bool
 	// calm is set if no fault touched the daemon, from a while before to the end.
@@ -81,8 +81,8 @@
 	if o.answered() {
 		j.checkAnswer(o)
 	}
-	if o.calm && o.took > callerPatience+slack {
-		j.violation("time: %s (%s) took %v", o.id, o.kind.name, o.took)
+	if o.calm && o.elapsed > callerPatience+slack {
+		j.violation("time: %s (%s) took %v", o.id, o.kind.name, o.elapsed)
 	}
 	if o.answer.Status == http.StatusNotFound || o.answer.Status == http.StatusBadRequest {
 		j.violation("denied: %s (%s) got %d", o.id, o.kind.name, o.answer.Status)
