--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -103,7 +103,7 @@
 
 // count counts a request that sound daemons serve, whatever runners do to it.
 func (c *caller) count(o outcome) {
-	if o.left || failsAtRunners(o.id, o.kind) || !steady(o.id) {
+	if o.abandoned || failsAtRunners(o.id, o.kind) || !steady(o.id) {
 		return
 	}
 	c.asked.Add(1)
@@ -166,7 +166,7 @@
 	}
 	if c.rng.IntN(leavesEach) == 0 {
 		time.Sleep(time.Duration(c.rng.Int64N(int64(leavesWithin))))
-		o.left = true
+		o.abandoned = true
 		return false
 	}
 	answer, err := platformtest.ReadAnswer(conn)
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -56,7 +56,7 @@
 	answer  platformtest.Answer
 	elapsed time.Duration
 	// left is set if the caller did not wait for the answer.
-	left bool
+	abandoned bool
 	// calm is set if no fault touched the daemon, from a while before to the end.
 	calm bool
 }
