--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -146,7 +146,7 @@
 	}
 	keep := c.exchange(conn, k, &o)
 	o.elapsed = time.Since(begun)
-	o.calm = calm && p.calm(time.Now())
+	o.stable = calm && p.calm(time.Now())
 	if keep {
 		c.conns[p] = conn
 		return o
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -58,7 +58,7 @@
 	// left is set if the caller did not wait for the answer.
 	abandoned bool
 	// calm is set if no fault touched the daemon, from a while before to the end.
-	calm bool
+	stable bool
 }
 
 // answered says whether the caller was served.
@@ -81,7 +81,7 @@
 	if o.answered() {
 		j.checkAnswer(o)
 	}
-	if o.calm && o.elapsed > callerPatience+slack {
+	if o.stable && o.elapsed > callerPatience+slack {
 		j.violation("time: %s (%s) took %v", o.id, o.kind.name, o.elapsed)
 	}
 	if o.answer.Status == http.StatusNotFound || o.answer.Status == http.StatusBadRequest {
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -34,7 +34,7 @@
 		"refused and ran":         {func(o *outcome) { o.answer.Status = 503 }, 1, 1, true},
 		"refused":                 {func(o *outcome) { o.answer.Status = 503 }, 1, 0, false},
 		"unknown route":           {func(o *outcome) { o.answer.Status = 404 }, 0, 0, true},
-		"too late":                {func(o *outcome) { o.calm, o.elapsed = true, time.Minute }, 0, 1, true},
+		"too late":                {func(o *outcome) { o.stable, o.elapsed = true, time.Minute }, 0, 1, true},
 		"a good key refused":      {func(o *outcome) { o.answer.Status = 401 }, 0, 0, true},
 		"no limit, and refused":   {func(o *outcome) { o.answer.Status = 429 }, 0, 0, true},
 		"too late in a fault":     {func(o *outcome) { o.elapsed = time.Minute }, 0, 1, false},
