--- a/cmd/internal/soak/calm.go
+++ b/cmd/internal/soak/calm.go
@@ -9,14 +9,14 @@
 const contact = 4 * time.Second
 
 // calmness tells whether faults have left something alone.
-type calmness struct {
+type stability struct {
 	mu sync.Mutex
 	// disturbed is until when faults touch it.
 	disturbed time.Time
 }
 
 // disturb notes a fault that goes on until then.
-func (c *calmness) disturb(until time.Time) {
+func (c *stability) disturb(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if until.After(c.disturbed) {
@@ -25,7 +25,7 @@
 }
 
 // calm says whether no fault has touched it for a while.
-func (c *calmness) calm(at time.Time) bool {
+func (c *stability) calm(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return at.After(c.disturbed.Add(contact))
--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -23,7 +23,7 @@
 // process id, and NAME.ends has a line for each process that ended.
 type process struct {
 	// calmness is that of the daemon and of the ways to and from it.
-	calmness
+	stability
 	dir  string
 	name string
 	set  gateway.Settings
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -46,7 +46,7 @@
 // world is the platform as the daemons of a run see it.
 type world struct {
 	// calmness is that of the store and of the ways to runners.
-	calmness
+	stability
 	store *platformtest.Store
 
 	mu      sync.Mutex
