--- a/cmd/internal/soak/calm.go
+++ b/cmd/internal/soak/calm.go
@@ -12,15 +12,15 @@
 type stability struct {
 	mu sync.Mutex
 	// disturbed is until when faults touch it.
-	disturbed time.Time
+	faultUntil time.Time
 }
 
 // disturb notes a fault that goes on until then.
 func (c *stability) disturb(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if until.After(c.disturbed) {
-		c.disturbed = until
+	if until.After(c.faultUntil) {
+		c.faultUntil = until
 	}
 }
 
@@ -28,5 +28,5 @@
 func (c *stability) calm(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return at.After(c.disturbed.Add(contact))
+	return at.After(c.faultUntil.Add(contact))
 }
