--- a/cmd/internal/soak/calm.go
+++ b/cmd/internal/soak/calm.go
@@ -16,7 +16,7 @@
 }
 
 // disturb notes a fault that goes on until then.
-func (c *stability) disturb(until time.Time) {
+func (c *stability) markFault(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if until.After(c.faultUntil) {
--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -114,8 +114,8 @@
 	until := time.Now().Add(f.lasts)
 	switch {
 	case f.process != nil:
-		f.process.disturb(until)
+		f.process.markFault(until)
 	case !f.planned:
-		r.world.disturb(until)
+		r.world.markFault(until)
 	}
 }
