--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -134,7 +134,7 @@
 	begun := time.Now()
 	o := outcome{id: id, kind: k, sent: begun}
 	o.key, o.keyIndex = c.teams.keyOf(c.name, c.rng.IntN)
-	calm := p.calm(begun)
+	calm := p.stable(begun)
 	c.renew()
 	conn := c.conns[p]
 	if conn == nil {
@@ -146,7 +146,7 @@
 	}
 	keep := c.exchange(conn, k, &o)
 	o.elapsed = time.Since(begun)
-	o.stable = calm && p.calm(time.Now())
+	o.stable = calm && p.stable(time.Now())
 	if keep {
 		c.conns[p] = conn
 		return o
--- a/cmd/internal/soak/calm.go
+++ b/cmd/internal/soak/calm.go
@@ -25,7 +25,7 @@
 }
 
 // calm says whether no fault has touched it for a while.
-func (c *stability) calm(at time.Time) bool {
+func (c *stability) stable(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return at.After(c.faultUntil.Add(contact))
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -36,7 +36,7 @@
 // allCalm says whether no fault has touched any daemon for a while.
 func (j *checker) allStable(at time.Time) bool {
 	for _, p := range j.processes {
-		if !p.calm(at) {
+		if !p.stable(at) {
 			return false
 		}
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -200,11 +200,11 @@
 	path := r.world.addRoute()
 	time.AfterFunc(configTime, func() {
 		at := time.Now()
-		if !r.world.calm(at) {
+		if !r.world.stable(at) {
 			return
 		}
 		for _, p := range r.processes {
-			if p.calm(at) && !r.routeServed(p, path) && p.calm(time.Now()) {
+			if p.stable(at) && !r.routeServed(p, path) && p.stable(time.Now()) {
 				r.judge.violation("configuration: %s does not serve %s %v after the change", p.name, path, configTime)
 			}
 		}
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -237,7 +237,7 @@
 	defer w.mu.Unlock()
 	w.ran[request]++
 	late := !r.leaving.IsZero() && now.After(r.leaving.Add(drainTime))
-	if late && w.judge.allStable(now) && w.calm(now) {
+	if late && w.judge.allStable(now) && w.stable(now) {
 		w.judge.violation("draining: %s ran at %s, %v after that registered as leaving", request, r.ID, now.Sub(r.leaving))
 	}
 	return w.ran[request]
