--- a/cmd/internal/soak/calm.go
+++ b/cmd/internal/soak/calm.go
@@ -6,7 +6,7 @@
 )
 
 // contact is how long something must have been left alone to be held to times.
-const contact = 4 * time.Second
+const stabilizationTime = 4 * time.Second
 
 // calmness tells whether faults have left something alone.
 type stability struct {
@@ -28,5 +28,5 @@
 func (c *stability) stable(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return at.After(c.faultUntil.Add(contact))
+	return at.After(c.faultUntil.Add(stabilizationTime))
 }
