--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -12,7 +12,7 @@
 )
 
 // callerPatience is how long callers wait for an answer.
-const callerPatience = 6 * time.Second
+const callerTimeout = 6 * time.Second
 
 // Callers leave every so many requests, within that time.
 const (
@@ -47,7 +47,7 @@
 
 // request gives a request as it goes over the wire.
 func (k callKind) request(id, key string) string {
-	r := platformtest.Request{Method: k.method, Target: k.path + "x", Host: callHost, ID: id, Body: id, Patience: callerPatience}
+	r := platformtest.Request{Method: k.method, Target: k.path + "x", Host: callHost, ID: id, Body: id, Patience: callerTimeout}
 	if k.stream {
 		r.Fields = platformtest.Generation(id)
 	}
@@ -158,7 +158,7 @@
 
 // exchange sends and reads; it says whether the connection may be used again.
 func (c *caller) exchange(conn net.Conn, k callKind, o *outcome) (keep bool) {
-	if err := conn.SetDeadline(time.Now().Add(callerPatience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(callerTimeout)); err != nil {
 		return false
 	}
 	if _, err := io.WriteString(conn, k.request(o.id, o.key)); err != nil {
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -81,7 +81,7 @@
 	if o.answered() {
 		j.checkAnswer(o)
 	}
-	if o.stable && o.elapsed > callerPatience+slack {
+	if o.stable && o.elapsed > callerTimeout+slack {
 		j.violation("time: %s (%s) took %v", o.id, o.kind.name, o.elapsed)
 	}
 	if o.answer.Status == http.StatusNotFound || o.answer.Status == http.StatusBadRequest {
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -181,12 +181,12 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(recovery - callerPatience):
+	case <-time.After(recovery - callerTimeout):
 	}
 	// Connections that a fault has left dead are the callers' to give up: with
 	// many daemons some are first used now.
 	r.afresh.Store(true)
-	time.Sleep(callerPatience)
+	time.Sleep(callerTimeout)
 	served, asked := r.served.Load(), r.asked.Load()
 	time.Sleep(measured)
 	served, asked = r.served.Load()-served, r.asked.Load()-asked
