--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -16,7 +16,7 @@
 
 // Callers leave every so many requests, within that time.
 const (
-	leavesEach   = 40
+	abandonEvery = 40
 	leavesWithin = 200 * time.Millisecond
 )
 
@@ -164,7 +164,7 @@
 	if _, err := io.WriteString(conn, k.request(o.id, o.key)); err != nil {
 		return false
 	}
-	if c.rng.IntN(leavesEach) == 0 {
+	if c.rng.IntN(abandonEvery) == 0 {
 		time.Sleep(time.Duration(c.rng.Int64N(int64(leavesWithin))))
 		o.abandoned = true
 		return false
