--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -16,8 +16,8 @@
 
 // Callers leave every so many requests, within that time.
 const (
-	abandonEvery = 40
-	leavesWithin = 200 * time.Millisecond
+	abandonEvery    = 40
+	maxAbandonDelay = 200 * time.Millisecond
 )
 
 // callKind is a kind of request.
@@ -165,7 +165,7 @@
 		return false
 	}
 	if c.rng.IntN(abandonEvery) == 0 {
-		time.Sleep(time.Duration(c.rng.Int64N(int64(leavesWithin))))
+		time.Sleep(time.Duration(c.rng.Int64N(int64(maxAbandonDelay))))
 		o.abandoned = true
 		return false
 	}
