--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -21,7 +21,7 @@
 )
 
 // callKind is a kind of request.
-type callKind struct {
+type requestKind struct {
 	name   string
 	method string
 	path   string
@@ -30,7 +30,7 @@
 	repeatable bool
 }
 
-var kinds = []callKind{
+var kinds = []requestKind{
 	{name: "idempotent", method: "GET", path: pathIdem, repeatable: true},
 	{name: "once", method: "POST", path: pathOnce},
 	{name: "stream", method: "POST", path: pathStream, stream: true},
@@ -38,7 +38,7 @@
 }
 
 // body is the whole answer to a request of this kind.
-func (k callKind) body(id string) string {
+func (k requestKind) body(id string) string {
 	if k.stream {
 		return platformtest.Events(1, streamSize)
 	}
@@ -46,7 +46,7 @@
 }
 
 // request gives a request as it goes over the wire.
-func (k callKind) request(id, key string) string {
+func (k requestKind) request(id, key string) string {
 	r := platformtest.Request{Method: k.method, Target: k.path + "x", Host: callHost, ID: id, Body: id, Patience: callerTimeout}
 	if k.stream {
 		r.Fields = platformtest.Generation(id)
@@ -130,7 +130,7 @@
 }
 
 // call sends one request and reads its answer.
-func (c *caller) call(p *process, k callKind, id string) outcome {
+func (c *caller) call(p *process, k requestKind, id string) outcome {
 	begun := time.Now()
 	o := outcome{id: id, kind: k, sent: begun}
 	o.key, o.keyIndex = c.teams.keyOf(c.name, c.rng.IntN)
@@ -157,7 +157,7 @@
 }
 
 // exchange sends and reads; it says whether the connection may be used again.
-func (c *caller) exchange(conn net.Conn, k callKind, o *outcome) (keep bool) {
+func (c *caller) exchange(conn net.Conn, k requestKind, o *outcome) (keep bool) {
 	if err := conn.SetDeadline(time.Now().Add(callerTimeout)); err != nil {
 		return false
 	}
--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -46,7 +46,7 @@
 // outcome is what a caller saw of one request.
 type outcome struct {
 	id   string
-	kind callKind
+	kind requestKind
 	// sent is when it was sent, with which key; turn is which of the turning
 	// team's, -1 for another's.
 	sent     time.Time
