--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -58,12 +58,12 @@
 // caller sends requests one after the other, over kept connections, to daemons
 // that it picks at random.
 type caller struct {
-	name  string
-	rng   *rand.Rand
-	judge *checker
-	teams *teams
-	conns map[*process]net.Conn
-	sent  int
+	name    string
+	rng     *rand.Rand
+	checker *checker
+	teams   *teams
+	conns   map[*process]net.Conn
+	sent    int
 	// asked counts the requests that are to be served, served those that were.
 	served, asked *atomic.Int64
 	// afresh says that connections are to be opened anew, once.
@@ -73,14 +73,14 @@
 
 func newCaller(r *run, number int) *caller {
 	return &caller{
-		name:   fmt.Sprintf("c%d", number),
-		rng:    rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
-		judge:  r.judge,
-		teams:  r.world.teams,
-		conns:  map[*process]net.Conn{},
-		served: &r.served,
-		asked:  &r.asked,
-		afresh: &r.afresh,
+		name:    fmt.Sprintf("c%d", number),
+		rng:     rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
+		checker: r.judge,
+		teams:   r.world.teams,
+		conns:   map[*process]net.Conn{},
+		served:  &r.served,
+		asked:   &r.asked,
+		afresh:  &r.afresh,
 	}
 }
 
@@ -97,7 +97,7 @@
 		c.sent++
 		o := c.call(p, kinds[c.rng.IntN(len(kinds))], fmt.Sprintf("%s-%d", c.name, c.sent))
 		c.count(o)
-		c.judge.check(o)
+		c.checker.check(o)
 	}
 }
 
