--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -65,7 +65,7 @@
 	conns   map[*process]net.Conn
 	sent    int
 	// asked counts the requests that are to be served, served those that were.
-	served, asked *atomic.Int64
+	served, expected *atomic.Int64
 	// afresh says that connections are to be opened anew, once.
 	afresh  *atomic.Bool
 	renewed bool
@@ -73,14 +73,14 @@
 
 func newCaller(r *run, number int) *caller {
 	return &caller{
-		name:    fmt.Sprintf("c%d", number),
-		rng:     rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
-		checker: r.judge,
-		teams:   r.world.teams,
-		conns:   map[*process]net.Conn{},
-		served:  &r.served,
-		asked:   &r.asked,
-		afresh:  &r.afresh,
+		name:     fmt.Sprintf("c%d", number),
+		rng:      rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
+		checker:  r.judge,
+		teams:    r.world.teams,
+		conns:    map[*process]net.Conn{},
+		served:   &r.served,
+		expected: &r.asked,
+		afresh:   &r.afresh,
 	}
 }
 
@@ -106,7 +106,7 @@
 	if o.abandoned || failsAtRunners(o.id, o.kind) || !steady(o.id) {
 		return
 	}
-	c.asked.Add(1)
+	c.expected.Add(1)
 	if o.answered() {
 		c.served.Add(1)
 	}
