--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -67,20 +67,20 @@
 	// asked counts the requests that are to be served, served those that were.
 	served, expected *atomic.Int64
 	// afresh says that connections are to be opened anew, once.
-	afresh  *atomic.Bool
-	renewed bool
+	reconnect *atomic.Bool
+	renewed   bool
 }
 
 func newCaller(r *run, number int) *caller {
 	return &caller{
-		name:     fmt.Sprintf("c%d", number),
-		rng:      rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
-		checker:  r.judge,
-		teams:    r.world.teams,
-		conns:    map[*process]net.Conn{},
-		served:   &r.served,
-		expected: &r.asked,
-		afresh:   &r.afresh,
+		name:      fmt.Sprintf("c%d", number),
+		rng:       rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
+		checker:   r.judge,
+		teams:     r.world.teams,
+		conns:     map[*process]net.Conn{},
+		served:    &r.served,
+		expected:  &r.asked,
+		reconnect: &r.afresh,
 	}
 }
 
@@ -114,7 +114,7 @@
 
 // renew gives the connections up when they are to be opened anew.
 func (c *caller) renew() {
-	if c.renewed || !c.afresh.Load() {
+	if c.renewed || !c.reconnect.Load() {
 		return
 	}
 	c.renewed = true
