--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -67,8 +67,8 @@
 	// asked counts the requests that are to be served, served those that were.
 	served, expected *atomic.Int64
 	// afresh says that connections are to be opened anew, once.
-	reconnect *atomic.Bool
-	renewed   bool
+	reconnect   *atomic.Bool
+	reconnected bool
 }
 
 func newCaller(r *run, number int) *caller {
@@ -114,10 +114,10 @@
 
 // renew gives the connections up when they are to be opened anew.
 func (c *caller) renew() {
-	if c.renewed || !c.reconnect.Load() {
+	if c.reconnected || !c.reconnect.Load() {
 		return
 	}
-	c.renewed = true
+	c.reconnected = true
 	c.hangUp()
 }
 
