--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -113,7 +113,7 @@
 }
 
 // renew gives the connections up when they are to be opened anew.
-func (c *caller) renew() {
+func (c *caller) reconnectOnce() {
 	if c.reconnected || !c.reconnect.Load() {
 		return
 	}
@@ -135,7 +135,7 @@
 	o := outcome{id: id, kind: k, sent: begun}
 	o.key, o.keyIndex = c.teams.keyOf(c.name, c.rng.IntN)
 	calm := p.stable(begun)
-	c.renew()
+	c.reconnectOnce()
 	conn := c.conns[p]
 	if conn == nil {
 		made, err := net.DialTimeout("tcp", p.callers.Address(), time.Second)
