--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -86,7 +86,7 @@
 
 // run sends requests until done is closed.
 func (c *caller) run(done <-chan struct{}, processes []*process, pause time.Duration) {
-	defer c.hangUp()
+	defer c.closeConns()
 	for {
 		select {
 		case <-done:
@@ -118,11 +118,11 @@
 		return
 	}
 	c.reconnected = true
-	c.hangUp()
+	c.closeConns()
 }
 
 // hangUp closes all connections.
-func (c *caller) hangUp() {
+func (c *caller) closeConns() {
 	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -213,7 +213,7 @@
 
 func (r *run) routeServed(p *process, path string) bool {
 	c := newCaller(r, -1)
-	defer c.hangUp()
+	defer c.closeConns()
 	k := requestKind{name: "added", method: "GET", path: path, repeatable: true}
 	o := c.call(p, k, strings.ReplaceAll("added"+path+p.name, "/", "-"))
 	return o.answer.Status != http.StatusNotFound
