--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -144,7 +144,7 @@
 		}
 		conn = made
 	}
-	keep := c.exchange(conn, k, &o)
+	keep := c.roundTrip(conn, k, &o)
 	o.elapsed = time.Since(begun)
 	o.stable = calm && p.stable(time.Now())
 	if keep {
@@ -157,7 +157,7 @@
 }
 
 // exchange sends and reads; it says whether the connection may be used again.
-func (c *caller) exchange(conn net.Conn, k requestKind, o *outcome) (keep bool) {
+func (c *caller) roundTrip(conn net.Conn, k requestKind, o *outcome) (keep bool) {
 	if err := conn.SetDeadline(time.Now().Add(callerTimeout)); err != nil {
 		return false
 	}
