--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -13,8 +13,8 @@
 	name string
 	// at is when it begins, from the start of the faults; lasts is how long it
 	// goes on.
-	at, lasts time.Duration
-	begin     func()
+	start, lasts time.Duration
+	begin        func()
 	// end is nil for a fault that is over at once.
 	end func()
 	// process is the daemon that it touches; nil for one of the platform.
@@ -37,7 +37,7 @@
 	var out []fault
 	for at := time.Duration(0); at < length; at += time.Duration(rng.Int64N(int64(2 * meanGap))) {
 		f := r.draw(rng)
-		f.at = at
+		f.start = at
 		f.lasts = min(shortest+time.Duration(rng.Int64N(int64(longest-shortest))), length-at)
 		out = append(out, f)
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -161,9 +161,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Until(begun.Add(f.at))):
+		case <-time.After(time.Until(begun.Add(f.start))):
 		}
-		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.at.Seconds(), f.name, f.lasts.Seconds())
+		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.lasts.Seconds())
 		r.touches(f)
 		f.begin()
 		if f.end != nil {
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -81,7 +81,7 @@
 		}
 		var names []string
 		for _, f := range r.plan(rand.New(rand.NewPCG(seed, 1)), time.Minute) {
-			names = append(names, f.at.String()+" "+f.name)
+			names = append(names, f.start.String()+" "+f.name)
 		}
 		return names
 	}
