--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -13,8 +13,8 @@
 	name string
 	// at is when it begins, from the start of the faults; lasts is how long it
 	// goes on.
-	start, lasts time.Duration
-	begin        func()
+	start, duration time.Duration
+	begin           func()
 	// end is nil for a fault that is over at once.
 	end func()
 	// process is the daemon that it touches; nil for one of the platform.
@@ -38,7 +38,7 @@
 	for at := time.Duration(0); at < length; at += time.Duration(rng.Int64N(int64(2 * meanGap))) {
 		f := r.draw(rng)
 		f.start = at
-		f.lasts = min(shortest+time.Duration(rng.Int64N(int64(longest-shortest))), length-at)
+		f.duration = min(shortest+time.Duration(rng.Int64N(int64(longest-shortest))), length-at)
 		out = append(out, f)
 	}
 	return out
@@ -111,7 +111,7 @@
 
 // touches notes whom a fault disturbs.
 func (r *run) touches(f fault) {
-	until := time.Now().Add(f.lasts)
+	until := time.Now().Add(f.duration)
 	switch {
 	case f.process != nil:
 		f.process.markFault(until)
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -163,12 +163,12 @@
 			return ctx.Err()
 		case <-time.After(time.Until(begun.Add(f.start))):
 		}
-		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.lasts.Seconds())
+		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.duration.Seconds())
 		r.touches(f)
 		f.begin()
 		if f.end != nil {
 			ends.Go(func() {
-				time.Sleep(f.lasts)
+				time.Sleep(f.duration)
 				f.end()
 			})
 		}
