--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -14,7 +14,7 @@
 	// at is when it begins, from the start of the faults; lasts is how long it
 	// goes on.
 	start, duration time.Duration
-	begin           func()
+	inject          func()
 	// end is nil for a fault that is over at once.
 	end func()
 	// process is the daemon that it touches; nil for one of the platform.
@@ -52,14 +52,14 @@
 	mode := modes[rng.IntN(len(modes))]
 	switch rng.IntN(9) {
 	case 0:
-		return fault{name: "kill " + p.name, process: p, begin: func() { p.signal(syscall.SIGKILL) }}
+		return fault{name: "kill " + p.name, process: p, inject: func() { p.signal(syscall.SIGKILL) }}
 	case 1:
-		return fault{name: "stop " + p.name, process: p, begin: func() { p.signal(syscall.SIGTERM) }}
+		return fault{name: "stop " + p.name, process: p, inject: func() { p.signal(syscall.SIGTERM) }}
 	case 2:
 		return fault{
 			name:    "pause " + p.name,
 			process: p,
-			begin:   func() { p.signal(syscall.SIGSTOP) },
+			inject:  func() { p.signal(syscall.SIGSTOP) },
 			end:     func() { p.signal(syscall.SIGCONT) },
 		}
 	case 3:
@@ -69,9 +69,9 @@
 	case 5:
 		return onProxy("runner "+endpoint.ID, nil, endpoint.proxy, mode)
 	case 6:
-		return fault{name: "reset runner " + endpoint.ID, begin: endpoint.proxy.Reset}
+		return fault{name: "reset runner " + endpoint.ID, inject: endpoint.proxy.Reset}
 	case 7:
-		return fault{name: "replace a runner", planned: true, begin: func() { r.failed(r.world.replaceRunner(rng)) }}
+		return fault{name: "replace a runner", planned: true, inject: func() { r.failed(r.world.replaceRunner(rng)) }}
 	default:
 		return r.drawStore(rng)
 	}
@@ -82,16 +82,16 @@
 	switch rng.IntN(4) {
 	case 0:
 		return fault{
-			name:  "store refuses all",
-			begin: func() { r.world.store.Refuse("*", 503) },
-			end:   func() { r.world.store.Refuse("*", 0) },
+			name:   "store refuses all",
+			inject: func() { r.world.store.Refuse("*", 503) },
+			end:    func() { r.world.store.Refuse("*", 0) },
 		}
 	case 1:
-		return fault{name: "store forgets", begin: r.world.store.Forget}
+		return fault{name: "store forgets", inject: r.world.store.Forget}
 	case 2:
-		return fault{name: "store loses answers", begin: func() { r.world.store.Lose(3) }, end: func() { r.world.store.Lose(0) }}
+		return fault{name: "store loses answers", inject: func() { r.world.store.Lose(3) }, end: func() { r.world.store.Lose(0) }}
 	default:
-		return fault{name: "a route is added", planned: true, begin: r.addRoute}
+		return fault{name: "a route is added", planned: true, inject: r.addRoute}
 	}
 }
 
@@ -104,7 +104,7 @@
 	return fault{
 		name:    name + " " + words[m],
 		process: of,
-		begin:   func() { way.Set(m) },
+		inject:  func() { way.Set(m) },
 		end:     func() { way.Set(platformtest.Pass) },
 	}
 }
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -165,7 +165,7 @@
 		}
 		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.duration.Seconds())
 		r.touches(f)
-		f.begin()
+		f.inject()
 		if f.end != nil {
 			ends.Go(func() {
 				time.Sleep(f.duration)
