--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -16,7 +16,7 @@
 	start, duration time.Duration
 	inject          func()
 	// end is nil for a fault that is over at once.
-	end func()
+	revert func()
 	// process is the daemon that it touches; nil for one of the platform.
 	process *process
 	// planned work of the platform disturbs nobody: promises hold meanwhile.
@@ -60,7 +60,7 @@
 			name:    "pause " + p.name,
 			process: p,
 			inject:  func() { p.signal(syscall.SIGSTOP) },
-			end:     func() { p.signal(syscall.SIGCONT) },
+			revert:  func() { p.signal(syscall.SIGCONT) },
 		}
 	case 3:
 		return onProxy("store of "+p.name, p, p.store, mode)
@@ -84,12 +84,12 @@
 		return fault{
 			name:   "store refuses all",
 			inject: func() { r.world.store.Refuse("*", 503) },
-			end:    func() { r.world.store.Refuse("*", 0) },
+			revert: func() { r.world.store.Refuse("*", 0) },
 		}
 	case 1:
 		return fault{name: "store forgets", inject: r.world.store.Forget}
 	case 2:
-		return fault{name: "store loses answers", inject: func() { r.world.store.Lose(3) }, end: func() { r.world.store.Lose(0) }}
+		return fault{name: "store loses answers", inject: func() { r.world.store.Lose(3) }, revert: func() { r.world.store.Lose(0) }}
 	default:
 		return fault{name: "a route is added", planned: true, inject: r.addRoute}
 	}
@@ -105,7 +105,7 @@
 		name:    name + " " + words[m],
 		process: of,
 		inject:  func() { way.Set(m) },
-		end:     func() { way.Set(platformtest.Pass) },
+		revert:  func() { way.Set(platformtest.Pass) },
 	}
 }
 
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -166,10 +166,10 @@
 		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.duration.Seconds())
 		r.touches(f)
 		f.inject()
-		if f.end != nil {
+		if f.revert != nil {
 			ends.Go(func() {
 				time.Sleep(f.duration)
-				f.end()
+				f.revert()
 			})
 		}
 	}
