--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -29,7 +29,7 @@
 	// how long one lasts, so that they overlap.
 	meanInterval     = 600 * time.Millisecond
 	minFaultDuration = 300 * time.Millisecond
-	longest          = 3 * time.Second
+	maxFaultDuration = 3 * time.Second
 )
 
 // plan draws the faults of a run.
@@ -38,7 +38,7 @@
 	for at := time.Duration(0); at < length; at += time.Duration(rng.Int64N(int64(2 * meanInterval))) {
 		f := r.draw(rng)
 		f.start = at
-		f.duration = min(minFaultDuration+time.Duration(rng.Int64N(int64(longest-minFaultDuration))), length-at)
+		f.duration = min(minFaultDuration+time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration))), length-at)
 		out = append(out, f)
 	}
 	return out
