--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -36,7 +36,7 @@
 func (r *run) plan(rng *rand.Rand, length time.Duration) []fault {
 	var out []fault
 	for at := time.Duration(0); at < length; at += time.Duration(rng.Int64N(int64(2 * meanInterval))) {
-		f := r.draw(rng)
+		f := r.randomFault(rng)
 		f.start = at
 		f.duration = min(minFaultDuration+time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration))), length-at)
 		out = append(out, f)
@@ -45,7 +45,7 @@
 }
 
 // draw picks one fault.
-func (r *run) draw(rng *rand.Rand) fault {
+func (r *run) randomFault(rng *rand.Rand) fault {
 	p := r.processes[rng.IntN(len(r.processes))]
 	endpoint := r.world.someRunner(rng)
 	modes := []platformtest.Mode{platformtest.Delay, platformtest.Silence, platformtest.OneWay, platformtest.Refuse}
