--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -73,12 +73,12 @@
 	case 7:
 		return fault{name: "replace a runner", planned: true, inject: func() { r.failed(r.world.replaceRunner(rng)) }}
 	default:
-		return r.drawStore(rng)
+		return r.randomStoreFault(rng)
 	}
 }
 
 // drawStore picks a fault of the store itself.
-func (r *run) drawStore(rng *rand.Rand) fault {
+func (r *run) randomStoreFault(rng *rand.Rand) fault {
 	switch rng.IntN(4) {
 	case 0:
 		return fault{
