--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -63,11 +63,11 @@
 			revert:  func() { p.signal(syscall.SIGCONT) },
 		}
 	case 3:
-		return onProxy("store of "+p.name, p, p.store, mode)
+		return proxyFault("store of "+p.name, p, p.store, mode)
 	case 4:
-		return onProxy("callers of "+p.name, p, p.callers, mode)
+		return proxyFault("callers of "+p.name, p, p.callers, mode)
 	case 5:
-		return onProxy("runner "+endpoint.ID, nil, endpoint.proxy, mode)
+		return proxyFault("runner "+endpoint.ID, nil, endpoint.proxy, mode)
 	case 6:
 		return fault{name: "reset runner " + endpoint.ID, inject: endpoint.proxy.Reset}
 	case 7:
@@ -96,7 +96,7 @@
 }
 
 // onProxy is a fault of a way, which is a daemon's if that is set.
-func onProxy(name string, of *process, way *platformtest.Proxy, m platformtest.Mode) fault {
+func proxyFault(name string, of *process, way *platformtest.Proxy, m platformtest.Mode) fault {
 	words := map[platformtest.Mode]string{
 		platformtest.Delay: "delayed", platformtest.Silence: "silent",
 		platformtest.OneWay: "cut one way", platformtest.Refuse: "refused",
