--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -110,7 +110,7 @@
 }
 
 // touches notes whom a fault disturbs.
-func (r *run) touches(f fault) {
+func (r *run) markAffected(f fault) {
 	until := time.Now().Add(f.duration)
 	switch {
 	case f.process != nil:
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -164,7 +164,7 @@
 		case <-time.After(time.Until(begun.Add(f.start))):
 		}
 		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.duration.Seconds())
-		r.touches(f)
+		r.markAffected(f)
 		f.inject()
 		if f.revert != nil {
 			ends.Go(func() {
