--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -24,9 +24,9 @@
 type process struct {
 	// calmness is that of the daemon and of the ways to and from it.
 	stability
-	dir  string
-	name string
-	set  gateway.Settings
+	dir      string
+	name     string
+	settings gateway.Settings
 	// store is the daemon's own way to the store, callers the way to it.
 	store   *platformtest.Proxy
 	callers *platformtest.Proxy
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.set = gateway.Settings{
+	p.settings = gateway.Settings{
 		Daemon: id.Daemon(name),
 		Domain: id.Domain(domain),
 		Listen: gateway.Listen{
@@ -72,11 +72,11 @@
 		},
 		Log: settings.Log{Level: "info"},
 	}
-	teamBounds(&p.set.Bounds)
-	if p.callers, err = platformtest.StartProxy(p.set.Listen.Callers); err != nil {
+	teamBounds(&p.settings.Bounds)
+	if p.callers, err = platformtest.StartProxy(p.settings.Listen.Callers); err != nil {
 		return nil, err
 	}
-	body, err := json.MarshalIndent(&p.set, "", "  ")
+	body, err := json.MarshalIndent(&p.settings, "", "  ")
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
 	for _, p := range r.processes {
-		for !platformtest.Ready(ctx, p.set.Listen.Ready) {
+		for !platformtest.Ready(ctx, p.settings.Listen.Ready) {
 			select {
 			case <-ctx.Done():
 				return eris.Errorf("%s was not ready within %v: its log is in %s", p.name, startLimit, r.cfg.Dir)
