--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -63,7 +63,7 @@
 			revert:  func() { p.signal(syscall.SIGCONT) },
 		}
 	case 3:
-		return proxyFault("store of "+p.name, p, p.store, mode)
+		return proxyFault("store of "+p.name, p, p.storeProxy, mode)
 	case 4:
 		return proxyFault("callers of "+p.name, p, p.callers, mode)
 	case 5:
--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -28,8 +28,8 @@
 	name     string
 	settings gateway.Settings
 	// store is the daemon's own way to the store, callers the way to it.
-	store   *platformtest.Proxy
-	callers *platformtest.Proxy
+	storeProxy *platformtest.Proxy
+	callers    *platformtest.Proxy
 
 	// ends guards signalled, the processes that were told or made to end.
 	ends      sync.Mutex
@@ -51,7 +51,7 @@
 func newProcess(dir, name, domain, store string, free *platformtest.Ports) (*process, error) {
 	p := &process{dir: dir, name: name, signalled: map[int]bool{}}
 	var err error
-	if p.store, err = platformtest.StartProxy(store); err != nil {
+	if p.storeProxy, err = platformtest.StartProxy(store); err != nil {
 		return nil, err
 	}
 	ports, err := freePorts(free, 5)
@@ -64,7 +64,7 @@
 		Listen: gateway.Listen{
 			Callers: ports[0], Ready: ports[1], Entry: ports[2], Peers: ports[3], Metrics: ports[4],
 		},
-		Store:    p.store.Address(),
+		Store:    p.storeProxy.Address(),
 		MemoryMB: memoryMB,
 		Bounds: gateway.Bounds{
 			GraceS: graceS, EntryLifetimeS: 2, LeaseMS: leaseMS,
@@ -133,7 +133,7 @@
 
 func (p *process) close() {
 	p.callers.Close()
-	p.store.Close()
+	p.storeProxy.Close()
 }
 
 // Ports below those that the kernel gives out; a run has its own begin where
