--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -138,7 +138,7 @@
 	c.reconnectOnce()
 	conn := c.conns[p]
 	if conn == nil {
-		made, err := net.DialTimeout("tcp", p.callers.Address(), time.Second)
+		made, err := net.DialTimeout("tcp", p.callerProxy.Address(), time.Second)
 		if err != nil {
 			return o
 		}
--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -65,7 +65,7 @@
 	case 3:
 		return proxyFault("store of "+p.name, p, p.storeProxy, mode)
 	case 4:
-		return proxyFault("callers of "+p.name, p, p.callers, mode)
+		return proxyFault("callers of "+p.name, p, p.callerProxy, mode)
 	case 5:
 		return proxyFault("runner "+endpoint.ID, nil, endpoint.proxy, mode)
 	case 6:
--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -28,8 +28,8 @@
 	name     string
 	settings gateway.Settings
 	// store is the daemon's own way to the store, callers the way to it.
-	storeProxy *platformtest.Proxy
-	callers    *platformtest.Proxy
+	storeProxy  *platformtest.Proxy
+	callerProxy *platformtest.Proxy
 
 	// ends guards signalled, the processes that were told or made to end.
 	ends      sync.Mutex
@@ -73,7 +73,7 @@
 		Log: settings.Log{Level: "info"},
 	}
 	teamBounds(&p.settings.Bounds)
-	if p.callers, err = platformtest.StartProxy(p.settings.Listen.Callers); err != nil {
+	if p.callerProxy, err = platformtest.StartProxy(p.settings.Listen.Callers); err != nil {
 		return nil, err
 	}
 	body, err := json.MarshalIndent(&p.settings, "", "  ")
@@ -132,7 +132,7 @@
 }
 
 func (p *process) close() {
-	p.callers.Close()
+	p.callerProxy.Close()
 	p.storeProxy.Close()
 }
 
