--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -32,8 +32,8 @@
 	callerProxy *platformtest.Proxy
 
 	// ends guards signalled, the processes that were told or made to end.
-	ends      sync.Mutex
-	signalled map[int]bool
+	signalledMu sync.Mutex
+	signalled   map[int]bool
 }
 
 // What the daemons are told of the platform.
@@ -105,9 +105,9 @@
 		return
 	}
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.ends.Lock()
+		p.signalledMu.Lock()
 		p.signalled[pid] = true
-		p.ends.Unlock()
+		p.signalledMu.Unlock()
 	}
 	// A process that has just ended takes no signal: the fault is void then.
 	_ = syscall.Kill(pid, s)
@@ -119,8 +119,8 @@
 	if err != nil {
 		return nil
 	}
-	p.ends.Lock()
-	defer p.ends.Unlock()
+	p.signalledMu.Lock()
+	defer p.signalledMu.Unlock()
 	var out []string
 	for _, line := range bytes.Split(bytes.TrimSpace(text), []byte("\n")) {
 		var pid, status int
