--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -117,7 +117,7 @@
 	}
 	w.teams.settle(j, w, j.rotating)
 	for _, p := range j.processes {
-		for _, end := range p.ownEnds() {
+		for _, end := range p.unexpectedExits() {
 			j.violation("ended: %s", end)
 		}
 	}
--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -114,7 +114,7 @@
 }
 
 // ownEnds lists the processes that ended without having been told to.
-func (p *process) ownEnds() []string {
+func (p *process) unexpectedExits() []string {
 	text, err := os.ReadFile(p.path("ends"))
 	if err != nil {
 		return nil
