--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -39,7 +39,7 @@
 // What the daemons are told of the platform.
 const (
 	// graceS is how long after a SIGTERM the platform would kill, in seconds.
-	graceS = 6
+	gracePeriodS = 6
 	// leaseMS keeps orders of two holders apart, in milliseconds; short, so that
 	// the lease changes hands within a run.
 	leaseMS = 1000
@@ -67,7 +67,7 @@
 		Store:    p.storeProxy.Address(),
 		MemoryMB: memoryMB,
 		Bounds: gateway.Bounds{
-			GraceS: graceS, EntryLifetimeS: 2, LeaseMS: leaseMS,
+			GraceS: gracePeriodS, EntryLifetimeS: 2, LeaseMS: leaseMS,
 			RepeatRatio: 0.2, RepeatSlack: 58, RepeatWindowS: 10,
 		},
 		Log: settings.Log{Level: "info"},
