--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -142,12 +142,12 @@
 const (
 	firstPort  = 10000
 	lastPort   = 20000
-	portStarts = 190
+	portRanges = 190
 	portsEach  = 50
 )
 
 func portsOf(seed uint64) *platformtest.Ports {
-	return platformtest.NewPorts(firstPort+int32(seed%portStarts*portsEach), lastPort)
+	return platformtest.NewPorts(firstPort+int32(seed%portRanges*portsEach), lastPort)
 }
 
 // freePorts finds loopback addresses that nothing listens on.
