--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -140,14 +140,14 @@
 // those of a run with another seed seldom do: runs beside each other would take
 // one another's.
 const (
-	firstPort  = 10000
-	lastPort   = 20000
-	portRanges = 190
-	portsEach  = 50
+	firstPort     = 10000
+	lastPort      = 20000
+	portRanges    = 190
+	portsPerRange = 50
 )
 
 func portsOf(seed uint64) *platformtest.Ports {
-	return platformtest.NewPorts(firstPort+int32(seed%portRanges*portsEach), lastPort)
+	return platformtest.NewPorts(firstPort+int32(seed%portRanges*portsPerRange), lastPort)
 }
 
 // freePorts finds loopback addresses that nothing listens on.
