--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -146,7 +146,7 @@
 	portsPerRange = 50
 )
 
-func portsOf(seed uint64) *platformtest.Ports {
+func portsForSeed(seed uint64) *platformtest.Ports {
 	return platformtest.NewPorts(firstPort+int32(seed%portRanges*portsPerRange), lastPort)
 }
 
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -84,7 +84,7 @@
 }
 
 func (r *run) provision() error {
-	free := portsOf(r.cfg.Seed)
+	free := portsForSeed(r.cfg.Seed)
 	var err error
 	if r.world, err = newWorld(r.judge, r.cfg.Daemons); err != nil {
 		return err
