--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -36,7 +36,7 @@
 	startLimit = 60 * time.Second
 	// recovery is how long the daemons have, once all faults are over, until
 	// nearly all requests are served.
-	recovery = 12 * time.Second
+	recoveryTime = 12 * time.Second
 	// measured is for how long requests are counted then.
 	measured = 3 * time.Second
 	// leastServed is the share that must be served then, of the requests that no
@@ -181,7 +181,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(recovery - callerTimeout):
+	case <-time.After(recoveryTime - callerTimeout):
 	}
 	// Connections that a fault has left dead are the callers' to give up: with
 	// many daemons some are first used now.
@@ -191,7 +191,7 @@
 	time.Sleep(measured)
 	served, asked = r.served.Load()-served, r.asked.Load()-asked
 	if float64(served) < leastServed*float64(asked) || asked == 0 {
-		r.judge.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recovery)
+		r.judge.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
 	}
 }
 
