--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -38,7 +38,7 @@
 	// nearly all requests are served.
 	recoveryTime = 12 * time.Second
 	// measured is for how long requests are counted then.
-	measured = 3 * time.Second
+	measurementTime = 3 * time.Second
 	// leastServed is the share that must be served then, of the requests that no
 	// runner keeps from it. On a busy host one or the other comes too late.
 	leastServed = 0.97
@@ -188,7 +188,7 @@
 	r.afresh.Store(true)
 	time.Sleep(callerTimeout)
 	served, asked := r.served.Load(), r.asked.Load()
-	time.Sleep(measured)
+	time.Sleep(measurementTime)
 	served, asked = r.served.Load()-served, r.asked.Load()-asked
 	if float64(served) < leastServed*float64(asked) || asked == 0 {
 		r.judge.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
