--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -41,8 +41,8 @@
 	measurementTime = 3 * time.Second
 	// leastServed is the share that must be served then, of the requests that no
 	// runner keeps from it. On a busy host one or the other comes too late.
-	leastServed = 0.97
-	callerPause = 120 * time.Millisecond
+	minServedShare = 0.97
+	callerPause    = 120 * time.Millisecond
 )
 
 type run struct {
@@ -190,7 +190,7 @@
 	served, asked := r.served.Load(), r.asked.Load()
 	time.Sleep(measurementTime)
 	served, asked = r.served.Load()-served, r.asked.Load()-asked
-	if float64(served) < leastServed*float64(asked) || asked == 0 {
+	if float64(served) < minServedShare*float64(asked) || asked == 0 {
 		r.judge.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
 	}
 }
