--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -41,8 +41,8 @@
 	measurementTime = 3 * time.Second
 	// leastServed is the share that must be served then, of the requests that no
 	// runner keeps from it. On a busy host one or the other comes too late.
-	minServedShare = 0.97
-	callerPause    = 120 * time.Millisecond
+	minServedShare  = 0.97
+	meanCallerPause = 120 * time.Millisecond
 )
 
 type run struct {
@@ -133,7 +133,7 @@
 func (r *run) startCallers(done <-chan struct{}, wg *sync.WaitGroup) {
 	for i := range r.cfg.Callers {
 		c := newCaller(r, i)
-		wg.Go(func() { c.run(done, r.processes, callerPause) })
+		wg.Go(func() { c.run(done, r.processes, meanCallerPause) })
 	}
 }
 
