--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -76,7 +76,7 @@
 		name:      fmt.Sprintf("c%d", number),
 		rng:       rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
 		checker:   r.judge,
-		teams:     r.world.teams,
+		teams:     r.simulation.teams,
 		conns:     map[*process]net.Conn{},
 		served:    &r.served,
 		expected:  &r.asked,
--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -47,7 +47,7 @@
 // draw picks one fault.
 func (r *run) randomFault(rng *rand.Rand) fault {
 	p := r.processes[rng.IntN(len(r.processes))]
-	endpoint := r.world.someRunner(rng)
+	endpoint := r.simulation.someRunner(rng)
 	modes := []platformtest.Mode{platformtest.Delay, platformtest.Silence, platformtest.OneWay, platformtest.Refuse}
 	mode := modes[rng.IntN(len(modes))]
 	switch rng.IntN(9) {
@@ -71,7 +71,7 @@
 	case 6:
 		return fault{name: "reset runner " + endpoint.ID, inject: endpoint.proxy.Reset}
 	case 7:
-		return fault{name: "replace a runner", planned: true, inject: func() { r.failed(r.world.replaceRunner(rng)) }}
+		return fault{name: "replace a runner", planned: true, inject: func() { r.failed(r.simulation.replaceRunner(rng)) }}
 	default:
 		return r.randomStoreFault(rng)
 	}
@@ -83,13 +83,13 @@
 	case 0:
 		return fault{
 			name:   "store refuses all",
-			inject: func() { r.world.store.Refuse("*", 503) },
-			revert: func() { r.world.store.Refuse("*", 0) },
+			inject: func() { r.simulation.store.Refuse("*", 503) },
+			revert: func() { r.simulation.store.Refuse("*", 0) },
 		}
 	case 1:
-		return fault{name: "store forgets", inject: r.world.store.Forget}
+		return fault{name: "store forgets", inject: r.simulation.store.Forget}
 	case 2:
-		return fault{name: "store loses answers", inject: func() { r.world.store.Lose(3) }, revert: func() { r.world.store.Lose(0) }}
+		return fault{name: "store loses answers", inject: func() { r.simulation.store.Lose(3) }, revert: func() { r.simulation.store.Lose(0) }}
 	default:
 		return fault{name: "a route is added", planned: true, inject: r.addRoute}
 	}
@@ -116,6 +116,6 @@
 	case f.process != nil:
 		f.process.markFault(until)
 	case !f.planned:
-		r.world.markFault(until)
+		r.simulation.markFault(until)
 	}
 }
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -46,12 +46,12 @@
 )
 
 type run struct {
-	cfg       Config
-	world     *world
-	judge     *checker
-	processes []*process
-	served    atomic.Int64
-	asked     atomic.Int64
+	cfg        Config
+	simulation *world
+	judge      *checker
+	processes  []*process
+	served     atomic.Int64
+	asked      atomic.Int64
 	// afresh is set when callers are to open their connections anew.
 	afresh atomic.Bool
 }
@@ -79,18 +79,18 @@
 	if err != nil {
 		return err
 	}
-	r.judge.checkFinal(r.world)
+	r.judge.checkFinal(r.simulation)
 	return r.report()
 }
 
 func (r *run) provision() error {
 	free := portsForSeed(r.cfg.Seed)
 	var err error
-	if r.world, err = newWorld(r.judge, r.cfg.Daemons); err != nil {
+	if r.simulation, err = newWorld(r.judge, r.cfg.Daemons); err != nil {
 		return err
 	}
 	for i := range r.cfg.Daemons {
-		p, err := newProcess(r.cfg.Dir, fmt.Sprintf("d%d", i+1), fmt.Sprintf("domain-%d", i%4), r.world.store.Address(), free)
+		p, err := newProcess(r.cfg.Dir, fmt.Sprintf("d%d", i+1), fmt.Sprintf("domain-%d", i%4), r.simulation.store.Address(), free)
 		if err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 	for _, p := range r.processes {
 		p.close()
 	}
-	r.world.close()
+	r.simulation.close()
 }
 
 // failed notes an error of the run itself.
@@ -146,7 +146,7 @@
 		case <-done:
 			return
 		case <-ticker.C:
-			r.world.turnKey()
+			r.simulation.turnKey()
 		}
 	}
 }
@@ -197,10 +197,10 @@
 
 // addRoute adds a route and checks that calm daemons know it in time.
 func (r *run) addRoute() {
-	path := r.world.addRoute()
+	path := r.simulation.addRoute()
 	time.AfterFunc(configTime, func() {
 		at := time.Now()
-		if !r.world.stable(at) {
+		if !r.simulation.stable(at) {
 			return
 		}
 		for _, p := range r.processes {
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -74,8 +74,8 @@
 func TestASeedAlwaysPlansTheSameFaults(t *testing.T) {
 	is := is.New(t)
 	plan := func(seed uint64) []string {
-		r := &run{world: &world{runners: []*runner{{}, {}}}, processes: []*process{{name: "d1"}, {name: "d2"}}}
-		for _, e := range r.world.runners {
+		r := &run{simulation: &world{runners: []*runner{{}, {}}}, processes: []*process{{name: "d1"}, {name: "d2"}}}
+		for _, e := range r.simulation.runners {
 			e.Runner = &platformtest.Runner{ID: "i-1"}
 			e.proxy = &platformtest.Proxy{}
 		}
