--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -75,7 +75,7 @@
 	return &caller{
 		name:      fmt.Sprintf("c%d", number),
 		rng:       rand.New(rand.NewPCG(r.cfg.Seed, uint64(number+2))),
-		checker:   r.judge,
+		checker:   r.checker,
 		teams:     r.simulation.teams,
 		conns:     map[*process]net.Conn{},
 		served:    &r.served,
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -48,7 +48,7 @@
 type run struct {
 	cfg        Config
 	simulation *world
-	judge      *checker
+	checker    *checker
 	processes  []*process
 	served     atomic.Int64
 	asked      atomic.Int64
@@ -58,7 +58,7 @@
 
 // Run plays one seed. The error names the broken promises.
 func Run(ctx context.Context, cfg Config) error {
-	r := &run{cfg: cfg, judge: newChecker()}
+	r := &run{cfg: cfg, checker: newChecker()}
 	if err := r.provision(); err != nil {
 		return err
 	}
@@ -79,14 +79,14 @@
 	if err != nil {
 		return err
 	}
-	r.judge.checkFinal(r.simulation)
+	r.checker.checkFinal(r.simulation)
 	return r.report()
 }
 
 func (r *run) provision() error {
 	free := portsForSeed(r.cfg.Seed)
 	var err error
-	if r.simulation, err = newWorld(r.judge, r.cfg.Daemons); err != nil {
+	if r.simulation, err = newWorld(r.checker, r.cfg.Daemons); err != nil {
 		return err
 	}
 	for i := range r.cfg.Daemons {
@@ -96,7 +96,7 @@
 		}
 		r.processes = append(r.processes, p)
 	}
-	r.judge.processes = r.processes
+	r.checker.processes = r.processes
 	return nil
 }
 
@@ -110,7 +110,7 @@
 // failed notes an error of the run itself.
 func (r *run) failed(err error) {
 	if err != nil {
-		r.judge.violation("the run itself: %v", err)
+		r.checker.violation("the run itself: %v", err)
 	}
 }
 
@@ -191,7 +191,7 @@
 	time.Sleep(measurementTime)
 	served, asked = r.served.Load()-served, r.asked.Load()-asked
 	if float64(served) < minServedShare*float64(asked) || asked == 0 {
-		r.judge.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
+		r.checker.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
 	}
 }
 
@@ -205,7 +205,7 @@
 		}
 		for _, p := range r.processes {
 			if p.stable(at) && !r.routeServed(p, path) && p.stable(time.Now()) {
-				r.judge.violation("configuration: %s does not serve %s %v after the change", p.name, path, configTime)
+				r.checker.violation("configuration: %s does not serve %s %v after the change", p.name, path, configTime)
 			}
 		}
 	})
@@ -221,19 +221,19 @@
 
 // report writes the result.
 func (r *run) report() error {
-	r.judge.mu.Lock()
-	defer r.judge.mu.Unlock()
-	for _, line := range r.judge.violations {
+	r.checker.mu.Lock()
+	defer r.checker.mu.Unlock()
+	for _, line := range r.checker.violations {
 		fmt.Fprintf(r.cfg.Out, "BROKEN %s\n", line)
 	}
 	var outcomes []string
-	for what, n := range r.judge.outcomes {
+	for what, n := range r.checker.outcomes {
 		outcomes = append(outcomes, fmt.Sprintf("%s: %d", what, n))
 	}
 	slices.Sort(outcomes)
 	fmt.Fprintf(r.cfg.Out, "seed=%d daemons=%d requests=%d served=%d broken=%d (%s)\n", r.cfg.Seed, r.cfg.Daemons,
-		r.asked.Load(), r.served.Load(), len(r.judge.violations), strings.Join(outcomes, ", "))
-	if n := len(r.judge.violations); n > 0 {
+		r.asked.Load(), r.served.Load(), len(r.checker.violations), strings.Join(outcomes, ", "))
+	if n := len(r.checker.violations); n > 0 {
 		return eris.Errorf("%d promises were broken with seed %d", n, r.cfg.Seed)
 	}
 	return nil
