--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -79,7 +79,7 @@
 		teams:     r.simulation.teams,
 		conns:     map[*process]net.Conn{},
 		served:    &r.served,
-		expected:  &r.asked,
+		expected:  &r.expected,
 		reconnect: &r.afresh,
 	}
 }
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -51,7 +51,7 @@
 	checker    *checker
 	processes  []*process
 	served     atomic.Int64
-	asked      atomic.Int64
+	expected   atomic.Int64
 	// afresh is set when callers are to open their connections anew.
 	afresh atomic.Bool
 }
@@ -187,9 +187,9 @@
 	// many daemons some are first used now.
 	r.afresh.Store(true)
 	time.Sleep(callerTimeout)
-	served, asked := r.served.Load(), r.asked.Load()
+	served, asked := r.served.Load(), r.expected.Load()
 	time.Sleep(measurementTime)
-	served, asked = r.served.Load()-served, r.asked.Load()-asked
+	served, asked = r.served.Load()-served, r.expected.Load()-asked
 	if float64(served) < minServedShare*float64(asked) || asked == 0 {
 		r.checker.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
 	}
@@ -232,7 +232,7 @@
 	}
 	slices.Sort(outcomes)
 	fmt.Fprintf(r.cfg.Out, "seed=%d daemons=%d requests=%d served=%d broken=%d (%s)\n", r.cfg.Seed, r.cfg.Daemons,
-		r.asked.Load(), r.served.Load(), len(r.checker.violations), strings.Join(outcomes, ", "))
+		r.expected.Load(), r.served.Load(), len(r.checker.violations), strings.Join(outcomes, ", "))
 	if n := len(r.checker.violations); n > 0 {
 		return eris.Errorf("%d promises were broken with seed %d", n, r.cfg.Seed)
 	}
