--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -80,7 +80,7 @@
 		conns:     map[*process]net.Conn{},
 		served:    &r.served,
 		expected:  &r.expected,
-		reconnect: &r.afresh,
+		reconnect: &r.reconnect,
 	}
 }
 
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -53,7 +53,7 @@
 	served     atomic.Int64
 	expected   atomic.Int64
 	// afresh is set when callers are to open their connections anew.
-	afresh atomic.Bool
+	reconnect atomic.Bool
 }
 
 // Run plays one seed. The error names the broken promises.
@@ -185,7 +185,7 @@
 	}
 	// Connections that a fault has left dead are the callers' to give up: with
 	// many daemons some are first used now.
-	r.afresh.Store(true)
+	r.reconnect.Store(true)
 	time.Sleep(callerTimeout)
 	served, asked := r.served.Load(), r.expected.Load()
 	time.Sleep(measurementTime)
