--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -71,7 +71,7 @@
 	case 6:
 		return fault{name: "reset runner " + endpoint.ID, inject: endpoint.proxy.Reset}
 	case 7:
-		return fault{name: "replace a runner", planned: true, inject: func() { r.failed(r.simulation.replaceRunner(rng)) }}
+		return fault{name: "replace a runner", planned: true, inject: func() { r.recordError(r.simulation.replaceRunner(rng)) }}
 	default:
 		return r.randomStoreFault(rng)
 	}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -108,7 +108,7 @@
 }
 
 // failed notes an error of the run itself.
-func (r *run) failed(err error) {
+func (r *run) recordError(err error) {
 	if err != nil {
 		r.checker.violation("the run itself: %v", err)
 	}
