--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -69,7 +69,7 @@
 	done := make(chan struct{})
 	var callers sync.WaitGroup
 	r.startCallers(done, &callers)
-	callers.Go(func() { r.turnKeys(done) })
+	callers.Go(func() { r.rotateKeys(done) })
 	err := r.inject(ctx)
 	if err == nil {
 		r.recover(ctx)
@@ -138,7 +138,7 @@
 }
 
 // turnKeys replaces the turning team's key again and again, whatever else goes on.
-func (r *run) turnKeys(done <-chan struct{}) {
+func (r *run) rotateKeys(done <-chan struct{}) {
 	ticker := time.NewTicker(turnEvery)
 	defer ticker.Stop()
 	for {
