--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -72,7 +72,7 @@
 	callers.Go(func() { r.rotateKeys(done) })
 	err := r.inject(ctx)
 	if err == nil {
-		r.recover(ctx)
+		r.checkRecovery(ctx)
 	}
 	close(done)
 	callers.Wait()
@@ -177,7 +177,7 @@
 }
 
 // recover waits and then counts how many requests are served.
-func (r *run) recover(ctx context.Context) {
+func (r *run) checkRecovery(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
