--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -18,7 +18,7 @@
 	steadyTeam = "steady"
 	// turningTeam has its key replaced again and again; its caller goes on using
 	// old ones.
-	turningTeam = "turning"
+	rotatingTeam = "turning"
 	// smallTeam has a limit, which its caller exceeds.
 	smallTeam = "small"
 
@@ -68,7 +68,7 @@
 	defer x.mu.Unlock()
 	return []any{
 		platformtest.Team(steadyTeam, 0, 0, "steady-key"),
-		platformtest.Team(turningTeam, 0, 0, x.keys[len(x.keys)-1]),
+		platformtest.Team(rotatingTeam, 0, 0, x.keys[len(x.keys)-1]),
 		platformtest.Team(smallTeam, smallRate, smallBurst, "small-key"),
 	}
 }
@@ -110,7 +110,7 @@
 	caller, _, _ := strings.Cut(request, "-")
 	switch caller {
 	case turningCaller:
-		return turningTeam
+		return rotatingTeam
 	case smallCaller:
 		return smallTeam
 	default:
