--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -22,8 +22,8 @@
 	// smallTeam has a limit, which its caller exceeds.
 	smallTeam = "small"
 
-	turningCaller = "c0"
-	smallCaller   = "c1"
+	rotatingCaller = "c0"
+	smallCaller    = "c1"
 )
 
 const (
@@ -95,7 +95,7 @@
 	switch caller {
 	case smallCaller:
 		return "small-key", -1
-	case turningCaller:
+	case rotatingCaller:
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		turn = len(x.keys) - 1 - draw(min(olderKeys, len(x.keys)))
@@ -109,7 +109,7 @@
 func teamOf(request string) string {
 	caller, _, _ := strings.Cut(request, "-")
 	switch caller {
-	case turningCaller:
+	case rotatingCaller:
 		return rotatingTeam
 	case smallCaller:
 		return smallTeam
