--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -20,7 +20,7 @@
 	// old ones.
 	rotatingTeam = "turning"
 	// smallTeam has a limit, which its caller exceeds.
-	smallTeam = "small"
+	limitedTeam = "small"
 
 	rotatingCaller = "c0"
 	smallCaller    = "c1"
@@ -69,7 +69,7 @@
 	return []any{
 		platformtest.Team(steadyTeam, 0, 0, "steady-key"),
 		platformtest.Team(rotatingTeam, 0, 0, x.keys[len(x.keys)-1]),
-		platformtest.Team(smallTeam, smallRate, smallBurst, "small-key"),
+		platformtest.Team(limitedTeam, smallRate, smallBurst, "small-key"),
 	}
 }
 
@@ -112,7 +112,7 @@
 	case rotatingCaller:
 		return rotatingTeam
 	case smallCaller:
-		return smallTeam
+		return limitedTeam
 	default:
 		return steadyTeam
 	}
@@ -133,7 +133,7 @@
 
 // ran notes a run.
 func (x *teams) ran(request string) {
-	if teamOf(request) != smallTeam {
+	if teamOf(request) != limitedTeam {
 		return
 	}
 	x.mu.Lock()
