--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -23,7 +23,7 @@
 	limitedTeam = "small"
 
 	rotatingCaller = "c0"
-	smallCaller    = "c1"
+	limitedCaller  = "c1"
 )
 
 const (
@@ -93,7 +93,7 @@
 // draw chooses among so many.
 func (x *teams) keyOf(caller string, draw func(n int) int) (key string, turn int) {
 	switch caller {
-	case smallCaller:
+	case limitedCaller:
 		return "small-key", -1
 	case rotatingCaller:
 		x.mu.Lock()
@@ -111,7 +111,7 @@
 	switch caller {
 	case rotatingCaller:
 		return rotatingTeam
-	case smallCaller:
+	case limitedCaller:
 		return limitedTeam
 	default:
 		return steadyTeam
