--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -65,8 +65,8 @@
 		x.settle(j, &world{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
 		return len(j.violations)
 	}
-	is.Equal(found(revokeTime, 19), 0)
-	is.Equal(found(revokeTime+time.Millisecond, 0), 1)
+	is.Equal(found(revocationTime, 19), 0)
+	is.Equal(found(revocationTime+time.Millisecond, 0), 1)
 	is.Equal(found(0, 20), 1) // 10 that the limit allows, 9 that may exceed it
 }
 
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -29,7 +29,7 @@
 const (
 	// revokeTime is how long after a key was taken away a request with it may
 	// still run, at any daemon whatever touches it.
-	revokeTime = 2 * time.Second
+	revocationTime = 2 * time.Second
 	// turnEvery is the time between two replacements of the turning team's key.
 	turnEvery = 1500 * time.Millisecond
 	// smallRate and smallBurst are the small team's limit, in requests; within
@@ -43,7 +43,7 @@
 
 // teamBounds are what the daemons are told of these.
 func teamBounds(b *gateway.Bounds) {
-	b.RevokeMS = float64(revokeTime.Milliseconds())
+	b.RevokeMS = float64(revocationTime.Milliseconds())
 	b.QuotaWindowS = limitWindow.Seconds()
 	b.QuotaOvershoot = limitOvershoot
 	b.QuotaSlack = limitSlack
@@ -158,7 +158,7 @@
 		if s.turn >= len(x.revoked) {
 			continue
 		}
-		if late := s.at.Sub(x.revoked[s.turn]); late > revokeTime && w.runs(s.id) > 0 {
+		if late := s.at.Sub(x.revoked[s.turn]); late > revocationTime && w.runs(s.id) > 0 {
 			j.violation("revoked: %s was sent %v after its key was taken away, and ran", s.id, late)
 		}
 	}
