--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -139,7 +139,7 @@
 
 // turnKeys replaces the turning team's key again and again, whatever else goes on.
 func (r *run) rotateKeys(done <-chan struct{}) {
-	ticker := time.NewTicker(turnEvery)
+	ticker := time.NewTicker(rotationInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -31,7 +31,7 @@
 	// still run, at any daemon whatever touches it.
 	revocationTime = 2 * time.Second
 	// turnEvery is the time between two replacements of the turning team's key.
-	turnEvery = 1500 * time.Millisecond
+	rotationInterval = 1500 * time.Millisecond
 	// smallRate and smallBurst are the small team's limit, in requests; within
 	// limitWindow it may be exceeded by limitOvershoot, a share, and by limitSlack.
 	smallRate      = 2.0
