--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -35,7 +35,7 @@
 	// smallRate and smallBurst are the small team's limit, in requests; within
 	// limitWindow it may be exceeded by limitOvershoot, a share, and by limitSlack.
 	limitRate      = 2.0
-	smallBurst     = 2.0
+	limitBurst     = 2.0
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 0.1
 	limitSlack     = 8.0
@@ -69,7 +69,7 @@
 	return []any{
 		platformtest.Team(steadyTeam, 0, 0, "steady-key"),
 		platformtest.Team(rotatingTeam, 0, 0, x.keys[len(x.keys)-1]),
-		platformtest.Team(limitedTeam, limitRate, smallBurst, "small-key"),
+		platformtest.Team(limitedTeam, limitRate, limitBurst, "small-key"),
 	}
 }
 
@@ -167,7 +167,7 @@
 		at = append(at, t)
 	}
 	slices.SortFunc(at, time.Time.Compare)
-	allowed := (limitRate*limitWindow.Seconds()+smallBurst)*(1+limitOvershoot) + limitSlack
+	allowed := (limitRate*limitWindow.Seconds()+limitBurst)*(1+limitOvershoot) + limitSlack
 	first := 0
 	for i, t := range at {
 		for t.Sub(at[first]) > limitWindow {
