--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -57,7 +57,7 @@
 	is := is.New(t)
 	found := func(late time.Duration, small int) int {
 		j, x := newChecker(), newTeams()
-		x.next()()
+		x.rotateKey()()
 		sent := []sentWith{{id: "c0-1", turn: 0, at: x.revoked[0].Add(late)}, {id: "c0-2", turn: 1, at: x.revoked[0].Add(time.Hour)}}
 		for i := range small {
 			x.ran(fmt.Sprint("c1-", i))
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -75,7 +75,7 @@
 
 // next makes the turning team's next key; accepted is called once the store has
 // taken the last one away.
-func (x *teams) next() (accepted func()) {
+func (x *teams) rotateKey() (accepted func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.keys = append(x.keys, fmt.Sprintf("turning-%d", len(x.keys)))
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -118,7 +118,7 @@
 func (w *world) turnKey() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	accepted := w.teams.next()
+	accepted := w.teams.rotateKey()
 	w.configure()
 	accepted()
 }
