--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -122,7 +122,7 @@
 func steady(request string) bool { return teamOf(request) == steadyTeam }
 
 // seen checks what a runner is told of a request's team.
-func (x *teams) seen(j *checker, e *platformtest.Exchange) {
+func (x *teams) checkForwarded(j *checker, e *platformtest.Exchange) {
 	if e.Key() != "" {
 		j.violation("unasked: %s reached %s with its key", e.RequestID(), e.ID)
 	}
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -163,7 +163,7 @@
 // shows, and every run is counted.
 func (w *world) answer(r *runner, x *platformtest.Exchange) {
 	if x.RequestID() != "" {
-		w.teams.seen(w.judge, x)
+		w.teams.checkForwarded(w.judge, x)
 	}
 	if !x.MeantToRun() {
 		before := r.Stage()
