--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -60,7 +60,7 @@
 		x.rotateKey()()
 		sent := []sentWith{{id: "c0-1", turn: 0, at: x.revoked[0].Add(late)}, {id: "c0-2", turn: 1, at: x.revoked[0].Add(time.Hour)}}
 		for i := range small {
-			x.ran(fmt.Sprint("c1-", i))
+			x.recordRun(fmt.Sprint("c1-", i))
 		}
 		x.settle(j, &world{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
 		return len(j.violations)
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -132,7 +132,7 @@
 }
 
 // ran notes a run.
-func (x *teams) ran(request string) {
+func (x *teams) recordRun(request string) {
 	if teamOf(request) != limitedTeam {
 		return
 	}
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -179,7 +179,7 @@
 		return
 	}
 	runs := w.note(r, x.RequestID())
-	w.teams.ran(x.RequestID())
+	w.teams.recordRun(x.RequestID())
 	if r.Stage() == "" && number%failedEach == 0 {
 		x.Whole(http.StatusInternalServerError, "failed", x.Signed())
 		return
