--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -115,7 +115,7 @@
 			j.violation("refused: %s was said not to have run and ran %d times", id, n)
 		}
 	}
-	w.teams.settle(j, w, j.rotating)
+	w.teams.checkFinal(j, w, j.rotating)
 	for _, p := range j.processes {
 		for _, end := range p.unexpectedExits() {
 			j.violation("ended: %s", end)
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -62,7 +62,7 @@
 		for i := range small {
 			x.recordRun(fmt.Sprint("c1-", i))
 		}
-		x.settle(j, &world{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
+		x.checkFinal(j, &world{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
 		return len(j.violations)
 	}
 	is.Equal(found(revocationTime, 19), 0)
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -151,7 +151,7 @@
 }
 
 // settle judges the keys and the limit when nothing runs any more.
-func (x *teams) settle(j *checker, w *world, sent []sentWith) {
+func (x *teams) checkFinal(j *checker, w *world, sent []sentWith) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range sent {
