--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -87,7 +87,7 @@
 }
 
 // olderKeys is how far back the turning team's caller goes for a key.
-const olderKeys = 4
+const recentKeys = 4
 
 // keyOf is the key that a caller sends, and which of the turning team's it is;
 // draw chooses among so many.
@@ -98,7 +98,7 @@
 	case rotatingCaller:
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		turn = len(x.keys) - 1 - draw(min(olderKeys, len(x.keys)))
+		turn = len(x.keys) - 1 - draw(min(recentKeys, len(x.keys)))
 		return x.keys[turn], turn
 	default:
 		return "steady-key", -1
