--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -119,7 +119,7 @@
 }
 
 // steady says whether a request's team is always served.
-func steady(request string) bool { return teamOf(request) == steadyTeam }
+func isSteady(request string) bool { return teamOf(request) == steadyTeam }
 
 // seen checks what a runner is told of a request's team.
 func (x *teams) checkForwarded(j *checker, e *platformtest.Exchange) {
