--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -20,7 +20,7 @@
 	refused    []string
 	atMostOnce []string
 	// turning are the requests of the team whose key is replaced.
-	rotating []sentWith
+	rotating []keyedRequest
 }
 
 // NewJudge returns a Judge that has found nothing.
@@ -75,7 +75,7 @@
 		j.refused = append(j.refused, o.id)
 	}
 	if o.keyIndex >= 0 {
-		j.rotating = append(j.rotating, sentWith{id: o.id, turn: o.keyIndex, at: o.sent})
+		j.rotating = append(j.rotating, keyedRequest{id: o.id, turn: o.keyIndex, at: o.sent})
 	}
 	j.mu.Unlock()
 	if o.answered() {
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -144,14 +144,14 @@
 }
 
 // sentWith is a request of the turning team.
-type sentWith struct {
+type keyedRequest struct {
 	id   string
 	turn int
 	at   time.Time
 }
 
 // settle judges the keys and the limit when nothing runs any more.
-func (x *teams) checkFinal(j *checker, w *world, sent []sentWith) {
+func (x *teams) checkFinal(j *checker, w *world, sent []keyedRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range sent {
