--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -75,7 +75,7 @@
 		j.refused = append(j.refused, o.id)
 	}
 	if o.keyIndex >= 0 {
-		j.rotating = append(j.rotating, keyedRequest{id: o.id, turn: o.keyIndex, at: o.sent})
+		j.rotating = append(j.rotating, keyedRequest{id: o.id, keyIndex: o.keyIndex, at: o.sent})
 	}
 	j.mu.Unlock()
 	if o.answered() {
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -58,7 +58,7 @@
 	found := func(late time.Duration, small int) int {
 		j, x := newChecker(), newTeams()
 		x.rotateKey()()
-		sent := []keyedRequest{{id: "c0-1", turn: 0, at: x.revoked[0].Add(late)}, {id: "c0-2", turn: 1, at: x.revoked[0].Add(time.Hour)}}
+		sent := []keyedRequest{{id: "c0-1", keyIndex: 0, at: x.revoked[0].Add(late)}, {id: "c0-2", keyIndex: 1, at: x.revoked[0].Add(time.Hour)}}
 		for i := range small {
 			x.recordRun(fmt.Sprint("c1-", i))
 		}
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -145,9 +145,9 @@
 
 // sentWith is a request of the turning team.
 type keyedRequest struct {
-	id   string
-	turn int
-	at   time.Time
+	id       string
+	keyIndex int
+	at       time.Time
 }
 
 // settle judges the keys and the limit when nothing runs any more.
@@ -155,10 +155,10 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range sent {
-		if s.turn >= len(x.revoked) {
+		if s.keyIndex >= len(x.revoked) {
 			continue
 		}
-		if late := s.at.Sub(x.revoked[s.turn]); late > revocationTime && w.runs(s.id) > 0 {
+		if late := s.at.Sub(x.revoked[s.keyIndex]); late > revocationTime && w.runs(s.id) > 0 {
 			j.violation("revoked: %s was sent %v after its key was taken away, and ran", s.id, late)
 		}
 	}
