--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -87,7 +87,7 @@
 	if o.answer.Status == http.StatusNotFound || o.answer.Status == http.StatusBadRequest {
 		j.violation("denied: %s (%s) got %d", o.id, o.kind.name, o.answer.Status)
 	}
-	if isSteady(o.id) && refusedTeam(o.answer.Status) {
+	if isSteady(o.id) && isTeamRefusal(o.answer.Status) {
 		j.violation("denied: %s (%s), whose team has a good key and no limit, got %d", o.id, o.kind.name, o.answer.Status)
 	}
 }
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -181,6 +181,6 @@
 }
 
 // refusedTeam says whether an answer is one that a team's key or limit explains.
-func refusedTeam(status int) bool {
+func isTeamRefusal(status int) bool {
 	return status == http.StatusUnauthorized || status == http.StatusTooManyRequests
 }
