--- a/cmd/internal/soak/judge.go
+++ b/cmd/internal/soak/judge.go
@@ -104,7 +104,7 @@
 }
 
 // settle judges what only the end shows: nothing runs any more.
-func (j *checker) checkFinal(w *world) {
+func (j *checker) checkFinal(w *simulation) {
 	for _, id := range j.atMostOnce {
 		if n := w.runs(id); n > 1 {
 			j.violation("twice: %s may run once and ran %d times", id, n)
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -47,7 +47,7 @@
 
 type run struct {
 	cfg        Config
-	simulation *world
+	simulation *simulation
 	checker    *checker
 	processes  []*process
 	served     atomic.Int64
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -46,7 +46,7 @@
 			o := whole(c.kind, "c5-5")
 			c.plant(&o)
 			j.check(o)
-			j.checkFinal(&world{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
+			j.checkFinal(&simulation{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
 			is.Equal(len(j.violations) > 0, c.found)
 		})
 	}
@@ -62,7 +62,7 @@
 		for i := range small {
 			x.recordRun(fmt.Sprint("c1-", i))
 		}
-		x.checkFinal(j, &world{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
+		x.checkFinal(j, &simulation{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
 		return len(j.violations)
 	}
 	is.Equal(found(revocationTime, 19), 0)
@@ -74,7 +74,7 @@
 func TestASeedAlwaysPlansTheSameFaults(t *testing.T) {
 	is := is.New(t)
 	plan := func(seed uint64) []string {
-		r := &run{simulation: &world{runners: []*runner{{}, {}}}, processes: []*process{{name: "d1"}, {name: "d2"}}}
+		r := &run{simulation: &simulation{runners: []*runner{{}, {}}}, processes: []*process{{name: "d1"}, {name: "d2"}}}
 		for _, e := range r.simulation.runners {
 			e.Runner = &platformtest.Runner{ID: "i-1"}
 			e.proxy = &platformtest.Proxy{}
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -151,7 +151,7 @@
 }
 
 // settle judges the keys and the limit when nothing runs any more.
-func (x *teams) checkFinal(j *checker, w *world, sent []keyedRequest) {
+func (x *teams) checkFinal(j *checker, w *simulation, sent []keyedRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range sent {
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -44,7 +44,7 @@
 }
 
 // world is the platform as the daemons of a run see it.
-type world struct {
+type simulation struct {
 	// calmness is that of the store and of the ways to runners.
 	stability
 	store *platformtest.Store
@@ -67,12 +67,12 @@
 // engineRunners is how many engines a fleet needs, likewise.
 func engineRunners(daemons int) int { return max(6, daemons) }
 
-func newWorld(judge *checker, daemons int) (*world, error) {
+func newWorld(judge *checker, daemons int) (*simulation, error) {
 	store, err := platformtest.StartStore()
 	if err != nil {
 		return nil, err
 	}
-	w := &world{store: store, ran: map[string]int{}, judge: judge, version: 1, teams: newTeams()}
+	w := &simulation{store: store, ran: map[string]int{}, judge: judge, version: 1, teams: newTeams()}
 	w.routes = []any{
 		route("idempotent", pathIdem, "idempotent", plainSvc, false),
 		route("once", pathOnce, "non_idempotent", plainSvc, false),
@@ -98,14 +98,14 @@
 }
 
 // configure writes the configuration under a higher version.
-func (w *world) configure() {
+func (w *simulation) configure() {
 	w.version += 1 + w.version%3
 	services := []any{platformtest.PlainService(plainSvc, 200), platformtest.EngineService(engineSvc, 200, 16, 3)}
 	w.store.Configure(platformtest.Config(w.version, w.routes, services, w.teams.rows()))
 }
 
 // addRoute adds a route and returns its path.
-func (w *world) addRoute() string {
+func (w *simulation) addRoute() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	path := fmt.Sprintf("/added/%d/", w.version)
@@ -115,7 +115,7 @@
 }
 
 // turnKey replaces the turning team's key.
-func (w *world) turnKey() {
+func (w *simulation) turnKey() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	accepted := w.teams.rotateKey()
@@ -124,7 +124,7 @@
 }
 
 // addRunner starts and registers a runner.
-func (w *world) addRunner(service, stage string) error {
+func (w *simulation) addRunner(service, stage string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.made++
@@ -144,12 +144,12 @@
 	return nil
 }
 
-func (w *world) register(r *runner, state string) {
+func (w *simulation) register(r *runner, state string) {
 	w.store.Register(r.Runner, state, r.proxy.Address())
 }
 
 // tellStage registers a runner anew that has changed its stage.
-func (w *world) tellStage(r *runner) {
+func (w *simulation) tellStage(r *runner) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := platformtest.StateReady
@@ -161,7 +161,7 @@
 
 // answer is a runner's answer: it names the request, so that a mixed up answer
 // shows, and every run is counted.
-func (w *world) answer(r *runner, x *platformtest.Exchange) {
+func (w *simulation) answer(r *runner, x *platformtest.Exchange) {
 	if x.RequestID() != "" {
 		w.teams.checkForwarded(w.judge, x)
 	}
@@ -231,7 +231,7 @@
 
 // note counts a run, and finds one at a runner that has left. It returns how
 // often the request has run.
-func (w *world) note(r *runner, request string) int {
+func (w *simulation) note(r *runner, request string) int {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -244,7 +244,7 @@
 }
 
 // runs is how often a request ran.
-func (w *world) runs(request string) int {
+func (w *simulation) runs(request string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ran[request]
@@ -252,7 +252,7 @@
 
 // replaceRunner has one runner of a service leave and another come. The one that
 // leaves goes on serving until the run ends.
-func (w *world) replaceRunner(rng *rand.Rand) error {
+func (w *simulation) replaceRunner(rng *rand.Rand) error {
 	w.mu.Lock()
 	var sound []*runner
 	for _, r := range w.runners {
@@ -268,13 +268,13 @@
 }
 
 // someRunner picks a runner.
-func (w *world) someRunner(rng *rand.Rand) *runner {
+func (w *simulation) someRunner(rng *rand.Rand) *runner {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runners[rng.IntN(len(w.runners))]
 }
 
-func (w *world) close() {
+func (w *simulation) close() {
 	for _, r := range w.runners {
 		r.proxy.Close()
 		r.Close()
