--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -67,7 +67,7 @@
 // engineRunners is how many engines a fleet needs, likewise.
 func engineRunners(daemons int) int { return max(6, daemons) }
 
-func newWorld(judge *checker, daemons int) (*simulation, error) {
+func newSimulation(judge *checker, daemons int) (*simulation, error) {
 	store, err := platformtest.StartStore()
 	if err != nil {
 		return nil, err
