--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -51,7 +51,7 @@
 
 	mu      sync.Mutex
 	runners []*runner
-	made    int
+	started int
 	routes  []any
 	version int
 	// ran counts the runs of each request.
@@ -127,8 +127,8 @@
 func (w *simulation) addRunner(service, stage string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.made++
-	r, err := platformtest.StartRunner(fmt.Sprintf("i-%d", w.made), service, stage)
+	w.started++
+	r, err := platformtest.StartRunner(fmt.Sprintf("i-%d", w.started), service, stage)
 	if err != nil {
 		return err
 	}
