--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -46,7 +46,7 @@
 			o := whole(c.kind, "c5-5")
 			c.plant(&o)
 			j.check(o)
-			j.checkFinal(&simulation{ran: map[string]int{"c5-5": c.runs}, teams: newTeams()})
+			j.checkFinal(&simulation{runCounts: map[string]int{"c5-5": c.runs}, teams: newTeams()})
 			is.Equal(len(j.violations) > 0, c.found)
 		})
 	}
@@ -62,7 +62,7 @@
 		for i := range small {
 			x.recordRun(fmt.Sprint("c1-", i))
 		}
-		x.checkFinal(j, &simulation{ran: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
+		x.checkFinal(j, &simulation{runCounts: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
 		return len(j.violations)
 	}
 	is.Equal(found(revocationTime, 19), 0)
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -55,9 +55,9 @@
 	routes  []any
 	version int
 	// ran counts the runs of each request.
-	ran   map[string]int
-	judge *checker
-	teams *teams
+	runCounts map[string]int
+	judge     *checker
+	teams     *teams
 }
 
 // plainRunners is how many plain runners a fleet needs: with fewer, what some
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &simulation{store: store, ran: map[string]int{}, judge: judge, version: 1, teams: newTeams()}
+	w := &simulation{store: store, runCounts: map[string]int{}, judge: judge, version: 1, teams: newTeams()}
 	w.routes = []any{
 		route("idempotent", pathIdem, "idempotent", plainSvc, false),
 		route("once", pathOnce, "non_idempotent", plainSvc, false),
@@ -235,19 +235,19 @@
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ran[request]++
+	w.runCounts[request]++
 	late := !r.leaving.IsZero() && now.After(r.leaving.Add(drainTime))
 	if late && w.judge.allStable(now) && w.stable(now) {
 		w.judge.violation("draining: %s ran at %s, %v after that registered as leaving", request, r.ID, now.Sub(r.leaving))
 	}
-	return w.ran[request]
+	return w.runCounts[request]
 }
 
 // runs is how often a request ran.
 func (w *simulation) runs(request string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ran[request]
+	return w.runCounts[request]
 }
 
 // replaceRunner has one runner of a service leave and another come. The one that
