--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -56,7 +56,7 @@
 	version int
 	// ran counts the runs of each request.
 	runCounts map[string]int
-	judge     *checker
+	checker   *checker
 	teams     *teams
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &simulation{store: store, runCounts: map[string]int{}, judge: judge, version: 1, teams: newTeams()}
+	w := &simulation{store: store, runCounts: map[string]int{}, checker: judge, version: 1, teams: newTeams()}
 	w.routes = []any{
 		route("idempotent", pathIdem, "idempotent", plainSvc, false),
 		route("once", pathOnce, "non_idempotent", plainSvc, false),
@@ -163,7 +163,7 @@
 // shows, and every run is counted.
 func (w *simulation) answer(r *runner, x *platformtest.Exchange) {
 	if x.RequestID() != "" {
-		w.teams.checkForwarded(w.judge, x)
+		w.teams.checkForwarded(w.checker, x)
 	}
 	if !x.MeantToRun() {
 		before := r.Stage()
@@ -237,8 +237,8 @@
 	defer w.mu.Unlock()
 	w.runCounts[request]++
 	late := !r.leaving.IsZero() && now.After(r.leaving.Add(drainTime))
-	if late && w.judge.allStable(now) && w.stable(now) {
-		w.judge.violation("draining: %s ran at %s, %v after that registered as leaving", request, r.ID, now.Sub(r.leaving))
+	if late && w.checker.allStable(now) && w.stable(now) {
+		w.checker.violation("draining: %s ran at %s, %v after that registered as leaving", request, r.ID, now.Sub(r.leaving))
 	}
 	return w.runCounts[request]
 }
