--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -146,7 +146,7 @@
 		case <-done:
 			return
 		case <-ticker.C:
-			r.simulation.turnKey()
+			r.simulation.rotateKey()
 		}
 	}
 }
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -115,7 +115,7 @@
 }
 
 // turnKey replaces the turning team's key.
-func (w *simulation) turnKey() {
+func (w *simulation) rotateKey() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	accepted := w.teams.rotateKey()
