--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -149,7 +149,7 @@
 }
 
 // tellStage registers a runner anew that has changed its stage.
-func (w *simulation) tellStage(r *runner) {
+func (w *simulation) registerStage(r *runner) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state := platformtest.StateReady
@@ -169,7 +169,7 @@
 		before := r.Stage()
 		x.Usual()
 		if r.Stage() != before {
-			w.tellStage(r)
+			w.registerStage(r)
 		}
 		return
 	}
