--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -178,7 +178,7 @@
 		x.Refuse(http.StatusServiceUnavailable)
 		return
 	}
-	runs := w.note(r, x.RequestID())
+	runs := w.recordRun(r, x.RequestID())
 	w.teams.recordRun(x.RequestID())
 	if r.Stage() == "" && number%failedEach == 0 {
 		x.Whole(http.StatusInternalServerError, "failed", x.Signed())
@@ -231,7 +231,7 @@
 
 // note counts a run, and finds one at a runner that has left. It returns how
 // often the request has run.
-func (w *simulation) note(r *runner, request string) int {
+func (w *simulation) recordRun(r *runner, request string) int {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
