--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -47,7 +47,7 @@
 // draw picks one fault.
 func (r *run) randomFault(rng *rand.Rand) fault {
 	p := r.processes[rng.IntN(len(r.processes))]
-	endpoint := r.simulation.someRunner(rng)
+	endpoint := r.simulation.randomRunner(rng)
 	modes := []platformtest.Mode{platformtest.Delay, platformtest.Silence, platformtest.OneWay, platformtest.Refuse}
 	mode := modes[rng.IntN(len(modes))]
 	switch rng.IntN(9) {
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -268,7 +268,7 @@
 }
 
 // someRunner picks a runner.
-func (w *simulation) someRunner(rng *rand.Rand) *runner {
+func (w *simulation) randomRunner(rng *rand.Rand) *runner {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runners[rng.IntN(len(w.runners))]
