--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -174,7 +174,7 @@
 		return
 	}
 	number := requestNumber(x.RequestID())
-	if number%refusedEach == 0 {
+	if number%refuseEvery == 0 {
 		x.Refuse(http.StatusServiceUnavailable)
 		return
 	}
@@ -198,7 +198,7 @@
 
 // Runners refuse, fail or break off in the middle every so many requests.
 const (
-	refusedEach = 17
+	refuseEvery = 17
 	failedEach  = 23
 	brokenEach  = 19
 )
@@ -208,7 +208,7 @@
 func failsAtRunners(id string, k requestKind) bool {
 	n := requestNumber(id)
 	switch {
-	case n%refusedEach == 0:
+	case n%refuseEvery == 0:
 		return true
 	case k.stream:
 		return n%brokenEach == 0 && !k.repeatable
