--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -180,7 +180,7 @@
 	}
 	runs := w.recordRun(r, x.RequestID())
 	w.teams.recordRun(x.RequestID())
-	if r.Stage() == "" && number%failedEach == 0 {
+	if r.Stage() == "" && number%failEvery == 0 {
 		x.Whole(http.StatusInternalServerError, "failed", x.Signed())
 		return
 	}
@@ -199,7 +199,7 @@
 // Runners refuse, fail or break off in the middle every so many requests.
 const (
 	refuseEvery = 17
-	failedEach  = 23
+	failEvery   = 23
 	brokenEach  = 19
 )
 
@@ -213,7 +213,7 @@
 	case k.stream:
 		return n%brokenEach == 0 && !k.repeatable
 	default:
-		return n%failedEach == 0
+		return n%failEvery == 0
 	}
 }
 
