--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -189,7 +189,7 @@
 		return
 	}
 	first := x.FirstEvent()
-	if number%brokenEach == 0 && runs == 1 {
+	if number%breakEvery == 0 && runs == 1 {
 		x.Stream(first, streamSize/2, false)
 		return
 	}
@@ -200,7 +200,7 @@
 const (
 	refuseEvery = 17
 	failEvery   = 23
-	brokenEach  = 19
+	breakEvery  = 19
 )
 
 // failsAtRunners says whether the runners themselves keep a request from being
@@ -211,7 +211,7 @@
 	case n%refuseEvery == 0:
 		return true
 	case k.stream:
-		return n%brokenEach == 0 && !k.repeatable
+		return n%breakEvery == 0 && !k.repeatable
 	default:
 		return n%failEvery == 0
 	}
