--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -103,7 +103,7 @@
 
 // count counts a request that sound daemons serve, whatever runners do to it.
 func (c *caller) count(o outcome) {
-	if o.abandoned || failsAtRunners(o.id, o.kind) || !isSteady(o.id) {
+	if o.abandoned || failsByDesign(o.id, o.kind) || !isSteady(o.id) {
 		return
 	}
 	c.expected.Add(1)
--- a/cmd/internal/soak/world.go
+++ b/cmd/internal/soak/world.go
@@ -205,7 +205,7 @@
 
 // failsAtRunners says whether the runners themselves keep a request from being
 // served.
-func failsAtRunners(id string, k requestKind) bool {
+func failsByDesign(id string, k requestKind) bool {
 	n := requestNumber(id)
 	switch {
 	case n%refuseEvery == 0:
