--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestTheJudgeFindsPlantedFaults: each kind of broken promise.
-func TestTheJudgeFindsPlantedFaults(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	whole := func(kind int, id string) outcome {
 		k := kinds[kind]
 		return outcome{id: id, kind: k, keyIndex: -1, answer: platformtest.Answer{Status: 200, Signed: true, Whole: true, Request: id, Body: k.body(id)}}
