--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestTheJudgeFindsRevokedKeysThatRunAndLimitsThatDoNotHold.
-func TestTheJudgeFindsRevokedKeysThatRunAndLimitsThatDoNotHold(t *testing.T) {
+func TestCheckerFindsRevokedKeysAndExceededLimits(t *testing.T) {
 	is := is.New(t)
 	found := func(late time.Duration, small int) int {
 		j, x := newChecker(), newTeams()
