--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestASeedAlwaysPlansTheSameFaults in the same order.
-func TestASeedAlwaysPlansTheSameFaults(t *testing.T) {
+func TestPlanIsReproducible(t *testing.T) {
 	is := is.New(t)
 	plan := func(seed uint64) []string {
 		r := &run{simulation: &simulation{runners: []*runner{{}, {}}}, processes: []*process{{name: "d1"}, {name: "d2"}}}
