--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -11,22 +11,23 @@
 	"github.com/samphirequay/samphirequay/platform/platformtest"
 )
 
-// callerPatience is how long callers wait for an answer.
+// callerTimeout is how long callers wait for a response.
 const callerTimeout = 6 * time.Second
 
-// Callers leave every so many requests, within that time.
+// On average one in abandonEvery requests is abandoned by its caller, within
+// maxAbandonDelay.
 const (
 	abandonEvery    = 40
 	maxAbandonDelay = 200 * time.Millisecond
 )
 
-// callKind is a kind of request.
+// requestKind is a kind of request.
 type requestKind struct {
 	name   string
 	method string
 	path   string
 	stream bool
-	// repeatable requests may run more than once.
+	// repeatable is set if a request may run more than once.
 	repeatable bool
 }
 
@@ -37,7 +38,7 @@
 	{name: "resume", method: "POST", path: pathResume, stream: true, repeatable: true},
 }
 
-// body is the whole answer to a request of this kind.
+// body returns the expected body of the response to a request of this kind.
 func (k requestKind) body(id string) string {
 	if k.stream {
 		return platformtest.Events(1, streamSize)
@@ -45,7 +46,7 @@
 	return plainBody(id)
 }
 
-// request gives a request as it goes over the wire.
+// request returns the bytes of an HTTP request of this kind.
 func (k requestKind) request(id, key string) string {
 	r := platformtest.Request{Method: k.method, Target: k.path + "x", Host: callHost, ID: id, Body: id, Patience: callerTimeout}
 	if k.stream {
@@ -55,8 +56,8 @@
 	return r.Text()
 }
 
-// caller sends requests one after the other, over kept connections, to daemons
-// that it picks at random.
+// caller sends requests one after another over persistent connections to randomly
+// chosen daemons.
 type caller struct {
 	name    string
 	rng     *rand.Rand
@@ -64,9 +65,11 @@
 	teams   *teams
 	conns   map[*process]net.Conn
 	sent    int
-	// asked counts the requests that are to be served, served those that were.
+	// expected counts the requests that must be served, served those of them that
+	// were served.
 	served, expected *atomic.Int64
-	// afresh says that connections are to be opened anew, once.
+	// reconnect is set once all callers must open new connections; reconnected is
+	// set once this caller has closed its old ones.
 	reconnect   *atomic.Bool
 	reconnected bool
 }
@@ -84,7 +87,8 @@
 	}
 }
 
-// run sends requests until done is closed.
+// run sends requests until done is closed, with a random pause of up to twice the
+// given mean before each.
 func (c *caller) run(done <-chan struct{}, processes []*process, pause time.Duration) {
 	defer c.closeConns()
 	for {
@@ -101,7 +105,8 @@
 	}
 }
 
-// count counts a request that sound daemons serve, whatever runners do to it.
+// count counts a request if working daemons must serve it: the caller did not
+// abandon it, the runners do not fail it by design, and it belongs to steadyTeam.
 func (c *caller) count(o outcome) {
 	if o.abandoned || failsByDesign(o.id, o.kind) || !isSteady(o.id) {
 		return
@@ -112,7 +117,7 @@
 	}
 }
 
-// renew gives the connections up when they are to be opened anew.
+// reconnectOnce closes all connections when reconnect is first seen to be set.
 func (c *caller) reconnectOnce() {
 	if c.reconnected || !c.reconnect.Load() {
 		return
@@ -121,7 +126,7 @@
 	c.closeConns()
 }
 
-// hangUp closes all connections.
+// closeConns closes all connections.
 func (c *caller) closeConns() {
 	for _, conn := range c.conns {
 		_ = conn.Close()
@@ -129,24 +134,24 @@
 	clear(c.conns)
 }
 
-// call sends one request and reads its answer.
+// call sends one request to a daemon and returns the outcome.
 func (c *caller) call(p *process, k requestKind, id string) outcome {
-	begun := time.Now()
-	o := outcome{id: id, kind: k, sent: begun}
+	start := time.Now()
+	o := outcome{id: id, kind: k, sent: start}
 	o.key, o.keyIndex = c.teams.keyOf(c.name, c.rng.IntN)
-	calm := p.stable(begun)
+	stableAtStart := p.stable(start)
 	c.reconnectOnce()
 	conn := c.conns[p]
 	if conn == nil {
-		made, err := net.DialTimeout("tcp", p.callerProxy.Address(), time.Second)
+		dialled, err := net.DialTimeout("tcp", p.callerProxy.Address(), time.Second)
 		if err != nil {
 			return o
 		}
-		conn = made
+		conn = dialled
 	}
 	keep := c.roundTrip(conn, k, &o)
-	o.elapsed = time.Since(begun)
-	o.stable = calm && p.stable(time.Now())
+	o.elapsed = time.Since(start)
+	o.stable = stableAtStart && p.stable(time.Now())
 	if keep {
 		c.conns[p] = conn
 		return o
@@ -156,7 +161,8 @@
 	return o
 }
 
-// exchange sends and reads; it says whether the connection may be used again.
+// roundTrip sends a request and reads the response. It reports whether the
+// connection can be reused.
 func (c *caller) roundTrip(conn net.Conn, k requestKind, o *outcome) (keep bool) {
 	if err := conn.SetDeadline(time.Now().Add(callerTimeout)); err != nil {
 		return false
--- a/cmd/internal/soak/doc.go
+++ b/cmd/internal/soak/doc.go
@@ -1,7 +1,7 @@
-// Package soak runs daemons, as processes that a script has started, against
-// stand-ins of the platform while it injects faults from outside: connections
-// through its proxies are delayed, reset, cut one way or silenced, processes
-// are stopped, killed and told to end, in series that overlap. It checks what
-// daemons promise by what callers and runners see. What happens and when follows
-// from a seed; what comes of it depends on the host as well.
+// Package soak tests daemons, which run as processes started by a script, against
+// a simulated platform while it injects overlapping faults from outside: it
+// delays, resets, blocks in one direction or silences connections through its
+// proxies, and pauses, kills and terminates processes. It checks the guarantees of
+// the daemons by the observations of callers and runners. The schedule of faults
+// follows from a seed; the results also depend on the host.
 package soak
--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -8,25 +8,26 @@
 	"github.com/samphirequay/samphirequay/platform/platformtest"
 )
 
-// fault is one fault of a run.
+// fault is one injected fault of a run.
 type fault struct {
 	name string
-	// at is when it begins, from the start of the faults; lasts is how long it
-	// goes on.
+	// start is the time of the fault since the first fault; duration is how long it
+	// lasts.
 	start, duration time.Duration
 	inject          func()
-	// end is nil for a fault that is over at once.
+	// revert ends the fault; nil for an instantaneous fault.
 	revert func()
-	// process is the daemon that it touches; nil for one of the platform.
+	// process is the affected daemon; nil for a fault of the platform.
 	process *process
-	// planned work of the platform disturbs nobody: promises hold meanwhile.
+	// planned is set for a planned change of the platform. It affects no component:
+	// all guarantees hold during the change.
 	planned bool
 }
 
 // Bounds of a run's faults.
 const (
-	// meanGap is the mean pause between the beginnings of two faults: well below
-	// how long one lasts, so that they overlap.
+	// meanInterval is the mean time between the starts of two faults. It is well
+	// below their mean duration, so that faults overlap.
 	meanInterval     = 600 * time.Millisecond
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 3 * time.Second
@@ -44,10 +45,10 @@
 	return out
 }
 
-// draw picks one fault.
+// randomFault draws one fault.
 func (r *run) randomFault(rng *rand.Rand) fault {
 	p := r.processes[rng.IntN(len(r.processes))]
-	endpoint := r.simulation.randomRunner(rng)
+	target := r.simulation.randomRunner(rng)
 	modes := []platformtest.Mode{platformtest.Delay, platformtest.Silence, platformtest.OneWay, platformtest.Refuse}
 	mode := modes[rng.IntN(len(modes))]
 	switch rng.IntN(9) {
@@ -63,13 +64,13 @@
 			revert:  func() { p.signal(syscall.SIGCONT) },
 		}
 	case 3:
-		return proxyFault("store of "+p.name, p, p.storeProxy, mode)
+		return proxyFault("store connections of "+p.name, p, p.storeProxy, mode)
 	case 4:
-		return proxyFault("callers of "+p.name, p, p.callerProxy, mode)
+		return proxyFault("caller connections of "+p.name, p, p.callerProxy, mode)
 	case 5:
-		return proxyFault("runner "+endpoint.ID, nil, endpoint.proxy, mode)
+		return proxyFault("connections of runner "+target.ID, nil, target.proxy, mode)
 	case 6:
-		return fault{name: "reset runner " + endpoint.ID, inject: endpoint.proxy.Reset}
+		return fault{name: "reset connections of runner " + target.ID, inject: target.proxy.Reset}
 	case 7:
 		return fault{name: "replace a runner", planned: true, inject: func() { r.recordError(r.simulation.replaceRunner(rng)) }}
 	default:
@@ -77,39 +78,41 @@
 	}
 }
 
-// drawStore picks a fault of the store itself.
+// randomStoreFault draws a fault of the store itself or a change of its
+// configuration.
 func (r *run) randomStoreFault(rng *rand.Rand) fault {
 	switch rng.IntN(4) {
 	case 0:
 		return fault{
-			name:   "store refuses all",
+			name:   "store refuses all requests",
 			inject: func() { r.simulation.store.Refuse("*", 503) },
 			revert: func() { r.simulation.store.Refuse("*", 0) },
 		}
 	case 1:
-		return fault{name: "store forgets", inject: r.simulation.store.Forget}
+		return fault{name: "store drops its history", inject: r.simulation.store.Forget}
 	case 2:
-		return fault{name: "store loses answers", inject: func() { r.simulation.store.Lose(3) }, revert: func() { r.simulation.store.Lose(0) }}
+		return fault{name: "store loses responses", inject: func() { r.simulation.store.Lose(3) }, revert: func() { r.simulation.store.Lose(0) }}
 	default:
-		return fault{name: "a route is added", planned: true, inject: r.addRoute}
+		return fault{name: "add a route", planned: true, inject: r.addRoute}
 	}
 }
 
-// onProxy is a fault of a way, which is a daemon's if that is set.
-func proxyFault(name string, of *process, way *platformtest.Proxy, m platformtest.Mode) fault {
-	words := map[platformtest.Mode]string{
+// proxyFault returns a fault that sets the mode of a proxy. It affects the given
+// daemon, or the platform if that is nil.
+func proxyFault(name string, affected *process, proxy *platformtest.Proxy, m platformtest.Mode) fault {
+	modeNames := map[platformtest.Mode]string{
 		platformtest.Delay: "delayed", platformtest.Silence: "silent",
 		platformtest.OneWay: "cut one way", platformtest.Refuse: "refused",
 	}
 	return fault{
-		name:    name + " " + words[m],
-		process: of,
-		inject:  func() { way.Set(m) },
-		revert:  func() { way.Set(platformtest.Pass) },
+		name:    name + " " + modeNames[m],
+		process: affected,
+		inject:  func() { proxy.Set(m) },
+		revert:  func() { proxy.Set(platformtest.Pass) },
 	}
 }
 
-// touches notes whom a fault disturbs.
+// markAffected marks the components that a fault affects.
 func (r *run) markAffected(f fault) {
 	until := time.Now().Add(f.duration)
 	switch {
--- a/cmd/internal/soak/process.go
+++ b/cmd/internal/soak/process.go
@@ -18,36 +18,42 @@
 	"github.com/samphirequay/samphirequay/platform/platformtest"
 )
 
-// process is one daemon, which the script starts again whenever it ends. Files
-// in the run's folder connect the two: NAME.json are its settings, NAME.pid its
-// process id, and NAME.ends has a line for each process that ended.
+// process is one daemon, which the script restarts whenever it exits. The script
+// and the run communicate through files in the run's folder: NAME.json holds the
+// daemon's settings, NAME.pid its process id, and NAME.ends a line with the process
+// id and status of each process that exited.
 type process struct {
-	// calmness is that of the daemon and of the ways to and from it.
+	// stability tracks the faults of the daemon and of its proxies.
 	stability
 	dir      string
 	name     string
 	settings gateway.Settings
-	// store is the daemon's own way to the store, callers the way to it.
+	// storeProxy carries the daemon's connections to the store, callerProxy those of
+	// callers to the daemon.
 	storeProxy  *platformtest.Proxy
 	callerProxy *platformtest.Proxy
 
-	// ends guards signalled, the processes that were told or made to end.
+	// signalledMu guards signalled, the ids of the processes that were sent a
+	// SIGTERM or SIGKILL.
 	signalledMu sync.Mutex
 	signalled   map[int]bool
 }
 
-// What the daemons are told of the platform.
+// Settings of the daemons.
 const (
-	// graceS is how long after a SIGTERM the platform would kill, in seconds.
+	// gracePeriodS is the time between SIGTERM and SIGKILL on the platform, in
+	// seconds.
 	gracePeriodS = 6
-	// leaseMS keeps orders of two holders apart, in milliseconds; short, so that
-	// the lease changes hands within a run.
+	// leaseMS is the minimum time between the role orders of two lease holders, in
+	// milliseconds. It is short so that the lease changes hands within a run.
 	leaseMS = 1000
-	// memoryMB bounds a process; a few hundred of them fit on one host.
+	// memoryMB is the memory limit of a process, low enough for a few hundred
+	// processes on one host.
 	memoryMB = 64
 )
 
-// newProcess writes the settings of a daemon; its ports are free ones.
+// newProcess starts the proxies of a daemon and writes its settings, with free
+// ports.
 func newProcess(dir, name, domain, store string, free *platformtest.Ports) (*process, error) {
 	p := &process{dir: dir, name: name, signalled: map[int]bool{}}
 	var err error
@@ -85,7 +91,7 @@
 
 func (p *process) path(kind string) string { return filepath.Join(p.dir, p.name+"."+kind) }
 
-// pid is the process id that the script wrote; 0 before there is one.
+// pid returns the process id that the script wrote; 0 if there is none.
 func (p *process) pid() int {
 	text, err := os.ReadFile(p.path("pid"))
 	if err != nil {
@@ -98,7 +104,7 @@
 	return pid
 }
 
-// signal sends a signal to the present process of this daemon.
+// signal sends a signal to the current process of the daemon.
 func (p *process) signal(s syscall.Signal) {
 	pid := p.pid()
 	if pid == 0 {
@@ -109,11 +115,13 @@
 		p.signalled[pid] = true
 		p.signalledMu.Unlock()
 	}
-	// A process that has just ended takes no signal: the fault is void then.
+	// The error is ignored: the process may just have exited, and then the fault
+	// has no effect.
 	_ = syscall.Kill(pid, s)
 }
 
-// ownEnds lists the processes that ended without having been told to.
+// unexpectedExits describes the processes that exited without a SIGTERM or SIGKILL
+// from this run.
 func (p *process) unexpectedExits() []string {
 	text, err := os.ReadFile(p.path("ends"))
 	if err != nil {
@@ -125,7 +133,7 @@
 	for _, line := range bytes.Split(bytes.TrimSpace(text), []byte("\n")) {
 		var pid, status int
 		if n, err := fmt.Sscan(string(line), &pid, &status); n == 2 && err == nil && !p.signalled[pid] {
-			out = append(out, fmt.Sprintf("%s: process %d ended by itself with status %d", p.name, pid, status))
+			out = append(out, fmt.Sprintf("%s: process %d exited unexpectedly with status %d", p.name, pid, status))
 		}
 	}
 	return out
@@ -136,9 +144,9 @@
 	p.storeProxy.Close()
 }
 
-// Ports below those that the kernel gives out; a run has its own begin where
-// those of a run with another seed seldom do: runs beside each other would take
-// one another's.
+// The ports of a run are below the kernel's ephemeral ports. The first port depends
+// on the seed, so that concurrent runs with different seeds seldom compete for the
+// same ports.
 const (
 	firstPort     = 10000
 	lastPort      = 20000
@@ -150,7 +158,7 @@
 	return platformtest.NewPorts(firstPort+int32(seed%portRanges*portsPerRange), lastPort)
 }
 
-// freePorts finds loopback addresses that nothing listens on.
+// freePorts returns n loopback addresses without a listener.
 func freePorts(free *platformtest.Ports, n int) ([]string, error) {
 	var out []string
 	for range n {
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -17,30 +17,31 @@
 	"github.com/samphirequay/samphirequay/platform/platformtest"
 )
 
-// Config of a run.
+// Config configures a run.
 type Config struct {
 	// Dir is the folder that the script and the run share.
 	Dir     string
 	Seed    uint64
 	Daemons int
-	// Callers send at the same time.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Length is for how long faults are injected.
+	// Length is how long faults are injected.
 	Length time.Duration
-	// Out takes a line for each fault and the result.
+	// Out receives a line for each fault and each violation, and the result.
 	Out io.Writer
 }
 
 const (
-	// startLimit bounds the start of the daemons.
+	// startLimit is the timeout for all daemons to become ready.
 	startLimit = 60 * time.Second
-	// recovery is how long the daemons have, once all faults are over, until
-	// nearly all requests are served.
+	// recoveryTime is the time after the last fault within which the daemons must
+	// again serve nearly all requests.
 	recoveryTime = 12 * time.Second
-	// measured is for how long requests are counted then.
+	// measurementTime is how long requests are counted after recoveryTime.
 	measurementTime = 3 * time.Second
-	// leastServed is the share that must be served then, of the requests that no
-	// runner keeps from it. On a busy host one or the other comes too late.
+	// minServedShare is the minimum share of the expected requests that must be
+	// served during measurementTime. It is below 1 because on a busy host a few
+	// requests are answered too late.
 	minServedShare  = 0.97
 	meanCallerPause = 120 * time.Millisecond
 )
@@ -52,11 +53,12 @@
 	processes  []*process
 	served     atomic.Int64
 	expected   atomic.Int64
-	// afresh is set when callers are to open their connections anew.
+	// reconnect is set once all callers must open new connections.
 	reconnect atomic.Bool
 }
 
-// Run plays one seed. The error names the broken promises.
+// Run runs the faults of one seed. It writes each violation to cfg.Out and returns
+// an error with the number of violations, if there are any.
 func Run(ctx context.Context, cfg Config) error {
 	r := &run{cfg: cfg, checker: newChecker()}
 	if err := r.provision(); err != nil {
@@ -107,10 +109,10 @@
 	r.simulation.close()
 }
 
-// failed notes an error of the run itself.
+// recordError records an error of the run itself as a violation.
 func (r *run) recordError(err error) {
 	if err != nil {
-		r.checker.violation("the run itself: %v", err)
+		r.checker.violation("run failed: %v", err)
 	}
 }
 
@@ -122,7 +124,7 @@
 		for !platformtest.Ready(ctx, p.settings.Listen.Ready) {
 			select {
 			case <-ctx.Done():
-				return eris.Errorf("%s was not ready within %v: its log is in %s", p.name, startLimit, r.cfg.Dir)
+				return eris.Errorf("%s was not ready within %v; see its log in %s", p.name, startLimit, r.cfg.Dir)
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
@@ -137,7 +139,8 @@
 	}
 }
 
-// turnKeys replaces the turning team's key again and again, whatever else goes on.
+// rotateKeys rotates the key of rotatingTeam every rotationInterval until done is
+// closed, regardless of faults.
 func (r *run) rotateKeys(done <-chan struct{}) {
 	ticker := time.NewTicker(rotationInterval)
 	defer ticker.Stop()
@@ -151,23 +154,23 @@
 	}
 }
 
-// inject plays the faults; all are over when it returns.
+// inject injects the planned faults. All are reverted when it returns.
 func (r *run) inject(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 1))
-	begun := time.Now()
-	var ends sync.WaitGroup
-	defer ends.Wait()
+	start := time.Now()
+	var reverts sync.WaitGroup
+	defer reverts.Wait()
 	for _, f := range r.plan(rng, r.cfg.Length) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Until(begun.Add(f.start))):
+		case <-time.After(time.Until(start.Add(f.start))):
 		}
 		fmt.Fprintf(r.cfg.Out, "%7.3f s %s for %.1f s\n", f.start.Seconds(), f.name, f.duration.Seconds())
 		r.markAffected(f)
 		f.inject()
 		if f.revert != nil {
-			ends.Go(func() {
+			reverts.Go(func() {
 				time.Sleep(f.duration)
 				f.revert()
 			})
@@ -176,26 +179,28 @@
 	return nil
 }
 
-// recover waits and then counts how many requests are served.
+// checkRecovery waits for recoveryTime and then checks the share of served requests
+// over measurementTime.
 func (r *run) checkRecovery(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(recoveryTime - callerTimeout):
 	}
-	// Connections that a fault has left dead are the callers' to give up: with
-	// many daemons some are first used now.
+	// Callers open new connections: a fault may have left an idle connection dead,
+	// and with many daemons some connections are not used again before now. Closing
+	// dead connections is the callers' responsibility, not the daemons'.
 	r.reconnect.Store(true)
 	time.Sleep(callerTimeout)
-	served, asked := r.served.Load(), r.expected.Load()
+	served, expected := r.served.Load(), r.expected.Load()
 	time.Sleep(measurementTime)
-	served, asked = r.served.Load()-served, r.expected.Load()-asked
-	if float64(served) < minServedShare*float64(asked) || asked == 0 {
-		r.checker.violation("recovery: %d of %d requests served %v after the last fault", served, asked, recoveryTime)
+	served, expected = r.served.Load()-served, r.expected.Load()-expected
+	if float64(served) < minServedShare*float64(expected) || expected == 0 {
+		r.checker.violation("recovery: %d of %d requests served %v after the last fault", served, expected, recoveryTime)
 	}
 }
 
-// addRoute adds a route and checks that calm daemons know it in time.
+// addRoute adds a route and checks that stable daemons serve it within configTime.
 func (r *run) addRoute() {
 	path := r.simulation.addRoute()
 	time.AfterFunc(configTime, func() {
@@ -219,7 +224,8 @@
 	return o.answer.Status != http.StatusNotFound
 }
 
-// report writes the result.
+// report writes the violations and the result, and returns an error if there are
+// violations.
 func (r *run) report() error {
 	r.checker.mu.Lock()
 	defer r.checker.mu.Unlock()
@@ -227,14 +233,14 @@
 		fmt.Fprintf(r.cfg.Out, "BROKEN %s\n", line)
 	}
 	var outcomes []string
-	for what, n := range r.checker.outcomes {
-		outcomes = append(outcomes, fmt.Sprintf("%s: %d", what, n))
+	for label, n := range r.checker.outcomes {
+		outcomes = append(outcomes, fmt.Sprintf("%s: %d", label, n))
 	}
 	slices.Sort(outcomes)
 	fmt.Fprintf(r.cfg.Out, "seed=%d daemons=%d requests=%d served=%d broken=%d (%s)\n", r.cfg.Seed, r.cfg.Daemons,
 		r.expected.Load(), r.served.Load(), len(r.checker.violations), strings.Join(outcomes, ", "))
 	if n := len(r.checker.violations); n > 0 {
-		return eris.Errorf("%d promises were broken with seed %d", n, r.cfg.Seed)
+		return eris.Errorf("%d guarantees were violated with seed %d", n, r.cfg.Seed)
 	}
 	return nil
 }
--- /dev/null
+++ b/cmd/internal/soak/simulation.go
@@ -0,0 +1,287 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/samphirequay/samphirequay/platform/platformtest"
+)
+
+// The services and routes of a run.
+const (
+	callHost    = "soak.example"
+	plainSvc    = "desk"
+	engineSvc   = "reader"
+	pathIdem    = "/idempotent/"
+	pathOnce    = "/once/"
+	pathStream  = "/stream/"
+	pathResume  = "/resume/"
+	streamSize  = 20
+	eventGap    = 15 * time.Millisecond
+	routeTimeMS = 8000
+)
+
+// drainTime is how long a runner may still receive requests after the store has
+// accepted its state "leaving"; configTime is how long a new route may take to
+// become effective. Both include slack for a busy host.
+const (
+	drainTime  = 2*time.Second + slack
+	configTime = 2*time.Second + slack
+	slack      = 1500 * time.Millisecond
+)
+
+// runner is a simulated runner with its own proxy.
+type runner struct {
+	*platformtest.Runner
+	proxy *platformtest.Proxy
+	// leaving is when the runner was registered as leaving; zero if it was not.
+	leaving time.Time
+}
+
+// simulation is the simulated platform of a run: the store and the runners.
+type simulation struct {
+	// stability tracks the faults of the store and of the runners' proxies.
+	stability
+	store *platformtest.Store
+
+	mu      sync.Mutex
+	runners []*runner
+	started int
+	routes  []any
+	version int
+	// runCounts is the number of runs of each request id.
+	runCounts map[string]int
+	checker   *checker
+	teams     *teams
+}
+
+// plainRunners returns the number of plain runners for a fleet. With fewer, the
+// refusals by design take away the capacity for requests that must be served.
+func plainRunners(daemons int) int { return max(4, daemons*3/4) }
+
+// engineRunners returns the number of engines for a fleet, for the same reason.
+func engineRunners(daemons int) int { return max(6, daemons) }
+
+func newSimulation(c *checker, daemons int) (*simulation, error) {
+	store, err := platformtest.StartStore()
+	if err != nil {
+		return nil, err
+	}
+	s := &simulation{store: store, runCounts: map[string]int{}, checker: c, version: 1, teams: newTeams()}
+	s.routes = []any{
+		route("idempotent", pathIdem, "idempotent", plainSvc, false),
+		route("once", pathOnce, "non_idempotent", plainSvc, false),
+		route("stream", pathStream, "stream", engineSvc, false),
+		route("resume", pathResume, "stream", engineSvc, true),
+	}
+	s.configure()
+	for range plainRunners(daemons) {
+		if err := s.addRunner(plainSvc, ""); err != nil {
+			return nil, err
+		}
+	}
+	for i := range engineRunners(daemons) {
+		if err := s.addRunner(engineSvc, []string{"prefill", "decode", "decode"}[i%3]); err != nil {
+			return nil, err
+		}
+	}
+	return s, nil
+}
+
+func route(name, prefix, kind, service string, resumable bool) map[string]any {
+	return platformtest.Route(callHost, name, prefix, kind, service, map[string]any{"resumable": resumable, "timeoutMs": routeTimeMS})
+}
+
+// configure writes the configuration to the store with a higher version.
+func (s *simulation) configure() {
+	s.version += 1 + s.version%3
+	services := []any{platformtest.PlainService(plainSvc, 200), platformtest.EngineService(engineSvc, 200, 16, 3)}
+	s.store.Configure(platformtest.Config(s.version, s.routes, services, s.teams.rows()))
+}
+
+// addRoute adds a route and returns its path.
+func (s *simulation) addRoute() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	path := fmt.Sprintf("/added/%d/", s.version)
+	s.routes = append(s.routes, route(path, path, "idempotent", plainSvc, false))
+	s.configure()
+	return path
+}
+
+// rotateKey replaces the key of rotatingTeam in the configuration.
+func (s *simulation) rotateKey() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	accepted := s.teams.rotateKey()
+	s.configure()
+	accepted()
+}
+
+// addRunner starts and registers a runner.
+func (s *simulation) addRunner(service, stage string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.started++
+	r, err := platformtest.StartRunner(fmt.Sprintf("i-%d", s.started), service, stage)
+	if err != nil {
+		return err
+	}
+	r.Slots, r.Events, r.Gap = 16, streamSize, eventGap
+	proxy, err := platformtest.StartProxy(r.Address())
+	if err != nil {
+		return err
+	}
+	added := &runner{Runner: r, proxy: proxy}
+	r.Answer(func(x *platformtest.Exchange) { s.answer(added, x) })
+	s.runners = append(s.runners, added)
+	s.register(added, platformtest.StateReady)
+	return nil
+}
+
+func (s *simulation) register(r *runner, state string) {
+	s.store.Register(r.Runner, state, r.proxy.Address())
+}
+
+// registerStage updates the registration of a runner that has changed its stage.
+// Without the update, the pool's owner could order the last engines of a stage to
+// change to another.
+func (s *simulation) registerStage(r *runner) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := platformtest.StateReady
+	if !r.leaving.IsZero() {
+		state = platformtest.StateLeaving
+	}
+	s.register(r, state)
+}
+
+// answer sends a runner's response to a request and counts the run. Responses
+// contain the request id, so that the checker detects swapped responses.
+func (s *simulation) answer(r *runner, x *platformtest.Exchange) {
+	if x.RequestID() != "" {
+		s.teams.checkForwarded(s.checker, x)
+	}
+	if !x.MeantToRun() {
+		before := r.Stage()
+		x.Usual()
+		if r.Stage() != before {
+			s.registerStage(r)
+		}
+		return
+	}
+	number := requestNumber(x.RequestID())
+	if number%refuseEvery == 0 {
+		x.Refuse(http.StatusServiceUnavailable)
+		return
+	}
+	runs := s.recordRun(r, x.RequestID())
+	s.teams.recordRun(x.RequestID())
+	if r.Stage() == "" && number%failEvery == 0 {
+		x.Whole(http.StatusInternalServerError, "failed", x.Signed())
+		return
+	}
+	if r.Stage() == "" {
+		x.Whole(http.StatusOK, plainBody(x.RequestID()), x.Signed(), "Content-Type: text/plain")
+		return
+	}
+	first := x.FirstEvent()
+	if number%breakEvery == 0 && runs == 1 {
+		x.Stream(first, streamSize/2, false)
+		return
+	}
+	x.Stream(first, streamSize, true)
+}
+
+// Runners refuse, fail or interrupt in mid-stream every request whose number is a
+// multiple of these.
+const (
+	refuseEvery = 17
+	failEvery   = 23
+	breakEvery  = 19
+)
+
+// failsByDesign reports whether the runners' refusals and failures keep a request
+// from being served.
+func failsByDesign(id string, k requestKind) bool {
+	n := requestNumber(id)
+	switch {
+	case n%refuseEvery == 0:
+		return true
+	case k.stream:
+		return n%breakEvery == 0 && !k.repeatable
+	default:
+		return n%failEvery == 0
+	}
+}
+
+// requestNumber returns the number at the end of a request id; 1 if there is none.
+func requestNumber(id string) int {
+	n, err := strconv.Atoi(id[strings.LastIndex(id, "-")+1:])
+	if err != nil {
+		return 1
+	}
+	return n
+}
+
+// plainBody returns the body of a plain runner's response to a request.
+func plainBody(request string) string { return "answer to " + request }
+
+// recordRun counts a run and returns the number of runs of the request so far. It
+// reports a violation if the runner received the request after drainTime, unless
+// a recent fault affects a daemon or the platform.
+func (s *simulation) recordRun(r *runner, request string) int {
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.runCounts[request]++
+	late := !r.leaving.IsZero() && now.After(r.leaving.Add(drainTime))
+	if late && s.checker.allStable(now) && s.stable(now) {
+		s.checker.violation("draining: %s ran at %s, %v after the runner was registered as leaving", request, r.ID, now.Sub(r.leaving))
+	}
+	return s.runCounts[request]
+}
+
+// runs returns the number of runs of a request.
+func (s *simulation) runs(request string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.runCounts[request]
+}
+
+// replaceRunner registers a random runner as leaving and adds a new runner of the
+// same service and stage. The old runner continues to serve until the run ends.
+func (s *simulation) replaceRunner(rng *rand.Rand) error {
+	s.mu.Lock()
+	var active []*runner
+	for _, r := range s.runners {
+		if r.leaving.IsZero() {
+			active = append(active, r)
+		}
+	}
+	r := active[rng.IntN(len(active))]
+	r.leaving = time.Now()
+	s.register(r, platformtest.StateLeaving)
+	s.mu.Unlock()
+	return s.addRunner(r.Service, r.Stage())
+}
+
+// randomRunner returns a random runner.
+func (s *simulation) randomRunner(rng *rand.Rand) *runner {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.runners[rng.IntN(len(s.runners))]
+}
+
+func (s *simulation) close() {
+	for _, r := range s.runners {
+		r.proxy.Close()
+		r.Close()
+	}
+	s.store.Close()
+}
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -11,66 +11,67 @@
 	"github.com/samphirequay/samphirequay/platform/platformtest"
 )
 
-// TestTheJudgeFindsPlantedFaults: each kind of broken promise.
+// The checker must report each kind of violation and nothing else.
 func TestCheckerFindsViolations(t *testing.T) {
 	whole := func(kind int, id string) outcome {
 		k := kinds[kind]
 		return outcome{id: id, kind: k, keyIndex: -1, answer: platformtest.Answer{Status: 200, Signed: true, Whole: true, Request: id, Body: k.body(id)}}
 	}
 	cases := map[string]struct {
-		plant func(o *outcome)
+		alter func(o *outcome)
 		kind  int
 		runs  int
 		found bool
 	}{
-		"nothing":                 {func(*outcome) {}, 0, 1, false},
-		"no signature":            {func(o *outcome) { o.answer.Signed = false }, 0, 1, true},
-		"another answer":          {func(o *outcome) { o.answer.Request = "other" }, 0, 1, true},
-		"another body":            {func(o *outcome) { o.answer.Body = plainBody("other") }, 1, 1, true},
-		"a stream lacks an event": {func(o *outcome) { o.answer.Body = o.answer.Body[20:] }, 2, 1, true},
-		"a stream that broke off": {func(o *outcome) { o.answer.Body, o.answer.Whole = o.answer.Body[20:], false }, 2, 1, false},
-		"ran twice":               {func(*outcome) {}, 1, 2, true},
-		"ran twice, idempotent":   {func(*outcome) {}, 0, 2, false},
-		"refused and ran":         {func(o *outcome) { o.answer.Status = 503 }, 1, 1, true},
-		"refused":                 {func(o *outcome) { o.answer.Status = 503 }, 1, 0, false},
-		"unknown route":           {func(o *outcome) { o.answer.Status = 404 }, 0, 0, true},
-		"too late":                {func(o *outcome) { o.stable, o.elapsed = true, time.Minute }, 0, 1, true},
-		"a good key refused":      {func(o *outcome) { o.answer.Status = 401 }, 0, 0, true},
-		"no limit, and refused":   {func(o *outcome) { o.answer.Status = 429 }, 0, 0, true},
-		"too late in a fault":     {func(o *outcome) { o.elapsed = time.Minute }, 0, 1, false},
+		"nothing":                   {func(*outcome) {}, 0, 1, false},
+		"no signature":              {func(o *outcome) { o.answer.Signed = false }, 0, 1, true},
+		"another answer":            {func(o *outcome) { o.answer.Request = "other" }, 0, 1, true},
+		"another body":              {func(o *outcome) { o.answer.Body = plainBody("other") }, 1, 1, true},
+		"a stream without an event": {func(o *outcome) { o.answer.Body = o.answer.Body[20:] }, 2, 1, true},
+		"a stream that broke off":   {func(o *outcome) { o.answer.Body, o.answer.Whole = o.answer.Body[20:], false }, 2, 1, false},
+		"ran twice":                 {func(*outcome) {}, 1, 2, true},
+		"ran twice, idempotent":     {func(*outcome) {}, 0, 2, false},
+		"refused and ran":           {func(o *outcome) { o.answer.Status = 503 }, 1, 1, true},
+		"refused":                   {func(o *outcome) { o.answer.Status = 503 }, 1, 0, false},
+		"unknown route":             {func(o *outcome) { o.answer.Status = 404 }, 0, 0, true},
+		"too late":                  {func(o *outcome) { o.stable, o.elapsed = true, time.Minute }, 0, 1, true},
+		"a valid key refused":       {func(o *outcome) { o.answer.Status = 401 }, 0, 0, true},
+		"refused without a limit":   {func(o *outcome) { o.answer.Status = 429 }, 0, 0, true},
+		"too late during a fault":   {func(o *outcome) { o.elapsed = time.Minute }, 0, 1, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			j := newChecker()
+			check := newChecker()
 			o := whole(c.kind, "c5-5")
-			c.plant(&o)
-			j.check(o)
-			j.checkFinal(&simulation{runCounts: map[string]int{"c5-5": c.runs}, teams: newTeams()})
-			is.Equal(len(j.violations) > 0, c.found)
+			c.alter(&o)
+			check.check(o)
+			check.checkFinal(&simulation{runCounts: map[string]int{"c5-5": c.runs}, teams: newTeams()})
+			is.Equal(len(check.violations) > 0, c.found)
 		})
 	}
 }
 
-// TestTheJudgeFindsRevokedKeysThatRunAndLimitsThatDoNotHold.
+// The checker must report requests that run too long after their key was revoked,
+// and a team that exceeds its limit beyond the tolerance.
 func TestCheckerFindsRevokedKeysAndExceededLimits(t *testing.T) {
 	is := is.New(t)
-	found := func(late time.Duration, small int) int {
-		j, x := newChecker(), newTeams()
-		x.rotateKey()()
-		sent := []keyedRequest{{id: "c0-1", keyIndex: 0, at: x.revoked[0].Add(late)}, {id: "c0-2", keyIndex: 1, at: x.revoked[0].Add(time.Hour)}}
-		for i := range small {
-			x.recordRun(fmt.Sprint("c1-", i))
+	violations := func(late time.Duration, limited int) int {
+		check, tm := newChecker(), newTeams()
+		tm.rotateKey()()
+		sent := []keyedRequest{{id: "c0-1", keyIndex: 0, at: tm.revoked[0].Add(late)}, {id: "c0-2", keyIndex: 1, at: tm.revoked[0].Add(time.Hour)}}
+		for i := range limited {
+			tm.recordRun(fmt.Sprint("c1-", i))
 		}
-		x.checkFinal(j, &simulation{runCounts: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
-		return len(j.violations)
+		tm.checkFinal(check, &simulation{runCounts: map[string]int{"c0-1": 1, "c0-2": 1}}, sent)
+		return len(check.violations)
 	}
-	is.Equal(found(revocationTime, 19), 0)
-	is.Equal(found(revocationTime+time.Millisecond, 0), 1)
-	is.Equal(found(0, 20), 1) // 10 that the limit allows, 9 that may exceed it
+	is.Equal(violations(revocationTime, 19), 0)
+	is.Equal(violations(revocationTime+time.Millisecond, 0), 1)
+	is.Equal(violations(0, 20), 1) // the limit allows 10, the tolerance 9 more
 }
 
-// TestASeedAlwaysPlansTheSameFaults in the same order.
+// A seed must always give the same faults in the same order.
 func TestPlanIsReproducible(t *testing.T) {
 	is := is.New(t)
 	plan := func(seed uint64) []string {
--- a/cmd/internal/soak/teams.go
+++ b/cmd/internal/soak/teams.go
@@ -12,14 +12,14 @@
 	"github.com/samphirequay/samphirequay/platform/platformtest"
 )
 
-// The teams of a run. All callers but two belong to the steady one.
+// The teams of a run, and the callers of two of them. All other callers belong to
+// steadyTeam.
 const (
-	// steadyTeam keeps its key and has no limit.
+	// steadyTeam has a fixed key and no limit.
 	steadyTeam = "steady"
-	// turningTeam has its key replaced again and again; its caller goes on using
-	// old ones.
+	// rotatingTeam has its key rotated regularly; its caller also uses old keys.
 	rotatingTeam = "turning"
-	// smallTeam has a limit, which its caller exceeds.
+	// limitedTeam has a rate limit, which its caller exceeds.
 	limitedTeam = "small"
 
 	rotatingCaller = "c0"
@@ -27,13 +27,14 @@
 )
 
 const (
-	// revokeTime is how long after a key was taken away a request with it may
-	// still run, at any daemon whatever touches it.
+	// revocationTime is how long after the revocation of a key a request with it may
+	// still run, at any daemon and under any fault.
 	revocationTime = 2 * time.Second
-	// turnEvery is the time between two replacements of the turning team's key.
+	// rotationInterval is the time between two rotations of rotatingTeam's key.
 	rotationInterval = 1500 * time.Millisecond
-	// smallRate and smallBurst are the small team's limit, in requests; within
-	// limitWindow it may be exceeded by limitOvershoot, a share, and by limitSlack.
+	// limitRate and limitBurst are the limit of limitedTeam, in requests per second
+	// and in requests. Within limitWindow it may be exceeded by the share
+	// limitOvershoot and by limitSlack requests.
 	limitRate      = 2.0
 	limitBurst     = 2.0
 	limitWindow    = 4 * time.Second
@@ -41,7 +42,7 @@
 	limitSlack     = 8.0
 )
 
-// teamBounds are what the daemons are told of these.
+// teamBounds sets these bounds in the settings of the daemons.
 func teamBounds(b *gateway.Bounds) {
 	b.RevokeMS = float64(revocationTime.Milliseconds())
 	b.QuotaWindowS = limitWindow.Seconds()
@@ -49,63 +50,63 @@
 	b.QuotaSlack = limitSlack
 }
 
-// teams knows who may send what.
+// teams holds the keys of rotatingTeam and the runs of limitedTeam.
 type teams struct {
 	mu sync.Mutex
-	// keys are all that the turning team ever had, revoked when each but the last
-	// was taken away.
+	// keys are all keys that rotatingTeam has had; revoked are the times of their
+	// revocation, except for the last key.
 	keys    []string
 	revoked []time.Time
-	// ranAt is when each request of the small team first ran.
+	// ranAt is the time of the first run of each request of limitedTeam.
 	ranAt map[string]time.Time
 }
 
 func newTeams() *teams { return &teams{keys: []string{"turning-0"}, ranAt: map[string]time.Time{}} }
 
-// rows are the teams as they lie in the store.
-func (x *teams) rows() []any {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// rows returns the teams in the form in which the store holds them.
+func (t *teams) rows() []any {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return []any{
 		platformtest.Team(steadyTeam, 0, 0, "steady-key"),
-		platformtest.Team(rotatingTeam, 0, 0, x.keys[len(x.keys)-1]),
+		platformtest.Team(rotatingTeam, 0, 0, t.keys[len(t.keys)-1]),
 		platformtest.Team(limitedTeam, limitRate, limitBurst, "small-key"),
 	}
 }
 
-// next makes the turning team's next key; accepted is called once the store has
-// taken the last one away.
-func (x *teams) rotateKey() (accepted func()) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.keys = append(x.keys, fmt.Sprintf("turning-%d", len(x.keys)))
+// rotateKey adds a new key for rotatingTeam. The caller calls accepted once the
+// store has removed the previous key.
+func (t *teams) rotateKey() (accepted func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.keys = append(t.keys, fmt.Sprintf("turning-%d", len(t.keys)))
 	return func() {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.revoked = append(x.revoked, time.Now())
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		t.revoked = append(t.revoked, time.Now())
 	}
 }
 
-// olderKeys is how far back the turning team's caller goes for a key.
+// recentKeys is the number of latest keys from which rotatingTeam's caller chooses.
 const recentKeys = 4
 
-// keyOf is the key that a caller sends, and which of the turning team's it is;
-// draw chooses among so many.
-func (x *teams) keyOf(caller string, draw func(n int) int) (key string, turn int) {
+// keyOf returns the key for a caller's next request and its index among the keys of
+// rotatingTeam, -1 for another team. draw returns a random number below n.
+func (t *teams) keyOf(caller string, draw func(n int) int) (key string, index int) {
 	switch caller {
 	case limitedCaller:
 		return "small-key", -1
 	case rotatingCaller:
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		turn = len(x.keys) - 1 - draw(min(recentKeys, len(x.keys)))
-		return x.keys[turn], turn
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		index = len(t.keys) - 1 - draw(min(recentKeys, len(t.keys)))
+		return t.keys[index], index
 	default:
 		return "steady-key", -1
 	}
 }
 
-// teamOf is the team that a request's caller belongs to.
+// teamOf returns the team of the caller of a request, given the request's id.
 func teamOf(request string) string {
 	caller, _, _ := strings.Cut(request, "-")
 	switch caller {
@@ -118,69 +119,73 @@
 	}
 }
 
-// steady says whether a request's team is always served.
+// isSteady reports whether a request belongs to steadyTeam, whose key and limit
+// never cause a refusal.
 func isSteady(request string) bool { return teamOf(request) == steadyTeam }
 
-// seen checks what a runner is told of a request's team.
-func (x *teams) checkForwarded(j *checker, e *platformtest.Exchange) {
+// checkForwarded checks that a runner receives the right team of a request and not
+// its key.
+func (t *teams) checkForwarded(c *checker, e *platformtest.Exchange) {
 	if e.Key() != "" {
-		j.violation("unasked: %s reached %s with its key", e.RequestID(), e.ID)
+		c.violation("unasked: %s reached %s with its key", e.RequestID(), e.ID)
 	}
 	if team := e.Team(); team != teamOf(e.RequestID()) {
-		j.violation("unasked: %s reached %s as one of team %q", e.RequestID(), e.ID, team)
+		c.violation("unasked: %s reached %s under the wrong team %q", e.RequestID(), e.ID, team)
 	}
 }
 
-// ran notes a run.
-func (x *teams) recordRun(request string) {
+// recordRun records the first run of a request of limitedTeam.
+func (t *teams) recordRun(request string) {
 	if teamOf(request) != limitedTeam {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if _, again := x.ranAt[request]; !again {
-		x.ranAt[request] = time.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if _, again := t.ranAt[request]; !again {
+		t.ranAt[request] = time.Now()
 	}
 }
 
-// sentWith is a request of the turning team.
+// keyedRequest is a request of rotatingTeam.
 type keyedRequest struct {
 	id       string
 	keyIndex int
 	at       time.Time
 }
 
-// settle judges the keys and the limit when nothing runs any more.
-func (x *teams) checkFinal(j *checker, w *simulation, sent []keyedRequest) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// checkFinal checks the revocations and the limit at the end of the run, when no
+// request is running any more.
+func (t *teams) checkFinal(c *checker, sim *simulation, sent []keyedRequest) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, s := range sent {
-		if s.keyIndex >= len(x.revoked) {
+		if s.keyIndex >= len(t.revoked) {
 			continue
 		}
-		if late := s.at.Sub(x.revoked[s.keyIndex]); late > revocationTime && w.runs(s.id) > 0 {
-			j.violation("revoked: %s was sent %v after its key was taken away, and ran", s.id, late)
+		if late := s.at.Sub(t.revoked[s.keyIndex]); late > revocationTime && sim.runs(s.id) > 0 {
+			c.violation("revoked: %s was sent %v after the revocation of its key, and ran", s.id, late)
 		}
 	}
-	at := make([]time.Time, 0, len(x.ranAt))
-	for _, t := range x.ranAt {
-		at = append(at, t)
+	times := make([]time.Time, 0, len(t.ranAt))
+	for _, at := range t.ranAt {
+		times = append(times, at)
 	}
-	slices.SortFunc(at, time.Time.Compare)
+	slices.SortFunc(times, time.Time.Compare)
 	allowed := (limitRate*limitWindow.Seconds()+limitBurst)*(1+limitOvershoot) + limitSlack
 	first := 0
-	for i, t := range at {
-		for t.Sub(at[first]) > limitWindow {
+	for i, at := range times {
+		for at.Sub(times[first]) > limitWindow {
 			first++
 		}
 		if n := i - first + 1; float64(n) > allowed {
-			j.violation("limit: %d requests of the small team ran within %v, %.1f may", n, limitWindow, allowed)
+			c.violation("limit: %d requests of the limited team ran within %v, %.1f allowed", n, limitWindow, allowed)
 			return
 		}
 	}
 }
 
-// refusedTeam says whether an answer is one that a team's key or limit explains.
+// isTeamRefusal reports whether a status refuses a request for its team's key or
+// limit.
 func isTeamRefusal(status int) bool {
 	return status == http.StatusUnauthorized || status == http.StatusTooManyRequests
 }
