--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -13,10 +13,10 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// day is a piece of a real day's log, its names replaced.
-const day = "testdata/day.log"
+// dayLog is part of a real day's log with names replaced.
+const dayLog = "testdata/day.log"
 
-func read(t *testing.T, text string) *logstory.Logs {
+func readLogs(t *testing.T, text string) *logstory.Logs {
 	t.Helper()
 	var logs logstory.Logs
 	if err := logs.Read("test", strings.NewReader(text)); err != nil {
@@ -25,16 +25,16 @@
 	return &logs
 }
 
-func dayText(t *testing.T) string {
+func readDayLog(t *testing.T) string {
 	t.Helper()
-	raw, err := os.ReadFile(day)
+	raw, err := os.ReadFile(dayLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(raw)
 }
 
-func route(a *Account, name string) Route {
+func findRoute(a *Account, name string) Route {
 	for _, r := range a.Routes {
 		if r.Name == name {
 			return r
@@ -43,19 +43,19 @@
 	return Route{}
 }
 
-// TestTheAccountOfADay: a count of the last lines by fingerprint, made apart from
-// this code, gave the same figures.
-func TestTheAccountOfADay(t *testing.T) {
+// The expected figures come from a separate count of the requests' last lines by
+// fingerprint, made without this code.
+func TestAccountOfADay(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(read(t, dayText(t)), Options{})
+	a, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
-	is.Equal(route(a, "route-1").Counts, Counts{Asked: 9, InTime: 7, Failed: 2})
-	is.Equal(route(a, "route-2").Counts, Counts{Asked: 10, InTime: 8, Failed: 2})
-	is.Equal(route(a, "route-3").Counts, Counts{Asked: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
-	is.Equal(route(a, "route-3").Refusals.Back, 3)
-	is.Equal(route(a, "route-3").LateTime.Paused, 3)
+	is.Equal(findRoute(a, "route-1").Counts, Counts{Asked: 9, InTime: 7, Failed: 2})
+	is.Equal(findRoute(a, "route-2").Counts, Counts{Asked: 10, InTime: 8, Failed: 2})
+	is.Equal(findRoute(a, "route-3").Counts, Counts{Asked: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
+	is.Equal(findRoute(a, "route-3").Refusals.Back, 3)
+	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
 	is.Equal(a.Vain[0], Vain{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
 	sum := Counts{}
 	for _, s := range a.Seconds {
@@ -65,9 +65,9 @@
 	is.Equal(len(a.Pools), 7) // the eighth was logged before the first arrival
 }
 
-// TestARequestThatCameBackCountsOnce, by what became of its last attempt, and
-// from its first arrival.
-func TestARequestThatCameBackCountsOnce(t *testing.T) {
+// A retried request counts once, by the outcome of its last attempt and from its
+// first arrival.
+func TestRetriedRequestCountsOnce(t *testing.T) {
 	is := is.New(t)
 	line := func(at, id, end string) string {
 		return "ts=2026-12-03T10:00:" + at + "Z daemon=d level=info event=request request=" + id +
@@ -75,28 +75,28 @@
 	}
 	refused := line("01.1", "x1", "outcome=overloaded verdict=not-run status=0 reason=full")
 	answered := line("03.1", "x2", "outcome=answered status=200 in_time=true")
-	a, err := Make(read(t, refused+answered), Options{})
+	a, err := Make(readLogs(t, refused+answered), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Asked: 1, Late: 1})
 	is.Equal(a.Routes[0].CameBack, 1)
 	is.Equal(a.Routes[0].Served, 1)
 	is.Equal(a.Routes[0].LateTime.Return, 2000.0)
 	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
-	// Another caller's, or one behind an answer, is another request.
+	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
-	a, err = Make(read(t, refused+answered+again), Options{})
+	a, err = Make(readLogs(t, refused+answered+again), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Asked: 2, InTime: 1, Late: 1})
 }
 
-func TestASpanLeavesOutWhatArrivedOutsideIt(t *testing.T) {
+func TestSpanExcludesArrivalsOutsideIt(t *testing.T) {
 	is := is.New(t)
-	whole, err := Make(read(t, dayText(t)), Options{})
+	whole, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	middle := whole.From.Add(20 * time.Second)
-	first, err := Make(read(t, dayText(t)), Options{To: middle})
+	first, err := Make(readLogs(t, readDayLog(t)), Options{To: middle})
 	is.NoErr(err)
-	second, err := Make(read(t, dayText(t)), Options{From: middle})
+	second, err := Make(readLogs(t, readDayLog(t)), Options{From: middle})
 	is.NoErr(err)
 	asked := func(a *Account) (n int) {
 		for i := range a.Routes {
@@ -105,28 +105,28 @@
 		return n
 	}
 	is.True(asked(first) > 0 && asked(second) > 0)
-	is.True(asked(first)+asked(second) >= asked(whole)) // one that came back across the bound counts on both sides
-	_, err = Make(read(t, dayText(t)), Options{From: whole.To.Add(time.Hour)})
-	is.True(errors.Is(err, ErrNothing))
+	is.True(asked(first)+asked(second) >= asked(whole)) // a request retried across the bound counts on both sides
+	_, err = Make(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
+	is.True(errors.Is(err, ErrNoRequests))
 }
 
-// TestBadLinesAreLeftOutAndCounted: cut lines, bytes that are no text, and
-// fields that can't be read.
-func TestBadLinesAreLeftOutAndCounted(t *testing.T) {
+// Truncated lines, lines that are not text and lines with fields that can't be
+// parsed are skipped and counted.
+func TestUnreadableLinesAreSkippedAndCounted(t *testing.T) {
 	is := is.New(t)
-	text := dayText(t)
+	text := readDayLog(t)
 	bad := "ts=2026-03-24T23:44:50Z daemon=d level=info event=pool_state pool=p prefills=many\n" + "\xff\xfe\x00\n" + text[:200] + "\n"
-	a, err := Make(read(t, bad+text), Options{})
+	a, err := Make(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
-	is.Equal(route(a, "route-3").Asked, 20)
-	_, err = Make(read(t, "no log at all\n"), Options{})
-	is.True(errors.Is(err, ErrNothing))
+	is.Equal(findRoute(a, "route-3").Asked, 20)
+	_, err = Make(readLogs(t, "no log at all\n"), Options{})
+	is.True(errors.Is(err, ErrNoRequests))
 }
 
-func TestTheAccountIsWrittenWithPlots(t *testing.T) {
+func TestAccountIsWrittenWithPlots(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(read(t, dayText(t)), Options{})
+	a, err := Make(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	dir := t.TempDir()
 	is.NoErr(a.Report().Write(dir))
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -9,101 +9,102 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// returnsWithin is how long after an unanswered attempt another one with the
-// same fingerprint counts as its caller's return.
-const returnsWithin = 20 * time.Second
+// retryWindow is how long after the arrival of an unanswered attempt another one
+// with the same fingerprint counts as its caller's retry.
+const retryWindow = 20 * time.Second
 
-// request is what a caller wanted: one attempt or several.
+// request is one request of a caller: its attempts in order of arrival.
 type request []*attempt
 
-// finish makes the account of what was gathered.
+// finish builds the account from the collected data.
 func (b *builder) finish(logs *logstory.Logs) (*Account, error) {
 	if len(b.attempts) == 0 {
-		return nil, ErrNothing
+		return nil, ErrNoRequests
 	}
-	b.addNoEnds()
+	b.addUnended()
 	slices.SortFunc(b.attempts, func(x, y *attempt) int {
 		return cmp.Or(x.arrived.Compare(y.arrived), cmp.Compare(x.id, y.id))
 	})
 	for _, a := range b.attempts {
-		a.failedBefore = b.retries[a.id]
+		a.failedTime = b.retries[a.id]
 	}
 	out := &Account{
 		From:  b.attempts[0].arrived.Truncate(time.Second),
 		Lines: len(logs.Lines),
 	}
 	if all := len(logs.Lines) + logs.Unreadable; all > 0 {
-		out.Unreadable = float64(logs.Unreadable+b.bad) / float64(all)
+		out.Unreadable = float64(logs.Unreadable+b.unreadable) / float64(all)
 	}
 	for _, a := range b.attempts {
 		if end := a.arrived.Add(a.took); end.After(out.To) {
 			out.To = end
 		}
 	}
-	requests := group(b.attempts)
-	out.Routes = routes(requests)
-	out.Reasons = reasons(b.attempts)
-	out.Vain = b.causes(out.From, out.To)
-	out.Seconds = b.seconds(out.From, requests)
-	out.Pools = b.poolsFrom(out.From, out.To)
+	requests := groupAttempts(b.attempts)
+	out.Routes = summarizeRoutes(requests)
+	out.Reasons = countReasons(b.attempts)
+	out.Vain = b.wastedByCause(out.From, out.To)
+	out.Seconds = b.countBySecond(out.From, requests)
+	out.Pools = b.poolStates(out.From, out.To)
 	return out, nil
 }
 
-// addNoEnds adds the attempts that were given engines and whose end is not
+// addUnended adds the attempts that were granted engines and whose end is not
 // logged.
-func (b *builder) addNoEnds() {
+func (b *builder) addUnended() {
 	ended := make(map[string]bool, len(b.attempts))
 	for _, a := range b.attempts {
 		ended[a.id] = true
 	}
 	for id, a := range b.granted {
 		if !ended[id] {
-			a.reason = b.untold(a)
+			a.reason = b.missingEndReason(a)
 			b.attempts = append(b.attempts, a)
 		}
 	}
 }
 
-// group joins the attempts of one request: the next one with the same
-// fingerprint after one that was not answered.
-func group(attempts []*attempt) []request {
+// groupAttempts groups the attempts by request: an attempt with the same route and
+// fingerprint after an unanswered one belongs to the same request.
+func groupAttempts(attempts []*attempt) []request {
 	var out []request
-	open := map[string]int{}
+	latest := map[string]int{} // index of the latest request by route and fingerprint
 	for _, a := range attempts {
-		key := a.route + " " + a.print
-		if i, ok := open[key]; ok && a.print != "" && follows(out[i], a) {
+		key := a.route + " " + a.fingerprint
+		if i, ok := latest[key]; ok && a.fingerprint != "" && isRetry(out[i], a) {
 			out[i] = append(out[i], a)
 			continue
 		}
-		open[key] = len(out)
+		latest[key] = len(out)
 		out = append(out, request{a})
 	}
 	return out
 }
 
-// follows says whether an attempt is a request's caller that has come back.
-func follows(r request, a *attempt) bool {
+// isRetry reports whether an attempt is a retry of a request by its caller.
+func isRetry(r request, a *attempt) bool {
 	last := r[len(r)-1]
-	return last.outcome != outcomeAnswered && a.arrived.Sub(last.arrived) < returnsWithin
+	return last.outcome != outcomeAnswered && a.arrived.Sub(last.arrived) < retryWindow
 }
 
 func (r request) first() *attempt { return r[0] }
 
 func (r request) last() *attempt { return r[len(r)-1] }
 
-// returned is the time between the first arrival and that of the last attempt.
-func (r request) returned() time.Duration { return r.last().arrived.Sub(r.first().arrived) }
+// retryDelay returns the time from the first arrival to the arrival of the last
+// attempt.
+func (r request) retryDelay() time.Duration { return r.last().arrived.Sub(r.first().arrived) }
 
-// count adds a request to the counts.
+// count adds a request by the outcome of its last attempt.
 func (c *Counts) count(r request) {
 	last := r.last()
 	c.Asked++
 	switch {
-	case last.outcome == outcomeAnswered && last.inTime && r.returned()+last.answer <= last.target:
+	case last.outcome == outcomeAnswered && last.inTime && r.retryDelay()+last.timeToAnswer <= last.target:
 		c.InTime++
 	case last.outcome == outcomeAnswered:
 		c.Late++
-	case last.outcome == outcomeLeft && len(r) == 1 && last.took < last.target:
+	case last.outcome == outcomeCallerGone && len(r) == 1 && last.took < last.target:
 		c.Left++
 	case last.outcome == outcomeNoEnd:
 		c.NoEnd++
@@ -114,8 +115,8 @@
 	}
 }
 
-// routes makes the accounts of the routes.
-func routes(requests []request) []Route {
+// summarizeRoutes summarizes the requests by route, sorted by name.
+func summarizeRoutes(requests []request) []Route {
 	byName := map[string][]request{}
 	for _, r := range requests {
 		name := r.first().route
@@ -123,12 +124,12 @@
 	}
 	var out []Route
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
-		out = append(out, routeOf(name, byName[name]))
+		out = append(out, newRoute(name, byName[name]))
 	}
 	return out
 }
 
-func routeOf(name string, requests []request) Route {
+func newRoute(name string, requests []request) Route {
 	first := requests[0].first()
 	out := Route{Name: name, Service: first.service, Kind: first.kind}
 	var late []request
@@ -143,13 +144,13 @@
 			out.Served += out.Answered() - before.Answered()
 		}
 	}
-	out.LateTime = lateTime(late)
-	out.Refusals = waits(requests)
+	out.LateTime = meanLateTime(late)
+	out.Refusals = refusalWaits(requests)
 	return out
 }
 
-// lateTime averages where the time of late requests went.
-func lateTime(late []request) LateTime {
+// meanLateTime averages the times of late requests.
+func meanLateTime(late []request) LateTime {
 	var out LateTime
 	if len(late) == 0 {
 		return out
@@ -157,26 +158,26 @@
 	share := 1 / float64(len(late))
 	for _, r := range late {
 		last := r.last()
-		rest := max(0, last.answer-last.queue-last.read-last.failedBefore)
-		out.Return += share * milliseconds(r.returned())
-		out.Queue += share * milliseconds(last.queue)
-		out.Prefill += share * milliseconds(last.read)
-		out.Retries += share * milliseconds(last.failedBefore)
+		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedTime)
+		out.Return += share * milliseconds(r.retryDelay())
+		out.Queue += share * milliseconds(last.queueTime)
+		out.Prefill += share * milliseconds(last.prefillTime)
+		out.Retries += share * milliseconds(last.failedTime)
 		out.Rest += share * milliseconds(rest)
-		if r.returned()+last.answer <= last.target {
+		if r.retryDelay()+last.timeToAnswer <= last.target {
 			out.Paused++
 		}
 	}
 	return out
 }
 
-// waits tells of the refusals of requests that did not run.
-func waits(requests []request) Waits {
+// refusalWaits summarizes the times to refusal of attempts that did not run.
+func refusalWaits(requests []request) Waits {
 	var took []time.Duration
 	out := Waits{}
 	for _, r := range requests {
 		for i, a := range r {
-			if a.outcome == outcomeAnswered || !a.notRun || a.outcome == outcomeLeft {
+			if a.outcome == outcomeAnswered || !a.notRun || a.outcome == outcomeCallerGone {
 				continue
 			}
 			took = append(took, a.took)
@@ -198,8 +199,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// reasons counts how attempts ended unanswered, the most frequent first.
-func reasons(attempts []*attempt) []Reason {
+// countReasons counts the unanswered attempts by reason, the most frequent first.
+func countReasons(attempts []*attempt) []Reason {
 	counts := map[Reason]int{}
 	for _, a := range attempts {
 		if a.outcome != outcomeAnswered {
@@ -221,10 +222,11 @@
 	return out
 }
 
-// causes counts the prompts that were read in vain, the most tokens first.
-func (b *builder) causes(from, to time.Time) []Vain {
+// wastedByCause counts the wasted prompts by cause, sorted by tokens in descending
+// order.
+func (b *builder) wastedByCause(from, to time.Time) []Vain {
 	byCause := map[string]Vain{}
-	for _, v := range b.vain {
+	for _, v := range b.wasted {
 		if v.at.Before(from) || v.at.After(to) {
 			continue
 		}
@@ -239,8 +241,8 @@
 	})
 }
 
-// seconds counts the requests by the second of their first arrival.
-func (b *builder) seconds(from time.Time, requests []request) []Second {
+// countBySecond counts the requests by the second of their first arrival.
+func (b *builder) countBySecond(from time.Time, requests []request) []Second {
 	type key struct {
 		at   int
 		kind string
@@ -256,8 +258,8 @@
 	for _, r := range requests {
 		at(r.first().arrived, r.first().kind).count(r)
 	}
-	for _, v := range b.vain {
-		if b.within(v.at) && !v.at.Before(from) {
+	for _, v := range b.wasted {
+		if b.inSpan(v.at) && !v.at.Before(from) {
 			at(v.at, kindStream).VainTokens += v.tokens
 		}
 	}
@@ -269,8 +271,8 @@
 	return out
 }
 
-// poolsFrom gives the states of the pools within the span.
-func (b *builder) poolsFrom(from, to time.Time) []Pool {
+// poolStates returns the states of the pools within the span, in order of time.
+func (b *builder) poolStates(from, to time.Time) []Pool {
 	var out []Pool
 	for _, l := range b.pools {
 		if l.at.Before(from) || l.at.After(to) {
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestARequestWithoutAnEndIsToldWhy: on call must see whether the daemon died
-// under it, or its line is missing.
-func TestARequestWithoutAnEndIsToldWhy(t *testing.T) {
+// An on-call engineer must see whether the daemon died during the request, or only
+// the line of its end is missing.
+func TestMissingEndHasAReason(t *testing.T) {
 	is := is.New(t)
 	line := func(at, daemon, rest string) string {
 		return "ts=2026-12-03T10:00:" + at + "Z daemon=" + daemon + " level=info " + rest + "\n"
@@ -20,7 +20,7 @@
 	text := granted("01.0", "d1", "x1") + line("02.0", "d1", "event=daemon_started") + line("20.0", "d1", "event=pool_lost") +
 		granted("03.0", "d2", "x2") +
 		granted("04.0", "d3", "x3") + ended
-	a, err := Make(read(t, text), Options{})
+	a, err := Make(readLogs(t, text), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Asked: 4, InTime: 1, NoEnd: 3})
 	why := map[string]int{}
@@ -28,24 +28,24 @@
 		is.Equal(r.Outcome, outcomeNoEnd)
 		why[r.Reason] = r.Count
 	}
-	is.Equal(why, map[string]int{reasonLost: 1, reasonSilent: 1, reasonUntold: 1})
+	is.Equal(why, map[string]int{reasonRestarted: 1, reasonSilent: 1, reasonNotLogged: 1})
 }
 
-// TestAStartBeforeTheGrantLosesNothing: it was the start of the daemon that
-// granted.
-func TestAStartBeforeTheGrantLosesNothing(t *testing.T) {
+// A daemon_started line before the grant belongs to the process that logged the
+// grant: the request was not lost by a restart.
+func TestStartBeforeGrantIsNoRestart(t *testing.T) {
 	is := is.New(t)
 	text := "ts=2026-12-03T10:00:01Z daemon=d1 level=info event=daemon_started\n" +
 		"ts=2026-12-03T10:00:02Z daemon=d1 level=info event=granted request=x route=r print=x\n" +
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=100ms outcome=answered status=200 in_time=true\n"
-	a, err := Make(read(t, text), Options{})
+	a, err := Make(readLogs(t, text), Options{})
 	is.NoErr(err)
-	is.Equal(a.Reasons[0].Reason, reasonUntold)
+	is.Equal(a.Reasons[0].Reason, reasonNotLogged)
 }
 
-// TestADecodeThatBrokeReadItsPromptInVain: its KV cache is gone with it; one that
-// was refused left the cache to another engine.
-func TestADecodeThatBrokeReadItsPromptInVain(t *testing.T) {
+// A decode that broke loses its KV cache, so its prompt counts as wasted. A refused
+// decode leaves the cache to another engine.
+func TestBrokenDecodeCountsPromptAsWasted(t *testing.T) {
 	is := is.New(t)
 	failed := func(step, verdict, code string) string {
 		return "ts=2026-12-03T10:00:02Z daemon=d1 level=info event=attempt_failed request=x step=" + step +
@@ -54,7 +54,7 @@
 	text := failed("decode", "may-have-run", "endpoint_failed") + failed("decode", "not-run", "overloaded") +
 		failed("prefill", "may-have-run", "endpoint_failed") +
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=2s outcome=answered status=200 in_time=true\n"
-	a, err := Make(read(t, text), Options{})
+	a, err := Make(readLogs(t, text), Options{})
 	is.NoErr(err)
-	is.Equal(a.Vain, []Vain{{Cause: "decode broke: endpoint_failed", Count: 1, Tokens: 3000}})
+	is.Equal(a.Vain, []Vain{{Cause: "decode failed: endpoint_failed", Count: 1, Tokens: 3000}})
 }
--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -7,24 +7,24 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/experiment"
 )
 
-// Name names the account's files.
+// Name is the base name of the account's files.
 const Name = "account"
 
-// Report gives the account as a report whose figures can be drawn.
+// Report returns the account as a report with its figures.
 func (a *Account) Report() *experiment.Report {
-	figures := []experiment.Figure{a.memory(), a.roles()}
+	figures := []experiment.Figure{a.memoryFigure(), a.rolesFigure()}
 	for _, kind := range a.kinds() {
-		figures = append(figures, a.outcomes(kind))
+		figures = append(figures, a.outcomesFigure(kind))
 	}
 	return &experiment.Report{Experiment: Name, Data: a, Figures: figures}
 }
 
 func (a *Account) kinds() []string {
-	return names(a.Seconds, func(s Second) string { return s.Kind })
+	return distinctNames(a.Seconds, func(s Second) string { return s.Kind })
 }
 
-// outcomes draws what became of a kind's requests, by the second of arrival.
-func (a *Account) outcomes(kind string) experiment.Figure {
+// outcomesFigure shows the outcomes of a kind's requests by the second of arrival.
+func (a *Account) outcomesFigure(kind string) experiment.Figure {
 	lines := []struct {
 		name string
 		of   func(s *Second) int
@@ -35,7 +35,7 @@
 		{"failed", func(s *Second) int { return s.Failed }},
 	}
 	f := experiment.Figure{
-		Name: "outcomes-" + kind, Title: "Requests by what became of them: " + kind,
+		Name: "outcomes-" + kind, Title: "Requests by outcome: " + kind,
 		XLabel: "second of the first arrival", YLabel: "requests",
 	}
 	for _, line := range lines {
@@ -51,23 +51,23 @@
 	return f
 }
 
-// memory draws the share of the decode engines' memory that is held.
-func (a *Account) memory() experiment.Figure {
-	return a.pools("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
+// memoryFigure shows the share of the decode engines' memory that is held.
+func (a *Account) memoryFigure() experiment.Figure {
+	return a.poolFigure("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
 		"held": func(p *Pool) float64 { return p.MemoryHeld },
 	})
 }
 
-// roles draws the engines by role, and the queue.
-func (a *Account) roles() experiment.Figure {
-	return a.pools("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
+// rolesFigure shows the engines by role and the length of the queue.
+func (a *Account) rolesFigure() experiment.Figure {
+	return a.poolFigure("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
 		"prefill": func(p *Pool) float64 { return float64(p.Prefills) },
 		"decode":  func(p *Pool) float64 { return float64(p.Decodes) },
 		"queued":  func(p *Pool) float64 { return float64(p.Queued) },
 	})
 }
 
-func (a *Account) pools(name, title, unit string, lines map[string]func(p *Pool) float64) experiment.Figure {
+func (a *Account) poolFigure(name, title, unit string, lines map[string]func(p *Pool) float64) experiment.Figure {
 	f := experiment.Figure{Name: name, Title: title, XLabel: "second", YLabel: unit}
 	for _, pool := range a.poolNames() {
 		for _, line := range slices.Sorted(maps.Keys(lines)) {
@@ -85,11 +85,11 @@
 }
 
 func (a *Account) poolNames() []string {
-	return names(a.Pools, func(p Pool) string { return p.Pool })
+	return distinctNames(a.Pools, func(p Pool) string { return p.Pool })
 }
 
-// names lists the names that items have, sorted, each once.
-func names[T any](items []T, of func(T) string) []string {
+// distinctNames returns the distinct names of items, sorted.
+func distinctNames[T any](items []T, of func(T) string) []string {
 	var out []string
 	for _, item := range items {
 		out = append(out, of(item))
--- a/cmd/internal/load/run_test.go
+++ b/cmd/internal/load/run_test.go
@@ -28,14 +28,14 @@
 	is.True(len(other) == 0 || first[0] != other[0])
 }
 
-func TestFloodLeavesOthersArrivalsAlone(t *testing.T) {
+func TestFloodDoesNotChangeOtherArrivals(t *testing.T) {
 	is := is.New(t)
 	spec := Spec{Teams: testTeams(BehaviourNormal), Rate: 50, Duration: 4 * time.Second, Seed: 7}
-	calm := arrivalsOf(Schedule(spec), 0)
+	normal := arrivalsOf(Schedule(spec), 0)
 	spec.Teams = testTeams(BehaviourFlood)
 	flooded := Schedule(spec)
-	is.Equal(calm, arrivalsOf(flooded, 0))
-	is.True(len(arrivalsOf(flooded, 1)) > 5*len(calm))
+	is.Equal(normal, arrivalsOf(flooded, 0))
+	is.True(len(arrivalsOf(flooded, 1)) > 5*len(normal))
 }
 
 func arrivalsOf(all []Arrival, team int) []Arrival {
@@ -89,8 +89,8 @@
 
 func TestRunAccountsForEveryRequest(t *testing.T) {
 	is := is.New(t)
-	f := newFake(t)
-	f.cutAfter = 3
+	f := newFakeServer(t)
+	f.disconnectAfter = 3
 	spec := Spec{
 		Entry: []string{f.address()}, Teams: testTeams(BehaviourNormal), Rate: 400, Requests: 60, Seed: 5,
 		FirstTokenTarget: time.Minute, PaceTarget: time.Minute,
@@ -105,7 +105,7 @@
 	is.Equal(res.Total.Completions+res.Total.PlainAnswered, 60)
 	is.Equal(res.Total.Resumes, res.Total.Completions)
 	is.Equal(res.Total.Good, res.Total.Completions)
-	is.Equal(int(f.runs.Load()), res.Total.PlainAnswered)
+	is.Equal(int(f.plainRequests.Load()), res.Total.PlainAnswered)
 }
 
 func TestPlainRunsAreChecked(t *testing.T) {
@@ -121,7 +121,7 @@
 
 func TestKeyThatRanTwiceIsDoubled(t *testing.T) {
 	is := is.New(t)
-	a := newAccount(Spec{Teams: testTeams(BehaviourNormal), Duration: time.Second}.withDefaults())
+	a := newCollector(Spec{Teams: testTeams(BehaviourNormal), Duration: time.Second}.withDefaults())
 	a.add(Record{Plain: true, Key: "a", Outcome: OutcomeAnswered})
 	a.add(Record{Plain: true, Key: "b", Outcome: OutcomeAnswered})
 	a.checkRuns(map[string]int{"a": 2, "b": 1})
@@ -129,9 +129,9 @@
 	is.Equal(a.result(time.Second).Total.Doubled, 1)
 }
 
-func TestWarmupIsLeftOutButItsFaultsCount(t *testing.T) {
+func TestWarmupIsExcludedButItsFaultsCount(t *testing.T) {
 	is := is.New(t)
-	a := newAccount(Spec{Teams: testTeams(BehaviourNormal), Warmup: time.Second, Duration: 3 * time.Second}.withDefaults())
+	a := newCollector(Spec{Teams: testTeams(BehaviourNormal), Warmup: time.Second, Duration: 3 * time.Second}.withDefaults())
 	a.add(Record{At: 0, Outcome: OutcomeAnswered, Fault: FaultDoubled})
 	a.add(Record{At: 2 * time.Second, Outcome: OutcomeAnswered, FirstToken: time.Millisecond})
 	a.add(Record{At: 2 * time.Second, Outcome: OutcomeAnswered, FirstToken: time.Second})
@@ -142,7 +142,7 @@
 	is.Equal(res.Total.GoodputPerSecond, 0.5)
 }
 
-func TestSpecErrorsSayWhere(t *testing.T) {
+func TestSpecErrorsNameTheTeam(t *testing.T) {
 	is := is.New(t)
 	spec := Spec{Entry: []string{"x"}, Rate: 1, Requests: 1, Teams: []Team{{Name: "kuryk", Behaviour: "odd", Profile: Bunker()}}}
 	is.Equal(spec.Validate().Error(), `load: team kuryk: unknown behaviour "odd"`)
