--- a/cmd/internal/experiment/all.go
+++ b/cmd/internal/experiment/all.go
@@ -7,30 +7,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// Outcome is what became of one experiment in a run of many.
+// Outcome is the result of one experiment when several run in sequence.
 type Outcome struct {
 	Name string `json:"name"`
-	// Short says in one line what it measures.
+	// Short is a one-line summary of what the experiment measures.
 	Short string `json:"short"`
 	// Report is nil if the experiment failed or was not run.
 	Report *Report `json:"-"`
-	// Error says why there is no report; empty if there is one.
+	// Error is the reason why there is no report; empty if there is one.
 	Error string `json:"error,omitempty"`
-	// Seconds that it took.
+	// Seconds is the wall time of the experiment.
 	Seconds float64 `json:"seconds"`
-	// Lines and Faults are the report's.
+	// Lines and Faults are copied from the report.
 	Lines  []string `json:"lines"`
 	Faults []string `json:"faults"`
 }
 
-// Failed tells whether the experiment gave no report, or one with faults.
+// Failed reports whether the experiment returned no report, or one with faults.
 func (o *Outcome) Failed() bool { return o.Error != "" || len(o.Faults) > 0 }
 
-// notRun is the error of the experiments that an interrupt left out.
+// notRun is the error of the experiments that did not run because of an interrupt.
 const notRun = "not run: interrupted"
 
-// RunAll runs experiments one after the other, and goes on after one fails.
-// Each outcome is handed to done as soon as it is there.
+// RunAll runs experiments one after the other and continues after a failure.
+// It passes each outcome to done as soon as the experiment has ended.
 func RunAll(ctx context.Context, env Env, experiments []Experiment, done func(Outcome)) []Outcome {
 	outcomes := make([]Outcome, 0, len(experiments))
 	for _, e := range experiments {
@@ -41,7 +41,7 @@
 	return outcomes
 }
 
-// runOne runs one experiment.
+// runOne runs one experiment, or marks it as not run if ctx has ended.
 func runOne(ctx context.Context, env Env, e Experiment) Outcome {
 	outcome := Outcome{Name: e.Name, Short: e.Short}
 	if ctx.Err() != nil {
@@ -61,8 +61,8 @@
 	return outcome
 }
 
-// guarded runs an experiment and turns a panic of its own goroutine into an
-// error, so that the others still run.
+// runRecovered runs an experiment and turns a panic in the calling goroutine
+// into an error, so that the other experiments still run.
 func guarded(ctx context.Context, env Env, e Experiment) (report *Report, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -71,7 +71,7 @@
 	}()
 	report, err = e.Run(ctx, env)
 	if err == nil && report == nil {
-		return nil, eris.New("the experiment gave no report")
+		return nil, eris.New("the experiment returned no report")
 	}
 	return report, err
 }
--- a/cmd/internal/experiment/all_test.go
+++ b/cmd/internal/experiment/all_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAllGoesOnAfterAFailure(t *testing.T) {
+func TestRunAllContinuesAfterAFailure(t *testing.T) {
 	is := is.New(t)
 	var seeds []uint64
 	fine := func(_ context.Context, env Env) (*Report, error) {
@@ -21,21 +21,21 @@
 		{Name: "empty", Run: func(context.Context, Env) (*Report, error) { return nil, nil }},
 		{Name: "fine", Run: fine},
 	}
-	var told []string
-	outcomes := RunAll(context.Background(), Env{Seed: 7}, experiments, func(o Outcome) { told = append(told, o.Name) })
-	is.Equal(told, []string{"fails", "panics", "empty", "fine"})
+	var reported []string
+	outcomes := RunAll(context.Background(), Env{Seed: 7}, experiments, func(o Outcome) { reported = append(reported, o.Name) })
+	is.Equal(reported, []string{"fails", "panics", "empty", "fine"})
 	is.Equal(seeds, []uint64{7})
 	is.Equal(outcomes[0].Error, "broken")
 	is.Equal(outcomes[1].Error, "panic: ouch")
-	is.Equal(outcomes[2].Error, "the experiment gave no report")
+	is.Equal(outcomes[2].Error, "the experiment returned no report")
 	is.Equal(outcomes[3].Lines, []string{"n=1"})
 	for _, o := range outcomes {
-		is.True(o.Failed()) // the last by its fault
+		is.True(o.Failed()) // the last one has a fault in its report
 	}
 	is.True(!(&Outcome{}).Failed())
 }
 
-func TestAllTellsWhatAnInterruptLeftOut(t *testing.T) {
+func TestRunAllReportsExperimentsSkippedByAnInterrupt(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	experiments := []Experiment{
--- a/cmd/internal/experiment/bound.go
+++ b/cmd/internal/experiment/bound.go
@@ -8,24 +8,27 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Bound is what a site can do for a profile, worked out from the stand-ins'
-// constants. It takes prompts of the mean length and engines that are never
-// idle, so a policy comes near it at best; on a short run the draw of the
-// prompts can move it by some percent either way.
+// Bound is an upper bound on the throughput of a site for a profile, calculated
+// from the stand-ins' constants. It assumes prompts of the mean length and
+// engines that are never idle, so a policy can at best come close to it. On a
+// short run the random prompt lengths can shift the real limit by a few percent
+// in either direction.
 type Bound struct {
-	// Prefill is the most completions a second that the prefill engines can
-	// read, if every shared prefix were found in a cache.
+	// Prefill is the maximum rate of the prefill engines, in completions per
+	// second, if every shared prefix is found in a cache.
 	Prefill float64 `json:"prefill_per_second"`
-	// Decode is the most that the decode engines can write with all slots busy.
+	// Decode is the maximum rate of the decode engines, in completions per
+	// second, with all slots busy.
 	Decode float64 `json:"decode_per_second"`
-	// Capacity is the lesser of both.
+	// Capacity is the lower of Prefill and Decode.
 	Capacity float64 `json:"capacity_per_second"`
-	// InTime is the share of completions whose prefill and transfer, with no
-	// wait and no cache, end within the first-token target.
+	// InTime is the share of completions whose prefill, transfer and first
+	// output token, without waiting and without a cache, end within the
+	// first-token target.
 	InTime float64 `json:"in_time_share"`
 }
 
-// BoundOf works out the bound of a site.
+// BoundOf calculates the bound of a site for a profile and a first-token target.
 func BoundOf(site standin.PlatformConfig, profile load.Profile, firstToken time.Duration) Bound {
 	var b Bound
 	var prefillRate, slots, pace float64
@@ -46,16 +49,16 @@
 	return b
 }
 
-// longestInTime is the longest prompt, in tokens, whose prefill, transfer and
-// first output take no longer than the target.
+// longestInTime returns the length, in tokens, of the longest prompt whose
+// prefill, transfer and first output token take no longer than the target.
 func longestInTime(site standin.PlatformConfig, firstToken time.Duration) float64 {
 	e := site.Engines[0]
 	perToken := 1/e.PrefillTokensPerSecond + float64(standin.DefaultKVBytesPerToken)/standin.DefaultRateWithin
 	return (firstToken.Seconds() - e.DecodeTokenMS/1000) / perToken
 }
 
-// Goodput is the completions a second that can meet both targets at a rate of
-// arrival.
+// Goodput returns the maximum number of completions per second that can meet
+// both targets at an arrival rate, in completions per second.
 func (b Bound) Goodput(rate float64) float64 {
 	return math.Min(rate*b.InTime, b.Capacity)
 }
--- a/cmd/internal/experiment/capacity.go
+++ b/cmd/internal/experiment/capacity.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The letter's target.
+// The system size that the results are extrapolated to; targetRequests is per
+// second.
 const (
 	targetDaemons   = 420
 	targetEndpoints = 900
@@ -16,7 +17,7 @@
 	targetDomains   = 5
 )
 
-// CapacityFigures are the figures of the experiment.
+// CapacityFigures are the results of the capacity experiment.
 type CapacityFigures struct {
 	Core     []OpFigures       `json:"core"`
 	Sizes    []SizeFigures     `json:"sizes"`
@@ -28,8 +29,8 @@
 	Claims   []ClaimFigures    `json:"claims"`
 }
 
-// FitFigures are a straight line through measured points and its value at the
-// target: extrapolated, not measured.
+// FitFigures are a linear fit through measured points and its value at the
+// target size. That value is extrapolated, not measured.
 type FitFigures struct {
 	Of     string  `json:"of"`
 	By     string  `json:"by"`
@@ -38,8 +39,8 @@
 	At     float64 `json:"at_target"`
 }
 
-// runCapacity measures the slopes that docs/CAPACITY.md is worked out from.
-// Parts run one after the other, so that each has the processors to itself.
+// runCapacity measures the slopes that docs/CAPACITY.md is calculated from.
+// Its parts run one after the other, so that each has the processors to itself.
 func runCapacity(ctx context.Context, env Env) (*Report, error) {
 	report := &Report{Experiment: "capacity", Seed: env.Seed}
 	var out CapacityFigures
@@ -70,7 +71,7 @@
 	return report, nil
 }
 
-// fit adds a line through points, with its value at the target.
+// addFit adds a linear fit through points, with its value at the target.
 func (r *Report) fit(out *CapacityFigures, of, by string, x, y []float64, target float64) {
 	f := FitFigures{Of: of, By: by, Line: fitLine(x, y), Target: target}
 	f.At = f.Line.At(target)
@@ -78,27 +79,28 @@
 	r.add("fit of=%s by=%s base=%.6g slope=%.6g r2=%.3f at_%g=%.6g extrapolated=true", of, by, f.Line.Base, f.Line.Slope, f.Line.R2, target, f.At)
 }
 
-// OpFigures are the cost of one step of the core.
+// OpFigures are the cost of one operation of the core.
 type OpFigures struct {
 	Op string `json:"op"`
-	// Size says at what size it was measured.
+	// Size is the system size during the measurement, as key=value pairs.
 	Size string `json:"size"`
-	// CPUMicros is processor time, garbage collection included.
+	// CPUMicros is the processor time per operation in microseconds, garbage
+	// collection included.
 	CPUMicros  float64 `json:"cpu_us"`
 	AllocBytes float64 `json:"alloc_bytes"`
 }
 
-// opTime is how long a step is repeated.
+// opTime is how long an operation is repeated.
 const opTime = 300 * time.Millisecond
 
-// op measures a step by repeating it.
+// measureOp measures an operation by repeating it.
 func (r *Report) op(out *CapacityFigures, name, size string, step func(i int)) {
 	step(0)
 	before := allocated()
 	n := 0
 	u := cpuDuring(func() {
 		for begun := time.Now(); time.Since(begun) < opTime; {
-			// Looks at the clock would weigh more than short steps.
+			// Reading the clock can cost more than a short operation.
 			for range opsPerLook {
 				n++
 				step(n)
@@ -113,5 +115,5 @@
 	r.add("core op=%s %s cpu=%.2fus alloc=%.0fB", name, size, f.CPUMicros, f.AllocBytes)
 }
 
-// opsPerLook is how many steps are done between looks at the clock.
+// opsPerClockRead is the number of operations between two readings of the clock.
 const opsPerLook = 8
--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -14,7 +14,8 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// ClaimFigures are the store's work for calls that must not run twice.
+// ClaimFigures are the cost of calls that must not run twice: the table's
+// transactions and reads and the processor time, each per call.
 type ClaimFigures struct {
 	Daemons   int     `json:"daemons"`
 	Calls     int     `json:"calls"`
@@ -25,7 +26,8 @@
 	CPUMicros float64 `json:"cpu_us_process"`
 }
 
-// capacityClaims makes calls with a key of their own through the daemons.
+// capacityClaims sends calls, each with its own idempotency key, through the
+// daemons.
 func capacityClaims(ctx context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	for _, daemons := range []int{1, capacityDaemons} {
 		f, err := claimOnce(ctx, daemons)
@@ -90,7 +92,7 @@
 	return out, err
 }
 
-// claimedCall makes one call; false if it was refused.
+// claimedCall makes one call; it returns false if the status is not 200.
 func claimedCall(ctx context.Context, client *http.Client, f *fleet.Fleet, service, key string, number int) (bool, error) {
 	addresses := f.CallerAddresses()
 	url := "http://" + addresses[number%len(addresses)] + opapi.PathServices + service + "/stems/confirm"
--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -15,8 +15,9 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// capacityDocument is a configuration of so many endpoints, teams and models;
-// each model has a service and a pool with its share of the endpoints.
+// capacityDocument returns a configuration with the given numbers of endpoints,
+// teams and models. Each model has a service, and a pool with an equal share of
+// the endpoints.
 func capacityDocument(endpoints, teams, models int) *live.Document {
 	doc := &live.Document{Revision: 1}
 	for i := range models {
@@ -55,7 +56,8 @@
 func memberName(i int) id.Daemon    { return id.Daemon(fmt.Sprintf("host-%03d", i)) }
 func capacityRand(n int) *rand.Rand { return rand.New(rand.NewPCG(1, uint64(n))) }
 
-// capacityCore measures the steps of the core at today's size and the target's.
+// capacityCore measures operations of the core at sizes from the current one (22
+// endpoints, 4 teams, 1 model) up to the target.
 func capacityCore(_ context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	for _, s := range []struct{ endpoints, teams, models int }{
 		{22, 4, 1}, {22, 900, 1}, {300, 900, 1}, {900, 900, 1}, {900, 900, 31},
@@ -80,11 +82,12 @@
 	return nil
 }
 
-// scheduling is a request's whole way through a pool's ledger: the want with
-// its grant, and the progress of its phases. Half of the slots are in use.
+// scheduleStep returns an operation that takes a request through all stages in a
+// pool's ledger: the want with its grant, and the progress of its phases. Half
+// of the slots are in use.
 func scheduling(doc *live.Document) func(int) { return schedulingWith(doc, func() {}) }
 
-// schedulingWith tells of each grant.
+// scheduleStepWith is scheduleStep with a callback for each grant.
 func schedulingWith(doc *live.Document, granted func()) func(int) {
 	pool := doc.Pools[0].Name
 	l := sched.NewLedger(sched.Options{
@@ -119,7 +122,8 @@
 	l.Progress(now, sched.Progress{Request: g.Request, Reservation: g.Reservation, Phase: sched.PhaseDone, OutputTokens: 20})
 }
 
-// capacityWant is a request of 2,000 tokens, whose prompt has 31 whole blocks.
+// capacityWant returns a request with a prompt of 2,000 tokens, which has 31
+// whole blocks.
 func capacityWant(doc *live.Document, i int) sched.Want {
 	w := sched.Want{
 		Request: id.Request(fmt.Sprintf("01HZX%021d", i)), Team: doc.Teams[i%len(doc.Teams)].Name,
@@ -133,14 +137,15 @@
 	return w
 }
 
-// wantBlocks is the number of whole blocks of a prompt of 2,000 tokens.
+// wantBlocks is the number of whole blocks in a prompt of 2,000 tokens.
 const wantBlocks = 31
 
-// configOps measures what a daemon does for each accepted change.
+// configOps measures the operations that a daemon performs for each change of the
+// configuration.
 func (r *Report) configOps(out *CapacityFigures, size string, doc *live.Document) error {
 	change := capacityChange(doc)
 	r.op(out, "config-propose", size, func(int) {
-		// The check of the whole document, at the daemon that was asked.
+		// The daemon that receives the proposal validates the whole document.
 		if _, faults := revision.Apply(doc, change); len(faults) > 0 {
 			panic(faults[0].Error())
 		}
@@ -157,22 +162,23 @@
 	return learning.check()
 }
 
-// memberOps measures the view of the membership and the choices that go over it.
+// memberOps measures the membership view and the operations that iterate over
+// all members.
 func (r *Report) memberOps(out *CapacityFigures, n int) {
 	size := fmt.Sprintf("daemons=%d", n)
 	m := member.New(member.DefaultConfig(member.Partial), memberEntry(0), 0, capacityRand(n))
 	now := time.Duration(0)
 	beat := uint64(0)
-	hear := func(i int) {
+	receive := func(i int) {
 		beat++
 		from := memberEntry(1 + i%(n-1))
 		from.Beat = beat
 		m.Receive(now, member.Message{Kind: member.Probe, Seq: beat, From: from})
 	}
 	for i := range n - 1 {
-		hear(i)
+		receive(i)
 	}
-	r.op(out, "member-receive", size, hear)
+	r.op(out, "member-receive", size, receive)
 	r.op(out, "member-view", size, func(int) { m.View() })
 	var names []id.Daemon
 	var candidates []entry.Candidate
--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// idleSettle is left out, idleTime is measured.
+	// idleSettle is the wait before a measurement at idle; idleTime is the
+	// duration of the measurement.
 	idleSettle = 4 * time.Second
 	idleTime   = 5 * time.Second
 )
 
-// idleRun is one fleet that serves nothing.
+// idleRun describes a fleet without load.
 type idleRun struct {
 	mode                              settings.MembershipMode
 	daemons, endpoints, teams, models int
 }
 
-// IdleFigures are of one daemon of a whole fleet at rest: those of the process
-// by the number of daemons, so the stand-ins' part is in them.
+// IdleFigures are the cost of an idle fleet. Cores, Memory and Wire are per
+// daemon: the values of the process divided by the number of daemons. Cores
+// therefore includes a part of the stand-ins' processor time.
 type IdleFigures struct {
 	Mode      settings.MembershipMode `json:"mode"`
 	Daemons   int                     `json:"daemons"`
@@ -38,14 +40,15 @@
 	Cores     float64                 `json:"cores"`
 	Memory    float64                 `json:"heap_and_stack_bytes"`
 	Wire      float64                 `json:"wire_bytes_per_second"`
-	// ProcessCores are all daemons' and stand-ins'.
+	// ProcessCores is the processor use of all daemons and stand-ins.
 	ProcessCores float64 `json:"process_cores"`
 	Reads        float64 `json:"table_reads_per_second"`
 	Writes       float64 `json:"table_writes_per_second"`
 	Questions    float64 `json:"questions_to_endpoints_per_second"`
 }
 
-// idleBase is the smallest run; the others change one thing each.
+// idleBase is the smallest run. Each other run differs from it in one size, and
+// in the mode too for the runs in partial mode.
 var idleBase = idleRun{mode: settings.MembershipMesh, daemons: 3, endpoints: 0, teams: 1, models: 1}
 
 func idleRuns() []idleRun {
@@ -74,7 +77,7 @@
 	return runs
 }
 
-// capacityIdle measures daemons at rest.
+// capacityIdle measures idle daemons.
 func capacityIdle(ctx context.Context, env Env, r *Report, out *CapacityFigures) error {
 	for _, run := range idleRuns() {
 		env.logf("capacity idle %+v", run)
@@ -133,7 +136,7 @@
 	}
 }
 
-// idleOnce starts a fleet and measures it at rest.
+// idleOnce starts a fleet and measures it at idle.
 func idleOnce(ctx context.Context, run idleRun) (IdleFigures, error) {
 	out := IdleFigures{Mode: run.mode, Daemons: run.daemons, Endpoints: run.endpoints, Teams: run.teams, Models: run.models}
 	standIns, err := run.standInBytes()
@@ -166,7 +169,8 @@
 	return out, err
 }
 
-// site has so many more engines in the model's pool.
+// site returns the bunker site with run.endpoints additional engines in the
+// model's pool.
 func (run idleRun) site() standin.PlatformConfig {
 	site := standin.Bunker()
 	engines := len(site.Engines)
@@ -178,7 +182,8 @@
 	return site
 }
 
-// standInBytes is the memory of the stand-ins alone, before they are asked.
+// standInBytes measures the memory of the stand-ins alone, before they get any
+// requests.
 func (run idleRun) standInBytes() (float64, error) {
 	before := memoryNow()
 	p, err := standin.StartPlatform(run.site())
@@ -189,7 +194,7 @@
 	return memoryNow().inUse - before.inUse, nil
 }
 
-// grow adds teams, and models without endpoints, to the configuration.
+// addItems adds teams, and models without endpoints, to the configuration.
 func (run idleRun) grow(doc *live.Document) {
 	for i := range run.teams - 1 {
 		name := fmt.Sprintf("team-%04d", i)
@@ -202,14 +207,15 @@
 	}
 }
 
-// sums are what all daemons and the table did since the start.
+// totals are counters of all daemons and the table since their start.
 type sums struct{ wire, frames, messages, broker, brokerMessages, reads, writes, questions float64 }
 
-// brokerKind is the kind of messages that pair requests, the first that
+// brokerKind is the kind of the messages that pair requests: the first kind that
 // package app declares.
 const brokerKind peer.Kind = 1
 
-// metricOf reads a counter of a daemon; 0 if it has none of that name.
+// metricOf reads a counter of a daemon; it returns 0 if the daemon has no counter
+// of that name or the value is not a number.
 func metricOf(d *app.Daemon, name string) float64 {
 	v := d.Metrics().Get(name)
 	if v == nil {
--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -14,18 +14,19 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// InFlightFigures are the memory of streams that are being written.
+// InFlightFigures are the memory and processor use of open streams.
 type InFlightFigures struct {
 	Streams int     `json:"streams"`
 	Bytes   float64 `json:"heap_and_stack_bytes"`
 	Cores   float64 `json:"cores"`
-	// Received are the bytes of the streams that callers got, a second.
+	// Received is the rate at which callers received the streams, in bytes per
+	// second.
 	Received float64 `json:"received_bytes_per_second"`
 	Events   float64 `json:"events_per_second"`
 }
 
-// capacityInFlight measures the memory of streams in flight; the callers' and
-// the stand-ins' part is in it.
+// capacityInFlight measures the memory of streams in flight. The result includes
+// the memory of the callers and of the stand-ins.
 func capacityInFlight(ctx context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	site := overheadSite()
 	site.Engines[1].Slots = claimSlots
@@ -67,11 +68,13 @@
 	return nil
 }
 
-// inFlightSeconds is how long a request of the target is in flight: 1.8 million
-// tokens by 6,600 requests a second are 273 tokens, at 50 ms each.
+// inFlightSeconds is how long a request is in flight at the target size:
+// 1.8 million tokens per second divided by 6,600 requests per second give 273
+// tokens per request, at 50 ms each.
 const inFlightSeconds = 14
 
-// patient lets requests wait for a slot.
+// raiseTimeouts sets long limits for waiting and for the whole request, so that
+// requests wait for a slot.
 func patient(doc *live.Document) {
 	for i := range doc.Services {
 		doc.Services[i].PatienceMS = int((time.Minute).Milliseconds())
@@ -79,10 +82,11 @@
 	}
 }
 
-// linesPerEvent of a stream: its id, its data and an empty one.
+// linesPerEvent is the number of lines of an event in a stream: the id, the data
+// and an empty line.
 const linesPerEvent = 3
 
-// streams holds answers open.
+// streams holds the open response bodies of streamed completions.
 type streams struct {
 	got    counter
 	fleet  *fleet.Fleet
@@ -115,7 +119,8 @@
 	return nil
 }
 
-// readAway reads a stream until it is closed, which is its only end.
+// discard reads and counts a stream until close closes it. The error is expected
+// and dropped.
 func (s *streams) readAway(body io.Reader) { _, _ = io.Copy(&s.got, body) }
 
 func (s *streams) close() {
--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -13,7 +13,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Sizes of the parts with load.
+// Parameters of the parts with load. capacityRate is a share of the capacity.
 const (
 	capacityDaemons      = 3
 	capacityChangeCount  = 60
@@ -24,7 +24,7 @@
 	claimSlots           = 4096
 )
 
-// ChangeFigures are the cost of one change at rest.
+// ChangeFigures are the cost of one configuration change on an idle fleet.
 type ChangeFigures struct {
 	Endpoints int     `json:"endpoints"`
 	Teams     int     `json:"teams"`
@@ -35,7 +35,8 @@
 	Writes    float64 `json:"table_writes"`
 }
 
-// capacityChanges measures a change's cost against the configuration's size.
+// capacityChanges measures the cost of a change for two sizes of the
+// configuration.
 func capacityChanges(ctx context.Context, env Env, r *Report, out *CapacityFigures) error {
 	for _, run := range []idleRun{
 		{mode: idleBase.mode, daemons: capacityDaemons, teams: 1, models: 1},
@@ -84,8 +85,8 @@
 	return out, err
 }
 
-// grow adds a run's teams and models by a change of their own: with the
-// endpoints they would be more than one change may hold.
+// addItems adds the teams and models of a run in a separate change: together
+// with the endpoints they would exceed the size limit of one change.
 func (c *changing) grow(ctx context.Context, run idleRun) error {
 	more := &live.Document{}
 	run.grow(more)
@@ -96,7 +97,8 @@
 	return c.propose(ctx, 0, req, 0)
 }
 
-// RequestFigures are the cost of a completion between daemons.
+// RequestFigures are the cost of a completion that is handled by several daemons.
+// Bytes, messages, lines and processor time are per completion.
 type RequestFigures struct {
 	Completions    int     `json:"completions"`
 	Rate           float64 `json:"per_second"`
@@ -104,12 +106,12 @@
 	BrokerMessages float64 `json:"broker_messages"`
 	WireBytes      float64 `json:"wire_bytes"`
 	CPUMicros      float64 `json:"cpu_us_process"`
-	// LogBytes and LogLines are those of all daemons.
+	// LogBytes and LogLines are the log output of all daemons.
 	LogBytes float64 `json:"log_bytes"`
 	LogLines float64 `json:"log_lines"`
 }
 
-// counter counts what is written to it.
+// counter counts the bytes and lines that are written to it.
 type counter struct{ bytes, lines atomic.Int64 }
 
 // Write implements io.Writer.
@@ -119,8 +121,8 @@
 	return len(p), nil
 }
 
-// capacityRequests measures the messages between daemons for a completion. Of
-// three daemons one owns the pool, so two in three completions need them.
+// capacityRequests measures the messages between daemons for a completion. One
+// of three daemons owns the pool, so two of three completions need messages.
 func capacityRequests(ctx context.Context, env Env, r *Report, out *CapacityFigures) error {
 	for _, d := range Deployments() {
 		d.Profile.PlainShare = 0
--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -17,7 +17,7 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// SizeFigures are the bytes of one thing.
+// SizeFigures are the size of one message, stored row or heap structure.
 type SizeFigures struct {
 	Of    string  `json:"of"`
 	Bytes float64 `json:"bytes"`
@@ -28,7 +28,8 @@
 	r.add("size of=%q bytes=%.0f", of, bytes)
 }
 
-// sent adds the size of a message between daemons, before encryption.
+// addMessageSize adds the encoded size of a message between daemons, before
+// encryption.
 func (r *Report) sent(out *CapacityFigures, of string, message any) error {
 	raw, err := peer.Encode(message)
 	if err != nil {
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// stored adds the size of a row of the table.
+// addRowSize adds the encoded size of a row of the table.
 func (r *Report) stored(out *CapacityFigures, of string, row any) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// capacitySizes gives the bytes of messages, rows and states.
+// capacitySizes measures the sizes of messages, rows and in-memory state.
 func capacitySizes(_ context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
 	if err := r.brokerSizes(out, doc); err != nil {
@@ -88,7 +89,7 @@
 	return r.stateSizes(out)
 }
 
-// brokerSizes are the messages of one request.
+// brokerSizes measures the sizes of the messages of one request.
 func (r *Report) brokerSizes(out *CapacityFigures, doc *live.Document) error {
 	want := capacityWant(doc, 1)
 	grant := sched.Grant{
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// stateSizes are what a daemon's parts hold at the target's size.
+// stateSizes measures the heap use of the parts of a daemon, up to the target
+// size.
 func (r *Report) stateSizes(out *CapacityFigures) error {
 	r.held(out, "document, 900 endpoints 900 teams 31 models", func() any {
 		return capacityDocument(targetEndpoints, targetTeams, targetModels)
@@ -151,23 +153,23 @@
 	return records.check()
 }
 
-// held measures what stays on the heap for a thing.
+// addHeapSize adds the heap memory that a value holds after garbage collection.
 func (r *Report) held(out *CapacityFigures, of string, make func() any) {
 	before := memoryNow()
-	thing := make()
+	value := make()
 	after := memoryNow()
-	runtime.KeepAlive(thing)
+	runtime.KeepAlive(value)
 	r.size(out, "heap of a "+of, max(after.heap-before.heap, 0))
 }
 
-// learning is a follower that is told of one accepted change after the other.
+// recordFollower passes accepted changes, numbered in sequence, to a follower.
 type learning struct {
 	follower *revision.Follower
 	chain    string
 	revision uint64
 }
 
-// newLearning returns one that has a document in force.
+// newRecordFollower returns a recordFollower with a document in force.
 func newLearning(doc *live.Document) *learning {
 	l := &learning{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
 	for i, part := range parts(wholeChange(doc)) {
@@ -183,7 +185,8 @@
 	l.follower.Learn(revision.Record{Revision: l.revision, Change: c, Chain: l.chain})
 }
 
-// check tells whether all that was learnt is in force: else refusals were measured.
+// check returns an error if not all learned changes are in force: the follower
+// has then refused some, and the measurement would be of refusals.
 func (l *learning) check() error {
 	if got := l.follower.Current().Revision; got != l.revision {
 		return fmt.Errorf("revision %d is in force after %d changes", got, l.revision)
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// capacityChange is a change of the common kind: one label of one endpoint.
+// capacityChange returns a typical change: it sets one label of one endpoint.
 func capacityChange(doc *live.Document) revision.Change {
 	return revision.Change{
 		ID: "01HZXABCDEFGHJKMNPQRSTVWXY", Author: "operator@site", At: time.Unix(1764700000, 0).UTC(),
@@ -199,7 +202,7 @@
 	}
 }
 
-// wholeChange puts every item of a document.
+// fullChange returns a change that puts every item of a document.
 func wholeChange(doc *live.Document) revision.Change {
 	c := revision.Change{ID: "whole", At: time.Unix(1764700000, 0).UTC()}
 	for i := range doc.Teams {
@@ -223,12 +226,12 @@
 func putOp(kind live.Kind, name string, item any) revision.Op {
 	raw, err := json.Marshal(item)
 	if err != nil {
-		panic(err) // the live types always encode
+		panic(err) // values of the live types can always be encoded
 	}
 	return revision.Op{Action: revision.ActionPut, Kind: kind, Name: name, Item: raw}
 }
 
-// parts cuts a change into ones of as many steps as one may have.
+// splitChange splits a change into changes of at most revision.MaxOps operations.
 func parts(c revision.Change) []revision.Change {
 	var out []revision.Change
 	for from := 0; from < len(c.Ops); from += revision.MaxOps {
--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -18,8 +18,8 @@
 	is.Equal(l.Slope, 2.0)
 }
 
-// TestCapacityDocumentIsAccepted: what is measured must be a configuration that
-// a daemon would take, in changes of the size that it takes.
+// TestCapacityDocumentIsAccepted checks that a daemon would accept the measured
+// configuration, split into changes of the permitted size.
 func TestCapacityDocumentIsAccepted(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
@@ -36,9 +36,9 @@
 	is.Equal(len(faults), 0)
 }
 
-// TestLearningNoticesARefusal: a change that does not apply must not be
-// measured as one that does.
-func TestLearningNoticesARefusal(t *testing.T) {
+// TestRecordFollowerDetectsARefusal guards against measuring a change that the
+// follower refuses as if it had been applied.
+func TestRecordFollowerDetectsARefusal(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(22, 4, 1)
 	l := newLearning(doc)
@@ -50,9 +50,9 @@
 	is.True(l.check() != nil)
 }
 
-// TestSchedulingGrants: the step that is measured must end in grants, or it
-// would measure refusals.
-func TestSchedulingGrants(t *testing.T) {
+// TestScheduleStepGrants checks that the measured operation ends in a grant each
+// time; otherwise the experiment would measure refusals.
+func TestScheduleStepGrants(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(22, 4, 1)
 	granted := 0
@@ -63,8 +63,9 @@
 	is.Equal(granted, 200)
 }
 
-// TestMembersSeeADeath: three members on sockets of their own; one is killed.
-func TestMembersSeeADeath(t *testing.T) {
+// TestMembersDetectADeath kills one of three members, each with its own socket,
+// and waits until both survivors report its death.
+func TestMembersDetectADeath(t *testing.T) {
 	for _, mode := range membershipModes {
 		t.Run(string(mode), func(t *testing.T) {
 			is := is.New(t)
--- a/cmd/internal/experiment/capacity_tools.go
+++ b/cmd/internal/experiment/capacity_tools.go
@@ -10,26 +10,28 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// line is a straight line through measured points.
+// line is a linear fit through measured points.
 type line struct {
 	Base  float64 `json:"base"`
 	Slope float64 `json:"slope"`
 	R2    float64 `json:"r2"`
 }
 
-// fitLine draws the line of least squares.
+// fitLine fits a line by least squares.
 func fitLine(x, y []float64) line {
 	base, slope := stat.LinearRegression(x, y, nil, false)
 	return line{Base: base, Slope: slope, R2: stat.RSquared(x, y, nil, base, slope)}
 }
 
-// At is the line's value at x.
+// At returns the value of the line at x.
 func (l line) At(x float64) float64 { return l.Base + l.Slope*x }
 
-// memory is what the process holds, in bytes.
+// memory is the memory use of the process, in bytes: its heap, heap and stacks
+// together, and its resident set.
 type memory struct{ heap, inUse, resident float64 }
 
-// memoryNow collects garbage first, so that only what is held counts.
+// memoryNow measures the memory use. It collects garbage first, so that only
+// reachable memory counts.
 func memoryNow() memory {
 	runtime.GC()
 	runtime.GC()
@@ -38,14 +40,16 @@
 	return memory{heap: float64(m.HeapAlloc), inUse: float64(m.HeapAlloc + m.StackInuse), resident: residentBytes()}
 }
 
-// allocated is how many bytes the process has ever allocated on its heap.
+// allocated returns the total number of bytes that the process has allocated on
+// its heap so far, freed memory included.
 func allocated() float64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.TotalAlloc)
 }
 
-// residentBytes is the process's resident memory; 0 where the system does not tell.
+// residentBytes returns the resident memory of the process, or 0 if /proc does
+// not provide it.
 func residentBytes() float64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -62,8 +66,8 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// loadAverage is the host's load over the last minute; 0 where the system
-// does not tell.
+// loadAverage returns the load average of the host over the last minute, or 0 if
+// /proc does not provide it.
 func loadAverage() float64 {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -77,9 +81,10 @@
 	return load
 }
 
-// keepBusy keeps as many threads busy as there are processors, until the
-// returned function is called. The rest of the process gets as many again, so
-// that the system's scheduler shares the processors, as between processes.
+// keepBusy keeps one thread per processor busy until the returned function is
+// called. It doubles GOMAXPROCS for this time: the rest of the process can then
+// run as many threads as before, and the operating system's scheduler divides
+// the processors as it does between processes.
 func keepBusy() func() {
 	n := runtime.GOMAXPROCS(0)
 	runtime.GOMAXPROCS(2 * n)
@@ -95,13 +100,13 @@
 	}
 }
 
-// spin keeps a thread of its own busy until stop is closed.
+// spin keeps one thread busy until stop is closed.
 func spin(stop <-chan struct{}) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	const look = 1 << 20
+	const checkInterval = 1 << 20
 	for n := uint64(1); ; n = n*6364136223846793005 + 1 {
-		if n%look != 1 {
+		if n%checkInterval != 1 {
 			continue
 		}
 		select {
--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Sizes of the experiment.
+// Parameters of the experiment: numbers of daemons, of changes and of races, and
+// waiting times.
 const (
 	configDaemons   = 9
 	configCalm      = 20
@@ -15,13 +16,14 @@
 	configRaces     = 20
 	configPause     = 150 * time.Millisecond
 	configSettle    = 15 * time.Second
-	// configAim and configLimit are the times within which a change is to be
-	// in force everywhere.
+	// configAim and configLimit are the desired and the maximum time until a
+	// change is in force at all daemons.
 	configAim   = time.Second
 	configLimit = 4 * time.Second
 )
 
-// The phases; the script waits for their names in the progress.
+// The phases of the experiment. scripts/experiment-config.sh waits for these names
+// in the progress output.
 const (
 	phaseCalm      = "calm"
 	phaseReplacing = "replacing"
@@ -31,14 +33,14 @@
 	phaseRaces     = "races"
 )
 
-// Faults of the table.
+// Faults injected into the table.
 const (
 	configDelayMS = 300
 	configLost    = 0.3
 )
 
-// PhaseFigures are the times from acceptance until in force, over all changes
-// and daemons of one phase.
+// PhaseFigures summarize the times between the acceptance of a change and its
+// coming into force at a daemon, over all changes and daemons of one phase.
 type PhaseFigures struct {
 	Phase   string  `json:"phase"`
 	Changes int     `json:"changes"`
@@ -46,23 +48,25 @@
 	P50MS   float64 `json:"p50_ms"`
 	P99MS   float64 `json:"p99_ms"`
 	MaxMS   float64 `json:"max_ms"`
-	// OverLimit counts the samples above the limit.
+	// OverLimit counts the samples above configLimit.
 	OverLimit int `json:"over_limit"`
 }
 
-// ConfigFigures are the figures of the experiment.
+// ConfigFigures are the results of the config experiment.
 type ConfigFigures struct {
 	Mode    string         `json:"mode"`
 	Daemons int            `json:"daemons"`
 	Phases  []PhaseFigures `json:"phases"`
-	// Ended counts daemons that were killed while they were watched; Rejoined
-	// those that came back, and RejoinMaxMS is the longest time from a new
-	// daemon's first answer until it had what was accepted before.
+	// Ended counts the observed daemon processes that ended. Rejoined counts the
+	// processes that started during the run and caught up. RejoinMaxMS is the
+	// longest time from the first reply of a new process until the changes
+	// accepted before this reply were in force there.
 	Ended       int     `json:"ended"`
 	Rejoined    int     `json:"rejoined"`
 	RejoinMaxMS float64 `json:"rejoin_max_ms"`
-	// RefusedWhileDown counts proposals that were refused for the outage of the
-	// table; CutWhileDown those whose daemon was killed before it answered.
+	// RefusedWhileDown counts proposals that were refused because of the outage
+	// of the table. CutWhileDown counts proposals without a reply, since the
+	// daemon was killed first.
 	RefusedWhileDown  int `json:"refused_while_down"`
 	CutWhileDown      int `json:"cut_while_down"`
 	AcceptedWhileDown int `json:"accepted_while_down"`
@@ -97,7 +101,7 @@
 	return report, nil
 }
 
-// run goes through the phases. From the second on daemons are replaced.
+// run runs the phases in order. Daemons are replaced from the second phase on.
 func (c *changing) run(ctx context.Context) error {
 	disturb, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -10,24 +10,27 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// settleLook is the time between looks at whether all daemons have all.
+// settlePollInterval is the time between two checks whether all daemons have the
+// newest revision.
 const settleLook = 100 * time.Millisecond
 
-// settle waits until all daemons that run have the newest accepted revision.
+// settle waits until a daemon with the newest accepted revision runs at every
+// place, at most configSettle.
 func (c *changing) settle(ctx context.Context) error {
 	newest := c.newest()
 	ctx, cancel := context.WithTimeout(ctx, configSettle)
 	defer cancel()
 	for !c.watch.allHave(newest, c.site.places()) {
 		if sleep(ctx, settleLook) != nil {
-			// What is missing shows in the figures.
+			// The figures count the revisions that are still missing.
 			return nil
 		}
 	}
 	return nil
 }
 
-// allHave tells whether at all places a daemon runs that has a revision.
+// allHave reports whether a daemon with at least the given revision runs at every
+// place.
 func (w *watch) allHave(revision uint64, places int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,7 +43,7 @@
 	return have == places
 }
 
-// figures sums up.
+// figures summarizes the run.
 func (c *changing) figures(ctx context.Context) ConfigFigures {
 	out := c.out
 	out.Mode, out.Daemons = c.site.mode(), c.site.places()
@@ -58,9 +61,10 @@
 	return out
 }
 
-// phaseFigures takes the times of a phase's changes at the daemons that ran
-// from before the acceptance until the change was in force there. It counts
-// apart those that go on without it.
+// phaseFigures summarizes the times of the changes of a phase. It includes the
+// daemon processes that started before the acceptance and had the change in
+// force before they ended. The second result counts the cases in which a process
+// is still running without the change.
 func (c *changing) phaseFigures(phase string) (PhaseFigures, int) {
 	out := PhaseFigures{Phase: phase}
 	times := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
@@ -88,7 +92,7 @@
 				c.env.logf("config late phase=%s revision=%d place=%d took=%s accepted_at=%s stay=%s..%s ended=%t",
 					phase, a.revision, s.place, took, c.since(a.at), c.since(s.from), c.since(s.to), s.ended)
 			}
-			// Longer than the histogram's minute is counted as never.
+			// The histogram ends at one minute; longer times count as never.
 			if times.RecordValue(max(took.Milliseconds(), 1)) != nil {
 				never++
 			}
@@ -100,13 +104,15 @@
 	return out, never
 }
 
-// since is a time in the run, for the progress.
+// sinceStart returns the offset of a time from the start of the run, for the
+// progress output.
 func (c *changing) since(t time.Time) time.Duration {
 	return t.Sub(c.watch.stays[0].from).Round(time.Millisecond)
 }
 
-// rejoins takes, for each daemon that was started during the run, the time
-// until it had what was accepted before its first answer.
+// countRejoins determines, for each daemon process that started during the run,
+// the time from its first reply until the changes accepted before this reply were
+// in force there.
 func (c *changing) rejoins(out *ConfigFigures) {
 	start := c.watch.stays[0].from
 	for _, s := range c.watch.stays {
@@ -135,10 +141,11 @@
 	}
 }
 
-// lost counts the accepted changes that the daemons' histories lack, or hold
-// twice or at another revision, and the daemons at which another change than
-// the last accepted one is in force. A daemon that began with a snapshot has no
-// history before it.
+// countLost counts accepted changes that are missing in a daemon's history, occur
+// twice or have another revision there, and accepted changes that are in no
+// history. It also counts the daemons whose history cannot be read or at which the
+// last accepted change is not in force. A daemon that started from a snapshot has
+// no history before this snapshot.
 func (c *changing) lost(ctx context.Context) int {
 	lost := 0
 	anywhere := make(map[string]bool)
@@ -165,7 +172,9 @@
 	return lost
 }
 
-// missingIn counts what a history lacks behind its first entry.
+// countMissing counts the accepted changes that a history does not hold exactly
+// once and at their revision, from the revision of its first entry on. It adds the
+// ids in the history to anywhere.
 func (c *changing) missingIn(h opapi.History, anywhere map[string]bool) int {
 	if len(h.Entries) == 0 {
 		return 0
@@ -184,7 +193,7 @@
 	return missing
 }
 
-// lastNumber is the marker of the newest accepted change.
+// lastNumber returns the marker value of the newest accepted change.
 func (c *changing) lastNumber() int {
 	var last acceptedChange
 	for _, a := range c.accepted {
--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -22,14 +22,14 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// The two items that every change sets to one number; a document in which they
-// differ holds half a change.
+// markers are the two teams that every change sets to the same number. If their
+// numbers differ, a change has been applied only in part.
 var markers = [2]id.Team{"config-marker-a", "config-marker-b"}
 
-// resendPause is between an operator's tries of one change.
+// resendPause is the delay before an operator sends a change again.
 const resendPause = 100 * time.Millisecond
 
-// changing makes the changes of the experiment.
+// changeDriver proposes the changes of the experiment and records the results.
 type changing struct {
 	env   Env
 	site  configSite
@@ -43,7 +43,7 @@
 	out      ConfigFigures
 }
 
-// acceptedChange is a change that an operator was told is accepted.
+// acceptedChange is a change whose acceptance was confirmed to the operator.
 type acceptedChange struct {
 	id       string
 	revision uint64
@@ -56,7 +56,7 @@
 	return &changing{env: env, site: site, watch: startWatch(site)}
 }
 
-// request is the next change.
+// nextRequest returns the next change with its marker number.
 func (c *changing) request(expect uint64) (opapi.ChangeRequest, int, error) {
 	c.mu.Lock()
 	c.number++
@@ -73,8 +73,8 @@
 	return req, n, nil
 }
 
-// operator returns a client that starts with one place's daemon and goes on
-// with the others.
+// operator returns a client that tries the daemon at place first, then those at
+// the following places.
 func (c *changing) operator(first int) (*operator.Client, error) {
 	var addresses []string
 	for i := range c.site.places() {
@@ -85,8 +85,8 @@
 	return operator.New(operator.Config{Addresses: addresses, Key: c.site.key()})
 }
 
-// propose sends a change, again and again under its id while it is not known
-// what became of it.
+// propose sends a change, and sends it again with the same id as long as its
+// outcome is unknown.
 func (c *changing) propose(ctx context.Context, first int, req opapi.ChangeRequest, n int) error {
 	for {
 		client, err := c.operator(first)
@@ -116,7 +116,7 @@
 	c.accepted = append(c.accepted, acceptedChange{id: req.ID, revision: answer.Revision, phase: c.phase, at: time.Now(), number: n})
 }
 
-// changes makes changes one after the other, at a different daemon each.
+// changes proposes changes one after the other, each at the next daemon.
 func (c *changing) changes(ctx context.Context, count int) error {
 	for i := range count {
 		req, n, err := c.request(0)
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// slow makes changes while the table answers late.
+// slow proposes changes while the table delays its replies.
 func (c *changing) slow(ctx context.Context) error {
 	delay, none := configDelayMS, 0
 	if err := c.site.inject(wire.Fault{Target: standin.TargetTable, DelayMS: &delay}); err != nil {
@@ -143,7 +143,8 @@
 	return errors.Join(err, c.site.inject(wire.Fault{Target: standin.TargetTable, DelayMS: &none}))
 }
 
-// lossy makes changes while replies of the table are lost after the effect.
+// lossy proposes changes while the table loses a share of its replies after it has
+// carried out the operation.
 func (c *changing) lossy(ctx context.Context) error {
 	share, none := configLost, 0.0
 	if err := c.site.inject(wire.Fault{Target: standin.TargetTable, LoseReplies: &share}); err != nil {
@@ -153,9 +154,9 @@
 	return errors.Join(err, c.site.inject(wire.Fault{Target: standin.TargetTable, LoseReplies: &none}))
 }
 
-// down takes the table away right after an acceptance, which then spreads from
-// daemon to daemon, and goes on proposing; a change that the outage refused is
-// sent again after it.
+// down makes the table unavailable right after a change has been accepted, so
+// that this change has to spread from daemon to daemon. It proposes more changes
+// during the outage and sends these again after it.
 func (c *changing) down(ctx context.Context) error {
 	if err := c.changes(ctx, 1); err != nil {
 		return err
@@ -179,13 +180,14 @@
 	return nil
 }
 
-// pendingChange is a change whose fate is open.
+// pendingChange is a change without a known outcome.
 type pendingChange struct {
 	request opapi.ChangeRequest
 	number  int
 }
 
-// proposeWhileDown asks several daemons at once, each once.
+// proposeWhileDown sends one change to each daemon, all at the same time and
+// without retries.
 func (c *changing) proposeWhileDown(ctx context.Context) ([]pendingChange, error) {
 	var refused []pendingChange
 	var all sync.WaitGroup
@@ -212,7 +214,7 @@
 			case status == http.StatusOK:
 				c.out.AcceptedWhileDown++
 			default:
-				failed = fmt.Errorf("status %d while the table is down", status)
+				failed = fmt.Errorf("unexpected status %d while the table is down", status)
 			}
 		})
 	}
@@ -220,8 +222,8 @@
 	return refused, errors.Join(failed, ctx.Err())
 }
 
-// races lets two operators at two daemons change the same items against the
-// same revision at the same time.
+// races has two operators propose changes of the same items at the same time, at
+// two daemons and with the same expected revision.
 func (c *changing) races(ctx context.Context) error {
 	for i := range configRaces {
 		expect := c.newest()
@@ -247,7 +249,8 @@
 	return nil
 }
 
-// judge holds the outcome of a race against what must be.
+// recordRace checks the outcome of a race: exactly one change must be accepted,
+// and the error of the other must be a conflict that names the accepted change.
 func (c *changing) judge(requests [2]opapi.ChangeRequest, failed [2]error) {
 	c.out.Races++
 	loser := 0
@@ -258,13 +261,13 @@
 		return
 	}
 	c.out.OneWinner++
-	told := exit.Code(failed[loser]) == exit.Conflict && strings.Contains(failed[loser].Error(), requests[1-loser].ID)
-	if told {
+	named := exit.Code(failed[loser]) == exit.Conflict && strings.Contains(failed[loser].Error(), requests[1-loser].ID)
+	if named {
 		c.out.LoserTold++
 	}
 }
 
-// newest is the highest revision that was accepted.
+// newest returns the highest accepted revision.
 func (c *changing) newest() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/internal/experiment/config_raw.go
+++ b/cmd/internal/experiment/config_raw.go
@@ -12,8 +12,8 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// rawOperator asks one daemon once: the operators' client would go round and
-// hide that a daemon ended.
+// rawOperator sends requests to one daemon without retries. The operators' client
+// would go on to other daemons and so hide that a daemon has ended.
 type rawOperator struct{ address, key string }
 
 // config reads the configuration in force.
@@ -26,7 +26,7 @@
 	return &doc, err
 }
 
-// history reads accepted changes behind a revision.
+// history reads the accepted changes after a revision.
 func (o rawOperator) history(ctx context.Context, after uint64) (opapi.History, error) {
 	var h opapi.History
 	path := fmt.Sprintf("%s?after=%d", opapi.PathHistory, after)
@@ -37,12 +37,13 @@
 	return h, err
 }
 
-// change proposes a change and gives the answer's status.
+// change proposes a change and returns the HTTP status.
 func (o rawOperator) change(ctx context.Context, req opapi.ChangeRequest) (int, error) {
 	return o.call(ctx, http.MethodPost, opapi.PathChanges, req, nil)
 }
 
-// call sends one request; the answer is read where one is wanted.
+// call sends one request and returns the HTTP status. It decodes the body of a
+// successful reply into out unless out is nil.
 func (o rawOperator) call(ctx context.Context, method, path string, in, out any) (int, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -16,13 +16,15 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Modes of the experiment.
+// Modes of the experiment: a fleet in this process, or daemons in processes of
+// their own.
 const (
 	modeInProcess = "in-process"
 	modeProcesses = "processes"
 )
 
-// What scripts/fleet.sh gives the command that it runs.
+// Environment variables and files that scripts/fleet.sh provides to the command
+// that it runs.
 const (
 	envFleetDir    = "FLEET_DIR"
 	envOperatorKey = "SAMPHIREQUAY_OPERATOR_KEY"
@@ -30,29 +32,30 @@
 	filePlatform   = "platform.json"
 )
 
-// Times of the disturbance in this process.
+// Timing of the replacement of daemons in this process.
 const (
 	deadFor      = 700 * time.Millisecond
 	betweenKills = 1500 * time.Millisecond
 )
 
-// configSite is where the configuration is changed.
+// configSite is the fleet whose configuration is changed.
 type configSite interface {
 	mode() string
 	key() string
-	// places is how many daemons there are when all run.
+	// places is the number of daemons when all are running.
 	places() int
-	// address is the operators' address at a place; empty if none runs there.
+	// address is the operator address of the daemon at a place; empty if none
+	// runs there.
 	address(place int) string
 	// inject sets a fault of a stand-in.
 	inject(f wire.Fault) error
-	// disturb kills and replaces daemons until ctx ends.
+	// churn kills and replaces daemons until ctx ends.
 	disturb(ctx context.Context)
 	close()
 }
 
-// openConfigSite attaches to the processes of the script, if it runs this
-// command, or else starts a fleet in this process.
+// openConfigSite attaches to the processes of scripts/fleet.sh if this script runs
+// the command; otherwise it starts a fleet in this process.
 func openConfigSite(ctx context.Context, env Env) (configSite, error) {
 	if dir := os.Getenv(envFleetDir); dir != "" {
 		return attachProcesses(dir)
@@ -65,7 +68,7 @@
 	return &ownFleet{fleet: f}, nil
 }
 
-// ownFleet is a fleet in this process.
+// inProcessFleet is a fleet in this process.
 type ownFleet struct{ fleet *fleet.Fleet }
 
 func (s *ownFleet) mode() string              { return modeInProcess }
@@ -85,7 +88,8 @@
 func (s *ownFleet) disturb(ctx context.Context) {
 	for place := 0; ctx.Err() == nil; place = (place + 1) % s.places() {
 		s.fleet.Kill(place)
-		// A fleet that is to end stays whole: the wait's end is no error.
+		// When ctx ends, the daemon is still replaced, so that the fleet is
+		// complete; the error of the wait is not needed.
 		_ = sleep(ctx, deadFor)
 		if s.fleet.Replace(place) != nil {
 			return
@@ -94,14 +98,15 @@
 	}
 }
 
-// processes are daemons that the script started and kills.
+// processFleet is a fleet of daemon processes. scripts/fleet.sh starts them, and
+// scripts/experiment-config.sh kills and replaces them.
 type processes struct {
 	operatorKey string
 	addresses   []string
 	control     string
 }
 
-// attachProcesses reads what the script wrote.
+// attachProcesses reads the addresses that scripts/fleet.sh wrote to dir.
 func attachProcesses(dir string) (*processes, error) {
 	p := &processes{operatorKey: os.Getenv(envOperatorKey)}
 	raw, err := os.ReadFile(filepath.Join(dir, fileDaemons))
@@ -109,10 +114,10 @@
 		return nil, err
 	}
 	for text := range strings.Lines(string(raw)) {
-		// name, process id, callers' address, operators' address
+		// The fields are name, process id, caller address and operator address.
 		fields := strings.Fields(text)
 		if len(fields) != 4 {
-			return nil, fmt.Errorf("%s: %q has no four fields", fileDaemons, text)
+			return nil, fmt.Errorf("%s: line %q does not have four fields", fileDaemons, text)
 		}
 		p.addresses = append(p.addresses, fields[3])
 	}
@@ -133,7 +138,7 @@
 func (p *processes) places() int              { return len(p.addresses) }
 func (p *processes) address(place int) string { return p.addresses[place] }
 
-// disturb does nothing: the script kills and replaces.
+// churn does nothing: scripts/experiment-config.sh kills and replaces the daemons.
 func (p *processes) disturb(context.Context) {}
 func (p *processes) close()                  {}
 
--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -13,14 +13,14 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// marked is a document whose markers have these numbers.
+// marked returns a document in which the markers have the numbers a and b.
 func marked(revision uint64, a, b int) *live.Document {
 	return &live.Document{Revision: revision, Teams: []live.Team{
 		{Name: markers[0], MaxInFlight: a}, {Name: markers[1], MaxInFlight: b},
 	}}
 }
 
-func TestWatchSeesHalfAChangeAndAWayBack(t *testing.T) {
+func TestWatcherDetectsPartialChangesAndReverts(t *testing.T) {
 	is := is.New(t)
 	w := &watch{}
 	s := &stay{inForce: map[uint64]time.Time{}}
@@ -36,18 +36,18 @@
 	is.Equal(s.newest, uint64(4))
 }
 
-func TestRaceNeedsOneWinnerAndALoserThatIsTold(t *testing.T) {
+func TestRaceNeedsOneWinnerAndANotifiedLoser(t *testing.T) {
 	is := is.New(t)
 	requests := [2]opapi.ChangeRequest{{ID: "first"}, {ID: "second"}}
-	told := exit.Errorf(exit.Conflict, "revision 3 by operator-1 (change first)")
-	untold := exit.Errorf(exit.Unavailable, "try again")
+	conflict := exit.Errorf(exit.Conflict, "revision 3 by operator-1 (change first)")
+	unavailable := exit.Errorf(exit.Unavailable, "try again")
 	c := &changing{}
-	c.judge(requests, [2]error{nil, told})
+	c.judge(requests, [2]error{nil, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 1, OneWinner: 1, LoserTold: 1})
-	c.judge(requests, [2]error{nil, untold})
+	c.judge(requests, [2]error{nil, unavailable})
 	is.Equal(c.out, ConfigFigures{Races: 2, OneWinner: 2, LoserTold: 1})
 	c.judge(requests, [2]error{nil, nil})
-	c.judge(requests, [2]error{told, told})
+	c.judge(requests, [2]error{conflict, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 4, OneWinner: 2, LoserTold: 1})
 }
 
@@ -62,12 +62,12 @@
 	is.Equal(c.missingIn(whole, seen), 0)
 	is.True(seen["a"] && seen["b"] && seen["c"])
 	late := opapi.History{Entries: []opapi.HistoryEntry{entry("b", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(late, seen), 0) // it began with a snapshot
+	is.Equal(c.missingIn(late, seen), 0) // this daemon started from a snapshot
 	moved := opapi.History{Entries: []opapi.HistoryEntry{entry("a", 1), entry("c", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(moved, seen), 2) // b is lost, c is there twice
+	is.Equal(c.missingIn(moved, seen), 2) // b is missing and c occurs twice
 }
 
-func TestFigureOfAPhaseLeavesOutTheKilled(t *testing.T) {
+func TestPhaseFiguresExcludeKilledDaemons(t *testing.T) {
 	is := is.New(t)
 	begun := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
@@ -84,11 +84,11 @@
 	p, never := c.phaseFigures(phaseCalm)
 	is.Equal(p.Samples, 2)
 	is.Equal(p.OverLimit, 1)
-	is.Equal(never, 1) // the one that goes on without it
+	is.Equal(never, 1) // the process that is still running without the change
 	is.Equal(p.P50MS, 100.0)
 }
 
-func TestAttachReadsWhatTheScriptWrote(t *testing.T) {
+func TestAttachProcessesReadsTheScriptsFiles(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	write := func(name, text string) { is.NoErr(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)) }
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// watchPause is between two looks at a daemon; it is the error of every
-	// time that the experiment gives.
+	// watchPollInterval is the time between two polls of a daemon. It limits the
+	// precision of all times that the experiment measures.
 	watchPause = 15 * time.Millisecond
-	// watchTimeout bounds one look.
+	// watchPollTimeout is the timeout of one poll.
 	watchTimeout = 2 * time.Second
 )
 
-// watch looks at the configuration in force at every place all the time.
+// configWatcher polls the configuration in force at every place. It counts reverts
+// to an older revision, and replies that hold only a part of a change.
 type watch struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -27,7 +28,9 @@
 	half   int
 }
 
-// stay is one process at one place, from its first answer to its last.
+// lifetime is the observed lifetime of one daemon process at one place: from its
+// first reply to its last. inForce holds the time at which each revision was first
+// seen in force.
 type stay struct {
 	place      int
 	from, to   time.Time
@@ -52,8 +55,8 @@
 	w.wg.Wait()
 }
 
-// follow looks at one place until ctx ends. A look without an answer, or a new
-// address, ends the stay.
+// follow polls one place until ctx ends. A failed poll or a new address ends the
+// lifetime of the process.
 func (w *watch) follow(ctx context.Context, site configSite, place int) {
 	var now *stay
 	var address string
@@ -71,7 +74,8 @@
 	}
 }
 
-// look takes one answer.
+// poll requests the configuration once. It returns the current lifetime, or nil if
+// the daemon did not reply.
 func (w *watch) look(ctx context.Context, at rawOperator, place int, now *stay) *stay {
 	once, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -92,7 +96,7 @@
 	return now
 }
 
-// note takes what a daemon has in force.
+// record updates a lifetime with the document in force at its daemon.
 func (w *watch) note(s *stay, doc *live.Document) {
 	s.to = time.Now()
 	if doc.Revision < s.newest {
@@ -108,7 +112,7 @@
 	s.newestSeen = doc
 }
 
-// end closes a stay.
+// end marks a lifetime as ended and returns nil.
 func (w *watch) end(s *stay) *stay {
 	if s == nil {
 		return nil
@@ -119,7 +123,7 @@
 	return nil
 }
 
-// markerOf is the number of a marker in a document; 0 before the first change.
+// markerOf returns the number of a marker in a document; 0 before the first change.
 func markerOf(doc *live.Document, which int) int {
 	for i := range doc.Teams {
 		if doc.Teams[i].Name == markers[which] {
--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Deployment is a site with the profile of its load and its targets.
+// Deployment is a site with its load profile and its latency targets.
 type Deployment struct {
 	Name       string
 	Site       standin.PlatformConfig
@@ -20,7 +20,7 @@
 	Pace       time.Duration
 }
 
-// Bunker is the order desk.
+// Bunker returns the deployment of the order desk.
 func Bunker() Deployment {
 	return Deployment{
 		Name: load.ProfileBunker, Site: standin.Bunker(), Profile: load.Bunker(),
@@ -28,7 +28,8 @@
 	}
 }
 
-// Companeros is the matching service, whose notes can wait a little.
+// Companeros returns the deployment of the matching service. Its first-token
+// target is the patience of the site, since its notes are not urgent.
 func Companeros() Deployment {
 	site := standin.Companeros()
 	return Deployment{
@@ -37,15 +38,16 @@
 	}
 }
 
-// Deployments are both.
+// Deployments returns all deployments.
 func Deployments() []Deployment { return []Deployment{Bunker(), Companeros()} }
 
-// Expected is the answer of the stand-in engines.
+// Expected returns the output of the stand-in engines for a prompt.
 func Expected(_, prompt string, maxTokens int) string {
 	return standin.Answer(prompt, maxTokens)
 }
 
-// Teams returns n teams of a deployment, for the fleet and for the load.
+// Teams returns n teams of a deployment, as configured in the fleet and as used by
+// the load.
 func (d Deployment) Teams(n int) ([]fleet.Team, []load.Team) {
 	var ofFleet []fleet.Team
 	var ofLoad []load.Team
@@ -58,22 +60,24 @@
 	return ofFleet, ofLoad
 }
 
-// spec is a run of load against a fleet.
+// spec returns the specification of a load run against a fleet, at a rate in
+// requests per second.
 func (d Deployment) spec(env Env, f *fleet.Fleet, teams []load.Team, rate float64) load.Spec {
 	return load.Spec{
 		Entry: f.CallerAddresses(), Teams: teams, Rate: rate, Seed: env.Seed,
 		Duration: env.Warmup + env.Duration, Warmup: env.Warmup,
 		FirstTokenTarget: d.FirstToken, PaceTarget: d.Pace,
-		// A caller that tries again after the targets have passed adds nothing
-		// to goodput; one try keeps the offered rate what it says.
+		// A retry after the targets have passed adds nothing to goodput, and a
+		// single attempt keeps the offered rate equal to Rate.
 		MaxAttempts: 1,
 		Expect:      Expected, PlainRuns: f.PlainRuns,
 	}
 }
 
-// measure sends the load and returns the account and the engines' work, both
-// without the warm-up. Waste shows only when a KV cache has outlived its time,
-// so it is counted from that much later: the waste of the work that is counted.
+// measure sends the load and returns its result and the engines' work, both
+// without the warm-up. Wasted tokens are counted only when a KV cache expires, so
+// their count starts later by the lifetime of a KV cache. It then covers the waste
+// of the counted work.
 func measure(ctx context.Context, env Env, f *fleet.Fleet, spec load.Spec) (*load.Result, fleet.Work, error) {
 	atWarm := snapshotAfter(env.Warmup, f)
 	atWaste := snapshotAfter(env.Warmup+standin.DefaultKVLife, f)
@@ -88,8 +92,8 @@
 	return res, work, ctx.Err()
 }
 
-// snapshotAfter takes the work done up to a time from now. The function that
-// it returns gives the snapshot; it is zero if the time has not come.
+// snapshotAfter takes a snapshot of the engines' work after d. The returned
+// function returns the snapshot, or zero if d has not passed yet.
 func snapshotAfter(d time.Duration, f *fleet.Fleet) func() fleet.Work {
 	var mu sync.Mutex
 	var work fleet.Work
@@ -106,14 +110,14 @@
 	}
 }
 
-// Bounds of settling.
+// Timing of settle.
 const (
 	settleTimeout = 3 * time.Second
 	settlePause   = 50 * time.Millisecond
 )
 
-// settle waits until the engines hold nothing, or for so long as cancels may
-// take; what they hold then is a fault.
+// settle waits until the engines hold no work, at most for the time that
+// cancellations may take. Work that they hold afterwards is a fault.
 func settle(ctx context.Context, f *fleet.Fleet) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -126,7 +130,7 @@
 	}
 }
 
-// faults notes what must never happen.
+// addFaults adds faults for outcomes of a run that must never occur.
 func (r *Report) faults(run string, res *load.Result, work fleet.Work) {
 	if n := res.Faults(); n > 0 {
 		r.fault("%s: lost=%d doubled=%d wrong=%d", run, res.Total.Lost, res.Total.Doubled, res.Total.Wrong)
--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -10,29 +10,31 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// domainFactor stretches the phases: a failure domain is cut off, and then
-// back, for twice the measured time.
+// domainFactor extends the phases: the cut of a failure domain and the time after
+// its return each last twice the measured duration.
 const domainFactor = 2
 
-// DomainFigures are the figures of a failure domain that was cut off.
+// DomainFigures are the results of cutting off one failure domain.
 type DomainFigures struct {
 	Domain string `json:"domain"`
 	Wrongs
-	// RestCapacity is what the rest can carry, completions a second.
+	// RestCapacity is the capacity of the remaining failure domains, in
+	// completions per second.
 	RestCapacity  float64 `json:"rest_capacity_per_second"`
 	GoodputBefore float64 `json:"goodput_before_per_second"`
 	GoodputCut    float64 `json:"goodput_cut_per_second"`
 	GoodputAfter  float64 `json:"goodput_after_per_second"`
-	// CutBackMS is how long after the cut the goodput was at 95% of what the
-	// rest can carry; ReturnBackMS how long after the return it was at 95% of
-	// what it was before. -1 if it was not.
+	// CutRecoveryMS is the time from the cut until the goodput reached 95% of
+	// what the remaining failure domains can serve. ReturnRecoveryMS is the time
+	// from the return until it reached 95% of its value before the cut. Both are
+	// -1 if it did not.
 	CutBackMS    int64          `json:"cut_back_to_95_ms"`
 	ReturnBackMS int64          `json:"return_back_to_95_ms"`
 	Ended        map[string]int `json:"ended"`
 	series       Series
 }
 
-// runDomain cuts each failure domain of the site off, one fleet for each.
+// runDomain cuts off each failure domain of the site, each in a fleet of its own.
 func runDomain(ctx context.Context, env Env) (*Report, error) {
 	domains := faultDeployment().Site.Domains
 	figures, err := each(ctx, env, domains, func(ctx context.Context, domain string) (DomainFigures, error) {
@@ -53,7 +55,7 @@
 	return report, nil
 }
 
-// domainOnce cuts one failure domain off and lets it return.
+// domainOnce cuts off one failure domain and then restores it.
 func domainOnce(ctx context.Context, env Env, domain string) (DomainFigures, error) {
 	d := faultDeployment()
 	f, attempts, err := faultFleet(ctx, env, d, nil)
@@ -66,29 +68,29 @@
 	at.rest = window{at.fault.to, at.fault.to + domainFactor*env.Duration}
 	_, teams := d.Teams(faultTeams)
 	x := newDriver(env, d, f, teams, faultLoadShare, at.rest.to)
-	struck := make(chan error, 1)
-	go func() { struck <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.fault) }()
+	injected := make(chan error, 1)
+	go func() { injected <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.fault) }()
 	x.run(ctx)
-	if err := <-struck; err != nil {
+	if err := <-injected; err != nil {
 		return DomainFigures{}, fmt.Errorf("failure domain %s: %w", domain, err)
 	}
 	if err := ctx.Err(); err != nil {
 		return DomainFigures{}, err
 	}
 	rest := BoundOf(without(d.Site, domain), d.Profile, d.FirstToken).Capacity
-	before := x.share(at.quiet)
+	shareBefore := x.share(at.quiet)
 	arriving := x.spec.Rate * (1 - d.Profile.PlainShare)
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
 		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
 		GoodputBefore: x.perSecond(at.quiet), GoodputCut: x.perSecond(at.fault), GoodputAfter: x.perSecond(at.rest),
-		CutBackMS:    x.backAfter(at.fault.from, at.fault.to, backShare*carried*before),
-		ReturnBackMS: x.backAfter(at.rest.from, at.rest.to, backShare*before),
+		CutBackMS:    x.backAfter(at.fault.from, at.fault.to, backShare*carried*shareBefore),
+		ReturnBackMS: x.backAfter(at.rest.from, at.rest.to, backShare*shareBefore),
 		Ended:        x.codes(), series: x.series(domain),
 	}, nil
 }
 
-// without is a site without the engines of a failure domain.
+// withoutDomain returns a site without the engines of a failure domain.
 func without(site standin.PlatformConfig, domain string) standin.PlatformConfig {
 	engines := site.Engines
 	site.Engines = nil
@@ -100,8 +102,8 @@
 	return site
 }
 
-// cutDomain kills all daemons of a failure domain at once, and its endpoints
-// lose all state and answer nothing until it returns.
+// cutDomain kills all daemons of a failure domain at once. Its endpoints lose all
+// state and do not reply until the fault ends.
 func cutDomain(domain string) strike {
 	var places []int
 	return strike{
@@ -129,7 +131,7 @@
 	}
 }
 
-// placesIn lists the places of a failure domain.
+// placesIn returns the places of a failure domain.
 func placesIn(f *fleet.Fleet, domain string) []int {
 	var out []int
 	for i := range f.Places() {
@@ -140,7 +142,7 @@
 	return out
 }
 
-// injectDomain sets a fault of every endpoint of a failure domain.
+// injectDomain injects a fault into every endpoint of a failure domain.
 func (s *scene) injectDomain(domain string, fault wire.Fault) error {
 	var targets []string
 	for _, e := range s.site.Engines {
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// domainLine adds the line of a failure domain.
+// addDomain adds the line and the faults of a failure domain.
 func (r *Report) domainLine(f DomainFigures) {
 	r.add("domain=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"rest_capacity=%.1f/s goodput_before=%.1f/s goodput_cut=%.1f/s goodput_after=%.1f/s "+
--- a/cmd/internal/experiment/experiment.go
+++ b/cmd/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment holds the named experiments that measure the system, and
-// the frame that they share.
+// Package experiment contains the named experiments that measure the system, and
+// the code that they share.
 package experiment
 
 import (
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Env is what an experiment gets.
+// Env holds the parameters of an experiment.
 type Env struct {
-	// Seed of all arrivals, prompts and faults.
+	// Seed determines all arrivals, prompts and faults.
 	Seed uint64
 	// Duration is how long each run measures, after the warm-up.
 	Duration time.Duration
-	// Warmup is left out of every account.
+	// Warmup is the time at the start of each run that is not measured.
 	Warmup time.Duration
-	// Parallel is how many runs go on at once.
+	// Parallel is the maximum number of concurrent runs.
 	Parallel int
-	// Daemons is the size of each fleet.
+	// Daemons is the number of daemons in each fleet.
 	Daemons int
-	// Log takes lines about the progress.
+	// Log receives progress lines; may be nil.
 	Log io.Writer
 }
 
@@ -40,22 +40,22 @@
 type Report struct {
 	Experiment string `json:"experiment"`
 	Seed       uint64 `json:"seed"`
-	// Lines are key=value lines, one for each run or comparison.
+	// Lines are lines of key=value pairs, one for each run or comparison.
 	Lines []string `json:"lines"`
-	// Data holds the full figures.
+	// Data holds all figures.
 	Data any `json:"data"`
-	// Figures are drawn as plots.
+	// Figures are the plots of the report.
 	Figures []Figure `json:"figures"`
-	// Faults lists what must not happen and did.
+	// Faults lists the failed checks of the experiment.
 	Faults []string `json:"faults"`
 }
 
-// add appends a line of key=value pairs.
+// addLine appends a line of key=value pairs.
 func (r *Report) add(format string, args ...any) {
 	r.Lines = append(r.Lines, fmt.Sprintf(format, args...))
 }
 
-// fault appends a fault.
+// addFault appends a fault.
 func (r *Report) fault(format string, args ...any) {
 	r.Faults = append(r.Faults, fmt.Sprintf(format, args...))
 }
@@ -63,28 +63,28 @@
 // Experiment is one named experiment.
 type Experiment struct {
 	Name string
-	// Short says in one line what it measures.
+	// Short is a one-line summary of what the experiment measures.
 	Short string
-	// Run measures. It returns early with an error when ctx ends.
+	// Run performs the experiment. It returns early with an error when ctx ends.
 	Run func(ctx context.Context, env Env) (*Report, error)
 }
 
 // registry holds the experiments.
 var registry = []Experiment{
-	{Name: "capacity", Short: "slopes of processor, memory and bytes that docs/CAPACITY.md is worked out from", Run: runCapacity},
+	{Name: "capacity", Short: "growth of processor time, memory and bytes with size, from which docs/CAPACITY.md is calculated", Run: runCapacity},
 	{Name: "config", Short: "time until a change is in force everywhere, while daemons are replaced and the table fails", Run: runConfig},
 	{Name: "domain", Short: "goodput when a failure domain is cut off, and when it returns", Run: runDomain},
-	{Name: "fairness", Short: "goodput of other teams beside one that floods, cancels at once or retries forever", Run: runFairness},
-	{Name: "faults", Short: "what is lost, doubled, run twice or left behind when something fails, and the time to recover", Run: runFaults},
-	{Name: "membership", Short: "time to see a death, and bytes, processor and memory of membership, at 9 to 120 daemons", Run: runMembership},
-	{Name: "overhead", Short: "time and processor that the router adds to a call, against the same stand-in called directly", Run: runOverhead},
-	{Name: "overload", Short: "what bursts come to, replayed against the scheduler, with each of its mechanisms switched off in turn", Run: runOverload},
-	{Name: "poison", Short: "engines that requests crash which are sent again, until they are quarantined, and who suffers beside them", Run: runPoison},
-	{Name: "rolling", Short: "every daemon replaced by a planned stop, then engines drained by label: what is interrupted", Run: runRolling},
+	{Name: "fairness", Short: "goodput of the other teams while one floods, cancels immediately or retries forever", Run: runFairness},
+	{Name: "faults", Short: "requests lost, doubled, run twice or left running when a component fails, and the time to recover", Run: runFaults},
+	{Name: "membership", Short: "time to detect the death of a daemon, and bytes, processor time and memory of membership, with 9 to 120 daemons", Run: runMembership},
+	{Name: "overhead", Short: "latency and processor time that the router adds to a call, compared with a direct call to the same stand-in", Run: runOverhead},
+	{Name: "overload", Short: "requests in time, late and refused in replayed bursts, with each mechanism of the scheduler switched off in turn", Run: runOverload},
+	{Name: "poison", Short: "engines crashed by resent poison requests until their quarantine, and the effect on other requests", Run: runPoison},
+	{Name: "rolling", Short: "requests interrupted while every daemon is replaced by a planned stop and engines are drained by label", Run: runRolling},
 	{Name: "routing", Short: "goodput and wasted prefill of each policy at 0.7, 0.9 and 1.1 of capacity", Run: runRouting},
 }
 
-// All lists the experiments in the order of their names.
+// All returns the experiments, sorted by name.
 func All() []Experiment {
 	return slices.SortedFunc(slices.Values(registry), func(a, b Experiment) int { return cmp.Compare(a.Name, b.Name) })
 }
@@ -99,7 +99,7 @@
 	return Experiment{}, fmt.Errorf("unknown experiment %q: known are %s", name, strings.Join(Names(), ", "))
 }
 
-// Names lists the names of the experiments.
+// Names returns the sorted names of the experiments.
 func Names() []string {
 	names := make([]string, 0, len(registry))
 	for _, e := range All() {
@@ -108,7 +108,7 @@
 	return names
 }
 
-// logf writes a line about the progress.
+// logf writes a progress line.
 func (e Env) logf(format string, args ...any) {
 	if e.Log != nil {
 		fmt.Fprintf(e.Log, format+"\n", args...)
--- a/cmd/internal/experiment/experiment_test.go
+++ b/cmd/internal/experiment/experiment_test.go
@@ -33,13 +33,15 @@
 	}
 }
 
-func TestBoundFollowsTheConstants(t *testing.T) {
+func TestBoundIsCalculatedFromTheConstants(t *testing.T) {
 	is := is.New(t)
 	d := Bunker()
 	b := BoundOf(d.Site, d.Profile, d.FirstToken)
-	// 9 engines at 20000 tokens a second, 1750 tokens each without the cache.
+	// 9 engines read 20000 tokens per second each; a prompt has 1750 tokens that
+	// are not in the cache.
 	is.True(b.Prefill > 102 && b.Prefill < 104)
-	// 36 slots, 30 tokens at 20 ms slowed by three neighbours, and the transfer.
+	// 36 slots; 30 tokens at 20 ms each, slowed down by three concurrent requests;
+	// plus the transfer.
 	is.True(b.Decode > 50 && b.Decode < 51)
 	is.Equal(b.Capacity, b.Decode)
 	is.True(b.InTime > 0.9 && b.InTime < 1)
--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -10,14 +10,15 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// fairnessTeams share the load; the last of them misbehaves.
+// fairnessTeams is the number of teams that share the load; the last one
+// misbehaves.
 const fairnessTeams = 4
 
-// fairnessLoad is the share of the capacity that all teams together ask for
-// when all behave: each asks for a fifth.
+// fairnessLoad is the load of all teams together as a share of the capacity, when
+// none misbehaves: each team uses a fifth of the capacity.
 const fairnessLoad = 0.8
 
-// fairnessPatience bounds how long the team that retries goes on.
+// fairnessPatience bounds how long the retrying team retries a request.
 const fairnessPatience = 8 * time.Second
 
 var (
@@ -27,30 +28,30 @@
 	fairnessPolicies = []settings.Policy{settings.PolicyLedger, settings.PolicyNaive}
 )
 
-// fairnessRun is one run.
+// fairnessRun is the configuration of one run.
 type fairnessRun struct {
 	behaviour load.Behaviour
 	policy    settings.Policy
 }
 
-// FairnessFigures are the figures of one run.
+// FairnessFigures are the results of one run.
 type FairnessFigures struct {
 	Behaviour load.Behaviour  `json:"behaviour"`
 	Policy    settings.Policy `json:"policy"`
-	// OthersGood is the completions of the other teams that met both targets,
-	// and OthersSent how many they sent.
+	// OthersGood is the number of completions of the other teams that met both
+	// targets, and OthersSent the number that they sent.
 	OthersGood int `json:"others_good"`
 	OthersSent int `json:"others_sent"`
-	// OthersRefused and OthersLate are those that were refused, and those that
-	// were answered but missed a target.
+	// OthersRefused and OthersLate are the numbers of their completions that were
+	// refused, and that were answered but missed a target.
 	OthersRefused int          `json:"others_refused"`
 	OthersLate    int          `json:"others_late"`
 	Result        *load.Result `json:"result"`
 	Work          fleet.Work   `json:"work"`
 }
 
-// runFairness measures what a misbehaving team costs the others. The others
-// send the same requests at the same times in every run.
+// runFairness measures how a misbehaving team affects the others. The others send
+// the same requests at the same times in every run.
 func runFairness(ctx context.Context, env Env) (*Report, error) {
 	var runs []fairnessRun
 	for _, policy := range fairnessPolicies {
@@ -66,14 +67,14 @@
 		return nil, err
 	}
 	report := &Report{Experiment: "fairness", Seed: env.Seed, Data: figures}
-	calm := map[settings.Policy]FairnessFigures{}
+	baselines := map[settings.Policy]FairnessFigures{}
 	for _, f := range figures {
 		if f.Behaviour == load.BehaviourNormal {
-			calm[f.Policy] = f
+			baselines[f.Policy] = f
 		}
 	}
 	for _, f := range figures {
-		report.fairness(f, calm[f.Policy])
+		report.fairness(f, baselines[f.Policy])
 	}
 	return report, nil
 }
@@ -84,7 +85,8 @@
 	ofFleet, ofLoad := d.Teams(fairnessTeams)
 	ofLoad[fairnessTeams-1].Behaviour = r.behaviour
 	if r.behaviour == load.BehaviourRetry {
-		// A team that retries forever hurts when it asks for more than its share.
+		// A team that retries forever affects the others only if it requests more
+		// than its share.
 		ofLoad[fairnessTeams-1].Weight = retryWeight
 	}
 	f, err := fleet.Start(ctx, fleet.Config{
@@ -111,11 +113,12 @@
 	return out, nil
 }
 
-// retryWeight is the weight of the team that retries forever.
+// retryWeight is the load weight of the team that retries forever.
 const retryWeight = 4
 
-// totalShare keeps the rate of the other teams what it is when one team's
-// weight is raised.
+// meanWeight returns the mean weight of the teams. The total rate is multiplied by
+// it, so that the rate of the other teams stays the same when the weight of one
+// team is raised.
 func totalShare(teams []load.Team) float64 {
 	var total float64
 	for _, t := range teams {
@@ -124,18 +127,19 @@
 	return total / float64(len(teams))
 }
 
-// fairness adds the line of a run: what the others got, and against the run in
-// which all behave.
-func (r *Report) fairness(f, calm FairnessFigures) {
+// addFairness adds the line of a run: the results of the other teams, and the
+// difference from the baseline run, in which no team misbehaves.
+func (r *Report) fairness(f, baseline FairnessFigures) {
 	r.add("policy=%s behaviour=%s others_sent=%d others_good=%.1f%% others_refused=%d others_late=%d calm_good=%.1f%% change=%+.1fpp "+
 		"misbehaving_requests=%d misbehaving_attempts=%d misbehaving_answered=%d lost=%d doubled=%d wrong=%d held_after_cancel=%d wasted_prefill=%.1f%% send_lag_p99=%.1fms",
-		f.Policy, f.Behaviour, f.OthersSent, f.share(), f.OthersRefused, f.OthersLate, calm.share(), f.share()-calm.share(),
+		f.Policy, f.Behaviour, f.OthersSent, f.share(), f.OthersRefused, f.OthersLate, baseline.share(), f.share()-baseline.share(),
 		f.Result.Teams[fairnessTeams-1].Requests, f.Result.Teams[fairnessTeams-1].Attempts, f.Result.Teams[fairnessTeams-1].Answered,
 		f.Result.Total.Lost, f.Result.Total.Doubled, f.Result.Total.Wrong, f.Work.HeldAfterCancel, 100*f.Work.WastedShare(), f.Result.Lag.P99MS)
 	r.faults(string(f.Policy)+" "+string(f.Behaviour), f.Result, f.Work)
 }
 
-// share is the other teams' good share, in percent.
+// share returns the share of the other teams' completions that met both targets,
+// in percent.
 func (f FairnessFigures) share() float64 {
 	if f.OthersSent == 0 {
 		return 0
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -9,27 +9,27 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/fleet"
 )
 
-// siteDaemons is the least size of the fleets that faults strike.
+// minFaultDaemons is the minimum number of daemons in a fleet with injected faults.
 const siteDaemons = 9
 
-// FaultFigures are the figures of one fault.
+// FaultFigures are the results of one injected fault.
 type FaultFigures struct {
 	Fault string `json:"fault"`
 	Wrongs
-	// GoodputBefore and GoodputDuring are in completions a second.
+	// GoodputBefore and GoodputDuring are in completions per second.
 	GoodputBefore float64 `json:"goodput_before_per_second"`
 	GoodputDuring float64 `json:"goodput_during_per_second"`
-	// BackMS is how long after the fault's begin, or its end if it lasts, the
-	// goodput was back at 95%; -1 if it was not.
+	// RecoveryMS is the time from the start of the fault, or from its end if it is
+	// lasting, until the goodput was back at 95%; -1 if it did not recover.
 	BackMS int64 `json:"back_to_95_ms"`
-	// Ended counts the requests by how they ended.
+	// Ended counts the requests by outcome and error code.
 	Ended map[string]int `json:"ended"`
-	// Errors are log lines of the daemons at level error.
+	// Errors are the first log lines of the daemons at level error.
 	Errors []string `json:"errors"`
 	series Series
 }
 
-// phases are the times of a run with one fault.
+// phases are the windows of a run before, during and after a fault.
 type phases struct{ quiet, fault, rest window }
 
 func (e Env) phases() phases {
@@ -42,8 +42,7 @@
 	}
 }
 
-// runFaults strikes a loaded fleet with one fault after the other, each fleet
-// with one.
+// runFaults injects each fault into a loaded fleet of its own.
 func runFaults(ctx context.Context, env Env) (*Report, error) {
 	figures, err := each(ctx, env, faultCases(), func(ctx context.Context, c faultCase) (FaultFigures, error) {
 		env.logf("faults fault=%s", c.name)
@@ -64,7 +63,8 @@
 	return report, nil
 }
 
-// faultFleet starts a fleet for faults and the teams of its load.
+// faultFleet starts a fleet for fault injection, with the teams of the load. The
+// log of its daemons goes to the returned attemptLog.
 func faultFleet(ctx context.Context, env Env, d Deployment, tune func(*fleet.Config)) (*fleet.Fleet, *attemptLog, error) {
 	ofFleet, _ := d.Teams(faultTeams)
 	attempts := newAttemptLog()
@@ -78,14 +78,14 @@
 	return f, attempts, err
 }
 
-// faultDeployment is the deployment that faults strike.
+// faultDeployment returns the deployment for the experiments with faults.
 func faultDeployment() Deployment {
 	d := Bunker()
 	d.Profile = faultProfile(d.Profile)
 	return d
 }
 
-// faultOnce strikes one fleet with one fault.
+// faultOnce injects one fault into one fleet.
 func faultOnce(ctx context.Context, env Env, c faultCase) (FaultFigures, error) {
 	d := faultDeployment()
 	f, attempts, err := faultFleet(ctx, env, d, nil)
@@ -98,10 +98,10 @@
 	x := newDriver(env, d, f, teams, faultLoadShare, at.rest.to)
 	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hang: &hangUps{}}
 	x.hangUp = s.hang.chosen
-	struck := make(chan error, 1)
-	go func() { struck <- strikeAt(ctx, s, c.strike, at.fault) }()
+	injected := make(chan error, 1)
+	go func() { injected <- strikeAt(ctx, s, c.strike, at.fault) }()
 	x.run(ctx)
-	if err := <-struck; err != nil {
+	if err := <-injected; err != nil {
 		return FaultFigures{}, err
 	}
 	if err := ctx.Err(); err != nil {
@@ -110,22 +110,23 @@
 	return x.figures(ctx, c, at, attempts), nil
 }
 
-// strikeAt begins a fault at the start of a window and ends it at its end.
-func strikeAt(ctx context.Context, s *scene, what strike, w window) error {
+// injectDuring starts a fault at the beginning of a window and ends it at the end
+// of the window.
+func strikeAt(ctx context.Context, s *scene, fault strike, w window) error {
 	started := time.Now()
 	if !sleepFor(ctx, w.from) {
 		return ctx.Err()
 	}
-	if err := what.begin(ctx, s); err != nil {
+	if err := fault.begin(ctx, s); err != nil {
 		return err
 	}
 	if !sleepFor(ctx, w.to-time.Since(started)) {
 		return ctx.Err()
 	}
-	return what.end(ctx, s)
+	return fault.end(ctx, s)
 }
 
-// figures sums a run up.
+// figures summarizes a run.
 func (x *driver) figures(ctx context.Context, c faultCase, at phases, attempts *attemptLog) FaultFigures {
 	from := at.fault.from
 	if c.lasting {
@@ -143,7 +144,7 @@
 	}
 }
 
-// faultLine adds the line of a fault.
+// addFaultRun adds the line and the faults of a run with an injected fault.
 func (r *Report) faultLine(f FaultFigures) {
 	r.add("fault=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"goodput_before=%.1f/s goodput_during=%.1f/s back_to_95_ms=%d",
@@ -152,7 +153,7 @@
 	r.wrong(f.Fault, f.Wrongs)
 }
 
-// wrong notes what must not have happened.
+// addAnomalies adds a fault if a run had any anomalies.
 func (r *Report) wrong(run string, w Wrongs) {
 	if w.any() {
 		r.fault("%s: lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
@@ -160,10 +161,11 @@
 	}
 }
 
-// seriesPerPlot keeps a plot readable.
+// seriesPerPlot limits the number of series in a plot, so that it is readable.
 const seriesPerPlot = 6
 
-// faultPlots draws the goodput over time, a few faults to a plot.
+// faultPlots returns plots of the goodput over time, with up to seriesPerPlot
+// faults each.
 func faultPlots(figures []FaultFigures) []Figure {
 	var out []Figure
 	for from := 0; from < len(figures); from += seriesPerPlot {
--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -8,32 +8,32 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// The stages of a request in which engines are crashed.
+// The stages of a request during which engines are crashed.
 const (
 	stagePrefill = "prefill"
 	stageDecode  = "decode"
 )
 
-// hangUps decides which callers hang up.
+// hangUps selects the callers that hang up.
 type hangUps struct{ on atomic.Bool }
 
-// chosen tells whether the caller of an arrival hangs up: half of them, while
-// the fault stands.
+// selected reports whether the caller of an arrival hangs up: about half of the
+// callers of completions do while the fault is active.
 func (h *hangUps) chosen(a load.Arrival) bool {
 	return h.on.Load() && !a.Plain && a.TextSeed%2 == 0
 }
 
-// faultCase is one line of the experiment.
+// faultCase is one injected fault of the experiment.
 type faultCase struct {
 	name   string
 	strike strike
-	// lasting says that the fault stands until its end, so that the way back
-	// begins there and not at its beginning.
+	// lasting is true if the fault has its effect until its end. The recovery
+	// time is then measured from the end, otherwise from the start.
 	lasting bool
 }
 
-// faultCases lists the faults: singly, in pairs, and twice in a row. Each call
-// makes new ones, since strikes keep what they struck.
+// faultCases returns the faults: single, in pairs, and repeated. Each call creates
+// new ones, since an injected fault stores its targets.
 func faultCases() []faultCase {
 	return append(singleFaults(), pairedFaults()...)
 }
--- a/cmd/internal/experiment/faults_journal.go
+++ b/cmd/internal/experiment/faults_journal.go
@@ -6,23 +6,23 @@
 	"sync"
 )
 
-// attemptLog reads the daemons' log lines and keeps which attempts each
-// request was given. It is an io.Writer for the log of a fleet.
+// attemptLog parses the daemons' log lines and records the attempts of each
+// request. It is an io.Writer for the log of a fleet.
 type attemptLog struct {
 	mu       sync.Mutex
 	attempts map[string][]string
-	// warnings holds the first lines at level error, for the report.
+	// errorLines holds the first lines at level error, for the report.
 	warnings []string
 }
 
-// maxWarnings bounds the kept lines.
+// maxErrorLines bounds the number of stored error lines.
 const maxWarnings = 8
 
 func newAttemptLog() *attemptLog {
 	return &attemptLog{attempts: map[string][]string{}}
 }
 
-// Write implements io.Writer; it is given whole lines.
+// Write implements io.Writer. It expects whole lines.
 func (l *attemptLog) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("level=error")) {
 		l.warn(string(p))
@@ -53,7 +53,7 @@
 	}
 }
 
-// of lists the attempts of a request.
+// attemptsOf returns the attempts of a request.
 func (l *attemptLog) of(request string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -13,39 +13,42 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// The load of the experiments with faults.
+// Parameters of the load in the experiments with faults.
 const (
 	// faultLoadShare is the rate of completions as a share of the capacity.
+	// Plain calls are sent in addition.
 	faultLoadShare = 0.7
-	// faultPatience is how long a caller keeps trying.
+	// faultPatience is how long a caller retries a request.
 	faultPatience = 12 * time.Second
-	// faultAttempts lets the patience alone end a caller's tries.
+	// faultAttempts is so high that only faultPatience ends the retries.
 	faultAttempts = 1 << 20
-	// faultMaxPrompt keeps prompts short enough to meet the targets when calm.
+	// faultMaxPrompt keeps prompts short enough to meet the targets without
+	// faults.
 	faultMaxPrompt = 3000
-	// wholeShare is the share of the completions that are not streamed.
+	// nonStreamingShare is the share of the completions that are not streamed.
 	wholeShare = 0.3
-	// keyedShare is the share of the plain calls that carry a key.
+	// keyedShare is the share of the plain calls with an idempotency key.
 	keyedShare = 0.7
-	// faultTeams share the load.
+	// faultTeams is the number of teams that share the load.
 	faultTeams = 4
-	// callersOfTeam is how many callers, each with an entry answer, a team has.
+	// callersOfTeam is the number of callers of a team; each has its own entry
+	// answer.
 	callersOfTeam = 4
-	// hangUpBound is the longest that a caller waits before it hangs up: from
-	// the queue to the end of the answer.
+	// hangUpBound is the maximum time after which a caller hangs up. Callers hang
+	// up at any stage from the queue to the end of the answer.
 	hangUpBound = 900 * time.Millisecond
 )
 
-// done is the account of one request of a driver.
+// requestRecord is the result of one request of a driver.
 type done struct {
 	load.Record
-	// Whole says that the answer came in one body.
+	// NonStreaming is true if the answer was not streamed.
 	Whole bool
-	// HungUp says that its caller hung up on purpose.
+	// HungUp is true if the caller hung up on purpose.
 	HungUp bool
 }
 
-// good tells whether a completion met both targets.
+// good reports whether a completion met both targets.
 func (d done) good(spec load.Spec) bool {
 	if d.Plain || d.Outcome != load.OutcomeAnswered || d.Fault != load.FaultNone {
 		return false
@@ -56,7 +59,7 @@
 	return d.FirstToken <= spec.FirstTokenTarget && d.Pace <= spec.PaceTarget
 }
 
-// driver sends a seeded load and keeps the account of every request.
+// driver sends a seeded load and records the result of every request.
 type driver struct {
 	fleet   *fleet.Fleet
 	spec    load.Spec
@@ -64,21 +67,23 @@
 	prompts *load.Prompts
 	callers []*load.Caller
 	whole   []*wholeCaller
-	// hangUp tells whether the caller of an arrival hangs up; may be nil.
+	// hangUp reports whether the caller of an arrival hangs up; may be nil.
 	hangUp func(load.Arrival) bool
 
 	mu      sync.Mutex
 	records []done
 }
 
-// faultProfile is the profile of a deployment with both kinds of calls.
+// faultProfile returns a profile with short prompts, and with plain calls both
+// with and without idempotency keys.
 func faultProfile(p load.Profile) load.Profile {
 	p.MaxPromptTokens = faultMaxPrompt
 	p.NonIdempotentShare = keyedShare
 	return p
 }
 
-// newDriver returns a driver of a load at a share of a deployment's capacity.
+// newDriver returns a driver whose completions use a share of a deployment's
+// capacity.
 func newDriver(env Env, d Deployment, f *fleet.Fleet, teams []load.Team, share float64, duration time.Duration) *driver {
 	bound := BoundOf(d.Site, d.Profile, d.FirstToken)
 	spec := load.Spec{
@@ -103,13 +108,13 @@
 	return x
 }
 
-// callerOf is the caller that sends an arrival.
+// callerOf returns the index of the caller that sends an arrival.
 func callerOf(a load.Arrival) int { return a.Team*callersOfTeam + a.Number%callersOfTeam }
 
-// run sends every arrival at its time and waits for all answers.
+// run sends every arrival at its scheduled time and waits for all answers.
 func (x *driver) run(ctx context.Context) { x.runUntil(ctx, ctx) }
 
-// runUntil is run that sends nothing more once until has ended.
+// runUntil is run, but sends no more arrivals once until has ended.
 func (x *driver) runUntil(ctx, until context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -122,7 +127,7 @@
 	}
 }
 
-// send sends one request and books it.
+// send sends one request and records the result.
 func (x *driver) send(ctx context.Context, a load.Arrival) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -140,13 +145,13 @@
 	x.records = append(x.records, rec)
 }
 
-// hangUpAfter is how long a caller that hangs up waits.
+// hangUpAfter returns the time after which the caller of an arrival hangs up.
 func hangUpAfter(a load.Arrival) time.Duration {
 	rng := rand.New(rand.NewPCG(a.TextSeed, 2))
 	return time.Duration(rng.Int64N(int64(hangUpBound)))
 }
 
-// sendBy sends a plain call, a streamed completion or one with a whole answer.
+// sendByKind sends a plain call, a streamed completion or a non-streaming one.
 func (x *driver) sendBy(ctx context.Context, a load.Arrival) done {
 	profile := x.spec.Teams[a.Team].Profile
 	if a.Plain {
@@ -161,7 +166,7 @@
 	return x.sendWhole(ctx, a, prompt, profile.OutputTokens)
 }
 
-// sendWhole sends a completion that is answered with one body.
+// sendNonStreaming sends a completion that is answered in one body.
 func (x *driver) sendWhole(ctx context.Context, a load.Arrival, prompt string, tokens int) done {
 	ctx, cancel := context.WithTimeout(ctx, x.spec.Patience)
 	defer cancel()
@@ -182,7 +187,7 @@
 	return done{Record: rec, Whole: true}
 }
 
-// wholeFault names what is wrong with a whole answer.
+// answerFault classifies the text of a complete answer.
 func wholeFault(text, expected string) load.Fault {
 	switch {
 	case text == expected:
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -10,23 +10,26 @@
 )
 
 const (
-	// backShare of the goodput before the fault counts as back to normal.
+	// recoveredShare is the share of the goodput before a fault that counts as
+	// recovered.
 	backShare = 0.95
-	// backWindow and backStep bound the time over which goodput is taken.
+	// recoveryWindow is the length of the window in which goodput is measured;
+	// recoveryStep is the step by which it moves.
 	backWindow = time.Second
 	backStep   = 100 * time.Millisecond
-	// orphanGrace is how long after the load engines may still hold work.
+	// orphanGrace is how long engines may hold work after the load has ended.
 	orphanGrace = 6 * time.Second
 	orphanPause = 100 * time.Millisecond
-	// notBack is the time of a goodput that did not come back.
+	// notRecovered stands for a recovery time if there was no recovery.
 	notBack = -1
 )
 
-// window is a time of a run, since its start.
+// window is a period of a run, as offsets from its start.
 type window struct{ from, to time.Duration }
 
-// goodput is the completions that arrived in a window and met both targets,
-// and all that arrived, without those whose callers hung up.
+// goodput counts the completions that arrived in a window and met both targets,
+// and all completions that arrived in it. Both exclude completions whose callers
+// hung up.
 func (x *driver) goodput(w window) (good, all int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -42,13 +45,13 @@
 	return good, all
 }
 
-// perSecond is the goodput of a window, in completions a second.
+// perSecond returns the goodput of a window, in completions per second.
 func (x *driver) perSecond(w window) float64 {
 	good, _ := x.goodput(w)
 	return float64(good) / (w.to - w.from).Seconds()
 }
 
-// share is the part of the completions of a window that met both targets.
+// share returns the share of the completions of a window that met both targets.
 func (x *driver) share(w window) float64 {
 	good, all := x.goodput(w)
 	if all == 0 {
@@ -57,9 +60,9 @@
 	return float64(good) / float64(all)
 }
 
-// backAfter finds how long after a time the share of good completions is at
-// least a bound: in the second that follows, and in all the rest of the run.
-// It is notBack if that doesn't come.
+// recoveryTime returns the time in milliseconds from from until the share of good
+// completions is at least bound, both within the next recoveryWindow and over the
+// whole time up to end. It returns notRecovered if there is no such time.
 func (x *driver) backAfter(from, end time.Duration, bound float64) int64 {
 	for t := from; t+backWindow <= end; t += backStep {
 		if x.share(window{t, t + backWindow}) >= bound && x.share(window{t, end}) >= bound {
@@ -69,7 +72,7 @@
 	return notBack
 }
 
-// series is the goodput over the run, for a figure.
+// series returns the goodput over the run, for a figure.
 func (x *driver) series(name string) Series {
 	s := Series{Name: name}
 	for t := time.Duration(0); t+backWindow/2 <= x.spec.Duration; t += backWindow / 2 {
@@ -79,7 +82,7 @@
 	return s
 }
 
-// Wrongs are the things that must not happen.
+// Anomalies counts events that must not occur.
 type Wrongs struct {
 	Lost         int `json:"lost"`
 	Doubled      int `json:"doubled"`
@@ -87,15 +90,15 @@
 	Orphans      int `json:"orphans"`
 	NotRunButRan int `json:"not_run_but_ran"`
 	Wrong        int `json:"wrong"`
-	// Violations are invariants that the daemons saw broken.
+	// Violations is the number of invariant violations that the daemons detected.
 	Violations uint64 `json:"violations"`
 }
 
-// any tells whether one of them happened.
+// any reports whether there was an anomaly.
 func (w Wrongs) any() bool { return w != Wrongs{} }
 
-// wrongs counts what must not have happened in a run. It waits until the
-// engines hold nothing, at most orphanGrace.
+// anomalies counts the anomalies of a run. It first waits until the engines hold no
+// work, at most orphanGrace.
 func (x *driver) wrongs(ctx context.Context, attempts *attemptLog) Wrongs {
 	w := Wrongs{Orphans: orphansLeft(ctx, x.fleet), Violations: x.fleet.Violations()}
 	runs := x.fleet.PlainRuns()
@@ -135,9 +138,9 @@
 	}
 }
 
-// lost tells whether an answer that was begun never came whole, or a keyed
-// call was answered that never ran. A caller whose patience ended while the
-// answer was still coming has given it up.
+// lost reports whether an answer began but was not completed, or whether a call
+// with an idempotency key was answered but never ran. An answer is not lost if the
+// caller hung up or its patience ended first.
 func (d done) lost(runs map[string]int) bool {
 	switch {
 	case d.HungUp:
@@ -152,7 +155,7 @@
 	}
 }
 
-// anyOf tells whether one of the attempts was run.
+// anyDecoded reports whether one of the attempts was decoded by an engine.
 func anyOf(attempts []string, decoded map[string]int) bool {
 	for _, a := range attempts {
 		if decoded[a] > 0 {
@@ -162,8 +165,8 @@
 	return false
 }
 
-// orphansLeft waits until the engines hold nothing and returns what they
-// hold after the grace. Answers that are kept for a resume don't count.
+// orphansLeft waits until the engines hold no requests, at most orphanGrace, and
+// returns the number that they still hold. Answers kept for a resume don't count.
 func orphansLeft(ctx context.Context, f *fleet.Fleet) int {
 	clients := endpoints.New(nil)
 	deadline := time.Now().Add(orphanGrace)
@@ -178,7 +181,7 @@
 // stageFinished is the stage of an answer that is kept for a resume.
 const stageFinished = "finished"
 
-// heldAtEngines counts the requests that the engines list.
+// heldAtEngines counts the unfinished requests that the engines list.
 func heldAtEngines(ctx context.Context, f *fleet.Fleet, clients *endpoints.Set) int {
 	held := 0
 	for _, address := range f.EngineAddresses() {
@@ -195,7 +198,7 @@
 	return held
 }
 
-// codes counts how the requests ended, for the data.
+// codes counts the requests by outcome and error code, for the data.
 func (x *driver) codes() map[string]int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -13,16 +13,17 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// scene is what a fault strikes.
+// faultTarget is the fleet, with its site and callers, that faults are injected
+// into.
 type scene struct {
 	fleet *fleet.Fleet
 	site  standin.PlatformConfig
 	rng   *rand.Rand
-	// hang makes callers hang up while it is set.
+	// hang selects the callers that hang up.
 	hang *hangUps
 }
 
-// strike is a fault that begins and ends.
+// injection is a fault with a start and an end.
 type strike struct {
 	begin func(ctx context.Context, s *scene) error
 	end   func(ctx context.Context, s *scene) error
@@ -30,12 +31,12 @@
 
 func nothing(context.Context, *scene) error { return nil }
 
-// Bounds of the strikes.
+// Parameters of the faults.
 const (
-	// stageWait bounds the wait for an engine in the wanted stage.
+	// stageWait bounds the wait for an engine with a request in the wanted stage.
 	stageWait  = time.Second
 	stagePause = 2 * time.Millisecond
-	// betweenStrikes is the time between two of the same fault.
+	// repeatPause is the time between two injections of the same fault.
 	betweenStrikes = 700 * time.Millisecond
 	slowFactor     = 8.0
 	slowTableMS    = 600
@@ -43,8 +44,8 @@
 	stalledEngines = 3
 )
 
-// killDaemon kills a daemon that does not schedule the pool; a new one takes
-// its place at the end.
+// killDaemon kills a daemon that does not schedule the pool, and replaces it at the
+// end.
 func killDaemon() strike {
 	place := -1
 	return strike{
@@ -57,20 +58,21 @@
 	}
 }
 
-// someDaemon draws a place where a daemon runs, other than one.
-func (s *scene) someDaemon(other int) int {
+// randomDaemon returns a random place where a daemon runs, other than the excluded
+// place.
+func (s *scene) someDaemon(excluded int) int {
 	for {
 		i := s.rng.IntN(s.fleet.Places())
-		if i != other && s.fleet.Daemon(i) != nil {
+		if i != excluded && s.fleet.Daemon(i) != nil {
 			return i
 		}
 	}
 }
 
-// owner is the place of the daemon that schedules the pool.
+// owner returns the place of the daemon that schedules the pool.
 func (s *scene) owner() int { return s.fleet.Owner(id.Pool(s.site.ModelService)) }
 
-// killOwner kills the daemon that schedules the pool.
+// killOwner kills the daemon that schedules the pool, and replaces it at the end.
 func killOwner() strike {
 	place := -1
 	return strike{
@@ -83,7 +85,7 @@
 	}
 }
 
-// crashEngine crashes an engine that is in a stage of a request.
+// crashEngine crashes an engine that has a request in the given stage.
 func crashEngine(stage string) strike {
 	return strike{end: nothing, begin: func(ctx context.Context, s *scene) error {
 		name := s.engineIn(ctx, stage)
@@ -91,7 +93,8 @@
 	}}
 }
 
-// engineIn finds an engine that is in a stage; after the wait, any of the role.
+// findEngine returns an engine that has a request in the given stage. If there is
+// none within stageWait, it returns any engine of the role.
 func (s *scene) engineIn(ctx context.Context, stage string) string {
 	clients := endpoints.New(nil)
 	deadline := time.Now().Add(stageWait)
@@ -120,7 +123,7 @@
 	return false
 }
 
-// roleOf is the role of the engines that have a stage.
+// roleOf returns the role of the engines that have a stage.
 func roleOf(stage string) string {
 	if stage == standin.RolePrefill {
 		return standin.RolePrefill
@@ -128,7 +131,7 @@
 	return standin.RoleDecode
 }
 
-// engines lists the engines of a role, by their places in the site.
+// engines returns the indexes of the engines of a role in the site.
 func (s *scene) engines(role string) []int {
 	var out []int
 	for i, e := range s.site.Engines {
@@ -139,7 +142,7 @@
 	return out
 }
 
-// standing is a fault of some stand-ins that lasts.
+// standInFault returns a fault of some stand-ins: on starts it and off ends it.
 func standing(targets func(s *scene) []string, on, off wire.Fault) strike {
 	apply := func(s *scene, f wire.Fault) error {
 		for _, target := range targets(s) {
@@ -160,7 +163,7 @@
 	return func(*scene) []string { return targets }
 }
 
-// firstOf names the first engines of each role.
+// firstOf returns the names of the first n engines of each role.
 func firstOf(n int, roles ...string) func(*scene) []string {
 	return func(s *scene) []string {
 		var out []string
@@ -175,7 +178,7 @@
 
 func value[T any](v T) *T { return &v }
 
-// staleHosts replaces a daemon while the host list goes on naming the old one.
+// staleHosts replaces a daemon while the host list still contains the old one.
 func staleHosts() strike {
 	return strike{
 		begin: func(_ context.Context, s *scene) error {
@@ -193,7 +196,8 @@
 	}
 }
 
-// oneWayLoss loses all that the pool's owner sends to every other place.
+// oneWayLoss drops all messages from the pool's owner to every second place, but
+// not those in the other direction.
 func oneWayLoss() strike {
 	place := -1
 	return strike{
@@ -211,7 +215,7 @@
 	}
 }
 
-// callersHangUp makes half of the callers hang up at any time.
+// callersHangUp makes about half of the callers hang up at random times.
 func callersHangUp() strike {
 	set := func(on bool) func(context.Context, *scene) error {
 		return func(_ context.Context, s *scene) error {
@@ -222,7 +226,7 @@
 	return strike{begin: set(true), end: set(false)}
 }
 
-// both makes two faults at once.
+// combine injects two faults, b right after a.
 func both(a, b strike) strike {
 	join := func(x, y func(context.Context, *scene) error) func(context.Context, *scene) error {
 		return func(ctx context.Context, s *scene) error {
@@ -235,7 +239,7 @@
 	return strike{begin: join(a.begin, b.begin), end: join(a.end, b.end)}
 }
 
-// twice makes a fault two times in a row.
+// inSequence injects two faults with a pause between them.
 func twice(a, b strike) strike {
 	pause := strike{end: nothing, begin: func(ctx context.Context, _ *scene) error {
 		sleepFor(ctx, betweenStrikes)
--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_tap.go
@@ -13,17 +13,18 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// tailBytes is how much of the end of an answer is kept, to read its error.
+// tailBytes is the length of the end of an answer that is kept, to read an error
+// event from it.
 const tailBytes = 2048
 
-// doneLine ends a stream that is whole.
+// doneLine is at the end of every complete stream.
 const doneLine = "data: [DONE]"
 
 // keyCount counts the attempts under one idempotency key.
 type keyCount struct{ attempts, notRun int }
 
-// tap watches what the callers of a run are told. It stands between their
-// HTTP client and the connections.
+// observer is an HTTP transport that records the results that the callers of a run
+// receive. It wraps the transport of their HTTP client.
 type tap struct {
 	base http.RoundTripper
 
@@ -31,7 +32,8 @@
 	// notRun holds the ids of new completions that were refused as not run.
 	notRun map[string]bool
 	keys   map[string]*keyCount
-	// broken counts answers and connections that broke while the caller waited.
+	// broken counts the answers and connections that failed while the caller was
+	// waiting.
 	broken int
 }
 
@@ -44,7 +46,8 @@
 	resp, err := t.base.RoundTrip(req)
 	t.countKey(req, resp)
 	if err != nil {
-		// An old address that gives no entry answer interrupts no request.
+		// A failed request for an entry answer, for example at an old address,
+		// interrupts no completion or call.
 		if req.Context().Err() == nil && req.URL.Path != opapi.PathEntry {
 			t.addBroken()
 		}
@@ -61,14 +64,15 @@
 	return resp, nil
 }
 
-// CloseIdleConnections lets http.Client close what nobody uses.
+// CloseIdleConnections lets http.Client close the idle connections of the wrapped
+// transport.
 func (t *tap) CloseIdleConnections() {
 	if c, ok := t.base.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
-// countKey books an attempt under an idempotency key.
+// countKey counts an attempt under an idempotency key.
 func (t *tap) countKey(req *http.Request, resp *http.Response) {
 	key := req.Header.Get(opapi.HeaderIdempotencyKey)
 	if key == "" {
@@ -93,7 +97,7 @@
 	t.broken++
 }
 
-// brokenSoFar is the number of answers that broke so far.
+// brokenCount returns the number of answers and connections that have failed.
 func (t *tap) brokenSoFar() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +113,7 @@
 	t.notRun[request] = true
 }
 
-// refusedKeys lists the keys of which every attempt was refused as not run.
+// refusedKeys returns the keys whose attempts were all refused as not run.
 func (t *tap) refusedKeys() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +126,7 @@
 	return out
 }
 
-// refusedRequests lists the completions that were refused as not run.
+// refusedRequests returns the ids of the completions that were refused as not run.
 func (t *tap) refusedRequests() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,7 +137,7 @@
 	return out
 }
 
-// tappedBody keeps the end of an answer and sees whether it broke.
+// observedBody keeps the end of an answer and detects whether it is incomplete.
 type tappedBody struct {
 	io.ReadCloser
 	tap    *tap
@@ -158,7 +162,8 @@
 	return n, err
 }
 
-// end reads the error event at the end of a stream, or sees that it broke.
+// end reads the error event at the end of a stream, or counts the answer as broken
+// if it is incomplete.
 func (b *tappedBody) end(err error) {
 	if !errors.Is(err, io.EOF) {
 		if b.ctx.Err() == nil {
@@ -179,7 +184,7 @@
 	}
 }
 
-// lastError reads the error event that a stream ended with.
+// lastError decodes the last error event in the end of a stream.
 func lastError(tail []byte) (opapi.ErrorDetail, bool) {
 	at := bytes.LastIndex(tail, []byte("event: error"))
 	if at < 0 {
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -18,7 +18,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// roundTrip answers every request alike.
+// roundTrip is a transport that calls a function for every request.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-// through sends one request through a tap and reads its answer to the end.
+// exchange sends one request through an observer and reads the answer to its end.
 func through(t *testing.T, x *tap, path string, header, answer http.Header, body io.Reader) {
 	t.Helper()
 	x.base = roundTrip(func(*http.Request) (*http.Response, error) {
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.Copy(io.Discard, resp.Body) // how it ends is what the tap must see
+	_, _ = io.Copy(io.Discard, resp.Body) // the observer has to record how it ends
 }
 
 func headerOf(name, value string) http.Header {
@@ -62,7 +62,7 @@
 
 const errorEvent = "event: error\ndata: {\"error\":{\"verdict\":\"not-run\",\"code\":\"overloaded\",\"request\":\"r1\"}}\n\n"
 
-func TestTapSeesHowStreamsEnd(t *testing.T) {
+func TestObserverDetectsHowStreamsEnd(t *testing.T) {
 	is := is.New(t)
 	x := newTap(nil)
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\ndata: [DONE]\n\n"))
@@ -71,17 +71,17 @@
 	is.Equal(x.brokenSoFar(), 0)
 	is.Equal(x.refusedRequests(), []string{"r1"})
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\n"))
-	is.Equal(x.brokenSoFar(), 1) // ended without its end
+	is.Equal(x.brokenSoFar(), 1) // ended without its last line
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), brokenBody{strings.NewReader("data: {}\n\n")})
 	is.Equal(x.brokenSoFar(), 2)
 }
 
-func TestTapChecksOnlyNewRequestsAndWholeKeys(t *testing.T) {
+func TestObserverChecksOnlyNewRequestsAndAllAttemptsOfAKey(t *testing.T) {
 	is := is.New(t)
 	x := newTap(nil)
 	resumed := headerOf(opapi.HeaderLastEventID, "token")
 	through(t, x, opapi.PathCompletions, resumed, stream(), strings.NewReader(errorEvent))
-	is.Equal(len(x.refusedRequests()), 0) // it ran before, and its caller knows
+	is.Equal(len(x.refusedRequests()), 0) // the resumed request had already run
 	refused := headerOf(opapi.HeaderVerdict, verdict.NotRun.String())
 	key := headerOf(opapi.HeaderIdempotencyKey, "k1")
 	through(t, x, "/services/desk/x", key, refused, strings.NewReader(""))
@@ -90,7 +90,7 @@
 	is.Equal(len(x.refusedKeys()), 0) // the second attempt ran
 }
 
-func TestTapCountsConnectionsButNotEntryAsks(t *testing.T) {
+func TestObserverCountsConnectionsButNotEntryRequests(t *testing.T) {
 	is := is.New(t)
 	x := newTap(roundTrip(func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF }))
 	for _, path := range []string{opapi.PathEntry, opapi.PathCompletions} {
@@ -106,7 +106,7 @@
 	is.NoErr(err)
 	_, err = x.RoundTrip(req)
 	is.True(err != nil)
-	is.Equal(x.brokenSoFar(), 1) // the caller hung up itself
+	is.Equal(x.brokenSoFar(), 1) // the caller itself hung up
 }
 
 func TestAttemptLogJoinsRequestsAndAttempts(t *testing.T) {
@@ -127,7 +127,8 @@
 	is.True(!anyOf(l.of("R"), map[string]int{"B": 1}))
 }
 
-// recorded is a driver that was answered in time, but for a time of the run.
+// recorded returns a driver whose requests were answered in time, except for those
+// that arrived between badFrom and badTo.
 func recorded(badFrom, badTo time.Duration) *driver {
 	x := &driver{spec: load.Spec{Duration: 10 * time.Second, FirstTokenTarget: time.Second, PaceTarget: time.Second}}
 	for at := time.Duration(0); at < x.spec.Duration; at += 20 * time.Millisecond {
@@ -140,18 +141,18 @@
 	return x
 }
 
-func TestBackAfterFindsTheEndOfABadTime(t *testing.T) {
+func TestRecoveryTimeFindsTheEndOfABadPeriod(t *testing.T) {
 	is := is.New(t)
 	x := recorded(4*time.Second, 6*time.Second)
 	is.Equal(x.perSecond(window{0, 4 * time.Second}), 50.0)
 	is.Equal(x.perSecond(window{4 * time.Second, 6 * time.Second}), 0.0)
-	back := x.backAfter(4*time.Second, 10*time.Second, 0.95)
-	is.True(back >= 1800 && back <= 2000) // a second of which 95% are good
+	recovery := x.backAfter(4*time.Second, 10*time.Second, 0.95)
+	is.True(recovery >= 1800 && recovery <= 2000) // the start of the first second with 95% good completions
 	is.Equal(x.backAfter(7*time.Second, 10*time.Second, 0.95), int64(0))
 	is.Equal(recorded(4*time.Second, 10*time.Second).backAfter(4*time.Second, 10*time.Second, 0.95), int64(notBack))
 }
 
-func TestLostIsWhatWasBegunAndNeverCameWhole(t *testing.T) {
+func TestLostAreAnswersThatBeganAndWereNotCompleted(t *testing.T) {
 	is := is.New(t)
 	begun := load.Record{OutputTokens: 3, Outcome: load.OutcomeFailed}
 	is.True(done{Record: begun}.lost(nil))
@@ -166,7 +167,7 @@
 	is.Equal(wholeFault("a x ", "a b "), load.FaultWrong)
 }
 
-func TestWrongsAreFaultsOfTheReport(t *testing.T) {
+func TestAnomaliesAreFaultsOfTheReport(t *testing.T) {
 	is := is.New(t)
 	r := &Report{}
 	r.faultLine(FaultFigures{Fault: "calm"})
@@ -176,7 +177,7 @@
 	is.True(strings.HasPrefix(r.Lines[1], "fault=bad lost=0 doubled=0 ran_twice=0 orphans=1 "))
 }
 
-func TestFaultCasesHaveNamesOfTheirOwn(t *testing.T) {
+func TestFaultCasesHaveUniqueNames(t *testing.T) {
 	is := is.New(t)
 	var names []string
 	for _, c := range faultCases() {
@@ -196,7 +197,7 @@
 	}
 }
 
-func TestPoisonReportNamesWhatWentWrong(t *testing.T) {
+func TestPoisonReportListsFaults(t *testing.T) {
 	is := is.New(t)
 	good := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 3}, {Poisons: 3, Crashes: 9}}, Lifted: true}
 	is.Equal(len(poisonReport(Env{}, good).Faults), 0)
@@ -204,7 +205,7 @@
 	is.Equal(len(poisonReport(Env{}, bad).Faults), 4)
 }
 
-func TestRollingReportNamesWhatWentWrong(t *testing.T) {
+func TestRollingReportListsFaults(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(rollingReport(Env{}, RollingFigures{Drained: 4, Undrained: 4}).Faults), 0)
 	bad := RollingFigures{Interrupted: 1, Drained: 4, Undrained: 4, WorkAfterLeave: 1, Wrongs: Wrongs{Lost: 1}}
--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -15,15 +15,15 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// Bounds of a caller that asks for whole answers.
+// Parameters of callers that request non-streaming answers.
 const (
 	wholeRetryPause = 50 * time.Millisecond
 	entryAskTimeout = 2 * time.Second
 )
 
-// wholeCaller sends completions that are answered with one body. It follows
-// the entry answer and sends again when a connection broke or the answer says
-// that it was not run and when to come back.
+// nonStreamingCaller sends completions that are answered in one body. It uses the
+// addresses of the entry answer. It retries if the request failed without an
+// answer, or if the completion was refused as not run with an advised retry delay.
 type wholeCaller struct {
 	client *http.Client
 	key    string
@@ -35,14 +35,14 @@
 	expires time.Time
 }
 
-// wholeReply is one answer to one completion.
+// completionReply is the answer to one completion request: its text or its error.
 type wholeReply struct {
 	status int
 	text   string
 	failed opapi.ErrorDetail
 }
 
-// pick draws an address of the entry answer in force.
+// pick returns a random address of the current entry answer.
 func (c *wholeCaller) pick(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,8 @@
 	return c.known[c.rng.IntN(len(c.known))], nil
 }
 
-// renew asks the known addresses for an entry answer, in random order.
+// renew requests an entry answer from the known addresses, in random order, until
+// one returns it.
 func (c *wholeCaller) renew(ctx context.Context) error {
 	c.rng.Shuffle(len(c.known), func(i, j int) { c.known[i], c.known[j] = c.known[j], c.known[i] })
 	var last error
@@ -74,22 +75,22 @@
 	return eris.Wrap(last, "no address gave an entry answer")
 }
 
-// spread draws a time between the advised one and half of it more, so that
-// callers don't come back together.
+// jitter returns a random delay between the advised one and 1.5 times that, so that
+// callers don't retry at the same time.
 func (c *wholeCaller) spread(advised time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return advised + time.Duration(c.rng.Int64N(int64(advised/2)+1))
 }
 
-// expire makes the next pick ask for a new entry answer.
+// expire makes the next pick request a new entry answer.
 func (c *wholeCaller) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// askEntry gets the entry answer of an address.
+// fetchEntry requests an entry answer from an address.
 func askEntry(ctx context.Context, client *http.Client, address string) (opapi.EntryAnswer, error) {
 	var answer opapi.EntryAnswer
 	ctx, cancel := context.WithTimeout(ctx, entryAskTimeout)
@@ -112,26 +113,28 @@
 	return answer, nil
 }
 
-// complete sends until the whole answer came, an error ends it, or ctx ends.
+// complete sends a completion until it is answered or refused for good, or until
+// ctx ends.
 func (c *wholeCaller) complete(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
 	for {
 		reply, err := c.try(ctx, prompt, maxTokens)
 		if err == nil && !again(reply) {
 			return reply, nil
 		}
-		wait := wholeRetryPause
+		delay := wholeRetryPause
 		if err != nil {
 			c.expire()
 		} else {
-			wait = c.spread(time.Duration(reply.failed.RetryAfterMS) * time.Millisecond)
+			delay = c.spread(time.Duration(reply.failed.RetryAfterMS) * time.Millisecond)
 		}
-		if !sleepFor(ctx, wait) {
+		if !sleepFor(ctx, delay) {
 			return reply, ctx.Err()
 		}
 	}
 }
 
-// again tells whether a caller sends a refused completion once more.
+// shouldRetry reports whether a caller retries after a reply: the completion was
+// refused as not run, and the reply advises a retry delay.
 func again(r wholeReply) bool {
 	return r.status != http.StatusOK && r.failed.Verdict == verdict.NotRun.String() && r.failed.RetryAfterMS > 0
 }
@@ -144,7 +147,7 @@
 	return askWhole(ctx, c.client, address, c.key, opapi.CompletionRequest{Model: c.model, Prompt: prompt, MaxTokens: maxTokens})
 }
 
-// askWhole sends one completion to one daemon.
+// postCompletion sends one non-streaming completion to one daemon.
 func askWhole(ctx context.Context, client *http.Client, address, key string, body opapi.CompletionRequest) (wholeReply, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -178,7 +181,7 @@
 	return reply, nil
 }
 
-// sleepFor waits; it reports false if ctx ended before.
+// sleepFor waits for d; it returns false if ctx ended first.
 func sleepFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/cmd/internal/experiment/figure.go
+++ b/cmd/internal/experiment/figure.go
@@ -21,7 +21,7 @@
 
 // Figure is one plot.
 type Figure struct {
-	// Name is the file's name, without its ending.
+	// Name is the file name without the extension.
 	Name   string   `json:"name"`
 	Title  string   `json:"title"`
 	XLabel string   `json:"x_label"`
@@ -35,10 +35,11 @@
 	figureHeight = 10 * vg.Centimeter
 )
 
-// Write writes a report as JSON, and its figures as SVG, under a folder.
+// Write writes a report as JSON, and its figures as SVG, to a directory. It creates
+// the directory if needed.
 func (r *Report) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return eris.Wrap(err, "folder of the report")
+		return eris.Wrap(err, "create the report directory")
 	}
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// write draws the figure.
+// write draws the figure and saves it as SVG in a directory.
 func (f Figure) write(dir string) error {
 	p := plot.New()
 	p.Title.Text = f.Title
--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -8,54 +8,55 @@
 	"github.com/samphirequay/samphirequay/core/member"
 )
 
-// Sizes of the experiment.
+// Numbers of members and modes of the runs.
 var (
 	membershipSizes = []int{9, 30, 60, 120}
 	membershipModes = []member.Mode{member.Mesh, member.Partial}
 )
 
 const (
-	// membershipLoaded is the size of the run beside a loaded processor.
+	// membershipLoaded is the number of members in the run with busy processors.
 	membershipLoaded = 30
-	// membershipKills is how many members are killed in a run, one by one.
+	// membershipKills is the number of members killed in a run, one after the other.
 	membershipKills = 4
-	// membershipTarget is the fleet's size that the fits are held against.
+	// membershipTarget is the fleet size that the fits are extrapolated to.
 	membershipTarget = 420
-	// membershipSteady is how long bytes and processor time are taken.
+	// membershipSteady is how long bytes and processor time are measured.
 	membershipSteady = 8 * time.Second
-	// membershipDomains is how many failure domains the members are dealt to.
+	// membershipDomains is the number of failure domains of the members.
 	membershipDomains = 5
 )
 
-// The letter's limits for control, a daemon.
+// Limits for the control traffic and its cost, per daemon.
 const (
 	limitBytesPerSecond = 12e3
 	limitCores          = 0.041
 	limitMemoryBytes    = 128e6
 )
 
-// membershipRun is one run.
+// membershipRun is the configuration of one run.
 type membershipRun struct {
 	mode   member.Mode
 	size   int
 	loaded bool
 }
 
-// MembershipFigures are the figures of one run. Bytes, cores and memory are of
-// one daemon: those of the process by the number of members.
+// MembershipFigures are the results of one run. Traffic, cores and memory are per
+// daemon: the values of the process divided by the number of members.
 type MembershipFigures struct {
 	Mode    member.Mode `json:"mode"`
 	Members int         `json:"members"`
-	// Loaded says that every processor was kept busy beside it.
+	// Loaded is true if all processors were kept busy during the run.
 	Loaded bool `json:"loaded"`
-	// LoadAverage is the host's, of one minute, at the end of the run.
+	// LoadAverage is the one-minute load average of the host at the end of the run.
 	LoadAverage float64 `json:"load_average"`
 	JoinSeconds float64 `json:"join_seconds"`
 	Kills       int     `json:"kills"`
 	DetectP50   float64 `json:"detect_p50_seconds"`
 	DetectP99   float64 `json:"detect_p99_seconds"`
 	DetectMax   float64 `json:"detect_max_seconds"`
-	// FalseInJoin are false deaths before all had met, FalseDeaths those after.
+	// FalseInJoin counts the false deaths reported until the traffic was steady
+	// after the join; FalseDeaths counts those after that.
 	FalseInJoin  int     `json:"false_deaths_in_join"`
 	FalseDeaths  int     `json:"false_deaths"`
 	Undetected   int     `json:"undetected"`
@@ -69,8 +70,8 @@
 	ProcessBytes float64 `json:"process_bytes"`
 }
 
-// runMembership runs the sizes one after the other: each takes the host's
-// processors for itself.
+// runMembership performs the runs one after the other, so that each has the host's
+// processors to itself.
 func runMembership(ctx context.Context, env Env) (*Report, error) {
 	report := &Report{Experiment: "membership", Seed: env.Seed}
 	report.add("setup=one-process duties=membership transports=quic-each-on-its-own-socket steady=%s domains=%d", membershipSteady, membershipDomains)
@@ -103,7 +104,7 @@
 	return runs
 }
 
-// memberOnce starts the members, measures them at rest, and kills some.
+// memberOnce starts the members, measures them at idle, and kills some.
 func memberOnce(ctx context.Context, env Env, r membershipRun) (MembershipFigures, error) {
 	out := MembershipFigures{Mode: r.mode, Members: r.size, Loaded: r.loaded, Kills: membershipKills}
 	before := memoryNow()
@@ -132,7 +133,7 @@
 	return out, err
 }
 
-// membership adds the line of a run and its faults.
+// addMembership adds the line and the faults of a run.
 func (r *Report) membership(f MembershipFigures) {
 	r.add("mode=%s members=%d loaded=%t join=%.1fs kills=%d detect_p50=%.2fs detect_p99=%.2fs detect_max=%.2fs undetected=%d false_deaths=%d false_in_join=%d load_average=%.0f "+
 		"wire=%.0fB/s frames=%.0fB/s packets=%.1f/s messages=%.1f/s connections=%.1f cores=%.5f heap_and_stack=%.0fkB process=%.0fkB",
@@ -146,7 +147,7 @@
 	}
 }
 
-// membershipFits adds the straight lines through the unloaded runs.
+// membershipFits adds linear fits through the unloaded runs.
 func (r *Report) membershipFits(mode member.Mode, figures []MembershipFigures) {
 	for _, m := range []struct {
 		name  string
@@ -187,6 +188,6 @@
 	return []Figure{
 		draw("membership-bytes", "Membership traffic of one daemon", "bytes sent a second", func(f MembershipFigures) float64 { return f.WireBytes }),
 		draw("membership-cores", "Membership processor time of one daemon", "cores", func(f MembershipFigures) float64 { return f.Cores }),
-		draw("membership-detection", "Until every survivor holds a killed daemon for dead, p99", "seconds", func(f MembershipFigures) float64 { return f.DetectP99 }),
+		draw("membership-detection", "Time until every survivor reports a killed daemon as dead, p99", "seconds", func(f MembershipFigures) float64 { return f.DetectP99 }),
 	}
 }
--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -15,30 +15,33 @@
 )
 
 const (
-	// joinPause, and joinPauseEach for each member that is there, is the time
-	// between two members' starts: a fleet that starts at once on one host
-	// would measure its handshakes.
+	// The time between the starts of two members is joinPause, plus joinPauseEach
+	// for each member that has been started. If all members started at the same
+	// time on one host, the experiment would measure their handshakes.
 	joinPause     = 20 * time.Millisecond
 	joinPauseEach = 3 * time.Millisecond
-	// joinTimeout bounds the wait until all see all.
+	// joinTimeout bounds the wait until every member sees all others.
 	joinTimeout = 3 * time.Minute
-	// joinLook is the time between two looks at all members.
+	// joinPollInterval is the time between two checks of all members.
 	joinLook = 250 * time.Millisecond
-	// calm is the wait from then on for each connection to have found the size
-	// of its packets; from there on, the news of the joining must have been told:
-	// the traffic of a window no longer falls by a tenth.
+	// settleTime is the wait after the join, in which each connection discovers
+	// its packet size. After it, traffic is measured in windows of steadyWindow,
+	// at most maxSteadyWindows of them. Membership updates about the join have
+	// been disseminated once the traffic of a window falls by less than a tenth.
 	calm        = 15 * time.Second
 	calmWindow  = 5 * time.Second
 	calmWindows = 24
-	// detectTimeout bounds the wait for a killed member's death to be known.
+	// detectTimeout bounds the wait until all survivors report a killed member as
+	// dead.
 	detectTimeout = 30 * time.Second
-	// seedCount is how many of the earlier members each one is told.
+	// seedCount is the number of the earliest members that each new member gets as
+	// seeds.
 	seedCount = 3
-	// deathsBuffer holds what is not yet read.
+	// deathsBuffer is the number of death reports that can wait to be read.
 	deathsBuffer = 1 << 16
 )
 
-// gathering is a set of participants in this process.
+// cluster is a set of participants in this process. dead holds the killed ones.
 type gathering struct {
 	mode   member.Mode
 	seed   uint64
@@ -63,7 +66,8 @@
 	}
 }
 
-// join starts n members one after the other and waits until all see all.
+// join starts n members one after the other and waits until every member sees all
+// others.
 func (g *gathering) join(ctx context.Context, n int) error {
 	for i := range n {
 		name := id.Daemon(fmt.Sprintf("host-%03d", i))
@@ -81,13 +85,13 @@
 	defer cancel()
 	for !g.met() {
 		if err := sleep(ctx, joinLook); err != nil {
-			return fmt.Errorf("not all of %d members see all: %w", n, err)
+			return fmt.Errorf("%d members do not all see each other: %w", n, err)
 		}
 	}
 	return nil
 }
 
-// seeds are the earliest members.
+// seeds returns the earliest members.
 func (g *gathering) seeds() []member.Host {
 	var out []member.Host
 	for _, p := range g.all[:min(seedCount, len(g.all))] {
@@ -96,7 +100,7 @@
 	return out
 }
 
-// met tells whether all see all that were not killed.
+// converged reports whether every member that was not killed sees all such members.
 func (g *gathering) met() bool {
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed && p.sees() != len(g.all)-len(g.dead) {
@@ -106,7 +110,7 @@
 	return true
 }
 
-// rest measures what the members cost while nothing happens.
+// measureIdle measures the traffic and processor use of the members at idle.
 func (g *gathering) rest(ctx context.Context, out *MembershipFigures) error {
 	if err := g.calmDown(ctx); err != nil {
 		return err
@@ -126,7 +130,7 @@
 	return err
 }
 
-// calmDown waits until the news of the joining has been told.
+// awaitSteady waits until the updates about the join have been disseminated.
 func (g *gathering) calmDown(ctx context.Context) error {
 	if err := sleep(ctx, calm); err != nil {
 		return err
@@ -146,7 +150,8 @@
 	return nil
 }
 
-// sentTraffic is what all members have sent.
+// sentTraffic is the traffic that all members have sent, and the number of their
+// connections.
 type sentTraffic struct{ wire, frames, packets, messages, connections float64 }
 
 func (g *gathering) traffic() sentTraffic {
@@ -164,13 +169,13 @@
 	return sum
 }
 
-// killSome kills members one by one and takes the time until each survivor
-// holds it for dead.
+// killMembers kills members one after the other, and measures the time until each
+// survivor reports the killed member as dead.
 func (g *gathering) killSome(ctx context.Context, out *MembershipFigures) error {
 	times := hdrhistogram.New(1, detectTimeout.Milliseconds(), 3)
 	rng := rand.New(rand.NewPCG(g.seed, uint64(len(g.all))))
 	for range membershipKills {
-		// Not at a fixed point of anybody's period.
+		// A random delay avoids a fixed phase relative to the members' periods.
 		if err := sleep(ctx, time.Duration(rng.Int64N(int64(time.Second)))); err != nil {
 			return err
 		}
@@ -221,7 +226,7 @@
 	return nil
 }
 
-// takeFalses gives the false deaths since it was last asked.
+// takeFalseDeaths returns the number of false deaths since the previous call.
 func (g *gathering) takeFalses() int {
 	g.drain()
 	n := g.falses
@@ -229,8 +234,8 @@
 	return n
 }
 
-// drain counts what was said before a kill: nobody was dead who is not known
-// to be.
+// drain handles the death reports received so far. Before a kill, all reports about
+// members that were not killed earlier are false.
 func (g *gathering) drain() {
 	for {
 		select {
@@ -242,14 +247,14 @@
 	}
 }
 
-// count takes a death as false unless it is of one that was killed.
+// count counts a death report as false unless its subject was killed.
 func (g *gathering) count(d death) {
 	if _, killed := g.dead[d.of]; !killed {
 		g.falses++
 	}
 }
 
-// sleep waits; it returns early with ctx's error.
+// sleep waits for d; it returns ctx's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -17,8 +17,8 @@
 // kindMembership is the only kind of message between participants.
 const kindMembership peer.Kind = 1
 
-// participant is the membership duty of one daemon with its transport, wired
-// as in package app.
+// participant is the membership duty of one daemon with its transport, connected as
+// in package app.
 type participant struct {
 	self      id.Process
 	transport *peer.Transport
@@ -27,13 +27,13 @@
 	ready     chan struct{}
 }
 
-// death is one participant's word that another has ended.
+// deathReport is the report of one participant that another has died.
 type death struct {
 	by, of id.Daemon
 	at     time.Time
 }
 
-// startParticipant starts one.
+// startParticipant starts a participant that listens on a loopback port.
 func startParticipant(g *gathering, name id.Daemon, domain id.Domain, seeds []member.Host) (*participant, error) {
 	material, err := g.ca.Peer(name)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return p, nil
 }
 
-// kill makes it silent at once, as a process that dies: nothing more is sent,
-// also no word that connections are closed.
+// kill stops the participant like a process that dies: it sends nothing more, not
+// even connection close frames.
 func (p *participant) kill() {
 	p.transport.SetFault(func(id.Daemon) peer.Drop { return peer.Lose })
 	p.duty.Close()
@@ -89,8 +89,8 @@
 		return
 	}
 	if p.transport.Datagram(to, kindMembership, m) != nil {
-		// The largest messages do not fit a datagram; without a connection
-		// both fail, and the next period sends again.
+		// The largest messages do not fit into a datagram. Without a connection,
+		// both calls fail, and the member sends again in its next period.
 		_ = p.transport.Send(to, kindMembership, m)
 	}
 }
@@ -101,7 +101,8 @@
 // HandleDatagram implements peer.Handler.
 func (p *participant) HandleDatagram(_ id.Daemon, _ peer.Kind, body []byte) { p.receive(body) }
 
-// HandleCall implements peer.Handler: there are none.
+// HandleCall implements peer.Handler. Participants make no calls, so it always
+// returns an error.
 func (p *participant) HandleCall(context.Context, id.Daemon, peer.Kind, []byte) ([]byte, error) {
 	return nil, peer.ErrUnknownPeer
 }
@@ -131,7 +132,8 @@
 // StopActing implements members.Listener.
 func (p *participant) StopActing(bool) {}
 
-// sees counts the daemons that it holds for alive, itself among them.
+// sees returns the number of daemons that the participant regards as alive,
+// including itself.
 func (p *participant) sees() int {
 	n := 0
 	for _, e := range p.duty.Entries() {
--- a/cmd/internal/experiment/overhead.go
+++ b/cmd/internal/experiment/overhead.go
@@ -13,7 +13,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Sizes of the experiment.
+// Parameters of the experiment.
 const (
 	overheadCalls       = 400
 	overheadWarmup      = 50
@@ -23,11 +23,11 @@
 	overheadIdle        = time.Second
 )
 
-// caller makes one call and returns the time that counts: of the whole call,
-// or to the first token.
+// timedCall makes one call and returns the measured time: that of the whole call,
+// or that until the first token.
 type caller func(ctx context.Context) (time.Duration, error)
 
-// OverheadFigures compare the router with a direct call of the same stand-in.
+// OverheadFigures compare routed calls with direct calls to the same stand-in.
 type OverheadFigures struct {
 	Call     string    `json:"call"`
 	Direct   quantiles `json:"direct"`
@@ -36,8 +36,8 @@
 	AddedP99 float64   `json:"added_p99_ms"`
 }
 
-// ThroughputFigures are processor times of the whole process, in which the
-// load, the stand-ins and the router run.
+// ThroughputFigures are call rates and processor times. The processor times are
+// those of the whole process, which runs the load, the stand-ins and the router.
 type ThroughputFigures struct {
 	Call             string  `json:"call"`
 	DirectPerSecond  float64 `json:"direct_per_second"`
@@ -54,14 +54,15 @@
 	P99MS float64 `json:"p99_ms"`
 }
 
-// overheadData is the data of the report.
+// overheadData is the data of the overhead report.
 type overheadData struct {
 	Latency    []OverheadFigures   `json:"latency"`
 	Throughput []ThroughputFigures `json:"throughput"`
 }
 
-// overheadSite has one engine of each role and one plain service that do next
-// to no work, so that what is left is the way.
+// overheadSite returns a site with one engine of each role and one plain service.
+// Their simulated work takes almost no time, so that the measured time is mostly
+// that of the transport and the router.
 func overheadSite() standin.PlatformConfig {
 	site := standin.Bunker()
 	domain := site.Domains[0]
@@ -76,7 +77,7 @@
 	return site
 }
 
-// runOverhead measures one daemon.
+// runOverhead measures the overhead of a single daemon.
 func runOverhead(ctx context.Context, env Env) (*Report, error) {
 	d := Deployment{Name: "overhead", Site: overheadSite(), Profile: load.Bunker()}
 	ofFleet, ofLoad := d.Teams(1)
@@ -88,10 +89,10 @@
 	defer f.Close()
 	client := load.NewClient()
 	defer client.CloseIdleConnections()
-	way := &ways{fleet: f, client: client, site: d.Site, key: ofLoad[0].Key}
+	calls := &ways{fleet: f, client: client, site: d.Site, key: ofLoad[0].Key}
 	report := &Report{Experiment: "overhead", Seed: env.Seed}
 	var data overheadData
-	for _, c := range way.latencyCalls() {
+	for _, c := range calls.latencyCalls() {
 		figures, err := compareLatency(ctx, c)
 		if err != nil {
 			return nil, err
@@ -100,7 +101,7 @@
 		report.add("call=%s direct_p50=%.3fms direct_p99=%.3fms routed_p50=%.3fms routed_p99=%.3fms added_p50=%.3fms added_p99=%.3fms",
 			figures.Call, figures.Direct.P50MS, figures.Direct.P99MS, figures.Routed.P50MS, figures.Routed.P99MS, figures.AddedP50, figures.AddedP99)
 	}
-	busy, err := compareThroughput(ctx, way)
+	busy, err := compareThroughput(ctx, calls)
 	if err != nil {
 		return nil, err
 	}
@@ -111,30 +112,31 @@
 	return report, nil
 }
 
-// comparison is a call both ways.
+// comparison is a call that is made directly and through the router.
 type comparison struct {
 	name           string
 	calls          int
 	direct, routed caller
 }
 
-// compareLatency makes calls by turns, so that both ways meet the same moments.
+// compareLatency alternates direct and routed calls, so that both are measured
+// under the same conditions.
 func compareLatency(ctx context.Context, c comparison) (OverheadFigures, error) {
 	direct := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	routed := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for i := range c.calls + overheadWarmup {
-		for _, way := range []struct {
+		for _, target := range []struct {
 			call caller
 			into *hdrhistogram.Histogram
 		}{{c.direct, direct}, {c.routed, routed}} {
-			took, err := way.call(ctx)
+			took, err := target.call(ctx)
 			if err != nil {
 				return OverheadFigures{}, fmt.Errorf("%s: %w", c.name, err)
 			}
 			if i < overheadWarmup {
 				continue
 			}
-			if err := way.into.RecordValue(max(took.Microseconds(), 1)); err != nil {
+			if err := target.into.RecordValue(max(took.Microseconds(), 1)); err != nil {
 				return OverheadFigures{}, err
 			}
 		}
@@ -152,15 +154,16 @@
 	}
 }
 
-// compareThroughput makes plain calls from many callers at once, both ways.
-func compareThroughput(ctx context.Context, way *ways) (ThroughputFigures, error) {
+// compareThroughput makes plain calls from many concurrent callers, first directly
+// and then through the router.
+func compareThroughput(ctx context.Context, calls *ways) (ThroughputFigures, error) {
 	idle := cpuDuring(func() { time.Sleep(overheadIdle) })
 	out := ThroughputFigures{Call: "plain", IdleCores: idle.cpu.Seconds() / idle.wall.Seconds()}
-	direct, err := busyCalls(ctx, way.plainDirect)
+	direct, err := busyCalls(ctx, calls.plainDirect)
 	if err != nil {
 		return out, err
 	}
-	routed, err := busyCalls(ctx, way.plainRouted)
+	routed, err := busyCalls(ctx, calls.plainRouted)
 	if err != nil {
 		return out, err
 	}
@@ -173,14 +176,14 @@
 	return out, nil
 }
 
-// perCall is the processor time of one call, in microseconds, without what the
-// process spends when it is idle.
+// perCall returns the processor time of one call, in microseconds, without the
+// processor time that the idle process uses.
 func perCall(u usage, idleCores float64) float64 {
 	busy := u.cpu.Seconds() - idleCores*u.wall.Seconds()
 	return busy / overheadBusyCalls * 1e6
 }
 
-// busyCalls makes calls from many callers at once and measures the usage.
+// busyCalls makes calls from many concurrent callers and measures the usage.
 func busyCalls(ctx context.Context, call caller) (usage, error) {
 	var failed error
 	u := cpuDuring(func() {
@@ -192,7 +195,7 @@
 	return u, failed
 }
 
-// ways are the ways to the stand-ins.
+// overheadClient calls the stand-ins directly and through the router.
 type ways struct {
 	fleet  *fleet.Fleet
 	client *http.Client
--- a/cmd/internal/experiment/overhead_calls.go
+++ b/cmd/internal/experiment/overhead_calls.go
@@ -16,7 +16,7 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// Sizes of the calls.
+// Sizes of the completions.
 const (
 	overheadPromptBytes = 800
 	overheadTokens      = 4
@@ -25,7 +25,7 @@
 // plainBody is the body of every plain call.
 var plainBody = []byte(`{"stem":"Aktau berth 4","confirm":true}`)
 
-// endpoint finds the address of an endpoint.
+// endpoint returns the address of an endpoint; empty if it is unknown.
 func (w *ways) endpoint(name string) string {
 	for _, e := range w.fleet.Platform().Addresses().Endpoints {
 		if e.Name == name {
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// plainDirect calls the plain service itself.
+// plainDirect calls the plain service directly.
 func (w *ways) plainDirect(ctx context.Context) (time.Duration, error) {
 	return w.whole(ctx, "http://"+w.endpoint("plain")+"/stems/confirm", plainBody)
 }
@@ -46,7 +46,7 @@
 	return w.whole(ctx, "http://"+address+opapi.PathServices+w.site.PlainService+"/stems/confirm", plainBody)
 }
 
-// whole posts a body and takes the time of the whole call.
+// timeCall posts a body and measures the time of the whole call.
 func (w *ways) whole(ctx context.Context, url string, body []byte) (time.Duration, error) {
 	begun := time.Now()
 	resp, err := w.post(ctx, url, body)
@@ -58,8 +58,8 @@
 	return time.Since(begun), err
 }
 
-// completionDirect orders the prefill and the decode at the engines itself, as
-// the router does.
+// completionDirect requests the prefill and the decode directly from the engines,
+// as the router does.
 func (w *ways) completionDirect(ctx context.Context) (time.Duration, error) {
 	w.number++
 	request := fmt.Sprintf("direct-%d", w.number)
@@ -83,7 +83,7 @@
 	return w.firstToken(ctx, "http://"+w.endpoint("engine-decode")+wire.PathCompletions, body, begun)
 }
 
-// completionRouted asks the daemon.
+// completionRouted sends a completion through the daemon.
 func (w *ways) completionRouted(ctx context.Context) (time.Duration, error) {
 	w.number++
 	body, err := json.Marshal(opapi.CompletionRequest{
@@ -95,12 +95,13 @@
 	return w.firstToken(ctx, "http://"+w.fleet.CallerAddresses()[0]+opapi.PathCompletions, body, time.Now())
 }
 
-// prompt is a new prompt each time, so that no cache helps either way.
+// prompt returns a different prompt for each number, so that neither direct nor
+// routed calls hit a cache.
 func (w *ways) prompt() string {
 	return fmt.Sprintf("%08d ", w.number) + strings.Repeat("x", overheadPromptBytes)
 }
 
-// firstToken posts a body and takes the time to the first event since begun.
+// firstToken posts a body and measures the time from begun to the first event.
 func (w *ways) firstToken(ctx context.Context, url string, body []byte, begun time.Time) (time.Duration, error) {
 	resp, err := w.post(ctx, url, body)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return took, err
 }
 
-// postJSON posts a value and reads the answer.
+// postJSON posts a value as JSON and decodes the reply into out.
 func (w *ways) postJSON(ctx context.Context, url string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// post sends a body; an answer that is not 200 is an error.
+// post sends a body. It returns an error if the status is not 200.
 func (w *ways) post(ctx context.Context, url string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -159,18 +160,18 @@
 	return nil, fmt.Errorf("%s: status %d: %s", url, resp.StatusCode, bytes.TrimSpace(text))
 }
 
-// usage is what a stretch of work took.
+// usage is the wall time and processor time of some work.
 type usage struct{ wall, cpu time.Duration }
 
-// cpuDuring measures the wall and processor time of a step; the processor
-// time is the whole process's.
+// cpuDuring measures the wall time and processor time of a step. The processor time
+// is that of the whole process.
 func cpuDuring(step func()) usage {
 	cpu, wall := processCPU(), time.Now()
 	step()
 	return usage{wall: time.Since(wall), cpu: processCPU() - cpu}
 }
 
-// processCPU is the processor time that the process has used.
+// processCPU returns the processor time that the process has used so far.
 func processCPU() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -11,10 +11,10 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// overloadSeeds is how many arrivals each load is replayed with.
+// overloadSeeds is the number of seeds that each load is replayed with.
 const overloadSeeds = 8
 
-// overloadLoad is one pattern of arrivals.
+// overloadLoad is a named pattern of arrivals: the usual bursts and extra ones.
 type overloadLoad struct {
 	name  string
 	extra []overload.Burst
@@ -31,20 +31,23 @@
 	}},
 }
 
-// OverloadFigures is what one load came to with some mechanism off.
+// OverloadFigures are the results of one load with one mechanism or none switched
+// off.
 type OverloadFigures struct {
 	Load string `json:"load"`
 	// Off is the mechanism that was switched off; empty for none.
 	Off string `json:"off"`
-	// InTime, Late and Refused are shares of the requests asked.
+	// InTime, Late and Refused are shares of all requests.
 	InTime  float64 `json:"in_time"`
 	Late    float64 `json:"late"`
 	Refused float64 `json:"refused"`
-	// AtOnce is the share of refusals that came within 120 ms.
+	// AtOnce is the share of the refusals that were sent within 120 ms.
 	AtOnce float64 `json:"refusals_at_once"`
-	// VainTokens were read for requests that were not served, a run.
+	// WastedTokens is the number of tokens per run that were read for requests that
+	// were not served.
 	VainTokens float64 `json:"vain_tokens"`
-	// Recovery is until the share in time is as before the burst, in seconds.
+	// Recovery is the time in seconds until the share of requests in time is as
+	// high as before the burst.
 	Recovery float64 `json:"recovery_s"`
 }
 
@@ -72,7 +75,8 @@
 	return r, nil
 }
 
-// replayOverload replays one load on some seeds; the seconds are those of all.
+// replayOverload replays one load with overloadSeeds seeds. The returned seconds are
+// the sums over all seeds.
 func replayOverload(seed uint64, load overloadLoad, off kvsched.Mechanism) (OverloadFigures, []overload.Second) {
 	f := OverloadFigures{Load: load.name, Off: string(off)}
 	replay := overload.Desk(append(overload.UsualBursts(), load.extra...)...)
@@ -113,7 +117,7 @@
 	return sum
 }
 
-// overloadFigure draws what became of requests by the second of their arrival.
+// overloadFigure plots the outcomes of requests by the second of their arrival.
 func overloadFigure(name string, seconds []overload.Second) Figure {
 	f := Figure{Name: "overload-" + strings.ReplaceAll(name, " ", "-"), Title: name, XLabel: "second of arrival", YLabel: "requests a run"}
 	lines := []struct {
--- a/cmd/internal/experiment/parallel.go
+++ b/cmd/internal/experiment/parallel.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// each runs a step for every item, Parallel at once, and returns the results
-// in the order of the items.
+// each runs a step for every item, up to env.Parallel concurrently, and returns the
+// results in the order of the items.
 func each[T, R any](ctx context.Context, env Env, items []T, step func(context.Context, T) (R, error)) ([]R, error) {
 	results := make([]R, len(items))
 	group, ctx := errgroup.WithContext(ctx)
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -18,45 +18,49 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// The course of the experiment.
+// Parameters of the experiment.
 const (
-	// poisonLoadShare is the load of the innocents.
+	// poisonLoadShare is the rate of the other completions as a share of the
+	// capacity.
 	poisonLoadShare = 0.5
 	poisonsInTurn   = 3
 	poisonsAtOnce   = 3
-	// crashesAllowed is the most engines that one poison request may crash.
+	// maxCrashesPerPoison is the maximum number of engines that one poison request
+	// may crash.
 	crashesAllowed = 3
-	// poisonPause is the wait of a caller before it sends a poison again, and
-	// poisonSends bounds how often it does.
+	// poisonPause is the delay before a caller sends a poison request again, and
+	// poisonSends the maximum number of sends.
 	poisonPause = 150 * time.Millisecond
 	poisonSends = 60
-	// poisonCalm lets the engines come back between two poisons.
+	// poisonRecoveryPause lets the engines recover between two poison requests.
 	poisonCalm = time.Second
-	// poisonHorizon bounds the innocents' load.
+	// poisonHorizon bounds the duration of the other load.
 	poisonHorizon = 80 * time.Second
 )
 
-// PoisonRun is one poison, or several at once, until the quarantine.
+// PoisonRun is the result of sending one poison request, or several concurrently,
+// until their quarantine.
 type PoisonRun struct {
 	Poisons int   `json:"poisons"`
 	Crashes int64 `json:"crashes"`
 	Sends   int   `json:"sends"`
-	// QuarantinedMS is the time from the first send to the last one's
-	// quarantine; -1 if one was never quarantined.
+	// QuarantinedMS is the time from the first send until all poison requests were
+	// quarantined; -1 if one was never quarantined.
 	QuarantinedMS int64 `json:"quarantined_ms"`
 }
 
-// PoisonFigures are the figures of the experiment.
+// PoisonFigures are the results of the experiment.
 type PoisonFigures struct {
 	Wrongs
 	Runs []PoisonRun `json:"runs"`
-	// Convicted is how many innocents were quarantined.
+	// WronglyQuarantined counts quarantined fingerprints of other requests, and
+	// other requests that were refused as quarantined.
 	Convicted int `json:"convicted"`
-	// Lifted tells whether a lifted request ran again; LiftMS is how long
-	// after the label change.
+	// Lifted is true if a request ran again after its quarantine was lifted. LiftMS
+	// is the time from the start of the label change until then.
 	Lifted bool  `json:"lifted"`
 	LiftMS int64 `json:"lift_ms"`
-	// InnocentsGood is the innocents' share that met both targets.
+	// OthersGood is the share of the other completions that met both targets.
 	InnocentsGood float64        `json:"innocents_good"`
 	Ended         map[string]int `json:"ended"`
 	series        Series
@@ -71,7 +75,7 @@
 	model  string
 }
 
-// runPoison sends poison requests among innocents.
+// runPoison sends poison requests among other load.
 func runPoison(ctx context.Context, env Env) (*Report, error) {
 	d := faultDeployment()
 	f, attempts, err := faultFleet(ctx, env, d, nil)
@@ -106,7 +110,8 @@
 	return poisonReport(env, figures), ctx.Err()
 }
 
-// poisonAll runs the poisons in turn, some at once, and lifts one.
+// poisonAll sends poison requests one after the other and then several concurrently,
+// and lifts the quarantine of the first.
 func poisonAll(ctx context.Context, env Env, x *driver, out *PoisonFigures) error {
 	p := &poisoner{
 		fleet: x.fleet, client: load.NewClient(), key: x.spec.Teams[0].Key,
@@ -131,13 +136,13 @@
 	return p.lift(ctx, poisonPrompt(env.Seed, 0), out)
 }
 
-// poisonPrompt is the prompt of one poison request.
+// poisonPrompt returns the prompt of the poison request with number n.
 func poisonPrompt(seed uint64, n int) string {
 	filler := strings.Repeat("certificate of quality. ", 20+n)
 	return fmt.Sprintf("Nomination %d of run %d. %s%s", n, seed, filler, standin.CrashMarker)
 }
 
-// fingerprint is what the fleet calls a prompt of the team.
+// fingerprint returns the fingerprint that the fleet uses for a prompt of the team.
 func (p *poisoner) fingerprint(prompt string) string {
 	return poison.Print(p.team, id.Service(p.model), []byte(prompt)).String()
 }
@@ -151,29 +156,30 @@
 	return n
 }
 
-// run sends prompts, each again and again, until all are quarantined.
+// run sends prompts concurrently, each repeatedly, until all are quarantined or
+// poisonSends is reached.
 func (p *poisoner) run(ctx context.Context, prompts []string) PoisonRun {
 	before := p.crashes()
 	began := time.Now()
 	sends := make([]int, len(prompts))
-	caught := make([]bool, len(prompts))
+	quarantined := make([]bool, len(prompts))
 	var wg sync.WaitGroup
 	for i, prompt := range prompts {
-		wg.Go(func() { sends[i], caught[i] = p.repeat(ctx, prompt, i) })
+		wg.Go(func() { sends[i], quarantined[i] = p.repeat(ctx, prompt, i) })
 	}
 	wg.Wait()
 	out := PoisonRun{Poisons: len(prompts), Crashes: p.crashes() - before, QuarantinedMS: time.Since(began).Milliseconds()}
 	for i := range prompts {
 		out.Sends += sends[i]
-		if !caught[i] {
+		if !quarantined[i] {
 			out.QuarantinedMS = notBack
 		}
 	}
 	return out
 }
 
-// repeat sends a prompt under new ids, each time through the next daemon, until
-// it is quarantined.
+// repeat sends a prompt as a new request through each daemon in turn until it is
+// quarantined. It returns the number of sends and whether there was a quarantine.
 func (p *poisoner) repeat(ctx context.Context, prompt string, first int) (int, bool) {
 	for n := range poisonSends {
 		reply, err := p.send(ctx, prompt, first+n)
@@ -194,7 +200,8 @@
 	return askWhole(ctx, p.client, addresses[daemon%len(addresses)], p.key, body)
 }
 
-// convictedOthers counts quarantined fingerprints that are no poison's.
+// countWronglyQuarantined counts the quarantined fingerprints that belong to no
+// poison request.
 func (p *poisoner) convictedOthers(ctx context.Context, seed uint64) (int, error) {
 	known := map[string]bool{}
 	for i := range poisonsInTurn + poisonsAtOnce {
@@ -217,7 +224,8 @@
 	return others, nil
 }
 
-// lift frees a poison by a label and sends it until it runs again.
+// lift lifts the quarantine of a poison request by a label and sends the request
+// until it runs again. Then it removes the label.
 func (p *poisoner) lift(ctx context.Context, prompt string, out *PoisonFigures) error {
 	before := p.crashes()
 	began := time.Now()
@@ -240,7 +248,8 @@
 	return err
 }
 
-// refusedWith counts the requests that ended with a code.
+// refusedWith counts the requests that were not answered and ended with an error
+// code.
 func (x *driver) refusedWith(code verdict.Code) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -253,7 +262,7 @@
 	return n
 }
 
-// poisonReport sums up.
+// poisonReport returns the report of the figures.
 func poisonReport(env Env, f PoisonFigures) *Report {
 	r := &Report{Experiment: "poison", Seed: env.Seed, Data: f}
 	fig := Figure{Name: "poison-crashes", Title: "Engines crashed by each run of poison requests",
@@ -277,7 +286,7 @@
 		r.fault("the label did not lift the quarantine")
 	}
 	r.wrong("innocents", f.Wrongs)
-	r.Figures = []Figure{fig, {Name: "poison-goodput", Title: "Goodput of the innocents",
+	r.Figures = []Figure{fig, {Name: "poison-goodput", Title: "Goodput of the other requests",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second", Series: []Series{f.series}}}
 	return r
 }
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -12,32 +12,35 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// The course of the experiment.
+// Parameters of the experiment.
 const (
 	rollingLoadShare = 0.6
-	// rollingEntryLife is the lifetime of the entry answer, so that a planned
-	// stop need not wait long for those who keep it.
+	// rollingEntryLifeMS is the lifetime of entry answers. It is short, so that a
+	// planned stop does not wait long for callers that still use an old answer.
 	rollingEntryLifeMS = 1000
 	rollingDrainMS     = 8000
-	// leaveTime is how long a leaving endpoint may still get new work, and
-	// leaveWatch how long it is watched behind that.
+	// leaveGrace is how long a leaving endpoint may still get new work, and
+	// leaveWatch how long it is observed after that.
 	leaveTime  = 3 * time.Second
 	leaveWatch = 2 * time.Second
-	// undrainTime bounds the wait for work on an endpoint that came back.
+	// undrainTime bounds the wait until endpoints get work again after their
+	// return.
 	undrainTime    = 5 * time.Second
 	rollingHorizon = 85 * time.Second
 )
 
-// RollingFigures are the figures of the experiment.
+// RollingFigures are the results of the experiment.
 type RollingFigures struct {
 	Wrongs
 	// Interrupted counts connections and answers that broke.
 	Interrupted int `json:"interrupted"`
-	// StopMS is how long each daemon took to stop.
+	// StopMS is the time that each daemon took to stop.
 	StopMS []int64 `json:"stop_ms"`
-	// WorkAfterLeave is the work that leaving engines were given later than 3 s.
+	// WorkAfterLeave counts the orders that leaving engines got more than 3 s after
+	// they began to leave.
 	WorkAfterLeave int64 `json:"work_after_3s"`
-	// Undrained is how many of the Drained engines had work again in time.
+	// Undrained is the number of the Drained engines that got work again within
+	// undrainTime.
 	Drained   int `json:"drained"`
 	Undrained int `json:"undrained"`
 	// GoodDaemons and GoodEngines are the shares of completions that met both
@@ -48,7 +51,8 @@
 	series      Series
 }
 
-// runRolling replaces all daemons one by one under load, then drains engines.
+// runRolling replaces all daemons one after the other under load, and then drains
+// engines.
 func runRolling(ctx context.Context, env Env) (*Report, error) {
 	d := faultDeployment()
 	f, attempts, err := faultFleet(ctx, env, d, func(c *fleet.Config) {
@@ -87,14 +91,15 @@
 	return rollingReport(env, out), ctx.Err()
 }
 
-// rolling is a run under way.
+// rolling is the state of a run.
 type rolling struct {
 	env     Env
 	fleet   *fleet.Fleet
 	site    standin.PlatformConfig
 	tap     *tap
 	figures RollingFigures
-	// daemons and engines are when they were replaced and drained.
+	// daemons and engines are the windows in which daemons were replaced and
+	// engines drained.
 	daemons, engines window
 }
 
@@ -116,7 +121,7 @@
 	return nil
 }
 
-// replaceDaemons stops each daemon as planned and starts a new one.
+// replaceDaemons stops each daemon with a planned stop and starts a new one.
 func (r *rolling) replaceDaemons(ctx context.Context) error {
 	for i := range r.fleet.Places() {
 		began := time.Now()
@@ -136,33 +141,34 @@
 	return nil
 }
 
-// leaving lists the places of the engines that are drained by a label: one
-// that prefills and two that decode; and the one that says itself that it leaves.
-func (r *rolling) leaving() (byLabel []int, itself int) {
+// leaving returns the indexes of the engines to drain: byLabel are a prefill engine
+// and two decode engines that get a label; selfReported is a decode engine that
+// reports that it is leaving.
+func (r *rolling) leaving() (byLabel []int, selfReported int) {
 	s := &scene{site: r.site}
 	decode := s.engines(standin.RoleDecode)
 	return []int{s.engines(standin.RolePrefill)[0], decode[0], decode[1]}, decode[2]
 }
 
-// drainEngines drains engines, watches that they get no new work, and lets
-// them back.
+// drainEngines drains engines, counts the work that they get afterwards, and ends
+// the drain.
 func (r *rolling) drainEngines(ctx context.Context) error {
-	byLabel, itself := r.leaving()
+	byLabel, selfReported := r.leaving()
 	if err := r.label(ctx, byLabel, "true"); err != nil {
 		return err
 	}
-	if err := r.fleet.Inject(wire.Fault{Target: r.site.Engines[itself].Name, Leaving: value(true)}); err != nil {
+	if err := r.fleet.Inject(wire.Fault{Target: r.site.Engines[selfReported].Name, Leaving: value(true)}); err != nil {
 		return err
 	}
 	sleepFor(ctx, leaveTime)
-	all := append(byLabel, itself)
+	all := append(byLabel, selfReported)
 	before := r.work(all)
 	sleepFor(ctx, leaveWatch)
 	r.figures.WorkAfterLeave = sum(r.work(all)) - sum(before)
 	if err := r.label(ctx, byLabel, ""); err != nil {
 		return err
 	}
-	if err := r.fleet.Inject(wire.Fault{Target: r.site.Engines[itself].Name, Leaving: value(false)}); err != nil {
+	if err := r.fleet.Inject(wire.Fault{Target: r.site.Engines[selfReported].Name, Leaving: value(false)}); err != nil {
 		return err
 	}
 	r.figures.Drained = len(all)
@@ -170,7 +176,7 @@
 	return nil
 }
 
-// label sets the label that drains engines.
+// label sets the label that drains engines, and waits until it is in force.
 func (r *rolling) label(ctx context.Context, engines []int, to string) error {
 	for _, i := range engines {
 		revision, err := r.fleet.Label(ctx, live.KindEndpoint, r.site.Engines[i].Name, live.Labels{live.LabelLeaving: to})
@@ -184,7 +190,7 @@
 	return nil
 }
 
-// work counts the run orders that engines have had so far.
+// work returns the number of run orders that each engine has received so far.
 func (r *rolling) work(engines []int) []int64 {
 	var out []int64
 	for _, i := range engines {
@@ -202,24 +208,25 @@
 	return total
 }
 
-// awaitWork counts the engines that get work again.
+// awaitWork waits until all engines get work again, at most undrainTime, and returns
+// the number that did.
 func (r *rolling) awaitWork(ctx context.Context, engines []int) int {
 	before := r.work(engines)
 	deadline := time.Now().Add(undrainTime)
 	for {
-		back := 0
+		working := 0
 		for i, n := range r.work(engines) {
 			if n > before[i] {
-				back++
+				working++
 			}
 		}
-		if back == len(engines) || time.Now().After(deadline) || !sleepFor(ctx, orphanPause) {
-			return back
+		if working == len(engines) || time.Now().After(deadline) || !sleepFor(ctx, orphanPause) {
+			return working
 		}
 	}
 }
 
-// rollingReport sums up.
+// rollingReport returns the report of the figures.
 func rollingReport(env Env, f RollingFigures) *Report {
 	r := &Report{Experiment: "rolling", Seed: env.Seed, Data: f}
 	var longest int64
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/daemon/settings"
 )
 
-// The loads, as shares of the bound's capacity, and the policies compared.
+// The loads, as shares of the capacity of the bound, and the compared policies.
 var (
 	routingLoads    = []float64{0.7, 0.9, 1.1}
 	routingPolicies = []settings.Policy{
@@ -17,24 +17,25 @@
 	}
 )
 
-// routingTeams is how many teams share the load.
+// routingTeams is the number of teams that share the load.
 const routingTeams = 4
 
-// routingRun is one run.
+// routingRun is the configuration of one run.
 type routingRun struct {
 	deployment Deployment
 	policy     settings.Policy
 	load       float64
 }
 
-// RoutingFigures are the figures of one run.
+// RoutingFigures are the results of one run.
 type RoutingFigures struct {
 	Deployment string          `json:"deployment"`
 	Policy     settings.Policy `json:"policy"`
-	// Load is the completions' rate as a share of the capacity.
+	// Load is the rate of completions as a share of the capacity.
 	Load  float64 `json:"load"`
 	Bound Bound   `json:"bound"`
-	// BoundGoodput is the bound at the rate that really arrived, a second.
+	// BoundGoodput is the goodput of the bound at the actual arrival rate, in
+	// completions per second.
 	BoundGoodput float64      `json:"bound_goodput_per_second"`
 	WastedShare  float64      `json:"wasted_share"`
 	Result       *load.Result `json:"result"`
@@ -64,7 +65,7 @@
 func routingRuns() []routingRun {
 	var runs []routingRun
 	for _, d := range Deployments() {
-		// Completions only: plain calls have endpoints of their own.
+		// Only completions are sent: plain calls have their own endpoints.
 		d.Profile.PlainShare = 0
 		for _, share := range routingLoads {
 			for _, policy := range routingPolicies {
@@ -75,7 +76,7 @@
 	return runs
 }
 
-// routeOnce starts a fleet, sends the load and measures.
+// routeOnce starts a fleet, sends the load and measures the results.
 func routeOnce(ctx context.Context, env Env, r routingRun) (RoutingFigures, error) {
 	ofFleet, ofLoad := r.deployment.Teams(routingTeams)
 	f, err := fleet.Start(ctx, fleet.Config{
@@ -99,7 +100,7 @@
 	}, nil
 }
 
-// routing adds the line of a run.
+// addRouting adds the line of a run.
 func (r *Report) routing(f RoutingFigures) {
 	t := f.Result.Total
 	r.add("deployment=%s policy=%s load=%.1f rate=%.1f/s goodput=%.1f/s bound=%.1f/s of_bound=%.0f%% wasted_prefill=%.1f%% "+
