--- a/cmd/internal/experiment/all.go
+++ b/cmd/internal/experiment/all.go
@@ -49,7 +49,7 @@
 		return outcome
 	}
 	begun := time.Now()
-	report, err := guarded(ctx, env, e)
+	report, err := runRecovered(ctx, env, e)
 	outcome.Seconds = time.Since(begun).Seconds()
 	if err != nil {
 		outcome.Error = err.Error()
@@ -63,7 +63,7 @@
 
 // runRecovered runs an experiment and turns a panic in the calling goroutine
 // into an error, so that the other experiments still run.
-func guarded(ctx context.Context, env Env, e Experiment) (report *Report, err error) {
+func runRecovered(ctx context.Context, env Env, e Experiment) (report *Report, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = eris.Errorf("panic: %v", cause)
