--- a/cmd/internal/experiment/all.go
+++ b/cmd/internal/experiment/all.go
@@ -27,7 +27,7 @@
 func (o *Outcome) Failed() bool { return o.Error != "" || len(o.Faults) > 0 }
 
 // notRun is the error of the experiments that did not run because of an interrupt.
-const notRun = "not run: interrupted"
+const notRunError = "not run: interrupted"
 
 // RunAll runs experiments one after the other and continues after a failure.
 // It passes each outcome to done as soon as the experiment has ended.
@@ -45,7 +45,7 @@
 func runOne(ctx context.Context, env Env, e Experiment) Outcome {
 	outcome := Outcome{Name: e.Name, Short: e.Short}
 	if ctx.Err() != nil {
-		outcome.Error = notRun
+		outcome.Error = notRunError
 		return outcome
 	}
 	begun := time.Now()
--- a/cmd/internal/experiment/all_test.go
+++ b/cmd/internal/experiment/all_test.go
@@ -44,5 +44,5 @@
 	}
 	outcomes := RunAll(ctx, Env{}, experiments, func(Outcome) {})
 	is.Equal(outcomes[0].Error, context.Canceled.Error())
-	is.Equal(outcomes[1].Error, notRun)
+	is.Equal(outcomes[1].Error, notRunError)
 }
