--- a/cmd/internal/experiment/capacity.go
+++ b/cmd/internal/experiment/capacity.go
@@ -72,7 +72,7 @@
 }
 
 // addFit adds a linear fit through points, with its value at the target.
-func (r *Report) fit(out *CapacityFigures, of, by string, x, y []float64, target float64) {
+func (r *Report) addFit(out *CapacityFigures, of, by string, x, y []float64, target float64) {
 	f := FitFigures{Of: of, By: by, Line: fitLine(x, y), Target: target}
 	f.At = f.Line.At(target)
 	out.Fits = append(out.Fits, f)
--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -132,7 +132,7 @@
 		{"idle cores of a daemon", "models", func(f IdleFigures) int { return f.Models }, cores, targetModels},
 	} {
 		x, y := pick(fit.key, func(f IdleFigures) bool { return base(f, fit.by) }, fit.value)
-		r.fit(out, fit.of, fit.by, x, y, fit.target)
+		r.addFit(out, fit.of, fit.by, x, y, fit.target)
 	}
 }
 
--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -64,7 +64,7 @@
 			n, figures.Bytes/1e6, figures.Cores, figures.Events, figures.Received)
 		x, y = append(x, float64(n)), append(y, figures.Bytes)
 	}
-	r.fit(out, "bytes of a process, callers and stand-ins included", "streams", x, y, targetRequests*float64(inFlightSeconds)/targetDaemons)
+	r.addFit(out, "bytes of a process, callers and stand-ins included", "streams", x, y, targetRequests*float64(inFlightSeconds)/targetDaemons)
 	return nil
 }
 
