--- a/cmd/internal/experiment/capacity.go
+++ b/cmd/internal/experiment/capacity.go
@@ -94,7 +94,7 @@
 const opTime = 300 * time.Millisecond
 
 // measureOp measures an operation by repeating it.
-func (r *Report) op(out *CapacityFigures, name, size string, step func(i int)) {
+func (r *Report) measureOp(out *CapacityFigures, name, size string, step func(i int)) {
 	step(0)
 	before := allocated()
 	n := 0
--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -64,7 +64,7 @@
 	} {
 		doc := capacityDocument(s.endpoints, s.teams, s.models)
 		size := fmt.Sprintf("endpoints=%d teams=%d models=%d", s.endpoints, s.teams, s.models)
-		r.op(out, "schedule-request", size, scheduling(doc))
+		r.measureOp(out, "schedule-request", size, scheduling(doc))
 		if s.endpoints != 22 || s.teams != 4 {
 			continue
 		}
@@ -144,18 +144,18 @@
 // configuration.
 func (r *Report) configOps(out *CapacityFigures, size string, doc *live.Document) error {
 	change := capacityChange(doc)
-	r.op(out, "config-propose", size, func(int) {
+	r.measureOp(out, "config-propose", size, func(int) {
 		// The daemon that receives the proposal validates the whole document.
 		if _, faults := revision.Apply(doc, change); len(faults) > 0 {
 			panic(faults[0].Error())
 		}
 	})
-	r.op(out, "config-index", size, func(int) { live.NewIndex(doc) })
+	r.measureOp(out, "config-index", size, func(int) { live.NewIndex(doc) })
 	learning := newLearning(doc)
-	r.op(out, "config-learn", size, func(i int) { learning.learn(change, i) })
+	r.measureOp(out, "config-learn", size, func(i int) { learning.learn(change, i) })
 	l := sched.NewLedger(sched.Options{Pool: doc.Pools[0].Name, Self: id.Process{Daemon: "owner", Incarnation: 1}, Settle: 1, Violation: func(string, string) {}})
 	now := time.Duration(0)
-	r.op(out, "config-schedule", size, func(int) {
+	r.measureOp(out, "config-schedule", size, func(int) {
 		now += time.Millisecond
 		l.Configure(now, doc)
 	})
@@ -178,17 +178,17 @@
 	for i := range n - 1 {
 		receive(i)
 	}
-	r.op(out, "member-receive", size, receive)
-	r.op(out, "member-view", size, func(int) { m.View() })
+	r.measureOp(out, "member-receive", size, receive)
+	r.measureOp(out, "member-view", size, func(int) { m.View() })
 	var names []id.Daemon
 	var candidates []entry.Candidate
 	for i := range n {
 		names = append(names, memberName(i))
 		candidates = append(candidates, entry.Candidate{Daemon: memberName(i), Domain: domainName(i % targetDomains), Address: memberEntry(i).CallerAddress, State: member.Alive})
 	}
-	r.op(out, "owner-of-a-pool", size, func(i int) { rendezvous.Owner(modelName(i%targetModels), names) })
+	r.measureOp(out, "owner-of-a-pool", size, func(i int) { rendezvous.Owner(modelName(i%targetModels), names) })
 	rng := capacityRand(n)
-	r.op(out, "entry-answer", size, func(int) { entry.Make(entry.DefaultConfig(), candidates, names[0], rng) })
+	r.measureOp(out, "entry-answer", size, func(int) { entry.Make(entry.DefaultConfig(), candidates, names[0], rng) })
 }
 
 func memberEntry(i int) member.Entry {
