--- a/cmd/internal/experiment/capacity.go
+++ b/cmd/internal/experiment/capacity.go
@@ -101,7 +101,7 @@
 	u := cpuDuring(func() {
 		for begun := time.Now(); time.Since(begun) < opTime; {
 			// Reading the clock can cost more than a short operation.
-			for range opsPerLook {
+			for range opsPerClockRead {
 				n++
 				step(n)
 			}
@@ -116,4 +116,4 @@
 }
 
 // opsPerClockRead is the number of operations between two readings of the clock.
-const opsPerLook = 8
+const opsPerClockRead = 8
