--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -64,7 +64,7 @@
 	} {
 		doc := capacityDocument(s.endpoints, s.teams, s.models)
 		size := fmt.Sprintf("endpoints=%d teams=%d models=%d", s.endpoints, s.teams, s.models)
-		r.measureOp(out, "schedule-request", size, scheduling(doc))
+		r.measureOp(out, "schedule-request", size, scheduleStep(doc))
 		if s.endpoints != 22 || s.teams != 4 {
 			continue
 		}
@@ -85,7 +85,7 @@
 // scheduleStep returns an operation that takes a request through all stages in a
 // pool's ledger: the want with its grant, and the progress of its phases. Half
 // of the slots are in use.
-func scheduling(doc *live.Document) func(int) { return schedulingWith(doc, func() {}) }
+func scheduleStep(doc *live.Document) func(int) { return schedulingWith(doc, func() {}) }
 
 // scheduleStepWith is scheduleStep with a callback for each grant.
 func schedulingWith(doc *live.Document, granted func()) func(int) {
--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -128,7 +128,7 @@
 	for _, s := range []struct{ endpoints, teams, models int }{{22, 4, 1}, {29, 900, 1}, {900, 900, 1}} {
 		sized := capacityDocument(s.endpoints, s.teams, s.models)
 		r.held(out, fmt.Sprintf("ledger of a pool, %d endpoints %d teams", s.endpoints, s.teams), func() any {
-			step := scheduling(sized)
+			step := scheduleStep(sized)
 			for i := range 10 * s.endpoints {
 				step(i)
 			}
