--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -85,10 +85,10 @@
 // scheduleStep returns an operation that takes a request through all stages in a
 // pool's ledger: the want with its grant, and the progress of its phases. Half
 // of the slots are in use.
-func scheduleStep(doc *live.Document) func(int) { return schedulingWith(doc, func() {}) }
+func scheduleStep(doc *live.Document) func(int) { return scheduleStepWith(doc, func() {}) }
 
 // scheduleStepWith is scheduleStep with a callback for each grant.
-func schedulingWith(doc *live.Document, granted func()) func(int) {
+func scheduleStepWith(doc *live.Document, granted func()) func(int) {
 	pool := doc.Pools[0].Name
 	l := sched.NewLedger(sched.Options{
 		Pool: pool, Self: id.Process{Daemon: "owner", Incarnation: 1}, Seed: 1, Settle: 1,
--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	doc := capacityDocument(22, 4, 1)
 	granted := 0
-	step := schedulingWith(doc, func() { granted++ })
+	step := scheduleStepWith(doc, func() { granted++ })
 	for i := range 200 {
 		step(i)
 	}
