--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -145,7 +145,7 @@
 	}
 	before := memoryNow()
 	f, err := fleet.Start(ctx, fleet.Config{
-		Sites: []standin.PlatformConfig{run.site()}, Daemons: run.daemons, Change: run.grow,
+		Sites: []standin.PlatformConfig{run.site()}, Daemons: run.daemons, Change: run.addItems,
 		Tune: func(s *settings.Settings) { s.Membership.Mode = run.mode },
 	})
 	if err != nil {
@@ -195,7 +195,7 @@
 }
 
 // addItems adds teams, and models without endpoints, to the configuration.
-func (run idleRun) grow(doc *live.Document) {
+func (run idleRun) addItems(doc *live.Document) {
 	for i := range run.teams - 1 {
 		name := fmt.Sprintf("team-%04d", i)
 		doc.Teams = append(doc.Teams, live.Team{Name: id.Team(name), KeyHashes: []string{live.HashKey(name)}})
--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -89,7 +89,7 @@
 // with the endpoints they would exceed the size limit of one change.
 func (c *changing) grow(ctx context.Context, run idleRun) error {
 	more := &live.Document{}
-	run.grow(more)
+	run.addItems(more)
 	if len(more.Teams)+len(more.Pools) == 0 {
 		return nil
 	}
