--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -208,7 +208,7 @@
 }
 
 // totals are counters of all daemons and the table since their start.
-type sums struct{ wire, frames, messages, broker, brokerMessages, reads, writes, questions float64 }
+type totals struct{ wire, frames, messages, broker, brokerMessages, reads, writes, questions float64 }
 
 // brokerKind is the kind of the messages that pair requests: the first kind that
 // package app declares.
@@ -228,8 +228,8 @@
 	return n
 }
 
-func sumOf(f *fleet.Fleet) sums {
-	var s sums
+func sumOf(f *fleet.Fleet) totals {
+	var s totals
 	for i := range f.Places() {
 		daemon := f.Daemon(i)
 		if daemon == nil {
@@ -251,8 +251,8 @@
 	return s
 }
 
-func (s sums) since(e sums) sums {
-	return sums{
+func (s totals) since(e totals) totals {
+	return totals{
 		wire: s.wire - e.wire, frames: s.frames - e.frames, messages: s.messages - e.messages,
 		broker: s.broker - e.broker, brokerMessages: s.brokerMessages - e.brokerMessages,
 		reads: s.reads - e.reads, writes: s.writes - e.writes, questions: s.questions - e.questions,
