--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -56,15 +56,15 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := sumOf(f)
+	at := totalsOf(f)
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := sumOf(f).since(at)
+	idleDid := totalsOf(f).since(at)
 	if err != nil {
 		return out, err
 	}
 	client := load.NewClient()
 	defer client.CloseIdleConnections()
-	at = sumOf(f)
+	at = totalsOf(f)
 	var mu sync.Mutex
 	busy := cpuDuring(func() {
 		_, err = each(ctx, Env{Parallel: capacityClaimCallers}, make([]struct{}, capacityClaimCount), func(ctx context.Context, _ struct{}) (struct{}, error) {
@@ -83,7 +83,7 @@
 	})
 	answered := out.Rate
 	out.Failed = capacityClaimCount - int(answered)
-	did := sumOf(f).since(at)
+	did := totalsOf(f).since(at)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	out.Rate = answered / busy.wall.Seconds()
 	out.Writes = (did.writes - idleDid.writes*share) / answered
--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -156,9 +156,9 @@
 		return out, err
 	}
 	n := float64(run.daemons)
-	at := sumOf(f)
+	at := totalsOf(f)
 	u := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	did := sumOf(f).since(at)
+	did := totalsOf(f).since(at)
 	seconds := u.wall.Seconds()
 	out.ProcessCores = u.cpu.Seconds() / seconds
 	out.Cores = out.ProcessCores / n
@@ -228,7 +228,7 @@
 	return n
 }
 
-func sumOf(f *fleet.Fleet) totals {
+func totalsOf(f *fleet.Fleet) totals {
 	var s totals
 	for i := range f.Places() {
 		daemon := f.Daemon(i)
--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -67,15 +67,15 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := sumOf(f)
+	at := totalsOf(f)
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := sumOf(f).since(at)
+	idleDid := totalsOf(f).since(at)
 	if err != nil {
 		return out, err
 	}
-	at = sumOf(f)
+	at = totalsOf(f)
 	busy := cpuDuring(func() { err = c.changes(ctx, capacityChangeCount) })
-	did := sumOf(f).since(at)
+	did := totalsOf(f).since(at)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	n := float64(capacityChangeCount)
 	daemons := float64(run.daemons)
@@ -150,23 +150,23 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := sumOf(f)
+	at := totalsOf(f)
 	var err error
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := sumOf(f).since(at)
+	idleDid := totalsOf(f).since(at)
 	if err != nil {
 		return out, err
 	}
 	env.Warmup, env.Duration = 0, capacityRequestTime
 	spec := d.spec(env, f, teams, capacityRate*BoundOf(d.Site, d.Profile, d.FirstToken).Capacity)
-	at = sumOf(f)
+	at = totalsOf(f)
 	logBytes, logLines := logged.bytes.Load(), logged.lines.Load()
 	var res *load.Result
 	busy := cpuDuring(func() { res, err = load.Run(ctx, spec) })
 	if err != nil {
 		return out, err
 	}
-	did := sumOf(f).since(at)
+	did := totalsOf(f).since(at)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	out.Completions = res.Total.Answered
 	n := float64(max(out.Completions, 1))
