--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -34,7 +34,7 @@
 	d := Deployment{Name: "in-flight", Site: site}
 	ofFleet, ofLoad := d.Teams(1)
 	ofFleet[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: 1, Teams: ofFleet, Change: patient})
+	f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: 1, Teams: ofFleet, Change: raiseTimeouts})
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 
 // raiseTimeouts sets long limits for waiting and for the whole request, so that
 // requests wait for a slot.
-func patient(doc *live.Document) {
+func raiseTimeouts(doc *live.Document) {
 	for i := range doc.Services {
 		doc.Services[i].PatienceMS = int((time.Minute).Milliseconds())
 		doc.Services[i].TimeoutMS = int((10 * time.Minute).Milliseconds())
