--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -114,14 +114,14 @@
 			return fmt.Errorf("stream %d: status %d", len(s.opened), resp.StatusCode)
 		}
 		s.opened = append(s.opened, resp.Body)
-		go s.readAway(resp.Body)
+		go s.discard(resp.Body)
 	}
 	return nil
 }
 
 // discard reads and counts a stream until close closes it. The error is expected
 // and dropped.
-func (s *streams) readAway(body io.Reader) { _, _ = io.Copy(&s.got, body) }
+func (s *streams) discard(body io.Reader) { _, _ = io.Copy(&s.got, body) }
 
 func (s *streams) close() {
 	for _, c := range s.opened {
