--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -50,15 +50,15 @@
 		if err := sleep(ctx, time.Second); err != nil {
 			return err
 		}
-		got, events := s.got.bytes.Load(), s.got.lines.Load()
+		got, events := s.received.bytes.Load(), s.received.lines.Load()
 		u := cpuDuring(func() { err = sleep(ctx, 2*time.Second) })
 		seconds := u.wall.Seconds()
 		if err != nil {
 			return err
 		}
 		figures := InFlightFigures{Streams: n, Bytes: memoryNow().inUse - before.inUse, Cores: u.cpu.Seconds() / seconds}
-		figures.Received = float64(s.got.bytes.Load()-got) / seconds
-		figures.Events = float64(s.got.lines.Load()-events) / seconds / linesPerEvent
+		figures.Received = float64(s.received.bytes.Load()-got) / seconds
+		figures.Events = float64(s.received.lines.Load()-events) / seconds / linesPerEvent
 		out.InFlight = append(out.InFlight, figures)
 		r.add("in-flight streams=%d heap_and_stack=%.2fMB process_cores=%.3f events=%.0f/s received=%.0fB/s",
 			n, figures.Bytes/1e6, figures.Cores, figures.Events, figures.Received)
@@ -88,11 +88,11 @@
 
 // streams holds the open response bodies of streamed completions.
 type streams struct {
-	got    counter
-	fleet  *fleet.Fleet
-	model  string
-	key    string
-	opened []io.Closer
+	received counter
+	fleet    *fleet.Fleet
+	model    string
+	key      string
+	opened   []io.Closer
 }
 
 // open opens streams until there are n.
@@ -121,7 +121,7 @@
 
 // discard reads and counts a stream until close closes it. The error is expected
 // and dropped.
-func (s *streams) discard(body io.Reader) { _, _ = io.Copy(&s.got, body) }
+func (s *streams) discard(body io.Reader) { _, _ = io.Copy(&s.received, body) }
 
 func (s *streams) close() {
 	for _, c := range s.opened {
