--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -23,7 +23,7 @@
 	Bytes float64 `json:"bytes"`
 }
 
-func (r *Report) size(out *CapacityFigures, of string, bytes float64) {
+func (r *Report) addSize(out *CapacityFigures, of string, bytes float64) {
 	out.Sizes = append(out.Sizes, SizeFigures{Of: of, Bytes: bytes})
 	r.add("size of=%q bytes=%.0f", of, bytes)
 }
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", of, err)
 	}
-	r.size(out, "message "+of, float64(len(raw)))
+	r.addSize(out, "message "+of, float64(len(raw)))
 	return nil
 }
 
@@ -45,7 +45,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", of, err)
 	}
-	r.size(out, "row "+of, float64(len(raw)))
+	r.addSize(out, "row "+of, float64(len(raw)))
 	return nil
 }
 
@@ -159,7 +159,7 @@
 	value := make()
 	after := memoryNow()
 	runtime.KeepAlive(value)
-	r.size(out, "heap of a "+of, max(after.heap-before.heap, 0))
+	r.addSize(out, "heap of a "+of, max(after.heap-before.heap, 0))
 }
 
 // recordFollower passes accepted changes, numbered in sequence, to a follower.
