--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -30,7 +30,7 @@
 
 // addMessageSize adds the encoded size of a message between daemons, before
 // encryption.
-func (r *Report) sent(out *CapacityFigures, of string, message any) error {
+func (r *Report) addMessageSize(out *CapacityFigures, of string, message any) error {
 	raw, err := peer.Encode(message)
 	if err != nil {
 		return fmt.Errorf("%s: %w", of, err)
@@ -68,7 +68,7 @@
 		{"config fetch", revision.Fetch{Seq: 1, Peer: memberName(1), After: 1234566}},
 		{"config snapshot", snapshot},
 	} {
-		if err := r.sent(out, m.name, m.body); err != nil {
+		if err := r.addMessageSize(out, m.name, m.body); err != nil {
 			return err
 		}
 	}
@@ -110,7 +110,7 @@
 		{"progress", broker.Envelope{Progress: &pairing.PoolProgress{Pool: want.Pool, Progress: progress}}},
 		{"refusal", broker.Envelope{Refusal: &sched.Refusal{Request: want.Request, Code: "overloaded", RetryAfter: time.Second, Reason: "no slot in time"}}},
 	} {
-		if err := r.sent(out, m.name, m.body); err != nil {
+		if err := r.addMessageSize(out, m.name, m.body); err != nil {
 			return err
 		}
 	}
