--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -40,7 +40,7 @@
 }
 
 // addRowSize adds the encoded size of a row of the table.
-func (r *Report) stored(out *CapacityFigures, of string, row any) error {
+func (r *Report) addRowSize(out *CapacityFigures, of string, row any) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
 		return fmt.Errorf("%s: %w", of, err)
@@ -77,13 +77,13 @@
 		e := memberEntry(i)
 		hosts.Hosts = append(hosts.Hosts, wire.Host{Name: string(e.Process.Daemon), Domain: string(e.Domain), Address: e.Address, State: "live"})
 	}
-	if err := r.stored(out, "host list of 420 hosts", hosts); err != nil {
+	if err := r.addRowSize(out, "host list of 420 hosts", hosts); err != nil {
 		return err
 	}
-	if err := r.stored(out, "config record", record); err != nil {
+	if err := r.addRowSize(out, "config record", record); err != nil {
 		return err
 	}
-	if err := r.stored(out, "config snapshot", snapshot); err != nil {
+	if err := r.addRowSize(out, "config snapshot", snapshot); err != nil {
 		return err
 	}
 	return r.stateSizes(out)
