--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -120,14 +120,14 @@
 // stateSizes measures the heap use of the parts of a daemon, up to the target
 // size.
 func (r *Report) stateSizes(out *CapacityFigures) error {
-	r.held(out, "document, 900 endpoints 900 teams 31 models", func() any {
+	r.addHeapSize(out, "document, 900 endpoints 900 teams 31 models", func() any {
 		return capacityDocument(targetEndpoints, targetTeams, targetModels)
 	})
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
-	r.held(out, "index of that document", func() any { return live.NewIndex(doc) })
+	r.addHeapSize(out, "index of that document", func() any { return live.NewIndex(doc) })
 	for _, s := range []struct{ endpoints, teams, models int }{{22, 4, 1}, {29, 900, 1}, {900, 900, 1}} {
 		sized := capacityDocument(s.endpoints, s.teams, s.models)
-		r.held(out, fmt.Sprintf("ledger of a pool, %d endpoints %d teams", s.endpoints, s.teams), func() any {
+		r.addHeapSize(out, fmt.Sprintf("ledger of a pool, %d endpoints %d teams", s.endpoints, s.teams), func() any {
 			step := scheduleStep(sized)
 			for i := range 10 * s.endpoints {
 				step(i)
@@ -135,7 +135,7 @@
 			return step
 		})
 	}
-	r.held(out, "membership of 420 daemons", func() any {
+	r.addHeapSize(out, "membership of 420 daemons", func() any {
 		m := member.New(member.DefaultConfig(member.Partial), memberEntry(0), 0, capacityRand(0))
 		for i := range targetDaemons - 1 {
 			m.Receive(0, member.Message{Kind: member.Probe, Seq: uint64(i + 1), From: memberEntry(i + 1)})
@@ -143,7 +143,7 @@
 		return m
 	})
 	var records *learning
-	r.held(out, "1,024 records of changes", func() any {
+	r.addHeapSize(out, "1,024 records of changes", func() any {
 		records = newLearning(doc)
 		for i := range 1024 {
 			records.learn(capacityChange(doc), i)
@@ -154,7 +154,7 @@
 }
 
 // addHeapSize adds the heap memory that a value holds after garbage collection.
-func (r *Report) held(out *CapacityFigures, of string, make func() any) {
+func (r *Report) addHeapSize(out *CapacityFigures, of string, make func() any) {
 	before := memoryNow()
 	value := make()
 	after := memoryNow()
