--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -142,7 +142,7 @@
 		}
 		return m
 	})
-	var records *learning
+	var records *recordFollower
 	r.addHeapSize(out, "1,024 records of changes", func() any {
 		records = newLearning(doc)
 		for i := range 1024 {
@@ -163,22 +163,22 @@
 }
 
 // recordFollower passes accepted changes, numbered in sequence, to a follower.
-type learning struct {
+type recordFollower struct {
 	follower *revision.Follower
 	chain    string
 	revision uint64
 }
 
 // newRecordFollower returns a recordFollower with a document in force.
-func newLearning(doc *live.Document) *learning {
-	l := &learning{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
+func newLearning(doc *live.Document) *recordFollower {
+	l := &recordFollower{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
 	for i, part := range parts(wholeChange(doc)) {
 		l.learn(part, i)
 	}
 	return l
 }
 
-func (l *learning) learn(c revision.Change, number int) {
+func (l *recordFollower) learn(c revision.Change, number int) {
 	c.ID = fmt.Sprintf("%s-%d", c.ID, number)
 	l.revision++
 	l.chain = revision.NextChain(l.chain, c)
@@ -187,7 +187,7 @@
 
 // check returns an error if not all learned changes are in force: the follower
 // has then refused some, and the measurement would be of refusals.
-func (l *learning) check() error {
+func (l *recordFollower) check() error {
 	if got := l.follower.Current().Revision; got != l.revision {
 		return fmt.Errorf("revision %d is in force after %d changes", got, l.revision)
 	}
