--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -151,7 +151,7 @@
 		}
 	})
 	r.measureOp(out, "config-index", size, func(int) { live.NewIndex(doc) })
-	learning := newLearning(doc)
+	learning := newRecordFollower(doc)
 	r.measureOp(out, "config-learn", size, func(i int) { learning.learn(change, i) })
 	l := sched.NewLedger(sched.Options{Pool: doc.Pools[0].Name, Self: id.Process{Daemon: "owner", Incarnation: 1}, Settle: 1, Violation: func(string, string) {}})
 	now := time.Duration(0)
--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -144,7 +144,7 @@
 	})
 	var records *recordFollower
 	r.addHeapSize(out, "1,024 records of changes", func() any {
-		records = newLearning(doc)
+		records = newRecordFollower(doc)
 		for i := range 1024 {
 			records.learn(capacityChange(doc), i)
 		}
@@ -170,7 +170,7 @@
 }
 
 // newRecordFollower returns a recordFollower with a document in force.
-func newLearning(doc *live.Document) *recordFollower {
+func newRecordFollower(doc *live.Document) *recordFollower {
 	l := &recordFollower{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
 	for i, part := range parts(wholeChange(doc)) {
 		l.learn(part, i)
--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -41,7 +41,7 @@
 func TestRecordFollowerDetectsARefusal(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(22, 4, 1)
-	l := newLearning(doc)
+	l := newRecordFollower(doc)
 	l.learn(capacityChange(doc), 1)
 	is.NoErr(l.check())
 	missing := capacityChange(doc)
