--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -93,7 +93,7 @@
 	if len(more.Teams)+len(more.Pools) == 0 {
 		return nil
 	}
-	req := opapi.ChangeRequest{ID: "grow", Author: "capacity", Ops: wholeChange(more).Ops}
+	req := opapi.ChangeRequest{ID: "grow", Author: "capacity", Ops: fullChange(more).Ops}
 	return c.propose(ctx, 0, req, 0)
 }
 
--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -172,7 +172,7 @@
 // newRecordFollower returns a recordFollower with a document in force.
 func newRecordFollower(doc *live.Document) *recordFollower {
 	l := &recordFollower{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
-	for i, part := range parts(wholeChange(doc)) {
+	for i, part := range parts(fullChange(doc)) {
 		l.learn(part, i)
 	}
 	return l
@@ -203,7 +203,7 @@
 }
 
 // fullChange returns a change that puts every item of a document.
-func wholeChange(doc *live.Document) revision.Change {
+func fullChange(doc *live.Document) revision.Change {
 	c := revision.Change{ID: "whole", At: time.Unix(1764700000, 0).UTC()}
 	for i := range doc.Teams {
 		c.Ops = append(c.Ops, putOp(live.KindTeam, string(doc.Teams[i].Name), doc.Teams[i]))
