--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -172,7 +172,7 @@
 // newRecordFollower returns a recordFollower with a document in force.
 func newRecordFollower(doc *live.Document) *recordFollower {
 	l := &recordFollower{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
-	for i, part := range parts(fullChange(doc)) {
+	for i, part := range splitChange(fullChange(doc)) {
 		l.learn(part, i)
 	}
 	return l
@@ -232,7 +232,7 @@
 }
 
 // splitChange splits a change into changes of at most revision.MaxOps operations.
-func parts(c revision.Change) []revision.Change {
+func splitChange(c revision.Change) []revision.Change {
 	var out []revision.Change
 	for from := 0; from < len(c.Ops); from += revision.MaxOps {
 		part := c
--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -25,7 +25,7 @@
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
 	is.Equal(len(live.Check(doc)), 0)
 	now := &live.Document{}
-	for _, part := range parts(fullChange(doc)) {
+	for _, part := range splitChange(fullChange(doc)) {
 		next, faults := revision.Apply(now, part)
 		is.Equal(len(faults), 0)
 		now = next
