--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -97,7 +97,7 @@
 	report := &Report{Experiment: "config", Seed: env.Seed}
 	figures := c.figures(ctx)
 	report.Data = figures
-	report.config(figures)
+	report.addConfig(figures)
 	return report, nil
 }
 
@@ -130,7 +130,7 @@
 	return c.settle(ctx)
 }
 
-func (r *Report) config(f ConfigFigures) {
+func (r *Report) addConfig(f ConfigFigures) {
 	for _, p := range f.Phases {
 		r.add("mode=%s daemons=%d phase=%s changes=%d samples=%d in_force_p50=%.0fms in_force_p99=%.0fms in_force_max=%.0fms aim=%s limit=%s over_limit=%d",
 			f.Mode, f.Daemons, p.Phase, p.Changes, p.Samples, p.P50MS, p.P99MS, p.MaxMS, configAim, configLimit, p.OverLimit)
