--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -12,7 +12,7 @@
 
 // settlePollInterval is the time between two checks whether all daemons have the
 // newest revision.
-const settleLook = 100 * time.Millisecond
+const settlePollInterval = 100 * time.Millisecond
 
 // settle waits until a daemon with the newest accepted revision runs at every
 // place, at most configSettle.
@@ -21,7 +21,7 @@
 	ctx, cancel := context.WithTimeout(ctx, configSettle)
 	defer cancel()
 	for !c.watch.allHave(newest, c.site.places()) {
-		if sleep(ctx, settleLook) != nil {
+		if sleep(ctx, settlePollInterval) != nil {
 			// The figures count the revisions that are still missing.
 			return nil
 		}
