--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -90,7 +90,7 @@
 			if took > configLimit {
 				out.OverLimit++
 				c.env.logf("config late phase=%s revision=%d place=%d took=%s accepted_at=%s stay=%s..%s ended=%t",
-					phase, a.revision, s.place, took, c.since(a.at), c.since(s.from), c.since(s.to), s.ended)
+					phase, a.revision, s.place, took, c.sinceStart(a.at), c.sinceStart(s.from), c.sinceStart(s.to), s.ended)
 			}
 			// The histogram ends at one minute; longer times count as never.
 			if times.RecordValue(max(took.Milliseconds(), 1)) != nil {
@@ -106,7 +106,7 @@
 
 // sinceStart returns the offset of a time from the start of the run, for the
 // progress output.
-func (c *changing) since(t time.Time) time.Duration {
+func (c *changing) sinceStart(t time.Time) time.Duration {
 	return t.Sub(c.watch.stays[0].from).Round(time.Millisecond)
 }
 
