--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -57,7 +57,7 @@
 		out.Phases = append(out.Phases, p)
 		out.NeverInForce += never
 	}
-	c.rejoins(&out)
+	c.countRejoins(&out)
 	return out
 }
 
@@ -113,7 +113,7 @@
 // countRejoins determines, for each daemon process that started during the run,
 // the time from its first reply until the changes accepted before this reply were
 // in force there.
-func (c *changing) rejoins(out *ConfigFigures) {
+func (c *changing) countRejoins(out *ConfigFigures) {
 	start := c.watch.stays[0].from
 	for _, s := range c.watch.stays {
 		if s.ended {
