--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -48,7 +48,7 @@
 	out := c.out
 	out.Mode, out.Daemons = c.site.mode(), c.site.places()
 	out.Accepted, out.Resent = len(c.accepted), c.resent
-	out.LostAccepted = c.lost(ctx)
+	out.LostAccepted = c.countLost(ctx)
 	c.watch.mu.Lock()
 	defer c.watch.mu.Unlock()
 	out.Reverted, out.HalfApplied = c.watch.revert, c.watch.half
@@ -146,7 +146,7 @@
 // history. It also counts the daemons whose history cannot be read or at which the
 // last accepted change is not in force. A daemon that started from a snapshot has
 // no history before this snapshot.
-func (c *changing) lost(ctx context.Context) int {
+func (c *changing) countLost(ctx context.Context) int {
 	lost := 0
 	anywhere := make(map[string]bool)
 	for place := range c.site.places() {
