--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -157,7 +157,7 @@
 			lost++
 			continue
 		}
-		lost += c.missingIn(history, anywhere)
+		lost += c.countMissing(history, anywhere)
 		doc, err := at.config(ctx)
 		if err != nil || markerOf(doc, 0) != c.lastNumber() {
 			c.env.logf("config place %d: marker %d, want %d: %v", place, markerOf(doc, 0), c.lastNumber(), err)
@@ -175,7 +175,7 @@
 // countMissing counts the accepted changes that a history does not hold exactly
 // once and at their revision, from the revision of its first entry on. It adds the
 // ids in the history to anywhere.
-func (c *changing) missingIn(h opapi.History, anywhere map[string]bool) int {
+func (c *changing) countMissing(h opapi.History, anywhere map[string]bool) int {
 	if len(h.Entries) == 0 {
 		return 0
 	}
--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -59,12 +59,12 @@
 		return opapi.HistoryEntry{ID: id, Revision: revision}
 	}
 	whole := opapi.History{Entries: []opapi.HistoryEntry{entry("a", 1), entry("b", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(whole, seen), 0)
+	is.Equal(c.countMissing(whole, seen), 0)
 	is.True(seen["a"] && seen["b"] && seen["c"])
 	late := opapi.History{Entries: []opapi.HistoryEntry{entry("b", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(late, seen), 0) // this daemon started from a snapshot
+	is.Equal(c.countMissing(late, seen), 0) // this daemon started from a snapshot
 	moved := opapi.History{Entries: []opapi.HistoryEntry{entry("a", 1), entry("c", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(moved, seen), 2) // b is missing and c occurs twice
+	is.Equal(c.countMissing(moved, seen), 2) // b is missing and c occurs twice
 }
 
 func TestPhaseFiguresExcludeKilledDaemons(t *testing.T) {
