--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -57,7 +57,7 @@
 }
 
 // nextRequest returns the next change with its marker number.
-func (c *changing) request(expect uint64) (opapi.ChangeRequest, int, error) {
+func (c *changing) nextRequest(expect uint64) (opapi.ChangeRequest, int, error) {
 	c.mu.Lock()
 	c.number++
 	n := c.number
@@ -119,7 +119,7 @@
 // changes proposes changes one after the other, each at the next daemon.
 func (c *changing) changes(ctx context.Context, count int) error {
 	for i := range count {
-		req, n, err := c.request(0)
+		req, n, err := c.nextRequest(0)
 		if err != nil {
 			return err
 		}
@@ -193,7 +193,7 @@
 	var all sync.WaitGroup
 	var failed error
 	for place := range c.site.places() {
-		req, n, err := c.request(0)
+		req, n, err := c.nextRequest(0)
 		if err != nil {
 			return nil, err
 		}
@@ -232,7 +232,7 @@
 		var failed [2]error
 		for k := range requests {
 			var err error
-			if requests[k], numbers[k], err = c.request(expect); err != nil {
+			if requests[k], numbers[k], err = c.nextRequest(expect); err != nil {
 				return err
 			}
 		}
