--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -95,7 +95,7 @@
 		}
 		answer, err := client.Change(ctx, req)
 		if err == nil {
-			c.accept(req, answer, n)
+			c.recordAccepted(req, answer, n)
 			return nil
 		}
 		if exit.Code(err) != exit.Unavailable {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (c *changing) accept(req opapi.ChangeRequest, answer opapi.ChangeAnswer, n int) {
+func (c *changing) recordAccepted(req opapi.ChangeRequest, answer opapi.ChangeAnswer, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accepted = append(c.accepted, acceptedChange{id: req.ID, revision: answer.Revision, phase: c.phase, at: time.Now(), number: n})
