--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -241,7 +241,7 @@
 			both.Go(func() { failed[k] = c.propose(ctx, i+4*k, requests[k], numbers[k]) })
 		}
 		both.Wait()
-		c.judge(requests, failed)
+		c.recordRace(requests, failed)
 		if err := sleep(ctx, configPause); err != nil {
 			return err
 		}
@@ -251,7 +251,7 @@
 
 // recordRace checks the outcome of a race: exactly one change must be accepted,
 // and the error of the other must be a conflict that names the accepted change.
-func (c *changing) judge(requests [2]opapi.ChangeRequest, failed [2]error) {
+func (c *changing) recordRace(requests [2]opapi.ChangeRequest, failed [2]error) {
 	c.out.Races++
 	loser := 0
 	if failed[0] == nil {
--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -42,12 +42,12 @@
 	conflict := exit.Errorf(exit.Conflict, "revision 3 by operator-1 (change first)")
 	unavailable := exit.Errorf(exit.Unavailable, "try again")
 	c := &changing{}
-	c.judge(requests, [2]error{nil, conflict})
+	c.recordRace(requests, [2]error{nil, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 1, OneWinner: 1, LoserTold: 1})
-	c.judge(requests, [2]error{nil, unavailable})
+	c.recordRace(requests, [2]error{nil, unavailable})
 	is.Equal(c.out, ConfigFigures{Races: 2, OneWinner: 2, LoserTold: 1})
-	c.judge(requests, [2]error{nil, nil})
-	c.judge(requests, [2]error{conflict, conflict})
+	c.recordRace(requests, [2]error{nil, nil})
+	c.recordRace(requests, [2]error{conflict, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 4, OneWinner: 2, LoserTold: 1})
 }
 
