--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -60,7 +60,7 @@
 		return out, err
 	}
 	defer f.Close()
-	c := &changing{env: env, site: &ownFleet{fleet: f}}
+	c := &changeDriver{env: env, site: &ownFleet{fleet: f}}
 	if err := c.addItems(ctx, run); err != nil {
 		return out, err
 	}
@@ -87,7 +87,7 @@
 
 // addItems adds the teams and models of a run in a separate change: together
 // with the endpoints they would exceed the size limit of one change.
-func (c *changing) addItems(ctx context.Context, run idleRun) error {
+func (c *changeDriver) addItems(ctx context.Context, run idleRun) error {
 	more := &live.Document{}
 	run.addItems(more)
 	if len(more.Teams)+len(more.Pools) == 0 {
--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -102,7 +102,7 @@
 }
 
 // run runs the phases in order. Daemons are replaced from the second phase on.
-func (c *changing) run(ctx context.Context) error {
+func (c *changeDriver) run(ctx context.Context) error {
 	disturb, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for _, p := range []struct {
--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -16,7 +16,7 @@
 
 // settle waits until a daemon with the newest accepted revision runs at every
 // place, at most configSettle.
-func (c *changing) settle(ctx context.Context) error {
+func (c *changeDriver) settle(ctx context.Context) error {
 	newest := c.newest()
 	ctx, cancel := context.WithTimeout(ctx, configSettle)
 	defer cancel()
@@ -44,7 +44,7 @@
 }
 
 // figures summarizes the run.
-func (c *changing) figures(ctx context.Context) ConfigFigures {
+func (c *changeDriver) figures(ctx context.Context) ConfigFigures {
 	out := c.out
 	out.Mode, out.Daemons = c.site.mode(), c.site.places()
 	out.Accepted, out.Resent = len(c.accepted), c.resent
@@ -65,7 +65,7 @@
 // daemon processes that started before the acceptance and had the change in
 // force before they ended. The second result counts the cases in which a process
 // is still running without the change.
-func (c *changing) phaseFigures(phase string) (PhaseFigures, int) {
+func (c *changeDriver) phaseFigures(phase string) (PhaseFigures, int) {
 	out := PhaseFigures{Phase: phase}
 	times := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	never := 0
@@ -106,14 +106,14 @@
 
 // sinceStart returns the offset of a time from the start of the run, for the
 // progress output.
-func (c *changing) sinceStart(t time.Time) time.Duration {
+func (c *changeDriver) sinceStart(t time.Time) time.Duration {
 	return t.Sub(c.watch.stays[0].from).Round(time.Millisecond)
 }
 
 // countRejoins determines, for each daemon process that started during the run,
 // the time from its first reply until the changes accepted before this reply were
 // in force there.
-func (c *changing) countRejoins(out *ConfigFigures) {
+func (c *changeDriver) countRejoins(out *ConfigFigures) {
 	start := c.watch.stays[0].from
 	for _, s := range c.watch.stays {
 		if s.ended {
@@ -146,7 +146,7 @@
 // history. It also counts the daemons whose history cannot be read or at which the
 // last accepted change is not in force. A daemon that started from a snapshot has
 // no history before this snapshot.
-func (c *changing) countLost(ctx context.Context) int {
+func (c *changeDriver) countLost(ctx context.Context) int {
 	lost := 0
 	anywhere := make(map[string]bool)
 	for place := range c.site.places() {
@@ -175,7 +175,7 @@
 // countMissing counts the accepted changes that a history does not hold exactly
 // once and at their revision, from the revision of its first entry on. It adds the
 // ids in the history to anywhere.
-func (c *changing) countMissing(h opapi.History, anywhere map[string]bool) int {
+func (c *changeDriver) countMissing(h opapi.History, anywhere map[string]bool) int {
 	if len(h.Entries) == 0 {
 		return 0
 	}
@@ -194,7 +194,7 @@
 }
 
 // lastNumber returns the marker value of the newest accepted change.
-func (c *changing) lastNumber() int {
+func (c *changeDriver) lastNumber() int {
 	var last acceptedChange
 	for _, a := range c.accepted {
 		if a.revision > last.revision {
--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -30,7 +30,7 @@
 const resendPause = 100 * time.Millisecond
 
 // changeDriver proposes the changes of the experiment and records the results.
-type changing struct {
+type changeDriver struct {
 	env   Env
 	site  configSite
 	watch *watch
@@ -52,12 +52,12 @@
 	number   int
 }
 
-func newChanging(env Env, site configSite) *changing {
-	return &changing{env: env, site: site, watch: startWatch(site)}
+func newChanging(env Env, site configSite) *changeDriver {
+	return &changeDriver{env: env, site: site, watch: startWatch(site)}
 }
 
 // nextRequest returns the next change with its marker number.
-func (c *changing) nextRequest(expect uint64) (opapi.ChangeRequest, int, error) {
+func (c *changeDriver) nextRequest(expect uint64) (opapi.ChangeRequest, int, error) {
 	c.mu.Lock()
 	c.number++
 	n := c.number
@@ -75,7 +75,7 @@
 
 // operator returns a client that tries the daemon at place first, then those at
 // the following places.
-func (c *changing) operator(first int) (*operator.Client, error) {
+func (c *changeDriver) operator(first int) (*operator.Client, error) {
 	var addresses []string
 	for i := range c.site.places() {
 		if a := c.site.address((first + i) % c.site.places()); a != "" {
@@ -87,7 +87,7 @@
 
 // propose sends a change, and sends it again with the same id as long as its
 // outcome is unknown.
-func (c *changing) propose(ctx context.Context, first int, req opapi.ChangeRequest, n int) error {
+func (c *changeDriver) propose(ctx context.Context, first int, req opapi.ChangeRequest, n int) error {
 	for {
 		client, err := c.operator(first)
 		if err != nil {
@@ -110,14 +110,14 @@
 	}
 }
 
-func (c *changing) recordAccepted(req opapi.ChangeRequest, answer opapi.ChangeAnswer, n int) {
+func (c *changeDriver) recordAccepted(req opapi.ChangeRequest, answer opapi.ChangeAnswer, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accepted = append(c.accepted, acceptedChange{id: req.ID, revision: answer.Revision, phase: c.phase, at: time.Now(), number: n})
 }
 
 // changes proposes changes one after the other, each at the next daemon.
-func (c *changing) changes(ctx context.Context, count int) error {
+func (c *changeDriver) changes(ctx context.Context, count int) error {
 	for i := range count {
 		req, n, err := c.nextRequest(0)
 		if err != nil {
@@ -134,7 +134,7 @@
 }
 
 // slow proposes changes while the table delays its replies.
-func (c *changing) slow(ctx context.Context) error {
+func (c *changeDriver) slow(ctx context.Context) error {
 	delay, none := configDelayMS, 0
 	if err := c.site.inject(wire.Fault{Target: standin.TargetTable, DelayMS: &delay}); err != nil {
 		return err
@@ -145,7 +145,7 @@
 
 // lossy proposes changes while the table loses a share of its replies after it has
 // carried out the operation.
-func (c *changing) lossy(ctx context.Context) error {
+func (c *changeDriver) lossy(ctx context.Context) error {
 	share, none := configLost, 0.0
 	if err := c.site.inject(wire.Fault{Target: standin.TargetTable, LoseReplies: &share}); err != nil {
 		return err
@@ -157,7 +157,7 @@
 // down makes the table unavailable right after a change has been accepted, so
 // that this change has to spread from daemon to daemon. It proposes more changes
 // during the outage and sends these again after it.
-func (c *changing) down(ctx context.Context) error {
+func (c *changeDriver) down(ctx context.Context) error {
 	if err := c.changes(ctx, 1); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 
 // proposeWhileDown sends one change to each daemon, all at the same time and
 // without retries.
-func (c *changing) proposeWhileDown(ctx context.Context) ([]pendingChange, error) {
+func (c *changeDriver) proposeWhileDown(ctx context.Context) ([]pendingChange, error) {
 	var refused []pendingChange
 	var all sync.WaitGroup
 	var failed error
@@ -224,7 +224,7 @@
 
 // races has two operators propose changes of the same items at the same time, at
 // two daemons and with the same expected revision.
-func (c *changing) races(ctx context.Context) error {
+func (c *changeDriver) races(ctx context.Context) error {
 	for i := range configRaces {
 		expect := c.newest()
 		var requests [2]opapi.ChangeRequest
@@ -251,7 +251,7 @@
 
 // recordRace checks the outcome of a race: exactly one change must be accepted,
 // and the error of the other must be a conflict that names the accepted change.
-func (c *changing) recordRace(requests [2]opapi.ChangeRequest, failed [2]error) {
+func (c *changeDriver) recordRace(requests [2]opapi.ChangeRequest, failed [2]error) {
 	c.out.Races++
 	loser := 0
 	if failed[0] == nil {
@@ -268,7 +268,7 @@
 }
 
 // newest returns the highest accepted revision.
-func (c *changing) newest() uint64 {
+func (c *changeDriver) newest() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var rev uint64
--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -41,7 +41,7 @@
 	requests := [2]opapi.ChangeRequest{{ID: "first"}, {ID: "second"}}
 	conflict := exit.Errorf(exit.Conflict, "revision 3 by operator-1 (change first)")
 	unavailable := exit.Errorf(exit.Unavailable, "try again")
-	c := &changing{}
+	c := &changeDriver{}
 	c.recordRace(requests, [2]error{nil, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 1, OneWinner: 1, LoserTold: 1})
 	c.recordRace(requests, [2]error{nil, unavailable})
@@ -53,7 +53,7 @@
 
 func TestMissingChangesAreCounted(t *testing.T) {
 	is := is.New(t)
-	c := &changing{accepted: []acceptedChange{{id: "a", revision: 1}, {id: "b", revision: 2}, {id: "c", revision: 3}}}
+	c := &changeDriver{accepted: []acceptedChange{{id: "a", revision: 1}, {id: "b", revision: 2}, {id: "c", revision: 3}}}
 	seen := map[string]bool{}
 	entry := func(id string, revision uint64) opapi.HistoryEntry {
 		return opapi.HistoryEntry{ID: id, Revision: revision}
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	begun := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
-	c := &changing{
+	c := &changeDriver{
 		watch: &watch{stays: []*stay{
 			{from: at(0), inForce: map[uint64]time.Time{5: at(1100)}},
 			{from: at(0), inForce: map[uint64]time.Time{5: at(6000)}},
