--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	defer site.close()
-	c := newChanging(env, site)
+	c := newChangeDriver(env, site)
 	defer c.watch.close()
 	if err := c.run(ctx); err != nil {
 		return nil, err
--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -52,7 +52,7 @@
 	number   int
 }
 
-func newChanging(env Env, site configSite) *changeDriver {
+func newChangeDriver(env Env, site configSite) *changeDriver {
 	return &changeDriver{env: env, site: site, watch: startWatch(site)}
 }
 
