--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -111,7 +111,7 @@
 	}{
 		{phaseCalm, func(ctx context.Context) error { return c.changes(ctx, configCalm) }},
 		{phaseReplacing, func(ctx context.Context) error {
-			go c.site.disturb(disturb)
+			go c.site.churn(disturb)
 			return c.changes(ctx, configReplacing)
 		}},
 		{phaseSlow, c.slow},
--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -50,7 +50,7 @@
 	// inject sets a fault of a stand-in.
 	inject(f wire.Fault) error
 	// churn kills and replaces daemons until ctx ends.
-	disturb(ctx context.Context)
+	churn(ctx context.Context)
 	close()
 }
 
@@ -85,7 +85,7 @@
 	return daemon.OperatorAddr()
 }
 
-func (s *ownFleet) disturb(ctx context.Context) {
+func (s *ownFleet) churn(ctx context.Context) {
 	for place := 0; ctx.Err() == nil; place = (place + 1) % s.places() {
 		s.fleet.Kill(place)
 		// When ctx ends, the daemon is still replaced, so that the fleet is
@@ -139,8 +139,8 @@
 func (p *processes) address(place int) string { return p.addresses[place] }
 
 // churn does nothing: scripts/experiment-config.sh kills and replaces the daemons.
-func (p *processes) disturb(context.Context) {}
-func (p *processes) close()                  {}
+func (p *processes) churn(context.Context) {}
+func (p *processes) close()                {}
 
 func (p *processes) inject(f wire.Fault) error {
 	body, err := json.Marshal(f)
