--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -34,8 +34,8 @@
 
 // Timing of the replacement of daemons in this process.
 const (
-	deadFor      = 700 * time.Millisecond
-	betweenKills = 1500 * time.Millisecond
+	churnDowntime = 700 * time.Millisecond
+	betweenKills  = 1500 * time.Millisecond
 )
 
 // configSite is the fleet whose configuration is changed.
@@ -90,7 +90,7 @@
 		s.fleet.Kill(place)
 		// When ctx ends, the daemon is still replaced, so that the fleet is
 		// complete; the error of the wait is not needed.
-		_ = sleep(ctx, deadFor)
+		_ = sleep(ctx, churnDowntime)
 		if s.fleet.Replace(place) != nil {
 			return
 		}
