--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -35,7 +35,7 @@
 // Timing of the replacement of daemons in this process.
 const (
 	churnDowntime = 700 * time.Millisecond
-	betweenKills  = 1500 * time.Millisecond
+	churnInterval = 1500 * time.Millisecond
 )
 
 // configSite is the fleet whose configuration is changed.
@@ -94,7 +94,7 @@
 		if s.fleet.Replace(place) != nil {
 			return
 		}
-		_ = sleep(ctx, betweenKills)
+		_ = sleep(ctx, churnInterval)
 	}
 }
 
