--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -60,7 +60,7 @@
 		return out, err
 	}
 	defer f.Close()
-	c := &changeDriver{env: env, site: &ownFleet{fleet: f}}
+	c := &changeDriver{env: env, site: &inProcessFleet{fleet: f}}
 	if err := c.addItems(ctx, run); err != nil {
 		return out, err
 	}
--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -65,19 +65,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &ownFleet{fleet: f}, nil
+	return &inProcessFleet{fleet: f}, nil
 }
 
 // inProcessFleet is a fleet in this process.
-type ownFleet struct{ fleet *fleet.Fleet }
+type inProcessFleet struct{ fleet *fleet.Fleet }
 
-func (s *ownFleet) mode() string              { return modeInProcess }
-func (s *ownFleet) key() string               { return s.fleet.OperatorKey() }
-func (s *ownFleet) places() int               { return s.fleet.Places() }
-func (s *ownFleet) inject(f wire.Fault) error { return s.fleet.Inject(f) }
-func (s *ownFleet) close()                    { s.fleet.Close() }
+func (s *inProcessFleet) mode() string              { return modeInProcess }
+func (s *inProcessFleet) key() string               { return s.fleet.OperatorKey() }
+func (s *inProcessFleet) places() int               { return s.fleet.Places() }
+func (s *inProcessFleet) inject(f wire.Fault) error { return s.fleet.Inject(f) }
+func (s *inProcessFleet) close()                    { s.fleet.Close() }
 
-func (s *ownFleet) address(place int) string {
+func (s *inProcessFleet) address(place int) string {
 	daemon := s.fleet.Daemon(place)
 	if daemon == nil {
 		return ""
@@ -85,7 +85,7 @@
 	return daemon.OperatorAddr()
 }
 
-func (s *ownFleet) churn(ctx context.Context) {
+func (s *inProcessFleet) churn(ctx context.Context) {
 	for place := 0; ctx.Err() == nil; place = (place + 1) % s.places() {
 		s.fleet.Kill(place)
 		// When ctx ends, the daemon is still replaced, so that the fleet is
