--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -100,15 +100,15 @@
 
 // processFleet is a fleet of daemon processes. scripts/fleet.sh starts them, and
 // scripts/experiment-config.sh kills and replaces them.
-type processes struct {
+type processFleet struct {
 	operatorKey string
 	addresses   []string
 	control     string
 }
 
 // attachProcesses reads the addresses that scripts/fleet.sh wrote to dir.
-func attachProcesses(dir string) (*processes, error) {
-	p := &processes{operatorKey: os.Getenv(envOperatorKey)}
+func attachProcesses(dir string) (*processFleet, error) {
+	p := &processFleet{operatorKey: os.Getenv(envOperatorKey)}
 	raw, err := os.ReadFile(filepath.Join(dir, fileDaemons))
 	if err != nil {
 		return nil, err
@@ -133,16 +133,16 @@
 	return p, nil
 }
 
-func (p *processes) mode() string             { return modeProcesses }
-func (p *processes) key() string              { return p.operatorKey }
-func (p *processes) places() int              { return len(p.addresses) }
-func (p *processes) address(place int) string { return p.addresses[place] }
+func (p *processFleet) mode() string             { return modeProcesses }
+func (p *processFleet) key() string              { return p.operatorKey }
+func (p *processFleet) places() int              { return len(p.addresses) }
+func (p *processFleet) address(place int) string { return p.addresses[place] }
 
 // churn does nothing: scripts/experiment-config.sh kills and replaces the daemons.
-func (p *processes) churn(context.Context) {}
-func (p *processes) close()                {}
+func (p *processFleet) churn(context.Context) {}
+func (p *processFleet) close()                {}
 
-func (p *processes) inject(f wire.Fault) error {
+func (p *processFleet) inject(f wire.Fault) error {
 	body, err := json.Marshal(f)
 	if err != nil {
 		return err
