--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -11,7 +11,7 @@
 const (
 	// watchPollInterval is the time between two polls of a daemon. It limits the
 	// precision of all times that the experiment measures.
-	watchPause = 15 * time.Millisecond
+	watchPollInterval = 15 * time.Millisecond
 	// watchPollTimeout is the timeout of one poll.
 	watchTimeout = 2 * time.Second
 )
@@ -68,7 +68,7 @@
 		if address != "" {
 			now = w.look(ctx, rawOperator{address: address, key: site.key()}, place, now)
 		}
-		if sleep(ctx, watchPause) != nil {
+		if sleep(ctx, watchPollInterval) != nil {
 			return
 		}
 	}
