--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -13,7 +13,7 @@
 	// precision of all times that the experiment measures.
 	watchPollInterval = 15 * time.Millisecond
 	// watchPollTimeout is the timeout of one poll.
-	watchTimeout = 2 * time.Second
+	watchPollTimeout = 2 * time.Second
 )
 
 // configWatcher polls the configuration in force at every place. It counts reverts
@@ -77,7 +77,7 @@
 // poll requests the configuration once. It returns the current lifetime, or nil if
 // the daemon did not reply.
 func (w *watch) look(ctx context.Context, at rawOperator, place int, now *stay) *stay {
-	once, cancel := context.WithTimeout(ctx, watchTimeout)
+	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
 	if err != nil {
