--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -35,7 +35,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	have := 0
-	for _, s := range w.stays {
+	for _, s := range w.lifetimes {
 		if !s.ended && s.newest >= revision {
 			have++
 		}
@@ -74,7 +74,7 @@
 			continue
 		}
 		out.Changes++
-		for _, s := range c.watch.stays {
+		for _, s := range c.watch.lifetimes {
 			if !s.from.Before(a.at) || s.first >= a.revision {
 				continue
 			}
@@ -107,15 +107,15 @@
 // sinceStart returns the offset of a time from the start of the run, for the
 // progress output.
 func (c *changeDriver) sinceStart(t time.Time) time.Duration {
-	return t.Sub(c.watch.stays[0].from).Round(time.Millisecond)
+	return t.Sub(c.watch.lifetimes[0].from).Round(time.Millisecond)
 }
 
 // countRejoins determines, for each daemon process that started during the run,
 // the time from its first reply until the changes accepted before this reply were
 // in force there.
 func (c *changeDriver) countRejoins(out *ConfigFigures) {
-	start := c.watch.stays[0].from
-	for _, s := range c.watch.stays {
+	start := c.watch.lifetimes[0].from
+	for _, s := range c.watch.lifetimes {
 		if s.ended {
 			out.Ended++
 		}
--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -72,7 +72,7 @@
 	begun := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	c := &changeDriver{
-		watch: &watch{stays: []*stay{
+		watch: &watch{lifetimes: []*stay{
 			{from: at(0), inForce: map[uint64]time.Time{5: at(1100)}},
 			{from: at(0), inForce: map[uint64]time.Time{5: at(6000)}},
 			{from: at(0), ended: true, inForce: map[uint64]time.Time{}},
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -22,10 +22,10 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	stays  []*stay
-	revert int
-	half   int
+	mu        sync.Mutex
+	lifetimes []*stay
+	revert    int
+	half      int
 }
 
 // lifetime is the observed lifetime of one daemon process at one place: from its
@@ -90,7 +90,7 @@
 	defer w.mu.Unlock()
 	if now == nil {
 		now = &stay{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
-		w.stays = append(w.stays, now)
+		w.lifetimes = append(w.lifetimes, now)
 	}
 	w.note(now, doc)
 	return now
