--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -24,7 +24,7 @@
 
 	mu        sync.Mutex
 	lifetimes []*stay
-	revert    int
+	reverts   int
 	half      int
 }
 
@@ -100,7 +100,7 @@
 func (w *watch) note(s *stay, doc *live.Document) {
 	s.to = time.Now()
 	if doc.Revision < s.newest {
-		w.revert++
+		w.reverts++
 	}
 	if markerOf(doc, 0) != markerOf(doc, 1) {
 		w.half++
