--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -51,7 +51,7 @@
 	out.LostAccepted = c.countLost(ctx)
 	c.watch.mu.Lock()
 	defer c.watch.mu.Unlock()
-	out.Reverted, out.HalfApplied = c.watch.reverts, c.watch.half
+	out.Reverted, out.HalfApplied = c.watch.reverts, c.watch.halfApplied
 	for _, phase := range []string{phaseCalm, phaseReplacing, phaseSlow, phaseLossy, phaseDown, phaseRaces} {
 		p, never := c.phaseFigures(phase)
 		out.Phases = append(out.Phases, p)
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -22,10 +22,10 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu        sync.Mutex
-	lifetimes []*stay
-	reverts   int
-	half      int
+	mu          sync.Mutex
+	lifetimes   []*stay
+	reverts     int
+	halfApplied int
 }
 
 // lifetime is the observed lifetime of one daemon process at one place: from its
@@ -103,7 +103,7 @@
 		w.reverts++
 	}
 	if markerOf(doc, 0) != markerOf(doc, 1) {
-		w.half++
+		w.halfApplied++
 	}
 	for rev := s.newest + 1; rev <= doc.Revision; rev++ {
 		s.inForce[rev] = s.to
