--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -66,7 +66,7 @@
 			now = w.end(now)
 		}
 		if address != "" {
-			now = w.look(ctx, rawOperator{address: address, key: site.key()}, place, now)
+			now = w.poll(ctx, rawOperator{address: address, key: site.key()}, place, now)
 		}
 		if sleep(ctx, watchPollInterval) != nil {
 			return
@@ -76,7 +76,7 @@
 
 // poll requests the configuration once. It returns the current lifetime, or nil if
 // the daemon did not reply.
-func (w *watch) look(ctx context.Context, at rawOperator, place int, now *stay) *stay {
+func (w *watch) poll(ctx context.Context, at rawOperator, place int, now *stay) *stay {
 	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
