--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -24,14 +24,14 @@
 	is := is.New(t)
 	w := &watch{}
 	s := &stay{inForce: map[uint64]time.Time{}}
-	w.note(s, marked(1, 5, 5))
-	w.note(s, marked(3, 6, 6))
+	w.record(s, marked(1, 5, 5))
+	w.record(s, marked(3, 6, 6))
 	is.Equal(w.halfApplied, 0)
 	is.Equal(w.reverts, 0)
 	is.Equal(len(s.inForce), 3)
-	w.note(s, marked(4, 7, 6))
+	w.record(s, marked(4, 7, 6))
 	is.Equal(w.halfApplied, 1)
-	w.note(s, marked(3, 6, 6))
+	w.record(s, marked(3, 6, 6))
 	is.Equal(w.reverts, 1)
 	is.Equal(s.newest, uint64(4))
 }
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -92,12 +92,12 @@
 		now = &stay{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
 		w.lifetimes = append(w.lifetimes, now)
 	}
-	w.note(now, doc)
+	w.record(now, doc)
 	return now
 }
 
 // record updates a lifetime with the document in force at its daemon.
-func (w *watch) note(s *stay, doc *live.Document) {
+func (w *watch) record(s *stay, doc *live.Document) {
 	s.to = time.Now()
 	if doc.Revision < s.newest {
 		w.reverts++
