--- a/cmd/internal/experiment/config_account.go
+++ b/cmd/internal/experiment/config_account.go
@@ -31,7 +31,7 @@
 
 // allHave reports whether a daemon with at least the given revision runs at every
 // place.
-func (w *watch) allHave(revision uint64, places int) bool {
+func (w *configWatcher) allHave(revision uint64, places int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	have := 0
--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -33,7 +33,7 @@
 type changeDriver struct {
 	env   Env
 	site  configSite
-	watch *watch
+	watch *configWatcher
 	phase string
 
 	mu       sync.Mutex
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -18,7 +18,7 @@
 
 // configWatcher polls the configuration in force at every place. It counts reverts
 // to an older revision, and replies that hold only a part of a change.
-type watch struct {
+type configWatcher struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
@@ -41,23 +41,23 @@
 	newestSeen *live.Document
 }
 
-func startWatch(site configSite) *watch {
+func startWatch(site configSite) *configWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{cancel: cancel}
+	w := &configWatcher{cancel: cancel}
 	for place := range site.places() {
 		w.wg.Go(func() { w.follow(ctx, site, place) })
 	}
 	return w
 }
 
-func (w *watch) close() {
+func (w *configWatcher) close() {
 	w.cancel()
 	w.wg.Wait()
 }
 
 // follow polls one place until ctx ends. A failed poll or a new address ends the
 // lifetime of the process.
-func (w *watch) follow(ctx context.Context, site configSite, place int) {
+func (w *configWatcher) follow(ctx context.Context, site configSite, place int) {
 	var now *stay
 	var address string
 	for ctx.Err() == nil {
@@ -76,7 +76,7 @@
 
 // poll requests the configuration once. It returns the current lifetime, or nil if
 // the daemon did not reply.
-func (w *watch) poll(ctx context.Context, at rawOperator, place int, now *stay) *stay {
+func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, now *stay) *stay {
 	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
@@ -97,7 +97,7 @@
 }
 
 // record updates a lifetime with the document in force at its daemon.
-func (w *watch) record(s *stay, doc *live.Document) {
+func (w *configWatcher) record(s *stay, doc *live.Document) {
 	s.to = time.Now()
 	if doc.Revision < s.newest {
 		w.reverts++
@@ -113,7 +113,7 @@
 }
 
 // end marks a lifetime as ended and returns nil.
-func (w *watch) end(s *stay) *stay {
+func (w *configWatcher) end(s *stay) *stay {
 	if s == nil {
 		return nil
 	}
