--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -53,7 +53,7 @@
 }
 
 func newChangeDriver(env Env, site configSite) *changeDriver {
-	return &changeDriver{env: env, site: site, watch: startWatch(site)}
+	return &changeDriver{env: env, site: site, watch: startConfigWatcher(site)}
 }
 
 // nextRequest returns the next change with its marker number.
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -41,7 +41,7 @@
 	newestSeen *live.Document
 }
 
-func startWatch(site configSite) *configWatcher {
+func startConfigWatcher(site configSite) *configWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &configWatcher{cancel: cancel}
 	for place := range site.places() {
