--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -23,7 +23,7 @@
 func TestWatcherDetectsPartialChangesAndReverts(t *testing.T) {
 	is := is.New(t)
 	w := &configWatcher{}
-	s := &stay{inForce: map[uint64]time.Time{}}
+	s := &lifetime{inForce: map[uint64]time.Time{}}
 	w.record(s, marked(1, 5, 5))
 	w.record(s, marked(3, 6, 6))
 	is.Equal(w.halfApplied, 0)
@@ -72,7 +72,7 @@
 	begun := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	c := &changeDriver{
-		watch: &configWatcher{lifetimes: []*stay{
+		watch: &configWatcher{lifetimes: []*lifetime{
 			{from: at(0), inForce: map[uint64]time.Time{5: at(1100)}},
 			{from: at(0), inForce: map[uint64]time.Time{5: at(6000)}},
 			{from: at(0), ended: true, inForce: map[uint64]time.Time{}},
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -23,7 +23,7 @@
 	wg     sync.WaitGroup
 
 	mu          sync.Mutex
-	lifetimes   []*stay
+	lifetimes   []*lifetime
 	reverts     int
 	halfApplied int
 }
@@ -31,7 +31,7 @@
 // lifetime is the observed lifetime of one daemon process at one place: from its
 // first reply to its last. inForce holds the time at which each revision was first
 // seen in force.
-type stay struct {
+type lifetime struct {
 	place      int
 	from, to   time.Time
 	ended      bool
@@ -58,7 +58,7 @@
 // follow polls one place until ctx ends. A failed poll or a new address ends the
 // lifetime of the process.
 func (w *configWatcher) follow(ctx context.Context, site configSite, place int) {
-	var now *stay
+	var now *lifetime
 	var address string
 	for ctx.Err() == nil {
 		if at := site.address(place); at != address {
@@ -76,7 +76,7 @@
 
 // poll requests the configuration once. It returns the current lifetime, or nil if
 // the daemon did not reply.
-func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, now *stay) *stay {
+func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, now *lifetime) *lifetime {
 	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
@@ -89,7 +89,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now == nil {
-		now = &stay{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
+		now = &lifetime{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
 		w.lifetimes = append(w.lifetimes, now)
 	}
 	w.record(now, doc)
@@ -97,7 +97,7 @@
 }
 
 // record updates a lifetime with the document in force at its daemon.
-func (w *configWatcher) record(s *stay, doc *live.Document) {
+func (w *configWatcher) record(s *lifetime, doc *live.Document) {
 	s.to = time.Now()
 	if doc.Revision < s.newest {
 		w.reverts++
@@ -113,7 +113,7 @@
 }
 
 // end marks a lifetime as ended and returns nil.
-func (w *configWatcher) end(s *stay) *stay {
+func (w *configWatcher) end(s *lifetime) *lifetime {
 	if s == nil {
 		return nil
 	}
