--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -131,7 +131,7 @@
 }
 
 // addFaults adds faults for outcomes of a run that must never occur.
-func (r *Report) faults(run string, res *load.Result, work fleet.Work) {
+func (r *Report) addFaults(run string, res *load.Result, work fleet.Work) {
 	if n := res.Faults(); n > 0 {
 		r.fault("%s: lost=%d doubled=%d wrong=%d", run, res.Total.Lost, res.Total.Doubled, res.Total.Wrong)
 	}
--- a/cmd/internal/experiment/experiment_test.go
+++ b/cmd/internal/experiment/experiment_test.go
@@ -90,12 +90,12 @@
 func TestFaultsAreReported(t *testing.T) {
 	is := is.New(t)
 	r := &Report{}
-	r.faults("calm", &load.Result{}, fleet.Work{})
+	r.addFaults("calm", &load.Result{}, fleet.Work{})
 	is.Equal(len(r.Faults), 0)
 	res := &load.Result{}
 	res.Total.Doubled = 1
-	r.faults("doubled", res, fleet.Work{})
-	r.faults("held", &load.Result{}, fleet.Work{HeldAfterCancel: 1})
-	r.faults("twice", &load.Result{}, fleet.Work{RanTwice: 1})
+	r.addFaults("doubled", res, fleet.Work{})
+	r.addFaults("held", &load.Result{}, fleet.Work{HeldAfterCancel: 1})
+	r.addFaults("twice", &load.Result{}, fleet.Work{RanTwice: 1})
 	is.Equal(r.Faults, []string{"doubled: lost=0 doubled=1 wrong=0", "held: held_after_cancel=1 running=0", "twice: ran_twice=1"})
 }
--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -135,7 +135,7 @@
 		f.Policy, f.Behaviour, f.OthersSent, f.share(), f.OthersRefused, f.OthersLate, baseline.share(), f.share()-baseline.share(),
 		f.Result.Teams[fairnessTeams-1].Requests, f.Result.Teams[fairnessTeams-1].Attempts, f.Result.Teams[fairnessTeams-1].Answered,
 		f.Result.Total.Lost, f.Result.Total.Doubled, f.Result.Total.Wrong, f.Work.HeldAfterCancel, 100*f.Work.WastedShare(), f.Result.Lag.P99MS)
-	r.faults(string(f.Policy)+" "+string(f.Behaviour), f.Result, f.Work)
+	r.addFaults(string(f.Policy)+" "+string(f.Behaviour), f.Result, f.Work)
 }
 
 // share returns the share of the other teams' completions that met both targets,
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -108,7 +108,7 @@
 		f.Deployment, f.Policy, f.Load, f.Result.Rate, t.GoodputPerSecond, f.BoundGoodput,
 		100*t.GoodputPerSecond/f.BoundGoodput, 100*f.WastedShare,
 		t.Answered, t.Refused, t.Failed, t.Lost, t.Doubled, t.Wrong, t.TTFT.P95MS, t.Pace.P95MS, f.Result.Lag.P99MS)
-	r.faults(fmt.Sprintf("%s %s %.1f", f.Deployment, f.Policy, f.Load), f.Result, f.Work)
+	r.addFaults(fmt.Sprintf("%s %s %.1f", f.Deployment, f.Policy, f.Load), f.Result, f.Work)
 }
 
 func goodputFigure(deployment string, figures []RoutingFigures) Figure {
