--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -28,10 +28,10 @@
 	// what the remaining failure domains can serve. ReturnRecoveryMS is the time
 	// from the return until it reached 95% of its value before the cut. Both are
 	// -1 if it did not.
-	CutRecoveryMS int64          `json:"cut_back_to_95_ms"`
-	ReturnBackMS  int64          `json:"return_back_to_95_ms"`
-	Ended         map[string]int `json:"ended"`
-	series        Series
+	CutRecoveryMS    int64          `json:"cut_back_to_95_ms"`
+	ReturnRecoveryMS int64          `json:"return_back_to_95_ms"`
+	Ended            map[string]int `json:"ended"`
+	series           Series
 }
 
 // runDomain cuts off each failure domain of the site, each in a fleet of its own.
@@ -84,9 +84,9 @@
 	return DomainFigures{
 		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
 		GoodputBefore: x.perSecond(at.quiet), GoodputCut: x.perSecond(at.fault), GoodputAfter: x.perSecond(at.rest),
-		CutRecoveryMS: x.backAfter(at.fault.from, at.fault.to, backShare*carried*shareBefore),
-		ReturnBackMS:  x.backAfter(at.rest.from, at.rest.to, backShare*shareBefore),
-		Ended:         x.codes(), series: x.series(domain),
+		CutRecoveryMS:    x.backAfter(at.fault.from, at.fault.to, backShare*carried*shareBefore),
+		ReturnRecoveryMS: x.backAfter(at.rest.from, at.rest.to, backShare*shareBefore),
+		Ended:            x.codes(), series: x.series(domain),
 	}, nil
 }
 
@@ -170,6 +170,6 @@
 		"rest_capacity=%.1f/s goodput_before=%.1f/s goodput_cut=%.1f/s goodput_after=%.1f/s "+
 		"cut_back_to_95_ms=%d return_back_to_95_ms=%d",
 		f.Domain, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
-		f.RestCapacity, f.GoodputBefore, f.GoodputCut, f.GoodputAfter, f.CutRecoveryMS, f.ReturnBackMS)
+		f.RestCapacity, f.GoodputBefore, f.GoodputCut, f.GoodputAfter, f.CutRecoveryMS, f.ReturnRecoveryMS)
 	r.wrong(f.Domain, f.Wrongs)
 }
