--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -21,7 +21,7 @@
 	GoodputDuring float64 `json:"goodput_during_per_second"`
 	// RecoveryMS is the time from the start of the fault, or from its end if it is
 	// lasting, until the goodput was back at 95%; -1 if it did not recover.
-	BackMS int64 `json:"back_to_95_ms"`
+	RecoveryMS int64 `json:"back_to_95_ms"`
 	// Ended counts the requests by outcome and error code.
 	Ended map[string]int `json:"ended"`
 	// Errors are the first log lines of the daemons at level error.
@@ -137,7 +137,7 @@
 		Wrongs:        x.wrongs(ctx, attempts),
 		GoodputBefore: x.perSecond(at.quiet),
 		GoodputDuring: x.perSecond(at.fault),
-		BackMS:        x.backAfter(from, at.rest.to, backShare*x.share(at.quiet)),
+		RecoveryMS:    x.backAfter(from, at.rest.to, backShare*x.share(at.quiet)),
 		Ended:         x.codes(),
 		Errors:        attempts.warnings,
 		series:        x.series(c.name),
@@ -149,7 +149,7 @@
 	r.add("fault=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"goodput_before=%.1f/s goodput_during=%.1f/s back_to_95_ms=%d",
 		f.Fault, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
-		f.GoodputBefore, f.GoodputDuring, f.BackMS)
+		f.GoodputBefore, f.GoodputDuring, f.RecoveryMS)
 	r.wrong(f.Fault, f.Wrongs)
 }
 
