--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -77,7 +77,7 @@
 	if err := ctx.Err(); err != nil {
 		return DomainFigures{}, err
 	}
-	rest := BoundOf(without(d.Site, domain), d.Profile, d.FirstToken).Capacity
+	rest := BoundOf(withoutDomain(d.Site, domain), d.Profile, d.FirstToken).Capacity
 	shareBefore := x.share(at.quiet)
 	arriving := x.spec.Rate * (1 - d.Profile.PlainShare)
 	carried := math.Min(1, rest/arriving)
@@ -91,7 +91,7 @@
 }
 
 // withoutDomain returns a site without the engines of a failure domain.
-func without(site standin.PlatformConfig, domain string) standin.PlatformConfig {
+func withoutDomain(site standin.PlatformConfig, domain string) standin.PlatformConfig {
 	engines := site.Engines
 	site.Engines = nil
 	for _, e := range engines {
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -189,7 +189,7 @@
 func TestSiteWithoutADomain(t *testing.T) {
 	is := is.New(t)
 	site := standin.Bunker()
-	rest := without(site, site.Domains[0])
+	rest := withoutDomain(site, site.Domains[0])
 	is.Equal(len(site.Engines), 18)
 	is.Equal(len(rest.Engines), 13)
 	for _, e := range rest.Engines {
