--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -48,7 +48,7 @@
 	fig := Figure{Name: "domain-goodput", Title: "Goodput around the cut of a failure domain",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second"}
 	for _, f := range figures {
-		report.domainLine(f)
+		report.addDomain(f)
 		fig.Series = append(fig.Series, f.series)
 	}
 	report.Figures = []Figure{fig}
@@ -165,7 +165,7 @@
 }
 
 // addDomain adds the line and the faults of a failure domain.
-func (r *Report) domainLine(f DomainFigures) {
+func (r *Report) addDomain(f DomainFigures) {
 	r.add("domain=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"rest_capacity=%.1f/s goodput_before=%.1f/s goodput_cut=%.1f/s goodput_after=%.1f/s "+
 		"cut_back_to_95_ms=%d return_back_to_95_ms=%d",
