--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -97,7 +97,7 @@
 	}
 	defer f.Close()
 	bound := BoundOf(d.Site, d.Profile, d.FirstToken)
-	spec := d.spec(env, f, ofLoad, fairnessLoad*bound.Capacity*totalShare(ofLoad))
+	spec := d.spec(env, f, ofLoad, fairnessLoad*bound.Capacity*meanWeight(ofLoad))
 	spec.Patience = fairnessPatience
 	res, work, err := measure(ctx, env, f, spec)
 	if err != nil {
@@ -119,7 +119,7 @@
 // meanWeight returns the mean weight of the teams. The total rate is multiplied by
 // it, so that the rate of the other teams stays the same when the weight of one
 // team is raised.
-func totalShare(teams []load.Team) float64 {
+func meanWeight(teams []load.Team) float64 {
 	var total float64
 	for _, t := range teams {
 		total += max(t.Weight, 1)
