--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -48,7 +48,7 @@
 	d := Deployment{Name: "claims", Site: site}
 	ofFleet, ofLoad := d.Teams(1)
 	ofFleet[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: daemons, Teams: ofFleet, Change: raiseTimeouts})
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: daemons, Teams: ofFleet, Change: raiseTimeouts})
 	if err != nil {
 		return out, err
 	}
--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -34,7 +34,7 @@
 	d := Deployment{Name: "in-flight", Site: site}
 	ofFleet, ofLoad := d.Teams(1)
 	ofFleet[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: 1, Teams: ofFleet, Change: raiseTimeouts})
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: ofFleet, Change: raiseTimeouts})
 	if err != nil {
 		return err
 	}
--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -128,7 +128,7 @@
 		d.Profile.PlainShare = 0
 		ofFleet, ofLoad := d.Teams(4)
 		logged := &counter{}
-		f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: capacityDaemons, Teams: ofFleet, Log: logged})
+		f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: capacityDaemons, Teams: ofFleet, Log: logged})
 		if err != nil {
 			return err
 		}
--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -90,7 +90,7 @@
 		ofLoad[fairnessTeams-1].Weight = retryWeight
 	}
 	f, err := fleet.Start(ctx, fleet.Config{
-		Sites: siteOf(d), Daemons: env.Daemons, Policy: r.policy, Teams: ofFleet,
+		Sites: sitesOf(d), Daemons: env.Daemons, Policy: r.policy, Teams: ofFleet,
 	})
 	if err != nil {
 		return FairnessFigures{}, err
@@ -147,4 +147,4 @@
 	return 100 * float64(f.OthersGood) / float64(f.OthersSent)
 }
 
-func siteOf(d Deployment) []standin.PlatformConfig { return []standin.PlatformConfig{d.Site} }
+func sitesOf(d Deployment) []standin.PlatformConfig { return []standin.PlatformConfig{d.Site} }
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -69,7 +69,7 @@
 	ofFleet, _ := d.Teams(faultTeams)
 	attempts := newAttemptLog()
 	config := fleet.Config{
-		Sites: siteOf(d), Daemons: max(env.Daemons, siteDaemons), Teams: ofFleet, Log: attempts,
+		Sites: sitesOf(d), Daemons: max(env.Daemons, siteDaemons), Teams: ofFleet, Log: attempts,
 	}
 	if tune != nil {
 		tune(&config)
--- a/cmd/internal/experiment/overhead.go
+++ b/cmd/internal/experiment/overhead.go
@@ -82,7 +82,7 @@
 	d := Deployment{Name: "overhead", Site: overheadSite(), Profile: load.Bunker()}
 	ofFleet, ofLoad := d.Teams(1)
 	ofFleet[0].MaxInFlight = overheadConcurrency * 4
-	f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: 1, Teams: ofFleet})
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: ofFleet})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -80,7 +80,7 @@
 func routeOnce(ctx context.Context, env Env, r routingRun) (RoutingFigures, error) {
 	ofFleet, ofLoad := r.deployment.Teams(routingTeams)
 	f, err := fleet.Start(ctx, fleet.Config{
-		Sites: siteOf(r.deployment), Daemons: env.Daemons, Policy: r.policy, Teams: ofFleet,
+		Sites: sitesOf(r.deployment), Daemons: env.Daemons, Policy: r.policy, Teams: ofFleet,
 	})
 	if err != nil {
 		return RoutingFigures{}, fmt.Errorf("%s %s: %w", r.deployment.Name, r.policy, err)
