--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -10,7 +10,7 @@
 )
 
 // minFaultDaemons is the minimum number of daemons in a fleet with injected faults.
-const siteDaemons = 9
+const minFaultDaemons = 9
 
 // FaultFigures are the results of one injected fault.
 type FaultFigures struct {
@@ -69,7 +69,7 @@
 	ofFleet, _ := d.Teams(faultTeams)
 	attempts := newAttemptLog()
 	config := fleet.Config{
-		Sites: sitesOf(d), Daemons: max(env.Daemons, siteDaemons), Teams: ofFleet, Log: attempts,
+		Sites: sitesOf(d), Daemons: max(env.Daemons, minFaultDaemons), Teams: ofFleet, Log: attempts,
 	}
 	if tune != nil {
 		tune(&config)
