--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -78,12 +78,12 @@
 		return DomainFigures{}, err
 	}
 	rest := BoundOf(withoutDomain(d.Site, domain), d.Profile, d.FirstToken).Capacity
-	shareBefore := x.share(at.quiet)
+	shareBefore := x.share(at.before)
 	arriving := x.spec.Rate * (1 - d.Profile.PlainShare)
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
 		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
-		GoodputBefore: x.perSecond(at.quiet), GoodputCut: x.perSecond(at.fault), GoodputAfter: x.perSecond(at.rest),
+		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.fault), GoodputAfter: x.perSecond(at.rest),
 		CutRecoveryMS:    x.backAfter(at.fault.from, at.fault.to, backShare*carried*shareBefore),
 		ReturnRecoveryMS: x.backAfter(at.rest.from, at.rest.to, backShare*shareBefore),
 		Ended:            x.codes(), series: x.series(domain),
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -30,15 +30,15 @@
 }
 
 // phases are the windows of a run before, during and after a fault.
-type phases struct{ quiet, fault, rest window }
+type phases struct{ before, fault, rest window }
 
 func (e Env) phases() phases {
 	begin := e.Warmup + e.Duration/2
 	end := begin + e.Duration/2
 	return phases{
-		quiet: window{e.Warmup, begin},
-		fault: window{begin, end},
-		rest:  window{end, end + e.Duration},
+		before: window{e.Warmup, begin},
+		fault:  window{begin, end},
+		rest:   window{end, end + e.Duration},
 	}
 }
 
@@ -135,9 +135,9 @@
 	return FaultFigures{
 		Fault:         c.name,
 		Wrongs:        x.wrongs(ctx, attempts),
-		GoodputBefore: x.perSecond(at.quiet),
+		GoodputBefore: x.perSecond(at.before),
 		GoodputDuring: x.perSecond(at.fault),
-		RecoveryMS:    x.backAfter(from, at.rest.to, backShare*x.share(at.quiet)),
+		RecoveryMS:    x.backAfter(from, at.rest.to, backShare*x.share(at.before)),
 		Ended:         x.codes(),
 		Errors:        attempts.warnings,
 		series:        x.series(c.name),
