--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -64,12 +64,12 @@
 	}
 	defer f.Close()
 	at := env.phases()
-	at.fault.to = at.fault.from + domainFactor*env.Duration
-	at.rest = window{at.fault.to, at.fault.to + domainFactor*env.Duration}
+	at.during.to = at.during.from + domainFactor*env.Duration
+	at.rest = window{at.during.to, at.during.to + domainFactor*env.Duration}
 	_, teams := d.Teams(faultTeams)
 	x := newDriver(env, d, f, teams, faultLoadShare, at.rest.to)
 	injected := make(chan error, 1)
-	go func() { injected <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.fault) }()
+	go func() { injected <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.during) }()
 	x.run(ctx)
 	if err := <-injected; err != nil {
 		return DomainFigures{}, fmt.Errorf("failure domain %s: %w", domain, err)
@@ -83,8 +83,8 @@
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
 		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
-		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.fault), GoodputAfter: x.perSecond(at.rest),
-		CutRecoveryMS:    x.backAfter(at.fault.from, at.fault.to, backShare*carried*shareBefore),
+		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.rest),
+		CutRecoveryMS:    x.backAfter(at.during.from, at.during.to, backShare*carried*shareBefore),
 		ReturnRecoveryMS: x.backAfter(at.rest.from, at.rest.to, backShare*shareBefore),
 		Ended:            x.codes(), series: x.series(domain),
 	}, nil
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -30,14 +30,14 @@
 }
 
 // phases are the windows of a run before, during and after a fault.
-type phases struct{ before, fault, rest window }
+type phases struct{ before, during, rest window }
 
 func (e Env) phases() phases {
 	begin := e.Warmup + e.Duration/2
 	end := begin + e.Duration/2
 	return phases{
 		before: window{e.Warmup, begin},
-		fault:  window{begin, end},
+		during: window{begin, end},
 		rest:   window{end, end + e.Duration},
 	}
 }
@@ -99,7 +99,7 @@
 	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hang: &hangUps{}}
 	x.hangUp = s.hang.chosen
 	injected := make(chan error, 1)
-	go func() { injected <- strikeAt(ctx, s, c.strike, at.fault) }()
+	go func() { injected <- strikeAt(ctx, s, c.strike, at.during) }()
 	x.run(ctx)
 	if err := <-injected; err != nil {
 		return FaultFigures{}, err
@@ -128,15 +128,15 @@
 
 // figures summarizes a run.
 func (x *driver) figures(ctx context.Context, c faultCase, at phases, attempts *attemptLog) FaultFigures {
-	from := at.fault.from
+	from := at.during.from
 	if c.lasting {
-		from = at.fault.to
+		from = at.during.to
 	}
 	return FaultFigures{
 		Fault:         c.name,
 		Wrongs:        x.wrongs(ctx, attempts),
 		GoodputBefore: x.perSecond(at.before),
-		GoodputDuring: x.perSecond(at.fault),
+		GoodputDuring: x.perSecond(at.during),
 		RecoveryMS:    x.backAfter(from, at.rest.to, backShare*x.share(at.before)),
 		Ended:         x.codes(),
 		Errors:        attempts.warnings,
