--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -65,9 +65,9 @@
 	defer f.Close()
 	at := env.phases()
 	at.during.to = at.during.from + domainFactor*env.Duration
-	at.rest = window{at.during.to, at.during.to + domainFactor*env.Duration}
+	at.after = window{at.during.to, at.during.to + domainFactor*env.Duration}
 	_, teams := d.Teams(faultTeams)
-	x := newDriver(env, d, f, teams, faultLoadShare, at.rest.to)
+	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
 	injected := make(chan error, 1)
 	go func() { injected <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.during) }()
 	x.run(ctx)
@@ -83,9 +83,9 @@
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
 		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
-		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.rest),
+		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.after),
 		CutRecoveryMS:    x.backAfter(at.during.from, at.during.to, backShare*carried*shareBefore),
-		ReturnRecoveryMS: x.backAfter(at.rest.from, at.rest.to, backShare*shareBefore),
+		ReturnRecoveryMS: x.backAfter(at.after.from, at.after.to, backShare*shareBefore),
 		Ended:            x.codes(), series: x.series(domain),
 	}, nil
 }
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -30,7 +30,7 @@
 }
 
 // phases are the windows of a run before, during and after a fault.
-type phases struct{ before, during, rest window }
+type phases struct{ before, during, after window }
 
 func (e Env) phases() phases {
 	begin := e.Warmup + e.Duration/2
@@ -38,7 +38,7 @@
 	return phases{
 		before: window{e.Warmup, begin},
 		during: window{begin, end},
-		rest:   window{end, end + e.Duration},
+		after:  window{end, end + e.Duration},
 	}
 }
 
@@ -95,7 +95,7 @@
 	defer f.Close()
 	at := env.phases()
 	_, teams := d.Teams(faultTeams)
-	x := newDriver(env, d, f, teams, faultLoadShare, at.rest.to)
+	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
 	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hang: &hangUps{}}
 	x.hangUp = s.hang.chosen
 	injected := make(chan error, 1)
@@ -137,7 +137,7 @@
 		Wrongs:        x.wrongs(ctx, attempts),
 		GoodputBefore: x.perSecond(at.before),
 		GoodputDuring: x.perSecond(at.during),
-		RecoveryMS:    x.backAfter(from, at.rest.to, backShare*x.share(at.before)),
+		RecoveryMS:    x.backAfter(from, at.after.to, backShare*x.share(at.before)),
 		Ended:         x.codes(),
 		Errors:        attempts.warnings,
 		series:        x.series(c.name),
