--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -69,7 +69,7 @@
 	_, teams := d.Teams(faultTeams)
 	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
 	injected := make(chan error, 1)
-	go func() { injected <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.during) }()
+	go func() { injected <- injectDuring(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.during) }()
 	x.run(ctx)
 	if err := <-injected; err != nil {
 		return DomainFigures{}, fmt.Errorf("failure domain %s: %w", domain, err)
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -99,7 +99,7 @@
 	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hang: &hangUps{}}
 	x.hangUp = s.hang.chosen
 	injected := make(chan error, 1)
-	go func() { injected <- strikeAt(ctx, s, c.strike, at.during) }()
+	go func() { injected <- injectDuring(ctx, s, c.strike, at.during) }()
 	x.run(ctx)
 	if err := <-injected; err != nil {
 		return FaultFigures{}, err
@@ -112,7 +112,7 @@
 
 // injectDuring starts a fault at the beginning of a window and ends it at the end
 // of the window.
-func strikeAt(ctx context.Context, s *scene, fault strike, w window) error {
+func injectDuring(ctx context.Context, s *scene, fault strike, w window) error {
 	started := time.Now()
 	if !sleepFor(ctx, w.from) {
 		return ctx.Err()
