--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -57,7 +57,7 @@
 	}
 	report := &Report{Experiment: "faults", Seed: env.Seed, Data: figures}
 	for _, f := range figures {
-		report.faultLine(f)
+		report.addFaultRun(f)
 	}
 	report.Figures = faultPlots(figures)
 	return report, nil
@@ -145,7 +145,7 @@
 }
 
 // addFaultRun adds the line and the faults of a run with an injected fault.
-func (r *Report) faultLine(f FaultFigures) {
+func (r *Report) addFaultRun(f FaultFigures) {
 	r.add("fault=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"goodput_before=%.1f/s goodput_during=%.1f/s back_to_95_ms=%d",
 		f.Fault, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -170,9 +170,9 @@
 func TestAnomaliesAreFaultsOfTheReport(t *testing.T) {
 	is := is.New(t)
 	r := &Report{}
-	r.faultLine(FaultFigures{Fault: "calm"})
+	r.addFaultRun(FaultFigures{Fault: "calm"})
 	is.Equal(len(r.Faults), 0)
-	r.faultLine(FaultFigures{Fault: "bad", Wrongs: Wrongs{Orphans: 1}})
+	r.addFaultRun(FaultFigures{Fault: "bad", Wrongs: Wrongs{Orphans: 1}})
 	is.Equal(len(r.Faults), 1)
 	is.True(strings.HasPrefix(r.Lines[1], "fault=bad lost=0 doubled=0 ran_twice=0 orphans=1 "))
 }
