--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -140,17 +140,17 @@
 	r.add("mode=%s reverted=%d lost_accepted=%d half_applied=%d never_in_force=%d", f.Mode, f.Reverted, f.LostAccepted, f.HalfApplied, f.NeverInForce)
 	r.add("mode=%s races=%d one_winner=%d loser_told=%d", f.Mode, f.Races, f.OneWinner, f.LoserTold)
 	if n := f.Reverted + f.LostAccepted + f.HalfApplied + f.NeverInForce; n > 0 {
-		r.fault("config: reverted=%d lost_accepted=%d half_applied=%d never_in_force=%d", f.Reverted, f.LostAccepted, f.HalfApplied, f.NeverInForce)
+		r.addFault("config: reverted=%d lost_accepted=%d half_applied=%d never_in_force=%d", f.Reverted, f.LostAccepted, f.HalfApplied, f.NeverInForce)
 	}
 	if f.OneWinner < f.Races || f.LoserTold < f.Races {
-		r.fault("config: races=%d one_winner=%d loser_told=%d", f.Races, f.OneWinner, f.LoserTold)
+		r.addFault("config: races=%d one_winner=%d loser_told=%d", f.Races, f.OneWinner, f.LoserTold)
 	}
 	for _, p := range f.Phases {
 		if p.OverLimit > 0 {
-			r.fault("config phase=%s: over_limit=%d of %d", p.Phase, p.OverLimit, p.Samples)
+			r.addFault("config phase=%s: over_limit=%d of %d", p.Phase, p.OverLimit, p.Samples)
 		}
 	}
 	if f.AcceptedWhileDown > 0 {
-		r.fault("config: accepted_while_down=%d", f.AcceptedWhileDown)
+		r.addFault("config: accepted_while_down=%d", f.AcceptedWhileDown)
 	}
 }
--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -133,12 +133,12 @@
 // addFaults adds faults for outcomes of a run that must never occur.
 func (r *Report) addFaults(run string, res *load.Result, work fleet.Work) {
 	if n := res.Faults(); n > 0 {
-		r.fault("%s: lost=%d doubled=%d wrong=%d", run, res.Total.Lost, res.Total.Doubled, res.Total.Wrong)
+		r.addFault("%s: lost=%d doubled=%d wrong=%d", run, res.Total.Lost, res.Total.Doubled, res.Total.Wrong)
 	}
 	if work.HeldAfterCancel > 0 || work.Running > 0 {
-		r.fault("%s: held_after_cancel=%d running=%d", run, work.HeldAfterCancel, work.Running)
+		r.addFault("%s: held_after_cancel=%d running=%d", run, work.HeldAfterCancel, work.Running)
 	}
 	if work.RanTwice > 0 {
-		r.fault("%s: ran_twice=%d", run, work.RanTwice)
+		r.addFault("%s: ran_twice=%d", run, work.RanTwice)
 	}
 }
--- a/cmd/internal/experiment/experiment.go
+++ b/cmd/internal/experiment/experiment.go
@@ -56,7 +56,7 @@
 }
 
 // addFault appends a fault.
-func (r *Report) fault(format string, args ...any) {
+func (r *Report) addFault(format string, args ...any) {
 	r.Faults = append(r.Faults, fmt.Sprintf(format, args...))
 }
 
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -156,7 +156,7 @@
 // addAnomalies adds a fault if a run had any anomalies.
 func (r *Report) wrong(run string, w Wrongs) {
 	if w.any() {
-		r.fault("%s: lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
+		r.addFault("%s: lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
 			run, w.Lost, w.Doubled, w.RanTwice, w.Orphans, w.NotRunButRan, w.Wrong, w.Violations)
 	}
 }
--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -140,10 +140,10 @@
 		f.Mode, f.Members, f.Loaded, f.JoinSeconds, f.Kills, f.DetectP50, f.DetectP99, f.DetectMax, f.Undetected, f.FalseDeaths, f.FalseInJoin, f.LoadAverage,
 		f.WireBytes, f.FrameBytes, f.Packets, f.Messages, f.Connections, f.Cores, f.HeapBytes/1e3, f.ProcessBytes/1e3)
 	if f.FalseDeaths > 0 {
-		r.fault("%s %d loaded=%t: false_deaths=%d", f.Mode, f.Members, f.Loaded, f.FalseDeaths)
+		r.addFault("%s %d loaded=%t: false_deaths=%d", f.Mode, f.Members, f.Loaded, f.FalseDeaths)
 	}
 	if f.Undetected > 0 {
-		r.fault("%s %d loaded=%t: undetected=%d", f.Mode, f.Members, f.Loaded, f.Undetected)
+		r.addFault("%s %d loaded=%t: undetected=%d", f.Mode, f.Members, f.Loaded, f.Undetected)
 	}
 }
 
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -271,7 +271,7 @@
 		r.add("run=%d poisons=%d crashes=%d per_poison=%.1f sends=%d quarantined_ms=%d",
 			i+1, run.Poisons, run.Crashes, float64(run.Crashes)/float64(run.Poisons), run.Sends, run.QuarantinedMS)
 		if run.Crashes > int64(crashesAllowed*run.Poisons) || run.QuarantinedMS == notBack {
-			r.fault("run %d: %d poisons crashed %d engines, quarantined_ms=%d", i+1, run.Poisons, run.Crashes, run.QuarantinedMS)
+			r.addFault("run %d: %d poisons crashed %d engines, quarantined_ms=%d", i+1, run.Poisons, run.Crashes, run.QuarantinedMS)
 		}
 		fig.Series[0].X = append(fig.Series[0].X, float64(i+1))
 		fig.Series[0].Y = append(fig.Series[0].Y, float64(run.Crashes))
@@ -280,10 +280,10 @@
 		f.Convicted, 100*f.InnocentsGood, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations)
 	r.add("lift=label lifted=%t lift_ms=%d", f.Lifted, f.LiftMS)
 	if f.Convicted > 0 {
-		r.fault("innocents convicted=%d", f.Convicted)
+		r.addFault("innocents convicted=%d", f.Convicted)
 	}
 	if !f.Lifted {
-		r.fault("the label did not lift the quarantine")
+		r.addFault("the label did not lift the quarantine")
 	}
 	r.wrong("innocents", f.Wrongs)
 	r.Figures = []Figure{fig, {Name: "poison-goodput", Title: "Goodput of the other requests",
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -238,10 +238,10 @@
 		f.NotRunButRan, f.Wrong, f.Violations, longest, 100*f.GoodDaemons)
 	r.add("drained=%d work_after_3s=%d undrained=%d good=%.1f%%", f.Drained, f.WorkAfterLeave, f.Undrained, 100*f.GoodEngines)
 	if f.Interrupted > 0 {
-		r.fault("interrupted=%d", f.Interrupted)
+		r.addFault("interrupted=%d", f.Interrupted)
 	}
 	if f.WorkAfterLeave > 0 || f.Undrained < f.Drained {
-		r.fault("drained=%d work_after_3s=%d undrained=%d", f.Drained, f.WorkAfterLeave, f.Undrained)
+		r.addFault("drained=%d work_after_3s=%d undrained=%d", f.Drained, f.WorkAfterLeave, f.Undrained)
 	}
 	r.wrong("rolling", f.Wrongs)
 	r.Figures = []Figure{{Name: "rolling-goodput", Title: "Goodput while daemons are replaced and engines drained",
