--- a/cmd/internal/experiment/capacity.go
+++ b/cmd/internal/experiment/capacity.go
@@ -76,7 +76,7 @@
 	f := FitFigures{Of: of, By: by, Line: fitLine(x, y), Target: target}
 	f.At = f.Line.At(target)
 	out.Fits = append(out.Fits, f)
-	r.add("fit of=%s by=%s base=%.6g slope=%.6g r2=%.3f at_%g=%.6g extrapolated=true", of, by, f.Line.Base, f.Line.Slope, f.Line.R2, target, f.At)
+	r.addLine("fit of=%s by=%s base=%.6g slope=%.6g r2=%.3f at_%g=%.6g extrapolated=true", of, by, f.Line.Base, f.Line.Slope, f.Line.R2, target, f.At)
 }
 
 // OpFigures are the cost of one operation of the core.
@@ -112,7 +112,7 @@
 		AllocBytes: (allocated() - before) / float64(n),
 	}
 	out.Core = append(out.Core, f)
-	r.add("core op=%s %s cpu=%.2fus alloc=%.0fB", name, size, f.CPUMicros, f.AllocBytes)
+	r.addLine("core op=%s %s cpu=%.2fus alloc=%.0fB", name, size, f.CPUMicros, f.AllocBytes)
 }
 
 // opsPerClockRead is the number of operations between two readings of the clock.
--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -35,7 +35,7 @@
 			return err
 		}
 		out.Claims = append(out.Claims, f)
-		r.add("claim daemons=%d calls=%d failed=%d rate=%.0f/s transactions=%.3f_a_call reads=%.3f_a_call cpu=%.0fus_process",
+		r.addLine("claim daemons=%d calls=%d failed=%d rate=%.0f/s transactions=%.3f_a_call reads=%.3f_a_call cpu=%.0fus_process",
 			f.Daemons, f.Calls, f.Failed, f.Rate, f.Writes, f.Reads, f.CPUMicros)
 	}
 	return nil
--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -86,7 +86,7 @@
 			return err
 		}
 		out.Idle = append(out.Idle, f)
-		r.add("idle mode=%s daemons=%d extra_endpoints=%d teams=%d models=%d cores=%.5f heap_and_stack=%.2fMB wire=%.0fB/s process_cores=%.4f "+
+		r.addLine("idle mode=%s daemons=%d extra_endpoints=%d teams=%d models=%d cores=%.5f heap_and_stack=%.2fMB wire=%.0fB/s process_cores=%.4f "+
 			"table_reads=%.2f/s table_writes=%.2f/s questions=%.1f/s",
 			f.Mode, f.Daemons, f.Endpoints, f.Teams, f.Models, f.Cores, f.Memory/1e6, f.Wire, f.ProcessCores, f.Reads, f.Writes, f.Questions)
 	}
--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -60,7 +60,7 @@
 		figures.Received = float64(s.received.bytes.Load()-got) / seconds
 		figures.Events = float64(s.received.lines.Load()-events) / seconds / linesPerEvent
 		out.InFlight = append(out.InFlight, figures)
-		r.add("in-flight streams=%d heap_and_stack=%.2fMB process_cores=%.3f events=%.0f/s received=%.0fB/s",
+		r.addLine("in-flight streams=%d heap_and_stack=%.2fMB process_cores=%.3f events=%.0f/s received=%.0fB/s",
 			n, figures.Bytes/1e6, figures.Cores, figures.Events, figures.Received)
 		x, y = append(x, float64(n)), append(y, figures.Bytes)
 	}
--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -47,7 +47,7 @@
 			return err
 		}
 		out.Changes = append(out.Changes, f)
-		r.add("change daemons=%d extra_endpoints=%d teams=%d models=%d cpu=%.0fus_a_daemon frames=%.0fB_a_daemon table_writes=%.2f",
+		r.addLine("change daemons=%d extra_endpoints=%d teams=%d models=%d cpu=%.0fus_a_daemon frames=%.0fB_a_daemon table_writes=%.2f",
 			f.Daemons, f.Endpoints, f.Teams, f.Models, f.CPUMicros, f.Frames, f.Writes)
 	}
 	return nil
@@ -138,7 +138,7 @@
 			return err
 		}
 		out.Requests = append(out.Requests, figures)
-		r.add("request deployment=%s completions=%d rate=%.1f/s broker_messages=%.2f broker=%.0fB wire=%.0fB cpu=%.0fus_process log=%.0fB log_lines=%.1f of=every_completion remote_share=%.2f",
+		r.addLine("request deployment=%s completions=%d rate=%.1f/s broker_messages=%.2f broker=%.0fB wire=%.0fB cpu=%.0fus_process log=%.0fB log_lines=%.1f of=every_completion remote_share=%.2f",
 			d.Name, figures.Completions, figures.Rate, figures.BrokerMessages, figures.BrokerBytes, figures.WireBytes, figures.CPUMicros, figures.LogBytes, figures.LogLines,
 			float64(capacityDaemons-1)/capacityDaemons)
 	}
--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -25,7 +25,7 @@
 
 func (r *Report) addSize(out *CapacityFigures, of string, bytes float64) {
 	out.Sizes = append(out.Sizes, SizeFigures{Of: of, Bytes: bytes})
-	r.add("size of=%q bytes=%.0f", of, bytes)
+	r.addLine("size of=%q bytes=%.0f", of, bytes)
 }
 
 // addMessageSize adds the encoded size of a message between daemons, before
--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -132,13 +132,13 @@
 
 func (r *Report) addConfig(f ConfigFigures) {
 	for _, p := range f.Phases {
-		r.add("mode=%s daemons=%d phase=%s changes=%d samples=%d in_force_p50=%.0fms in_force_p99=%.0fms in_force_max=%.0fms aim=%s limit=%s over_limit=%d",
+		r.addLine("mode=%s daemons=%d phase=%s changes=%d samples=%d in_force_p50=%.0fms in_force_p99=%.0fms in_force_max=%.0fms aim=%s limit=%s over_limit=%d",
 			f.Mode, f.Daemons, p.Phase, p.Changes, p.Samples, p.P50MS, p.P99MS, p.MaxMS, configAim, configLimit, p.OverLimit)
 	}
-	r.add("mode=%s accepted=%d resent=%d ended=%d rejoined=%d rejoin_max=%.0fms refused_while_down=%d cut_while_down=%d accepted_while_down=%d",
+	r.addLine("mode=%s accepted=%d resent=%d ended=%d rejoined=%d rejoin_max=%.0fms refused_while_down=%d cut_while_down=%d accepted_while_down=%d",
 		f.Mode, f.Accepted, f.Resent, f.Ended, f.Rejoined, f.RejoinMaxMS, f.RefusedWhileDown, f.CutWhileDown, f.AcceptedWhileDown)
-	r.add("mode=%s reverted=%d lost_accepted=%d half_applied=%d never_in_force=%d", f.Mode, f.Reverted, f.LostAccepted, f.HalfApplied, f.NeverInForce)
-	r.add("mode=%s races=%d one_winner=%d loser_told=%d", f.Mode, f.Races, f.OneWinner, f.LoserTold)
+	r.addLine("mode=%s reverted=%d lost_accepted=%d half_applied=%d never_in_force=%d", f.Mode, f.Reverted, f.LostAccepted, f.HalfApplied, f.NeverInForce)
+	r.addLine("mode=%s races=%d one_winner=%d loser_told=%d", f.Mode, f.Races, f.OneWinner, f.LoserTold)
 	if n := f.Reverted + f.LostAccepted + f.HalfApplied + f.NeverInForce; n > 0 {
 		r.addFault("config: reverted=%d lost_accepted=%d half_applied=%d never_in_force=%d", f.Reverted, f.LostAccepted, f.HalfApplied, f.NeverInForce)
 	}
--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -166,7 +166,7 @@
 
 // addDomain adds the line and the faults of a failure domain.
 func (r *Report) addDomain(f DomainFigures) {
-	r.add("domain=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
+	r.addLine("domain=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"rest_capacity=%.1f/s goodput_before=%.1f/s goodput_cut=%.1f/s goodput_after=%.1f/s "+
 		"cut_back_to_95_ms=%d return_back_to_95_ms=%d",
 		f.Domain, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
--- a/cmd/internal/experiment/experiment.go
+++ b/cmd/internal/experiment/experiment.go
@@ -51,7 +51,7 @@
 }
 
 // addLine appends a line of key=value pairs.
-func (r *Report) add(format string, args ...any) {
+func (r *Report) addLine(format string, args ...any) {
 	r.Lines = append(r.Lines, fmt.Sprintf(format, args...))
 }
 
--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -130,7 +130,7 @@
 // addFairness adds the line of a run: the results of the other teams, and the
 // difference from the baseline run, in which no team misbehaves.
 func (r *Report) addFairness(f, baseline FairnessFigures) {
-	r.add("policy=%s behaviour=%s others_sent=%d others_good=%.1f%% others_refused=%d others_late=%d calm_good=%.1f%% change=%+.1fpp "+
+	r.addLine("policy=%s behaviour=%s others_sent=%d others_good=%.1f%% others_refused=%d others_late=%d calm_good=%.1f%% change=%+.1fpp "+
 		"misbehaving_requests=%d misbehaving_attempts=%d misbehaving_answered=%d lost=%d doubled=%d wrong=%d held_after_cancel=%d wasted_prefill=%.1f%% send_lag_p99=%.1fms",
 		f.Policy, f.Behaviour, f.OthersSent, f.share(), f.OthersRefused, f.OthersLate, baseline.share(), f.share()-baseline.share(),
 		f.Result.Teams[fairnessTeams-1].Requests, f.Result.Teams[fairnessTeams-1].Attempts, f.Result.Teams[fairnessTeams-1].Answered,
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -146,7 +146,7 @@
 
 // addFaultRun adds the line and the faults of a run with an injected fault.
 func (r *Report) addFaultRun(f FaultFigures) {
-	r.add("fault=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
+	r.addLine("fault=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"goodput_before=%.1f/s goodput_during=%.1f/s back_to_95_ms=%d",
 		f.Fault, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
 		f.GoodputBefore, f.GoodputDuring, f.RecoveryMS)
--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -74,7 +74,7 @@
 // processors to itself.
 func runMembership(ctx context.Context, env Env) (*Report, error) {
 	report := &Report{Experiment: "membership", Seed: env.Seed}
-	report.add("setup=one-process duties=membership transports=quic-each-on-its-own-socket steady=%s domains=%d", membershipSteady, membershipDomains)
+	report.addLine("setup=one-process duties=membership transports=quic-each-on-its-own-socket steady=%s domains=%d", membershipSteady, membershipDomains)
 	var figures []MembershipFigures
 	for _, r := range membershipRuns() {
 		env.logf("membership mode=%s members=%d loaded=%t", r.mode, r.size, r.loaded)
@@ -135,7 +135,7 @@
 
 // addMembership adds the line and the faults of a run.
 func (r *Report) membership(f MembershipFigures) {
-	r.add("mode=%s members=%d loaded=%t join=%.1fs kills=%d detect_p50=%.2fs detect_p99=%.2fs detect_max=%.2fs undetected=%d false_deaths=%d false_in_join=%d load_average=%.0f "+
+	r.addLine("mode=%s members=%d loaded=%t join=%.1fs kills=%d detect_p50=%.2fs detect_p99=%.2fs detect_max=%.2fs undetected=%d false_deaths=%d false_in_join=%d load_average=%.0f "+
 		"wire=%.0fB/s frames=%.0fB/s packets=%.1f/s messages=%.1f/s connections=%.1f cores=%.5f heap_and_stack=%.0fkB process=%.0fkB",
 		f.Mode, f.Members, f.Loaded, f.JoinSeconds, f.Kills, f.DetectP50, f.DetectP99, f.DetectMax, f.Undetected, f.FalseDeaths, f.FalseInJoin, f.LoadAverage,
 		f.WireBytes, f.FrameBytes, f.Packets, f.Messages, f.Connections, f.Cores, f.HeapBytes/1e3, f.ProcessBytes/1e3)
@@ -161,7 +161,7 @@
 	} {
 		s := membershipSeries(mode, figures, m.of)
 		l := fitLine(s.X, s.Y)
-		r.add("fit mode=%s of=%s base=%.6g slope=%.6g r2=%.3f at_%d=%.6g limit=%g extrapolated=true",
+		r.addLine("fit mode=%s of=%s base=%.6g slope=%.6g r2=%.3f at_%d=%.6g limit=%g extrapolated=true",
 			mode, m.name, l.Base, l.Slope, l.R2, membershipTarget, l.At(membershipTarget), m.limit)
 	}
 }
--- a/cmd/internal/experiment/overhead.go
+++ b/cmd/internal/experiment/overhead.go
@@ -98,7 +98,7 @@
 			return nil, err
 		}
 		data.Latency = append(data.Latency, figures)
-		report.add("call=%s direct_p50=%.3fms direct_p99=%.3fms routed_p50=%.3fms routed_p99=%.3fms added_p50=%.3fms added_p99=%.3fms",
+		report.addLine("call=%s direct_p50=%.3fms direct_p99=%.3fms routed_p50=%.3fms routed_p99=%.3fms added_p50=%.3fms added_p99=%.3fms",
 			figures.Call, figures.Direct.P50MS, figures.Direct.P99MS, figures.Routed.P50MS, figures.Routed.P99MS, figures.AddedP50, figures.AddedP99)
 	}
 	busy, err := compareThroughput(ctx, calls)
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	data.Throughput = append(data.Throughput, busy)
-	report.add("call=%s direct=%.0f/s routed=%.0f/s direct_cpu=%.0fus routed_cpu=%.0fus added_cpu=%.0fus routed_per_core=%.0f/s idle_cores=%.3f",
+	report.addLine("call=%s direct=%.0f/s routed=%.0f/s direct_cpu=%.0fus routed_cpu=%.0fus added_cpu=%.0fus routed_per_core=%.0f/s idle_cores=%.3f",
 		busy.Call, busy.DirectPerSecond, busy.RoutedPerSecond, busy.DirectCPU, busy.RoutedCPU, busy.AddedCPU, busy.PerCorePerSecond, busy.IdleCores)
 	report.Data = data
 	return report, nil
--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -63,7 +63,7 @@
 			}
 			f, seconds := replayOverload(env.Seed, load, off)
 			figures = append(figures, f)
-			r.add("load=%q off=%q in_time=%.3f late=%.3f refused=%.3f refusals_at_once=%.2f vain_tokens=%.0f recovery_s=%.1f",
+			r.addLine("load=%q off=%q in_time=%.3f late=%.3f refused=%.3f refusals_at_once=%.2f vain_tokens=%.0f recovery_s=%.1f",
 				f.Load, f.Off, f.InTime, f.Late, f.Refused, f.AtOnce, f.VainTokens, f.Recovery)
 			if off == "" {
 				r.Figures = append(r.Figures, overloadFigure(load.name, seconds))
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -268,7 +268,7 @@
 	fig := Figure{Name: "poison-crashes", Title: "Engines crashed by each run of poison requests",
 		XLabel: "run", YLabel: "engines crashed", Series: []Series{{Name: "crashes"}}}
 	for i, run := range f.Runs {
-		r.add("run=%d poisons=%d crashes=%d per_poison=%.1f sends=%d quarantined_ms=%d",
+		r.addLine("run=%d poisons=%d crashes=%d per_poison=%.1f sends=%d quarantined_ms=%d",
 			i+1, run.Poisons, run.Crashes, float64(run.Crashes)/float64(run.Poisons), run.Sends, run.QuarantinedMS)
 		if run.Crashes > int64(crashesAllowed*run.Poisons) || run.QuarantinedMS == notBack {
 			r.addFault("run %d: %d poisons crashed %d engines, quarantined_ms=%d", i+1, run.Poisons, run.Crashes, run.QuarantinedMS)
@@ -276,9 +276,9 @@
 		fig.Series[0].X = append(fig.Series[0].X, float64(i+1))
 		fig.Series[0].Y = append(fig.Series[0].Y, float64(run.Crashes))
 	}
-	r.add("innocents convicted=%d good=%.1f%% lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
+	r.addLine("innocents convicted=%d good=%.1f%% lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
 		f.Convicted, 100*f.InnocentsGood, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations)
-	r.add("lift=label lifted=%t lift_ms=%d", f.Lifted, f.LiftMS)
+	r.addLine("lift=label lifted=%t lift_ms=%d", f.Lifted, f.LiftMS)
 	if f.Convicted > 0 {
 		r.addFault("innocents convicted=%d", f.Convicted)
 	}
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -233,10 +233,10 @@
 	for _, ms := range f.StopMS {
 		longest = max(longest, ms)
 	}
-	r.add("replaced=%d interrupted=%d lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
+	r.addLine("replaced=%d interrupted=%d lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"longest_stop_ms=%d good=%.1f%%", len(f.StopMS), f.Interrupted, f.Lost, f.Doubled, f.RanTwice, f.Orphans,
 		f.NotRunButRan, f.Wrong, f.Violations, longest, 100*f.GoodDaemons)
-	r.add("drained=%d work_after_3s=%d undrained=%d good=%.1f%%", f.Drained, f.WorkAfterLeave, f.Undrained, 100*f.GoodEngines)
+	r.addLine("drained=%d work_after_3s=%d undrained=%d good=%.1f%%", f.Drained, f.WorkAfterLeave, f.Undrained, 100*f.GoodEngines)
 	if f.Interrupted > 0 {
 		r.addFault("interrupted=%d", f.Interrupted)
 	}
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -103,7 +103,7 @@
 // addRouting adds the line of a run.
 func (r *Report) routing(f RoutingFigures) {
 	t := f.Result.Total
-	r.add("deployment=%s policy=%s load=%.1f rate=%.1f/s goodput=%.1f/s bound=%.1f/s of_bound=%.0f%% wasted_prefill=%.1f%% "+
+	r.addLine("deployment=%s policy=%s load=%.1f rate=%.1f/s goodput=%.1f/s bound=%.1f/s of_bound=%.0f%% wasted_prefill=%.1f%% "+
 		"answered=%d refused=%d failed=%d lost=%d doubled=%d wrong=%d ttft_p95=%.0fms pace_p95=%.1fms send_lag_p99=%.1fms",
 		f.Deployment, f.Policy, f.Load, f.Result.Rate, t.GoodputPerSecond, f.BoundGoodput,
 		100*t.GoodputPerSecond/f.BoundGoodput, 100*f.WastedShare,
