--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -171,5 +171,5 @@
 		"cut_back_to_95_ms=%d return_back_to_95_ms=%d",
 		f.Domain, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
 		f.RestCapacity, f.GoodputBefore, f.GoodputCut, f.GoodputAfter, f.CutRecoveryMS, f.ReturnRecoveryMS)
-	r.wrong(f.Domain, f.Wrongs)
+	r.addAnomalies(f.Domain, f.Wrongs)
 }
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -150,11 +150,11 @@
 		"goodput_before=%.1f/s goodput_during=%.1f/s back_to_95_ms=%d",
 		f.Fault, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
 		f.GoodputBefore, f.GoodputDuring, f.RecoveryMS)
-	r.wrong(f.Fault, f.Wrongs)
+	r.addAnomalies(f.Fault, f.Wrongs)
 }
 
 // addAnomalies adds a fault if a run had any anomalies.
-func (r *Report) wrong(run string, w Wrongs) {
+func (r *Report) addAnomalies(run string, w Wrongs) {
 	if w.any() {
 		r.addFault("%s: lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
 			run, w.Lost, w.Doubled, w.RanTwice, w.Orphans, w.NotRunButRan, w.Wrong, w.Violations)
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -285,7 +285,7 @@
 	if !f.Lifted {
 		r.addFault("the label did not lift the quarantine")
 	}
-	r.wrong("innocents", f.Wrongs)
+	r.addAnomalies("innocents", f.Wrongs)
 	r.Figures = []Figure{fig, {Name: "poison-goodput", Title: "Goodput of the other requests",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second", Series: []Series{f.series}}}
 	return r
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -243,7 +243,7 @@
 	if f.WorkAfterLeave > 0 || f.Undrained < f.Drained {
 		r.addFault("drained=%d work_after_3s=%d undrained=%d", f.Drained, f.WorkAfterLeave, f.Undrained)
 	}
-	r.wrong("rolling", f.Wrongs)
+	r.addAnomalies("rolling", f.Wrongs)
 	r.Figures = []Figure{{Name: "rolling-goodput", Title: "Goodput while daemons are replaced and engines drained",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second", Series: []Series{f.series}}}
 	return r
