--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -83,7 +83,7 @@
 			return nil, fmt.Errorf("%s %d: %w", r.mode, r.size, err)
 		}
 		figures = append(figures, f)
-		report.membership(f)
+		report.addMembership(f)
 	}
 	report.Data = figures
 	for _, mode := range membershipModes {
@@ -134,7 +134,7 @@
 }
 
 // addMembership adds the line and the faults of a run.
-func (r *Report) membership(f MembershipFigures) {
+func (r *Report) addMembership(f MembershipFigures) {
 	r.addLine("mode=%s members=%d loaded=%t join=%.1fs kills=%d detect_p50=%.2fs detect_p99=%.2fs detect_max=%.2fs undetected=%d false_deaths=%d false_in_join=%d load_average=%.0f "+
 		"wire=%.0fB/s frames=%.0fB/s packets=%.1f/s messages=%.1f/s connections=%.1f cores=%.5f heap_and_stack=%.0fkB process=%.0fkB",
 		f.Mode, f.Members, f.Loaded, f.JoinSeconds, f.Kills, f.DetectP50, f.DetectP99, f.DetectMax, f.Undetected, f.FalseDeaths, f.FalseInJoin, f.LoadAverage,
