--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -87,7 +87,7 @@
 	}
 	report.Data = figures
 	for _, mode := range membershipModes {
-		report.membershipFits(mode, figures)
+		report.addMembershipFits(mode, figures)
 	}
 	report.Figures = membershipFigures(figures)
 	return report, nil
@@ -148,7 +148,7 @@
 }
 
 // membershipFits adds linear fits through the unloaded runs.
-func (r *Report) membershipFits(mode member.Mode, figures []MembershipFigures) {
+func (r *Report) addMembershipFits(mode member.Mode, figures []MembershipFigures) {
 	for _, m := range []struct {
 		name  string
 		limit float64
