--- a/cmd/internal/experiment/experiment_test.go
+++ b/cmd/internal/experiment/experiment_test.go
@@ -74,7 +74,7 @@
 	fig := goodputFigure("bunker", figures)
 	is.Equal(fig.Series[len(fig.Series)-1], Series{Name: "bound", X: []float64{0.7, 0.9}, Y: []float64{30, 40}})
 	r := &Report{Experiment: "routing", Seed: 3, Figures: []Figure{fig}}
-	r.routing(figures[0])
+	r.addRouting(figures[0])
 	is.NoErr(r.Write(dir))
 	raw, err := os.ReadFile(filepath.Join(dir, "routing.json"))
 	is.NoErr(err)
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -54,7 +54,7 @@
 	}
 	report := &Report{Experiment: "routing", Seed: env.Seed, Data: figures}
 	for _, f := range figures {
-		report.routing(f)
+		report.addRouting(f)
 	}
 	for _, d := range Deployments() {
 		report.Figures = append(report.Figures, goodputFigure(d.Name, figures), wasteFigure(d.Name, figures))
@@ -101,7 +101,7 @@
 }
 
 // addRouting adds the line of a run.
-func (r *Report) routing(f RoutingFigures) {
+func (r *Report) addRouting(f RoutingFigures) {
 	t := f.Result.Total
 	r.addLine("deployment=%s policy=%s load=%.1f rate=%.1f/s goodput=%.1f/s bound=%.1f/s of_bound=%.0f%% wasted_prefill=%.1f%% "+
 		"answered=%d refused=%d failed=%d lost=%d doubled=%d wrong=%d ttft_p95=%.0fms pace_p95=%.1fms send_lag_p99=%.1fms",
