--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -99,7 +99,7 @@
 	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hang: &hangUps{}}
 	x.hangUp = s.hang.chosen
 	injected := make(chan error, 1)
-	go func() { injected <- injectDuring(ctx, s, c.strike, at.during) }()
+	go func() { injected <- injectDuring(ctx, s, c.injection, at.during) }()
 	x.run(ctx)
 	if err := <-injected; err != nil {
 		return FaultFigures{}, err
--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -25,8 +25,8 @@
 
 // faultCase is one injected fault of the experiment.
 type faultCase struct {
-	name   string
-	strike strike
+	name      string
+	injection strike
 	// lasting is true if the fault has its effect until its end. The recovery
 	// time is then measured from the end, otherwise from the start.
 	lasting bool
