--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -19,7 +19,7 @@
 
 // selected reports whether the caller of an arrival hangs up: about half of the
 // callers of completions do while the fault is active.
-func (h *hangUps) chosen(a load.Arrival) bool {
+func (h *hangUps) selected(a load.Arrival) bool {
 	return h.on.Load() && !a.Plain && a.TextSeed%2 == 0
 }
 
