--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -96,8 +96,8 @@
 	at := env.phases()
 	_, teams := d.Teams(faultTeams)
 	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
-	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hang: &hangUps{}}
-	x.hangUp = s.hang.selected
+	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hangUps: &hangUps{}}
+	x.hangUp = s.hangUps.selected
 	injected := make(chan error, 1)
 	go func() { injected <- injectDuring(ctx, s, c.injection, at.during) }()
 	x.run(ctx)
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -20,7 +20,7 @@
 	site  standin.PlatformConfig
 	rng   *rand.Rand
 	// hang selects the callers that hang up.
-	hang *hangUps
+	hangUps *hangUps
 }
 
 // injection is a fault with a start and an end.
@@ -219,7 +219,7 @@
 func callersHangUp() strike {
 	set := func(on bool) func(context.Context, *scene) error {
 		return func(_ context.Context, s *scene) error {
-			s.hang.on.Store(on)
+			s.hangUps.on.Store(on)
 			return nil
 		}
 	}
