--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -50,7 +50,7 @@
 	place := -1
 	return strike{
 		begin: func(_ context.Context, s *scene) error {
-			place = s.someDaemon(s.owner())
+			place = s.randomDaemon(s.owner())
 			s.fleet.Kill(place)
 			return nil
 		},
@@ -60,7 +60,7 @@
 
 // randomDaemon returns a random place where a daemon runs, other than the excluded
 // place.
-func (s *scene) someDaemon(excluded int) int {
+func (s *scene) randomDaemon(excluded int) int {
 	for {
 		i := s.rng.IntN(s.fleet.Places())
 		if i != excluded && s.fleet.Daemon(i) != nil {
@@ -183,7 +183,7 @@
 	return strike{
 		begin: func(_ context.Context, s *scene) error {
 			old := s.fleet.Hosts()
-			place := s.someDaemon(s.owner())
+			place := s.randomDaemon(s.owner())
 			s.fleet.Kill(place)
 			err := s.fleet.Replace(place)
 			s.fleet.SetHosts(old)
