--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -88,14 +88,14 @@
 // crashEngine crashes an engine that has a request in the given stage.
 func crashEngine(stage string) strike {
 	return strike{end: nothing, begin: func(ctx context.Context, s *scene) error {
-		name := s.engineIn(ctx, stage)
+		name := s.findEngine(ctx, stage)
 		return s.fleet.Inject(wire.Fault{Target: name, Crash: true})
 	}}
 }
 
 // findEngine returns an engine that has a request in the given stage. If there is
 // none within stageWait, it returns any engine of the role.
-func (s *scene) engineIn(ctx context.Context, stage string) string {
+func (s *scene) findEngine(ctx context.Context, stage string) string {
 	clients := endpoints.New(nil)
 	deadline := time.Now().Add(stageWait)
 	engines := s.engines(roleOf(stage))
