--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -69,7 +69,9 @@
 	_, teams := d.Teams(faultTeams)
 	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
 	injected := make(chan error, 1)
-	go func() { injected <- injectDuring(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.during) }()
+	go func() {
+		injected <- injectDuring(ctx, &faultTarget{fleet: f, site: d.Site}, cutDomain(domain), at.during)
+	}()
 	x.run(ctx)
 	if err := <-injected; err != nil {
 		return DomainFigures{}, fmt.Errorf("failure domain %s: %w", domain, err)
@@ -107,7 +109,7 @@
 func cutDomain(domain string) strike {
 	var places []int
 	return strike{
-		begin: func(_ context.Context, s *scene) error {
+		begin: func(_ context.Context, s *faultTarget) error {
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(true), Crash: true}); err != nil {
 				return err
 			}
@@ -117,7 +119,7 @@
 			}
 			return nil
 		},
-		end: func(_ context.Context, s *scene) error {
+		end: func(_ context.Context, s *faultTarget) error {
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(false)}); err != nil {
 				return err
 			}
@@ -143,7 +145,7 @@
 }
 
 // injectDomain injects a fault into every endpoint of a failure domain.
-func (s *scene) injectDomain(domain string, fault wire.Fault) error {
+func (s *faultTarget) injectDomain(domain string, fault wire.Fault) error {
 	var targets []string
 	for _, e := range s.site.Engines {
 		if e.Domain == domain {
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -96,7 +96,7 @@
 	at := env.phases()
 	_, teams := d.Teams(faultTeams)
 	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
-	s := &scene{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hangUps: &hangUps{}}
+	s := &faultTarget{fleet: f, site: d.Site, rng: rand.New(rand.NewPCG(env.Seed, 1)), hangUps: &hangUps{}}
 	x.hangUp = s.hangUps.selected
 	injected := make(chan error, 1)
 	go func() { injected <- injectDuring(ctx, s, c.injection, at.during) }()
@@ -112,7 +112,7 @@
 
 // injectDuring starts a fault at the beginning of a window and ends it at the end
 // of the window.
-func injectDuring(ctx context.Context, s *scene, fault strike, w window) error {
+func injectDuring(ctx context.Context, s *faultTarget, fault strike, w window) error {
 	started := time.Now()
 	if !sleepFor(ctx, w.from) {
 		return ctx.Err()
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -15,7 +15,7 @@
 
 // faultTarget is the fleet, with its site and callers, that faults are injected
 // into.
-type scene struct {
+type faultTarget struct {
 	fleet *fleet.Fleet
 	site  standin.PlatformConfig
 	rng   *rand.Rand
@@ -25,11 +25,11 @@
 
 // injection is a fault with a start and an end.
 type strike struct {
-	begin func(ctx context.Context, s *scene) error
-	end   func(ctx context.Context, s *scene) error
+	begin func(ctx context.Context, s *faultTarget) error
+	end   func(ctx context.Context, s *faultTarget) error
 }
 
-func nothing(context.Context, *scene) error { return nil }
+func nothing(context.Context, *faultTarget) error { return nil }
 
 // Parameters of the faults.
 const (
@@ -49,18 +49,18 @@
 func killDaemon() strike {
 	place := -1
 	return strike{
-		begin: func(_ context.Context, s *scene) error {
+		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.randomDaemon(s.owner())
 			s.fleet.Kill(place)
 			return nil
 		},
-		end: func(_ context.Context, s *scene) error { return s.fleet.Replace(place) },
+		end: func(_ context.Context, s *faultTarget) error { return s.fleet.Replace(place) },
 	}
 }
 
 // randomDaemon returns a random place where a daemon runs, other than the excluded
 // place.
-func (s *scene) randomDaemon(excluded int) int {
+func (s *faultTarget) randomDaemon(excluded int) int {
 	for {
 		i := s.rng.IntN(s.fleet.Places())
 		if i != excluded && s.fleet.Daemon(i) != nil {
@@ -70,24 +70,24 @@
 }
 
 // owner returns the place of the daemon that schedules the pool.
-func (s *scene) owner() int { return s.fleet.Owner(id.Pool(s.site.ModelService)) }
+func (s *faultTarget) owner() int { return s.fleet.Owner(id.Pool(s.site.ModelService)) }
 
 // killOwner kills the daemon that schedules the pool, and replaces it at the end.
 func killOwner() strike {
 	place := -1
 	return strike{
-		begin: func(_ context.Context, s *scene) error {
+		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.owner()
 			s.fleet.Kill(place)
 			return nil
 		},
-		end: func(_ context.Context, s *scene) error { return s.fleet.Replace(place) },
+		end: func(_ context.Context, s *faultTarget) error { return s.fleet.Replace(place) },
 	}
 }
 
 // crashEngine crashes an engine that has a request in the given stage.
 func crashEngine(stage string) strike {
-	return strike{end: nothing, begin: func(ctx context.Context, s *scene) error {
+	return strike{end: nothing, begin: func(ctx context.Context, s *faultTarget) error {
 		name := s.findEngine(ctx, stage)
 		return s.fleet.Inject(wire.Fault{Target: name, Crash: true})
 	}}
@@ -95,7 +95,7 @@
 
 // findEngine returns an engine that has a request in the given stage. If there is
 // none within stageWait, it returns any engine of the role.
-func (s *scene) findEngine(ctx context.Context, stage string) string {
+func (s *faultTarget) findEngine(ctx context.Context, stage string) string {
 	clients := endpoints.New(nil)
 	deadline := time.Now().Add(stageWait)
 	engines := s.engines(roleOf(stage))
@@ -132,7 +132,7 @@
 }
 
 // engines returns the indexes of the engines of a role in the site.
-func (s *scene) engines(role string) []int {
+func (s *faultTarget) engines(role string) []int {
 	var out []int
 	for i, e := range s.site.Engines {
 		if e.Role == role {
@@ -143,8 +143,8 @@
 }
 
 // standInFault returns a fault of some stand-ins: on starts it and off ends it.
-func standing(targets func(s *scene) []string, on, off wire.Fault) strike {
-	apply := func(s *scene, f wire.Fault) error {
+func standing(targets func(s *faultTarget) []string, on, off wire.Fault) strike {
+	apply := func(s *faultTarget, f wire.Fault) error {
 		for _, target := range targets(s) {
 			f.Target = target
 			if err := s.fleet.Inject(f); err != nil {
@@ -154,18 +154,18 @@
 		return nil
 	}
 	return strike{
-		begin: func(_ context.Context, s *scene) error { return apply(s, on) },
-		end:   func(_ context.Context, s *scene) error { return apply(s, off) },
+		begin: func(_ context.Context, s *faultTarget) error { return apply(s, on) },
+		end:   func(_ context.Context, s *faultTarget) error { return apply(s, off) },
 	}
 }
 
-func named(targets ...string) func(*scene) []string {
-	return func(*scene) []string { return targets }
+func named(targets ...string) func(*faultTarget) []string {
+	return func(*faultTarget) []string { return targets }
 }
 
 // firstOf returns the names of the first n engines of each role.
-func firstOf(n int, roles ...string) func(*scene) []string {
-	return func(s *scene) []string {
+func firstOf(n int, roles ...string) func(*faultTarget) []string {
+	return func(s *faultTarget) []string {
 		var out []string
 		for _, role := range roles {
 			for _, i := range s.engines(role)[:n] {
@@ -181,7 +181,7 @@
 // staleHosts replaces a daemon while the host list still contains the old one.
 func staleHosts() strike {
 	return strike{
-		begin: func(_ context.Context, s *scene) error {
+		begin: func(_ context.Context, s *faultTarget) error {
 			old := s.fleet.Hosts()
 			place := s.randomDaemon(s.owner())
 			s.fleet.Kill(place)
@@ -189,7 +189,7 @@
 			s.fleet.SetHosts(old)
 			return err
 		},
-		end: func(_ context.Context, s *scene) error {
+		end: func(_ context.Context, s *faultTarget) error {
 			s.fleet.SetHosts(s.fleet.Hosts())
 			return nil
 		},
@@ -201,12 +201,12 @@
 func oneWayLoss() strike {
 	place := -1
 	return strike{
-		begin: func(_ context.Context, s *scene) error {
+		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.owner()
 			s.fleet.Daemon(place).Transport().SetFault(func(to id.Daemon) peer.Drop { return peer.Drop(s.fleet.Place(to)%2 == 0) })
 			return nil
 		},
-		end: func(_ context.Context, s *scene) error {
+		end: func(_ context.Context, s *faultTarget) error {
 			if d := s.fleet.Daemon(place); d != nil {
 				d.Transport().SetFault(nil)
 			}
@@ -217,8 +217,8 @@
 
 // callersHangUp makes about half of the callers hang up at random times.
 func callersHangUp() strike {
-	set := func(on bool) func(context.Context, *scene) error {
-		return func(_ context.Context, s *scene) error {
+	set := func(on bool) func(context.Context, *faultTarget) error {
+		return func(_ context.Context, s *faultTarget) error {
 			s.hangUps.on.Store(on)
 			return nil
 		}
@@ -228,8 +228,8 @@
 
 // combine injects two faults, b right after a.
 func both(a, b strike) strike {
-	join := func(x, y func(context.Context, *scene) error) func(context.Context, *scene) error {
-		return func(ctx context.Context, s *scene) error {
+	join := func(x, y func(context.Context, *faultTarget) error) func(context.Context, *faultTarget) error {
+		return func(ctx context.Context, s *faultTarget) error {
 			if err := x(ctx, s); err != nil {
 				return err
 			}
@@ -241,7 +241,7 @@
 
 // inSequence injects two faults with a pause between them.
 func twice(a, b strike) strike {
-	pause := strike{end: nothing, begin: func(ctx context.Context, _ *scene) error {
+	pause := strike{end: nothing, begin: func(ctx context.Context, _ *faultTarget) error {
 		sleepFor(ctx, betweenStrikes)
 		return nil
 	}}
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -145,7 +145,7 @@
 // and two decode engines that get a label; selfReported is a decode engine that
 // reports that it is leaving.
 func (r *rolling) leaving() (byLabel []int, selfReported int) {
-	s := &scene{site: r.site}
+	s := &faultTarget{site: r.site}
 	decode := s.engines(standin.RoleDecode)
 	return []int{s.engines(standin.RolePrefill)[0], decode[0], decode[1]}, decode[2]
 }
