--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -106,9 +106,9 @@
 
 // cutDomain kills all daemons of a failure domain at once. Its endpoints lose all
 // state and do not reply until the fault ends.
-func cutDomain(domain string) strike {
+func cutDomain(domain string) injection {
 	var places []int
-	return strike{
+	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(true), Crash: true}); err != nil {
 				return err
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -112,7 +112,7 @@
 
 // injectDuring starts a fault at the beginning of a window and ends it at the end
 // of the window.
-func injectDuring(ctx context.Context, s *faultTarget, fault strike, w window) error {
+func injectDuring(ctx context.Context, s *faultTarget, fault injection, w window) error {
 	started := time.Now()
 	if !sleepFor(ctx, w.from) {
 		return ctx.Err()
--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -26,7 +26,7 @@
 // faultCase is one injected fault of the experiment.
 type faultCase struct {
 	name      string
-	injection strike
+	injection injection
 	// lasting is true if the fault has its effect until its end. The recovery
 	// time is then measured from the end, otherwise from the start.
 	lasting bool
@@ -67,15 +67,15 @@
 	}
 }
 
-func transferStall() strike {
+func transferStall() injection {
 	return standing(firstOf(stalledEngines, standin.RoleDecode),
 		wire.Fault{StallTransfers: value(true)}, wire.Fault{StallTransfers: value(false)})
 }
 
-func tableDown() strike {
+func tableDown() injection {
 	return tableFault(wire.Fault{Down: value(true)}, wire.Fault{Down: value(false)})
 }
 
-func tableFault(on, off wire.Fault) strike {
+func tableFault(on, off wire.Fault) injection {
 	return standing(named(standin.TargetTable), on, off)
 }
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -24,7 +24,7 @@
 }
 
 // injection is a fault with a start and an end.
-type strike struct {
+type injection struct {
 	begin func(ctx context.Context, s *faultTarget) error
 	end   func(ctx context.Context, s *faultTarget) error
 }
@@ -46,9 +46,9 @@
 
 // killDaemon kills a daemon that does not schedule the pool, and replaces it at the
 // end.
-func killDaemon() strike {
+func killDaemon() injection {
 	place := -1
-	return strike{
+	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.randomDaemon(s.owner())
 			s.fleet.Kill(place)
@@ -73,9 +73,9 @@
 func (s *faultTarget) owner() int { return s.fleet.Owner(id.Pool(s.site.ModelService)) }
 
 // killOwner kills the daemon that schedules the pool, and replaces it at the end.
-func killOwner() strike {
+func killOwner() injection {
 	place := -1
-	return strike{
+	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.owner()
 			s.fleet.Kill(place)
@@ -86,8 +86,8 @@
 }
 
 // crashEngine crashes an engine that has a request in the given stage.
-func crashEngine(stage string) strike {
-	return strike{end: nothing, begin: func(ctx context.Context, s *faultTarget) error {
+func crashEngine(stage string) injection {
+	return injection{end: nothing, begin: func(ctx context.Context, s *faultTarget) error {
 		name := s.findEngine(ctx, stage)
 		return s.fleet.Inject(wire.Fault{Target: name, Crash: true})
 	}}
@@ -143,7 +143,7 @@
 }
 
 // standInFault returns a fault of some stand-ins: on starts it and off ends it.
-func standing(targets func(s *faultTarget) []string, on, off wire.Fault) strike {
+func standing(targets func(s *faultTarget) []string, on, off wire.Fault) injection {
 	apply := func(s *faultTarget, f wire.Fault) error {
 		for _, target := range targets(s) {
 			f.Target = target
@@ -153,7 +153,7 @@
 		}
 		return nil
 	}
-	return strike{
+	return injection{
 		begin: func(_ context.Context, s *faultTarget) error { return apply(s, on) },
 		end:   func(_ context.Context, s *faultTarget) error { return apply(s, off) },
 	}
@@ -179,8 +179,8 @@
 func value[T any](v T) *T { return &v }
 
 // staleHosts replaces a daemon while the host list still contains the old one.
-func staleHosts() strike {
-	return strike{
+func staleHosts() injection {
+	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			old := s.fleet.Hosts()
 			place := s.randomDaemon(s.owner())
@@ -198,9 +198,9 @@
 
 // oneWayLoss drops all messages from the pool's owner to every second place, but
 // not those in the other direction.
-func oneWayLoss() strike {
+func oneWayLoss() injection {
 	place := -1
-	return strike{
+	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.owner()
 			s.fleet.Daemon(place).Transport().SetFault(func(to id.Daemon) peer.Drop { return peer.Drop(s.fleet.Place(to)%2 == 0) })
@@ -216,18 +216,18 @@
 }
 
 // callersHangUp makes about half of the callers hang up at random times.
-func callersHangUp() strike {
+func callersHangUp() injection {
 	set := func(on bool) func(context.Context, *faultTarget) error {
 		return func(_ context.Context, s *faultTarget) error {
 			s.hangUps.on.Store(on)
 			return nil
 		}
 	}
-	return strike{begin: set(true), end: set(false)}
+	return injection{begin: set(true), end: set(false)}
 }
 
 // combine injects two faults, b right after a.
-func both(a, b strike) strike {
+func both(a, b injection) injection {
 	join := func(x, y func(context.Context, *faultTarget) error) func(context.Context, *faultTarget) error {
 		return func(ctx context.Context, s *faultTarget) error {
 			if err := x(ctx, s); err != nil {
@@ -236,12 +236,12 @@
 			return y(ctx, s)
 		}
 	}
-	return strike{begin: join(a.begin, b.begin), end: join(a.end, b.end)}
+	return injection{begin: join(a.begin, b.begin), end: join(a.end, b.end)}
 }
 
 // inSequence injects two faults with a pause between them.
-func twice(a, b strike) strike {
-	pause := strike{end: nothing, begin: func(ctx context.Context, _ *faultTarget) error {
+func twice(a, b injection) injection {
+	pause := injection{end: nothing, begin: func(ctx context.Context, _ *faultTarget) error {
 		sleepFor(ctx, betweenStrikes)
 		return nil
 	}}
