--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -29,7 +29,7 @@
 	end   func(ctx context.Context, s *faultTarget) error
 }
 
-func nothing(context.Context, *faultTarget) error { return nil }
+func noFault(context.Context, *faultTarget) error { return nil }
 
 // Parameters of the faults.
 const (
@@ -87,7 +87,7 @@
 
 // crashEngine crashes an engine that has a request in the given stage.
 func crashEngine(stage string) injection {
-	return injection{end: nothing, begin: func(ctx context.Context, s *faultTarget) error {
+	return injection{end: noFault, begin: func(ctx context.Context, s *faultTarget) error {
 		name := s.findEngine(ctx, stage)
 		return s.fleet.Inject(wire.Fault{Target: name, Crash: true})
 	}}
@@ -241,7 +241,7 @@
 
 // inSequence injects two faults with a pause between them.
 func twice(a, b injection) injection {
-	pause := injection{end: nothing, begin: func(ctx context.Context, _ *faultTarget) error {
+	pause := injection{end: noFault, begin: func(ctx context.Context, _ *faultTarget) error {
 		sleepFor(ctx, betweenStrikes)
 		return nil
 	}}
