--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -37,7 +37,7 @@
 	stageWait  = time.Second
 	stagePause = 2 * time.Millisecond
 	// repeatPause is the time between two injections of the same fault.
-	betweenStrikes = 700 * time.Millisecond
+	repeatPause    = 700 * time.Millisecond
 	slowFactor     = 8.0
 	slowTableMS    = 600
 	faultyShare    = 0.5
@@ -242,7 +242,7 @@
 // inSequence injects two faults with a pause between them.
 func twice(a, b injection) injection {
 	pause := injection{end: noFault, begin: func(ctx context.Context, _ *faultTarget) error {
-		sleepFor(ctx, betweenStrikes)
+		sleepFor(ctx, repeatPause)
 		return nil
 	}}
 	return both(both(a, pause), b)
