--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -45,7 +45,7 @@
 		{"owner-killed", killOwner(), false},
 		{"engine-crash-prefill", crashEngine(stagePrefill), false},
 		{"engine-crash-decode", crashEngine(stageDecode), false},
-		{"engine-slow", standing(engines, wire.Fault{Slow: value(slowFactor)}, wire.Fault{Slow: value(1.0)}), true},
+		{"engine-slow", standInFault(engines, wire.Fault{Slow: value(slowFactor)}, wire.Fault{Slow: value(1.0)}), true},
 		{"transfer-stall", transferStall(), true},
 		{"table-down", tableDown(), true},
 		{"table-slow", tableFault(wire.Fault{DelayMS: value(slowTableMS)}, wire.Fault{DelayMS: value(0)}), true},
@@ -68,7 +68,7 @@
 }
 
 func transferStall() injection {
-	return standing(firstOf(stalledEngines, standin.RoleDecode),
+	return standInFault(firstOf(stalledEngines, standin.RoleDecode),
 		wire.Fault{StallTransfers: value(true)}, wire.Fault{StallTransfers: value(false)})
 }
 
@@ -77,5 +77,5 @@
 }
 
 func tableFault(on, off wire.Fault) injection {
-	return standing(named(standin.TargetTable), on, off)
+	return standInFault(named(standin.TargetTable), on, off)
 }
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -143,7 +143,7 @@
 }
 
 // standInFault returns a fault of some stand-ins: on starts it and off ends it.
-func standing(targets func(s *faultTarget) []string, on, off wire.Fault) injection {
+func standInFault(targets func(s *faultTarget) []string, on, off wire.Fault) injection {
 	apply := func(s *faultTarget, f wire.Fault) error {
 		for _, target := range targets(s) {
 			f.Target = target
