--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -77,5 +77,5 @@
 }
 
 func tableFault(on, off wire.Fault) injection {
-	return standInFault(named(standin.TargetTable), on, off)
+	return standInFault(targetNames(standin.TargetTable), on, off)
 }
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -159,7 +159,7 @@
 	}
 }
 
-func named(targets ...string) func(*faultTarget) []string {
+func targetNames(targets ...string) func(*faultTarget) []string {
 	return func(*faultTarget) []string { return targets }
 }
 
