--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -59,9 +59,9 @@
 
 func pairedFaults() []faultCase {
 	return []faultCase{
-		{"daemon-killed+table-down", both(killDaemon(), tableDown()), false},
-		{"engine-crash-decode+owner-killed", both(crashEngine(stageDecode), killOwner()), false},
-		{"transfer-stall+daemon-killed", both(transferStall(), killDaemon()), true},
+		{"daemon-killed+table-down", combine(killDaemon(), tableDown()), false},
+		{"engine-crash-decode+owner-killed", combine(crashEngine(stageDecode), killOwner()), false},
+		{"transfer-stall+daemon-killed", combine(transferStall(), killDaemon()), true},
 		{"owner-killed-twice", twice(killOwner(), killOwner()), false},
 		{"engine-crash-decode-twice", twice(crashEngine(stageDecode), crashEngine(stageDecode)), false},
 	}
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -227,7 +227,7 @@
 }
 
 // combine injects two faults, b right after a.
-func both(a, b injection) injection {
+func combine(a, b injection) injection {
 	join := func(x, y func(context.Context, *faultTarget) error) func(context.Context, *faultTarget) error {
 		return func(ctx context.Context, s *faultTarget) error {
 			if err := x(ctx, s); err != nil {
@@ -245,5 +245,5 @@
 		sleepFor(ctx, repeatPause)
 		return nil
 	}}
-	return both(both(a, pause), b)
+	return combine(combine(a, pause), b)
 }
