--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -62,8 +62,8 @@
 		{"daemon-killed+table-down", combine(killDaemon(), tableDown()), false},
 		{"engine-crash-decode+owner-killed", combine(crashEngine(stageDecode), killOwner()), false},
 		{"transfer-stall+daemon-killed", combine(transferStall(), killDaemon()), true},
-		{"owner-killed-twice", twice(killOwner(), killOwner()), false},
-		{"engine-crash-decode-twice", twice(crashEngine(stageDecode), crashEngine(stageDecode)), false},
+		{"owner-killed-twice", inSequence(killOwner(), killOwner()), false},
+		{"engine-crash-decode-twice", inSequence(crashEngine(stageDecode), crashEngine(stageDecode)), false},
 	}
 }
 
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_steps.go
@@ -240,7 +240,7 @@
 }
 
 // inSequence injects two faults with a pause between them.
-func twice(a, b injection) injection {
+func inSequence(a, b injection) injection {
 	pause := injection{end: noFault, begin: func(ctx context.Context, _ *faultTarget) error {
 		sleepFor(ctx, repeatPause)
 		return nil
