--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -139,7 +139,7 @@
 		GoodputDuring: x.perSecond(at.during),
 		RecoveryMS:    x.backAfter(from, at.after.to, backShare*x.share(at.before)),
 		Ended:         x.codes(),
-		Errors:        attempts.warnings,
+		Errors:        attempts.errorLines,
 		series:        x.series(c.name),
 	}
 }
--- a/cmd/internal/experiment/faults_journal.go
+++ b/cmd/internal/experiment/faults_journal.go
@@ -12,7 +12,7 @@
 	mu       sync.Mutex
 	attempts map[string][]string
 	// errorLines holds the first lines at level error, for the report.
-	warnings []string
+	errorLines []string
 }
 
 // maxErrorLines bounds the number of stored error lines.
@@ -48,8 +48,8 @@
 func (l *attemptLog) warn(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.warnings) < maxWarnings {
-		l.warnings = append(l.warnings, strings.TrimSpace(line))
+	if len(l.errorLines) < maxWarnings {
+		l.errorLines = append(l.errorLines, strings.TrimSpace(line))
 	}
 }
 
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -122,7 +122,7 @@
 		is.Equal(n, len(line)+1)
 	}
 	is.Equal(l.of("R"), []string{"A1", "A2"})
-	is.Equal(len(l.warnings), 1)
+	is.Equal(len(l.errorLines), 1)
 	is.True(anyOf(l.of("R"), map[string]int{"A2": 1}))
 	is.True(!anyOf(l.of("R"), map[string]int{"B": 1}))
 }
