--- a/cmd/internal/experiment/faults_journal.go
+++ b/cmd/internal/experiment/faults_journal.go
@@ -25,7 +25,7 @@
 // Write implements io.Writer. It expects whole lines.
 func (l *attemptLog) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("level=error")) {
-		l.warn(string(p))
+		l.addErrorLine(string(p))
 	}
 	if !bytes.Contains(p, []byte("event=paired")) {
 		return len(p), nil
@@ -45,7 +45,7 @@
 	return len(p), nil
 }
 
-func (l *attemptLog) warn(line string) {
+func (l *attemptLog) addErrorLine(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.errorLines) < maxWarnings {
