--- a/cmd/internal/experiment/faults_journal.go
+++ b/cmd/internal/experiment/faults_journal.go
@@ -54,7 +54,7 @@
 }
 
 // attemptsOf returns the attempts of a request.
-func (l *attemptLog) of(request string) []string {
+func (l *attemptLog) attemptsOf(request string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.attempts[request]...)
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -114,7 +114,7 @@
 	}
 	decoded := x.fleet.Decoded()
 	for _, request := range x.tap.refusedRequests() {
-		if anyOf(attempts.of(request), decoded) {
+		if anyOf(attempts.attemptsOf(request), decoded) {
 			w.NotRunButRan++
 		}
 	}
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -121,10 +121,10 @@
 		is.NoErr(err)
 		is.Equal(n, len(line)+1)
 	}
-	is.Equal(l.of("R"), []string{"A1", "A2"})
+	is.Equal(l.attemptsOf("R"), []string{"A1", "A2"})
 	is.Equal(len(l.errorLines), 1)
-	is.True(anyOf(l.of("R"), map[string]int{"A2": 1}))
-	is.True(!anyOf(l.of("R"), map[string]int{"B": 1}))
+	is.True(anyOf(l.attemptsOf("R"), map[string]int{"A2": 1}))
+	is.True(!anyOf(l.attemptsOf("R"), map[string]int{"B": 1}))
 }
 
 // recorded returns a driver whose requests were answered in time, except for those
