--- a/cmd/internal/experiment/faults_journal.go
+++ b/cmd/internal/experiment/faults_journal.go
@@ -16,7 +16,7 @@
 }
 
 // maxErrorLines bounds the number of stored error lines.
-const maxWarnings = 8
+const maxErrorLines = 8
 
 func newAttemptLog() *attemptLog {
 	return &attemptLog{attempts: map[string][]string{}}
@@ -48,7 +48,7 @@
 func (l *attemptLog) addErrorLine(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.errorLines) < maxWarnings {
+	if len(l.errorLines) < maxErrorLines {
 		l.errorLines = append(l.errorLines, strings.TrimSpace(line))
 	}
 }
