--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -26,7 +26,7 @@
 	// faults.
 	faultMaxPrompt = 3000
 	// nonStreamingShare is the share of the completions that are not streamed.
-	wholeShare = 0.3
+	nonStreamingShare = 0.3
 	// keyedShare is the share of the plain calls with an idempotency key.
 	keyedShare = 0.7
 	// faultTeams is the number of teams that share the load.
@@ -160,7 +160,7 @@
 	}
 	prompt := x.prompts.Prompt(a)
 	rng := rand.New(rand.NewPCG(a.TextSeed, 3))
-	if rng.Float64() >= wholeShare {
+	if rng.Float64() >= nonStreamingShare {
 		return done{Record: x.callers[callerOf(a)].Complete(ctx, prompt, profile.OutputTokens)}
 	}
 	return x.sendWhole(ctx, a, prompt, profile.OutputTokens)
