--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -43,7 +43,7 @@
 type done struct {
 	load.Record
 	// NonStreaming is true if the answer was not streamed.
-	Whole bool
+	NonStreaming bool
 	// HungUp is true if the caller hung up on purpose.
 	HungUp bool
 }
@@ -53,7 +53,7 @@
 	if d.Plain || d.Outcome != load.OutcomeAnswered || d.Fault != load.FaultNone {
 		return false
 	}
-	if d.Whole {
+	if d.NonStreaming {
 		return d.Total <= spec.FirstTokenTarget+time.Duration(d.OutputTokens)*spec.PaceTarget
 	}
 	return d.FirstToken <= spec.FirstTokenTarget && d.Pace <= spec.PaceTarget
@@ -184,7 +184,7 @@
 	default:
 		rec.Outcome = load.OutcomeFailed
 	}
-	return done{Record: rec, Whole: true}
+	return done{Record: rec, NonStreaming: true}
 }
 
 // answerFault classifies the text of a complete answer.
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -147,7 +147,7 @@
 		return false
 	case d.Plain:
 		return d.Key != "" && d.Outcome == load.OutcomeAnswered && runs[d.Key] == 0
-	case d.Whole:
+	case d.NonStreaming:
 		return d.Fault == load.FaultLost
 	default:
 		begun := d.OutputTokens > 0 && d.Outcome != load.OutcomeAnswered && d.Outcome != load.OutcomeCancelled
