--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -40,7 +40,7 @@
 )
 
 // requestRecord is the result of one request of a driver.
-type done struct {
+type requestRecord struct {
 	load.Record
 	// NonStreaming is true if the answer was not streamed.
 	NonStreaming bool
@@ -49,7 +49,7 @@
 }
 
 // good reports whether a completion met both targets.
-func (d done) good(spec load.Spec) bool {
+func (d requestRecord) good(spec load.Spec) bool {
 	if d.Plain || d.Outcome != load.OutcomeAnswered || d.Fault != load.FaultNone {
 		return false
 	}
@@ -71,7 +71,7 @@
 	hangUp func(load.Arrival) bool
 
 	mu      sync.Mutex
-	records []done
+	records []requestRecord
 }
 
 // faultProfile returns a profile with short prompts, and with plain calls both
@@ -152,22 +152,22 @@
 }
 
 // sendByKind sends a plain call, a streamed completion or a non-streaming one.
-func (x *driver) sendBy(ctx context.Context, a load.Arrival) done {
+func (x *driver) sendBy(ctx context.Context, a load.Arrival) requestRecord {
 	profile := x.spec.Teams[a.Team].Profile
 	if a.Plain {
 		text := fmt.Sprintf("call %d of team %d, marker %x", a.Number, a.Team, a.TextSeed)
-		return done{Record: x.callers[callerOf(a)].Call(ctx, a.Number, text, a.Key)}
+		return requestRecord{Record: x.callers[callerOf(a)].Call(ctx, a.Number, text, a.Key)}
 	}
 	prompt := x.prompts.Prompt(a)
 	rng := rand.New(rand.NewPCG(a.TextSeed, 3))
 	if rng.Float64() >= nonStreamingShare {
-		return done{Record: x.callers[callerOf(a)].Complete(ctx, prompt, profile.OutputTokens)}
+		return requestRecord{Record: x.callers[callerOf(a)].Complete(ctx, prompt, profile.OutputTokens)}
 	}
 	return x.sendWhole(ctx, a, prompt, profile.OutputTokens)
 }
 
 // sendNonStreaming sends a completion that is answered in one body.
-func (x *driver) sendWhole(ctx context.Context, a load.Arrival, prompt string, tokens int) done {
+func (x *driver) sendWhole(ctx context.Context, a load.Arrival, prompt string, tokens int) requestRecord {
 	ctx, cancel := context.WithTimeout(ctx, x.spec.Patience)
 	defer cancel()
 	begun := time.Now()
@@ -184,7 +184,7 @@
 	default:
 		rec.Outcome = load.OutcomeFailed
 	}
-	return done{Record: rec, NonStreaming: true}
+	return requestRecord{Record: rec, NonStreaming: true}
 }
 
 // answerFault classifies the text of a complete answer.
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -136,7 +136,7 @@
 		if at >= badFrom && at < badTo {
 			rec.FirstToken = 2 * time.Second
 		}
-		x.records = append(x.records, done{Record: rec})
+		x.records = append(x.records, requestRecord{Record: rec})
 	}
 	return x
 }
@@ -155,12 +155,12 @@
 func TestLostAreAnswersThatBeganAndWereNotCompleted(t *testing.T) {
 	is := is.New(t)
 	begun := load.Record{OutputTokens: 3, Outcome: load.OutcomeFailed}
-	is.True(done{Record: begun}.lost(nil))
-	is.True(!done{Record: begun, HungUp: true}.lost(nil))
-	is.True(!done{Record: load.Record{Outcome: load.OutcomeRefused}}.lost(nil))
+	is.True(requestRecord{Record: begun}.lost(nil))
+	is.True(!requestRecord{Record: begun, HungUp: true}.lost(nil))
+	is.True(!requestRecord{Record: load.Record{Outcome: load.OutcomeRefused}}.lost(nil))
 	call := load.Record{Plain: true, Key: "k", Outcome: load.OutcomeAnswered}
-	is.True(done{Record: call}.lost(nil)) // answered, but it never ran
-	is.True(!done{Record: call}.lost(map[string]int{"k": 1}))
+	is.True(requestRecord{Record: call}.lost(nil)) // answered, but it never ran
+	is.True(!requestRecord{Record: call}.lost(map[string]int{"k": 1}))
 	is.Equal(wholeFault("a b ", "a b "), load.FaultNone)
 	is.Equal(wholeFault("a ", "a b "), load.FaultLost)
 	is.Equal(wholeFault("a b b ", "a b "), load.FaultDoubled)
