--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -61,12 +61,12 @@
 
 // driver sends a seeded load and records the result of every request.
 type driver struct {
-	fleet   *fleet.Fleet
-	spec    load.Spec
-	tap     *tap
-	prompts *load.Prompts
-	callers []*load.Caller
-	whole   []*wholeCaller
+	fleet    *fleet.Fleet
+	spec     load.Spec
+	observer *tap
+	prompts  *load.Prompts
+	callers  []*load.Caller
+	whole    []*wholeCaller
 	// hangUp reports whether the caller of an arrival hangs up; may be nil.
 	hangUp func(load.Arrival) bool
 
@@ -93,8 +93,8 @@
 		MaxAttempts: faultAttempts, Patience: faultPatience, Expect: Expected,
 	}
 	client := load.NewClient()
-	x := &driver{fleet: f, spec: spec, tap: newTap(client.Transport), prompts: load.NewPrompts(env.Seed, teams)}
-	client.Transport = x.tap
+	x := &driver{fleet: f, spec: spec, observer: newTap(client.Transport), prompts: load.NewPrompts(env.Seed, teams)}
+	client.Transport = x.observer
 	for i, team := range teams {
 		for n := range callersOfTeam {
 			seed := uint64(i*callersOfTeam + n)
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -107,13 +107,13 @@
 			w.RanTwice++
 		}
 	}
-	for _, key := range x.tap.refusedKeys() {
+	for _, key := range x.observer.refusedKeys() {
 		if runs[key] > 0 {
 			w.NotRunButRan++
 		}
 	}
 	decoded := x.fleet.Decoded()
-	for _, request := range x.tap.refusedRequests() {
+	for _, request := range x.observer.refusedRequests() {
 		if anyOf(attempts.attemptsOf(request), decoded) {
 			w.NotRunButRan++
 		}
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -69,7 +69,7 @@
 	x := newDriver(env, d, f, teams, rollingLoadShare, rollingHorizon)
 	until, stop := context.WithCancel(ctx)
 	defer stop()
-	roll := &rolling{env: env, fleet: f, site: d.Site, tap: x.tap}
+	roll := &rolling{env: env, fleet: f, site: d.Site, tap: x.observer}
 	var failed error
 	var wg sync.WaitGroup
 	wg.Go(func() {
