--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -61,12 +61,12 @@
 
 // driver sends a seeded load and records the result of every request.
 type driver struct {
-	fleet    *fleet.Fleet
-	spec     load.Spec
-	observer *tap
-	prompts  *load.Prompts
-	callers  []*load.Caller
-	whole    []*wholeCaller
+	fleet        *fleet.Fleet
+	spec         load.Spec
+	observer     *tap
+	prompts      *load.Prompts
+	callers      []*load.Caller
+	nonStreaming []*wholeCaller
 	// hangUp reports whether the caller of an arrival hangs up; may be nil.
 	hangUp func(load.Arrival) bool
 
@@ -99,7 +99,7 @@
 		for n := range callersOfTeam {
 			seed := uint64(i*callersOfTeam + n)
 			x.callers = append(x.callers, load.NewCaller(spec, team, client, rand.New(rand.NewPCG(env.Seed, seed))))
-			x.whole = append(x.whole, &wholeCaller{
+			x.nonStreaming = append(x.nonStreaming, &wholeCaller{
 				client: client, key: team.Key, model: team.Profile.Model,
 				rng: rand.New(rand.NewPCG(env.Seed^1, seed)), known: f.CallerAddresses(),
 			})
@@ -171,7 +171,7 @@
 	ctx, cancel := context.WithTimeout(ctx, x.spec.Patience)
 	defer cancel()
 	begun := time.Now()
-	reply, err := x.whole[callerOf(a)].complete(ctx, prompt, tokens)
+	reply, err := x.nonStreaming[callerOf(a)].complete(ctx, prompt, tokens)
 	rec := load.Record{Total: time.Since(begun), OutputTokens: tokens, Code: reply.failed.Code}
 	switch {
 	case err != nil:
