--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -136,7 +136,7 @@
 		timer := time.AfterFunc(hangUpAfter(a), cancel)
 		defer timer.Stop()
 	}
-	rec := x.sendBy(ctx, a)
+	rec := x.sendByKind(ctx, a)
 	rec.HungUp = hangs && ctx.Err() != nil && rec.Outcome != load.OutcomeAnswered
 	rec.Team = a.Team
 	rec.At = a.At
@@ -152,7 +152,7 @@
 }
 
 // sendByKind sends a plain call, a streamed completion or a non-streaming one.
-func (x *driver) sendBy(ctx context.Context, a load.Arrival) requestRecord {
+func (x *driver) sendByKind(ctx context.Context, a load.Arrival) requestRecord {
 	profile := x.spec.Teams[a.Team].Profile
 	if a.Plain {
 		text := fmt.Sprintf("call %d of team %d, marker %x", a.Number, a.Team, a.TextSeed)
