--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -163,11 +163,11 @@
 	if rng.Float64() >= nonStreamingShare {
 		return requestRecord{Record: x.callers[callerOf(a)].Complete(ctx, prompt, profile.OutputTokens)}
 	}
-	return x.sendWhole(ctx, a, prompt, profile.OutputTokens)
+	return x.sendNonStreaming(ctx, a, prompt, profile.OutputTokens)
 }
 
 // sendNonStreaming sends a completion that is answered in one body.
-func (x *driver) sendWhole(ctx context.Context, a load.Arrival, prompt string, tokens int) requestRecord {
+func (x *driver) sendNonStreaming(ctx context.Context, a load.Arrival, prompt string, tokens int) requestRecord {
 	ctx, cancel := context.WithTimeout(ctx, x.spec.Patience)
 	defer cancel()
 	begun := time.Now()
