--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -178,7 +178,7 @@
 		rec.Outcome = load.OutcomeUnreachable
 	case reply.status == http.StatusOK:
 		rec.Outcome = load.OutcomeAnswered
-		rec.Fault = wholeFault(reply.text, Expected(x.spec.Teams[a.Team].Profile.Model, prompt, tokens))
+		rec.Fault = answerFault(reply.text, Expected(x.spec.Teams[a.Team].Profile.Model, prompt, tokens))
 	case reply.failed.Verdict == verdict.NotRun.String():
 		rec.Outcome = load.OutcomeRefused
 	default:
@@ -188,7 +188,7 @@
 }
 
 // answerFault classifies the text of a complete answer.
-func wholeFault(text, expected string) load.Fault {
+func answerFault(text, expected string) load.Fault {
 	switch {
 	case text == expected:
 		return load.FaultNone
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -161,10 +161,10 @@
 	call := load.Record{Plain: true, Key: "k", Outcome: load.OutcomeAnswered}
 	is.True(requestRecord{Record: call}.lost(nil)) // answered, but it never ran
 	is.True(!requestRecord{Record: call}.lost(map[string]int{"k": 1}))
-	is.Equal(wholeFault("a b ", "a b "), load.FaultNone)
-	is.Equal(wholeFault("a ", "a b "), load.FaultLost)
-	is.Equal(wholeFault("a b b ", "a b "), load.FaultDoubled)
-	is.Equal(wholeFault("a x ", "a b "), load.FaultWrong)
+	is.Equal(answerFault("a b ", "a b "), load.FaultNone)
+	is.Equal(answerFault("a ", "a b "), load.FaultLost)
+	is.Equal(answerFault("a b b ", "a b "), load.FaultDoubled)
+	is.Equal(answerFault("a x ", "a b "), load.FaultWrong)
 }
 
 func TestAnomaliesAreFaultsOfTheReport(t *testing.T) {
