--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -12,7 +12,7 @@
 const (
 	// recoveredShare is the share of the goodput before a fault that counts as
 	// recovered.
-	backShare = 0.95
+	recoveredShare = 0.95
 	// recoveryWindow is the length of the window in which goodput is measured;
 	// recoveryStep is the step by which it moves.
 	backWindow = time.Second
