--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -15,8 +15,8 @@
 	recoveredShare = 0.95
 	// recoveryWindow is the length of the window in which goodput is measured;
 	// recoveryStep is the step by which it moves.
-	backWindow = time.Second
-	backStep   = 100 * time.Millisecond
+	recoveryWindow = time.Second
+	backStep       = 100 * time.Millisecond
 	// orphanGrace is how long engines may hold work after the load has ended.
 	orphanGrace = 6 * time.Second
 	orphanPause = 100 * time.Millisecond
@@ -64,8 +64,8 @@
 // completions is at least bound, both within the next recoveryWindow and over the
 // whole time up to end. It returns notRecovered if there is no such time.
 func (x *driver) backAfter(from, end time.Duration, bound float64) int64 {
-	for t := from; t+backWindow <= end; t += backStep {
-		if x.share(window{t, t + backWindow}) >= bound && x.share(window{t, end}) >= bound {
+	for t := from; t+recoveryWindow <= end; t += backStep {
+		if x.share(window{t, t + recoveryWindow}) >= bound && x.share(window{t, end}) >= bound {
 			return (t - from).Milliseconds()
 		}
 	}
@@ -75,9 +75,9 @@
 // series returns the goodput over the run, for a figure.
 func (x *driver) series(name string) Series {
 	s := Series{Name: name}
-	for t := time.Duration(0); t+backWindow/2 <= x.spec.Duration; t += backWindow / 2 {
+	for t := time.Duration(0); t+recoveryWindow/2 <= x.spec.Duration; t += recoveryWindow / 2 {
 		s.X = append(s.X, t.Seconds())
-		s.Y = append(s.Y, x.perSecond(window{t, t + backWindow/2}))
+		s.Y = append(s.Y, x.perSecond(window{t, t + recoveryWindow/2}))
 	}
 	return s
 }
