--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -16,7 +16,7 @@
 	// recoveryWindow is the length of the window in which goodput is measured;
 	// recoveryStep is the step by which it moves.
 	recoveryWindow = time.Second
-	backStep       = 100 * time.Millisecond
+	recoveryStep   = 100 * time.Millisecond
 	// orphanGrace is how long engines may hold work after the load has ended.
 	orphanGrace = 6 * time.Second
 	orphanPause = 100 * time.Millisecond
@@ -64,7 +64,7 @@
 // completions is at least bound, both within the next recoveryWindow and over the
 // whole time up to end. It returns notRecovered if there is no such time.
 func (x *driver) backAfter(from, end time.Duration, bound float64) int64 {
-	for t := from; t+recoveryWindow <= end; t += backStep {
+	for t := from; t+recoveryWindow <= end; t += recoveryStep {
 		if x.share(window{t, t + recoveryWindow}) >= bound && x.share(window{t, end}) >= bound {
 			return (t - from).Milliseconds()
 		}
