--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -21,7 +21,7 @@
 	orphanGrace = 6 * time.Second
 	orphanPause = 100 * time.Millisecond
 	// notRecovered stands for a recovery time if there was no recovery.
-	notBack = -1
+	notRecovered = -1
 )
 
 // window is a period of a run, as offsets from its start.
@@ -69,7 +69,7 @@
 			return (t - from).Milliseconds()
 		}
 	}
-	return notBack
+	return notRecovered
 }
 
 // series returns the goodput over the run, for a figure.
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -149,7 +149,7 @@
 	recovery := x.backAfter(4*time.Second, 10*time.Second, 0.95)
 	is.True(recovery >= 1800 && recovery <= 2000) // the start of the first second with 95% good completions
 	is.Equal(x.backAfter(7*time.Second, 10*time.Second, 0.95), int64(0))
-	is.Equal(recorded(4*time.Second, 10*time.Second).backAfter(4*time.Second, 10*time.Second, 0.95), int64(notBack))
+	is.Equal(recorded(4*time.Second, 10*time.Second).backAfter(4*time.Second, 10*time.Second, 0.95), int64(notRecovered))
 }
 
 func TestLostAreAnswersThatBeganAndWereNotCompleted(t *testing.T) {
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	good := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 3}, {Poisons: 3, Crashes: 9}}, Lifted: true}
 	is.Equal(len(poisonReport(Env{}, good).Faults), 0)
-	bad := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 4}, {Poisons: 1, QuarantinedMS: notBack}}, Convicted: 1}
+	bad := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 4}, {Poisons: 1, QuarantinedMS: notRecovered}}, Convicted: 1}
 	is.Equal(len(poisonReport(Env{}, bad).Faults), 4)
 }
 
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -172,7 +172,7 @@
 	for i := range prompts {
 		out.Sends += sends[i]
 		if !quarantined[i] {
-			out.QuarantinedMS = notBack
+			out.QuarantinedMS = notRecovered
 		}
 	}
 	return out
@@ -270,7 +270,7 @@
 	for i, run := range f.Runs {
 		r.addLine("run=%d poisons=%d crashes=%d per_poison=%.1f sends=%d quarantined_ms=%d",
 			i+1, run.Poisons, run.Crashes, float64(run.Crashes)/float64(run.Poisons), run.Sends, run.QuarantinedMS)
-		if run.Crashes > int64(crashesAllowed*run.Poisons) || run.QuarantinedMS == notBack {
+		if run.Crashes > int64(crashesAllowed*run.Poisons) || run.QuarantinedMS == notRecovered {
 			r.addFault("run %d: %d poisons crashed %d engines, quarantined_ms=%d", i+1, run.Poisons, run.Crashes, run.QuarantinedMS)
 		}
 		fig.Series[0].X = append(fig.Series[0].X, float64(i+1))
