--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -86,8 +86,8 @@
 	return DomainFigures{
 		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
 		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.after),
-		CutRecoveryMS:    x.backAfter(at.during.from, at.during.to, recoveredShare*carried*shareBefore),
-		ReturnRecoveryMS: x.backAfter(at.after.from, at.after.to, recoveredShare*shareBefore),
+		CutRecoveryMS:    x.recoveryTime(at.during.from, at.during.to, recoveredShare*carried*shareBefore),
+		ReturnRecoveryMS: x.recoveryTime(at.after.from, at.after.to, recoveredShare*shareBefore),
 		Ended:            x.codes(), series: x.series(domain),
 	}, nil
 }
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -137,7 +137,7 @@
 		Wrongs:        x.wrongs(ctx, attempts),
 		GoodputBefore: x.perSecond(at.before),
 		GoodputDuring: x.perSecond(at.during),
-		RecoveryMS:    x.backAfter(from, at.after.to, recoveredShare*x.share(at.before)),
+		RecoveryMS:    x.recoveryTime(from, at.after.to, recoveredShare*x.share(at.before)),
 		Ended:         x.codes(),
 		Errors:        attempts.errorLines,
 		series:        x.series(c.name),
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -63,7 +63,7 @@
 // recoveryTime returns the time in milliseconds from from until the share of good
 // completions is at least bound, both within the next recoveryWindow and over the
 // whole time up to end. It returns notRecovered if there is no such time.
-func (x *driver) backAfter(from, end time.Duration, bound float64) int64 {
+func (x *driver) recoveryTime(from, end time.Duration, bound float64) int64 {
 	for t := from; t+recoveryWindow <= end; t += recoveryStep {
 		if x.share(window{t, t + recoveryWindow}) >= bound && x.share(window{t, end}) >= bound {
 			return (t - from).Milliseconds()
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -146,10 +146,10 @@
 	x := recorded(4*time.Second, 6*time.Second)
 	is.Equal(x.perSecond(window{0, 4 * time.Second}), 50.0)
 	is.Equal(x.perSecond(window{4 * time.Second, 6 * time.Second}), 0.0)
-	recovery := x.backAfter(4*time.Second, 10*time.Second, 0.95)
+	recovery := x.recoveryTime(4*time.Second, 10*time.Second, 0.95)
 	is.True(recovery >= 1800 && recovery <= 2000) // the start of the first second with 95% good completions
-	is.Equal(x.backAfter(7*time.Second, 10*time.Second, 0.95), int64(0))
-	is.Equal(recorded(4*time.Second, 10*time.Second).backAfter(4*time.Second, 10*time.Second, 0.95), int64(notRecovered))
+	is.Equal(x.recoveryTime(7*time.Second, 10*time.Second, 0.95), int64(0))
+	is.Equal(recorded(4*time.Second, 10*time.Second).recoveryTime(4*time.Second, 10*time.Second, 0.95), int64(notRecovered))
 }
 
 func TestLostAreAnswersThatBeganAndWereNotCompleted(t *testing.T) {
