--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -84,7 +84,7 @@
 	arriving := x.spec.Rate * (1 - d.Profile.PlainShare)
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
-		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
+		Domain: domain, Wrongs: x.anomalies(ctx, attempts), RestCapacity: rest,
 		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.after),
 		CutRecoveryMS:    x.recoveryTime(at.during.from, at.during.to, recoveredShare*carried*shareBefore),
 		ReturnRecoveryMS: x.recoveryTime(at.after.from, at.after.to, recoveredShare*shareBefore),
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -134,7 +134,7 @@
 	}
 	return FaultFigures{
 		Fault:         c.name,
-		Wrongs:        x.wrongs(ctx, attempts),
+		Wrongs:        x.anomalies(ctx, attempts),
 		GoodputBefore: x.perSecond(at.before),
 		GoodputDuring: x.perSecond(at.during),
 		RecoveryMS:    x.recoveryTime(from, at.after.to, recoveredShare*x.share(at.before)),
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -99,7 +99,7 @@
 
 // anomalies counts the anomalies of a run. It first waits until the engines hold no
 // work, at most orphanGrace.
-func (x *driver) wrongs(ctx context.Context, attempts *attemptLog) Wrongs {
+func (x *driver) anomalies(ctx context.Context, attempts *attemptLog) Wrongs {
 	w := Wrongs{Orphans: orphansLeft(ctx, x.fleet), Violations: x.fleet.Violations()}
 	runs := x.fleet.PlainRuns()
 	for _, n := range runs {
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -101,7 +101,7 @@
 	if failed != nil {
 		return nil, failed
 	}
-	figures.Wrongs = x.wrongs(ctx, attempts)
+	figures.Wrongs = x.anomalies(ctx, attempts)
 	figures.Ended = x.codes()
 	figures.Convicted += x.refusedWith(verdict.CodeQuarantined)
 	figures.InnocentsGood = x.share(window{env.Warmup, lasted})
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -82,7 +82,7 @@
 		return nil, failed
 	}
 	out := roll.figures
-	out.Wrongs = x.wrongs(ctx, attempts)
+	out.Wrongs = x.anomalies(ctx, attempts)
 	out.GoodDaemons = x.share(roll.daemons)
 	out.GoodEngines = x.share(roll.engines)
 	out.Ended = x.codes()
