--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -17,7 +17,7 @@
 // DomainFigures are the results of cutting off one failure domain.
 type DomainFigures struct {
 	Domain string `json:"domain"`
-	Wrongs
+	Anomalies
 	// RestCapacity is the capacity of the remaining failure domains, in
 	// completions per second.
 	RestCapacity  float64 `json:"rest_capacity_per_second"`
@@ -84,7 +84,7 @@
 	arriving := x.spec.Rate * (1 - d.Profile.PlainShare)
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
-		Domain: domain, Wrongs: x.anomalies(ctx, attempts), RestCapacity: rest,
+		Domain: domain, Anomalies: x.anomalies(ctx, attempts), RestCapacity: rest,
 		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.after),
 		CutRecoveryMS:    x.recoveryTime(at.during.from, at.during.to, recoveredShare*carried*shareBefore),
 		ReturnRecoveryMS: x.recoveryTime(at.after.from, at.after.to, recoveredShare*shareBefore),
@@ -173,5 +173,5 @@
 		"cut_back_to_95_ms=%d return_back_to_95_ms=%d",
 		f.Domain, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
 		f.RestCapacity, f.GoodputBefore, f.GoodputCut, f.GoodputAfter, f.CutRecoveryMS, f.ReturnRecoveryMS)
-	r.addAnomalies(f.Domain, f.Wrongs)
+	r.addAnomalies(f.Domain, f.Anomalies)
 }
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -15,7 +15,7 @@
 // FaultFigures are the results of one injected fault.
 type FaultFigures struct {
 	Fault string `json:"fault"`
-	Wrongs
+	Anomalies
 	// GoodputBefore and GoodputDuring are in completions per second.
 	GoodputBefore float64 `json:"goodput_before_per_second"`
 	GoodputDuring float64 `json:"goodput_during_per_second"`
@@ -134,7 +134,7 @@
 	}
 	return FaultFigures{
 		Fault:         c.name,
-		Wrongs:        x.anomalies(ctx, attempts),
+		Anomalies:     x.anomalies(ctx, attempts),
 		GoodputBefore: x.perSecond(at.before),
 		GoodputDuring: x.perSecond(at.during),
 		RecoveryMS:    x.recoveryTime(from, at.after.to, recoveredShare*x.share(at.before)),
@@ -150,11 +150,11 @@
 		"goodput_before=%.1f/s goodput_during=%.1f/s back_to_95_ms=%d",
 		f.Fault, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
 		f.GoodputBefore, f.GoodputDuring, f.RecoveryMS)
-	r.addAnomalies(f.Fault, f.Wrongs)
+	r.addAnomalies(f.Fault, f.Anomalies)
 }
 
 // addAnomalies adds a fault if a run had any anomalies.
-func (r *Report) addAnomalies(run string, w Wrongs) {
+func (r *Report) addAnomalies(run string, w Anomalies) {
 	if w.any() {
 		r.addFault("%s: lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
 			run, w.Lost, w.Doubled, w.RanTwice, w.Orphans, w.NotRunButRan, w.Wrong, w.Violations)
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -83,7 +83,7 @@
 }
 
 // Anomalies counts events that must not occur.
-type Wrongs struct {
+type Anomalies struct {
 	Lost         int `json:"lost"`
 	Doubled      int `json:"doubled"`
 	RanTwice     int `json:"ran_twice"`
@@ -95,12 +95,12 @@
 }
 
 // any reports whether there was an anomaly.
-func (w Wrongs) any() bool { return w != Wrongs{} }
+func (w Anomalies) any() bool { return w != Anomalies{} }
 
 // anomalies counts the anomalies of a run. It first waits until the engines hold no
 // work, at most orphanGrace.
-func (x *driver) anomalies(ctx context.Context, attempts *attemptLog) Wrongs {
-	w := Wrongs{Orphans: orphansLeft(ctx, x.fleet), Violations: x.fleet.Violations()}
+func (x *driver) anomalies(ctx context.Context, attempts *attemptLog) Anomalies {
+	w := Anomalies{Orphans: orphansLeft(ctx, x.fleet), Violations: x.fleet.Violations()}
 	runs := x.fleet.PlainRuns()
 	for _, n := range runs {
 		if n > 1 {
@@ -123,7 +123,7 @@
 }
 
 // countAnswers counts the answers that were lost, doubled or wrong.
-func (x *driver) countAnswers(w *Wrongs, runs map[string]int) {
+func (x *driver) countAnswers(w *Anomalies, runs map[string]int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, r := range x.records {
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -172,7 +172,7 @@
 	r := &Report{}
 	r.addFaultRun(FaultFigures{Fault: "calm"})
 	is.Equal(len(r.Faults), 0)
-	r.addFaultRun(FaultFigures{Fault: "bad", Wrongs: Wrongs{Orphans: 1}})
+	r.addFaultRun(FaultFigures{Fault: "bad", Anomalies: Anomalies{Orphans: 1}})
 	is.Equal(len(r.Faults), 1)
 	is.True(strings.HasPrefix(r.Lines[1], "fault=bad lost=0 doubled=0 ran_twice=0 orphans=1 "))
 }
@@ -208,6 +208,6 @@
 func TestRollingReportListsFaults(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(rollingReport(Env{}, RollingFigures{Drained: 4, Undrained: 4}).Faults), 0)
-	bad := RollingFigures{Interrupted: 1, Drained: 4, Undrained: 4, WorkAfterLeave: 1, Wrongs: Wrongs{Lost: 1}}
+	bad := RollingFigures{Interrupted: 1, Drained: 4, Undrained: 4, WorkAfterLeave: 1, Anomalies: Anomalies{Lost: 1}}
 	is.Equal(len(rollingReport(Env{}, bad).Faults), 3)
 }
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -51,7 +51,7 @@
 
 // PoisonFigures are the results of the experiment.
 type PoisonFigures struct {
-	Wrongs
+	Anomalies
 	Runs []PoisonRun `json:"runs"`
 	// WronglyQuarantined counts quarantined fingerprints of other requests, and
 	// other requests that were refused as quarantined.
@@ -101,7 +101,7 @@
 	if failed != nil {
 		return nil, failed
 	}
-	figures.Wrongs = x.anomalies(ctx, attempts)
+	figures.Anomalies = x.anomalies(ctx, attempts)
 	figures.Ended = x.codes()
 	figures.Convicted += x.refusedWith(verdict.CodeQuarantined)
 	figures.InnocentsGood = x.share(window{env.Warmup, lasted})
@@ -285,7 +285,7 @@
 	if !f.Lifted {
 		r.addFault("the label did not lift the quarantine")
 	}
-	r.addAnomalies("innocents", f.Wrongs)
+	r.addAnomalies("innocents", f.Anomalies)
 	r.Figures = []Figure{fig, {Name: "poison-goodput", Title: "Goodput of the other requests",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second", Series: []Series{f.series}}}
 	return r
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -31,7 +31,7 @@
 
 // RollingFigures are the results of the experiment.
 type RollingFigures struct {
-	Wrongs
+	Anomalies
 	// Interrupted counts connections and answers that broke.
 	Interrupted int `json:"interrupted"`
 	// StopMS is the time that each daemon took to stop.
@@ -82,7 +82,7 @@
 		return nil, failed
 	}
 	out := roll.figures
-	out.Wrongs = x.anomalies(ctx, attempts)
+	out.Anomalies = x.anomalies(ctx, attempts)
 	out.GoodDaemons = x.share(roll.daemons)
 	out.GoodEngines = x.share(roll.engines)
 	out.Ended = x.codes()
@@ -243,7 +243,7 @@
 	if f.WorkAfterLeave > 0 || f.Undrained < f.Drained {
 		r.addFault("drained=%d work_after_3s=%d undrained=%d", f.Drained, f.WorkAfterLeave, f.Undrained)
 	}
-	r.addAnomalies("rolling", f.Wrongs)
+	r.addAnomalies("rolling", f.Anomalies)
 	r.Figures = []Figure{{Name: "rolling-goodput", Title: "Goodput while daemons are replaced and engines drained",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second", Series: []Series{f.series}}}
 	return r
