--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -114,7 +114,7 @@
 	}
 	decoded := x.fleet.Decoded()
 	for _, request := range x.observer.refusedRequests() {
-		if anyOf(attempts.attemptsOf(request), decoded) {
+		if anyDecoded(attempts.attemptsOf(request), decoded) {
 			w.NotRunButRan++
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // anyDecoded reports whether one of the attempts was decoded by an engine.
-func anyOf(attempts []string, decoded map[string]int) bool {
+func anyDecoded(attempts []string, decoded map[string]int) bool {
 	for _, a := range attempts {
 		if decoded[a] > 0 {
 			return true
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -123,8 +123,8 @@
 	}
 	is.Equal(l.attemptsOf("R"), []string{"A1", "A2"})
 	is.Equal(len(l.errorLines), 1)
-	is.True(anyOf(l.attemptsOf("R"), map[string]int{"A2": 1}))
-	is.True(!anyOf(l.attemptsOf("R"), map[string]int{"B": 1}))
+	is.True(anyDecoded(l.attemptsOf("R"), map[string]int{"A2": 1}))
+	is.True(!anyDecoded(l.attemptsOf("R"), map[string]int{"B": 1}))
 }
 
 // recorded returns a driver whose requests were answered in time, except for those
