--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_tap.go
@@ -98,7 +98,7 @@
 }
 
 // brokenCount returns the number of answers and connections that have failed.
-func (t *tap) brokenSoFar() int {
+func (t *tap) brokenCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.broken
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -66,14 +66,14 @@
 	is := is.New(t)
 	x := newTap(nil)
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\ndata: [DONE]\n\n"))
-	is.Equal(x.brokenSoFar(), 0)
+	is.Equal(x.brokenCount(), 0)
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader(errorEvent))
-	is.Equal(x.brokenSoFar(), 0)
+	is.Equal(x.brokenCount(), 0)
 	is.Equal(x.refusedRequests(), []string{"r1"})
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\n"))
-	is.Equal(x.brokenSoFar(), 1) // ended without its last line
+	is.Equal(x.brokenCount(), 1) // ended without its last line
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), brokenBody{strings.NewReader("data: {}\n\n")})
-	is.Equal(x.brokenSoFar(), 2)
+	is.Equal(x.brokenCount(), 2)
 }
 
 func TestObserverChecksOnlyNewRequestsAndAllAttemptsOfAKey(t *testing.T) {
@@ -99,14 +99,14 @@
 		_, err = x.RoundTrip(req)
 		is.True(err != nil)
 	}
-	is.Equal(x.brokenSoFar(), 1)
+	is.Equal(x.brokenCount(), 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://127.0.0.1"+opapi.PathCompletions, nil)
 	is.NoErr(err)
 	_, err = x.RoundTrip(req)
 	is.True(err != nil)
-	is.Equal(x.brokenSoFar(), 1) // the caller itself hung up
+	is.Equal(x.brokenCount(), 1) // the caller itself hung up
 }
 
 func TestAttemptLogJoinsRequestsAndAttempts(t *testing.T) {
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -106,7 +106,7 @@
 func (r *rolling) run(ctx context.Context) error {
 	began := time.Now()
 	sleepFor(ctx, r.env.Warmup)
-	before := r.tap.brokenSoFar()
+	before := r.tap.brokenCount()
 	r.daemons.from = time.Since(began)
 	if err := r.replaceDaemons(ctx); err != nil {
 		return err
@@ -117,7 +117,7 @@
 		return err
 	}
 	r.engines.to = time.Since(began)
-	r.figures.Interrupted = r.tap.brokenSoFar() - before
+	r.figures.Interrupted = r.tap.brokenCount() - before
 	return nil
 }
 
@@ -136,7 +136,7 @@
 		if err := r.fleet.AwaitRevision(ctx, 1); err != nil {
 			return err
 		}
-		r.env.logf("rolling daemon=%d stop_ms=%d interrupted=%d", i+1, took, r.tap.brokenSoFar())
+		r.env.logf("rolling daemon=%d stop_ms=%d interrupted=%d", i+1, took, r.tap.brokenCount())
 	}
 	return nil
 }
