--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -63,7 +63,7 @@
 type driver struct {
 	fleet        *fleet.Fleet
 	spec         load.Spec
-	observer     *tap
+	observer     *observer
 	prompts      *load.Prompts
 	callers      []*load.Caller
 	nonStreaming []*wholeCaller
--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_tap.go
@@ -25,7 +25,7 @@
 
 // observer is an HTTP transport that records the results that the callers of a run
 // receive. It wraps the transport of their HTTP client.
-type tap struct {
+type observer struct {
 	base http.RoundTripper
 
 	mu sync.Mutex
@@ -37,12 +37,12 @@
 	broken int
 }
 
-func newTap(base http.RoundTripper) *tap {
-	return &tap{base: base, notRun: map[string]bool{}, keys: map[string]*keyCount{}}
+func newTap(base http.RoundTripper) *observer {
+	return &observer{base: base, notRun: map[string]bool{}, keys: map[string]*keyCount{}}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *tap) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *observer) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := t.base.RoundTrip(req)
 	t.countKey(req, resp)
 	if err != nil {
@@ -66,14 +66,14 @@
 
 // CloseIdleConnections lets http.Client close the idle connections of the wrapped
 // transport.
-func (t *tap) CloseIdleConnections() {
+func (t *observer) CloseIdleConnections() {
 	if c, ok := t.base.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
 // countKey counts an attempt under an idempotency key.
-func (t *tap) countKey(req *http.Request, resp *http.Response) {
+func (t *observer) countKey(req *http.Request, resp *http.Response) {
 	key := req.Header.Get(opapi.HeaderIdempotencyKey)
 	if key == "" {
 		return
@@ -91,20 +91,20 @@
 	}
 }
 
-func (t *tap) addBroken() {
+func (t *observer) addBroken() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.broken++
 }
 
 // brokenCount returns the number of answers and connections that have failed.
-func (t *tap) brokenCount() int {
+func (t *observer) brokenCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.broken
 }
 
-func (t *tap) addNotRun(request string) {
+func (t *observer) addNotRun(request string) {
 	if request == "" {
 		return
 	}
@@ -114,7 +114,7 @@
 }
 
 // refusedKeys returns the keys whose attempts were all refused as not run.
-func (t *tap) refusedKeys() []string {
+func (t *observer) refusedKeys() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
@@ -127,7 +127,7 @@
 }
 
 // refusedRequests returns the ids of the completions that were refused as not run.
-func (t *tap) refusedRequests() []string {
+func (t *observer) refusedRequests() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
@@ -140,7 +140,7 @@
 // observedBody keeps the end of an answer and detects whether it is incomplete.
 type tappedBody struct {
 	io.ReadCloser
-	tap    *tap
+	tap    *observer
 	ctx    context.Context
 	fresh  bool
 	stream bool
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -35,7 +35,7 @@
 }
 
 // exchange sends one request through an observer and reads the answer to its end.
-func through(t *testing.T, x *tap, path string, header, answer http.Header, body io.Reader) {
+func through(t *testing.T, x *observer, path string, header, answer http.Header, body io.Reader) {
 	t.Helper()
 	x.base = roundTrip(func(*http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusOK, Header: answer, Body: io.NopCloser(body)}, nil
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -96,7 +96,7 @@
 	env     Env
 	fleet   *fleet.Fleet
 	site    standin.PlatformConfig
-	tap     *tap
+	tap     *observer
 	figures RollingFigures
 	// daemons and engines are the windows in which daemons were replaced and
 	// engines drained.
