--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -93,7 +93,7 @@
 		MaxAttempts: faultAttempts, Patience: faultPatience, Expect: Expected,
 	}
 	client := load.NewClient()
-	x := &driver{fleet: f, spec: spec, observer: newTap(client.Transport), prompts: load.NewPrompts(env.Seed, teams)}
+	x := &driver{fleet: f, spec: spec, observer: newObserver(client.Transport), prompts: load.NewPrompts(env.Seed, teams)}
 	client.Transport = x.observer
 	for i, team := range teams {
 		for n := range callersOfTeam {
--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_tap.go
@@ -37,7 +37,7 @@
 	broken int
 }
 
-func newTap(base http.RoundTripper) *observer {
+func newObserver(base http.RoundTripper) *observer {
 	return &observer{base: base, notRun: map[string]bool{}, keys: map[string]*keyCount{}}
 }
 
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -64,7 +64,7 @@
 
 func TestObserverDetectsHowStreamsEnd(t *testing.T) {
 	is := is.New(t)
-	x := newTap(nil)
+	x := newObserver(nil)
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\ndata: [DONE]\n\n"))
 	is.Equal(x.brokenCount(), 0)
 	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader(errorEvent))
@@ -78,7 +78,7 @@
 
 func TestObserverChecksOnlyNewRequestsAndAllAttemptsOfAKey(t *testing.T) {
 	is := is.New(t)
-	x := newTap(nil)
+	x := newObserver(nil)
 	resumed := headerOf(opapi.HeaderLastEventID, "token")
 	through(t, x, opapi.PathCompletions, resumed, stream(), strings.NewReader(errorEvent))
 	is.Equal(len(x.refusedRequests()), 0) // the resumed request had already run
@@ -92,7 +92,7 @@
 
 func TestObserverCountsConnectionsButNotEntryRequests(t *testing.T) {
 	is := is.New(t)
-	x := newTap(roundTrip(func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF }))
+	x := newObserver(roundTrip(func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF }))
 	for _, path := range []string{opapi.PathEntry, opapi.PathCompletions} {
 		req, err := http.NewRequest(http.MethodPost, "http://127.0.0.1"+path, nil)
 		is.NoErr(err)
