--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_tap.go
@@ -58,7 +58,7 @@
 		if fresh && resp.Header.Get(opapi.HeaderVerdict) == verdict.NotRun.String() {
 			t.addNotRun(resp.Header.Get(opapi.HeaderRequest))
 		}
-		resp.Body = &tappedBody{ReadCloser: resp.Body, tap: t, ctx: req.Context(), fresh: fresh,
+		resp.Body = &tappedBody{ReadCloser: resp.Body, observer: t, ctx: req.Context(), fresh: fresh,
 			stream: resp.Header.Get("Content-Type") == "text/event-stream"}
 	}
 	return resp, nil
@@ -140,12 +140,12 @@
 // observedBody keeps the end of an answer and detects whether it is incomplete.
 type tappedBody struct {
 	io.ReadCloser
-	tap    *observer
-	ctx    context.Context
-	fresh  bool
-	stream bool
-	tail   []byte
-	ended  bool
+	observer *observer
+	ctx      context.Context
+	fresh    bool
+	stream   bool
+	tail     []byte
+	ended    bool
 }
 
 // Read implements io.Reader.
@@ -167,7 +167,7 @@
 func (b *tappedBody) end(err error) {
 	if !errors.Is(err, io.EOF) {
 		if b.ctx.Err() == nil {
-			b.tap.addBroken()
+			b.observer.addBroken()
 		}
 		return
 	}
@@ -176,11 +176,11 @@
 	}
 	detail, ok := lastError(b.tail)
 	if !ok {
-		b.tap.addBroken()
+		b.observer.addBroken()
 		return
 	}
 	if b.fresh && detail.Verdict == verdict.NotRun.String() {
-		b.tap.addNotRun(detail.Request)
+		b.observer.addNotRun(detail.Request)
 	}
 }
 
