--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_tap.go
@@ -58,7 +58,7 @@
 		if fresh && resp.Header.Get(opapi.HeaderVerdict) == verdict.NotRun.String() {
 			t.addNotRun(resp.Header.Get(opapi.HeaderRequest))
 		}
-		resp.Body = &tappedBody{ReadCloser: resp.Body, observer: t, ctx: req.Context(), fresh: fresh,
+		resp.Body = &observedBody{ReadCloser: resp.Body, observer: t, ctx: req.Context(), fresh: fresh,
 			stream: resp.Header.Get("Content-Type") == "text/event-stream"}
 	}
 	return resp, nil
@@ -138,7 +138,7 @@
 }
 
 // observedBody keeps the end of an answer and detects whether it is incomplete.
-type tappedBody struct {
+type observedBody struct {
 	io.ReadCloser
 	observer *observer
 	ctx      context.Context
@@ -149,7 +149,7 @@
 }
 
 // Read implements io.Reader.
-func (b *tappedBody) Read(p []byte) (int, error) {
+func (b *observedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.tail = append(b.tail, p[:n]...)
 	if over := len(b.tail) - tailBytes; over > 0 {
@@ -164,7 +164,7 @@
 
 // end reads the error event at the end of a stream, or counts the answer as broken
 // if it is incomplete.
-func (b *tappedBody) end(err error) {
+func (b *observedBody) end(err error) {
 	if !errors.Is(err, io.EOF) {
 		if b.ctx.Err() == nil {
 			b.observer.addBroken()
