--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -17,7 +17,7 @@
 
 // Parameters of callers that request non-streaming answers.
 const (
-	wholeRetryPause = 50 * time.Millisecond
+	retryPause      = 50 * time.Millisecond
 	entryAskTimeout = 2 * time.Second
 )
 
@@ -121,7 +121,7 @@
 		if err == nil && !again(reply) {
 			return reply, nil
 		}
-		delay := wholeRetryPause
+		delay := retryPause
 		if err != nil {
 			c.expire()
 		} else {
