--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -17,8 +17,8 @@
 
 // Parameters of callers that request non-streaming answers.
 const (
-	retryPause      = 50 * time.Millisecond
-	entryAskTimeout = 2 * time.Second
+	retryPause   = 50 * time.Millisecond
+	entryTimeout = 2 * time.Second
 )
 
 // nonStreamingCaller sends completions that are answered in one body. It uses the
@@ -93,7 +93,7 @@
 // fetchEntry requests an entry answer from an address.
 func askEntry(ctx context.Context, client *http.Client, address string) (opapi.EntryAnswer, error) {
 	var answer opapi.EntryAnswer
-	ctx, cancel := context.WithTimeout(ctx, entryAskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+opapi.PathEntry, nil)
 	if err != nil {
