--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -101,7 +101,7 @@
 			x.callers = append(x.callers, load.NewCaller(spec, team, client, rand.New(rand.NewPCG(env.Seed, seed))))
 			x.nonStreaming = append(x.nonStreaming, &wholeCaller{
 				client: client, key: team.Key, model: team.Profile.Model,
-				rng: rand.New(rand.NewPCG(env.Seed^1, seed)), known: f.CallerAddresses(),
+				rng: rand.New(rand.NewPCG(env.Seed^1, seed)), addresses: f.CallerAddresses(),
 			})
 		}
 	}
--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -29,10 +29,10 @@
 	key    string
 	model  string
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	known   []string
-	expires time.Time
+	mu        sync.Mutex
+	rng       *rand.Rand
+	addresses []string
+	expires   time.Time
 }
 
 // completionReply is the answer to one completion request: its text or its error.
@@ -51,23 +51,23 @@
 			return "", err
 		}
 	}
-	return c.known[c.rng.IntN(len(c.known))], nil
+	return c.addresses[c.rng.IntN(len(c.addresses))], nil
 }
 
 // renew requests an entry answer from the known addresses, in random order, until
 // one returns it.
 func (c *wholeCaller) renew(ctx context.Context) error {
-	c.rng.Shuffle(len(c.known), func(i, j int) { c.known[i], c.known[j] = c.known[j], c.known[i] })
+	c.rng.Shuffle(len(c.addresses), func(i, j int) { c.addresses[i], c.addresses[j] = c.addresses[j], c.addresses[i] })
 	var last error
-	for _, address := range c.known {
+	for _, address := range c.addresses {
 		answer, err := askEntry(ctx, c.client, address)
 		if err != nil {
 			last = err
 			continue
 		}
-		c.known = c.known[:0:0]
+		c.addresses = c.addresses[:0:0]
 		for _, a := range answer.Addresses {
-			c.known = append(c.known, a.Address)
+			c.addresses = append(c.addresses, a.Address)
 		}
 		c.expires = time.Now().Add(time.Duration(answer.LifetimeMS) * time.Millisecond)
 		return nil
