--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -77,7 +77,7 @@
 
 // jitter returns a random delay between the advised one and 1.5 times that, so that
 // callers don't retry at the same time.
-func (c *wholeCaller) spread(advised time.Duration) time.Duration {
+func (c *wholeCaller) jitter(advised time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return advised + time.Duration(c.rng.Int64N(int64(advised/2)+1))
@@ -125,7 +125,7 @@
 		if err != nil {
 			c.expire()
 		} else {
-			delay = c.spread(time.Duration(reply.failed.RetryAfterMS) * time.Millisecond)
+			delay = c.jitter(time.Duration(reply.failed.RetryAfterMS) * time.Millisecond)
 		}
 		if !sleepFor(ctx, delay) {
 			return reply, ctx.Err()
