--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -117,7 +117,7 @@
 // ctx ends.
 func (c *wholeCaller) complete(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
 	for {
-		reply, err := c.try(ctx, prompt, maxTokens)
+		reply, err := c.attempt(ctx, prompt, maxTokens)
 		if err == nil && !again(reply) {
 			return reply, nil
 		}
@@ -139,7 +139,7 @@
 	return r.status != http.StatusOK && r.failed.Verdict == verdict.NotRun.String() && r.failed.RetryAfterMS > 0
 }
 
-func (c *wholeCaller) try(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
+func (c *wholeCaller) attempt(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
 	address, err := c.pick(ctx)
 	if err != nil {
 		return wholeReply{}, err
