--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -66,7 +66,7 @@
 	observer     *observer
 	prompts      *load.Prompts
 	callers      []*load.Caller
-	nonStreaming []*wholeCaller
+	nonStreaming []*nonStreamingCaller
 	// hangUp reports whether the caller of an arrival hangs up; may be nil.
 	hangUp func(load.Arrival) bool
 
@@ -99,7 +99,7 @@
 		for n := range callersOfTeam {
 			seed := uint64(i*callersOfTeam + n)
 			x.callers = append(x.callers, load.NewCaller(spec, team, client, rand.New(rand.NewPCG(env.Seed, seed))))
-			x.nonStreaming = append(x.nonStreaming, &wholeCaller{
+			x.nonStreaming = append(x.nonStreaming, &nonStreamingCaller{
 				client: client, key: team.Key, model: team.Profile.Model,
 				rng: rand.New(rand.NewPCG(env.Seed^1, seed)), addresses: f.CallerAddresses(),
 			})
--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -24,7 +24,7 @@
 // nonStreamingCaller sends completions that are answered in one body. It uses the
 // addresses of the entry answer. It retries if the request failed without an
 // answer, or if the completion was refused as not run with an advised retry delay.
-type wholeCaller struct {
+type nonStreamingCaller struct {
 	client *http.Client
 	key    string
 	model  string
@@ -43,7 +43,7 @@
 }
 
 // pick returns a random address of the current entry answer.
-func (c *wholeCaller) pick(ctx context.Context) (string, error) {
+func (c *nonStreamingCaller) pick(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().After(c.expires) {
@@ -56,7 +56,7 @@
 
 // renew requests an entry answer from the known addresses, in random order, until
 // one returns it.
-func (c *wholeCaller) renew(ctx context.Context) error {
+func (c *nonStreamingCaller) renew(ctx context.Context) error {
 	c.rng.Shuffle(len(c.addresses), func(i, j int) { c.addresses[i], c.addresses[j] = c.addresses[j], c.addresses[i] })
 	var last error
 	for _, address := range c.addresses {
@@ -77,14 +77,14 @@
 
 // jitter returns a random delay between the advised one and 1.5 times that, so that
 // callers don't retry at the same time.
-func (c *wholeCaller) jitter(advised time.Duration) time.Duration {
+func (c *nonStreamingCaller) jitter(advised time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return advised + time.Duration(c.rng.Int64N(int64(advised/2)+1))
 }
 
 // expire makes the next pick request a new entry answer.
-func (c *wholeCaller) expire() {
+func (c *nonStreamingCaller) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
@@ -115,7 +115,7 @@
 
 // complete sends a completion until it is answered or refused for good, or until
 // ctx ends.
-func (c *wholeCaller) complete(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
+func (c *nonStreamingCaller) complete(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
 	for {
 		reply, err := c.attempt(ctx, prompt, maxTokens)
 		if err == nil && !again(reply) {
@@ -139,7 +139,7 @@
 	return r.status != http.StatusOK && r.failed.Verdict == verdict.NotRun.String() && r.failed.RetryAfterMS > 0
 }
 
-func (c *wholeCaller) attempt(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
+func (c *nonStreamingCaller) attempt(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
 	address, err := c.pick(ctx)
 	if err != nil {
 		return wholeReply{}, err
