--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -36,7 +36,7 @@
 }
 
 // completionReply is the answer to one completion request: its text or its error.
-type wholeReply struct {
+type completionReply struct {
 	status int
 	text   string
 	failed opapi.ErrorDetail
@@ -115,7 +115,7 @@
 
 // complete sends a completion until it is answered or refused for good, or until
 // ctx ends.
-func (c *nonStreamingCaller) complete(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
+func (c *nonStreamingCaller) complete(ctx context.Context, prompt string, maxTokens int) (completionReply, error) {
 	for {
 		reply, err := c.attempt(ctx, prompt, maxTokens)
 		if err == nil && !again(reply) {
@@ -135,36 +135,36 @@
 
 // shouldRetry reports whether a caller retries after a reply: the completion was
 // refused as not run, and the reply advises a retry delay.
-func again(r wholeReply) bool {
+func again(r completionReply) bool {
 	return r.status != http.StatusOK && r.failed.Verdict == verdict.NotRun.String() && r.failed.RetryAfterMS > 0
 }
 
-func (c *nonStreamingCaller) attempt(ctx context.Context, prompt string, maxTokens int) (wholeReply, error) {
+func (c *nonStreamingCaller) attempt(ctx context.Context, prompt string, maxTokens int) (completionReply, error) {
 	address, err := c.pick(ctx)
 	if err != nil {
-		return wholeReply{}, err
+		return completionReply{}, err
 	}
 	return askWhole(ctx, c.client, address, c.key, opapi.CompletionRequest{Model: c.model, Prompt: prompt, MaxTokens: maxTokens})
 }
 
 // postCompletion sends one non-streaming completion to one daemon.
-func askWhole(ctx context.Context, client *http.Client, address, key string, body opapi.CompletionRequest) (wholeReply, error) {
+func askWhole(ctx context.Context, client *http.Client, address, key string, body opapi.CompletionRequest) (completionReply, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return wholeReply{}, err
+		return completionReply{}, err
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+opapi.PathCompletions, bytes.NewReader(raw))
 	if err != nil {
-		return wholeReply{}, err
+		return completionReply{}, err
 	}
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := client.Do(req)
 	if err != nil {
-		return wholeReply{}, err
+		return completionReply{}, err
 	}
 	defer resp.Body.Close()
-	reply := wholeReply{status: resp.StatusCode}
+	reply := completionReply{status: resp.StatusCode}
 	if resp.StatusCode != http.StatusOK {
 		var failed opapi.ErrorBody
 		err = json.NewDecoder(resp.Body).Decode(&failed)
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -194,7 +194,7 @@
 }
 
 // send sends a prompt once through one daemon.
-func (p *poisoner) send(ctx context.Context, prompt string, daemon int) (wholeReply, error) {
+func (p *poisoner) send(ctx context.Context, prompt string, daemon int) (completionReply, error) {
 	addresses := p.fleet.CallerAddresses()
 	body := opapi.CompletionRequest{Model: p.model, Prompt: prompt, MaxTokens: 4}
 	return askWhole(ctx, p.client, addresses[daemon%len(addresses)], p.key, body)
