--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -60,7 +60,7 @@
 	c.rng.Shuffle(len(c.addresses), func(i, j int) { c.addresses[i], c.addresses[j] = c.addresses[j], c.addresses[i] })
 	var last error
 	for _, address := range c.addresses {
-		answer, err := askEntry(ctx, c.client, address)
+		answer, err := fetchEntry(ctx, c.client, address)
 		if err != nil {
 			last = err
 			continue
@@ -91,7 +91,7 @@
 }
 
 // fetchEntry requests an entry answer from an address.
-func askEntry(ctx context.Context, client *http.Client, address string) (opapi.EntryAnswer, error) {
+func fetchEntry(ctx context.Context, client *http.Client, address string) (opapi.EntryAnswer, error) {
 	var answer opapi.EntryAnswer
 	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
