--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -144,11 +144,11 @@
 	if err != nil {
 		return completionReply{}, err
 	}
-	return askWhole(ctx, c.client, address, c.key, opapi.CompletionRequest{Model: c.model, Prompt: prompt, MaxTokens: maxTokens})
+	return postCompletion(ctx, c.client, address, c.key, opapi.CompletionRequest{Model: c.model, Prompt: prompt, MaxTokens: maxTokens})
 }
 
 // postCompletion sends one non-streaming completion to one daemon.
-func askWhole(ctx context.Context, client *http.Client, address, key string, body opapi.CompletionRequest) (completionReply, error) {
+func postCompletion(ctx context.Context, client *http.Client, address, key string, body opapi.CompletionRequest) (completionReply, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return completionReply{}, err
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -197,7 +197,7 @@
 func (p *poisoner) send(ctx context.Context, prompt string, daemon int) (completionReply, error) {
 	addresses := p.fleet.CallerAddresses()
 	body := opapi.CompletionRequest{Model: p.model, Prompt: prompt, MaxTokens: 4}
-	return askWhole(ctx, p.client, addresses[daemon%len(addresses)], p.key, body)
+	return postCompletion(ctx, p.client, addresses[daemon%len(addresses)], p.key, body)
 }
 
 // countWronglyQuarantined counts the quarantined fingerprints that belong to no
