--- a/cmd/internal/experiment/faults_whole.go
+++ b/cmd/internal/experiment/faults_whole.go
@@ -118,7 +118,7 @@
 func (c *nonStreamingCaller) complete(ctx context.Context, prompt string, maxTokens int) (completionReply, error) {
 	for {
 		reply, err := c.attempt(ctx, prompt, maxTokens)
-		if err == nil && !again(reply) {
+		if err == nil && !shouldRetry(reply) {
 			return reply, nil
 		}
 		delay := retryPause
@@ -135,7 +135,7 @@
 
 // shouldRetry reports whether a caller retries after a reply: the completion was
 // refused as not run, and the reply advises a retry delay.
-func again(r completionReply) bool {
+func shouldRetry(r completionReply) bool {
 	return r.status != http.StatusOK && r.failed.Verdict == verdict.NotRun.String() && r.failed.RetryAfterMS > 0
 }
 
