--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -16,7 +16,7 @@
 
 const (
 	// membershipLoaded is the number of members in the run with busy processors.
-	membershipLoaded = 30
+	loadedMembers = 30
 	// membershipKills is the number of members killed in a run, one after the other.
 	membershipKills = 4
 	// membershipTarget is the fleet size that the fits are extrapolated to.
@@ -99,7 +99,7 @@
 		for _, n := range membershipSizes {
 			runs = append(runs, membershipRun{mode: mode, size: n})
 		}
-		runs = append(runs, membershipRun{mode: mode, size: membershipLoaded, loaded: true})
+		runs = append(runs, membershipRun{mode: mode, size: loadedMembers, loaded: true})
 	}
 	return runs
 }
