--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -23,7 +23,7 @@
 	// joinTimeout bounds the wait until every member sees all others.
 	joinTimeout = 3 * time.Minute
 	// joinPollInterval is the time between two checks of all members.
-	joinLook = 250 * time.Millisecond
+	joinPollInterval = 250 * time.Millisecond
 	// settleTime is the wait after the join, in which each connection discovers
 	// its packet size. After it, traffic is measured in windows of steadyWindow,
 	// at most maxSteadyWindows of them. Membership updates about the join have
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	for !g.met() {
-		if err := sleep(ctx, joinLook); err != nil {
+		if err := sleep(ctx, joinPollInterval); err != nil {
 			return fmt.Errorf("%d members do not all see each other: %w", n, err)
 		}
 	}
