--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -28,7 +28,7 @@
 	// its packet size. After it, traffic is measured in windows of steadyWindow,
 	// at most maxSteadyWindows of them. Membership updates about the join have
 	// been disseminated once the traffic of a window falls by less than a tenth.
-	calm        = 15 * time.Second
+	settleTime  = 15 * time.Second
 	calmWindow  = 5 * time.Second
 	calmWindows = 24
 	// detectTimeout bounds the wait until all survivors report a killed member as
@@ -132,7 +132,7 @@
 
 // awaitSteady waits until the updates about the join have been disseminated.
 func (g *gathering) calmDown(ctx context.Context) error {
-	if err := sleep(ctx, calm); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
 	last := math.Inf(1)
