--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -28,9 +28,9 @@
 	// its packet size. After it, traffic is measured in windows of steadyWindow,
 	// at most maxSteadyWindows of them. Membership updates about the join have
 	// been disseminated once the traffic of a window falls by less than a tenth.
-	settleTime   = 15 * time.Second
-	steadyWindow = 5 * time.Second
-	calmWindows  = 24
+	settleTime       = 15 * time.Second
+	steadyWindow     = 5 * time.Second
+	maxSteadyWindows = 24
 	// detectTimeout bounds the wait until all survivors report a killed member as
 	// dead.
 	detectTimeout = 30 * time.Second
@@ -136,7 +136,7 @@
 		return err
 	}
 	last := math.Inf(1)
-	for range calmWindows {
+	for range maxSteadyWindows {
 		at := g.traffic().wire
 		if err := sleep(ctx, steadyWindow); err != nil {
 			return err
