--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -43,13 +43,13 @@
 
 // cluster is a set of participants in this process. dead holds the killed ones.
 type gathering struct {
-	mode   member.Mode
-	seed   uint64
-	ca     *keys.DevCA
-	all    []*participant
-	dead   map[id.Daemon]time.Time
-	deaths chan death
-	falses int
+	mode        member.Mode
+	seed        uint64
+	ca          *keys.DevCA
+	all         []*participant
+	dead        map[id.Daemon]time.Time
+	deaths      chan death
+	falseDeaths int
 }
 
 func newGathering(mode member.Mode, seed uint64) (*gathering, error) {
@@ -229,8 +229,8 @@
 // takeFalseDeaths returns the number of false deaths since the previous call.
 func (g *gathering) takeFalses() int {
 	g.drain()
-	n := g.falses
-	g.falses = 0
+	n := g.falseDeaths
+	g.falseDeaths = 0
 	return n
 }
 
@@ -250,7 +250,7 @@
 // count counts a death report as false unless its subject was killed.
 func (g *gathering) count(d death) {
 	if _, killed := g.dead[d.of]; !killed {
-		g.falses++
+		g.falseDeaths++
 	}
 }
 
