--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -79,7 +79,7 @@
 			for range 2 {
 				is.Equal((<-g.deaths).of, victim.self.Daemon)
 			}
-			is.True(g.met())
+			is.True(g.converged())
 		})
 	}
 }
--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -83,7 +83,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	for !g.met() {
+	for !g.converged() {
 		if err := sleep(ctx, joinPollInterval); err != nil {
 			return fmt.Errorf("%d members do not all see each other: %w", n, err)
 		}
@@ -101,7 +101,7 @@
 }
 
 // converged reports whether every member that was not killed sees all such members.
-func (g *gathering) met() bool {
+func (g *gathering) converged() bool {
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed && p.sees() != len(g.all)-len(g.dead) {
 			return false
