--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -121,7 +121,7 @@
 		return out, err
 	}
 	out.JoinSeconds = time.Since(begun).Seconds()
-	if err := g.rest(ctx, &out); err != nil {
+	if err := g.measureIdle(ctx, &out); err != nil {
 		return out, err
 	}
 	after := memoryNow()
--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -111,7 +111,7 @@
 }
 
 // measureIdle measures the traffic and processor use of the members at idle.
-func (g *gathering) rest(ctx context.Context, out *MembershipFigures) error {
+func (g *gathering) measureIdle(ctx context.Context, out *MembershipFigures) error {
 	if err := g.calmDown(ctx); err != nil {
 		return err
 	}
