--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -112,7 +112,7 @@
 
 // measureIdle measures the traffic and processor use of the members at idle.
 func (g *gathering) measureIdle(ctx context.Context, out *MembershipFigures) error {
-	if err := g.calmDown(ctx); err != nil {
+	if err := g.awaitSteady(ctx); err != nil {
 		return err
 	}
 	out.FalseInJoin = g.takeFalses()
@@ -131,7 +131,7 @@
 }
 
 // awaitSteady waits until the updates about the join have been disseminated.
-func (g *gathering) calmDown(ctx context.Context) error {
+func (g *gathering) awaitSteady(ctx context.Context) error {
 	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
