--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -128,7 +128,7 @@
 	n := float64(r.size)
 	out.HeapBytes = (after.inUse - before.inUse) / n
 	out.ProcessBytes = (after.resident - before.resident) / n
-	err = g.killSome(ctx, &out)
+	err = g.killMembers(ctx, &out)
 	out.LoadAverage = loadAverage()
 	return out, err
 }
--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -171,7 +171,7 @@
 
 // killMembers kills members one after the other, and measures the time until each
 // survivor reports the killed member as dead.
-func (g *gathering) killSome(ctx context.Context, out *MembershipFigures) error {
+func (g *gathering) killMembers(ctx context.Context, out *MembershipFigures) error {
 	times := hdrhistogram.New(1, detectTimeout.Milliseconds(), 3)
 	rng := rand.New(rand.NewPCG(g.seed, uint64(len(g.all))))
 	for range membershipKills {
