--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -179,7 +179,7 @@
 		if err := sleep(ctx, time.Duration(rng.Int64N(int64(time.Second)))); err != nil {
 			return err
 		}
-		if err := g.killOne(ctx, rng, times, out); err != nil {
+		if err := g.killMember(ctx, rng, times, out); err != nil {
 			return err
 		}
 	}
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (g *gathering) killOne(ctx context.Context, rng *rand.Rand, times *hdrhistogram.Histogram, out *MembershipFigures) error {
+func (g *gathering) killMember(ctx context.Context, rng *rand.Rand, times *hdrhistogram.Histogram, out *MembershipFigures) error {
 	var alive []*participant
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed {
