--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -115,7 +115,7 @@
 	if err := g.awaitSteady(ctx); err != nil {
 		return err
 	}
-	out.FalseInJoin = g.takeFalses()
+	out.FalseInJoin = g.takeFalseDeaths()
 	before := g.traffic()
 	var err error
 	u := cpuDuring(func() { err = sleep(ctx, membershipSteady) })
@@ -183,7 +183,7 @@
 			return err
 		}
 	}
-	out.FalseDeaths = g.takeFalses()
+	out.FalseDeaths = g.takeFalseDeaths()
 	out.DetectP50 = float64(times.ValueAtQuantile(50)) / 1e3
 	out.DetectP99 = float64(times.ValueAtQuantile(99)) / 1e3
 	out.DetectMax = float64(times.Max()) / 1e3
@@ -227,7 +227,7 @@
 }
 
 // takeFalseDeaths returns the number of false deaths since the previous call.
-func (g *gathering) takeFalses() int {
+func (g *gathering) takeFalseDeaths() int {
 	g.drain()
 	n := g.falseDeaths
 	g.falseDeaths = 0
