--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -42,7 +42,7 @@
 )
 
 // cluster is a set of participants in this process. dead holds the killed ones.
-type gathering struct {
+type cluster struct {
 	mode        member.Mode
 	seed        uint64
 	ca          *keys.DevCA
@@ -52,15 +52,15 @@
 	falseDeaths int
 }
 
-func newGathering(mode member.Mode, seed uint64) (*gathering, error) {
+func newGathering(mode member.Mode, seed uint64) (*cluster, error) {
 	ca, err := keys.NewDevCA(time.Now())
 	if err != nil {
 		return nil, err
 	}
-	return &gathering{mode: mode, seed: seed, ca: ca, dead: map[id.Daemon]time.Time{}, deaths: make(chan death, deathsBuffer)}, nil
+	return &cluster{mode: mode, seed: seed, ca: ca, dead: map[id.Daemon]time.Time{}, deaths: make(chan death, deathsBuffer)}, nil
 }
 
-func (g *gathering) close() {
+func (g *cluster) close() {
 	for _, p := range g.all {
 		p.close()
 	}
@@ -68,7 +68,7 @@
 
 // join starts n members one after the other and waits until every member sees all
 // others.
-func (g *gathering) join(ctx context.Context, n int) error {
+func (g *cluster) join(ctx context.Context, n int) error {
 	for i := range n {
 		name := id.Daemon(fmt.Sprintf("host-%03d", i))
 		domain := id.Domain(fmt.Sprintf("domain-%d", i%membershipDomains))
@@ -92,7 +92,7 @@
 }
 
 // seeds returns the earliest members.
-func (g *gathering) seeds() []member.Host {
+func (g *cluster) seeds() []member.Host {
 	var out []member.Host
 	for _, p := range g.all[:min(seedCount, len(g.all))] {
 		out = append(out, member.Host{Name: p.self.Daemon, Address: p.transport.Address()})
@@ -101,7 +101,7 @@
 }
 
 // converged reports whether every member that was not killed sees all such members.
-func (g *gathering) converged() bool {
+func (g *cluster) converged() bool {
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed && p.sees() != len(g.all)-len(g.dead) {
 			return false
@@ -111,7 +111,7 @@
 }
 
 // measureIdle measures the traffic and processor use of the members at idle.
-func (g *gathering) measureIdle(ctx context.Context, out *MembershipFigures) error {
+func (g *cluster) measureIdle(ctx context.Context, out *MembershipFigures) error {
 	if err := g.awaitSteady(ctx); err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 }
 
 // awaitSteady waits until the updates about the join have been disseminated.
-func (g *gathering) awaitSteady(ctx context.Context) error {
+func (g *cluster) awaitSteady(ctx context.Context) error {
 	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 // connections.
 type sentTraffic struct{ wire, frames, packets, messages, connections float64 }
 
-func (g *gathering) traffic() sentTraffic {
+func (g *cluster) traffic() sentTraffic {
 	var sum sentTraffic
 	for _, p := range g.all {
 		w := p.transport.Wire()
@@ -171,7 +171,7 @@
 
 // killMembers kills members one after the other, and measures the time until each
 // survivor reports the killed member as dead.
-func (g *gathering) killMembers(ctx context.Context, out *MembershipFigures) error {
+func (g *cluster) killMembers(ctx context.Context, out *MembershipFigures) error {
 	times := hdrhistogram.New(1, detectTimeout.Milliseconds(), 3)
 	rng := rand.New(rand.NewPCG(g.seed, uint64(len(g.all))))
 	for range membershipKills {
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (g *gathering) killMember(ctx context.Context, rng *rand.Rand, times *hdrhistogram.Histogram, out *MembershipFigures) error {
+func (g *cluster) killMember(ctx context.Context, rng *rand.Rand, times *hdrhistogram.Histogram, out *MembershipFigures) error {
 	var alive []*participant
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed {
@@ -227,7 +227,7 @@
 }
 
 // takeFalseDeaths returns the number of false deaths since the previous call.
-func (g *gathering) takeFalseDeaths() int {
+func (g *cluster) takeFalseDeaths() int {
 	g.drain()
 	n := g.falseDeaths
 	g.falseDeaths = 0
@@ -236,7 +236,7 @@
 
 // drain handles the death reports received so far. Before a kill, all reports about
 // members that were not killed earlier are false.
-func (g *gathering) drain() {
+func (g *cluster) drain() {
 	for {
 		select {
 		case d := <-g.deaths:
@@ -248,7 +248,7 @@
 }
 
 // count counts a death report as false unless its subject was killed.
-func (g *gathering) count(d death) {
+func (g *cluster) count(d death) {
 	if _, killed := g.dead[d.of]; !killed {
 		g.falseDeaths++
 	}
--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -34,7 +34,7 @@
 }
 
 // startParticipant starts a participant that listens on a loopback port.
-func startParticipant(g *gathering, name id.Daemon, domain id.Domain, seeds []member.Host) (*participant, error) {
+func startParticipant(g *cluster, name id.Daemon, domain id.Domain, seeds []member.Host) (*participant, error) {
 	material, err := g.ca.Peer(name)
 	if err != nil {
 		return nil, err
