--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -69,7 +69,7 @@
 	for _, mode := range membershipModes {
 		t.Run(string(mode), func(t *testing.T) {
 			is := is.New(t)
-			g, err := newGathering(mode, 1)
+			g, err := newCluster(mode, 1)
 			is.NoErr(err)
 			defer g.close()
 			is.NoErr(g.join(context.Background(), 3))
--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -108,7 +108,7 @@
 func memberOnce(ctx context.Context, env Env, r membershipRun) (MembershipFigures, error) {
 	out := MembershipFigures{Mode: r.mode, Members: r.size, Loaded: r.loaded, Kills: membershipKills}
 	before := memoryNow()
-	g, err := newGathering(r.mode, env.Seed)
+	g, err := newCluster(r.mode, env.Seed)
 	if err != nil {
 		return out, err
 	}
--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -52,7 +52,7 @@
 	falseDeaths int
 }
 
-func newGathering(mode member.Mode, seed uint64) (*cluster, error) {
+func newCluster(mode member.Mode, seed uint64) (*cluster, error) {
 	ca, err := keys.NewDevCA(time.Now())
 	if err != nil {
 		return nil, err
