--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_gathering.go
@@ -48,7 +48,7 @@
 	ca          *keys.DevCA
 	all         []*participant
 	dead        map[id.Daemon]time.Time
-	deaths      chan death
+	deaths      chan deathReport
 	falseDeaths int
 }
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cluster{mode: mode, seed: seed, ca: ca, dead: map[id.Daemon]time.Time{}, deaths: make(chan death, deathsBuffer)}, nil
+	return &cluster{mode: mode, seed: seed, ca: ca, dead: map[id.Daemon]time.Time{}, deaths: make(chan deathReport, deathsBuffer)}, nil
 }
 
 func (g *cluster) close() {
@@ -248,7 +248,7 @@
 }
 
 // count counts a death report as false unless its subject was killed.
-func (g *cluster) count(d death) {
+func (g *cluster) count(d deathReport) {
 	if _, killed := g.dead[d.of]; !killed {
 		g.falseDeaths++
 	}
--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -23,12 +23,12 @@
 	self      id.Process
 	transport *peer.Transport
 	duty      *members.Members
-	deaths    chan<- death
+	deaths    chan<- deathReport
 	ready     chan struct{}
 }
 
 // deathReport is the report of one participant that another has died.
-type death struct {
+type deathReport struct {
 	by, of id.Daemon
 	at     time.Time
 }
@@ -120,7 +120,7 @@
 
 // Gone implements members.Listener.
 func (p *participant) Gone(gone id.Process) {
-	p.deaths <- death{by: p.self.Daemon, of: gone.Daemon, at: time.Now()}
+	p.deaths <- deathReport{by: p.self.Daemon, of: gone.Daemon, at: time.Now()}
 }
 
 // Forgotten implements members.Listener.
