--- a/cmd/internal/experiment/overhead.go
+++ b/cmd/internal/experiment/overhead.go
@@ -25,7 +25,7 @@
 
 // timedCall makes one call and returns the measured time: that of the whole call,
 // or that until the first token.
-type caller func(ctx context.Context) (time.Duration, error)
+type timedCall func(ctx context.Context) (time.Duration, error)
 
 // OverheadFigures compare routed calls with direct calls to the same stand-in.
 type OverheadFigures struct {
@@ -116,7 +116,7 @@
 type comparison struct {
 	name           string
 	calls          int
-	direct, routed caller
+	direct, routed timedCall
 }
 
 // compareLatency alternates direct and routed calls, so that both are measured
@@ -126,7 +126,7 @@
 	routed := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for i := range c.calls + overheadWarmup {
 		for _, target := range []struct {
-			call caller
+			call timedCall
 			into *hdrhistogram.Histogram
 		}{{c.direct, direct}, {c.routed, routed}} {
 			took, err := target.call(ctx)
@@ -184,7 +184,7 @@
 }
 
 // busyCalls makes calls from many concurrent callers and measures the usage.
-func busyCalls(ctx context.Context, call caller) (usage, error) {
+func busyCalls(ctx context.Context, call timedCall) (usage, error) {
 	var failed error
 	u := cpuDuring(func() {
 		env := Env{Parallel: overheadConcurrency}
