--- a/cmd/internal/experiment/overhead_calls.go
+++ b/cmd/internal/experiment/overhead_calls.go
@@ -37,17 +37,17 @@
 
 // plainDirect calls the plain service directly.
 func (w *ways) plainDirect(ctx context.Context) (time.Duration, error) {
-	return w.whole(ctx, "http://"+w.endpoint("plain")+"/stems/confirm", plainBody)
+	return w.timeCall(ctx, "http://"+w.endpoint("plain")+"/stems/confirm", plainBody)
 }
 
 // plainRouted calls the plain service through the daemon.
 func (w *ways) plainRouted(ctx context.Context) (time.Duration, error) {
 	address := w.fleet.CallerAddresses()[0]
-	return w.whole(ctx, "http://"+address+opapi.PathServices+w.site.PlainService+"/stems/confirm", plainBody)
+	return w.timeCall(ctx, "http://"+address+opapi.PathServices+w.site.PlainService+"/stems/confirm", plainBody)
 }
 
 // timeCall posts a body and measures the time of the whole call.
-func (w *ways) whole(ctx context.Context, url string, body []byte) (time.Duration, error) {
+func (w *ways) timeCall(ctx context.Context, url string, body []byte) (time.Duration, error) {
 	begun := time.Now()
 	resp, err := w.post(ctx, url, body)
 	if err != nil {
