--- a/cmd/internal/experiment/overhead.go
+++ b/cmd/internal/experiment/overhead.go
@@ -89,7 +89,7 @@
 	defer f.Close()
 	client := load.NewClient()
 	defer client.CloseIdleConnections()
-	calls := &ways{fleet: f, client: client, site: d.Site, key: ofLoad[0].Key}
+	calls := &overheadClient{fleet: f, client: client, site: d.Site, key: ofLoad[0].Key}
 	report := &Report{Experiment: "overhead", Seed: env.Seed}
 	var data overheadData
 	for _, c := range calls.latencyCalls() {
@@ -156,7 +156,7 @@
 
 // compareThroughput makes plain calls from many concurrent callers, first directly
 // and then through the router.
-func compareThroughput(ctx context.Context, calls *ways) (ThroughputFigures, error) {
+func compareThroughput(ctx context.Context, calls *overheadClient) (ThroughputFigures, error) {
 	idle := cpuDuring(func() { time.Sleep(overheadIdle) })
 	out := ThroughputFigures{Call: "plain", IdleCores: idle.cpu.Seconds() / idle.wall.Seconds()}
 	direct, err := busyCalls(ctx, calls.plainDirect)
@@ -196,7 +196,7 @@
 }
 
 // overheadClient calls the stand-ins directly and through the router.
-type ways struct {
+type overheadClient struct {
 	fleet  *fleet.Fleet
 	client *http.Client
 	site   standin.PlatformConfig
@@ -204,7 +204,7 @@
 	number int
 }
 
-func (w *ways) latencyCalls() []comparison {
+func (w *overheadClient) latencyCalls() []comparison {
 	return []comparison{
 		{"plain", overheadCalls, w.plainDirect, w.plainRouted},
 		{"completion", overheadCompletions, w.completionDirect, w.completionRouted},
--- a/cmd/internal/experiment/overhead_calls.go
+++ b/cmd/internal/experiment/overhead_calls.go
@@ -26,7 +26,7 @@
 var plainBody = []byte(`{"stem":"Aktau berth 4","confirm":true}`)
 
 // endpoint returns the address of an endpoint; empty if it is unknown.
-func (w *ways) endpoint(name string) string {
+func (w *overheadClient) endpoint(name string) string {
 	for _, e := range w.fleet.Platform().Addresses().Endpoints {
 		if e.Name == name {
 			return e.Address
@@ -36,18 +36,18 @@
 }
 
 // plainDirect calls the plain service directly.
-func (w *ways) plainDirect(ctx context.Context) (time.Duration, error) {
+func (w *overheadClient) plainDirect(ctx context.Context) (time.Duration, error) {
 	return w.timeCall(ctx, "http://"+w.endpoint("plain")+"/stems/confirm", plainBody)
 }
 
 // plainRouted calls the plain service through the daemon.
-func (w *ways) plainRouted(ctx context.Context) (time.Duration, error) {
+func (w *overheadClient) plainRouted(ctx context.Context) (time.Duration, error) {
 	address := w.fleet.CallerAddresses()[0]
 	return w.timeCall(ctx, "http://"+address+opapi.PathServices+w.site.PlainService+"/stems/confirm", plainBody)
 }
 
 // timeCall posts a body and measures the time of the whole call.
-func (w *ways) timeCall(ctx context.Context, url string, body []byte) (time.Duration, error) {
+func (w *overheadClient) timeCall(ctx context.Context, url string, body []byte) (time.Duration, error) {
 	begun := time.Now()
 	resp, err := w.post(ctx, url, body)
 	if err != nil {
@@ -60,7 +60,7 @@
 
 // completionDirect requests the prefill and the decode directly from the engines,
 // as the router does.
-func (w *ways) completionDirect(ctx context.Context) (time.Duration, error) {
+func (w *overheadClient) completionDirect(ctx context.Context) (time.Duration, error) {
 	w.number++
 	request := fmt.Sprintf("direct-%d", w.number)
 	prompt := w.prompt()
@@ -84,7 +84,7 @@
 }
 
 // completionRouted sends a completion through the daemon.
-func (w *ways) completionRouted(ctx context.Context) (time.Duration, error) {
+func (w *overheadClient) completionRouted(ctx context.Context) (time.Duration, error) {
 	w.number++
 	body, err := json.Marshal(opapi.CompletionRequest{
 		Model: w.site.ModelService, Prompt: w.prompt(), MaxTokens: overheadTokens, Stream: true,
@@ -97,12 +97,12 @@
 
 // prompt returns a different prompt for each number, so that neither direct nor
 // routed calls hit a cache.
-func (w *ways) prompt() string {
+func (w *overheadClient) prompt() string {
 	return fmt.Sprintf("%08d ", w.number) + strings.Repeat("x", overheadPromptBytes)
 }
 
 // firstToken posts a body and measures the time from begun to the first event.
-func (w *ways) firstToken(ctx context.Context, url string, body []byte, begun time.Time) (time.Duration, error) {
+func (w *overheadClient) firstToken(ctx context.Context, url string, body []byte, begun time.Time) (time.Duration, error) {
 	resp, err := w.post(ctx, url, body)
 	if err != nil {
 		return 0, err
@@ -124,7 +124,7 @@
 }
 
 // postJSON posts a value as JSON and decodes the reply into out.
-func (w *ways) postJSON(ctx context.Context, url string, in, out any) error {
+func (w *overheadClient) postJSON(ctx context.Context, url string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 }
 
 // post sends a body. It returns an error if the status is not 200.
-func (w *ways) post(ctx context.Context, url string, body []byte) (*http.Response, error) {
+func (w *overheadClient) post(ctx context.Context, url string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
