--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -45,7 +45,7 @@
 	AtOnce float64 `json:"refusals_at_once"`
 	// WastedTokens is the number of tokens per run that were read for requests that
 	// were not served.
-	VainTokens float64 `json:"vain_tokens"`
+	WastedTokens float64 `json:"vain_tokens"`
 	// Recovery is the time in seconds until the share of requests in time is as
 	// high as before the burst.
 	Recovery float64 `json:"recovery_s"`
@@ -64,7 +64,7 @@
 			f, seconds := replayOverload(env.Seed, load, off)
 			figures = append(figures, f)
 			r.addLine("load=%q off=%q in_time=%.3f late=%.3f refused=%.3f refusals_at_once=%.2f vain_tokens=%.0f recovery_s=%.1f",
-				f.Load, f.Off, f.InTime, f.Late, f.Refused, f.AtOnce, f.VainTokens, f.Recovery)
+				f.Load, f.Off, f.InTime, f.Late, f.Refused, f.AtOnce, f.WastedTokens, f.Recovery)
 			if off == "" {
 				r.Figures = append(r.Figures, overloadFigure(load.name, seconds))
 			}
@@ -93,7 +93,7 @@
 		f.InTime += float64(one.InTime)
 		f.Late += float64(one.Late)
 		f.Refused += float64(one.Refused)
-		f.VainTokens += float64(one.VainTokens) / overloadSeeds
+		f.WastedTokens += float64(one.VainTokens) / overloadSeeds
 		f.Recovery += one.Recovery(6, 22).Seconds() / overloadSeeds
 		seconds = addSeconds(seconds, one.Seconds)
 	}
