--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -22,9 +22,9 @@
 const (
 	// poisonLoadShare is the rate of the other completions as a share of the
 	// capacity.
-	poisonLoadShare = 0.5
-	poisonsInTurn   = 3
-	poisonsAtOnce   = 3
+	poisonLoadShare   = 0.5
+	sequentialPoisons = 3
+	poisonsAtOnce     = 3
 	// maxCrashesPerPoison is the maximum number of engines that one poison request
 	// may crash.
 	crashesAllowed = 3
@@ -118,14 +118,14 @@
 		team: id.Team(x.spec.Teams[0].Name), model: x.spec.Teams[0].Profile.Model,
 	}
 	sleepFor(ctx, env.Warmup)
-	for i := range poisonsInTurn {
+	for i := range sequentialPoisons {
 		out.Runs = append(out.Runs, p.run(ctx, []string{poisonPrompt(env.Seed, i)}))
 		env.logf("poison number=%d crashes=%d", i+1, out.Runs[i].Crashes)
 		sleepFor(ctx, poisonCalm)
 	}
 	var prompts []string
 	for i := range poisonsAtOnce {
-		prompts = append(prompts, poisonPrompt(env.Seed, poisonsInTurn+i))
+		prompts = append(prompts, poisonPrompt(env.Seed, sequentialPoisons+i))
 	}
 	out.Runs = append(out.Runs, p.run(ctx, prompts))
 	convicted, err := p.convictedOthers(ctx, env.Seed)
@@ -204,7 +204,7 @@
 // poison request.
 func (p *poisoner) convictedOthers(ctx context.Context, seed uint64) (int, error) {
 	known := map[string]bool{}
-	for i := range poisonsInTurn + poisonsAtOnce {
+	for i := range sequentialPoisons + poisonsAtOnce {
 		known[p.fingerprint(poisonPrompt(seed, i))] = true
 	}
 	client, err := p.fleet.Operator()
