--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -24,7 +24,7 @@
 	// capacity.
 	poisonLoadShare   = 0.5
 	sequentialPoisons = 3
-	poisonsAtOnce     = 3
+	concurrentPoisons = 3
 	// maxCrashesPerPoison is the maximum number of engines that one poison request
 	// may crash.
 	crashesAllowed = 3
@@ -124,7 +124,7 @@
 		sleepFor(ctx, poisonCalm)
 	}
 	var prompts []string
-	for i := range poisonsAtOnce {
+	for i := range concurrentPoisons {
 		prompts = append(prompts, poisonPrompt(env.Seed, sequentialPoisons+i))
 	}
 	out.Runs = append(out.Runs, p.run(ctx, prompts))
@@ -204,7 +204,7 @@
 // poison request.
 func (p *poisoner) convictedOthers(ctx context.Context, seed uint64) (int, error) {
 	known := map[string]bool{}
-	for i := range sequentialPoisons + poisonsAtOnce {
+	for i := range sequentialPoisons + concurrentPoisons {
 		known[p.fingerprint(poisonPrompt(seed, i))] = true
 	}
 	client, err := p.fleet.Operator()
