--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -27,7 +27,7 @@
 	concurrentPoisons = 3
 	// maxCrashesPerPoison is the maximum number of engines that one poison request
 	// may crash.
-	crashesAllowed = 3
+	maxCrashesPerPoison = 3
 	// poisonPause is the delay before a caller sends a poison request again, and
 	// poisonSends the maximum number of sends.
 	poisonPause = 150 * time.Millisecond
@@ -270,7 +270,7 @@
 	for i, run := range f.Runs {
 		r.addLine("run=%d poisons=%d crashes=%d per_poison=%.1f sends=%d quarantined_ms=%d",
 			i+1, run.Poisons, run.Crashes, float64(run.Crashes)/float64(run.Poisons), run.Sends, run.QuarantinedMS)
-		if run.Crashes > int64(crashesAllowed*run.Poisons) || run.QuarantinedMS == notRecovered {
+		if run.Crashes > int64(maxCrashesPerPoison*run.Poisons) || run.QuarantinedMS == notRecovered {
 			r.addFault("run %d: %d poisons crashed %d engines, quarantined_ms=%d", i+1, run.Poisons, run.Crashes, run.QuarantinedMS)
 		}
 		fig.Series[0].X = append(fig.Series[0].X, float64(i+1))
