--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -33,7 +33,7 @@
 	poisonPause = 150 * time.Millisecond
 	poisonSends = 60
 	// poisonRecoveryPause lets the engines recover between two poison requests.
-	poisonCalm = time.Second
+	poisonRecoveryPause = time.Second
 	// poisonHorizon bounds the duration of the other load.
 	poisonHorizon = 80 * time.Second
 )
@@ -121,7 +121,7 @@
 	for i := range sequentialPoisons {
 		out.Runs = append(out.Runs, p.run(ctx, []string{poisonPrompt(env.Seed, i)}))
 		env.logf("poison number=%d crashes=%d", i+1, out.Runs[i].Crashes)
-		sleepFor(ctx, poisonCalm)
+		sleepFor(ctx, poisonRecoveryPause)
 	}
 	var prompts []string
 	for i := range concurrentPoisons {
