--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	good := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 3}, {Poisons: 3, Crashes: 9}}, Lifted: true}
 	is.Equal(len(poisonReport(Env{}, good).Faults), 0)
-	bad := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 4}, {Poisons: 1, QuarantinedMS: notRecovered}}, Convicted: 1}
+	bad := PoisonFigures{Runs: []PoisonRun{{Poisons: 1, Crashes: 4}, {Poisons: 1, QuarantinedMS: notRecovered}}, WronglyQuarantined: 1}
 	is.Equal(len(poisonReport(Env{}, bad).Faults), 4)
 }
 
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -55,7 +55,7 @@
 	Runs []PoisonRun `json:"runs"`
 	// WronglyQuarantined counts quarantined fingerprints of other requests, and
 	// other requests that were refused as quarantined.
-	Convicted int `json:"convicted"`
+	WronglyQuarantined int `json:"convicted"`
 	// Lifted is true if a request ran again after its quarantine was lifted. LiftMS
 	// is the time from the start of the label change until then.
 	Lifted bool  `json:"lifted"`
@@ -103,7 +103,7 @@
 	}
 	figures.Anomalies = x.anomalies(ctx, attempts)
 	figures.Ended = x.codes()
-	figures.Convicted += x.refusedWith(verdict.CodeQuarantined)
+	figures.WronglyQuarantined += x.refusedWith(verdict.CodeQuarantined)
 	figures.InnocentsGood = x.share(window{env.Warmup, lasted})
 	x.spec.Duration = lasted
 	figures.series = x.series("innocents")
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	out.Convicted = convicted
+	out.WronglyQuarantined = convicted
 	return p.lift(ctx, poisonPrompt(env.Seed, 0), out)
 }
 
@@ -277,10 +277,10 @@
 		fig.Series[0].Y = append(fig.Series[0].Y, float64(run.Crashes))
 	}
 	r.addLine("innocents convicted=%d good=%.1f%% lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
-		f.Convicted, 100*f.InnocentsGood, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations)
+		f.WronglyQuarantined, 100*f.InnocentsGood, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations)
 	r.addLine("lift=label lifted=%t lift_ms=%d", f.Lifted, f.LiftMS)
-	if f.Convicted > 0 {
-		r.addFault("innocents convicted=%d", f.Convicted)
+	if f.WronglyQuarantined > 0 {
+		r.addFault("innocents convicted=%d", f.WronglyQuarantined)
 	}
 	if !f.Lifted {
 		r.addFault("the label did not lift the quarantine")
