--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -61,9 +61,9 @@
 	Lifted bool  `json:"lifted"`
 	LiftMS int64 `json:"lift_ms"`
 	// OthersGood is the share of the other completions that met both targets.
-	InnocentsGood float64        `json:"innocents_good"`
-	Ended         map[string]int `json:"ended"`
-	series        Series
+	OthersGood float64        `json:"innocents_good"`
+	Ended      map[string]int `json:"ended"`
+	series     Series
 }
 
 // poisoner sends requests that crash engines.
@@ -104,7 +104,7 @@
 	figures.Anomalies = x.anomalies(ctx, attempts)
 	figures.Ended = x.codes()
 	figures.WronglyQuarantined += x.refusedWith(verdict.CodeQuarantined)
-	figures.InnocentsGood = x.share(window{env.Warmup, lasted})
+	figures.OthersGood = x.share(window{env.Warmup, lasted})
 	x.spec.Duration = lasted
 	figures.series = x.series("innocents")
 	return poisonReport(env, figures), ctx.Err()
@@ -277,7 +277,7 @@
 		fig.Series[0].Y = append(fig.Series[0].Y, float64(run.Crashes))
 	}
 	r.addLine("innocents convicted=%d good=%.1f%% lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d",
-		f.WronglyQuarantined, 100*f.InnocentsGood, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations)
+		f.WronglyQuarantined, 100*f.OthersGood, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations)
 	r.addLine("lift=label lifted=%t lift_ms=%d", f.Lifted, f.LiftMS)
 	if f.WronglyQuarantined > 0 {
 		r.addFault("innocents convicted=%d", f.WronglyQuarantined)
