--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -128,7 +128,7 @@
 		prompts = append(prompts, poisonPrompt(env.Seed, sequentialPoisons+i))
 	}
 	out.Runs = append(out.Runs, p.run(ctx, prompts))
-	convicted, err := p.convictedOthers(ctx, env.Seed)
+	convicted, err := p.countWronglyQuarantined(ctx, env.Seed)
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 
 // countWronglyQuarantined counts the quarantined fingerprints that belong to no
 // poison request.
-func (p *poisoner) convictedOthers(ctx context.Context, seed uint64) (int, error) {
+func (p *poisoner) countWronglyQuarantined(ctx context.Context, seed uint64) (int, error) {
 	known := map[string]bool{}
 	for i := range sequentialPoisons + concurrentPoisons {
 		known[p.fingerprint(poisonPrompt(seed, i))] = true
