--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -21,7 +21,7 @@
 	rollingDrainMS     = 8000
 	// leaveGrace is how long a leaving endpoint may still get new work, and
 	// leaveWatch how long it is observed after that.
-	leaveTime  = 3 * time.Second
+	leaveGrace = 3 * time.Second
 	leaveWatch = 2 * time.Second
 	// undrainTime bounds the wait until endpoints get work again after their
 	// return.
@@ -160,7 +160,7 @@
 	if err := r.fleet.Inject(wire.Fault{Target: r.site.Engines[selfReported].Name, Leaving: value(true)}); err != nil {
 		return err
 	}
-	sleepFor(ctx, leaveTime)
+	sleepFor(ctx, leaveGrace)
 	all := append(byLabel, selfReported)
 	before := r.work(all)
 	sleepFor(ctx, leaveWatch)
