--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -69,7 +69,7 @@
 	x := newDriver(env, d, f, teams, rollingLoadShare, rollingHorizon)
 	until, stop := context.WithCancel(ctx)
 	defer stop()
-	roll := &rolling{env: env, fleet: f, site: d.Site, tap: x.observer}
+	roll := &rolling{env: env, fleet: f, site: d.Site, observer: x.observer}
 	var failed error
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -93,11 +93,11 @@
 
 // rolling is the state of a run.
 type rolling struct {
-	env     Env
-	fleet   *fleet.Fleet
-	site    standin.PlatformConfig
-	tap     *observer
-	figures RollingFigures
+	env      Env
+	fleet    *fleet.Fleet
+	site     standin.PlatformConfig
+	observer *observer
+	figures  RollingFigures
 	// daemons and engines are the windows in which daemons were replaced and
 	// engines drained.
 	daemons, engines window
@@ -106,7 +106,7 @@
 func (r *rolling) run(ctx context.Context) error {
 	began := time.Now()
 	sleepFor(ctx, r.env.Warmup)
-	before := r.tap.brokenCount()
+	before := r.observer.brokenCount()
 	r.daemons.from = time.Since(began)
 	if err := r.replaceDaemons(ctx); err != nil {
 		return err
@@ -117,7 +117,7 @@
 		return err
 	}
 	r.engines.to = time.Since(began)
-	r.figures.Interrupted = r.tap.brokenCount() - before
+	r.figures.Interrupted = r.observer.brokenCount() - before
 	return nil
 }
 
@@ -136,7 +136,7 @@
 		if err := r.fleet.AwaitRevision(ctx, 1); err != nil {
 			return err
 		}
-		r.env.logf("rolling daemon=%d stop_ms=%d interrupted=%d", i+1, took, r.tap.brokenCount())
+		r.env.logf("rolling daemon=%d stop_ms=%d interrupted=%d", i+1, took, r.observer.brokenCount())
 	}
 	return nil
 }
