--- a/cmd/internal/experiment/all.go
+++ b/cmd/internal/experiment/all.go
@@ -26,7 +26,7 @@
 // Failed reports whether the experiment returned no report, or one with faults.
 func (o *Outcome) Failed() bool { return o.Error != "" || len(o.Faults) > 0 }
 
-// notRun is the error of the experiments that did not run because of an interrupt.
+// notRunError is the error of the experiments that did not run because of an interrupt.
 const notRunError = "not run: interrupted"
 
 // RunAll runs experiments one after the other and continues after a failure.
--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -46,9 +46,9 @@
 	site := overheadSite()
 	site.Plains[0].Slots = claimSlots
 	d := Deployment{Name: "claims", Site: site}
-	ofFleet, ofLoad := d.Teams(1)
-	ofFleet[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: daemons, Teams: ofFleet, Change: raiseTimeouts})
+	fleetTeams, loadTeams := d.Teams(1)
+	fleetTeams[0].MaxInFlight = claimSlots
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: daemons, Teams: fleetTeams, Change: raiseTimeouts})
 	if err != nil {
 		return out, err
 	}
@@ -56,15 +56,15 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := totalsOf(f)
+	start := totalsOf(f)
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := totalsOf(f).since(at)
+	idleDelta := totalsOf(f).since(start)
 	if err != nil {
 		return out, err
 	}
 	client := load.NewClient()
 	defer client.CloseIdleConnections()
-	at = totalsOf(f)
+	start = totalsOf(f)
 	var mu sync.Mutex
 	busy := cpuDuring(func() {
 		_, err = each(ctx, Env{Parallel: capacityClaimCallers}, make([]struct{}, capacityClaimCount), func(ctx context.Context, _ struct{}) (struct{}, error) {
@@ -72,7 +72,7 @@
 			out.Failed++
 			number := out.Failed
 			mu.Unlock()
-			ok, err := claimedCall(ctx, client, f, site.PlainService, ofLoad[0].Key, number)
+			ok, err := claimedCall(ctx, client, f, site.PlainService, loadTeams[0].Key, number)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
@@ -83,11 +83,11 @@
 	})
 	answered := out.Rate
 	out.Failed = capacityClaimCount - int(answered)
-	did := totalsOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	out.Rate = answered / busy.wall.Seconds()
-	out.Writes = (did.writes - idleDid.writes*share) / answered
-	out.Reads = (did.reads - idleDid.reads*share) / answered
+	out.Writes = (delta.writes - idleDelta.writes*share) / answered
+	out.Reads = (delta.reads - idleDelta.reads*share) / answered
 	out.CPUMicros = (busy.cpu.Seconds() - idle.cpu.Seconds()*share) * 1e6 / answered
 	return out, err
 }
--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -151,15 +151,15 @@
 		}
 	})
 	r.measureOp(out, "config-index", size, func(int) { live.NewIndex(doc) })
-	learning := newRecordFollower(doc)
-	r.measureOp(out, "config-learn", size, func(i int) { learning.learn(change, i) })
+	follower := newRecordFollower(doc)
+	r.measureOp(out, "config-learn", size, func(i int) { follower.learn(change, i) })
 	l := sched.NewLedger(sched.Options{Pool: doc.Pools[0].Name, Self: id.Process{Daemon: "owner", Incarnation: 1}, Settle: 1, Violation: func(string, string) {}})
 	now := time.Duration(0)
 	r.measureOp(out, "config-schedule", size, func(int) {
 		now += time.Millisecond
 		l.Configure(now, doc)
 	})
-	return learning.check()
+	return follower.check()
 }
 
 // memberOps measures the membership view and the operations that iterate over
--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -156,15 +156,15 @@
 		return out, err
 	}
 	n := float64(run.daemons)
-	at := totalsOf(f)
+	start := totalsOf(f)
 	u := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	did := totalsOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	seconds := u.wall.Seconds()
 	out.ProcessCores = u.cpu.Seconds() / seconds
 	out.Cores = out.ProcessCores / n
-	out.Wire = did.wire / seconds / n
-	out.Reads, out.Writes = did.reads/seconds, did.writes/seconds
-	out.Questions = did.questions / seconds
+	out.Wire = delta.wire / seconds / n
+	out.Reads, out.Writes = delta.reads/seconds, delta.writes/seconds
+	out.Questions = delta.questions / seconds
 	out.Memory = (memoryNow().inUse - before.inUse - standIns) / n
 	return out, err
 }
--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -32,15 +32,15 @@
 	site.Engines[1].Slots = claimSlots
 	site.Engines[1].DecodeTokenMS = 10
 	d := Deployment{Name: "in-flight", Site: site}
-	ofFleet, ofLoad := d.Teams(1)
-	ofFleet[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: ofFleet, Change: raiseTimeouts})
+	fleetTeams, loadTeams := d.Teams(1)
+	fleetTeams[0].MaxInFlight = claimSlots
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: fleetTeams, Change: raiseTimeouts})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	before := memoryNow()
-	s := &streams{fleet: f, model: site.ModelService, key: ofLoad[0].Key}
+	s := &streams{fleet: f, model: site.ModelService, key: loadTeams[0].Key}
 	defer s.close()
 	var x, y []float64
 	for _, n := range []int{0, 80, 160, 240} {
--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -67,21 +67,21 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := totalsOf(f)
+	start := totalsOf(f)
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := totalsOf(f).since(at)
+	idleDelta := totalsOf(f).since(start)
 	if err != nil {
 		return out, err
 	}
-	at = totalsOf(f)
+	start = totalsOf(f)
 	busy := cpuDuring(func() { err = c.changes(ctx, capacityChangeCount) })
-	did := totalsOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	n := float64(capacityChangeCount)
 	daemons := float64(run.daemons)
 	out.CPUMicros = (busy.cpu.Seconds() - idle.cpu.Seconds()*share) * 1e6 / n / daemons
-	out.Frames = (did.frames - idleDid.frames*share) / n / daemons
-	out.Writes = (did.writes - idleDid.writes*share) / n
+	out.Frames = (delta.frames - idleDelta.frames*share) / n / daemons
+	out.Writes = (delta.writes - idleDelta.writes*share) / n
 	return out, err
 }
 
@@ -126,13 +126,13 @@
 func capacityRequests(ctx context.Context, env Env, r *Report, out *CapacityFigures) error {
 	for _, d := range Deployments() {
 		d.Profile.PlainShare = 0
-		ofFleet, ofLoad := d.Teams(4)
+		fleetTeams, loadTeams := d.Teams(4)
 		logged := &counter{}
-		f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: capacityDaemons, Teams: ofFleet, Log: logged})
+		f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: capacityDaemons, Teams: fleetTeams, Log: logged})
 		if err != nil {
 			return err
 		}
-		figures, err := requestOnce(ctx, env, d, f, ofLoad, logged)
+		figures, err := requestOnce(ctx, env, d, f, loadTeams, logged)
 		f.Close()
 		if err != nil {
 			return err
@@ -150,31 +150,31 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := totalsOf(f)
+	start := totalsOf(f)
 	var err error
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := totalsOf(f).since(at)
+	idleDelta := totalsOf(f).since(start)
 	if err != nil {
 		return out, err
 	}
 	env.Warmup, env.Duration = 0, capacityRequestTime
 	spec := d.spec(env, f, teams, capacityRate*BoundOf(d.Site, d.Profile, d.FirstToken).Capacity)
-	at = totalsOf(f)
+	start = totalsOf(f)
 	logBytes, logLines := logged.bytes.Load(), logged.lines.Load()
 	var res *load.Result
 	busy := cpuDuring(func() { res, err = load.Run(ctx, spec) })
 	if err != nil {
 		return out, err
 	}
-	did := totalsOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	out.Completions = res.Total.Answered
 	n := float64(max(out.Completions, 1))
 	out.Rate = n / busy.wall.Seconds()
-	out.BrokerBytes, out.BrokerMessages = did.broker/n, did.brokerMessages/n
+	out.BrokerBytes, out.BrokerMessages = delta.broker/n, delta.brokerMessages/n
 	out.LogBytes = float64(logged.bytes.Load()-logBytes) / n
 	out.LogLines = float64(logged.lines.Load()-logLines) / n
-	out.WireBytes = (did.wire - idleDid.wire*share) / n
+	out.WireBytes = (delta.wire - idleDelta.wire*share) / n
 	out.CPUMicros = (busy.cpu.Seconds() - idle.cpu.Seconds()*share) * 1e6 / n
 	return out, nil
 }
--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -49,15 +49,15 @@
 // Teams returns n teams of a deployment, as configured in the fleet and as used by
 // the load.
 func (d Deployment) Teams(n int) ([]fleet.Team, []load.Team) {
-	var ofFleet []fleet.Team
-	var ofLoad []load.Team
+	var fleetTeams []fleet.Team
+	var loadTeams []load.Team
 	for i := range n {
 		name := fmt.Sprintf("%s-team-%d", d.Name, i+1)
 		key := "key-of-" + name
-		ofFleet = append(ofFleet, fleet.Team{Name: name, Key: key})
-		ofLoad = append(ofLoad, load.Team{Name: name, Key: key, Profile: d.Profile})
+		fleetTeams = append(fleetTeams, fleet.Team{Name: name, Key: key})
+		loadTeams = append(loadTeams, load.Team{Name: name, Key: key, Profile: d.Profile})
 	}
-	return ofFleet, ofLoad
+	return fleetTeams, loadTeams
 }
 
 // spec returns the specification of a load run against a fleet, at a rate in
--- a/cmd/internal/experiment/experiment_test.go
+++ b/cmd/internal/experiment/experiment_test.go
@@ -78,10 +78,10 @@
 	is.NoErr(r.Write(dir))
 	raw, err := os.ReadFile(filepath.Join(dir, "routing.json"))
 	is.NoErr(err)
-	var back Report
-	is.NoErr(json.Unmarshal(raw, &back))
-	is.Equal(back.Seed, uint64(3))
-	is.True(strings.HasPrefix(back.Lines[0], "deployment=bunker policy=ledger load=0.7 "))
+	var decoded Report
+	is.NoErr(json.Unmarshal(raw, &decoded))
+	is.Equal(decoded.Seed, uint64(3))
+	is.True(strings.HasPrefix(decoded.Lines[0], "deployment=bunker policy=ledger load=0.7 "))
 	svg, err := os.ReadFile(filepath.Join(dir, "routing-goodput-bunker.svg"))
 	is.NoErr(err)
 	is.True(strings.Contains(string(svg), "<svg"))
--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -82,22 +82,22 @@
 func fairnessOnce(ctx context.Context, env Env, r fairnessRun) (FairnessFigures, error) {
 	d := Bunker()
 	d.Profile.PlainShare = 0
-	ofFleet, ofLoad := d.Teams(fairnessTeams)
-	ofLoad[fairnessTeams-1].Behaviour = r.behaviour
+	fleetTeams, loadTeams := d.Teams(fairnessTeams)
+	loadTeams[fairnessTeams-1].Behaviour = r.behaviour
 	if r.behaviour == load.BehaviourRetry {
 		// A team that retries forever affects the others only if it requests more
 		// than its share.
-		ofLoad[fairnessTeams-1].Weight = retryWeight
+		loadTeams[fairnessTeams-1].Weight = retryWeight
 	}
 	f, err := fleet.Start(ctx, fleet.Config{
-		Sites: sitesOf(d), Daemons: env.Daemons, Policy: r.policy, Teams: ofFleet,
+		Sites: sitesOf(d), Daemons: env.Daemons, Policy: r.policy, Teams: fleetTeams,
 	})
 	if err != nil {
 		return FairnessFigures{}, err
 	}
 	defer f.Close()
 	bound := BoundOf(d.Site, d.Profile, d.FirstToken)
-	spec := d.spec(env, f, ofLoad, fairnessLoad*bound.Capacity*meanWeight(ofLoad))
+	spec := d.spec(env, f, loadTeams, fairnessLoad*bound.Capacity*meanWeight(loadTeams))
 	spec.Patience = fairnessPatience
 	res, work, err := measure(ctx, env, f, spec)
 	if err != nil {
--- a/cmd/internal/experiment/faults.go
+++ b/cmd/internal/experiment/faults.go
@@ -66,10 +66,10 @@
 // faultFleet starts a fleet for fault injection, with the teams of the load. The
 // log of its daemons goes to the returned attemptLog.
 func faultFleet(ctx context.Context, env Env, d Deployment, tune func(*fleet.Config)) (*fleet.Fleet, *attemptLog, error) {
-	ofFleet, _ := d.Teams(faultTeams)
+	fleetTeams, _ := d.Teams(faultTeams)
 	attempts := newAttemptLog()
 	config := fleet.Config{
-		Sites: sitesOf(d), Daemons: max(env.Daemons, minFaultDaemons), Teams: ofFleet, Log: attempts,
+		Sites: sitesOf(d), Daemons: max(env.Daemons, minFaultDaemons), Teams: fleetTeams, Log: attempts,
 	}
 	if tune != nil {
 		tune(&config)
--- a/cmd/internal/experiment/faults_steps.go
+++ b/cmd/internal/experiment/faults_injections.go
@@ -19,7 +19,7 @@
 	fleet *fleet.Fleet
 	site  standin.PlatformConfig
 	rng   *rand.Rand
-	// hang selects the callers that hang up.
+	// hangUps selects the callers that hang up.
 	hangUps *hangUps
 }
 
--- a/cmd/internal/experiment/faults_test.go
+++ b/cmd/internal/experiment/faults_test.go
@@ -35,7 +35,7 @@
 }
 
 // exchange sends one request through an observer and reads the answer to its end.
-func through(t *testing.T, x *observer, path string, header, answer http.Header, body io.Reader) {
+func exchange(t *testing.T, x *observer, path string, header, answer http.Header, body io.Reader) {
 	t.Helper()
 	x.base = roundTrip(func(*http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusOK, Header: answer, Body: io.NopCloser(body)}, nil
@@ -65,14 +65,14 @@
 func TestObserverDetectsHowStreamsEnd(t *testing.T) {
 	is := is.New(t)
 	x := newObserver(nil)
-	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\ndata: [DONE]\n\n"))
+	exchange(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\ndata: [DONE]\n\n"))
 	is.Equal(x.brokenCount(), 0)
-	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader(errorEvent))
+	exchange(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader(errorEvent))
 	is.Equal(x.brokenCount(), 0)
 	is.Equal(x.refusedRequests(), []string{"r1"})
-	through(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\n"))
+	exchange(t, x, opapi.PathCompletions, http.Header{}, stream(), strings.NewReader("data: {}\n\n"))
 	is.Equal(x.brokenCount(), 1) // ended without its last line
-	through(t, x, opapi.PathCompletions, http.Header{}, stream(), brokenBody{strings.NewReader("data: {}\n\n")})
+	exchange(t, x, opapi.PathCompletions, http.Header{}, stream(), brokenBody{strings.NewReader("data: {}\n\n")})
 	is.Equal(x.brokenCount(), 2)
 }
 
@@ -80,13 +80,13 @@
 	is := is.New(t)
 	x := newObserver(nil)
 	resumed := headerOf(opapi.HeaderLastEventID, "token")
-	through(t, x, opapi.PathCompletions, resumed, stream(), strings.NewReader(errorEvent))
+	exchange(t, x, opapi.PathCompletions, resumed, stream(), strings.NewReader(errorEvent))
 	is.Equal(len(x.refusedRequests()), 0) // the resumed request had already run
 	refused := headerOf(opapi.HeaderVerdict, verdict.NotRun.String())
 	key := headerOf(opapi.HeaderIdempotencyKey, "k1")
-	through(t, x, "/services/desk/x", key, refused, strings.NewReader(""))
+	exchange(t, x, "/services/desk/x", key, refused, strings.NewReader(""))
 	is.Equal(x.refusedKeys(), []string{"k1"})
-	through(t, x, "/services/desk/x", key, http.Header{}, strings.NewReader(""))
+	exchange(t, x, "/services/desk/x", key, http.Header{}, strings.NewReader(""))
 	is.Equal(len(x.refusedKeys()), 0) // the second attempt ran
 }
 
--- a/cmd/internal/experiment/membership.go
+++ b/cmd/internal/experiment/membership.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// membershipLoaded is the number of members in the run with busy processors.
+	// loadedMembers is the number of members in the run with busy processors.
 	loadedMembers = 30
 	// membershipKills is the number of members killed in a run, one after the other.
 	membershipKills = 4
@@ -147,7 +147,7 @@
 	}
 }
 
-// membershipFits adds linear fits through the unloaded runs.
+// addMembershipFits adds linear fits through the unloaded runs.
 func (r *Report) addMembershipFits(mode member.Mode, figures []MembershipFigures) {
 	for _, m := range []struct {
 		name  string
--- a/cmd/internal/experiment/overhead.go
+++ b/cmd/internal/experiment/overhead.go
@@ -80,16 +80,16 @@
 // runOverhead measures the overhead of a single daemon.
 func runOverhead(ctx context.Context, env Env) (*Report, error) {
 	d := Deployment{Name: "overhead", Site: overheadSite(), Profile: load.Bunker()}
-	ofFleet, ofLoad := d.Teams(1)
-	ofFleet[0].MaxInFlight = overheadConcurrency * 4
-	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: ofFleet})
+	fleetTeams, loadTeams := d.Teams(1)
+	fleetTeams[0].MaxInFlight = overheadConcurrency * 4
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: fleetTeams})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	client := load.NewClient()
 	defer client.CloseIdleConnections()
-	calls := &overheadClient{fleet: f, client: client, site: d.Site, key: ofLoad[0].Key}
+	calls := &overheadClient{fleet: f, client: client, site: d.Site, key: loadTeams[0].Key}
 	report := &Report{Experiment: "overhead", Seed: env.Seed}
 	var data overheadData
 	for _, c := range calls.latencyCalls() {
--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -128,11 +128,11 @@
 		prompts = append(prompts, poisonPrompt(env.Seed, sequentialPoisons+i))
 	}
 	out.Runs = append(out.Runs, p.run(ctx, prompts))
-	convicted, err := p.countWronglyQuarantined(ctx, env.Seed)
+	wronglyQuarantined, err := p.countWronglyQuarantined(ctx, env.Seed)
 	if err != nil {
 		return err
 	}
-	out.WronglyQuarantined = convicted
+	out.WronglyQuarantined = wronglyQuarantined
 	return p.lift(ctx, poisonPrompt(env.Seed, 0), out)
 }
 
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -78,9 +78,9 @@
 
 // routeOnce starts a fleet, sends the load and measures the results.
 func routeOnce(ctx context.Context, env Env, r routingRun) (RoutingFigures, error) {
-	ofFleet, ofLoad := r.deployment.Teams(routingTeams)
+	fleetTeams, loadTeams := r.deployment.Teams(routingTeams)
 	f, err := fleet.Start(ctx, fleet.Config{
-		Sites: sitesOf(r.deployment), Daemons: env.Daemons, Policy: r.policy, Teams: ofFleet,
+		Sites: sitesOf(r.deployment), Daemons: env.Daemons, Policy: r.policy, Teams: fleetTeams,
 	})
 	if err != nil {
 		return RoutingFigures{}, fmt.Errorf("%s %s: %w", r.deployment.Name, r.policy, err)
@@ -88,7 +88,7 @@
 	defer f.Close()
 	bound := BoundOf(r.deployment.Site, r.deployment.Profile, r.deployment.FirstToken)
 	rate := r.load * bound.Capacity
-	res, work, err := measure(ctx, env, f, r.deployment.spec(env, f, ofLoad, rate))
+	res, work, err := measure(ctx, env, f, r.deployment.spec(env, f, loadTeams, rate))
 	if err != nil {
 		return RoutingFigures{}, err
 	}
