--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -58,15 +58,15 @@
 // follow polls one place until ctx ends. A failed poll or a new address ends the
 // lifetime of the process.
 func (w *configWatcher) follow(ctx context.Context, site configSite, place int) {
-	var now *lifetime
+	var current *lifetime
 	var address string
 	for ctx.Err() == nil {
 		if at := site.address(place); at != address {
 			address = at
-			now = w.end(now)
+			current = w.end(current)
 		}
 		if address != "" {
-			now = w.poll(ctx, rawOperator{address: address, key: site.key()}, place, now)
+			current = w.poll(ctx, rawOperator{address: address, key: site.key()}, place, current)
 		}
 		if sleep(ctx, watchPollInterval) != nil {
 			return
@@ -76,50 +76,50 @@
 
 // poll requests the configuration once. It returns the current lifetime, or nil if
 // the daemon did not reply.
-func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, now *lifetime) *lifetime {
+func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, current *lifetime) *lifetime {
 	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
 	if err != nil {
 		if ctx.Err() != nil {
-			return now
+			return current
 		}
-		return w.end(now)
+		return w.end(current)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now == nil {
-		now = &lifetime{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
-		w.lifetimes = append(w.lifetimes, now)
+	if current == nil {
+		current = &lifetime{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
+		w.lifetimes = append(w.lifetimes, current)
 	}
-	w.record(now, doc)
-	return now
+	w.record(current, doc)
+	return current
 }
 
 // record updates a lifetime with the document in force at its daemon.
-func (w *configWatcher) record(s *lifetime, doc *live.Document) {
-	s.to = time.Now()
-	if doc.Revision < s.newest {
+func (w *configWatcher) record(l *lifetime, doc *live.Document) {
+	l.to = time.Now()
+	if doc.Revision < l.newest {
 		w.reverts++
 	}
 	if markerOf(doc, 0) != markerOf(doc, 1) {
 		w.halfApplied++
 	}
-	for rev := s.newest + 1; rev <= doc.Revision; rev++ {
-		s.inForce[rev] = s.to
+	for rev := l.newest + 1; rev <= doc.Revision; rev++ {
+		l.inForce[rev] = l.to
 	}
-	s.newest = max(s.newest, doc.Revision)
-	s.newestSeen = doc
+	l.newest = max(l.newest, doc.Revision)
+	l.newestSeen = doc
 }
 
 // end marks a lifetime as ended and returns nil.
-func (w *configWatcher) end(s *lifetime) *lifetime {
-	if s == nil {
+func (w *configWatcher) end(l *lifetime) *lifetime {
+	if l == nil {
 		return nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s.ended = true
+	l.ended = true
 	return nil
 }
 
