--- a/cmd/internal/experiment/capacity_load.go
+++ b/cmd/internal/experiment/capacity_load.go
@@ -13,7 +13,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// Sizes of the parts with load.
+// Parameters of the parts with load. capacityRate is a share of the capacity.
 const (
 	capacityDaemons      = 3
 	capacityChangeCount  = 60
@@ -24,7 +24,7 @@
 	claimSlots           = 4096
 )
 
-// ChangeFigures are the cost of one change at rest.
+// ChangeFigures are the cost of one configuration change on an idle fleet.
 type ChangeFigures struct {
 	Endpoints int     `json:"endpoints"`
 	Teams     int     `json:"teams"`
@@ -35,7 +35,8 @@
 	Writes    float64 `json:"table_writes"`
 }
 
-// capacityChanges measures a change's cost against the configuration's size.
+// capacityChanges measures the cost of a change for two sizes of the
+// configuration.
 func capacityChanges(ctx context.Context, env Env, r *Report, out *CapacityFigures) error {
 	for _, run := range []idleRun{
 		{mode: idleBase.mode, daemons: capacityDaemons, teams: 1, models: 1},
@@ -46,7 +47,7 @@
 			return err
 		}
 		out.Changes = append(out.Changes, f)
-		r.add("change daemons=%d extra_endpoints=%d teams=%d models=%d cpu=%.0fus_a_daemon frames=%.0fB_a_daemon table_writes=%.2f",
+		r.addLine("change daemons=%d extra_endpoints=%d teams=%d models=%d cpu=%.0fus_a_daemon frames=%.0fB_a_daemon table_writes=%.2f",
 			f.Daemons, f.Endpoints, f.Teams, f.Models, f.CPUMicros, f.Frames, f.Writes)
 	}
 	return nil
@@ -59,44 +60,45 @@
 		return out, err
 	}
 	defer f.Close()
-	c := &changing{env: env, site: &ownFleet{fleet: f}}
-	if err := c.grow(ctx, run); err != nil {
+	c := &changeDriver{env: env, site: &inProcessFleet{fleet: f}}
+	if err := c.addItems(ctx, run); err != nil {
 		return out, err
 	}
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := sumOf(f)
+	start := totalsOf(f)
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := sumOf(f).since(at)
+	idleDelta := totalsOf(f).since(start)
 	if err != nil {
 		return out, err
 	}
-	at = sumOf(f)
+	start = totalsOf(f)
 	busy := cpuDuring(func() { err = c.changes(ctx, capacityChangeCount) })
-	did := sumOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	n := float64(capacityChangeCount)
 	daemons := float64(run.daemons)
 	out.CPUMicros = (busy.cpu.Seconds() - idle.cpu.Seconds()*share) * 1e6 / n / daemons
-	out.Frames = (did.frames - idleDid.frames*share) / n / daemons
-	out.Writes = (did.writes - idleDid.writes*share) / n
+	out.Frames = (delta.frames - idleDelta.frames*share) / n / daemons
+	out.Writes = (delta.writes - idleDelta.writes*share) / n
 	return out, err
 }
 
-// grow adds a run's teams and models by a change of their own: with the
-// endpoints they would be more than one change may hold.
-func (c *changing) grow(ctx context.Context, run idleRun) error {
+// addItems adds the teams and models of a run in a separate change: together
+// with the endpoints they would exceed the size limit of one change.
+func (c *changeDriver) addItems(ctx context.Context, run idleRun) error {
 	more := &live.Document{}
-	run.grow(more)
+	run.addItems(more)
 	if len(more.Teams)+len(more.Pools) == 0 {
 		return nil
 	}
-	req := opapi.ChangeRequest{ID: "grow", Author: "capacity", Ops: wholeChange(more).Ops}
+	req := opapi.ChangeRequest{ID: "grow", Author: "capacity", Ops: fullChange(more).Ops}
 	return c.propose(ctx, 0, req, 0)
 }
 
-// RequestFigures are the cost of a completion between daemons.
+// RequestFigures are the cost of a completion that is handled by several daemons.
+// Bytes, messages, lines and processor time are per completion.
 type RequestFigures struct {
 	Completions    int     `json:"completions"`
 	Rate           float64 `json:"per_second"`
@@ -104,12 +106,12 @@
 	BrokerMessages float64 `json:"broker_messages"`
 	WireBytes      float64 `json:"wire_bytes"`
 	CPUMicros      float64 `json:"cpu_us_process"`
-	// LogBytes and LogLines are those of all daemons.
+	// LogBytes and LogLines are the log output of all daemons.
 	LogBytes float64 `json:"log_bytes"`
 	LogLines float64 `json:"log_lines"`
 }
 
-// counter counts what is written to it.
+// counter counts the bytes and lines that are written to it.
 type counter struct{ bytes, lines atomic.Int64 }
 
 // Write implements io.Writer.
@@ -119,24 +121,24 @@
 	return len(p), nil
 }
 
-// capacityRequests measures the messages between daemons for a completion. Of
-// three daemons one owns the pool, so two in three completions need them.
+// capacityRequests measures the messages between daemons for a completion. One
+// of three daemons owns the pool, so two of three completions need messages.
 func capacityRequests(ctx context.Context, env Env, r *Report, out *CapacityFigures) error {
 	for _, d := range Deployments() {
 		d.Profile.PlainShare = 0
-		ofFleet, ofLoad := d.Teams(4)
+		fleetTeams, loadTeams := d.Teams(4)
 		logged := &counter{}
-		f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: capacityDaemons, Teams: ofFleet, Log: logged})
+		f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: capacityDaemons, Teams: fleetTeams, Log: logged})
 		if err != nil {
 			return err
 		}
-		figures, err := requestOnce(ctx, env, d, f, ofLoad, logged)
+		figures, err := requestOnce(ctx, env, d, f, loadTeams, logged)
 		f.Close()
 		if err != nil {
 			return err
 		}
 		out.Requests = append(out.Requests, figures)
-		r.add("request deployment=%s completions=%d rate=%.1f/s broker_messages=%.2f broker=%.0fB wire=%.0fB cpu=%.0fus_process log=%.0fB log_lines=%.1f of=every_completion remote_share=%.2f",
+		r.addLine("request deployment=%s completions=%d rate=%.1f/s broker_messages=%.2f broker=%.0fB wire=%.0fB cpu=%.0fus_process log=%.0fB log_lines=%.1f of=every_completion remote_share=%.2f",
 			d.Name, figures.Completions, figures.Rate, figures.BrokerMessages, figures.BrokerBytes, figures.WireBytes, figures.CPUMicros, figures.LogBytes, figures.LogLines,
 			float64(capacityDaemons-1)/capacityDaemons)
 	}
@@ -148,31 +150,31 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := sumOf(f)
+	start := totalsOf(f)
 	var err error
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := sumOf(f).since(at)
+	idleDelta := totalsOf(f).since(start)
 	if err != nil {
 		return out, err
 	}
 	env.Warmup, env.Duration = 0, capacityRequestTime
 	spec := d.spec(env, f, teams, capacityRate*BoundOf(d.Site, d.Profile, d.FirstToken).Capacity)
-	at = sumOf(f)
+	start = totalsOf(f)
 	logBytes, logLines := logged.bytes.Load(), logged.lines.Load()
 	var res *load.Result
 	busy := cpuDuring(func() { res, err = load.Run(ctx, spec) })
 	if err != nil {
 		return out, err
 	}
-	did := sumOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	out.Completions = res.Total.Answered
 	n := float64(max(out.Completions, 1))
 	out.Rate = n / busy.wall.Seconds()
-	out.BrokerBytes, out.BrokerMessages = did.broker/n, did.brokerMessages/n
+	out.BrokerBytes, out.BrokerMessages = delta.broker/n, delta.brokerMessages/n
 	out.LogBytes = float64(logged.bytes.Load()-logBytes) / n
 	out.LogLines = float64(logged.lines.Load()-logLines) / n
-	out.WireBytes = (did.wire - idleDid.wire*share) / n
+	out.WireBytes = (delta.wire - idleDelta.wire*share) / n
 	out.CPUMicros = (busy.cpu.Seconds() - idle.cpu.Seconds()*share) * 1e6 / n
 	return out, nil
 }
--- a/cmd/internal/experiment/capacity_test.go
+++ b/cmd/internal/experiment/capacity_test.go
@@ -18,14 +18,14 @@
 	is.Equal(l.Slope, 2.0)
 }
 
-// TestCapacityDocumentIsAccepted: what is measured must be a configuration that
-// a daemon would take, in changes of the size that it takes.
+// TestCapacityDocumentIsAccepted checks that a daemon would accept the measured
+// configuration, split into changes of the permitted size.
 func TestCapacityDocumentIsAccepted(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
 	is.Equal(len(live.Check(doc)), 0)
 	now := &live.Document{}
-	for _, part := range parts(wholeChange(doc)) {
+	for _, part := range splitChange(fullChange(doc)) {
 		next, faults := revision.Apply(now, part)
 		is.Equal(len(faults), 0)
 		now = next
@@ -36,12 +36,12 @@
 	is.Equal(len(faults), 0)
 }
 
-// TestLearningNoticesARefusal: a change that does not apply must not be
-// measured as one that does.
-func TestLearningNoticesARefusal(t *testing.T) {
+// TestRecordFollowerDetectsARefusal guards against measuring a change that the
+// follower refuses as if it had been applied.
+func TestRecordFollowerDetectsARefusal(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(22, 4, 1)
-	l := newLearning(doc)
+	l := newRecordFollower(doc)
 	l.learn(capacityChange(doc), 1)
 	is.NoErr(l.check())
 	missing := capacityChange(doc)
@@ -50,25 +50,26 @@
 	is.True(l.check() != nil)
 }
 
-// TestSchedulingGrants: the step that is measured must end in grants, or it
-// would measure refusals.
-func TestSchedulingGrants(t *testing.T) {
+// TestScheduleStepGrants checks that the measured operation ends in a grant each
+// time; otherwise the experiment would measure refusals.
+func TestScheduleStepGrants(t *testing.T) {
 	is := is.New(t)
 	doc := capacityDocument(22, 4, 1)
 	granted := 0
-	step := schedulingWith(doc, func() { granted++ })
+	step := scheduleStepWith(doc, func() { granted++ })
 	for i := range 200 {
 		step(i)
 	}
 	is.Equal(granted, 200)
 }
 
-// TestMembersSeeADeath: three members on sockets of their own; one is killed.
-func TestMembersSeeADeath(t *testing.T) {
+// TestMembersDetectADeath kills one of three members, each with its own socket,
+// and waits until both survivors report its death.
+func TestMembersDetectADeath(t *testing.T) {
 	for _, mode := range membershipModes {
 		t.Run(string(mode), func(t *testing.T) {
 			is := is.New(t)
-			g, err := newGathering(mode, 1)
+			g, err := newCluster(mode, 1)
 			is.NoErr(err)
 			defer g.close()
 			is.NoErr(g.join(context.Background(), 3))
@@ -78,7 +79,7 @@
 			for range 2 {
 				is.Equal((<-g.deaths).of, victim.self.Daemon)
 			}
-			is.True(g.met())
+			is.True(g.converged())
 		})
 	}
 }
--- a/cmd/internal/experiment/experiment_test.go
+++ b/cmd/internal/experiment/experiment_test.go
@@ -33,13 +33,15 @@
 	}
 }
 
-func TestBoundFollowsTheConstants(t *testing.T) {
+func TestBoundIsCalculatedFromTheConstants(t *testing.T) {
 	is := is.New(t)
 	d := Bunker()
 	b := BoundOf(d.Site, d.Profile, d.FirstToken)
-	// 9 engines at 20000 tokens a second, 1750 tokens each without the cache.
+	// 9 engines read 20000 tokens per second each; a prompt has 1750 tokens that
+	// are not in the cache.
 	is.True(b.Prefill > 102 && b.Prefill < 104)
-	// 36 slots, 30 tokens at 20 ms slowed by three neighbours, and the transfer.
+	// 36 slots; 30 tokens at 20 ms each, slowed down by three concurrent requests;
+	// plus the transfer.
 	is.True(b.Decode > 50 && b.Decode < 51)
 	is.Equal(b.Capacity, b.Decode)
 	is.True(b.InTime > 0.9 && b.InTime < 1)
@@ -72,14 +74,14 @@
 	fig := goodputFigure("bunker", figures)
 	is.Equal(fig.Series[len(fig.Series)-1], Series{Name: "bound", X: []float64{0.7, 0.9}, Y: []float64{30, 40}})
 	r := &Report{Experiment: "routing", Seed: 3, Figures: []Figure{fig}}
-	r.routing(figures[0])
+	r.addRouting(figures[0])
 	is.NoErr(r.Write(dir))
 	raw, err := os.ReadFile(filepath.Join(dir, "routing.json"))
 	is.NoErr(err)
-	var back Report
-	is.NoErr(json.Unmarshal(raw, &back))
-	is.Equal(back.Seed, uint64(3))
-	is.True(strings.HasPrefix(back.Lines[0], "deployment=bunker policy=ledger load=0.7 "))
+	var decoded Report
+	is.NoErr(json.Unmarshal(raw, &decoded))
+	is.Equal(decoded.Seed, uint64(3))
+	is.True(strings.HasPrefix(decoded.Lines[0], "deployment=bunker policy=ledger load=0.7 "))
 	svg, err := os.ReadFile(filepath.Join(dir, "routing-goodput-bunker.svg"))
 	is.NoErr(err)
 	is.True(strings.Contains(string(svg), "<svg"))
@@ -88,12 +90,12 @@
 func TestFaultsAreReported(t *testing.T) {
 	is := is.New(t)
 	r := &Report{}
-	r.faults("calm", &load.Result{}, fleet.Work{})
+	r.addFaults("calm", &load.Result{}, fleet.Work{})
 	is.Equal(len(r.Faults), 0)
 	res := &load.Result{}
 	res.Total.Doubled = 1
-	r.faults("doubled", res, fleet.Work{})
-	r.faults("held", &load.Result{}, fleet.Work{HeldAfterCancel: 1})
-	r.faults("twice", &load.Result{}, fleet.Work{RanTwice: 1})
+	r.addFaults("doubled", res, fleet.Work{})
+	r.addFaults("held", &load.Result{}, fleet.Work{HeldAfterCancel: 1})
+	r.addFaults("twice", &load.Result{}, fleet.Work{RanTwice: 1})
 	is.Equal(r.Faults, []string{"doubled: lost=0 doubled=1 wrong=0", "held: held_after_cancel=1 running=0", "twice: ran_twice=1"})
 }
--- a/cmd/internal/experiment/faults_journal.go
+++ b/cmd/internal/experiment/faults_attempts.go
@@ -6,26 +6,26 @@
 	"sync"
 )
 
-// attemptLog reads the daemons' log lines and keeps which attempts each
-// request was given. It is an io.Writer for the log of a fleet.
+// attemptLog parses the daemons' log lines and records the attempts of each
+// request. It is an io.Writer for the log of a fleet.
 type attemptLog struct {
 	mu       sync.Mutex
 	attempts map[string][]string
-	// warnings holds the first lines at level error, for the report.
-	warnings []string
+	// errorLines holds the first lines at level error, for the report.
+	errorLines []string
 }
 
-// maxWarnings bounds the kept lines.
-const maxWarnings = 8
+// maxErrorLines bounds the number of stored error lines.
+const maxErrorLines = 8
 
 func newAttemptLog() *attemptLog {
 	return &attemptLog{attempts: map[string][]string{}}
 }
 
-// Write implements io.Writer; it is given whole lines.
+// Write implements io.Writer. It expects whole lines.
 func (l *attemptLog) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("level=error")) {
-		l.warn(string(p))
+		l.addErrorLine(string(p))
 	}
 	if !bytes.Contains(p, []byte("event=paired")) {
 		return len(p), nil
@@ -45,16 +45,16 @@
 	return len(p), nil
 }
 
-func (l *attemptLog) warn(line string) {
+func (l *attemptLog) addErrorLine(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.warnings) < maxWarnings {
-		l.warnings = append(l.warnings, strings.TrimSpace(line))
+	if len(l.errorLines) < maxErrorLines {
+		l.errorLines = append(l.errorLines, strings.TrimSpace(line))
 	}
 }
 
-// of lists the attempts of a request.
-func (l *attemptLog) of(request string) []string {
+// attemptsOf returns the attempts of a request.
+func (l *attemptLog) attemptsOf(request string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.attempts[request]...)
--- a/cmd/internal/experiment/faults_tap.go
+++ b/cmd/internal/experiment/faults_observer.go
@@ -13,38 +13,41 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// tailBytes is how much of the end of an answer is kept, to read its error.
+// tailBytes is the length of the end of an answer that is kept, to read an error
+// event from it.
 const tailBytes = 2048
 
-// doneLine ends a stream that is whole.
+// doneLine is at the end of every complete stream.
 const doneLine = "data: [DONE]"
 
 // keyCount counts the attempts under one idempotency key.
 type keyCount struct{ attempts, notRun int }
 
-// tap watches what the callers of a run are told. It stands between their
-// HTTP client and the connections.
-type tap struct {
+// observer is an HTTP transport that records the results that the callers of a run
+// receive. It wraps the transport of their HTTP client.
+type observer struct {
 	base http.RoundTripper
 
 	mu sync.Mutex
 	// notRun holds the ids of new completions that were refused as not run.
 	notRun map[string]bool
 	keys   map[string]*keyCount
-	// broken counts answers and connections that broke while the caller waited.
+	// broken counts the answers and connections that failed while the caller was
+	// waiting.
 	broken int
 }
 
-func newTap(base http.RoundTripper) *tap {
-	return &tap{base: base, notRun: map[string]bool{}, keys: map[string]*keyCount{}}
+func newObserver(base http.RoundTripper) *observer {
+	return &observer{base: base, notRun: map[string]bool{}, keys: map[string]*keyCount{}}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *tap) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *observer) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := t.base.RoundTrip(req)
 	t.countKey(req, resp)
 	if err != nil {
-		// An old address that gives no entry answer interrupts no request.
+		// A failed request for an entry answer, for example at an old address,
+		// interrupts no completion or call.
 		if req.Context().Err() == nil && req.URL.Path != opapi.PathEntry {
 			t.addBroken()
 		}
@@ -55,21 +58,22 @@
 		if fresh && resp.Header.Get(opapi.HeaderVerdict) == verdict.NotRun.String() {
 			t.addNotRun(resp.Header.Get(opapi.HeaderRequest))
 		}
-		resp.Body = &tappedBody{ReadCloser: resp.Body, tap: t, ctx: req.Context(), fresh: fresh,
+		resp.Body = &observedBody{ReadCloser: resp.Body, observer: t, ctx: req.Context(), fresh: fresh,
 			stream: resp.Header.Get("Content-Type") == "text/event-stream"}
 	}
 	return resp, nil
 }
 
-// CloseIdleConnections lets http.Client close what nobody uses.
-func (t *tap) CloseIdleConnections() {
+// CloseIdleConnections lets http.Client close the idle connections of the wrapped
+// transport.
+func (t *observer) CloseIdleConnections() {
 	if c, ok := t.base.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
-// countKey books an attempt under an idempotency key.
-func (t *tap) countKey(req *http.Request, resp *http.Response) {
+// countKey counts an attempt under an idempotency key.
+func (t *observer) countKey(req *http.Request, resp *http.Response) {
 	key := req.Header.Get(opapi.HeaderIdempotencyKey)
 	if key == "" {
 		return
@@ -87,20 +91,20 @@
 	}
 }
 
-func (t *tap) addBroken() {
+func (t *observer) addBroken() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.broken++
 }
 
-// brokenSoFar is the number of answers that broke so far.
-func (t *tap) brokenSoFar() int {
+// brokenCount returns the number of answers and connections that have failed.
+func (t *observer) brokenCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.broken
 }
 
-func (t *tap) addNotRun(request string) {
+func (t *observer) addNotRun(request string) {
 	if request == "" {
 		return
 	}
@@ -109,8 +113,8 @@
 	t.notRun[request] = true
 }
 
-// refusedKeys lists the keys of which every attempt was refused as not run.
-func (t *tap) refusedKeys() []string {
+// refusedKeys returns the keys whose attempts were all refused as not run.
+func (t *observer) refusedKeys() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
@@ -122,8 +126,8 @@
 	return out
 }
 
-// refusedRequests lists the completions that were refused as not run.
-func (t *tap) refusedRequests() []string {
+// refusedRequests returns the ids of the completions that were refused as not run.
+func (t *observer) refusedRequests() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
@@ -133,19 +137,19 @@
 	return out
 }
 
-// tappedBody keeps the end of an answer and sees whether it broke.
-type tappedBody struct {
+// observedBody keeps the end of an answer and detects whether it is incomplete.
+type observedBody struct {
 	io.ReadCloser
-	tap    *tap
-	ctx    context.Context
-	fresh  bool
-	stream bool
-	tail   []byte
-	ended  bool
+	observer *observer
+	ctx      context.Context
+	fresh    bool
+	stream   bool
+	tail     []byte
+	ended    bool
 }
 
 // Read implements io.Reader.
-func (b *tappedBody) Read(p []byte) (int, error) {
+func (b *observedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.tail = append(b.tail, p[:n]...)
 	if over := len(b.tail) - tailBytes; over > 0 {
@@ -158,11 +162,12 @@
 	return n, err
 }
 
-// end reads the error event at the end of a stream, or sees that it broke.
-func (b *tappedBody) end(err error) {
+// end reads the error event at the end of a stream, or counts the answer as broken
+// if it is incomplete.
+func (b *observedBody) end(err error) {
 	if !errors.Is(err, io.EOF) {
 		if b.ctx.Err() == nil {
-			b.tap.addBroken()
+			b.observer.addBroken()
 		}
 		return
 	}
@@ -171,15 +176,15 @@
 	}
 	detail, ok := lastError(b.tail)
 	if !ok {
-		b.tap.addBroken()
+		b.observer.addBroken()
 		return
 	}
 	if b.fresh && detail.Verdict == verdict.NotRun.String() {
-		b.tap.addNotRun(detail.Request)
+		b.observer.addNotRun(detail.Request)
 	}
 }
 
-// lastError reads the error event that a stream ended with.
+// lastError decodes the last error event in the end of a stream.
 func lastError(tail []byte) (opapi.ErrorDetail, bool) {
 	at := bytes.LastIndex(tail, []byte("event: error"))
 	if at < 0 {
--- a/cmd/internal/experiment/membership_gathering.go
+++ b/cmd/internal/experiment/membership_cluster.go
@@ -15,56 +15,60 @@
 )
 
 const (
-	// joinPause, and joinPauseEach for each member that is there, is the time
-	// between two members' starts: a fleet that starts at once on one host
-	// would measure its handshakes.
+	// The time between the starts of two members is joinPause, plus joinPauseEach
+	// for each member that has been started. If all members started at the same
+	// time on one host, the experiment would measure their handshakes.
 	joinPause     = 20 * time.Millisecond
 	joinPauseEach = 3 * time.Millisecond
-	// joinTimeout bounds the wait until all see all.
+	// joinTimeout bounds the wait until every member sees all others.
 	joinTimeout = 3 * time.Minute
-	// joinLook is the time between two looks at all members.
-	joinLook = 250 * time.Millisecond
-	// calm is the wait from then on for each connection to have found the size
-	// of its packets; from there on, the news of the joining must have been told:
-	// the traffic of a window no longer falls by a tenth.
-	calm        = 15 * time.Second
-	calmWindow  = 5 * time.Second
-	calmWindows = 24
-	// detectTimeout bounds the wait for a killed member's death to be known.
+	// joinPollInterval is the time between two checks of all members.
+	joinPollInterval = 250 * time.Millisecond
+	// settleTime is the wait after the join, in which each connection discovers
+	// its packet size. After it, traffic is measured in windows of steadyWindow,
+	// at most maxSteadyWindows of them. Membership updates about the join have
+	// been disseminated once the traffic of a window falls by less than a tenth.
+	settleTime       = 15 * time.Second
+	steadyWindow     = 5 * time.Second
+	maxSteadyWindows = 24
+	// detectTimeout bounds the wait until all survivors report a killed member as
+	// dead.
 	detectTimeout = 30 * time.Second
-	// seedCount is how many of the earlier members each one is told.
+	// seedCount is the number of the earliest members that each new member gets as
+	// seeds.
 	seedCount = 3
-	// deathsBuffer holds what is not yet read.
+	// deathsBuffer is the number of death reports that can wait to be read.
 	deathsBuffer = 1 << 16
 )
 
-// gathering is a set of participants in this process.
-type gathering struct {
-	mode   member.Mode
-	seed   uint64
-	ca     *keys.DevCA
-	all    []*participant
-	dead   map[id.Daemon]time.Time
-	deaths chan death
-	falses int
+// cluster is a set of participants in this process. dead holds the killed ones.
+type cluster struct {
+	mode        member.Mode
+	seed        uint64
+	ca          *keys.DevCA
+	all         []*participant
+	dead        map[id.Daemon]time.Time
+	deaths      chan deathReport
+	falseDeaths int
 }
 
-func newGathering(mode member.Mode, seed uint64) (*gathering, error) {
+func newCluster(mode member.Mode, seed uint64) (*cluster, error) {
 	ca, err := keys.NewDevCA(time.Now())
 	if err != nil {
 		return nil, err
 	}
-	return &gathering{mode: mode, seed: seed, ca: ca, dead: map[id.Daemon]time.Time{}, deaths: make(chan death, deathsBuffer)}, nil
+	return &cluster{mode: mode, seed: seed, ca: ca, dead: map[id.Daemon]time.Time{}, deaths: make(chan deathReport, deathsBuffer)}, nil
 }
 
-func (g *gathering) close() {
+func (g *cluster) close() {
 	for _, p := range g.all {
 		p.close()
 	}
 }
 
-// join starts n members one after the other and waits until all see all.
-func (g *gathering) join(ctx context.Context, n int) error {
+// join starts n members one after the other and waits until every member sees all
+// others.
+func (g *cluster) join(ctx context.Context, n int) error {
 	for i := range n {
 		name := id.Daemon(fmt.Sprintf("host-%03d", i))
 		domain := id.Domain(fmt.Sprintf("domain-%d", i%membershipDomains))
@@ -79,16 +83,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	for !g.met() {
-		if err := sleep(ctx, joinLook); err != nil {
-			return fmt.Errorf("not all of %d members see all: %w", n, err)
+	for !g.converged() {
+		if err := sleep(ctx, joinPollInterval); err != nil {
+			return fmt.Errorf("%d members do not all see each other: %w", n, err)
 		}
 	}
 	return nil
 }
 
-// seeds are the earliest members.
-func (g *gathering) seeds() []member.Host {
+// seeds returns the earliest members.
+func (g *cluster) seeds() []member.Host {
 	var out []member.Host
 	for _, p := range g.all[:min(seedCount, len(g.all))] {
 		out = append(out, member.Host{Name: p.self.Daemon, Address: p.transport.Address()})
@@ -96,8 +100,8 @@
 	return out
 }
 
-// met tells whether all see all that were not killed.
-func (g *gathering) met() bool {
+// converged reports whether every member that was not killed sees all such members.
+func (g *cluster) converged() bool {
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed && p.sees() != len(g.all)-len(g.dead) {
 			return false
@@ -106,12 +110,12 @@
 	return true
 }
 
-// rest measures what the members cost while nothing happens.
-func (g *gathering) rest(ctx context.Context, out *MembershipFigures) error {
-	if err := g.calmDown(ctx); err != nil {
+// measureIdle measures the traffic and processor use of the members at idle.
+func (g *cluster) measureIdle(ctx context.Context, out *MembershipFigures) error {
+	if err := g.awaitSteady(ctx); err != nil {
 		return err
 	}
-	out.FalseInJoin = g.takeFalses()
+	out.FalseInJoin = g.takeFalseDeaths()
 	before := g.traffic()
 	var err error
 	u := cpuDuring(func() { err = sleep(ctx, membershipSteady) })
@@ -126,15 +130,15 @@
 	return err
 }
 
-// calmDown waits until the news of the joining has been told.
-func (g *gathering) calmDown(ctx context.Context) error {
-	if err := sleep(ctx, calm); err != nil {
+// awaitSteady waits until the updates about the join have been disseminated.
+func (g *cluster) awaitSteady(ctx context.Context) error {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
 	last := math.Inf(1)
-	for range calmWindows {
+	for range maxSteadyWindows {
 		at := g.traffic().wire
-		if err := sleep(ctx, calmWindow); err != nil {
+		if err := sleep(ctx, steadyWindow); err != nil {
 			return err
 		}
 		sent := g.traffic().wire - at
@@ -146,10 +150,11 @@
 	return nil
 }
 
-// sentTraffic is what all members have sent.
+// sentTraffic is the traffic that all members have sent, and the number of their
+// connections.
 type sentTraffic struct{ wire, frames, packets, messages, connections float64 }
 
-func (g *gathering) traffic() sentTraffic {
+func (g *cluster) traffic() sentTraffic {
 	var sum sentTraffic
 	for _, p := range g.all {
 		w := p.transport.Wire()
@@ -164,28 +169,28 @@
 	return sum
 }
 
-// killSome kills members one by one and takes the time until each survivor
-// holds it for dead.
-func (g *gathering) killSome(ctx context.Context, out *MembershipFigures) error {
+// killMembers kills members one after the other, and measures the time until each
+// survivor reports the killed member as dead.
+func (g *cluster) killMembers(ctx context.Context, out *MembershipFigures) error {
 	times := hdrhistogram.New(1, detectTimeout.Milliseconds(), 3)
 	rng := rand.New(rand.NewPCG(g.seed, uint64(len(g.all))))
 	for range membershipKills {
-		// Not at a fixed point of anybody's period.
+		// A random delay avoids a fixed phase relative to the members' periods.
 		if err := sleep(ctx, time.Duration(rng.Int64N(int64(time.Second)))); err != nil {
 			return err
 		}
-		if err := g.killOne(ctx, rng, times, out); err != nil {
+		if err := g.killMember(ctx, rng, times, out); err != nil {
 			return err
 		}
 	}
-	out.FalseDeaths = g.takeFalses()
+	out.FalseDeaths = g.takeFalseDeaths()
 	out.DetectP50 = float64(times.ValueAtQuantile(50)) / 1e3
 	out.DetectP99 = float64(times.ValueAtQuantile(99)) / 1e3
 	out.DetectMax = float64(times.Max()) / 1e3
 	return nil
 }
 
-func (g *gathering) killOne(ctx context.Context, rng *rand.Rand, times *hdrhistogram.Histogram, out *MembershipFigures) error {
+func (g *cluster) killMember(ctx context.Context, rng *rand.Rand, times *hdrhistogram.Histogram, out *MembershipFigures) error {
 	var alive []*participant
 	for _, p := range g.all {
 		if _, killed := g.dead[p.self.Daemon]; !killed {
@@ -221,17 +226,17 @@
 	return nil
 }
 
-// takeFalses gives the false deaths since it was last asked.
-func (g *gathering) takeFalses() int {
+// takeFalseDeaths returns the number of false deaths since the previous call.
+func (g *cluster) takeFalseDeaths() int {
 	g.drain()
-	n := g.falses
-	g.falses = 0
+	n := g.falseDeaths
+	g.falseDeaths = 0
 	return n
 }
 
-// drain counts what was said before a kill: nobody was dead who is not known
-// to be.
-func (g *gathering) drain() {
+// drain handles the death reports received so far. Before a kill, all reports about
+// members that were not killed earlier are false.
+func (g *cluster) drain() {
 	for {
 		select {
 		case d := <-g.deaths:
@@ -242,14 +247,14 @@
 	}
 }
 
-// count takes a death as false unless it is of one that was killed.
-func (g *gathering) count(d death) {
+// count counts a death report as false unless its subject was killed.
+func (g *cluster) count(d deathReport) {
 	if _, killed := g.dead[d.of]; !killed {
-		g.falses++
+		g.falseDeaths++
 	}
 }
 
-// sleep waits; it returns early with ctx's error.
+// sleep waits for d; it returns ctx's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
