--- a/cmd/internal/cli/common/options.go
+++ b/cmd/internal/cli/common/options.go
@@ -66,7 +66,7 @@
 }
 
 // Single refuses more than one address: for what is meant for one daemon.
-func (o *Options) Single() error {
+func (o *Options) RequireOneAddress() error {
 	if n := len(o.addresses()); n != 1 {
 		return exit.Errorf(exit.Usage, "this is meant for one daemon: --operators must name one address, not %d", n)
 	}
--- a/cmd/internal/cli/fleetcmd/stop.go
+++ b/cmd/internal/cli/fleetcmd/stop.go
@@ -25,7 +25,7 @@
 		Example: "  samphirequay stop --operators 127.0.0.1:7102",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := opts.Single(); err != nil {
+			if err := opts.RequireOneAddress(); err != nil {
 				return err
 			}
 			client, err := opts.Client()
