--- a/cmd/internal/cli/common/options.go
+++ b/cmd/internal/cli/common/options.go
@@ -52,8 +52,8 @@
 func (o *Options) Client() (*operator.Client, error) {
 	return operator.New(operator.Config{
 		Addresses: o.addresses(),
-		Key:       orEnv(o.Key, EnvKey),
-		CAFile:    orEnv(o.CA, EnvCA),
+		Key:       flagOrEnv(o.Key, EnvKey),
+		CAFile:    flagOrEnv(o.CA, EnvCA),
 	})
 }
 
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func orEnv(value, name string) string {
+func flagOrEnv(value, name string) string {
 	if value != "" {
 		return value
 	}
