--- a/cmd/internal/cli/configcmd/apply.go
+++ b/cmd/internal/cli/configcmd/apply.go
@@ -13,7 +13,7 @@
 )
 
 // applyAnswer is the JSON result of apply.
-type applyAnswer struct {
+type applyResult struct {
 	// Change is empty if there was nothing to do, or with --dry-run.
 	Change   string     `json:"change,omitempty"`
 	Revision uint64     `json:"revision"`
@@ -67,20 +67,20 @@
 	return doc, nil
 }
 
-func apply(cmd *cobra.Command, opts *common.Options, doc *live.Document, prune, dryRun bool) (applyAnswer, error) {
+func apply(cmd *cobra.Command, opts *common.Options, doc *live.Document, prune, dryRun bool) (applyResult, error) {
 	client, err := opts.Client()
 	if err != nil {
-		return applyAnswer{}, err
+		return applyResult{}, err
 	}
 	current, err := client.Config(cmd.Context(), 0)
 	if err != nil {
-		return applyAnswer{}, err
+		return applyResult{}, err
 	}
 	ops, err := document.Diff(current, doc, prune)
 	if err != nil {
-		return applyAnswer{}, err
+		return applyResult{}, err
 	}
-	answer := applyAnswer{Revision: current.Revision, DryRun: dryRun, Steps: ops}
+	answer := applyResult{Revision: current.Revision, DryRun: dryRun, Steps: ops}
 	if dryRun || len(ops) == 0 {
 		return answer, nil
 	}
@@ -94,7 +94,7 @@
 	return answer, nil
 }
 
-func printApply(cmd *cobra.Command, opts *common.Options, answer applyAnswer) error {
+func printApply(cmd *cobra.Command, opts *common.Options, answer applyResult) error {
 	if answer.Steps == nil {
 		answer.Steps = []opapi.Op{}
 	}
