--- a/cmd/internal/cli/configcmd/config.go
+++ b/cmd/internal/cli/configcmd/config.go
@@ -78,7 +78,7 @@
 }
 
 // checkAnswer is the JSON result of check.
-type checkAnswer struct {
+type checkResult struct {
 	File   string  `json:"file"`
 	OK     bool    `json:"ok"`
 	Faults []fault `json:"faults"`
@@ -98,7 +98,7 @@
 			if err != nil {
 				return err
 			}
-			answer := checkAnswer{File: args[0], OK: len(faults) == 0, Faults: []fault{}}
+			answer := checkResult{File: args[0], OK: len(faults) == 0, Faults: []fault{}}
 			rows := output.Rows{}
 			for _, f := range faults {
 				answer.Faults = append(answer.Faults, fault{f.Line, f.Column, f.Field, f.Message})
