--- a/cmd/internal/cli/configcmd/diff.go
+++ b/cmd/internal/cli/configcmd/diff.go
@@ -24,7 +24,7 @@
 }
 
 // diffAnswer is the JSON result of diff.
-type diffAnswer struct {
+type diffResult struct {
 	From        string       `json:"from"`
 	To          string       `json:"to"`
 	Differences []difference `json:"differences"`
@@ -52,8 +52,8 @@
 	}
 }
 
-func diff(cmd *cobra.Command, opts *common.Options, from, to string) (diffAnswer, error) {
-	answer := diffAnswer{From: from, To: to, Differences: []difference{}}
+func diff(cmd *cobra.Command, opts *common.Options, from, to string) (diffResult, error) {
+	answer := diffResult{From: from, To: to, Differences: []difference{}}
 	before, err := load(cmd, opts, from)
 	if err != nil {
 		return answer, err
@@ -110,7 +110,7 @@
 	return live.Normalize(doc), nil
 }
 
-func printDiff(cmd *cobra.Command, opts *common.Options, answer diffAnswer) error {
+func printDiff(cmd *cobra.Command, opts *common.Options, answer diffResult) error {
 	rows := output.Rows{}
 	for _, d := range answer.Differences {
 		rows.Add(d.Action + " " + string(d.Kind) + " " + d.Name)
