--- a/cmd/internal/cli/configcmd/diff.go
+++ b/cmd/internal/cli/configcmd/diff.go
@@ -68,13 +68,13 @@
 	for _, d := range revision.Diff(before, after) {
 		answer.Differences = append(answer.Differences, difference{
 			Action: d.Action, Kind: d.Kind, Name: d.Name,
-			From: itemOf(before, d), To: itemOf(after, d),
+			From: findItem(before, d), To: findItem(after, d),
 		})
 	}
 	return answer, nil
 }
 
-func itemOf(doc *live.Document, d revision.Difference) any {
+func findItem(doc *live.Document, d revision.Difference) any {
 	item, found := document.Find(doc, d.Kind, d.Name)
 	if !found {
 		return nil
