--- a/cmd/internal/cli/configcmd/config.go
+++ b/cmd/internal/cli/configcmd/config.go
@@ -197,7 +197,7 @@
 }
 
 // compactItem is an item's JSON on one line.
-func compactItem(value any) string {
+func compactJSON(value any) string {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
--- a/cmd/internal/cli/configcmd/diff.go
+++ b/cmd/internal/cli/configcmd/diff.go
@@ -115,10 +115,10 @@
 	for _, d := range answer.Differences {
 		rows.Add(d.Action + " " + string(d.Kind) + " " + d.Name)
 		if d.From != nil {
-			rows.Add("  - " + compactItem(d.From))
+			rows.Add("  - " + compactJSON(d.From))
 		}
 		if d.To != nil {
-			rows.Add("  + " + compactItem(d.To))
+			rows.Add("  + " + compactJSON(d.To))
 		}
 	}
 	if len(answer.Differences) == 0 {
--- a/cmd/internal/cli/configcmd/explain.go
+++ b/cmd/internal/cli/configcmd/explain.go
@@ -124,5 +124,5 @@
 	if v.IsZero() && v.Kind() != reflect.Bool {
 		return "-"
 	}
-	return compactItem(v.Interface())
+	return compactJSON(v.Interface())
 }
