--- a/cmd/internal/cli/daemoncmd/platform.go
+++ b/cmd/internal/cli/daemoncmd/platform.go
@@ -20,7 +20,7 @@
 const (
 	// memoryShare of the process's bound is the runtime's own limit: beyond it
 	// the collector works harder rather than let the process be killed.
-	memoryShare = 0.6
+	memoryLimitShare = 0.6
 	// collectAt is the heap's growth, in percent, at which the collector runs:
 	// memory is dearer than processor time on the small entry hosts.
 	collectAt = 50
@@ -67,7 +67,7 @@
 
 func runPlatform(cmd *cobra.Command, s *gateway.Settings, path string) error {
 	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(memoryShare * s.MemoryMB * bytesInMB))
+	debug.SetMemoryLimit(int64(memoryLimitShare * s.MemoryMB * bytesInMB))
 	registry := metrics.New(string(s.Daemon))
 	sides := platform.New(cmd.Context(), s, registry)
 	daemon, err := gateway.New(s, sides, gateway.Options{
