--- a/cmd/internal/cli/daemoncmd/platform.go
+++ b/cmd/internal/cli/daemoncmd/platform.go
@@ -23,7 +23,7 @@
 	memoryLimitShare = 0.6
 	// collectAt is the heap's growth, in percent, at which the collector runs:
 	// memory is dearer than processor time on the small entry hosts.
-	collectAt = 50
+	gcPercent = 50
 	bytesInMB = 1 << 20
 )
 
@@ -66,7 +66,7 @@
 }
 
 func runPlatform(cmd *cobra.Command, s *gateway.Settings, path string) error {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryLimitShare * s.MemoryMB * bytesInMB))
 	registry := metrics.New(string(s.Daemon))
 	sides := platform.New(cmd.Context(), s, registry)
