--- a/cmd/internal/cli/daemoncmd/daemon.go
+++ b/cmd/internal/cli/daemoncmd/daemon.go
@@ -45,7 +45,7 @@
 				return exit.Errorf(exit.Usage, "--settings FILE is missing")
 			}
 			s, faults := settings.Load(path)
-			if err := report(cmd.ErrOrStderr(), faults); err != nil {
+			if err := reportFaults(cmd.ErrOrStderr(), faults); err != nil {
 				return err
 			}
 			if check {
@@ -64,7 +64,7 @@
 }
 
 // report prints every fault but the last, which becomes the error.
-func report(w io.Writer, faults settings.Faults) error {
+func reportFaults(w io.Writer, faults settings.Faults) error {
 	if len(faults) == 0 {
 		return nil
 	}
--- a/cmd/internal/cli/daemoncmd/platform.go
+++ b/cmd/internal/cli/daemoncmd/platform.go
@@ -50,7 +50,7 @@
 				return exit.Errorf(exit.Usage, "--settings FILE is missing, and %s is not set", platform.SettingsVariable)
 			}
 			s, faults := gateway.Load(path)
-			if err := report(cmd.ErrOrStderr(), faults); err != nil {
+			if err := reportFaults(cmd.ErrOrStderr(), faults); err != nil {
 				return err
 			}
 			if check {
