--- a/cmd/internal/cli/daemoncmd/daemon_test.go
+++ b/cmd/internal/cli/daemoncmd/daemon_test.go
@@ -30,7 +30,7 @@
 	return code, out.String(), errs.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "daemon.hujson")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -41,7 +41,7 @@
 
 func TestCheckPassesGoodSettings(t *testing.T) {
 	is := is.New(t)
-	path := write(t, goodSettings)
+	path := writeSettings(t, goodSettings)
 	code, out, errs := runDaemon("--settings", path, "--check")
 	is.Equal(code, exit.OK)
 	is.Equal(out, path+": ok\n")
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	text := strings.Replace(goodSettings, `"daemon"`, `"deamon"`, 1)
 	text = strings.Replace(text, `"insecure_callers": true`, `"insecure_caller": true`, 1)
-	path := write(t, text)
+	path := writeSettings(t, text)
 	code, out, errs := runDaemon("--settings", path, "--check")
 	is.Equal(code, exit.Faults)
 	is.Equal(out, "")
@@ -76,7 +76,7 @@
 
 func TestMissingKeysAreAFailureInOneLine(t *testing.T) {
 	is := is.New(t)
-	code, _, errs := runDaemon("--settings", write(t, goodSettings))
+	code, _, errs := runDaemon("--settings", writeSettings(t, goodSettings))
 	is.Equal(code, exit.Failed)
 	is.Equal(strings.Count(errs, "\n"), 1)
 	is.True(strings.Contains(errs, "a.pem"))
