--- a/cmd/internal/cli/docscmd/docs.go
+++ b/cmd/internal/cli/docscmd/docs.go
@@ -55,7 +55,7 @@
 		return eris.Wrap(err, "folder of the reference")
 	}
 	pages := []page{
-		{"README.md", func(context.Context) (string, error) { return contents, nil }},
+		{"README.md", func(context.Context) (string, error) { return indexPage, nil }},
 		{"commands.md", func(context.Context) (string, error) { return commandsPage(root, daemoncmd.New()), nil }},
 		{"settings.md", func(context.Context) (string, error) { return settingsPage(source) }},
 		{"configuration.md", func(context.Context) (string, error) { return livePage(source) }},
@@ -74,7 +74,7 @@
 }
 
 // contents is the list of the pages.
-const contents = `# Reference
+const indexPage = `# Reference
 
 Generated from the program. To bring it up to date: ` + "`" + Regenerate + "`" + `.
 
