--- a/cmd/internal/cli/docscmd/fields.go
+++ b/cmd/internal/cli/docscmd/fields.go
@@ -8,7 +8,7 @@
 )
 
 // row is one line of a table of fields.
-type row struct{ path, kind, defaultValue, bounds, text string }
+type row struct{ path, typeName, defaultValue, bounds, text string }
 
 // fieldTable walks a struct and lists its fields, those of nested structs
 // under their paths.
@@ -99,6 +99,6 @@
 func (t *fieldTable) print(b *strings.Builder) {
 	b.WriteString("| field | value | default | range | meaning |\n|---|---|---|---|---|\n")
 	for _, r := range t.rows {
-		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", r.path, r.kind, code(r.defaultValue), cell(r.bounds), cell(r.text))
+		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", r.path, r.typeName, code(r.defaultValue), cell(r.bounds), cell(r.text))
 	}
 }
