--- a/cmd/internal/cli/docscmd/fields.go
+++ b/cmd/internal/cli/docscmd/fields.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		at := strings.TrimPrefix(path+"."+f.name, ".")
-		t.rows = append(t.rows, row{at, kindOf(field.Type()), presetOf(field), t.bounds(at, f), f.text})
+		t.rows = append(t.rows, row{at, kindOf(field.Type()), defaultText(field), t.bounds(at, f), f.text})
 		if nested, ok := nestedStruct(field); ok {
 			t.walk(nested, at+strings.Repeat("[]", depth(field.Type())))
 		}
@@ -80,7 +80,7 @@
 }
 
 // presetOf shows a scalar's default; empty ones are left to the comment.
-func presetOf(v reflect.Value) string {
+func defaultText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Struct, reflect.Slice, reflect.Map, reflect.Pointer:
 		return ""
