--- a/cmd/internal/cli/docscmd/fields.go
+++ b/cmd/internal/cli/docscmd/fields.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		at := strings.TrimPrefix(path+"."+f.name, ".")
-		t.rows = append(t.rows, row{at, kindOf(field.Type()), defaultText(field), t.bounds(at, f), f.text})
+		t.rows = append(t.rows, row{at, typeName(field.Type()), defaultText(field), t.bounds(at, f), f.text})
 		if nested, ok := nestedStruct(field); ok {
 			t.walk(nested, at+strings.Repeat("[]", depth(field.Type())))
 		}
@@ -58,16 +58,16 @@
 }
 
 // kindOf names a type as a person who writes a file knows it.
-func kindOf(t reflect.Type) string {
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return kindOf(t.Elem())
+		return typeName(t.Elem())
 	case reflect.Struct:
 		return "object"
 	case reflect.Map:
 		return "object of texts"
 	case reflect.Slice:
-		return "list of " + kindOf(t.Elem()) + "s"
+		return "list of " + typeName(t.Elem()) + "s"
 	case reflect.String:
 		return "text"
 	case reflect.Bool:
