--- a/cmd/internal/cli/docscmd/live.go
+++ b/cmd/internal/cli/docscmd/live.go
@@ -37,7 +37,7 @@
 }
 
 // oneOfEach is a document with one empty item of each kind.
-func oneOfEach() *live.Document {
+func singleItemDocument() *live.Document {
 	return &live.Document{
 		Teams:     []live.Team{{}},
 		Services:  []live.Service{{}},
@@ -50,7 +50,7 @@
 // normalizedItems shows the defaults. Only a pool with a model has those of
 // its engines.
 func normalizedItems() *live.Document {
-	doc := oneOfEach()
+	doc := singleItemDocument()
 	doc.Pools[0].Model = "model"
 	filled := live.Normalize(doc)
 	filled.Pools[0].Model = ""
@@ -60,7 +60,7 @@
 // liveBounds asks the check of the live configuration for the range of each
 // number, by giving it numbers that are in none.
 func liveBounds() map[string]string {
-	doc := oneOfEach()
+	doc := singleItemDocument()
 	for _, item := range []any{&doc.Teams[0], &doc.Services[0], &doc.Pools[0], &doc.Endpoints[0], &doc.Links[0]} {
 		spoil(reflect.ValueOf(item).Elem())
 	}
