--- a/cmd/internal/cli/docscmd/live.go
+++ b/cmd/internal/cli/docscmd/live.go
@@ -62,7 +62,7 @@
 func liveBounds() map[string]string {
 	doc := singleItemDocument()
 	for _, item := range []any{&doc.Teams[0], &doc.Services[0], &doc.Pools[0], &doc.Endpoints[0], &doc.Links[0]} {
-		spoil(reflect.ValueOf(item).Elem())
+		setOutOfRange(reflect.ValueOf(item).Elem())
 	}
 	bounds := make(map[string]string)
 	for _, f := range live.Check(doc) {
@@ -84,7 +84,7 @@
 }
 
 // spoil sets every number of a struct to one that no range holds.
-func spoil(v reflect.Value) {
+func setOutOfRange(v reflect.Value) {
 	for i := range v.NumField() {
 		switch f := v.Field(i); f.Kind() {
 		case reflect.Int:
