--- a/cmd/internal/cli/docscmd/live.go
+++ b/cmd/internal/cli/docscmd/live.go
@@ -68,14 +68,14 @@
 	for _, f := range live.Check(doc) {
 		if _, text, ok := strings.Cut(f.Message, " is not between "); ok {
 			low, high, _ := strings.Cut(text, " and ")
-			bounds[f.Path] = "from " + plainNumber(low) + " to " + plainNumber(high)
+			bounds[f.Path] = "from " + formatDecimal(low) + " to " + formatDecimal(high)
 		}
 	}
 	return bounds
 }
 
 // plainNumber writes a number without an exponent.
-func plainNumber(text string) string {
+func formatDecimal(text string) string {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return text
