--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -24,10 +24,10 @@
 	cmd.InitDefaultHelpFlag()
 	cmd.InitDefaultVersionFlag()
 	fmt.Fprintf(b, "\n## %s\n\n", cmd.CommandPath())
-	fmt.Fprintf(b, "%s\n\n", block(cmd.UseLine()))
+	fmt.Fprintf(b, "%s\n\n", codeBlock(cmd.UseLine()))
 	fmt.Fprintf(b, "%s\n", prose(cmd.Long))
 	if cmd.Example != "" {
-		fmt.Fprintf(b, "\nExamples:\n\n%s\n", block(cmd.Example))
+		fmt.Fprintf(b, "\nExamples:\n\n%s\n", codeBlock(cmd.Example))
 	}
 	describeFlags(b, "Flags", cmd.LocalNonPersistentFlags())
 	describeFlags(b, "Flags of this and all below", cmd.PersistentFlags())
@@ -71,7 +71,7 @@
 }
 
 // block indents text, so that it is shown as it stands.
-func block(text string) string {
+func codeBlock(text string) string {
 	var lines []string
 	for _, line := range strings.Split(strings.Trim(text, "\n"), "\n") {
 		lines = append(lines, "    "+strings.TrimPrefix(line, "  "))
@@ -84,7 +84,7 @@
 	paragraphs := strings.Split(strings.TrimSpace(text), "\n\n")
 	for i, p := range paragraphs {
 		if title, list, ok := strings.Cut(p, ":\n  "); ok {
-			paragraphs[i] = title + ":\n\n" + block("  "+list)
+			paragraphs[i] = title + ":\n\n" + codeBlock("  "+list)
 		}
 	}
 	return strings.Join(paragraphs, "\n\n")
