--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -56,7 +56,7 @@
 			return
 		}
 		kind, usage := pflag.UnquoteUsage(f)
-		fmt.Fprintf(rows, "| `--%s` | %s | %s | %s |\n", f.Name, kind, code(defaultOf(f)), cell(usage))
+		fmt.Fprintf(rows, "| `--%s` | %s | %s | %s |\n", f.Name, kind, inlineCode(defaultOf(f)), cell(usage))
 	})
 	if rows.Len() > 0 {
 		fmt.Fprintf(b, "\n%s:\n\n| flag | value | default | meaning |\n|---|---|---|---|\n%s", title, rows)
@@ -91,7 +91,7 @@
 }
 
 // code shows a short text as code; nothing stays nothing.
-func code(text string) string {
+func inlineCode(text string) string {
 	if text == "" {
 		return ""
 	}
