--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -56,7 +56,7 @@
 			return
 		}
 		kind, usage := pflag.UnquoteUsage(f)
-		fmt.Fprintf(rows, "| `--%s` | %s | %s | %s |\n", f.Name, kind, inlineCode(defaultOf(f)), cell(usage))
+		fmt.Fprintf(rows, "| `--%s` | %s | %s | %s |\n", f.Name, kind, inlineCode(defaultOf(f)), tableCell(usage))
 	})
 	if rows.Len() > 0 {
 		fmt.Fprintf(b, "\n%s:\n\n| flag | value | default | meaning |\n|---|---|---|---|\n%s", title, rows)
@@ -95,10 +95,10 @@
 	if text == "" {
 		return ""
 	}
-	return "`" + cell(text) + "`"
+	return "`" + tableCell(text) + "`"
 }
 
 // cell makes a text fit into one cell of a table.
-func cell(text string) string {
+func tableCell(text string) string {
 	return strings.ReplaceAll(strings.Join(strings.Fields(text), " "), "|", "\\|")
 }
--- a/cmd/internal/cli/docscmd/fields.go
+++ b/cmd/internal/cli/docscmd/fields.go
@@ -99,6 +99,6 @@
 func (t *fieldTable) print(b *strings.Builder) {
 	b.WriteString("| field | value | default | range | meaning |\n|---|---|---|---|---|\n")
 	for _, r := range t.rows {
-		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", r.path, r.typeName, inlineCode(r.defaultValue), cell(r.bounds), cell(r.text))
+		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", r.path, r.typeName, inlineCode(r.defaultValue), tableCell(r.bounds), tableCell(r.text))
 	}
 }
--- a/cmd/internal/cli/docscmd/metrics.go
+++ b/cmd/internal/cli/docscmd/metrics.go
@@ -24,7 +24,7 @@
 		"What to do about them: [the on-call's handbook](../OPERATORS.md#alarms).\n\n" +
 		"| metric | type | unit | meaning |\n|---|---|---|---|\n")
 	for _, d := range f.Daemon(0).Metrics().Describe() {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", d.Name, d.Type, d.Unit, cell(d.Help))
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", d.Name, d.Type, d.Unit, tableCell(d.Help))
 	}
 	return b.String(), nil
 }
