--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -25,7 +25,7 @@
 	cmd.InitDefaultVersionFlag()
 	fmt.Fprintf(b, "\n## %s\n\n", cmd.CommandPath())
 	fmt.Fprintf(b, "%s\n\n", codeBlock(cmd.UseLine()))
-	fmt.Fprintf(b, "%s\n", prose(cmd.Long))
+	fmt.Fprintf(b, "%s\n", formatProse(cmd.Long))
 	if cmd.Example != "" {
 		fmt.Fprintf(b, "\nExamples:\n\n%s\n", codeBlock(cmd.Example))
 	}
@@ -80,7 +80,7 @@
 }
 
 // prose keeps paragraphs, and shows lists as they stand.
-func prose(text string) string {
+func formatProse(text string) string {
 	paragraphs := strings.Split(strings.TrimSpace(text), "\n\n")
 	for i, p := range paragraphs {
 		if title, list, ok := strings.Cut(p, ":\n  "); ok {
