--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -31,14 +31,14 @@
 	}
 	describeFlags(b, "Flags", cmd.LocalNonPersistentFlags())
 	describeFlags(b, "Flags of this and all below", cmd.PersistentFlags())
-	for _, sub := range subcommands(cmd) {
+	for _, sub := range visibleSubcommands(cmd) {
 		describeCommand(b, sub)
 	}
 }
 
 // subcommands are those that people see, by name. Cobra's own are left out:
 // they depend on whether the command has run.
-func subcommands(cmd *cobra.Command) []*cobra.Command {
+func visibleSubcommands(cmd *cobra.Command) []*cobra.Command {
 	var seen []*cobra.Command
 	for _, sub := range cmd.Commands() {
 		if !sub.Hidden && sub.Name() != "help" && sub.Name() != "completion" {
