--- a/cmd/internal/cli/docscmd/source.go
+++ b/cmd/internal/cli/docscmd/source.go
@@ -44,7 +44,7 @@
 		}
 		for _, decl := range file.Decls {
 			if general, ok := decl.(*ast.GenDecl); ok {
-				collect(docs, general)
+				collectStructs(docs, general)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // collect notes the structs of one declaration.
-func collect(docs map[string]structDoc, decl *ast.GenDecl) {
+func collectStructs(docs map[string]structDoc, decl *ast.GenDecl) {
 	for _, spec := range decl.Specs {
 		t, ok := spec.(*ast.TypeSpec)
 		if !ok {
