--- a/cmd/internal/cli/docscmd/source.go
+++ b/cmd/internal/cli/docscmd/source.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		if s, ok := t.Type.(*ast.StructType); ok {
-			docs[t.Name.Name] = structDoc{text: commentOf(decl.Doc), fields: fieldsOf(s)}
+			docs[t.Name.Name] = structDoc{text: commentText(decl.Doc), fields: fieldsOf(s)}
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	var fields []fieldDoc
 	text := ""
 	for _, f := range s.Fields.List {
-		if own := commentOf(f.Doc); own != "" {
+		if own := commentText(f.Doc); own != "" {
 			text = own
 		}
 		tag := tagOf(f)
@@ -95,6 +95,6 @@
 }
 
 // commentOf gives a comment as one line.
-func commentOf(group *ast.CommentGroup) string {
+func commentText(group *ast.CommentGroup) string {
 	return strings.Join(strings.Fields(group.Text()), " ")
 }
