--- a/cmd/internal/cli/experimentcmd/experiment.go
+++ b/cmd/internal/cli/experimentcmd/experiment.go
@@ -13,7 +13,7 @@
 )
 
 // listed is one experiment in the JSON list.
-type listed struct {
+type listEntry struct {
 	Name  string `json:"name"`
 	Short string `json:"short"`
 }
@@ -57,10 +57,10 @@
 }
 
 func list(cmd *cobra.Command, opts *common.Options) error {
-	var all []listed
+	var all []listEntry
 	rows := output.Rows{Header: []string{"NAME", "MEASURES"}}
 	for _, e := range experiment.All() {
-		all = append(all, listed{e.Name, e.Short})
+		all = append(all, listEntry{e.Name, e.Short})
 		rows.Add(e.Name, e.Short)
 	}
 	return output.Print(cmd.OutOrStdout(), opts.Output, all, rows)
