--- a/cmd/internal/cli/fleetcmd/explain.go
+++ b/cmd/internal/cli/fleetcmd/explain.go
@@ -13,7 +13,7 @@
 )
 
 // explainable are the kinds of things whose decisions are recorded.
-var explainable = []string{"request", "endpoint", "placement", "change"}
+var explainKinds = []string{"request", "endpoint", "placement", "change"}
 
 // Explain returns the command that shows the decisions about one thing.
 func Explain(opts *common.Options) *cobra.Command {
@@ -31,11 +31,11 @@
 		Example: `  samphirequay explain request 01J9ZQ4T5X3M8C0V7B2N6K1D4F
   samphirequay explain request 9c41d07be2a35f68 --logs /var/log/samphirequay
   samphirequay explain placement summariser-03`,
-		ValidArgs: explainable,
+		ValidArgs: explainKinds,
 		Args:      common.Args(cobra.ExactArgs(2)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if !slices.Contains(explainable, args[0]) {
-				return exit.Errorf(exit.Usage, "can't explain %q: known are %s", args[0], strings.Join(explainable, ", "))
+			if !slices.Contains(explainKinds, args[0]) {
+				return exit.Errorf(exit.Usage, "can't explain %q: known are %s", args[0], strings.Join(explainKinds, ", "))
 			}
 			if logs != "" {
 				return explainLogs(cmd, opts, args, logs)
