--- a/cmd/internal/cli/fleetcmd/explain.go
+++ b/cmd/internal/cli/fleetcmd/explain.go
@@ -38,7 +38,7 @@
 				return exit.Errorf(exit.Usage, "can't explain %q: known are %s", args[0], strings.Join(explainKinds, ", "))
 			}
 			if logs != "" {
-				return explainLogs(cmd, opts, args, logs)
+				return explainFromLogs(cmd, opts, args, logs)
 			}
 			client, err := opts.Client()
 			if err != nil {
--- a/cmd/internal/cli/fleetcmd/logs.go
+++ b/cmd/internal/cli/fleetcmd/logs.go
@@ -13,7 +13,7 @@
 )
 
 // explainLogs tells a request's story from log lines.
-func explainLogs(cmd *cobra.Command, opts *common.Options, args []string, path string) error {
+func explainFromLogs(cmd *cobra.Command, opts *common.Options, args []string, path string) error {
 	if args[0] != "request" {
 		return exit.Errorf(exit.Usage, "--logs explains requests, not a %s", args[0])
 	}
