--- a/cmd/internal/cli/fleetcmd/stop.go
+++ b/cmd/internal/cli/fleetcmd/stop.go
@@ -8,7 +8,7 @@
 )
 
 // stopAnswer is the JSON result of stop.
-type stopAnswer struct {
+type stopResult struct {
 	Daemon   string `json:"daemon"`
 	Stopping bool   `json:"stopping"`
 }
@@ -38,7 +38,7 @@
 			address := client.Address()
 			rows := output.Rows{}
 			rows.Add("stopping daemon=" + address)
-			return output.Print(cmd.OutOrStdout(), opts.Output, stopAnswer{Daemon: address, Stopping: true}, rows)
+			return output.Print(cmd.OutOrStdout(), opts.Output, stopResult{Daemon: address, Stopping: true}, rows)
 		},
 	}
 	opts.ConnectionFlags(cmd.Flags())
