--- a/cmd/internal/cli/fleetcmd/status.go
+++ b/cmd/internal/cli/fleetcmd/status.go
@@ -68,7 +68,7 @@
 func hostRows(s opapi.Status) output.Rows {
 	rows := output.Rows{Header: []string{"HOST", "STATE", "DOMAIN", "REVISION", "IN-FLIGHT", "INCARNATION"}}
 	for _, h := range s.Hosts {
-		rows.Add(string(h.Daemon), h.State, string(h.Domain), count(h.Revision), strconv.Itoa(h.InFlight), count(uint64(h.Incarnation)))
+		rows.Add(string(h.Daemon), h.State, string(h.Domain), formatCount(h.Revision), strconv.Itoa(h.InFlight), formatCount(uint64(h.Incarnation)))
 	}
 	return rows
 }
@@ -78,7 +78,7 @@
 	for _, p := range s.Pools {
 		rows.Add(string(p.Pool), string(p.Owner), strconv.Itoa(p.Prefill), strconv.Itoa(p.Decode), strconv.Itoa(p.Plain),
 			strconv.Itoa(p.Leaving), strconv.Itoa(p.Ejected), strconv.Itoa(p.Unreachable), strconv.Itoa(p.Queued), strconv.Itoa(p.Running),
-			strconv.Itoa(p.Slots), count(p.Answered), count(p.Refused))
+			strconv.Itoa(p.Slots), formatCount(p.Answered), formatCount(p.Refused))
 	}
 	return rows
 }
@@ -86,7 +86,7 @@
 func teamRows(s opapi.Status) output.Rows {
 	rows := output.Rows{Header: []string{"TEAM", "IN-FLIGHT", "ANSWERED", "REFUSED"}}
 	for _, t := range s.Teams {
-		rows.Add(string(t.Team), strconv.Itoa(t.InFlight), count(t.Answered), count(t.Refused))
+		rows.Add(string(t.Team), strconv.Itoa(t.InFlight), formatCount(t.Answered), formatCount(t.Refused))
 	}
 	return rows
 }
@@ -94,9 +94,9 @@
 func leaseRows(s opapi.Status) output.Rows {
 	rows := output.Rows{Header: []string{"LEASE", "HOLDER", "FENCE"}}
 	for _, l := range s.Leases {
-		rows.Add(l.Duty, string(l.Holder), count(l.Fence))
+		rows.Add(l.Duty, string(l.Holder), formatCount(l.Fence))
 	}
 	return rows
 }
 
-func count(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatCount(n uint64) string { return strconv.FormatUint(n, 10) }
