--- a/cmd/internal/cli/itemcmd/items.go
+++ b/cmd/internal/cli/itemcmd/items.go
@@ -18,7 +18,7 @@
 )
 
 // about says what each kind is.
-var about = map[live.Kind]string{
+var kindDescriptions = map[live.Kind]string{
 	live.KindTeam:     "A team is a party that sends requests and trusts no other team.",
 	live.KindService:  "A service is what callers name in a request: a model or a plain service.",
 	live.KindPool:     "A pool is a set of endpoints chosen by their labels.",
@@ -39,7 +39,7 @@
 	cmd := &cobra.Command{
 		Use:     string(kind),
 		Short:   fmt.Sprintf("List, read, put and delete %ss", kind),
-		Long:    about[kind],
+		Long:    kindDescriptions[kind],
 		Example: fmt.Sprintf("  samphirequay %s list --operators 127.0.0.1:7102", kind),
 		Args:    common.Args(cobra.NoArgs),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
