--- a/cmd/internal/cli/itemcmd/table.go
+++ b/cmd/internal/cli/itemcmd/table.go
@@ -30,7 +30,7 @@
 func cells(value any) []string {
 	switch v := value.(type) {
 	case *live.Team:
-		return []string{string(v.Name), number(v.Weight), strconv.Itoa(v.MaxInFlight), limit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
+		return []string{string(v.Name), number(v.Weight), strconv.Itoa(v.MaxInFlight), formatLimit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
 	case *live.Service:
 		return []string{string(v.Name), string(v.Type), string(v.Pool), strconv.Itoa(v.FirstTokenTargetMS), strconv.Itoa(v.TokenPaceTargetMS), orDash(v.TeamSelector), common.LabelText(v.Labels)}
 	case *live.Pool:
@@ -45,7 +45,7 @@
 }
 
 // limit shows a team's limit as RATE+BURST, in tokens or requests.
-func limit(t *live.Team) string {
+func formatLimit(t *live.Team) string {
 	if !t.Limit().Limited() {
 		return "-"
 	}
