--- a/cmd/internal/cli/itemcmd/table.go
+++ b/cmd/internal/cli/itemcmd/table.go
@@ -30,7 +30,7 @@
 func cells(value any) []string {
 	switch v := value.(type) {
 	case *live.Team:
-		return []string{string(v.Name), number(v.Weight), strconv.Itoa(v.MaxInFlight), formatLimit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
+		return []string{string(v.Name), formatNumber(v.Weight), strconv.Itoa(v.MaxInFlight), formatLimit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
 	case *live.Service:
 		return []string{string(v.Name), string(v.Type), string(v.Pool), strconv.Itoa(v.FirstTokenTargetMS), strconv.Itoa(v.TokenPaceTargetMS), orDash(v.TeamSelector), common.LabelText(v.Labels)}
 	case *live.Pool:
@@ -38,7 +38,7 @@
 	case *live.Endpoint:
 		return []string{string(v.Name), v.Address, string(v.Domain), strconv.Itoa(v.Slots), strconv.FormatBool(v.ChecksFencing), common.LabelText(v.Labels)}
 	case *live.Link:
-		return []string{v.Name, string(v.From), string(v.To), number(v.BytesPerSecond / 1e6)}
+		return []string{v.Name, string(v.From), string(v.To), formatNumber(v.BytesPerSecond / 1e6)}
 	default:
 		return nil
 	}
@@ -53,10 +53,10 @@
 	if t.LimitByTokens {
 		unit = "tokens/s"
 	}
-	return number(t.LimitPerSecond) + "+" + number(t.LimitBurst) + " " + unit
+	return formatNumber(t.LimitPerSecond) + "+" + formatNumber(t.LimitBurst) + " " + unit
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
 func orDash(text string) string {
 	if text == "" {
