--- a/cmd/internal/cli/itemcmd/table.go
+++ b/cmd/internal/cli/itemcmd/table.go
@@ -22,12 +22,12 @@
 func table(kind live.Kind, items []document.Item) output.Rows {
 	rows := output.Rows{Header: headers[kind]}
 	for _, item := range items {
-		rows.Add(cells(item.Value)...)
+		rows.Add(itemCells(item.Value)...)
 	}
 	return rows
 }
 
-func cells(value any) []string {
+func itemCells(value any) []string {
 	switch v := value.(type) {
 	case *live.Team:
 		return []string{string(v.Name), formatNumber(v.Weight), strconv.Itoa(v.MaxInFlight), formatLimit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
