--- a/cmd/internal/cli/keyscmd/keys.go
+++ b/cmd/internal/cli/keyscmd/keys.go
@@ -33,7 +33,7 @@
 }
 
 // initAnswer is the JSON result of init.
-type initAnswer struct {
+type initResult struct {
 	Dir     string   `json:"dir"`
 	Daemons []string `json:"daemons"`
 	CA      string   `json:"ca"`
@@ -77,7 +77,7 @@
 	if err := ca.WriteFiles(dir, names, hosts...); err != nil {
 		return err
 	}
-	answer := initAnswer{Dir: dir, Daemons: daemons, CA: keys.PeerFiles(dir, names[0]).CA}
+	answer := initResult{Dir: dir, Daemons: daemons, CA: keys.PeerFiles(dir, names[0]).CA}
 	rows := output.Rows{}
 	rows.Add(fmt.Sprintf("dir=%s ca=%s daemons=%s", answer.Dir, answer.CA, strings.Join(daemons, ",")))
 	return output.Print(cmd.OutOrStdout(), opts.Output, answer, rows)
