--- a/cmd/internal/cli/keyscmd/keys.go
+++ b/cmd/internal/cli/keyscmd/keys.go
@@ -84,7 +84,7 @@
 }
 
 // hashAnswer is the JSON result of hash.
-type hashAnswer struct {
+type hashResult struct {
 	// Key is set if the command made it.
 	Key  string `json:"key,omitempty"`
 	Hash string `json:"hash"`
@@ -118,10 +118,10 @@
 	return cmd
 }
 
-func hashKey(cmd *cobra.Command, generate bool) (hashAnswer, error) {
+func hashKey(cmd *cobra.Command, generate bool) (hashResult, error) {
 	if generate {
 		key := rand.Text()
-		return hashAnswer{Key: key, Hash: keys.Hash(key)}, nil
+		return hashResult{Key: key, Hash: keys.Hash(key)}, nil
 	}
 	line, err := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 	key := strings.TrimSpace(line)
@@ -129,7 +129,7 @@
 		if err == nil {
 			err = fmt.Errorf("the first line is empty")
 		}
-		return hashAnswer{}, exit.Errorf(exit.Usage, "no key on the standard input: %w", err)
+		return hashResult{}, exit.Errorf(exit.Usage, "no key on the standard input: %w", err)
 	}
-	return hashAnswer{Hash: keys.Hash(key)}, nil
+	return hashResult{Hash: keys.Hash(key)}, nil
 }
