--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -23,7 +23,7 @@
 )
 
 // both is the value of --deployment for all deployments.
-const both = "both"
+const bothDeployments = "both"
 
 // The load of a local run. It is light, and its prompts are bounded, so that
 // every request can be answered within its targets.
@@ -67,7 +67,7 @@
 	}
 	fs := cmd.Flags()
 	fs.IntVar(&f.requests, "requests", 0, "send so many requests and end; 0 stays up")
-	fs.StringVar(&f.deployment, "deployment", both, "bunker, companeros or both")
+	fs.StringVar(&f.deployment, "deployment", bothDeployments, "bunker, companeros or both")
 	fs.Uint64Var(&f.seed, "seed", 1, "seed of arrivals and prompts")
 	fs.IntVar(&f.daemons, "daemons", 1, "how many daemons to start")
 	return cmd
@@ -80,7 +80,7 @@
 		return []experiment.Deployment{experiment.Bunker()}, nil
 	case load.ProfileCompaneros:
 		return []experiment.Deployment{experiment.Companeros()}, nil
-	case both:
+	case bothDeployments:
 		return experiment.Deployments(), nil
 	default:
 		return nil, exit.Errorf(exit.Usage, "unknown deployment %q: known are bunker, companeros and both", name)
