--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -55,7 +55,7 @@
   samphirequay local --deployment bunker`,
 		Args: common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			deployments, err := chosen(f.deployment)
+			deployments, err := deploymentsByName(f.deployment)
 			if err != nil {
 				return err
 			}
@@ -74,7 +74,7 @@
 }
 
 // chosen returns the deployments that a name stands for.
-func chosen(name string) ([]experiment.Deployment, error) {
+func deploymentsByName(name string) ([]experiment.Deployment, error) {
 	switch name {
 	case load.ProfileBunker:
 		return []experiment.Deployment{experiment.Bunker()}, nil
--- a/cmd/internal/cli/localcmd/local_test.go
+++ b/cmd/internal/cli/localcmd/local_test.go
@@ -48,7 +48,7 @@
 
 func TestUnknownDeploymentIsWrongUsage(t *testing.T) {
 	is := is.New(t)
-	_, err := chosen("weather")
+	_, err := deploymentsByName("weather")
 	is.Equal(exit.Code(err), exit.Usage)
 }
 
