--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -101,7 +101,7 @@
 	}
 	defer fl.Close()
 	if f.requests == 0 {
-		return stay(cmd, fl, teams)
+		return runUntilInterrupted(cmd, fl, teams)
 	}
 	res, err := send(cmd, fl, teams, f)
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 // stay prints how to send a request and waits for an interrupt.
-func stay(cmd *cobra.Command, fl *fleet.Fleet, teams []load.Team) error {
+func runUntilInterrupted(cmd *cobra.Command, fl *fleet.Fleet, teams []load.Team) error {
 	out := cmd.OutOrStdout()
 	address := fl.CallerAddresses()[0]
 	for _, t := range teams {
