--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -103,7 +103,7 @@
 	if f.requests == 0 {
 		return runUntilInterrupted(cmd, fl, teams)
 	}
-	res, err := send(cmd, fl, teams, f)
+	res, err := sendRequests(cmd, fl, teams, f)
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 }
 
 // send sends the requests, with a progress bar on a terminal.
-func send(cmd *cobra.Command, fl *fleet.Fleet, teams []load.Team, f flags) (*load.Result, error) {
+func sendRequests(cmd *cobra.Command, fl *fleet.Fleet, teams []load.Team, f flags) (*load.Result, error) {
 	for i := range teams {
 		teams[i].Profile.MaxPromptTokens = maxPromptTokens
 	}
