--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -156,7 +156,7 @@
 }
 
 // answer is the JSON result.
-type answer struct {
+type result struct {
 	Result *load.Result `json:"result"`
 	Work   fleet.Work   `json:"work"`
 }
@@ -167,7 +167,7 @@
 	rows := output.Rows{}
 	rows.Add(fmt.Sprintf("requests=%d answered=%d lost=%d doubled=%d wasted_prefill=%.1f%% ttft_p95=%.0fms pace_p95=%.0fms",
 		t.Requests, t.Answered, t.Lost, t.Doubled, 100*work.WastedShare(), t.TTFT.P95MS, t.Pace.P95MS))
-	if err := output.Print(cmd.OutOrStdout(), opts.Output, answer{res, work}, rows); err != nil {
+	if err := output.Print(cmd.OutOrStdout(), opts.Output, result{res, work}, rows); err != nil {
 		return err
 	}
 	if err := context.Cause(cmd.Context()); err != nil {
