--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -181,7 +181,7 @@
 }
 
 // bar is a progress bar, or nothing where there is no terminal.
-type bar struct{ shown *progressbar.ProgressBar }
+type bar struct{ progress *progressbar.ProgressBar }
 
 // progress returns a bar if w is a terminal.
 func progress(w io.Writer, total int) bar {
@@ -203,15 +203,15 @@
 
 // add counts one request.
 func (b bar) add() {
-	if b.shown != nil {
+	if b.progress != nil {
 		// A bar that can't be drawn must not end the run.
-		_ = b.shown.Add(1)
+		_ = b.progress.Add(1)
 	}
 }
 
 // close ends the bar.
 func (b bar) close() {
-	if b.shown != nil {
-		_ = b.shown.Finish()
+	if b.progress != nil {
+		_ = b.progress.Finish()
 	}
 }
