--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -146,7 +146,7 @@
 	for i := range teams {
 		teams[i].Profile.MaxPromptTokens = maxPromptTokens
 	}
-	bar := progress(cmd.ErrOrStderr(), f.requests)
+	bar := newBar(cmd.ErrOrStderr(), f.requests)
 	defer bar.close()
 	return load.Run(cmd.Context(), load.Spec{
 		Entry: fl.CallerAddresses(), Teams: teams, Seed: f.seed,
@@ -184,7 +184,7 @@
 type bar struct{ progress *progressbar.ProgressBar }
 
 // progress returns a bar if w is a terminal.
-func progress(w io.Writer, total int) bar {
+func newBar(w io.Writer, total int) bar {
 	file, ok := w.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
 		return bar{}
