--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -193,13 +193,13 @@
 		progressbar.OptionSetWriter(file),
 		progressbar.OptionSetDescription("requests"),
 		progressbar.OptionShowCount(),
-		progressbar.OptionThrottle(barPause),
+		progressbar.OptionThrottle(barRedrawInterval),
 		progressbar.OptionClearOnFinish(),
 	)}
 }
 
 // barPause is the time between two drawings of the bar.
-const barPause = 65 * time.Millisecond
+const barRedrawInterval = 65 * time.Millisecond
 
 // add counts one request.
 func (b bar) add() {
