--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -30,7 +30,7 @@
 const (
 	requestTimeout = 10 * time.Second
 	maxAnswerBytes = 64 << 20
-	rounds         = 3
+	maxRounds      = 3
 	firstPause     = 200 * time.Millisecond
 	maxPause       = 2 * time.Second
 )
@@ -109,7 +109,7 @@
 	pause.MaxInterval = maxPause
 	var last error
 	doubt := false
-	for round := range rounds {
+	for round := range maxRounds {
 		if round > 0 && !wait(ctx, pause.NextBackOff()) {
 			break
 		}
