--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -31,7 +31,7 @@
 	requestTimeout = 10 * time.Second
 	maxAnswerBytes = 64 << 20
 	maxRounds      = 3
-	firstPause     = 200 * time.Millisecond
+	initialBackoff = 200 * time.Millisecond
 	maxPause       = 2 * time.Second
 )
 
@@ -105,7 +105,7 @@
 // call goes round the addresses until one answers with more than "unavailable".
 func (c *Client) call(ctx context.Context, method, path string, body []byte, answer any) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstPause
+	pause.InitialInterval = initialBackoff
 	pause.MaxInterval = maxPause
 	var last error
 	doubt := false
