--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -32,7 +32,7 @@
 	maxAnswerBytes = 64 << 20
 	maxRounds      = 3
 	initialBackoff = 200 * time.Millisecond
-	maxPause       = 2 * time.Second
+	maxBackoff     = 2 * time.Second
 )
 
 // Config says how to reach the daemons.
@@ -106,7 +106,7 @@
 func (c *Client) call(ctx context.Context, method, path string, body []byte, answer any) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = initialBackoff
-	pause.MaxInterval = maxPause
+	pause.MaxInterval = maxBackoff
 	var last error
 	doubt := false
 	for round := range maxRounds {
