--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -28,11 +28,11 @@
 
 // Bounds of the client.
 const (
-	requestTimeout = 10 * time.Second
-	maxAnswerBytes = 64 << 20
-	maxRounds      = 3
-	initialBackoff = 200 * time.Millisecond
-	maxBackoff     = 2 * time.Second
+	requestTimeout   = 10 * time.Second
+	maxResponseBytes = 64 << 20
+	maxRounds        = 3
+	initialBackoff   = 200 * time.Millisecond
+	maxBackoff       = 2 * time.Second
 )
 
 // Config says how to reach the daemons.
@@ -147,7 +147,7 @@
 		return !isDialError(err), exit.Errorf(exit.Unavailable, "daemon %s: %w", address, unwrapURL(err))
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return true, exit.Errorf(exit.Unavailable, "daemon %s: answer cut: %w", address, err)
 	}
