--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -114,7 +114,7 @@
 			break
 		}
 		for _, address := range c.config.Addresses {
-			mayHaveRun, err := c.once(ctx, address, method, path, body, answer, doubt)
+			mayHaveRun, err := c.callOnce(ctx, address, method, path, body, answer, doubt)
 			if exit.Code(err) != exit.Unavailable {
 				return err
 			}
@@ -130,7 +130,7 @@
 
 // once asks one daemon. doubt says that an earlier send of the same body may
 // have run; so does the result of this one.
-func (c *Client) once(ctx context.Context, address, method, path string, body []byte, answer any, doubt bool) (mayHaveRun bool, err error) {
+func (c *Client) callOnce(ctx context.Context, address, method, path string, body []byte, answer any, doubt bool) (mayHaveRun bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return false, exit.Errorf(exit.Usage, "address %q: %w", address, err)
