--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -153,7 +153,7 @@
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		notRun := resp.Header.Get(opapi.HeaderVerdict) == verdict.NotRun.String()
-		return !notRun, refusal(address, resp.StatusCode, raw)
+		return !notRun, responseError(address, resp.StatusCode, raw)
 	}
 	if answer == nil || len(raw) == 0 {
 		return false, nil
@@ -165,7 +165,7 @@
 }
 
 // refusal turns an error answer into an error with an exit code.
-func refusal(address string, status int, raw []byte) error {
+func responseError(address string, status int, raw []byte) error {
 	var body opapi.ErrorBody
 	message := ""
 	if json.Unmarshal(raw, &body) == nil {
