--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -144,7 +144,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return !isDialError(err), exit.Errorf(exit.Unavailable, "daemon %s: %w", address, unwrapURL(err))
+		return !isDialError(err), exit.Errorf(exit.Unavailable, "daemon %s: %w", address, unwrapURLError(err))
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
@@ -191,7 +191,7 @@
 }
 
 // unwrapURL takes off the method and the URL that net/http adds.
-func unwrapURL(err error) error {
+func unwrapURLError(err error) error {
 	var wrapped *url.Error
 	if errors.As(err, &wrapped) {
 		return wrapped.Err
