--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -110,7 +110,7 @@
 	var last error
 	doubt := false
 	for round := range maxRounds {
-		if round > 0 && !wait(ctx, pause.NextBackOff()) {
+		if round > 0 && !sleep(ctx, pause.NextBackOff()) {
 			break
 		}
 		for _, address := range c.config.Addresses {
@@ -199,7 +199,7 @@
 	return err
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
