--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -108,7 +108,7 @@
 		{"mean time of late answers, ms", lateRows(a)},
 		{"refusals that did not run, ms before they came", refusalRows(a)},
 		{"attempts that were not answered", reasonRows(a)},
-		{"prompts read in vain", vainRows(a)},
+		{"prompts read in vain", wastedRows(a)},
 		{"by second of arrival", secondRows(a)},
 		{"pools", poolRows(a)},
 	}
@@ -193,7 +193,7 @@
 	return rows
 }
 
-func vainRows(a *account.Account) output.Rows {
+func wastedRows(a *account.Account) output.Rows {
 	rows := output.Rows{Header: []string{"CAUSE", "PROMPTS", "TOKENS"}}
 	for _, v := range a.Vain {
 		rows.Add(append([]string{v.Cause}, numbers(v.Count, v.Tokens)...)...)
