--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -141,7 +141,7 @@
 	return out
 }
 
-func tenths(all ...float64) []string {
+func formatTenths(all ...float64) []string {
 	var out []string
 	for _, x := range all {
 		out = append(out, strconv.FormatFloat(x, 'f', 1, 64))
@@ -167,7 +167,7 @@
 			continue
 		}
 		t := r.LateTime
-		cells := append([]string{r.Name, strconv.Itoa(r.Late)}, tenths(t.Return, t.Queue, t.Prefill, t.Retries, t.Rest)...)
+		cells := append([]string{r.Name, strconv.Itoa(r.Late)}, formatTenths(t.Return, t.Queue, t.Prefill, t.Retries, t.Rest)...)
 		rows.Add(append(cells, strconv.Itoa(t.Paused))...)
 	}
 	return rows
@@ -178,7 +178,7 @@
 	for i := range a.Routes {
 		r := &a.Routes[i]
 		if w := r.Refusals; w.Count > 0 {
-			cells := append([]string{r.Name, strconv.Itoa(w.Count)}, tenths(w.P50, w.P90, w.Max)...)
+			cells := append([]string{r.Name, strconv.Itoa(w.Count)}, formatTenths(w.P50, w.P90, w.Max)...)
 			rows.Add(append(cells, strconv.Itoa(w.Back))...)
 		}
 	}
