--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -130,10 +130,10 @@
 }
 
 func countCells(c *account.Counts) []string {
-	return numbers(c.Asked, c.InTime, c.Late, c.Refused, c.Failed, c.Left, c.NoEnd)
+	return formatInts(c.Asked, c.InTime, c.Late, c.Refused, c.Failed, c.Left, c.NoEnd)
 }
 
-func numbers(all ...int) []string {
+func formatInts(all ...int) []string {
 	var out []string
 	for _, n := range all {
 		out = append(out, strconv.Itoa(n))
@@ -154,7 +154,7 @@
 	for i := range a.Routes {
 		r := &a.Routes[i]
 		cells := append([]string{r.Name, r.Kind}, countCells(&r.Counts)...)
-		rows.Add(append(cells, numbers(r.CameBack, r.Served)...)...)
+		rows.Add(append(cells, formatInts(r.CameBack, r.Served)...)...)
 	}
 	return rows
 }
@@ -196,7 +196,7 @@
 func wastedRows(a *account.Account) output.Rows {
 	rows := output.Rows{Header: []string{"CAUSE", "PROMPTS", "TOKENS"}}
 	for _, v := range a.Vain {
-		rows.Add(append([]string{v.Cause}, numbers(v.Count, v.Tokens)...)...)
+		rows.Add(append([]string{v.Cause}, formatInts(v.Count, v.Tokens)...)...)
 	}
 	return rows
 }
@@ -214,7 +214,7 @@
 func poolRows(a *account.Account) output.Rows {
 	rows := output.Rows{Header: []string{"SECOND", "POOL", "PREFILL", "WORKING", "DECODE", "RUNNING", "MEMORY HELD", "QUEUED"}}
 	for _, p := range a.Pools {
-		cells := append([]string{strconv.FormatFloat(p.AtSeconds, 'f', 1, 64), p.Pool}, numbers(p.Prefills, p.Working, p.Decodes, p.Running)...)
+		cells := append([]string{strconv.FormatFloat(p.AtSeconds, 'f', 1, 64), p.Pool}, formatInts(p.Prefills, p.Working, p.Decodes, p.Running)...)
 		rows.Add(append(cells, fmt.Sprintf("%.0f%%", 100*p.MemoryHeld), strconv.Itoa(p.Queued))...)
 	}
 	return rows
