--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -53,7 +53,7 @@
 	if f.logs == "" {
 		return exit.Errorf(exit.Usage, "--logs is required: a file, a folder, or - for standard input")
 	}
-	span, err := f.span()
+	span, err := f.arrivalBounds()
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 }
 
 // span reads the bounds of the arrivals.
-func (f *flags) span() (account.Options, error) {
+func (f *flags) arrivalBounds() (account.Options, error) {
 	var o account.Options
 	for _, bound := range []struct {
 		flag, text string
