--- a/cmd/internal/cli/reportcmd/report_test.go
+++ b/cmd/internal/cli/reportcmd/report_test.go
@@ -16,7 +16,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/cli/output"
 )
 
-const day = "../../account/testdata/day.log"
+const dayLog = "../../account/testdata/day.log"
 
 func report(format string, stdin string, args ...string) (string, error) {
 	var out bytes.Buffer
@@ -33,14 +33,14 @@
 func TestTheReportOfADay(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	text, err := report(output.Table, "", "--logs", day, "--out", dir)
+	text, err := report(output.Table, "", "--logs", dayLog, "--out", dir)
 	is.NoErr(err)
 	for _, part := range []string{"requests by route", "prompts read in vain", "no decode: overloaded", "125 lines, 0.00% of all could not be read"} {
 		is.True(strings.Contains(text, part))
 	}
 	_, err = os.Stat(filepath.Join(dir, "roles.svg"))
 	is.NoErr(err)
-	raw, err := report(output.JSON, "", "--logs", day)
+	raw, err := report(output.JSON, "", "--logs", dayLog)
 	is.NoErr(err)
 	var a account.Account
 	is.NoErr(json.Unmarshal([]byte(raw), &a))
@@ -56,8 +56,8 @@
 	}{
 		{"no logs named", "--logs is required", exit.Usage, "", nil},
 		{"no such file", "nowhere.log", exit.Failed, "", []string{"--logs", "nowhere.log"}},
-		{"a bad time", "--from \"noon\" is no time", exit.Usage, "", []string{"--logs", day, "--from", "noon"}},
-		{"an empty span", "is not before", exit.Usage, "", []string{"--logs", day, "--from", "2026-03-24T23:45:00Z", "--to", "2026-03-24T23:44:00Z"}},
+		{"a bad time", "--from \"noon\" is no time", exit.Usage, "", []string{"--logs", dayLog, "--from", "noon"}},
+		{"an empty span", "is not before", exit.Usage, "", []string{"--logs", dayLog, "--from", "2026-03-24T23:45:00Z", "--to", "2026-03-24T23:44:00Z"}},
 		{"other text", "no line tells of the end of a request", exit.Failed, "hello\n", []string{"--logs", "-"}},
 	}
 	for _, c := range cases {
