--- a/cmd/internal/cli/standincmd/standin.go
+++ b/cmd/internal/cli/standincmd/standin.go
@@ -131,12 +131,12 @@
 }
 
 // started is one stand-in that runs.
-type started interface {
+type starter interface {
 	Start(addr string) (*standin.Server, error)
 }
 
 // runOne runs one stand-in until the end.
-func runOne(cmd *cobra.Command, listen string, s started) error {
+func runOne(cmd *cobra.Command, listen string, s starter) error {
 	server, err := s.Start(listen)
 	if err != nil {
 		return err
