--- a/cmd/internal/cli/standincmd/standin.go
+++ b/cmd/internal/cli/standincmd/standin.go
@@ -109,7 +109,7 @@
 	if err := output.PrintJSON(cmd.OutOrStdout(), platform.Addresses()); err != nil {
 		return err
 	}
-	return untilEnd(cmd.Context())
+	return waitForInterrupt(cmd.Context())
 }
 
 func writeDocument(path string, doc live.Document) error {
@@ -125,7 +125,7 @@
 }
 
 // untilEnd waits for an interrupt, which is the usual end.
-func untilEnd(ctx context.Context) error {
+func waitForInterrupt(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
@@ -145,7 +145,7 @@
 	if _, err := fmt.Fprintf(cmd.OutOrStdout(), "listen=%s\n", server.Addr()); err != nil {
 		return err
 	}
-	return untilEnd(cmd.Context())
+	return waitForInterrupt(cmd.Context())
 }
 
 func listenFlag(cmd *cobra.Command, listen *string) {
