--- a/cmd/internal/cli/standincmd/single.go
+++ b/cmd/internal/cli/standincmd/single.go
@@ -19,7 +19,7 @@
 		Example: "  samphirequay standin engine --listen 127.0.0.1:7301 --name engine-1 --role decode",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runOne(cmd, listen, standin.NewEngine(cfg))
+			return runStandIn(cmd, listen, standin.NewEngine(cfg))
 		},
 	}
 	listenFlag(cmd, &listen)
@@ -45,7 +45,7 @@
 		Example: "  samphirequay standin plain --listen 127.0.0.1:7302 --name order-desk-1",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runOne(cmd, listen, standin.NewPlainService(cfg))
+			return runStandIn(cmd, listen, standin.NewPlainService(cfg))
 		},
 	}
 	listenFlag(cmd, &listen)
@@ -67,7 +67,7 @@
 		Example: "  samphirequay standin table --listen 127.0.0.1:7303",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runOne(cmd, listen, standin.NewTable(standin.TableConfig{}))
+			return runStandIn(cmd, listen, standin.NewTable(standin.TableConfig{}))
 		},
 	}
 	listenFlag(cmd, &listen)
--- a/cmd/internal/cli/standincmd/standin.go
+++ b/cmd/internal/cli/standincmd/standin.go
@@ -136,7 +136,7 @@
 }
 
 // runOne runs one stand-in until the end.
-func runOne(cmd *cobra.Command, listen string, s starter) error {
+func runStandIn(cmd *cobra.Command, listen string, s starter) error {
 	server, err := s.Start(listen)
 	if err != nil {
 		return err
