--- a/cmd/internal/cli/strict/strict.go
+++ b/cmd/internal/cli/strict/strict.go
@@ -14,13 +14,13 @@
 
 // Error is a fault in a file.
 type Error struct {
-	File string
-	Line int
-	What string
+	File    string
+	Line    int
+	Message string
 }
 
 // Error implements error.
-func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What) }
+func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Message) }
 
 // Decode reads text, the content of file, into out, which must be a pointer.
 func Decode(file string, text []byte, out any) error {
@@ -47,7 +47,7 @@
 	if n, _ := fmt.Sscanf(message, "line %d, column %d:", &line, &column); n == 2 {
 		_, message, _ = strings.Cut(message, ": ")
 	}
-	return &Error{File: file, Line: max(line, 1), What: message}
+	return &Error{File: file, Line: max(line, 1), Message: message}
 }
 
 // decodeError finds the line of a value of the wrong type. Standardizing keeps
@@ -56,9 +56,9 @@
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		what := fmt.Sprintf("field %q: a %s does not fit, want %s", wrongType.Field, wrongType.Value, wrongType.Type)
-		return &Error{File: file, Line: lineAt(text, int(wrongType.Offset)), What: what}
+		return &Error{File: file, Line: lineAt(text, int(wrongType.Offset)), Message: what}
 	}
-	return &Error{File: file, Line: 1, What: err.Error()}
+	return &Error{File: file, Line: 1, Message: err.Error()}
 }
 
 // walker checks the names of a value's fields against a Go type.
@@ -111,7 +111,7 @@
 }
 
 func (w walker) fault(m *hujson.ObjectMember, format string, args ...any) error {
-	return &Error{File: w.file, Line: lineAt(w.text, m.Name.StartOffset), What: fmt.Sprintf(format, args...)}
+	return &Error{File: w.file, Line: lineAt(w.text, m.Name.StartOffset), Message: fmt.Sprintf(format, args...)}
 }
 
 func within(path string) string {
