--- a/cmd/internal/cli/strict/strict.go
+++ b/cmd/internal/cli/strict/strict.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return syntaxError(file, err)
 	}
-	w := walker{file: file, text: text}
+	w := fieldChecker{file: file, text: text}
 	if err := w.check(&value, reflect.TypeOf(out).Elem(), ""); err != nil {
 		return err
 	}
@@ -62,12 +62,12 @@
 }
 
 // walker checks the names of a value's fields against a Go type.
-type walker struct {
+type fieldChecker struct {
 	file string
 	text []byte
 }
 
-func (w walker) check(v *hujson.Value, t reflect.Type, path string) error {
+func (w fieldChecker) check(v *hujson.Value, t reflect.Type, path string) error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (w walker) object(o *hujson.Object, t reflect.Type, path string) error {
+func (w fieldChecker) object(o *hujson.Object, t reflect.Type, path string) error {
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (w walker) fault(m *hujson.ObjectMember, format string, args ...any) error {
+func (w fieldChecker) fault(m *hujson.ObjectMember, format string, args ...any) error {
 	return &Error{File: w.file, Line: lineAt(w.text, m.Name.StartOffset), Message: fmt.Sprintf(format, args...)}
 }
 
