--- a/cmd/internal/cli/strict/strict.go
+++ b/cmd/internal/cli/strict/strict.go
@@ -29,7 +29,7 @@
 		return syntaxError(file, err)
 	}
 	w := fieldChecker{file: file, text: text}
-	if err := w.check(&value, reflect.TypeOf(out).Elem(), ""); err != nil {
+	if err := w.checkValue(&value, reflect.TypeOf(out).Elem(), ""); err != nil {
 		return err
 	}
 	value.Standardize()
@@ -67,7 +67,7 @@
 	text []byte
 }
 
-func (w fieldChecker) check(v *hujson.Value, t reflect.Type, path string) error {
+func (w fieldChecker) checkValue(v *hujson.Value, t reflect.Type, path string) error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -79,7 +79,7 @@
 			return nil
 		}
 		for i := range value.Elements {
-			if err := w.check(&value.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+			if err := w.checkValue(&value.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return err
 			}
 		}
@@ -103,7 +103,7 @@
 			return w.fault(m, "field %q%s stands twice", name, within(path))
 		}
 		seen[name] = true
-		if err := w.check(&m.Value, field.Type, strings.TrimPrefix(path+"."+name, ".")); err != nil {
+		if err := w.checkValue(&m.Value, field.Type, strings.TrimPrefix(path+"."+name, ".")); err != nil {
 			return err
 		}
 	}
