--- a/cmd/internal/cli/strict/strict.go
+++ b/cmd/internal/cli/strict/strict.go
@@ -73,7 +73,7 @@
 	}
 	switch value := v.Value.(type) {
 	case *hujson.Object:
-		return w.object(value, t, path)
+		return w.checkObject(value, t, path)
 	case *hujson.Array:
 		if t.Kind() != reflect.Slice {
 			return nil
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (w fieldChecker) object(o *hujson.Object, t reflect.Type, path string) error {
+func (w fieldChecker) checkObject(o *hujson.Object, t reflect.Type, path string) error {
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
