--- a/cmd/internal/cli/strict/strict.go
+++ b/cmd/internal/cli/strict/strict.go
@@ -97,10 +97,10 @@
 		name := m.Name.Value.(hujson.Literal).String()
 		field, known := fieldOf(t, name)
 		if !known {
-			return w.fault(m, "unknown field %q%s", name, within(path))
+			return w.fault(m, "unknown field %q%s", name, pathSuffix(path))
 		}
 		if seen[name] {
-			return w.fault(m, "field %q%s stands twice", name, within(path))
+			return w.fault(m, "field %q%s stands twice", name, pathSuffix(path))
 		}
 		seen[name] = true
 		if err := w.checkValue(&m.Value, field.Type, strings.TrimPrefix(path+"."+name, ".")); err != nil {
@@ -114,7 +114,7 @@
 	return &Error{File: w.file, Line: lineAt(w.text, m.Name.StartOffset), Message: fmt.Sprintf(format, args...)}
 }
 
-func within(path string) string {
+func pathSuffix(path string) string {
 	if path == "" {
 		return ""
 	}
