--- a/cmd/internal/version/version.go
+++ b/cmd/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells which build of the binaries runs.
+// Package version describes the build of the running binary.
 package version
 
 import (
@@ -36,7 +36,7 @@
 	return info
 }
 
-// Line gives the description as one line for a binary.
+// Line formats the description as one line for a binary.
 func (i Info) Line(binary string) string {
 	return fmt.Sprintf("%s version=%s revision=%s modified=%t go=%s", binary, i.Version, i.Revision, i.Modified, i.Go)
 }
