--- a/cmd/samphirequay/main.go
+++ b/cmd/samphirequay/main.go
@@ -1,4 +1,5 @@
-// Command samphirequay is for people: operators, newcomers and experiments.
+// Command samphirequay is the command line for operators, newcomers and
+// experiments.
 package main
 
 import (
--- a/cmd/samphirequayd/main.go
+++ b/cmd/samphirequayd/main.go
@@ -1,4 +1,4 @@
-// Command samphirequayd is the daemon that every entry host runs.
+// Command samphirequayd is the daemon that runs on every entry host.
 package main
 
 import (
