--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -36,7 +36,7 @@
 their memory.
 
 A request that its caller retried counts once. With --out, the results are
-written as JSON, with plots as SVG. The last line shows the share of the log
+written as JSON, with plots as SVG. The table ends with the share of the log
 lines that could not be read.`,
 		Example: `  samphirequay report --logs /var/log/samphirequay
   samphirequay report --logs day.log --from 2026-12-03T10:00:00Z --to 2026-12-03T10:05:00Z --out account`,
