--- a/cmd/internal/cli/itemcmd/table.go
+++ b/cmd/internal/cli/itemcmd/table.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// headers are the columns of each kind.
+// headers lists the table columns of each kind.
 var headers = map[live.Kind][]string{
 	live.KindTeam:     {"NAME", "WEIGHT", "IN-FLIGHT", "LIMIT", "KEYS", "LABELS"},
 	live.KindService:  {"NAME", "TYPE", "POOL", "FIRST-MS", "PACE-MS", "TEAMS", "LABELS"},
@@ -18,19 +18,19 @@
 	live.KindLink:     {"NAME", "FROM", "TO", "MB/S"},
 }
 
-// table lays out items of one kind.
+// table returns items of one kind as table rows.
 func table(kind live.Kind, items []document.Item) output.Rows {
 	rows := output.Rows{Header: headers[kind]}
 	for _, item := range items {
-		rows.Add(cells(item.Value)...)
+		rows.Add(itemCells(item.Value)...)
 	}
 	return rows
 }
 
-func cells(value any) []string {
+func itemCells(value any) []string {
 	switch v := value.(type) {
 	case *live.Team:
-		return []string{string(v.Name), number(v.Weight), strconv.Itoa(v.MaxInFlight), limit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
+		return []string{string(v.Name), formatNumber(v.Weight), strconv.Itoa(v.MaxInFlight), formatLimit(v), strconv.Itoa(len(v.KeyHashes)), common.LabelText(v.Labels)}
 	case *live.Service:
 		return []string{string(v.Name), string(v.Type), string(v.Pool), strconv.Itoa(v.FirstTokenTargetMS), strconv.Itoa(v.TokenPaceTargetMS), orDash(v.TeamSelector), common.LabelText(v.Labels)}
 	case *live.Pool:
@@ -38,14 +38,14 @@
 	case *live.Endpoint:
 		return []string{string(v.Name), v.Address, string(v.Domain), strconv.Itoa(v.Slots), strconv.FormatBool(v.ChecksFencing), common.LabelText(v.Labels)}
 	case *live.Link:
-		return []string{v.Name, string(v.From), string(v.To), number(v.BytesPerSecond / 1e6)}
+		return []string{v.Name, string(v.From), string(v.To), formatNumber(v.BytesPerSecond / 1e6)}
 	default:
 		return nil
 	}
 }
 
-// limit shows a team's limit as RATE+BURST, in tokens or requests.
-func limit(t *live.Team) string {
+// formatLimit formats a team's limit as RATE+BURST, in tokens or requests.
+func formatLimit(t *live.Team) string {
 	if !t.Limit().Limited() {
 		return "-"
 	}
@@ -53,10 +53,10 @@
 	if t.LimitByTokens {
 		unit = "tokens/s"
 	}
-	return number(t.LimitPerSecond) + "+" + number(t.LimitBurst) + " " + unit
+	return formatNumber(t.LimitPerSecond) + "+" + formatNumber(t.LimitBurst) + " " + unit
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
 func orDash(text string) string {
 	if text == "" {
--- a/cmd/internal/cli/standincmd/single.go
+++ b/cmd/internal/cli/standincmd/single.go
@@ -19,7 +19,7 @@
 		Example: "  samphirequay standin engine --listen 127.0.0.1:7301 --name engine-1 --role decode",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runOne(cmd, listen, standin.NewEngine(cfg))
+			return runStandIn(cmd, listen, standin.NewEngine(cfg))
 		},
 	}
 	listenFlag(cmd, &listen)
@@ -28,10 +28,10 @@
 	fs.StringVar(&cfg.Domain, "domain", "here", "failure domain")
 	fs.StringVar(&cfg.Model, "model", "document-summariser", "model that is loaded at the start")
 	fs.StringVar(&cfg.Role, "role", standin.RolePrefill, "prefill or decode")
-	fs.IntVar(&cfg.Slots, "slots", standin.DefaultSlots, "requests that it decodes at once")
-	fs.Float64Var(&cfg.PrefillTokensPerSecond, "prefill-rate", standin.DefaultPrefillTokensPerSecond, "prompt tokens a second")
-	fs.Float64Var(&cfg.DecodeTokenMS, "decode-token-ms", standin.DefaultDecodeTokenMS, "time of one output token, in milliseconds")
-	fs.BoolVar(&cfg.ChecksFencing, "checks-fencing", false, "refuse orders with an old fencing number")
+	fs.IntVar(&cfg.Slots, "slots", standin.DefaultSlots, "maximum requests that it decodes at once")
+	fs.Float64Var(&cfg.PrefillTokensPerSecond, "prefill-rate", standin.DefaultPrefillTokensPerSecond, "prompt tokens per second")
+	fs.Float64Var(&cfg.DecodeTokenMS, "decode-token-ms", standin.DefaultDecodeTokenMS, "time per output token, in milliseconds")
+	fs.BoolVar(&cfg.ChecksFencing, "checks-fencing", false, "reject orders with an old fencing number")
 	return cmd
 }
 
@@ -41,20 +41,20 @@
 	cmd := &cobra.Command{
 		Use:     "plain",
 		Short:   "Run one plain service",
-		Long:    "Run one plain service, which counts how often each idempotency key ran.",
+		Long:    "Run one plain service, which counts the runs of each idempotency key.",
 		Example: "  samphirequay standin plain --listen 127.0.0.1:7302 --name order-desk-1",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runOne(cmd, listen, standin.NewPlainService(cfg))
+			return runStandIn(cmd, listen, standin.NewPlainService(cfg))
 		},
 	}
 	listenFlag(cmd, &listen)
 	fs := cmd.Flags()
 	fs.StringVar(&cfg.Name, "name", "plain-1", "name of the endpoint")
 	fs.StringVar(&cfg.Domain, "domain", "here", "failure domain")
-	fs.StringVar(&cfg.Service, "service", "order-desk", "service that it stands for")
-	fs.IntVar(&cfg.Slots, "slots", standin.DefaultSlots, "calls at once")
-	fs.DurationVar(&cfg.WorkTime, "work-time", 10*time.Millisecond, "how long a call runs")
+	fs.StringVar(&cfg.Service, "service", "order-desk", "service that it serves")
+	fs.IntVar(&cfg.Slots, "slots", standin.DefaultSlots, "maximum concurrent calls")
+	fs.DurationVar(&cfg.WorkTime, "work-time", 10*time.Millisecond, "duration of a call")
 	return cmd
 }
 
@@ -67,7 +67,7 @@
 		Example: "  samphirequay standin table --listen 127.0.0.1:7303",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runOne(cmd, listen, standin.NewTable(standin.TableConfig{}))
+			return runStandIn(cmd, listen, standin.NewTable(standin.TableConfig{}))
 		},
 	}
 	listenFlag(cmd, &listen)
