--- a/scripts/experiment-config.sh
+++ b/scripts/experiment-config.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Runs `samphirequay experiment config` against nine daemon processes, which it
-# kills and replaces, one after the other, while the command changes the
-# configuration. The fleet is that of scripts/fleet.sh; the daemons that this
-# script starts in their place it ends by their ids.
+# Runs `samphirequay experiment config` against a fleet of daemon processes, started
+# by scripts/fleet.sh. While the command changes the configuration, the script
+# kills and replaces one daemon after another. On exit it kills the replacements by
+# process id.
 #
-#   scripts/experiment-config.sh [FLAG]...    flags go to the command
+#   scripts/experiment-config.sh [FLAG]...    FLAGs are passed to the command
 #
-# Environment: DAEMONS (9), BASE_PORT and SITE as for scripts/fleet.sh.
+# Environment: DAEMONS (default 9); BASE_PORT and SITE as for scripts/fleet.sh.
 set -euo pipefail
 
 if [ -z "${FLEET_DIR:-}" ]; then
@@ -15,17 +15,19 @@
   exec scripts/fleet.sh "$PWD/scripts/experiment-config.sh" "$@"
 fi
 
-# How long a daemon is gone, and the time between two kills, in seconds.
-dead_for=0.7
-between=1.5
+# The downtime of a killed daemon, and the pause between its replacement and the
+# next kill, in seconds.
+downtime=0.7
+pause=1.5
 
 progress="$FLEET_DIR/experiment-config.log"
 : >"$progress"
 "$FLEET_BIN/samphirequay" experiment config "$@" 2>"$progress" &
 command=$!
 
-# running holds the process id of each daemon; own those that this script started.
-declare -A running own
+# running maps each daemon's name to its process id; replacements has only the daemons
+# that this script started.
+declare -A running replacements
 names=()
 while read -r name pid _ _; do
   names+=("$name")
@@ -35,40 +37,41 @@
 cleanup() {
   local pid
   kill -TERM "$command" 2>/dev/null || true
-  for pid in "${own[@]}"; do
+  for pid in "${replacements[@]}"; do
     kill -KILL "$pid" 2>/dev/null || true
   done
-  for pid in "${own[@]}"; do
+  for pid in "${replacements[@]}"; do
     wait "$pid" 2>/dev/null || true
   done
 }
 trap cleanup EXIT
 trap 'exit 130' INT TERM
 
-# goes_on says whether the command runs; in_phase whether it has come so far.
-goes_on() { kill -0 "$command" 2>/dev/null; }
-in_phase() { grep -q "config phase=$1\$" "$progress"; }
+# command_running reports whether the command is still running; reached_phase
+# whether it has logged the start of the given phase.
+command_running() { kill -0 "$command" 2>/dev/null; }
+reached_phase() { grep -q "config phase=$1\$" "$progress"; }
 
 replace() {
   local name=$1
   kill -KILL "${running[$name]}"
-  if [ -n "${own[$name]:-}" ]; then
-    wait "${own[$name]}" 2>/dev/null || true
+  if [ -n "${replacements[$name]:-}" ]; then
+    wait "${replacements[$name]}" 2>/dev/null || true
   fi
-  sleep "$dead_for"
+  sleep "$downtime"
   "$FLEET_BIN/samphirequayd" --settings "$FLEET_DIR/$name.hujson" 2>>"$FLEET_DIR/$name.log" &
-  own[$name]=$!
+  replacements[$name]=$!
   running[$name]=$!
 }
 
-until in_phase replacing || ! goes_on; do
+until reached_phase replacing || ! command_running; do
   sleep 0.1
 done
 next=0
-while goes_on && ! in_phase end; do
+while command_running && ! reached_phase end; do
   replace "${names[$next]}"
   next=$(((next + 1) % ${#names[@]}))
-  sleep "$between"
+  sleep "$pause"
 done
 
 status=0
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,22 +1,22 @@
 #!/usr/bin/env bash
-# Starts the platform's stand-ins and some daemons as processes on the loopback
-# interface, with generated settings in a folder of their own, and ends them by
-# their ids on exit.
+# Starts the platform's stand-ins and a fleet of daemons as processes on the loopback
+# interface, with generated settings in a temporary directory. On exit it kills
+# them by process id and removes the directory.
 #
 #   scripts/fleet.sh                  run until interrupted
-#   scripts/fleet.sh COMMAND [ARG]... run a command beside the fleet, then end
+#   scripts/fleet.sh COMMAND [ARG]... run COMMAND against the fleet, then exit
 #
-# Environment: DAEMONS (9), SITE (bunker or companeros), BASE_PORT (17100).
-# The command gets: FLEET_DIR, FLEET_BIN, FLEET_ENTRY and FLEET_OPERATORS
-# (addresses, with commas), FLEET_TEAM_KEY, FLEET_MODEL, and
-# SAMPHIREQUAY_OPERATOR_KEY. FLEET_DIR/daemons has a line for each daemon:
-# name, process id, callers' address, operators' address.
+# Environment: DAEMONS (default 9), SITE (bunker, the default, or companeros),
+# BASE_PORT (default 17100). COMMAND receives in its environment: FLEET_DIR,
+# FLEET_BIN, FLEET_ENTRY and FLEET_OPERATORS (comma-separated addresses),
+# FLEET_TEAM_KEY, FLEET_MODEL and SAMPHIREQUAY_OPERATOR_KEY. FLEET_DIR/daemons has
+# a line for each daemon: name, process id, callers' address, operators' address.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 daemons=${DAEMONS:-9}
 site=${SITE:-bunker}
-base=${BASE_PORT:-17100}
+base_port=${BASE_PORT:-17100}
 case "$site" in
   bunker) domains=(aktau-port kuryk bautino aktau-city) model=document-summariser ;;
   companeros) domains=(quetzal-norte xela-sur toto-centro atitlan-sala) model=matching-model ;;
@@ -39,13 +39,14 @@
 trap cleanup EXIT
 trap 'exit 130' INT TERM
 
-# wait_for runs a command until it succeeds, at most 200 times.
+# wait_for repeats a command every 0.1 s until it succeeds, and fails after 200
+# attempts.
 wait_for() {
   local tries=0
   until "$@" >/dev/null 2>&1; do
     tries=$((tries + 1))
     if [ "$tries" -ge 200 ]; then
-      echo "fleet.sh: gave up waiting for: $*" >&2
+      echo "fleet.sh: timed out waiting for: $*" >&2
       return 1
     fi
     sleep 0.1
@@ -71,24 +72,24 @@
 team_hash=$(printf '%s\n' "$team_key" | "$samphirequay" keys hash | sed -n 's/^hash=//p')
 resume_secret=$(printf '%s\n' "$operator_key$team_key" | "$samphirequay" keys hash | sed -n 's/^hash=//p')
 
-callers_of() { echo "127.0.0.1:$((base + $1))"; }
-operators_of() { echo "127.0.0.1:$((base + 100 + $1))"; }
-peers_of() { echo "127.0.0.1:$((base + 200 + $1))"; }
-debug_of() { echo "127.0.0.1:$((base + 300 + $1))"; }
+callers_address() { echo "127.0.0.1:$((base_port + $1))"; }
+operators_address() { echo "127.0.0.1:$((base_port + 100 + $1))"; }
+peers_address() { echo "127.0.0.1:$((base_port + 200 + $1))"; }
+debug_address() { echo "127.0.0.1:$((base_port + 300 + $1))"; }
 
 seeds="" hosts=""
 for i in $(seq 1 "$daemons"); do
   name=${names[$((i - 1))]}
-  seeds+="{\"name\": \"$name\", \"address\": \"$(peers_of "$i")\"},"
-  hosts+="{\"name\": \"$name\", \"domain\": \"${domains[$(((i - 1) % 4))]}\", \"address\": \"$(peers_of "$i")\", \"state\": \"live\"},"
+  seeds+="{\"name\": \"$name\", \"address\": \"$(peers_address "$i")\"},"
+  hosts+="{\"name\": \"$name\", \"domain\": \"${domains[$(((i - 1) % 4))]}\", \"address\": \"$(peers_address "$i")\", \"state\": \"live\"},"
 done
 echo "{\"hosts\": [${hosts%,}]}" >"$dir/hosts.json"
 
-"$samphirequay" standin platform --site "$site" --base-port $((base + 400)) \
+"$samphirequay" standin platform --site "$site" --base-port $((base_port + 400)) \
   --host-list "$dir/hosts.json" --document "$dir/fleet.json" >"$dir/platform.json" 2>"$dir/platform.log" &
 pids+=($!)
 wait_for grep -q '"endpoints"' "$dir/platform.json"
-platform_of() { sed -n "s/^  \"$1\": \"\(.*\)\",\$/\1/p" "$dir/platform.json"; }
+platform_address() { sed -n "s/^  \"$1\": \"\(.*\)\",\$/\1/p" "$dir/platform.json"; }
 
 : >"$dir/daemons"
 entry="" operators=""
@@ -99,13 +100,13 @@
   "daemon": "$name",
   "domain": "${domains[$(((i - 1) % 4))]}",
   "listen": {
-    "callers": "$(callers_of "$i")",
-    "operators": "$(operators_of "$i")",
-    "peers": "$(peers_of "$i")",
-    "debug": "$(debug_of "$i")",
+    "callers": "$(callers_address "$i")",
+    "operators": "$(operators_address "$i")",
+    "peers": "$(peers_address "$i")",
+    "debug": "$(debug_address "$i")",
   },
   "seed_peers": [$seeds],
-  // Plain HTTP: for trials on the loopback interface only.
+  // Plain HTTP is for trials on the loopback interface only.
   "insecure_callers": true,
   "peers_tls": {
     "cert": "$dir/keys/$name.pem",
@@ -115,18 +116,18 @@
   "resume_keys": [{"id": 1, "secret_hex": "$resume_secret"}],
   "operator_key_hashes": ["$operator_hash"],
   "platform": {
-    "table": "$(platform_of table)",
-    "objects": "$(platform_of objects)",
-    "hosts": "$(platform_of hosts)",
-    "weights": "$(platform_of weights)",
+    "table": "$(platform_address table)",
+    "objects": "$(platform_address objects)",
+    "hosts": "$(platform_address hosts)",
+    "weights": "$(platform_address weights)",
   },
 }
 SETTINGS
   "$dir/bin/samphirequayd" --settings "$dir/$name.hujson" 2>"$dir/$name.log" &
   pids+=($!)
-  echo "$name $! $(callers_of "$i") $(operators_of "$i")" >>"$dir/daemons"
-  entry+="$(callers_of "$i"),"
-  operators+="$(operators_of "$i"),"
+  echo "$name $! $(callers_address "$i") $(operators_address "$i")" >>"$dir/daemons"
+  entry+="$(callers_address "$i"),"
+  operators+="$(operators_address "$i"),"
 done
 
 export FLEET_DIR=$dir FLEET_BIN=$dir/bin FLEET_ENTRY=${entry%,} FLEET_OPERATORS=${operators%,}
@@ -136,11 +137,11 @@
 "$samphirequay" config apply "$dir/fleet.json" --operators "$FLEET_OPERATORS" >/dev/null
 revision=$(echo "{\"name\": \"trial\", \"key_hashes\": [\"$team_hash\"]}" |
   "$samphirequay" team put - --operators "$FLEET_OPERATORS" | sed -n 's/.*revision=//p')
-in_force() {
+has_revision() {
   "$samphirequay" status --operators "$1" | grep -q "revision=$revision "
 }
-while read -r _ _ _ operators_address; do
-  wait_for in_force "$operators_address"
+while read -r _ _ _ address; do
+  wait_for has_revision "$address"
 done <"$dir/daemons"
 
 if [ $# -gt 0 ]; then
--- a/scripts/show-failover.sh
+++ b/scripts/show-failover.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Shows that a caller is answered after the daemon it was sent to has died: it
-# asks for the entry answer, is answered at the first address, that daemon's
-# process is killed by its id, and it is answered again at another address of
-# the same entry answer. Prints key=value lines; exits non-zero on failure.
+# Demonstrates the failover of a caller whose daemon has died: queries the entry
+# answer, sends a completion to its first address, kills that daemon by process id,
+# and sends the completion again to the other addresses of the same entry answer
+# until one responds. Both texts must be the same. Prints key=value lines; exits
+# non-zero on failure.
 set -euo pipefail
 if [ -z "${FLEET_DIR:-}" ]; then
   exec "$(dirname "$0")/fleet.sh" "$(cd "$(dirname "$0")" && pwd)/$(basename "$0")"
@@ -11,22 +12,24 @@
 prompt="Nomination 00417: MT Karagiye at Aktau berth 4, 400 mt VLSFO."
 body="{\"model\": \"$FLEET_MODEL\", \"prompt\": \"$prompt\", \"max_tokens\": 8}"
 
-# ask sends the completion to an address and prints the text of the answer.
-ask() {
+# complete_at sends the completion to an address and prints the text of the response.
+complete_at() {
   curl -sf --max-time 10 "http://$1/v1/completions" -H "Authorization: Bearer $FLEET_TEAM_KEY" \
     -H "Content-Type: application/json" -d "$body" | sed -n 's/.*"text":"\([^"]*\)".*/\1/p'
 }
 
-# ask_until asks addresses in turn, at most so many times, until one answers.
-ask_until() {
-  local tries=$1 n=0 address text
+# complete_at_any tries all addresses in turn, again and again, until one responds. It
+# starts no new round once it has made the given number of attempts, and then fails.
+# It prints the address, the number of attempts and the text.
+complete_at_any() {
+  local max_tries=$1 tries=0 address text
   shift
-  while [ "$n" -lt "$tries" ]; do
+  while [ "$tries" -lt "$max_tries" ]; do
     for address in "$@"; do
-      n=$((n + 1))
-      text=$(ask "$address" || true)
+      tries=$((tries + 1))
+      text=$(complete_at "$address" || true)
       if [ -n "$text" ]; then
-        echo "$address $n $text"
+        echo "$address $tries $text"
         return 0
       fi
     done
@@ -35,26 +38,26 @@
   return 1
 }
 
-first_seed=${FLEET_ENTRY%%,*}
-mapfile -t addresses < <(curl -sf --max-time 5 "http://$first_seed/v1/entry" | grep -o '"address":"[^"]*"' | cut -d'"' -f4)
-given=${addresses[0]:-}
-[ -n "$given" ] || { echo "failed=entry"; exit 1; }
-echo "given=$given addresses=${#addresses[@]}"
+entry_address=${FLEET_ENTRY%%,*}
+mapfile -t addresses < <(curl -sf --max-time 5 "http://$entry_address/v1/entry" | grep -o '"address":"[^"]*"' | cut -d'"' -f4)
+first=${addresses[0]:-}
+[ -n "$first" ] || { echo "failed=entry"; exit 1; }
+echo "given=$first addresses=${#addresses[@]}"
 
-read -r answered tries before < <(ask_until 20 "$given") || { echo "failed=first_answer"; exit 1; }
+read -r answered tries before < <(complete_at_any 20 "$first") || { echo "failed=first_answer"; exit 1; }
 echo "answered_by=$answered tries=$tries text=\"$before\""
 
-read -r name pid < <(awk -v a="$given" '$3 == a {print $1, $2}' "$FLEET_DIR/daemons") || true
+read -r name pid < <(awk -v a="$first" '$3 == a {print $1, $2}' "$FLEET_DIR/daemons") || true
 [ -n "${pid:-}" ] || { echo "failed=unknown_daemon"; exit 1; }
 kill -KILL "$pid"
 echo "killed=$name pid=$pid"
 killed_at=$(date +%s%N)
 
-if [ -n "$(ask "$given" || true)" ]; then
+if [ -n "$(complete_at "$first" || true)" ]; then
   echo "failed=killed_daemon_answered"
   exit 1
 fi
-read -r answered tries after < <(ask_until 60 "${addresses[@]:1}") || { echo "failed=second_answer"; exit 1; }
+read -r answered tries after < <(complete_at_any 60 "${addresses[@]:1}") || { echo "failed=second_answer"; exit 1; }
 echo "answered_by=$answered tries=$tries after_ms=$((($(date +%s%N) - killed_at) / 1000000)) text=\"$after\""
 
 if [ "$before" != "$after" ]; then
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Soaks daemons in faults: starts them as processes, starts them again whenever
-# they end, and has `samphirequay soak` inject faults and check what they
-# promise. Runs one seed after the other; the logs of a seed that broke a
-# promise are kept and named.
+# Soak test: runs daemons as processes, restarts each one that exits, and runs
+# `samphirequay soak`, which injects faults and checks the daemons' guarantees.
+# Runs one seed after another. Keeps the logs of each seed that violated a
+# guarantee or failed otherwise, and prints their path.
 #
 #   scripts/soak.sh SEED...
 #
-# Environment: DAEMONS (5), CALLERS (16), LENGTH (15s), OUT (a folder of its own).
+# Environment: DAEMONS (default 5), CALLERS (default 16), LENGTH (default 15s), OUT
+# (default: a new temporary directory).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -18,11 +19,12 @@
 out=${OUT:-$(mktemp -d)}
 mkdir -p "$out/bin"
 go build -o "$out/bin/" ./cmd/samphirequay ./cmd/samphirequayd
-loops=()
+supervisors=()
 dir=""
 
-# supervise runs one daemon and starts it again whenever it ends. NAME.pid tells
-# the soak which process to signal, NAME.ends which have ended.
+# supervise runs one daemon and restarts it whenever it exits. NAME.pid holds the id
+# of the process that the soak may signal; NAME.ends has a line with the process id
+# and exit status of each process that exited.
 supervise() {
   local name=$1 pid status
   until [ -s "$dir/$name.json" ]; do
@@ -41,44 +43,45 @@
   done
 }
 
-# end_daemons ends the daemons of the present seed by their ids, and the loops.
-end_daemons() {
+# stop_daemons kills the daemons of the current seed by process id and waits for
+# their supervisors.
+stop_daemons() {
   [ -n "$dir" ] || return 0
   touch "$dir/stop"
   local file
   for file in "$dir"/*.pid; do
     [ -e "$file" ] && kill -KILL "$(cat "$file")" 2>/dev/null || true
   done
-  local loop
-  for loop in "${loops[@]}"; do
-    wait "$loop" 2>/dev/null || true
+  local supervisor
+  for supervisor in "${supervisors[@]}"; do
+    wait "$supervisor" 2>/dev/null || true
   done
-  loops=()
+  supervisors=()
   dir=""
 }
-trap end_daemons EXIT
+trap stop_daemons EXIT
 trap 'exit 130' INT TERM
 
-broken=0
+failed_seeds=0
 for seed in "$@"; do
   dir="$out/seed-$seed"
   rm -rf "$dir"
   mkdir -p "$dir"
   for i in $(seq 1 "$daemons"); do
     supervise "d$i" &
-    loops+=($!)
+    supervisors+=($!)
   done
   if "$out/bin/samphirequay" soak --dir "$dir" --seed "$seed" --daemons "$daemons" \
     --callers "$callers" --length "$length" >"$dir/soak.log" 2>&1; then
     tail -n 1 "$dir/soak.log"
-    end_daemons
+    stop_daemons
     rm -rf "$out/seed-$seed"
   else
     grep -E "^(BROKEN|seed=|samphirequay:)" "$dir/soak.log" || true
-    end_daemons
+    stop_daemons
     echo "logs: $out/seed-$seed"
-    broken=$((broken + 1))
+    failed_seeds=$((failed_seeds + 1))
   fi
 done
-echo "seeds=$# broken=$broken"
-[ "$broken" -eq 0 ]
+echo "seeds=$# broken=$failed_seeds"
+[ "$failed_seeds" -eq 0 ]
