--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -79,7 +79,7 @@
 // the sums over all seeds.
 func replayOverload(seed uint64, load overloadLoad, off kvsched.Mechanism) (OverloadFigures, []overload.Second) {
 	f := OverloadFigures{Load: load.name, Off: string(off)}
-	replay := overload.Desk(append(overload.UsualBursts(), load.extra...)...)
+	replay := overload.SamplePool(append(overload.UsualBursts(), load.extra...)...)
 	replay.New = func(pool id.Pool, self id.Process) sched.Scheduler {
 		return kvsched.New(kvsched.Options{Pool: pool, Self: self, Disabled: []kvsched.Mechanism{off}})
 	}
--- a/core/overload/desk.go
+++ b/core/overload/desk.go
@@ -5,7 +5,7 @@
 // Desk returns the replay of a pool of 14 engines, with 16 requests and 29,250
 // tokens of memory each, at 60% of its capacity. A KV cache transfer and the
 // first token take 100 ms. The caller sets New.
-func Desk(bursts ...Burst) Replay {
+func SamplePool(bursts ...Burst) Replay {
 	return Replay{
 		Load: Load{
 			Length: 34 * time.Second, PerSecond: 13, Prompt: 3200, Output: 792, SizeDeviation: 0.5, MaxFactor: 2.2, GuessError: 0.5, Bursts: bursts,
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -16,7 +16,7 @@
 
 // desk returns the replay of Desk with all mechanisms enabled.
 func desk(bursts ...Burst) Replay {
-	r := Desk(bursts...)
+	r := SamplePool(bursts...)
 	r.New = schedulerWithout()
 	return r
 }
