--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -93,7 +93,7 @@
 		f.InTime += float64(one.InTime)
 		f.Late += float64(one.Late)
 		f.Refused += float64(one.Refused)
-		f.WastedTokens += float64(one.VainTokens) / overloadSeeds
+		f.WastedTokens += float64(one.WastedTokens) / overloadSeeds
 		f.Recovery += one.Recovery(6, 22).Seconds() / overloadSeeds
 		seconds = addSeconds(seconds, one.Seconds)
 	}
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -51,7 +51,7 @@
 		sum.Late += one.Late
 		sum.Refused += one.Refused
 		sum.Left += one.Left
-		sum.VainTokens += one.VainTokens
+		sum.WastedTokens += one.WastedTokens
 		sum.Preempted += one.Preempted
 		sum.LargestShare += one.LargestShare / seeds
 		sum.LargeShare += one.LargeShare / seeds
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -32,7 +32,7 @@
 	RefusedPermanently int
 	// VainTokens counts the prompt tokens of granted requests that were not
 	// served, and the tokens prefilled again after preemptions.
-	VainTokens int
+	WastedTokens int
 	// Preempted counts the preemptions of requests for lack of memory.
 	Preempted int
 	// LargestShare and LargeShare are the served shares of the largest tenth of
@@ -78,7 +78,7 @@
 
 // result sums up the outcomes of the callers.
 func (w *simulation) result() *Result {
-	r := &Result{Asked: len(w.callers), RefusedPermanently: w.refusedPermanently, VainTokens: w.wastedTokens, Preempted: w.preempted}
+	r := &Result{Asked: len(w.callers), RefusedPermanently: w.refusedPermanently, WastedTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
 		second := int(c.arrived / time.Second)
 		for len(r.Seconds) <= second {
