--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -87,7 +87,7 @@
 	asked, refusals, atOnce := 0, 0, 0
 	for i := range uint64(overloadSeeds) {
 		one := replay.Run(seed + i)
-		asked += one.Asked
+		asked += one.Requests
 		refusals += one.Refusals
 		atOnce += one.AtOnce
 		f.InTime += float64(one.InTime)
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -46,7 +46,7 @@
 	var sum total
 	for seed := uint64(1); seed <= seeds; seed++ {
 		one := r.Run(seed)
-		sum.Asked += one.Asked
+		sum.Requests += one.Requests
 		sum.InTime += one.InTime
 		sum.Late += one.Late
 		sum.Refused += one.Refused
@@ -85,7 +85,7 @@
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal, kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without the mechanism %d", with.InTime, with.Asked, off.InTime)
+	t.Logf("in time %d of %d, without the mechanism %d", with.InTime, with.Requests, off.InTime)
 	is.True(with.Goodput() >= off.Goodput()+0.025)
 }
 
@@ -98,7 +98,7 @@
 	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	off := runSeeds(r)
 	t.Logf("in time %d and %d of %d, served %d and %d, at once %d of %d and %d of %d refusals, largest %.2f %.2f",
-		with.InTime, off.InTime, with.Asked, with.InTime+with.Late, off.InTime+off.Late,
+		with.InTime, off.InTime, with.Requests, with.InTime+with.Late, off.InTime+off.Late,
 		with.AtOnce, with.Refusals, off.AtOnce, off.Refusals, with.LargestShare, with.LargeShare)
 	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
 	is.Equal(off.AtOnce, 0)
@@ -132,7 +132,7 @@
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Asked, off.InTime, with.AtOnce, with.Refusals)
+	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Requests, off.InTime, with.AtOnce, with.Refusals)
 	is.True(with.Goodput() >= off.Goodput()+0.015)
 	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
 }
--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -47,7 +47,7 @@
 	atOnce := r.Run(1)
 	r.Owner = Owner{Share: smallHostShare, MessageCost: messageCost, TryCost: tryCost}
 	small := r.Run(1)
-	t.Logf("of %d requests %d in time, on a small host %d; refused %d and %d", atOnce.Asked, atOnce.InTime, small.InTime,
+	t.Logf("of %d requests %d in time, on a small host %d; refused %d and %d", atOnce.Requests, atOnce.InTime, small.InTime,
 		atOnce.Refused, small.Refused)
 	if small.Goodput() < 0.97*atOnce.Goodput() {
 		t.Errorf("share in time: %.3f on a small host, %.3f with an owner that takes no time", small.Goodput(), atOnce.Goodput())
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -21,7 +21,7 @@
 
 // Result summarizes a replay.
 type Result struct {
-	Asked, InTime, Late, Refused, Left int
+	Requests, InTime, Late, Refused, Left int
 	// Retried counts the callers that retried, RefusedAgain those that were
 	// refused more than once.
 	Retried, RefusedAgain int
@@ -46,10 +46,10 @@
 type Second struct{ Asked, InTime, Late, Refused int }
 
 // Served is the share of requests that were answered.
-func (r *Result) Served() float64 { return share(r.InTime+r.Late, r.Asked) }
+func (r *Result) Served() float64 { return share(r.InTime+r.Late, r.Requests) }
 
 // Goodput is the share of requests that were answered in time.
-func (r *Result) Goodput() float64 { return share(r.InTime, r.Asked) }
+func (r *Result) Goodput() float64 { return share(r.InTime, r.Requests) }
 
 func share(n, of int) float64 {
 	if of == 0 {
@@ -78,7 +78,7 @@
 
 // result sums up the outcomes of the callers.
 func (w *simulation) result() *Result {
-	r := &Result{Asked: len(w.callers), RefusedPermanently: w.refusedPermanently, WastedTokens: w.wastedTokens, Preempted: w.preempted}
+	r := &Result{Requests: len(w.callers), RefusedPermanently: w.refusedPermanently, WastedTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
 		second := int(c.arrived / time.Second)
 		for len(r.Seconds) <= second {
--- a/core/overload/slowdown_test.go
+++ b/core/overload/slowdown_test.go
@@ -73,7 +73,7 @@
 	for _, factor := range []float64{10, 40, 100} {
 		r := slotPool(testSlowdown(factor))
 		res := r.Run(1)
-		t.Logf("slowdown %v: of %d requests %d in time, %d late, %d refused permanently", factor, res.Asked, res.InTime, res.Late, res.RefusedPermanently)
+		t.Logf("slowdown %v: of %d requests %d in time, %d late, %d refused permanently", factor, res.Requests, res.InTime, res.Late, res.RefusedPermanently)
 		if res.RefusedPermanently > 0 {
 			t.Errorf("slowdown %v: %d callers refused permanently", factor, res.RefusedPermanently)
 		}
@@ -96,7 +96,7 @@
 				return kvsched.New(kvsched.Options{Pool: pool, Self: self})
 			}
 			res := r.Run(seed)
-			t.Logf("slowdown %v, seed %d: of %d requests %d in time, %d late, %d abandoned", factor, seed, res.Asked, res.InTime, res.Late, res.Left)
+			t.Logf("slowdown %v, seed %d: of %d requests %d in time, %d late, %d abandoned", factor, seed, res.Requests, res.InTime, res.Late, res.Left)
 			if res.RefusedPermanently > 0 {
 				t.Errorf("slowdown %v, seed %d: %d callers refused permanently", factor, seed, res.RefusedPermanently)
 			}
