--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -109,7 +109,7 @@
 		if i == len(sum) {
 			sum = append(sum, overload.Second{})
 		}
-		sum[i].Asked += s.Asked
+		sum[i].Requests += s.Requests
 		sum[i].InTime += s.InTime
 		sum[i].Late += s.Late
 		sum[i].Refused += s.Refused
@@ -124,7 +124,7 @@
 		name string
 		of   func(s overload.Second) int
 	}{
-		{"asked", func(s overload.Second) int { return s.Asked }},
+		{"asked", func(s overload.Second) int { return s.Requests }},
 		{"in time", func(s overload.Second) int { return s.InTime }},
 		{"late", func(s overload.Second) int { return s.Late }},
 		{"refused", func(s overload.Second) int { return s.Refused }},
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -43,7 +43,7 @@
 }
 
 // Second counts the requests that arrived in one second.
-type Second struct{ Asked, InTime, Late, Refused int }
+type Second struct{ Requests, InTime, Late, Refused int }
 
 // Served is the share of requests that were answered.
 func (r *Result) Served() float64 { return share(r.InTime+r.Late, r.Requests) }
@@ -63,10 +63,10 @@
 func (r *Result) Recovery(calm int, from int) time.Duration {
 	usual := 0.0
 	for _, s := range r.Seconds[:min(calm, len(r.Seconds))] {
-		usual += share(s.InTime, s.Asked) / float64(calm)
+		usual += share(s.InTime, s.Requests) / float64(calm)
 	}
 	good := func(i int) bool {
-		return i < len(r.Seconds) && share(r.Seconds[i].InTime, r.Seconds[i].Asked) >= 0.9*usual
+		return i < len(r.Seconds) && share(r.Seconds[i].InTime, r.Seconds[i].Requests) >= 0.9*usual
 	}
 	for i := from; i < len(r.Seconds); i++ {
 		if good(i) && good(i+1) {
@@ -85,7 +85,7 @@
 			r.Seconds = append(r.Seconds, Second{})
 		}
 		s := &r.Seconds[second]
-		s.Asked++
+		s.Requests++
 		switch c.outcome {
 		case inTime:
 			r.InTime++
--- a/core/overload/slowdown_test.go
+++ b/core/overload/slowdown_test.go
@@ -53,9 +53,9 @@
 	recovered := int((slowdown.At + slowdown.For + recovery) / time.Second)
 	for i := recovered; i < int(r.Load.Length/time.Second); i++ {
 		s := res.Seconds[i]
-		if got := share(s.InTime, s.Asked); got < inTimeTarget {
+		if got := share(s.InTime, s.Requests); got < inTimeTarget {
 			t.Errorf("second %d, %v after the slowdown: share in time %.2f of %d (late %d, refused %d)",
-				i, time.Duration(i)*time.Second-slowdown.At-slowdown.For, got, s.Asked, s.Late, s.Refused)
+				i, time.Duration(i)*time.Second-slowdown.At-slowdown.For, got, s.Requests, s.Late, s.Refused)
 			return
 		}
 	}
