--- a/cmd/internal/experiment/overload.go
+++ b/cmd/internal/experiment/overload.go
@@ -89,7 +89,7 @@
 		one := replay.Run(seed + i)
 		asked += one.Requests
 		refusals += one.Refusals
-		atOnce += one.AtOnce
+		atOnce += one.ImmediateRefusals
 		f.InTime += float64(one.InTime)
 		f.Late += float64(one.Late)
 		f.Refused += float64(one.Refused)
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -56,7 +56,7 @@
 		sum.LargestShare += one.LargestShare / seeds
 		sum.LargeShare += one.LargeShare / seeds
 		sum.Refusals += one.Refusals
-		sum.AtOnce += one.AtOnce
+		sum.ImmediateRefusals += one.ImmediateRefusals
 		sum.recovery += one.Recovery(6, 22) / seeds
 	}
 	return sum
@@ -99,9 +99,9 @@
 	off := runSeeds(r)
 	t.Logf("in time %d and %d of %d, served %d and %d, at once %d of %d and %d of %d refusals, largest %.2f %.2f",
 		with.InTime, off.InTime, with.Requests, with.InTime+with.Late, off.InTime+off.Late,
-		with.AtOnce, with.Refusals, off.AtOnce, off.Refusals, with.LargestShare, with.LargeShare)
-	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
-	is.Equal(off.AtOnce, 0)
+		with.ImmediateRefusals, with.Refusals, off.ImmediateRefusals, off.Refusals, with.LargestShare, with.LargeShare)
+	is.True(share(with.ImmediateRefusals, with.Refusals) >= 0.4)
+	is.Equal(off.ImmediateRefusals, 0)
 	is.True(with.Goodput() >= off.Goodput()-0.01)
 	is.True(with.LargestShare >= 0.7)
 	is.True(with.LargeShare >= 0.7)
@@ -132,7 +132,7 @@
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Requests, off.InTime, with.AtOnce, with.Refusals)
+	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Requests, off.InTime, with.ImmediateRefusals, with.Refusals)
 	is.True(with.Goodput() >= off.Goodput()+0.015)
-	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
+	is.True(share(with.ImmediateRefusals, with.Refusals) >= 0.4)
 }
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -26,7 +26,7 @@
 	// refused more than once.
 	Retried, RefusedAgain int
 	// Refusals counts all refusals, AtOnce those within 120 ms.
-	Refusals, AtOnce int
+	Refusals, ImmediateRefusals int
 	// RefusedPermanently counts the callers that were refused with a code that
 	// rules out a retry.
 	RefusedPermanently int
@@ -109,7 +109,7 @@
 	for _, wait := range w.refusalWaits {
 		r.Refusals++
 		if wait <= atOnceLimit {
-			r.AtOnce++
+			r.ImmediateRefusals++
 		}
 	}
 	r.LargestShare, r.LargeShare = w.largeShares()
