--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -45,7 +45,7 @@
 
 // SetAhead sets what each team may spend before the keeper has charged it, in
 // units.
-func (p *Purse) SetAhead(units float64) { p.maxDebt = units }
+func (p *Purse) SetMaxDebt(units float64) { p.maxDebt = units }
 
 // Decision is the result of Spend.
 type Decision uint8
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -117,7 +117,7 @@
 	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, f.daemons)}
 	for range f.daemons {
 		p := NewPurse()
-		p.SetAhead(testTolerance.Ahead(f.daemons))
+		p.SetMaxDebt(testTolerance.Ahead(f.daemons))
 		a.purses = append(a.purses, p)
 	}
 	return a
