--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -75,7 +75,7 @@
 }
 
 // Shut records that the keeper refuses a team's requests for a while.
-func (p *Purse) Shut(now time.Duration, team id.Team, r Refusal) {
+func (p *Purse) RefuseFor(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
 	k.retryAt = now + r.Back
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -95,7 +95,7 @@
 	is.True(!p.Return(desk, 200)) // already reported to the keeper
 	is.Equal(len(p.Settle(0)), 0)
 
-	p.Shut(0, desk, Refusal{Wait: 300 * time.Millisecond})
+	p.RefuseFor(0, desk, Refusal{Wait: 300 * time.Millisecond})
 	a, wait := p.Spend(100*time.Millisecond, desk, 1)
 	is.Equal(a, Refused)
 	is.Equal(wait, 200*time.Millisecond)
@@ -104,7 +104,7 @@
 	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
 	is.Equal(a, Paid)
 
-	p.Shut(10*time.Second, desk, Refusal{Wait: time.Hour})
+	p.RefuseFor(10*time.Second, desk, Refusal{Wait: time.Hour})
 	p.Open()
 	a, _ = p.Spend(10*time.Second, desk, 1)
 	is.Equal(a, AskKeeper)
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -141,7 +141,7 @@
 		f.send(daemon, func() {
 			answered = true
 			if !ok {
-				a.purses[daemon].Shut(f.now, team, refused)
+				a.purses[daemon].RefuseFor(f.now, team, refused)
 			}
 			done(ok)
 		})
@@ -170,7 +170,7 @@
 		for _, d := range debts {
 			wait := a.ledger.Owe(f.now, Charge{Team: d.Team, Limit: f.limits[d.Team], Cost: d.Cost, Share: 1})
 			if wait > 0 {
-				f.send(daemon, func() { a.purses[daemon].Shut(f.now, d.Team, Refusal{Wait: wait, Back: wait}) })
+				f.send(daemon, func() { a.purses[daemon].RefuseFor(f.now, d.Team, Refusal{Wait: wait, Back: wait}) })
 			}
 		}
 	})
