--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -83,7 +83,7 @@
 }
 
 // Open discards all refusals: another keeper, or another limit, may grant more.
-func (p *Purse) Open() {
+func (p *Purse) ClearRefusals() {
 	for _, k := range p.budgets {
 		k.refuseUntil = 0
 	}
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -105,7 +105,7 @@
 	is.Equal(a, Paid)
 
 	p.RefuseFor(10*time.Second, desk, Refusal{Wait: time.Hour})
-	p.Open()
+	p.ClearRefusals()
 	a, _ = p.Spend(10*time.Second, desk, 1)
 	is.Equal(a, AskKeeper)
 }
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -156,7 +156,7 @@
 	q.duty.Post(func(now time.Duration) {
 		q.key = key
 		// A new configuration may have raised limits.
-		q.purse.Open()
+		q.purse.ClearRefusals()
 		q.chooseKeeper(now)
 	})
 }
@@ -171,7 +171,7 @@
 	q.keeper = keeper
 	// The accounts here are outdated once other keepers have granted requests.
 	q.ledger = quota.NewLedger(q.cfg.Tolerance)
-	q.purse.Open()
+	q.purse.ClearRefusals()
 	for _, p := range q.pending {
 		q.sendRequest(now, p)
 	}
