--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -91,7 +91,7 @@
 
 // Return takes back what was paid for a request that has not run; false if it was
 // already reported to the keeper.
-func (p *Purse) Return(team id.Team, cost float64) bool {
+func (p *Purse) Refund(team id.Team, cost float64) bool {
 	k := p.budgets[team]
 	if k == nil || k.debt < cost {
 		return false
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -90,9 +90,9 @@
 	is.Equal(a, Paid)
 	a, _ = p.Spend(0, desk, 200)
 	is.Equal(a, AskKeeper)
-	is.True(p.Return(desk, 200))
+	is.True(p.Refund(desk, 200))
 	is.Equal(p.Settle(0), []Debt{{Team: desk, Cost: 200}})
-	is.True(!p.Return(desk, 200)) // already reported to the keeper
+	is.True(!p.Refund(desk, 200)) // already reported to the keeper
 	is.Equal(len(p.Settle(0)), 0)
 
 	p.RefuseFor(0, desk, Refusal{Wait: 300 * time.Millisecond})
