--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -10,7 +10,7 @@
 )
 
 // Purse is what one daemon spends in advance, before the keeper has charged it.
-type Purse struct {
+type LocalBudget struct {
 	budgets map[id.Team]*teamBudget
 	// maxDebt bounds what each team may spend here before the keeper has charged
 	// it, in units.
@@ -41,11 +41,11 @@
 )
 
 // NewPurse returns an empty purse.
-func NewPurse() *Purse { return &Purse{budgets: map[id.Team]*teamBudget{}} }
+func NewPurse() *LocalBudget { return &LocalBudget{budgets: map[id.Team]*teamBudget{}} }
 
 // SetAhead sets what each team may spend before the keeper has charged it, in
 // units.
-func (p *Purse) SetMaxDebt(units float64) { p.maxDebt = units }
+func (p *LocalBudget) SetMaxDebt(units float64) { p.maxDebt = units }
 
 // Decision is the result of Spend.
 type Decision uint8
@@ -62,7 +62,7 @@
 
 // Spend pays for a request if the team's debt stays within the bound. wait is the
 // delay before a retry; it is set with Refused only.
-func (p *Purse) Spend(now time.Duration, team id.Team, cost float64) (d Decision, wait time.Duration) {
+func (p *LocalBudget) Spend(now time.Duration, team id.Team, cost float64) (d Decision, wait time.Duration) {
 	k := p.budget(now, team)
 	switch {
 	case now < k.refuseUntil:
@@ -75,7 +75,7 @@
 }
 
 // Shut records that the keeper refuses a team's requests for a while.
-func (p *Purse) RefuseFor(now time.Duration, team id.Team, r Refusal) {
+func (p *LocalBudget) RefuseFor(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
 	k.retryAt = now + r.Back
@@ -83,7 +83,7 @@
 }
 
 // Open discards all refusals: another keeper, or another limit, may grant more.
-func (p *Purse) ClearRefusals() {
+func (p *LocalBudget) ClearRefusals() {
 	for _, k := range p.budgets {
 		k.refuseUntil = 0
 	}
@@ -91,7 +91,7 @@
 
 // Return takes back what was paid for a request that has not run; false if it was
 // already reported to the keeper.
-func (p *Purse) Refund(team id.Team, cost float64) bool {
+func (p *LocalBudget) Refund(team id.Team, cost float64) bool {
 	k := p.budgets[team]
 	if k == nil || k.debt < cost {
 		return false
@@ -107,7 +107,7 @@
 }
 
 // Settle empties the purse and returns the debts by team, for the keeper to charge.
-func (p *Purse) Settle(now time.Duration) []Debt {
+func (p *LocalBudget) Settle(now time.Duration) []Debt {
 	var out []Debt
 	for team, k := range p.budgets {
 		if k.debt > 0 {
@@ -120,7 +120,7 @@
 	return out
 }
 
-func (p *Purse) budget(now time.Duration, team id.Team) *teamBudget {
+func (p *LocalBudget) budget(now time.Duration, team id.Team) *teamBudget {
 	k := p.budgets[team]
 	if k == nil {
 		k = &teamBudget{}
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -109,7 +109,7 @@
 type keeperAccounts struct {
 	keeper  int
 	ledger  *Ledger
-	purses  []*Purse
+	purses  []*LocalBudget
 	settled []time.Duration
 }
 
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -89,7 +89,7 @@
 	members []id.Daemon
 	keeper  id.Daemon
 	ledger  *quota.Ledger
-	purse   *quota.Purse
+	purse   *quota.LocalBudget
 	// share is the fraction of the limits that this daemon may grant as the keeper.
 	share   float64
 	pending map[uint64]*pendingCharge
