--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -41,7 +41,7 @@
 )
 
 // NewPurse returns an empty purse.
-func NewPurse() *LocalBudget { return &LocalBudget{budgets: map[id.Team]*teamBudget{}} }
+func NewLocalBudget() *LocalBudget { return &LocalBudget{budgets: map[id.Team]*teamBudget{}} }
 
 // SetAhead sets what each team may spend before the keeper has charged it, in
 // units.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -82,7 +82,7 @@
 
 func TestSmallRequestsArePaidInAdvanceUntilTheKeeperRefuses(t *testing.T) {
 	is := is.New(t)
-	p := NewPurse()
+	p := NewLocalBudget()
 	p.SetMaxDebt(400)
 	a, _ := p.Spend(0, desk, 200)
 	is.Equal(a, Paid)
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -116,7 +116,7 @@
 func newKeeperAccounts(f *fleet) strategy {
 	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, f.daemons)}
 	for range f.daemons {
-		p := NewPurse()
+		p := NewLocalBudget()
 		p.SetMaxDebt(testTolerance.Ahead(f.daemons))
 		a.purses = append(a.purses, p)
 	}
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -126,7 +126,7 @@
 		cfg:        cfg,
 		key:        DefaultKey,
 		ledger:     quota.NewLedger(cfg.Tolerance),
-		purse:      quota.NewPurse(),
+		purse:      quota.NewLocalBudget(),
 		pending:    map[uint64]*pendingCharge{},
 		refusals:   cfg.Metrics.Counter("quota_refusals", metrics.UnitCount, "Requests that were refused since their team is at its limit."),
 		unanswered: cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
