--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -96,7 +96,7 @@
 }
 
 // Return credits what was granted for a request that has not run.
-func (l *Ledger) Return(now time.Duration, c Charge) {
+func (l *Ledger) Refund(now time.Duration, c Charge) {
 	a := l.account(now, c)
 	a.balance = min(a.balance+c.Cost, a.maxBalance)
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -38,7 +38,7 @@
 	is.Equal(refused.Wait, 500*time.Millisecond)
 	ok, _ = l.Take(501*time.Millisecond, charge(1))
 	is.True(ok)
-	l.Return(501*time.Millisecond, charge(1))
+	l.Refund(501*time.Millisecond, charge(1))
 	_, _ = l.Take(time.Hour, charge(0))
 	balance, _ := l.Balance(desk)
 	is.Equal(balance, 200.0)
--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -78,6 +78,6 @@
 // refund credits what was granted for a request that has not run, as the keeper.
 func (q *Quotas) refund(now time.Duration, r *Refund) {
 	if c, limited := q.newCharge(now, r.Team, r.Cost, nil); limited {
-		q.ledger.Return(now, c)
+		q.ledger.Refund(now, c)
 	}
 }
