--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -59,7 +59,7 @@
 }
 
 // Take grants the cost if the account allows it.
-func (l *Ledger) Take(now time.Duration, c Charge) (ok bool, r Refusal) {
+func (l *Ledger) TryCharge(now time.Duration, c Charge) (ok bool, r Refusal) {
 	a := l.account(now, c)
 	if !a.allows(c.Cost) {
 		return false, a.refuse(now, c.Cost)
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -31,15 +31,15 @@
 func TestAccountRefillsUpToTheBurst(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	ok, _ := l.Take(0, charge(150)) // half of the burst is available, and a debt of 50 remains
+	ok, _ := l.TryCharge(0, charge(150)) // half of the burst is available, and a debt of 50 remains
 	is.True(ok)
-	ok, refused := l.Take(0, charge(1))
+	ok, refused := l.TryCharge(0, charge(1))
 	is.True(!ok)
 	is.Equal(refused.Wait, 500*time.Millisecond)
-	ok, _ = l.Take(501*time.Millisecond, charge(1))
+	ok, _ = l.TryCharge(501*time.Millisecond, charge(1))
 	is.True(ok)
 	l.Refund(501*time.Millisecond, charge(1))
-	_, _ = l.Take(time.Hour, charge(0))
+	_, _ = l.TryCharge(time.Hour, charge(0))
 	balance, _ := l.Balance(desk)
 	is.Equal(balance, 200.0)
 }
@@ -47,12 +47,12 @@
 func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	_, _ = l.Take(0, charge(0))
+	_, _ = l.TryCharge(0, charge(0))
 	low := charge(5)
 	low.Limit = Limit{Rate: 1, Burst: 10}
 	granted := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
-		if ok, _ := l.Take(at, low); ok {
+		if ok, _ := l.TryCharge(at, low); ok {
 			granted++
 		}
 	}
@@ -71,7 +71,7 @@
 		c.Limit = Limit{Rate: 1000, Burst: 1000}
 		c.Share = 1.0 / daemons
 		for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
-			if ok, _ := l.Take(at, c); ok {
+			if ok, _ := l.TryCharge(at, c); ok {
 				total += cost
 			}
 		}
@@ -117,11 +117,11 @@
 	is.Equal(tolerance.Of(limit), 0.1*1000+140)
 	is.Equal(tolerance.Ahead(7), 5.0)
 	l := NewLedger(tolerance)
-	_, _ = l.Take(0, charge(0))
+	_, _ = l.TryCharge(0, charge(0))
 	granted := 0.0
 	const from, length = time.Hour, 100 * time.Second
 	for at := from; at < from+length; at += 10 * time.Millisecond {
-		if ok, _ := l.Take(at, charge(10)); ok {
+		if ok, _ := l.TryCharge(at, charge(10)); ok {
 			granted += 10
 		}
 	}
@@ -133,18 +133,18 @@
 func TestSimultaneousRefusalsGetStaggeredRetries(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	_, _ = l.Take(0, charge(100)) // the account is empty
+	_, _ = l.TryCharge(0, charge(100)) // the account is empty
 	last := time.Duration(0)
 	for range 5 {
-		ok, refused := l.Take(0, charge(50))
+		ok, refused := l.TryCharge(0, charge(50))
 		is.True(!ok)
 		is.True(refused.Back >= last)
 		last = refused.Back + 500*time.Millisecond // the income that the request takes
 	}
 	for range 1000 {
-		_, _ = l.Take(0, charge(50))
+		_, _ = l.TryCharge(0, charge(50))
 	}
-	_, refused := l.Take(0, charge(50))
+	_, refused := l.TryCharge(0, charge(50))
 	is.True(refused.Back <= maxReserved)
 	is.Equal(refused.Wait, minWait) // the reservations do not change when there is credit
 }
@@ -161,6 +161,6 @@
 	for i := 0; b.Loop(); i++ {
 		c.Team = teams[i%len(teams)]
 		at += 150 * time.Microsecond
-		_, _ = l.Take(at, c)
+		_, _ = l.TryCharge(at, c)
 	}
 }
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -137,7 +137,7 @@
 func (a *keeperAccounts) ask(f *fleet, daemon int, team id.Team, cost float64, done func(bool), tries int) {
 	answered := false
 	f.send(a.keeper, func() {
-		ok, refused := a.ledger.Take(f.now, Charge{Team: team, Limit: f.limits[team], Cost: cost, Share: 1})
+		ok, refused := a.ledger.TryCharge(f.now, Charge{Team: team, Limit: f.limits[team], Cost: cost, Share: 1})
 		f.send(daemon, func() {
 			answered = true
 			if !ok {
@@ -280,7 +280,7 @@
 	limit := f.limits[team]
 	limit.Rate /= float64(f.daemons)
 	limit.Burst /= float64(f.daemons)
-	ok, _ := s.ledgers[daemon].Take(f.now, Charge{Team: team, Limit: limit, Cost: cost, Share: 1})
+	ok, _ := s.ledgers[daemon].TryCharge(f.now, Charge{Team: team, Limit: limit, Cost: cost, Share: 1})
 	done(ok)
 }
 
--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -54,7 +54,7 @@
 	if !limited {
 		return &ChargeReply{Seq: req.Seq, Granted: true}
 	}
-	granted, refused := q.ledger.Take(now, c)
+	granted, refused := q.ledger.TryCharge(now, c)
 	balance, _ := q.ledger.Balance(req.Team)
 	return &ChargeReply{Seq: req.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
 }
