--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -86,7 +86,7 @@
 
 // Owe charges a cost that was already spent, and returns how long the account
 // stays in debt.
-func (l *Ledger) Owe(now time.Duration, c Charge) time.Duration {
+func (l *Ledger) ChargeSpent(now time.Duration, c Charge) time.Duration {
 	a := l.account(now, c)
 	a.balance -= c.Cost
 	if a.balance > 0 {
--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -68,7 +68,7 @@
 		if !limited {
 			continue
 		}
-		if wait := q.ledger.Owe(now, c); wait > 0 {
+		if wait := q.ledger.ChargeSpent(now, c); wait > 0 {
 			notice.Teams = append(notice.Teams, IndebtedTeam{Team: d.Team, Wait: wait})
 		}
 	}
