--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -92,4 +92,6 @@
 
 // Ahead returns what each of the given number of daemons may spend before the
 // keeper has charged it, in units.
-func (t Tolerance) Ahead(daemons int) float64 { return localShare * t.Slack / float64(max(1, daemons)) }
+func (t Tolerance) MaxDebt(daemons int) float64 {
+	return localShare * t.Slack / float64(max(1, daemons))
+}
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -115,7 +115,7 @@
 	tolerance := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140}
 	limit := charge(0).Limit
 	is.Equal(tolerance.Of(limit), 0.1*1000+140)
-	is.Equal(tolerance.Ahead(7), 5.0)
+	is.Equal(tolerance.MaxDebt(7), 5.0)
 	l := NewLedger(tolerance)
 	_, _ = l.TryCharge(0, charge(0))
 	granted := 0.0
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -117,7 +117,7 @@
 	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, f.daemons)}
 	for range f.daemons {
 		p := NewLocalBudget()
-		p.SetMaxDebt(testTolerance.Ahead(f.daemons))
+		p.SetMaxDebt(testTolerance.MaxDebt(f.daemons))
 		a.purses = append(a.purses, p)
 	}
 	return a
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -204,7 +204,7 @@
 	f := q.cfg.Fleet()
 	daemons := float64(max(1, f.Daemons))
 	q.share = min(1, float64(max(1, f.Reached))/daemons)
-	q.purse.SetMaxDebt(q.cfg.Tolerance.Ahead(f.Daemons))
+	q.purse.SetMaxDebt(q.cfg.Tolerance.MaxDebt(f.Daemons))
 	q.accounts.Set(float64(q.ledger.Len()))
 }
 
