--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -72,7 +72,7 @@
 }
 
 // Of returns the tolerance for one limit, in units.
-func (t Tolerance) Of(l Limit) float64 {
+func (t Tolerance) For(l Limit) float64 {
 	return t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
 }
 
@@ -88,7 +88,7 @@
 
 // maxBalance returns the most that a team's account can hold: without a burst the
 // team may still use one unit at a time.
-func (t Tolerance) maxBalance(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.Of(l) }
+func (t Tolerance) maxBalance(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.For(l) }
 
 // Ahead returns what each of the given number of daemons may spend before the
 // keeper has charged it, in units.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	tolerance := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140}
 	limit := charge(0).Limit
-	is.Equal(tolerance.Of(limit), 0.1*1000+140)
+	is.Equal(tolerance.For(limit), 0.1*1000+140)
 	is.Equal(tolerance.MaxDebt(7), 5.0)
 	l := NewLedger(tolerance)
 	_, _ = l.TryCharge(0, charge(0))
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -459,7 +459,7 @@
 	highest := 0.0
 	for team, all := range f.granted {
 		limit := f.limits[team]
-		allowed := limit.Rate*testTolerance.Window.Seconds() + limit.Burst + testTolerance.Of(limit)
+		allowed := limit.Rate*testTolerance.Window.Seconds() + limit.Burst + testTolerance.For(limit)
 		sum, first := 0.0, 0
 		for _, s := range all {
 			sum += s.cost
