--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -55,7 +55,7 @@
 	Wait time.Duration
 	// Back is after how long the refused request should be retried: after the
 	// requests that were refused before it.
-	Back time.Duration
+	RetryAfter time.Duration
 }
 
 // Take grants the cost if the account allows it.
@@ -73,7 +73,7 @@
 func (a *account) refuse(now time.Duration, cost float64) Refusal {
 	r := Refusal{Wait: a.waitFor(cost)}
 	at := max(now+r.Wait, a.reservedUntil)
-	r.Back = min(at-now, maxWait)
+	r.RetryAfter = min(at-now, maxWait)
 	if rate := a.limit.Rate * a.share; rate > 0 {
 		a.reservedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+maxReserved)
 	}
--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -78,7 +78,7 @@
 func (p *LocalBudget) RefuseFor(now time.Duration, team id.Team, r Refusal) {
 	k := p.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
-	k.retryAt = now + r.Back
+	k.retryAt = now + r.RetryAfter
 	k.askUntil = k.refuseUntil + askPeriod
 }
 
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -138,14 +138,14 @@
 	for range 5 {
 		ok, refused := l.TryCharge(0, charge(50))
 		is.True(!ok)
-		is.True(refused.Back >= last)
-		last = refused.Back + 500*time.Millisecond // the income that the request takes
+		is.True(refused.RetryAfter >= last)
+		last = refused.RetryAfter + 500*time.Millisecond // the income that the request takes
 	}
 	for range 1000 {
 		_, _ = l.TryCharge(0, charge(50))
 	}
 	_, refused := l.TryCharge(0, charge(50))
-	is.True(refused.Back <= maxReserved)
+	is.True(refused.RetryAfter <= maxReserved)
 	is.Equal(refused.Wait, minWait) // the reservations do not change when there is credit
 }
 
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -170,7 +170,7 @@
 		for _, d := range debts {
 			wait := a.ledger.ChargeSpent(f.now, Charge{Team: d.Team, Limit: f.limits[d.Team], Cost: d.Cost, Share: 1})
 			if wait > 0 {
-				f.send(daemon, func() { a.purses[daemon].RefuseFor(f.now, d.Team, Refusal{Wait: wait, Back: wait}) })
+				f.send(daemon, func() { a.purses[daemon].RefuseFor(f.now, d.Team, Refusal{Wait: wait, RetryAfter: wait}) })
 			}
 		}
 	})
--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -56,7 +56,7 @@
 	}
 	granted, refused := q.ledger.TryCharge(now, c)
 	balance, _ := q.ledger.Balance(req.Team)
-	return &ChargeReply{Seq: req.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
+	return &ChargeReply{Seq: req.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.RetryAfter, Balance: balance}
 }
 
 // chargeDebts charges what a daemon spent in advance, as the keeper, and returns the
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -273,7 +273,7 @@
 	}
 	delete(q.pending, r.Seq)
 	if !r.Granted {
-		q.purse.RefuseFor(now, p.request.Team, quota.Refusal{Wait: r.Wait, Back: r.RetryAfter})
+		q.purse.RefuseFor(now, p.request.Team, quota.Refusal{Wait: r.Wait, RetryAfter: r.RetryAfter})
 	}
 	answer := *r
 	answer.keeper = q.keeper
@@ -282,6 +282,6 @@
 
 func (q *Quotas) handleDebtNotice(now time.Duration, s *DebtNotice) {
 	for _, t := range s.Teams {
-		q.purse.RefuseFor(now, t.Team, quota.Refusal{Wait: t.Wait, Back: t.Wait})
+		q.purse.RefuseFor(now, t.Team, quota.Refusal{Wait: t.Wait, RetryAfter: t.Wait})
 	}
 }
