--- a/core/quota/purse.go
+++ b/core/quota/purse.go
@@ -53,7 +53,7 @@
 // The decisions.
 const (
 	// Paid: the request may be sent; its cost is part of the debt.
-	Paid Decision = iota + 1
+	Granted Decision = iota + 1
 	// AskKeeper: the keeper has to decide.
 	AskKeeper
 	// Refused: the team is at its limit, by the keeper's last reply.
@@ -71,7 +71,7 @@
 		return AskKeeper, 0
 	}
 	k.debt += cost
-	return Paid, 0
+	return Granted, 0
 }
 
 // Shut records that the keeper refuses a team's requests for a while.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -85,9 +85,9 @@
 	p := NewLocalBudget()
 	p.SetMaxDebt(400)
 	a, _ := p.Spend(0, desk, 200)
-	is.Equal(a, Paid)
+	is.Equal(a, Granted)
 	a, _ = p.Spend(0, desk, 200)
-	is.Equal(a, Paid)
+	is.Equal(a, Granted)
 	a, _ = p.Spend(0, desk, 200)
 	is.Equal(a, AskKeeper)
 	is.True(p.Refund(desk, 200))
@@ -102,7 +102,7 @@
 	a, _ = p.Spend(300*time.Millisecond, desk, 1)
 	is.Equal(a, AskKeeper) // nothing is paid in advance so soon after a refusal
 	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
-	is.Equal(a, Paid)
+	is.Equal(a, Granted)
 
 	p.RefuseFor(10*time.Second, desk, Refusal{Wait: time.Hour})
 	p.ClearRefusals()
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -125,7 +125,7 @@
 
 func (a *keeperAccounts) decide(f *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	switch answer, _ := a.purses[daemon].Spend(f.now, team, cost); answer {
-	case Paid:
+	case Granted:
 		done(true)
 	case Refused:
 		done(false)
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -56,7 +56,7 @@
 	q.refreshFleet(now)
 	answer, wait := q.purse.Spend(now, p.request.Team, p.request.Cost)
 	switch {
-	case answer == quota.Paid:
+	case answer == quota.Granted:
 		q.scheduleSettlement(now)
 		p.answer <- ChargeReply{Granted: true}
 	case answer == quota.Refused:
