--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -28,7 +28,7 @@
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
 // Check returns an error that names the first invalid value of the limit.
-func (l Limit) Check() error {
+func (l Limit) Validate() error {
 	figures := []struct {
 		name  string
 		value float64
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -23,9 +23,9 @@
 	is.Equal(tokens.Cost(Size{}), 200.0)
 	is.Equal(Limit{Rate: 1}.Cost(Size{Known: true, Prompt: 5200}), 1.0)
 	is.True(!Limit{Burst: 5}.Limited())
-	is.True(Limit{Rate: -1}.Check() != nil)
-	is.True(Limit{Burst: math.NaN()}.Check() != nil)
-	is.NoErr(tokens.Check())
+	is.True(Limit{Rate: -1}.Validate() != nil)
+	is.True(Limit{Burst: math.NaN()}.Validate() != nil)
+	is.NoErr(tokens.Validate())
 }
 
 func TestAccountRefillsUpToTheBurst(t *testing.T) {
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -77,7 +77,7 @@
 		return fmt.Errorf("duplicate team name %q", team.Name)
 	}
 	t.teams[team.Name] = team
-	if err := team.Limit.Check(); err != nil {
+	if err := team.Limit.Validate(); err != nil {
 		return fmt.Errorf("team %q: %w", team.Name, err)
 	}
 	for i, key := range team.Keys {
