--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -90,4 +90,4 @@
 func (t *Tracker) Newest() (p Proof, ok bool) { return t.newest, t.newest.Version > 0 }
 
 // Behind reports whether a configuration newer than the one in force was accepted.
-func (t *Tracker) Behind() bool { return t.newer.Version > t.version }
+func (t *Tracker) Outdated() bool { return t.newer.Version > t.version }
--- a/core/freshness/freshness_test.go
+++ b/core/freshness/freshness_test.go
@@ -37,11 +37,11 @@
 	x.InForce(7)
 	x.Confirm(time.Second)
 	x.Learn(3*time.Second, Proof{Version: 9, At: 102 * time.Second})
-	is.True(x.Behind())
+	is.True(x.Outdated())
 	since, _ := x.Since()
 	is.Equal(since, time.Second)
 	x.InForce(9)
-	is.True(!x.Behind())
+	is.True(!x.Outdated())
 	since, _ = x.Since()
 	is.True(since > 1900*time.Millisecond)
 }
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -82,7 +82,7 @@
 func (c *configFreshness) behind() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tracker.Behind()
+	return c.tracker.Outdated()
 }
 
 // mayRefresh limits the rate of reads for unknown keys: it returns true at most once
