--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -34,7 +34,7 @@
 	switch {
 	case t.team != nil:
 		return f.checkFreshness(t)
-	case f.Freshness.Behind():
+	case f.Freshness.Outdated():
 		f.Freshness.Refresh()
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the key is not known, and the configuration may be out of date").
 			WithRetryAfter(staleRetryAfter)
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -159,7 +159,7 @@
 	// longer ago than allowed, and how old the configuration may be.
 	Fresh() (fresh bool, age time.Duration)
 	// Behind reports whether a newer configuration may exist elsewhere.
-	Behind() bool
+	Outdated() bool
 	// Refresh schedules a read of the configuration. It doesn't block, and reads
 	// are rate-limited however often it is called.
 	Refresh()
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -173,7 +173,7 @@
 }
 
 // Behind implements forward.Freshness.
-func (f freshnessAdapter) Behind() bool {
+func (f freshnessAdapter) Outdated() bool {
 	age, ok := f.d.freshness.age(f.d.now())
 	return !ok || age > unknownKeyMaxAge || f.d.freshness.behind()
 }
