--- a/cmd/internal/experiment/poison.go
+++ b/cmd/internal/experiment/poison.go
@@ -144,7 +144,7 @@
 
 // fingerprint returns the fingerprint that the fleet uses for a prompt of the team.
 func (p *poisoner) fingerprint(prompt string) string {
-	return poison.Print(p.team, id.Service(p.model), []byte(prompt)).String()
+	return poison.NewFingerprint(p.team, id.Service(p.model), []byte(prompt)).String()
 }
 
 // crashes counts the crashes of all engines.
--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -69,7 +69,7 @@
 
 func (s *simulation) add(content string, poison bool) {
 	s.requests = append(s.requests, &request{
-		suspect: Suspect{Fingerprint: Print("t", "s", []byte(content)), Team: "t"},
+		suspect: Suspect{Fingerprint: NewFingerprint("t", "s", []byte(content)), Team: "t"},
 		poison:  poison, sendAt: s.now + time.Duration(s.rng.IntN(500))*time.Millisecond,
 	})
 }
--- a/core/poison/ledger_test.go
+++ b/core/poison/ledger_test.go
@@ -13,13 +13,13 @@
 
 var (
 	wall = time.Unix(1_000_000, 0)
-	a, b = Suspect{Print("t", "s", []byte("a")), "t"}, Suspect{Print("t", "s", []byte("b")), "t"}
+	a, b = Suspect{NewFingerprint("t", "s", []byte("a")), "t"}, Suspect{NewFingerprint("t", "s", []byte("b")), "t"}
 )
 
 func crash(endpoint string) CrashID { return CrashID{Endpoint: id.Endpoint(endpoint), Incarnation: 1} }
 
 func states(t *rapid.T) []State {
-	suspects := rapid.SliceOfN(rapid.SampledFrom([]Suspect{a, b, {Print("u", "s", nil), "u"}}), 0, 3)
+	suspects := rapid.SliceOfN(rapid.SampledFrom([]Suspect{a, b, {NewFingerprint("u", "s", nil), "u"}}), 0, 3)
 	at := rapid.Int64Range(wall.UnixMilli()-1000, wall.UnixMilli())
 	one := rapid.Custom(func(t *rapid.T) State {
 		return State{
@@ -97,7 +97,7 @@
 	l := New(Config{})
 	var beside []Suspect
 	for i := range 3 {
-		other := Suspect{Print("t", "s", []byte(fmt.Sprint(i))), "t"}
+		other := Suspect{NewFingerprint("t", "s", []byte(fmt.Sprint(i))), "t"}
 		beside = append(beside, other)
 		l.Crash(wall, crash(fmt.Sprint(i)), []Suspect{a, other})
 	}
@@ -137,8 +137,8 @@
 	l := New(Config{MaxCrashes: 10, MaxCleared: 10, MaxRunning: 2})
 	for i := range 100 {
 		now := wall.Add(time.Duration(i) * time.Second)
-		l.Crash(now, crash(fmt.Sprint(i)), []Suspect{a, b, {Print("t", "s", []byte(fmt.Sprint(i))), "t"}})
-		l.Lift(now, Print("t", "s", []byte(fmt.Sprint(i))))
+		l.Crash(now, crash(fmt.Sprint(i)), []Suspect{a, b, {NewFingerprint("t", "s", []byte(fmt.Sprint(i))), "t"}})
+		l.Lift(now, NewFingerprint("t", "s", []byte(fmt.Sprint(i))))
 	}
 	is.Equal(len(l.crashes), 10)
 	is.Equal(len(l.cleared), 10)
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -20,7 +20,7 @@
 
 // Print returns the fingerprint of a request. The boundaries between the parts of
 // the content matter: "ab" and "c" differ from "a" and "bc".
-func Print(team id.Team, service id.Service, content ...[]byte) Fingerprint {
+func NewFingerprint(team id.Team, service id.Service, content ...[]byte) Fingerprint {
 	h := sha256.New()
 	write := func(part []byte) {
 		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
--- a/core/pool/manager_test.go
+++ b/core/pool/manager_test.go
@@ -75,7 +75,7 @@
 	return r.Load(r.now, sched.Load{Endpoint: e, Incarnation: incarnation, Slots: 2, Reachable: true})
 }
 
-func content(name string) poison.Fingerprint { return poison.Print("t", "s", []byte(name)) }
+func content(name string) poison.Fingerprint { return poison.NewFingerprint("t", "s", []byte(name)) }
 
 // sendWant sends a Want and returns the first action within 100 ms; nil if the request
 // still waits then.
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -87,7 +87,7 @@
 	j.want = sched.Want{
 		Request: j.id, Team: team, Service: id.Service(c.pool), Pool: c.pool, From: h.self,
 		PromptTokens: 200 + c.n%600, OutputTokens: c.tokens, Priority: 5, Avoid: c.avoid, Attempt: c.attempts,
-		Fingerprint: poison.Print(team, id.Service(c.pool), []byte(fmt.Sprint(c.n))).String(),
+		Fingerprint: poison.NewFingerprint(team, id.Service(c.pool), []byte(fmt.Sprint(c.n))).String(),
 	}
 	j.sequencer = stream.New(j.id, c.delivered, 0)
 	c.job = j
--- a/daemon/broker/fuzz_test.go
+++ b/daemon/broker/fuzz_test.go
@@ -64,7 +64,7 @@
 func FuzzEnvelope(f *testing.F) {
 	want := sched.Want{
 		Request: "r", Team: "t", Service: "s", Pool: "p", From: fuzzSelf, PromptTokens: 10, OutputTokens: 5,
-		Fingerprint: poison.Print("t", "s", []byte("x")).String(),
+		Fingerprint: poison.NewFingerprint("t", "s", []byte("x")).String(),
 	}
 	grant := sched.Grant{Request: "r", Prefill: "prefill", Decode: "decode", Reservation: 1, Owner: fuzzSelf}
 	strange := want
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -28,7 +28,7 @@
 // streams would quarantine them all. The fingerprint is computed once per request.
 func fingerprintOf(r *Request, t *trace) poison.Fingerprint {
 	if t.fingerprint == (poison.Fingerprint{}) {
-		t.fingerprint = poison.Print(id.Team(t.route.Name), t.service,
+		t.fingerprint = poison.NewFingerprint(id.Team(t.route.Name), t.service,
 			[]byte(r.Caller), []byte(r.Method), []byte(r.Target), []byte(r.Prompt), r.Body)
 	}
 	return t.fingerprint
--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -71,7 +71,7 @@
 		Service:     svc,
 		Prompt:      body.Prompt,
 		MaxTokens:   body.MaxTokens,
-		Fingerprint: poison.Print(team.Name, svc.Name, []byte(body.Prompt)).String(),
+		Fingerprint: poison.NewFingerprint(team.Name, svc.Name, []byte(body.Prompt)).String(),
 	}
 	if err := s.applyResumeToken(ctx, job, body); err != nil {
 		return nil, nil, err
--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -105,7 +105,7 @@
 			Headers: forwardedHeaders(ctx),
 			Body:    body,
 		},
-		Fingerprint: poison.Print(team.Name, svc.Name, []byte(path), body).String(),
+		Fingerprint: poison.NewFingerprint(team.Name, svc.Name, []byte(path), body).String(),
 	}, nil
 }
 
