--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -57,8 +57,8 @@
 
 	commit     committer
 	reads      reader
-	storeCalls map[CallID]*storeCall
-	lastID     CallID
+	storeCalls map[StoreCallID]*storeCall
+	lastID     StoreCallID
 
 	timers   timers
 	timerSeq uint64
@@ -73,7 +73,7 @@
 	if err != nil {
 		panic(err) // unreachable: the size is a positive constant
 	}
-	return &Claims{cfg: cfg, ops: map[string][]*op{}, storeCalls: map[CallID]*storeCall{}, recent: recent}
+	return &Claims{cfg: cfg, ops: map[string][]*op{}, storeCalls: map[StoreCallID]*storeCall{}, recent: recent}
 }
 
 func (cfg Config) withDefaults() Config {
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -158,7 +158,7 @@
 	c.emit(Action{Read: &Read{ID: c.newStoreCall(&storeCall{ops: ops, read: true}), Keys: keys}})
 }
 
-func (c *Claims) newStoreCall(k *storeCall) CallID {
+func (c *Claims) newStoreCall(k *storeCall) StoreCallID {
 	c.lastID++
 	c.storeCalls[c.lastID] = k
 	c.startTimer(c.cfg.CallTimeout, timer{kind: timerStoreCall, callID: c.lastID})
@@ -167,7 +167,7 @@
 
 // endStoreCall removes a store call from those in flight and returns it, or nil
 // if it has ended already, for example by a timeout.
-func (c *Claims) endStoreCall(id CallID) *storeCall {
+func (c *Claims) endStoreCall(id StoreCallID) *storeCall {
 	k, ok := c.storeCalls[id]
 	if !ok {
 		return nil
@@ -182,13 +182,13 @@
 }
 
 // StoreFailed handles a store call that failed without a reply.
-func (c *Claims) StoreFailed(now time.Duration, id CallID, f StoreFailure) []Action {
+func (c *Claims) StoreFailed(now time.Duration, id StoreCallID, f StoreFailure) []Action {
 	c.advance(now)
 	c.storeFailed(id, f)
 	return c.flush()
 }
 
-func (c *Claims) storeFailed(id CallID, f StoreFailure) {
+func (c *Claims) storeFailed(id StoreCallID, f StoreFailure) {
 	k := c.endStoreCall(id)
 	if k == nil {
 		return
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -9,7 +9,7 @@
 )
 
 // StoreReply handles the store's reply to a transaction.
-func (c *Claims) StoreReply(now time.Duration, id CallID, r table.Reply) []Action {
+func (c *Claims) StoreReply(now time.Duration, id StoreCallID, r table.Reply) []Action {
 	c.advance(now)
 	k := c.endStoreCall(id)
 	if k == nil {
@@ -98,7 +98,7 @@
 
 // ReadReply handles the rows of a read. A key without a row counts as
 // absent.
-func (c *Claims) ReadReply(now time.Duration, id CallID, rows []table.Row) []Action {
+func (c *Claims) ReadReply(now time.Duration, id StoreCallID, rows []table.Row) []Action {
 	c.advance(now)
 	k := c.endStoreCall(id)
 	if k == nil {
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -72,7 +72,7 @@
 }
 
 // CallID identifies a call to the store within one Claims.
-type CallID uint64
+type StoreCallID uint64
 
 // Action is one instruction to the caller of Claims. Exactly one field is set.
 type Action struct {
@@ -95,13 +95,13 @@
 // Transact is one group commit. It must be sent once; the client must not retry
 // it on its own.
 type Transact struct {
-	ID          CallID
+	ID          StoreCallID
 	Transaction table.Transaction
 }
 
 // Read is a read of rows by key.
 type Read struct {
-	ID   CallID
+	ID   StoreCallID
 	Keys []string
 }
 
--- a/core/claim/timers.go
+++ b/core/claim/timers.go
@@ -10,7 +10,7 @@
 	at     time.Duration
 	seq    uint64
 	op     *op
-	callID CallID
+	callID StoreCallID
 	kind   timerKind
 }
 
--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -226,7 +226,7 @@
 }
 
 // call runs a store call and passes its reply or its failure to core/claim.
-func (c *Claims) call(call claim.CallID, q table.Request, reply func(time.Duration, table.Reply) []claim.Action) {
+func (c *Claims) call(call claim.StoreCallID, q table.Request, reply func(time.Duration, table.Reply) []claim.Action) {
 	c.cfg.Store.Do(c.duty.Context(), q, func(r table.Reply) {
 		c.duty.Post(func(now time.Duration) {
 			switch r.Status {
