--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -78,7 +78,7 @@
 
 func (cfg Config) withDefaults() Config {
 	defaults.Set(&cfg.Window, DefaultWindow)
-	defaults.Set(&cfg.Gap, DefaultGap)
+	defaults.Set(&cfg.MinInterval, DefaultGap)
 	defaults.Set(&cfg.MaxBatch, DefaultMaxBatch)
 	defaults.Set(&cfg.MaxInFlight, DefaultMaxInFlight)
 	defaults.Set(&cfg.MaxWait, DefaultMaxWait)
@@ -216,7 +216,7 @@
 }
 
 // SetGap changes Config.Gap, for example when the number of writers changes.
-func (c *Claims) SetGap(gap time.Duration) { c.cfg.Gap = gap }
+func (c *Claims) SetGap(gap time.Duration) { c.cfg.MinInterval = gap }
 
 // Pending returns the number of Begins, Finishes and Releases in progress.
 func (c *Claims) Pending() int { return c.count }
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -215,7 +215,7 @@
 	const perSecond, share, seconds = 1650, 60, 5
 	gap := GapFor(4*share, 4)
 	b := newHarness(nil)
-	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, Gap: gap})
+	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, MinInterval: gap})
 	type pendingReply struct {
 		at time.Duration
 		tx *Transact
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -127,7 +127,7 @@
 	c.commit.waitingSince = c.now
 	c.commit.skipWindow = false
 	c.commit.inFlight++
-	c.commit.notBefore = c.now + c.cfg.Gap
+	c.commit.notBefore = c.now + c.cfg.MinInterval
 	c.stats.Transactions++
 	c.stats.Rows += uint64(len(ops))
 	c.emit(Action{Transact: &Transact{ID: c.newStoreCall(&storeCall{ops: ops}), Transaction: t}})
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -156,7 +156,7 @@
 	// Gap is the minimum time between the starts of two transactions. It divides
 	// the store's write rate among the writers; see GapFor. Default 37.5 ms: nine
 	// daemons that each write their own claims share 240 transactions a second.
-	Gap time.Duration
+	MinInterval time.Duration
 	// MaxBatch bounds the rows of a transaction or read. Default 64.
 	MaxBatch int
 	// MaxInFlight bounds the transactions in flight and, separately, the reads in
--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -126,7 +126,7 @@
 }
 
 func (s *simulation) start(p id.Process) *daemon {
-	return &daemon{process: p, claims: New(Config{OwnerAlive: s.alive, MaxBatch: 4, Gap: s.gap, CallTimeout: 100 * time.Millisecond})}
+	return &daemon{process: p, claims: New(Config{OwnerAlive: s.alive, MaxBatch: 4, MinInterval: s.gap, CallTimeout: 100 * time.Millisecond})}
 }
 
 func (s *simulation) alive(p id.Process) bool {
