--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -78,7 +78,7 @@
 
 func (cfg Config) withDefaults() Config {
 	defaults.Set(&cfg.Window, DefaultWindow)
-	defaults.Set(&cfg.MinInterval, DefaultGap)
+	defaults.Set(&cfg.MinInterval, DefaultMinInterval)
 	defaults.Set(&cfg.MaxBatch, DefaultMaxBatch)
 	defaults.Set(&cfg.MaxInFlight, DefaultMaxInFlight)
 	defaults.Set(&cfg.MaxWait, DefaultMaxWait)
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -263,7 +263,7 @@
 	writers := Writers(members, 2)
 	is.Equal(len(writers), 2)
 	is.Equal(len(Writers(members[:1], 2)), 1)
-	is.Equal(GapFor(240, len(members)), DefaultGap)
+	is.Equal(GapFor(240, len(members)), DefaultMinInterval)
 	is.Equal(WriterFor("row", nil), id.Daemon(""))
 	without := slices.DeleteFunc(slices.Clone(members), func(d id.Daemon) bool { return d == writers[0] })
 	is.True(slices.Contains(Writers(without, 2), writers[1]))
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -183,7 +183,7 @@
 // Defaults of Config.
 const (
 	DefaultWindow        = 5 * time.Millisecond
-	DefaultGap           = 37500 * time.Microsecond
+	DefaultMinInterval   = 37500 * time.Microsecond
 	DefaultMaxBatch      = 64
 	DefaultMaxInFlight   = 2
 	DefaultMaxWait       = 300 * time.Millisecond
--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -117,7 +117,7 @@
 		table:    &memTable{rows: map[string]table.Row{}, history: map[string][]table.Row{}},
 		attempts: map[Token]*attempt{}, runs: map[string]int{},
 		answers: map[string]string{}, failedWith: map[string]verdict.Verdict{},
-		gap: []time.Duration{time.Nanosecond, DefaultGap, 4 * DefaultGap}[seed%3],
+		gap: []time.Duration{time.Nanosecond, DefaultMinInterval, 4 * DefaultMinInterval}[seed%3],
 	}
 	for i := range 3 {
 		s.daemons = append(s.daemons, s.start(id.Process{Daemon: id.Daemon(fmt.Sprint("d", i)), Incarnation: 1}))
