--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -216,7 +216,7 @@
 }
 
 // SetGap changes Config.Gap, for example when the number of writers changes.
-func (c *Claims) SetGap(gap time.Duration) { c.cfg.MinInterval = gap }
+func (c *Claims) SetMinInterval(gap time.Duration) { c.cfg.MinInterval = gap }
 
 // Pending returns the number of Begins, Finishes and Releases in progress.
 func (c *Claims) Pending() int { return c.count }
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -174,7 +174,7 @@
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	b.SetGap(0)
+	b.SetMinInterval(0)
 	var out []Action
 	for i := range 3 * DefaultMaxBatch {
 		out = append(out, b.Begin(0, b.wall(), newBegin(fmt.Sprint(i), Token(fmt.Sprint(i))))...)
--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -30,7 +30,7 @@
 	writers := chooseWriters(members, c.cfg.Writers != nil)
 	c.writers.Store(&writers)
 	gap := gapOf(c.cfg.Self.Daemon, len(members), writers)
-	c.duty.Post(func(time.Duration) { c.core.SetGap(gap) })
+	c.duty.Post(func(time.Duration) { c.core.SetMinInterval(gap) })
 }
 
 // chooseWriters returns the writers. It returns none if each daemon writes its own
