--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -213,7 +213,7 @@
 func TestRateAtTargetSize(t *testing.T) {
 	is := is.New(t)
 	const perSecond, share, seconds = 1650, 60, 5
-	gap := GapFor(4*share, 4)
+	gap := MinIntervalFor(4*share, 4)
 	b := newHarness(nil)
 	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, MinInterval: gap})
 	type pendingReply struct {
@@ -263,7 +263,7 @@
 	writers := Writers(members, 2)
 	is.Equal(len(writers), 2)
 	is.Equal(len(Writers(members[:1], 2)), 1)
-	is.Equal(GapFor(240, len(members)), DefaultMinInterval)
+	is.Equal(MinIntervalFor(240, len(members)), DefaultMinInterval)
 	is.Equal(WriterFor("row", nil), id.Daemon(""))
 	without := slices.DeleteFunc(slices.Clone(members), func(d id.Daemon) bool { return d == writers[0] })
 	is.True(slices.Contains(Writers(without, 2), writers[1]))
--- a/core/claim/shard.go
+++ b/core/claim/shard.go
@@ -25,6 +25,6 @@
 
 // GapFor returns the Config.Gap at which the given number of writers together make
 // at most the given number of transactions a second.
-func GapFor(transactionsPerSecond, writers int) time.Duration {
+func MinIntervalFor(transactionsPerSecond, writers int) time.Duration {
 	return time.Duration(max(writers, 1)) * time.Second / time.Duration(max(transactionsPerSecond, 1))
 }
--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -46,11 +46,11 @@
 func gapOf(self id.Daemon, members int, writers []id.Daemon) time.Duration {
 	switch {
 	case len(writers) == 0:
-		return claim.GapFor(writerBudget, members)
+		return claim.MinIntervalFor(writerBudget, members)
 	case slices.Contains(writers, self):
-		return claim.GapFor(writerBudget, len(writers))
+		return claim.MinIntervalFor(writerBudget, len(writers))
 	default:
-		return claim.GapFor(nonWriterBudget, members-len(writers))
+		return claim.MinIntervalFor(nonWriterBudget, members-len(writers))
 	}
 }
 
