--- a/core/sched/ledger.go
+++ b/core/sched/ledger.go
@@ -83,7 +83,7 @@
 // NewLedger returns the scheduler of a pool's owner.
 func NewLedger(o Options) Scheduler {
 	o = o.withDefaults()
-	ended, err := simplelru.NewLRU[id.Request, outcome](max(1, o.Remembered), nil)
+	ended, err := simplelru.NewLRU[id.Request, outcome](max(1, o.MaxEnded), nil)
 	if err != nil {
 		panic("sched: cache of ended requests: " + err.Error())
 	}
--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -95,7 +95,7 @@
 	FreeSlotWaste float64
 	// Remembered bounds the records of ended requests, which keep a late
 	// duplicate of a Want from running again. Default 16384.
-	Remembered int
+	MaxEnded int
 	// Health may be nil; then every endpoint is allowed.
 	Health HealthView
 	// Violation is called for each violated invariant; it may be nil.
@@ -151,6 +151,6 @@
 	defaults.Set(&o.RiskDeviations, DefaultRiskDeviations)
 	defaults.Set(&o.WasteTolerance, DefaultWasteTolerance)
 	defaults.Set(&o.FreeSlotWaste, DefaultFreeSlotWaste)
-	defaults.Set(&o.Remembered, DefaultRemembered)
+	defaults.Set(&o.MaxEnded, DefaultRemembered)
 	return o
 }
