--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -125,7 +125,7 @@
 	DefaultRiskDeviations  = 2.0
 	DefaultWasteTolerance  = 0.1
 	DefaultFreeSlotWaste   = 0.95
-	DefaultRemembered      = 16384
+	DefaultMaxEnded        = 16384
 )
 
 // withDefaults returns the options with every zero field set.
@@ -151,6 +151,6 @@
 	defaults.Set(&o.RiskDeviations, DefaultRiskDeviations)
 	defaults.Set(&o.WasteTolerance, DefaultWasteTolerance)
 	defaults.Set(&o.FreeSlotWaste, DefaultFreeSlotWaste)
-	defaults.Set(&o.MaxEnded, DefaultRemembered)
+	defaults.Set(&o.MaxEnded, DefaultMaxEnded)
 	return o
 }
