--- a/core/kvsched/ledger.go
+++ b/core/kvsched/ledger.go
@@ -103,7 +103,7 @@
 // New returns the scheduler of a pool's owner.
 func New(o Options) *Ledger {
 	o = o.withDefaults()
-	ended, err := simplelru.NewLRU[id.Request, *sched.Refusal](max(1, o.Remembered), nil)
+	ended, err := simplelru.NewLRU[id.Request, *sched.Refusal](max(1, o.MaxEnded), nil)
 	if err != nil {
 		panic("kvsched: memory of ended requests: " + err.Error())
 	}
--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -47,7 +47,7 @@
 	MaxQueue int
 	// Remembered bounds the number of ended requests that are remembered, so
 	// that a late repeat of a Want is not granted again.
-	Remembered int
+	MaxEnded int
 	// Disabled lists mechanisms to switch off for measurements.
 	Disabled []Mechanism
 	// Health reports the allowed endpoints; nil allows every endpoint.
@@ -82,6 +82,6 @@
 	defaults.Set(&o.FullHold, DefaultFullHold)
 	defaults.Set(&o.ExpiresIn, DefaultExpiresIn)
 	defaults.Set(&o.MaxQueue, DefaultMaxQueue)
-	defaults.Set(&o.Remembered, DefaultRemembered)
+	defaults.Set(&o.MaxEnded, DefaultRemembered)
 	return o
 }
