--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -69,7 +69,7 @@
 	DefaultFullHold      = 150 * time.Millisecond
 	DefaultExpiresIn     = time.Second
 	DefaultMaxQueue      = 8192
-	DefaultRemembered    = 4096
+	DefaultMaxEnded      = 4096
 )
 
 func (o Options) withDefaults() Options {
@@ -82,6 +82,6 @@
 	defaults.Set(&o.FullHold, DefaultFullHold)
 	defaults.Set(&o.ExpiresIn, DefaultExpiresIn)
 	defaults.Set(&o.MaxQueue, DefaultMaxQueue)
-	defaults.Set(&o.MaxEnded, DefaultRemembered)
+	defaults.Set(&o.MaxEnded, DefaultMaxEnded)
 	return o
 }
