--- a/core/kvsched/progress.go
+++ b/core/kvsched/progress.go
@@ -118,7 +118,7 @@
 	}
 	r.expires = max(l.now+l.options.ExpiresIn, r.lifetime)
 	if a.Phase >= sched.PhaseDecoding {
-		r.decodingAt = max(1, l.now-a.For)
+		r.decodingAt = max(1, l.now-a.InPhase)
 	}
 	decode.addDecode(r)
 	l.addReservation(r)
--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -258,7 +258,7 @@
 func (a *Asker) adoptMessage(e *entry) Message {
 	adopt := &sched.Adopt{Want: e.want, Grant: *e.grant, Phase: e.phase}
 	if e.phaseStart > 0 {
-		adopt.For = max(0, a.now-e.phaseStart)
+		adopt.InPhase = max(0, a.now-e.phaseStart)
 	}
 	adopt.Want.Age += max(0, a.now-e.askedAt)
 	return Message{To: e.owner, Adopt: adopt}
--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -208,7 +208,7 @@
 	out := a.Members(5*time.Second, []id.Daemon{other})
 	is.Equal(len(out.Messages), 1)
 	adopt := out.Messages[0].Adopt
-	is.Equal(adopt.For, 3*time.Second)
+	is.Equal(adopt.InPhase, 3*time.Second)
 	is.Equal(adopt.Want.Age, 4100*time.Millisecond)
 }
 
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -161,7 +161,7 @@
 	Grant Grant `cbor:"2,keyasint"`
 	Phase Phase `cbor:"3,keyasint"`
 	// For is how long the request has been in Phase; 0 if unknown.
-	For time.Duration `cbor:"4,keyasint,omitempty"`
+	InPhase time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
 // Load is an endpoint's load report. It may be out of date on arrival.
