--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -37,7 +37,7 @@
 	// Tried counts the attempts to place a request on an engine since the
 	// scheduler started, which are most of its work. Repeated counts the Wants
 	// that arrived again while they were queued.
-	Tried    uint64
+	Attempts uint64
 	Repeated uint64
 }
 
