--- a/core/kvsched/demand.go
+++ b/core/kvsched/demand.go
@@ -9,7 +9,7 @@
 
 // Demand implements sched.Demander.
 func (l *Ledger) Demand(now time.Duration) sched.Demand {
-	d := sched.Demand{Queued: len(l.queue), PrefillWork: l.prefillWork, Attempts: l.tried, Repeated: l.repeated}
+	d := sched.Demand{Queued: len(l.queue), PrefillWork: l.prefillWork, Attempts: l.tried, RepeatedWants: l.repeated}
 	for _, e := range l.order {
 		if e.leaving || e.down {
 			continue
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -37,8 +37,8 @@
 	// Tried counts the attempts to place a request on an engine since the
 	// scheduler started, which are most of its work. Repeated counts the Wants
 	// that arrived again while they were queued.
-	Attempts uint64
-	Repeated uint64
+	Attempts      uint64
+	RepeatedWants uint64
 }
 
 // Demander is a scheduler that reports the demand of its pool.
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -84,8 +84,8 @@
 	o.d.logger.Event("pool_state", "pool", name, "prefills", len(d.Prefills), "prefills_working", working,
 		"prefill_backlog", d.PrefillBacklog, "decodes", len(d.Decodes), "decodes_running", running,
 		"memory", d.Memory, "memory_held", d.MemoryHeld, "queued", d.Queued, "memory_wanted", d.MemoryWanted,
-		"engines_tried", d.Attempts-p.tried, "wants_repeated", d.Repeated-p.repeated)
-	p.tried, p.repeated = d.Attempts, d.Repeated
+		"engines_tried", d.Attempts-p.tried, "wants_repeated", d.RepeatedWants-p.repeated)
+	p.tried, p.repeated = d.Attempts, d.RepeatedWants
 }
 
 // markDrained marks the engines that are about to change their role as drained.
