--- a/core/kvsched/demand.go
+++ b/core/kvsched/demand.go
@@ -16,13 +16,13 @@
 		}
 		switch e.role {
 		case live.RolePrefill:
-			d.Prefills = append(d.Prefills, sched.EngineDemand{Endpoint: e.name, Work: len(e.prefills), Drained: e.drained})
+			d.Prefills = append(d.Prefills, sched.EngineDemand{Endpoint: e.name, Requests: len(e.prefills), Drained: e.drained})
 			if e.drained {
 				continue
 			}
 			d.PrefillBacklog += max(0, e.busyUntil-now)
 		case live.RoleDecode:
-			d.Decodes = append(d.Decodes, sched.EngineDemand{Endpoint: e.name, Work: len(e.decodes), Drained: e.drained})
+			d.Decodes = append(d.Decodes, sched.EngineDemand{Endpoint: e.name, Requests: len(e.decodes), Drained: e.drained})
 			if e.drained {
 				continue
 			}
--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -226,7 +226,7 @@
 		return "", false
 	}
 	least := slices.MinFunc(free, func(a, b sched.EngineDemand) int {
-		return cmp.Or(cmp.Compare(a.Work, b.Work), cmp.Compare(a.Endpoint, b.Endpoint))
+		return cmp.Or(cmp.Compare(a.Requests, b.Requests), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return least.Endpoint, true
 }
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -10,7 +10,7 @@
 type EngineDemand struct {
 	Endpoint id.Endpoint
 	// Work is the number of requests at the engine.
-	Work int
+	Requests int
 	// Drained is set while the engine gets no new work or is about to change its
 	// role.
 	Drained bool
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -73,13 +73,13 @@
 	p.loggedAt = now
 	working := 0
 	for _, e := range d.Prefills {
-		if e.Work > 0 {
+		if e.Requests > 0 {
 			working++
 		}
 	}
 	running := 0
 	for _, e := range d.Decodes {
-		running += e.Work
+		running += e.Requests
 	}
 	o.d.logger.Event("pool_state", "pool", name, "prefills", len(d.Prefills), "prefills_working", working,
 		"prefill_backlog", d.PrefillBacklog, "decodes", len(d.Decodes), "decodes_running", running,
