--- a/core/pool/status.go
+++ b/core/pool/status.go
@@ -49,7 +49,7 @@
 // Demand returns the demand on the pool's roles; ok is false if the scheduler
 // does not report it.
 func (m *Manager) Demand(now time.Duration) (d sched.Demand, ok bool) {
-	demander, ok := m.sched.(sched.Demander)
+	demander, ok := m.sched.(sched.DemandReporter)
 	if !ok {
 		return sched.Demand{}, false
 	}
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -42,6 +42,6 @@
 }
 
 // Demander is a scheduler that reports the demand of its pool.
-type Demander interface {
+type DemandReporter interface {
 	Demand(now time.Duration) Demand
 }
