--- a/daemon/gateway/engines.go
+++ b/daemon/gateway/engines.go
@@ -38,7 +38,7 @@
 // The results of an order.
 const (
 	// OrderTaken: the engine carries the order out, or already has the role.
-	OrderTaken OrderResult = iota + 1
+	OrderAccepted OrderResult = iota + 1
 	// OrderRefused: the engine accepted another order first, or is gone.
 	OrderRefused
 	// OrderFenced: the engine has seen a higher fencing number.
@@ -50,7 +50,7 @@
 // String returns the name of the result in logs and metrics.
 func (r OrderResult) String() string {
 	switch r {
-	case OrderTaken:
+	case OrderAccepted:
 		return "taken"
 	case OrderRefused:
 		return "refused"
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -39,7 +39,7 @@
 		return OrderRefused, 0
 	}
 	if state.Changing || state.Role == c.to {
-		return OrderTaken, 0
+		return OrderAccepted, 0
 	}
 	fence, ok := o.openGate(endpoint)
 	if !ok {
@@ -73,7 +73,7 @@
 	c.retryAt = now + orderRetryDelay
 	o.releaseSafeAt = now + o.longestOrder()
 	switch result {
-	case OrderTaken:
+	case OrderAccepted:
 		c.ordered = true
 		c.orderedAt = now
 	case OrderFenced:
