--- a/daemon/gateway/engines.go
+++ b/daemon/gateway/engines.go
@@ -17,7 +17,7 @@
 	Orders uint64
 	// Born orders the starts of the engine, as in its registry entry: a later start
 	// has a higher value. 0 if the engine does not report it.
-	Born int64
+	StartedUnixMS int64
 }
 
 // RoleOrder orders an engine to change its role.
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -74,7 +74,7 @@
 	switch {
 	case err != nil:
 		return identityUnknown
-	case state.Born > e.Born:
+	case state.StartedUnixMS > e.Born:
 		d.markRestarted(e, state)
 		return identityChanged
 	case state.Role != e.Role:
@@ -112,9 +112,9 @@
 func (d *Daemon) markRestarted(e registry.Endpoint, state EngineState) {
 	d.tables.mu.Lock()
 	defer d.tables.mu.Unlock()
-	if !d.tables.list.Restarted(e.Instance, state.Born, state.Role) {
+	if !d.tables.list.Restarted(e.Instance, state.StartedUnixMS, state.Role) {
 		return
 	}
-	d.logger.Event("endpoint_restarted", "endpoint", e.Name, "born", state.Born, "role", state.Role)
+	d.logger.Event("endpoint_restarted", "endpoint", e.Name, "born", state.StartedUnixMS, "role", state.Role)
 	d.publish()
 }
