--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -18,7 +18,7 @@
 	b := New("d", rand.New(rand.NewPCG(1, 2)))
 	start := func(born int64) {
 		b.Configure([]registry.Endpoint{{
-			Name: registry.Incarnation("a", born), Instance: "a", Born: born, Service: "s", Domain: "d", Slots: 4,
+			Name: registry.Incarnation("a", born), Instance: "a", StartedUnixMS: born, Service: "s", Domain: "d", Slots: 4,
 		}})
 	}
 	start(100)
--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -18,8 +18,8 @@
 	// Born is the start time by the endpoint's clock in Unix milliseconds; 0 if the
 	// endpoint does not report it. It orders the incarnations of one instance, and
 	// is never compared with a clock of this daemon.
-	Born    int64
-	Service id.Service
+	StartedUnixMS int64
+	Service       id.Service
 	// Address has the form IP:port.
 	Address string
 	Domain  id.Domain
@@ -57,5 +57,5 @@
 
 // older reports whether e is an earlier start of the same instance than other.
 func (e *Endpoint) older(other *Endpoint) bool {
-	return e.Instance != "" && e.Instance == other.Instance && e.Born < other.Born
+	return e.Instance != "" && e.Instance == other.Instance && e.StartedUnixMS < other.StartedUnixMS
 }
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -14,7 +14,7 @@
 
 // startedEntry returns the entry of one start of an instance.
 func startedEntry(instance id.Instance, born int64, address string) Endpoint {
-	return Endpoint{Name: Incarnation(instance, born), Instance: instance, Born: born, Address: address, Role: live.RoleDecode}
+	return Endpoint{Name: Incarnation(instance, born), Instance: instance, StartedUnixMS: born, Address: address, Role: live.RoleDecode}
 }
 
 func TestLaterStartReplacesEarlier(t *testing.T) {
@@ -152,13 +152,13 @@
 		if _, twice := present[e.Instance]; twice {
 			t.Fatalf("%s is listed twice", e.Instance)
 		}
-		if e.Born < shown[e.Instance] {
-			t.Fatalf("start of %s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
+		if e.StartedUnixMS < shown[e.Instance] {
+			t.Fatalf("start of %s went back from %d to %d", e.Instance, shown[e.Instance], e.StartedUnixMS)
 		}
 		if displaced[e.location()] {
 			t.Fatalf("displaced endpoint %s is listed", e.Name)
 		}
-		present[e.Instance] = e.Born
+		present[e.Instance] = e.StartedUnixMS
 	}
 	clear(shown)
 	for instance, born := range present {
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -84,7 +84,7 @@
 func latestStarts(entries []Endpoint) map[id.Instance]Endpoint {
 	latest := map[id.Instance]Endpoint{}
 	for _, e := range entries {
-		if e.Born > latest[e.Instance].Born {
+		if e.StartedUnixMS > latest[e.Instance].StartedUnixMS {
 			latest[e.Instance] = e
 		}
 	}
@@ -168,10 +168,10 @@
 // and of its present role. It reports whether this was not recorded before.
 func (l *List) Restarted(instance id.Instance, born int64, role live.Role) bool {
 	entry, ok := l.entry(instance)
-	if !ok || born <= entry.Born || born <= l.restarted[instance].Born {
+	if !ok || born <= entry.StartedUnixMS || born <= l.restarted[instance].StartedUnixMS {
 		return false
 	}
-	entry.Born = born
+	entry.StartedUnixMS = born
 	entry.Name = Incarnation(instance, born)
 	entry.Role = role
 	l.restarted[instance] = entry
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -74,7 +74,7 @@
 	switch {
 	case err != nil:
 		return identityUnknown
-	case state.StartedUnixMS > e.Born:
+	case state.StartedUnixMS > e.StartedUnixMS:
 		d.markRestarted(e, state)
 		return identityChanged
 	case state.Role != e.Role:
