--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -98,7 +98,7 @@
 		return func(*verdict.Error) {}, nil
 	}
 	cost := limit.Cost(size)
-	if err := q.Pay(ctx, team.Name, limit, cost, chargeTimeout); err != nil {
+	if err := q.Charge(ctx, team.Name, limit, cost, chargeTimeout); err != nil {
 		return nil, err
 	}
 	return func(err *verdict.Error) {
--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -90,7 +90,7 @@
 	limit := t.team.Limit
 	cost := limit.Cost(quota.Size{Known: r.Sized, Prompt: r.PromptTokens, Output: r.OutputTokens})
 	patience := time.Duration(chargeTimeFraction * float64(f.timeLeft(r, t.route)))
-	if err := f.Payer.Pay(ctx, t.team.Name, limit, cost, patience); err != nil {
+	if err := f.Payer.Charge(ctx, t.team.Name, limit, cost, patience); err != nil {
 		return err
 	}
 	t.charged = cost
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -148,7 +148,7 @@
 type Payer interface {
 	// Pay charges a request to its team, or refuses it. patience bounds the wait
 	// for the daemon that keeps the team's account.
-	Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
+	Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
 	// Return refunds the charge of a request that has not run. It doesn't block.
 	Return(team id.Team, cost float64)
 }
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -60,12 +60,12 @@
 type payer struct{ d *Daemon }
 
 // Pay implements forward.Payer.
-func (p payer) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
+func (p payer) Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	f := p.d.fleet.Load()
 	if f == nil {
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon is not enrolled in the fleet yet")
 	}
-	return f.quotas.Pay(ctx, team, limit, cost, patience)
+	return f.quotas.Charge(ctx, team, limit, cost, patience)
 }
 
 // Return implements forward.Payer.
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -22,7 +22,7 @@
 
 // Pay charges a request to its team, or refuses it. cost is in the limit's units.
 // patience bounds the wait for the keeper.
-func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
+func (q *Quotas) Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	answers := make(chan ChargeReply, 1)
 	p := &pendingCharge{request: ChargeRequest{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
 	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, p) }) {
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -86,7 +86,7 @@
 }
 
 func (f *fleet) pay(name id.Daemon, cost float64) *verdict.Error {
-	return f.duties[name].Pay(context.Background(), desk, f.limit, cost, patience)
+	return f.duties[name].Charge(context.Background(), desk, f.limit, cost, patience)
 }
 
 func TestAllDaemonsSpendFromOneAccount(t *testing.T) {
@@ -129,7 +129,7 @@
 	for range 10 {
 		is.Equal(f.pay(other, 1), nil) // a quarter of the slack, half of it here
 	}
-	err := f.duties[other].Pay(context.Background(), desk, f.limit, 1, time.Millisecond)
+	err := f.duties[other].Charge(context.Background(), desk, f.limit, 1, time.Millisecond)
 	is.Equal(err.Code, verdict.CodeUnavailable)
 	is.Equal(err.Verdict, verdict.NotRun)
 }
@@ -164,7 +164,7 @@
 	f.unreachable[keeper] = true
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	err := f.duties[other].Pay(ctx, desk, f.limit, 1, patience)
+	err := f.duties[other].Charge(ctx, desk, f.limit, 1, patience)
 	is.True(err != nil)
 	is.Equal(err.Verdict, verdict.NotRun)
 }
