--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -103,7 +103,7 @@
 	}
 	return func(err *verdict.Error) {
 		if err != nil && err.Verdict == verdict.NotRun {
-			q.Return(team.Name, cost)
+			q.Refund(team.Name, cost)
 		}
 	}, nil
 }
--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -100,7 +100,7 @@
 // refund returns the charge of a request that has not run.
 func (f *Forwarder) refund(t *trace, err *verdict.Error) {
 	if t.charged > 0 && err != nil && err.Verdict == verdict.NotRun {
-		f.Payer.Return(t.team.Name, t.charged)
+		f.Payer.Refund(t.team.Name, t.charged)
 	}
 }
 
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -150,7 +150,7 @@
 	// for the daemon that keeps the team's account.
 	Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
 	// Return refunds the charge of a request that has not run. It doesn't block.
-	Return(team id.Team, cost float64)
+	Refund(team id.Team, cost float64)
 }
 
 // Freshness reports how old the configuration may be.
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -69,8 +69,8 @@
 }
 
 // Return implements forward.Payer.
-func (p payer) Return(team id.Team, cost float64) {
+func (p payer) Refund(team id.Team, cost float64) {
 	if f := p.d.fleet.Load(); f != nil {
-		f.quotas.Return(team, cost)
+		f.quotas.Refund(team, cost)
 	}
 }
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -102,7 +102,7 @@
 }
 
 // Return credits what was charged for a request that has not run.
-func (q *Quotas) Return(team id.Team, cost float64) {
+func (q *Quotas) Refund(team id.Team, cost float64) {
 	q.duty.PostLater(func(now time.Duration) {
 		if q.purse.Refund(team, cost) {
 			return
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -115,7 +115,7 @@
 	for f.pay(other, 4) == nil {
 		paid += 4
 	}
-	f.duties[other].Return(desk, paid)
+	f.duties[other].Refund(desk, paid)
 	for f.pay(other, 4) != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
