--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -37,7 +37,7 @@
 	Stale func() bool
 	// Freshness and Payer are used only if the configuration has teams.
 	Freshness Freshness
-	Payer     Payer
+	Payer     QuotaCharger
 	// TooLate reports whether the daemon stops so soon that a new stream may not
 	// end before.
 	TooLate func() bool
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -145,7 +145,7 @@
 
 // Payer enforces the limits of teams over all daemons; daemon/quotas implements
 // it.
-type Payer interface {
+type QuotaCharger interface {
 	// Pay charges a request to its team, or refuses it. patience bounds the wait
 	// for the daemon that keeps the team's account.
 	Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
