--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -50,7 +50,7 @@
 
 // countFleet counts the daemons that are not dead, and those of them that are
 // reachable.
-func (d *Daemon) countFleet() quotas.Fleet { return quotas.Count(d.members.Entries()) }
+func (d *Daemon) countFleet() quotas.Fleet { return quotas.CountFleet(d.members.Entries()) }
 
 // limitedCompletions enforces the teams' limits on completions.
 type limitedCompletions struct {
--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -75,7 +75,7 @@
 }
 
 // count counts the daemons of the fleet as the quotas need it.
-func (f *fleet) count() quotas.Fleet { return quotas.Count(f.members.Entries()) }
+func (f *fleet) count() quotas.Fleet { return quotas.CountFleet(f.members.Entries()) }
 
 // daemons returns the number of daemons that share the fleet-wide bounds. It includes
 // silent daemons, which may still be serving requests.
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -46,7 +46,7 @@
 }
 
 // Count counts the daemons of a membership's view.
-func Count(entries []member.Entry) Fleet {
+func CountFleet(entries []member.Entry) Fleet {
 	out := Fleet{}
 	for _, e := range entries {
 		if e.State == member.Dead {
