--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -60,7 +60,7 @@
 }
 
 func newPeerHandler(d *Daemon) *peerHandler {
-	return &peerHandler{Handler: link.Handler{Receiver: receiver{d}, Wired: d.started}, d: d}
+	return &peerHandler{Handler: link.Handler{Receiver: receiver{d}, Ready: d.started}, d: d}
 }
 
 // receiver implements link.Receiver.
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -112,7 +112,7 @@
 		Self:        f.self,
 		Listen:      d.set.Listen.Peers,
 		Keys:        material,
-		Handler:     &peerHandler{Handler: link.Handler{Receiver: receiver{d, f}, Wired: ready}, d: d},
+		Handler:     &peerHandler{Handler: link.Handler{Receiver: receiver{d, f}, Ready: ready}, d: d},
 		KindName:    link.KindName(kindNames),
 		Registry:    d.metrics,
 		Address:     func(name id.Daemon) string { return f.members.Address(name) },
--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -65,13 +65,13 @@
 type Handler struct {
 	Receiver Receiver
 	// Wired is closed once the Receiver is ready; messages are dropped until then.
-	Wired <-chan struct{}
+	Ready <-chan struct{}
 }
 
 // Open reports whether messages are passed on.
 func (h *Handler) Open() bool {
 	select {
-	case <-h.Wired:
+	case <-h.Ready:
 		return true
 	default:
 		return false
