--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -85,7 +85,7 @@
 
 // HandleCall implements peer.Handler.
 func (h *peerHandler) HandleCall(ctx context.Context, from id.Daemon, kind peer.Kind, body []byte) ([]byte, error) {
-	if !h.Open() {
+	if !h.Accepting() {
 		return nil, eris.New("the daemon is starting")
 	}
 	switch kind {
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -170,7 +170,7 @@
 func (h *peerHandler) HandleCall(_ context.Context, from id.Daemon, kind peer.Kind, body []byte) ([]byte, error) {
 	var q uptimeQuery
 	switch {
-	case !h.Open():
+	case !h.Accepting():
 	case kind == kindTables:
 		return peer.Encode(&tablesReply{States: h.d.tableStates(), Store: *h.d.storeStatus()})
 	case kind == kindUptime && h.decode(from, body, &q):
@@ -206,7 +206,7 @@
 // decode decodes a message of this package. It returns false if the daemon does not
 // accept messages yet, or if the message is invalid, which is logged.
 func (h *peerHandler) decode(from id.Daemon, body []byte, msg any) bool {
-	if !h.Open() {
+	if !h.Accepting() {
 		return false
 	}
 	if err := peer.Decode(body, msg); err != nil {
--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -69,7 +69,7 @@
 }
 
 // Open reports whether messages are passed on.
-func (h *Handler) Open() bool {
+func (h *Handler) Accepting() bool {
 	select {
 	case <-h.Ready:
 		return true
@@ -80,7 +80,7 @@
 
 // HandleOneWay implements the method of peer.Handler.
 func (h *Handler) HandleOneWay(from id.Daemon, kind peer.Kind, body []byte) {
-	if !h.Open() {
+	if !h.Accepting() {
 		return
 	}
 	switch kind {
@@ -106,7 +106,7 @@
 
 // HandleDatagram implements the method of peer.Handler.
 func (h *Handler) HandleDatagram(from id.Daemon, kind peer.Kind, body []byte) {
-	if h.Open() && kind == KindMember {
+	if h.Accepting() && kind == KindMember {
 		h.receiveMember(from, body)
 	}
 }
