--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -75,7 +75,7 @@
 		lostMessages: cfg.Metrics.Counter("broker_messages_lost", metrics.UnitCount, "messages to other daemons that could not be queued"),
 	}
 	b.unknownPools = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in the configuration here")
-	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, Behind: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
+	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, OnDelay: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return b
 }
 
--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -46,7 +46,7 @@
 	// Behind, if set, is called in the duty's goroutine with the time for which a
 	// work item waited in the ring, at most twice a second. All other work items
 	// wait as long.
-	Behind  func(late time.Duration)
+	OnDelay func(late time.Duration)
 	Metrics *metrics.Registry
 	// Ready, if set, delays the first tick and work item until it is closed.
 	Ready <-chan struct{}
@@ -198,7 +198,7 @@
 	if d.delayGauge != nil {
 		d.delayGauge.Set(float64(late) / float64(time.Millisecond))
 	}
-	if d.cfg.Behind != nil {
-		d.cfg.Behind(late)
+	if d.cfg.OnDelay != nil {
+		d.cfg.OnDelay(late)
 	}
 }
--- a/daemon/duty/duty_test.go
+++ b/daemon/duty/duty_test.go
@@ -98,7 +98,7 @@
 			clock.Add(int64(tickTime))
 			return now + time.Hour
 		},
-		Behind:  func(l time.Duration) { late <- l },
+		OnDelay: func(l time.Duration) { late <- l },
 		Metrics: registry,
 	})
 	defer d.Close()
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -100,7 +100,7 @@
 		stalls:            cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon was not run for a while"),
 	}
 	m.publish()
-	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, Behind: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
+	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, OnDelay: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	m.SetHosts(cfg.Seeds)
 	if cfg.Hosts != nil {
 		go m.readHosts()
