--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -34,7 +34,7 @@
 	// Epoch is the wall clock time at time zero of Now.
 	Epoch time.Time
 	// Behind, if set, is called with the time for which work waited for the broker.
-	Behind  func(late time.Duration)
+	OnDelay func(late time.Duration)
 	Metrics *metrics.Registry
 	// Now is the time since the daemon's start.
 	Now func() time.Duration
@@ -75,7 +75,7 @@
 		lostMessages: cfg.Metrics.Counter("broker_messages_lost", metrics.UnitCount, "messages to other daemons that could not be queued"),
 	}
 	b.unknownPools = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in the configuration here")
-	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, OnDelay: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
+	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, OnDelay: cfg.OnDelay, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return b
 }
 
--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -208,7 +208,7 @@
 		Spread:     func(s poison.State) { d.spreadEvidence(f, s) },
 		Relay:      func(s poison.State) { d.relayEvidence(f, s) },
 		Epoch:      *d.epoch.Load(),
-		Behind:     d.logDelay("broker"),
+		OnDelay:    d.logDelay("broker"),
 		Metrics:    d.metrics,
 		Now:        d.now,
 		Ready:      ready,
