--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -234,11 +234,11 @@
 				Proof:     d.proofToSend(),
 			}
 		},
-		Log:    d.logger.Event,
-		Now:    d.now,
-		Rand:   d.newRand(),
-		Behind: d.logDelay("members"),
-		Ready:  ready,
+		Log:     d.logger.Event,
+		Now:     d.now,
+		Rand:    d.newRand(),
+		OnDelay: d.logDelay("members"),
+		Ready:   ready,
 	})
 	f.orderer = startOrderer(d, f, work, ready)
 	f.hosts = feed.Start(d.hostsConfig(f))
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -64,7 +64,7 @@
 	Now  func() time.Duration
 	Rand *rand.Rand
 	// Behind, if set, is called with the time that work waits in the duty's queue.
-	Behind func(late time.Duration)
+	OnDelay func(late time.Duration)
 	// Ready delays the duty's start until it is closed.
 	Ready <-chan struct{}
 }
@@ -100,7 +100,7 @@
 		stalls:            cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon was not run for a while"),
 	}
 	m.publish()
-	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, OnDelay: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
+	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, OnDelay: cfg.OnDelay, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	m.SetHosts(cfg.Seeds)
 	if cfg.Hosts != nil {
 		go m.readHosts()
