--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -100,7 +100,7 @@
 // wait after the start is over, it does if it is chosen or fewer than Count daemons
 // are. A daemon that only continues to read during settleTime does not, since a
 // change that arrives after a gap makes each receiver read the whole table again.
-func (d *Decision) Tells() bool { return d.broadcasts }
+func (d *Decision) Broadcasts() bool { return d.broadcasts }
 
 // Chosen returns the readers as of the last decision.
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
--- a/core/readers/readers_test.go
+++ b/core/readers/readers_test.go
@@ -83,10 +83,10 @@
 	d := NewDecision(idle)
 	d.Decide(0, all[:1], false)
 	is.True(d.Decide(startupWait, all[:1], false)) // it has discovered no other daemon yet
-	is.True(d.Tells())
+	is.True(d.Broadcasts())
 	discovered := startupWait + time.Second
 	is.True(d.Decide(discovered, all, false))
-	is.True(!d.Tells()) // it reads for itself only: the others were chosen just now
+	is.True(!d.Broadcasts()) // it reads for itself only: the others were chosen just now
 	is.True(d.Decide(discovered+settleTime-1, all, false))
 	is.True(!d.Decide(discovered+settleTime, all, false))
 	// Two readers fail and are replaced: the daemon reads only if it is one of the
@@ -104,7 +104,7 @@
 	d.Decide(0, all, false)
 	for s := range 100 {
 		is.True(d.Decide(startupWait+time.Duration(s)*time.Second, all, false))
-		is.True(d.Tells())
+		is.True(d.Broadcasts())
 	}
 }
 
@@ -124,7 +124,7 @@
 			if d.Decide(now, known, false) {
 				reading[c.Daemon] = true
 			}
-			is.True(now >= startupWait || !d.Tells())
+			is.True(now >= startupWait || !d.Broadcasts())
 		}
 	}
 	is.Equal(len(reading), Count)
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -68,8 +68,8 @@
 		now := decision.Decide(d.now(), candidates, !decision.Waited() && f.onlyOne())
 		chosen := decision.Chosen()
 		f.readers.Store(&chosen)
-		f.broadcasts.Store(decision.Tells())
-		f.linked.Store(asHub.update(d.now(), decision.Tells() || d.isStandbyOwner(f.self.Daemon, candidates)))
+		f.broadcasts.Store(decision.Broadcasts())
+		f.linked.Store(asHub.update(d.now(), decision.Broadcasts() || d.isStandbyOwner(f.self.Daemon, candidates)))
 		if now != reads || decision.Waited() && !logged {
 			d.logger.Event("store_reading_changed", "reads", now)
 		}
