--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -106,7 +106,7 @@
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
 
 // Waited reports whether the wait after the start is over.
-func (d *Decision) Waited() bool { return d.startupOver }
+func (d *Decision) StartupOver() bool { return d.startupOver }
 
 // Decide reports whether the daemon reads, given the current candidates and whether
 // it is the only daemon that ever enrolled. After startupWait, or at once if it is
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -65,15 +65,15 @@
 		entries := f.members.Entries()
 		f.notePeersLost(d.now(), entries)
 		candidates := readingCandidates(entries)
-		now := decision.Decide(d.now(), candidates, !decision.Waited() && f.onlyOne())
+		now := decision.Decide(d.now(), candidates, !decision.StartupOver() && f.onlyOne())
 		chosen := decision.Chosen()
 		f.readers.Store(&chosen)
 		f.broadcasts.Store(decision.Broadcasts())
 		f.linked.Store(asHub.update(d.now(), decision.Broadcasts() || d.isStandbyOwner(f.self.Daemon, candidates)))
-		if now != reads || decision.Waited() && !logged {
+		if now != reads || decision.StartupOver() && !logged {
 			d.logger.Event("store_reading_changed", "reads", now)
 		}
-		reads, logged = now, logged || decision.Waited()
+		reads, logged = now, logged || decision.StartupOver()
 		for _, follower := range d.followers() {
 			follower.SetIdle(!reads)
 		}
