--- a/core/member/member.go
+++ b/core/member/member.go
@@ -201,7 +201,7 @@
 // basePeriod where the number of receivers would exceed the bound on heartbeats
 // per second.
 func (m *Membership) ownPeriod() time.Duration {
-	most := m.cfg.MostSent
+	most := m.cfg.MaxHeartbeatsPerSecond
 	if m.self.Watched {
 		most = m.cfg.MostWatched
 	}
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -101,7 +101,7 @@
 	cfg.WatchedPeriod = watchedPeriod
 	cfg.WatchedSuspect = watchedSuspect
 	cfg.WatchedDead = watchedDead
-	cfg.MostSent = maxHeartbeats
+	cfg.MaxHeartbeatsPerSecond = maxHeartbeats
 	cfg.MostWatched = maxWatchedHeartbeats
 	cfg.MeshUpTo = meshUpTo
 	return cfg
