--- a/core/member/config.go
+++ b/core/member/config.go
@@ -33,8 +33,8 @@
 	// MostSent and MostWatched bound the heartbeats that a daemon sends per
 	// second, the latter while it is watched. In a larger fleet the period grows,
 	// and the other daemons' timeouts grow with it. Mesh only; 0 for no bound.
-	MaxHeartbeatsPerSecond float64
-	MostWatched            float64
+	MaxHeartbeatsPerSecond        float64
+	MaxWatchedHeartbeatsPerSecond float64
 	// MeshUpTo is the largest number of other daemons at which all daemons
 	// exchange heartbeats with all. In a larger fleet each daemon has two
 	// neighbours on each of Rings hash rings, which monitor each other and spread
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -203,7 +203,7 @@
 func (m *Membership) ownPeriod() time.Duration {
 	most := m.cfg.MaxHeartbeatsPerSecond
 	if m.self.Watched {
-		most = m.cfg.MostWatched
+		most = m.cfg.MaxWatchedHeartbeatsPerSecond
 	}
 	if m.rings.enabled && !m.self.Watched {
 		return max(m.basePeriod(), m.cfg.NeighbourPeriod)
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -34,7 +34,7 @@
 	c.WatchedPeriod = 120 * time.Millisecond
 	c.WatchedSuspect = 390 * time.Millisecond
 	c.WatchedDead = 1500 * time.Millisecond
-	c.MaxHeartbeatsPerSecond, c.MostWatched = 60, 600
+	c.MaxHeartbeatsPerSecond, c.MaxWatchedHeartbeatsPerSecond = 60, 600
 	c.MeshUpTo = 24
 }
 
--- a/core/member/timeouts_test.go
+++ b/core/member/timeouts_test.go
@@ -16,7 +16,7 @@
 		c.WatchedPeriod = 120 * time.Millisecond
 		c.WatchedSuspect = 390 * time.Millisecond
 		c.WatchedDead = 1500 * time.Millisecond
-		c.MaxHeartbeatsPerSecond, c.MostWatched = rate, 10*rate
+		c.MaxHeartbeatsPerSecond, c.MaxWatchedHeartbeatsPerSecond = rate, 10*rate
 	}, Mesh, n, 5, 1)
 	f.run(5 * time.Second)
 	return f
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -102,7 +102,7 @@
 	cfg.WatchedSuspect = watchedSuspect
 	cfg.WatchedDead = watchedDead
 	cfg.MaxHeartbeatsPerSecond = maxHeartbeats
-	cfg.MostWatched = maxWatchedHeartbeats
+	cfg.MaxWatchedHeartbeatsPerSecond = maxWatchedHeartbeats
 	cfg.MeshUpTo = meshUpTo
 	return cfg
 }
