--- a/core/member/config.go
+++ b/core/member/config.go
@@ -40,8 +40,8 @@
 	// neighbours on each of Rings hash rings, which monitor each other and spread
 	// updates: a daemon's traffic does not grow with the fleet. Mesh only; 0 for
 	// no bound.
-	MeshUpTo int
-	Rings    int
+	MaxMeshPeers int
+	Rings        int
 	// NeighbourPeriod replaces Period between neighbours, and GossipInterval is
 	// the minimum time between heartbeats that spread updates.
 	NeighbourPeriod time.Duration
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -35,7 +35,7 @@
 	c.WatchedSuspect = 390 * time.Millisecond
 	c.WatchedDead = 1500 * time.Millisecond
 	c.MaxHeartbeatsPerSecond, c.MaxWatchedHeartbeatsPerSecond = 60, 600
-	c.MeshUpTo = 24
+	c.MaxMeshPeers = 24
 }
 
 func (k *fleetKind) fleet(n, domains int, seed uint64) *fleet {
--- a/core/member/mesh.go
+++ b/core/member/mesh.go
@@ -21,7 +21,7 @@
 			m.seenPeers++
 		}
 		// A peer that knows of more daemons may already watch only a few neighbours.
-		m.send(p, Message{Kind: Heartbeat, Watching: m.cfg.MeshUpTo > 0, Entries: append([]Entry(nil), sample...)})
+		m.send(p, Message{Kind: Heartbeat, Watching: m.cfg.MaxMeshPeers > 0, Entries: append([]Entry(nil), sample...)})
 	}
 }
 
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -84,7 +84,7 @@
 // neighbours watch each other.
 func (m *Membership) chooseNeighbours(now time.Duration) {
 	m.rings.neighboursStale = false
-	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
+	m.rings.enabled = m.cfg.MaxMeshPeers > 0 && len(m.order) > m.cfg.MaxMeshPeers
 	before := make(map[*peer]bool, 2*m.cfg.Rings)
 	for _, p := range m.peers {
 		if p.neighbour {
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -161,7 +161,7 @@
 		}
 		mean := float64(total) / float64(len(f.names))
 		t.Logf("each daemon sends to %.1f others in 5 s on average", mean)
-		is.True(mean <= float64(f.cfg.MeshUpTo))
+		is.True(mean <= float64(f.cfg.MaxMeshPeers))
 	})
 }
 
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -103,7 +103,7 @@
 	cfg.WatchedDead = watchedDead
 	cfg.MaxHeartbeatsPerSecond = maxHeartbeats
 	cfg.MaxWatchedHeartbeatsPerSecond = maxWatchedHeartbeats
-	cfg.MeshUpTo = meshUpTo
+	cfg.MaxMeshPeers = meshUpTo
 	return cfg
 }
 
