--- a/core/member/config.go
+++ b/core/member/config.go
@@ -50,7 +50,7 @@
 	// it is declared dead.
 	PartitionedFor time.Duration
 	// Forget is how long a dead daemon that the host list lacks is kept.
-	Forget time.Duration
+	ForgetAfter time.Duration
 	// StallAfter is how late a Tick may come before this daemon counts it as a
 	// stall of its own process.
 	StallAfter time.Duration
@@ -91,7 +91,7 @@
 		NeighbourPeriod: 600 * time.Millisecond,
 		GossipInterval:  100 * time.Millisecond,
 		PartitionedFor:  time.Minute,
-		Forget:          10 * time.Minute,
+		ForgetAfter:     10 * time.Minute,
 		StallAfter:      500 * time.Millisecond,
 		DomainShare:     0.75,
 		ReviveEvery:     2 * time.Second,
--- a/core/member/detect.go
+++ b/core/member/detect.go
@@ -223,7 +223,7 @@
 	var old []id.Daemon
 	for _, name := range m.order {
 		p := m.peers[name]
-		if p.entry.State == Dead && !p.listed && now-p.stateSince >= m.cfg.Forget {
+		if p.entry.State == Dead && !p.listed && now-p.stateSince >= m.cfg.ForgetAfter {
 			old = append(old, name)
 		}
 	}
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -73,7 +73,7 @@
 func (m *Membership) Silence(now time.Duration, name id.Daemon) time.Duration {
 	p, ok := m.peers[name]
 	if !ok {
-		return m.cfg.Forget
+		return m.cfg.ForgetAfter
 	}
 	return now - p.lastDirect
 }
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -43,7 +43,7 @@
 	core.SuspectAfter = 20 * time.Millisecond
 	core.DeadAfter = 60 * time.Millisecond
 	core.StallAfter = time.Hour
-	core.Forget = forget
+	core.ForgetAfter = forget
 	begun := time.Now()
 	l := newRecorder()
 	m := Start(Config{
