--- a/core/member/member.go
+++ b/core/member/member.go
@@ -92,7 +92,7 @@
 }
 
 // SetLocal sets the status that the next messages report.
-func (m *Membership) SetLocal(l Local) {
+func (m *Membership) SetLocalStatus(l Local) {
 	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
 		// Its eligibility for duties has changed.
 		m.expediteUpdates()
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -168,7 +168,7 @@
 
 func (m *Members) tick(now time.Duration) time.Duration {
 	due := now >= m.core.Next()
-	m.core.SetLocal(m.cfg.Local())
+	m.core.SetLocalStatus(m.cfg.Local())
 	m.perform(m.core.Tick(now))
 	if due {
 		// Not on each tick: copying the view of a large fleet costs more than all
