--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -61,7 +61,7 @@
 		Sender:   p,
 		Listener: p,
 		Metrics:  registry,
-		Local:    func() member.Local { return member.Local{Revision: 1} },
+		Local:    func() member.LocalStatus { return member.LocalStatus{Revision: 1} },
 		Log:      func(string, ...any) {},
 		Now:      func() time.Duration { return time.Since(begun) },
 		Rand:     rand.New(rand.NewPCG(g.seed, uint64(len(g.all)))),
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -73,7 +73,7 @@
 }
 
 // Local is the status that a daemon reports about itself to the others.
-type Local struct {
+type LocalStatus struct {
 	Revision uint64
 	InFlight int
 	Settings uint64
@@ -92,7 +92,7 @@
 }
 
 // SetLocal sets the status that the next messages report.
-func (m *Membership) SetLocalStatus(l Local) {
+func (m *Membership) SetLocalStatus(l LocalStatus) {
 	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
 		// Its eligibility for duties has changed.
 		m.expediteUpdates()
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -310,7 +310,7 @@
 	is.Equal(at(300*time.Millisecond, "c"), Alive)
 	is.Equal(at(900*time.Millisecond, "b"), Dead)
 	is.Equal(at(999*time.Millisecond, "c"), Alive)
-	m.SetLocalStatus(Local{Watched: true})
+	m.SetLocalStatus(LocalStatus{Watched: true})
 	next := m.Next()
 	m.Tick(next)
 	is.Equal(m.Next(), next+cfg.WatchedPeriod)
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -148,7 +148,7 @@
 		}
 		for step := range 50 {
 			for _, name := range f.names {
-				f.members[name].SetLocalStatus(Local{Watched: step < 10, Revision: 1})
+				f.members[name].SetLocalStatus(LocalStatus{Watched: step < 10, Revision: 1})
 				if step == 3 {
 					f.act(name, f.members[name].Hosts(f.now, f.hosts()))
 				}
@@ -261,7 +261,7 @@
 // watched daemon, such as a pool's owner, which requests wait for.
 func TestRingsWatchedDaemonDetection(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
-		f.members["host-003"].SetLocalStatus(Local{Watched: true, Revision: 1})
+		f.members["host-003"].SetLocalStatus(LocalStatus{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
 		f.stopped["host-003"] = true
 		f.within(t, 2500*time.Millisecond, "not alive at any daemon", func() bool { return f.states("host-003")[Alive] == 0 })
@@ -276,7 +276,7 @@
 // spread the suspicion.
 func TestRingsOneWayLossToWatcher(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
-		f.members["host-003"].SetLocalStatus(Local{Watched: true, Revision: 1})
+		f.members["host-003"].SetLocalStatus(LocalStatus{Watched: true, Revision: 1})
 		f.run(3 * time.Second)
 		f.lost = func(from, to id.Daemon) bool { return from == "host-003" && to == "host-007" }
 		for range 100 {
@@ -291,9 +291,9 @@
 // suspected by the daemons that received its frequent heartbeats.
 func TestRingsWatchedToUnwatched(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
-		f.members["host-003"].SetLocalStatus(Local{Watched: true, Revision: 1})
+		f.members["host-003"].SetLocalStatus(LocalStatus{Watched: true, Revision: 1})
 		f.run(4 * time.Second)
-		f.members["host-003"].SetLocalStatus(Local{Revision: 1})
+		f.members["host-003"].SetLocalStatus(LocalStatus{Revision: 1})
 		for range 50 {
 			f.run(100 * time.Millisecond)
 			is.Equal(f.states("host-003")[Suspect], 0)
@@ -307,7 +307,7 @@
 func TestRingsSpreadStatusChanges(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		m := f.members["host-003"]
-		m.SetLocalStatus(Local{Revision: 7, StoreLost: true})
+		m.SetLocalStatus(LocalStatus{Revision: 7, StoreLost: true})
 		f.within(t, 2*time.Second, "ready, without the store", func() bool {
 			for _, name := range f.names {
 				if e, _ := f.members[name].Get("host-003"); e.Revision == 0 || !e.StoreLost {
@@ -345,7 +345,7 @@
 // so that it need not connect to all of them when it takes over.
 func TestLinkedDaemonKeepsConnections(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
-		f.members["host-003"].SetLocalStatus(Local{Linked: true})
+		f.members["host-003"].SetLocalStatus(LocalStatus{Linked: true})
 		reached := map[id.Daemon]bool{}
 		f.lost = func(from, to id.Daemon) bool {
 			if from == "host-003" {
--- a/core/member/timeouts_test.go
+++ b/core/member/timeouts_test.go
@@ -70,7 +70,7 @@
 // is detected sooner in a large mesh as well.
 func TestWatchedDaemonInLargeMesh(t *testing.T) {
 	f := boundedMesh(90, 60)
-	f.members["host-003"].SetLocalStatus(Local{Watched: true})
+	f.members["host-003"].SetLocalStatus(LocalStatus{Watched: true})
 	f.run(3 * time.Second)
 	f.stopped["host-003"] = true
 	f.within(t, 800*time.Millisecond, "suspected by all", func() bool {
--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -64,8 +64,8 @@
 func (d *Daemon) processAlive(p id.Process) bool { return p == d.self || d.members.Alive(p) }
 
 // memberLocal returns what the membership announces about this daemon.
-func (d *Daemon) memberLocal() member.Local {
-	return member.Local{Revision: d.Revision(), InFlight: d.inFlight()}
+func (d *Daemon) memberLocal() member.LocalStatus {
+	return member.LocalStatus{Revision: d.Revision(), InFlight: d.inFlight()}
 }
 
 func (d *Daemon) inFlight() int { return d.front.InFlight() }
--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -223,8 +223,8 @@
 		Sender:   f.links(),
 		Listener: fleetListener{d, f},
 		Metrics:  d.metrics,
-		Local: func() member.Local {
-			return member.Local{
+		Local: func() member.LocalStatus {
+			return member.LocalStatus{
 				Revision:  d.revision(),
 				InFlight:  int(d.inFlight.Load()),
 				Watched:   f.owner.Load(),
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -58,7 +58,7 @@
 	Listener Listener
 	Metrics  *metrics.Registry
 	// Local returns the state that this daemon reports about itself.
-	Local func() member.Local
+	Local func() member.LocalStatus
 	// Log writes one line for each event.
 	Log  func(event string, kv ...any)
 	Now  func() time.Duration
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -52,7 +52,7 @@
 		Sender:   l,
 		Listener: l,
 		Metrics:  metrics.New("a"),
-		Local:    func() member.Local { return member.Local{} },
+		Local:    func() member.LocalStatus { return member.LocalStatus{} },
 		Log:      func(string, ...any) {},
 		Now:      func() time.Duration { return time.Since(begun) },
 		Rand:     rand.New(rand.NewPCG(1, 1)),
