--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -73,7 +73,7 @@
 
 func (f *fleet) start(name id.Daemon, inc id.Incarnation) {
 	f.startAlone(name, inc)
-	f.act(name, f.members[name].Hosts(f.now, f.hosts()))
+	f.act(name, f.members[name].MergeHosts(f.now, f.hosts()))
 }
 
 // startAlone starts a daemon that has no host list yet.
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -313,7 +313,7 @@
 
 // Hosts merges the host list. A host that is listed as leaving is leaving; a
 // daemon missing from the list is not declared dead for that alone.
-func (m *Membership) Hosts(now time.Duration, hosts []Host) []Action {
+func (m *Membership) MergeHosts(now time.Duration, hosts []Host) []Action {
 	for _, name := range m.order {
 		p := m.peers[name]
 		p.listed, p.listedLeaving = false, false
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -203,7 +203,7 @@
 	list := f.hosts()
 	list[5].Leaving = true
 	list = append(list[:6], list[7:]...) // host-006 is absent
-	f.act("host-000", f.members["host-000"].Hosts(f.now, list))
+	f.act("host-000", f.members["host-000"].MergeHosts(f.now, list))
 	e, _ := f.members["host-000"].Get("host-005")
 	is.Equal(e.State, Leaving)
 	e, _ = f.members["host-000"].Get("host-006")
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -150,7 +150,7 @@
 			for _, name := range f.names {
 				f.members[name].SetLocalStatus(LocalStatus{Watched: step < 10, Revision: 1})
 				if step == 3 {
-					f.act(name, f.members[name].Hosts(f.now, f.hosts()))
+					f.act(name, f.members[name].MergeHosts(f.now, f.hosts()))
 				}
 			}
 			f.run(100 * time.Millisecond)
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -126,7 +126,7 @@
 
 // SetHosts applies a host list that was read elsewhere.
 func (m *Members) SetHosts(hosts []member.Host) {
-	m.duty.Post(func(now time.Duration) { m.perform(m.core.Hosts(now, hosts)) })
+	m.duty.Post(func(now time.Duration) { m.perform(m.core.MergeHosts(now, hosts)) })
 }
 
 // Entries returns the entries of the view, this daemon's included, sorted by name.
