--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -174,4 +174,4 @@
 
 // Large reports whether the fleet is so large that each daemon watches a few
 // neighbours instead of all others.
-func (m *Membership) Large() bool { return m.rings.enabled }
+func (m *Membership) UsesRings() bool { return m.rings.enabled }
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -231,7 +231,7 @@
 
 func (m *Members) publish() {
 	entries := m.core.View()
-	v := &view{entries: entries, byDaemon: make(map[id.Daemon]member.Entry, len(entries)), large: m.core.Large()}
+	v := &view{entries: entries, byDaemon: make(map[id.Daemon]member.Entry, len(entries)), large: m.core.UsesRings()}
 	for _, e := range entries {
 		v.byDaemon[e.Process.Daemon] = e
 	}
