--- a/core/capacity/capacity.go
+++ b/core/capacity/capacity.go
@@ -25,7 +25,7 @@
 // those with at least half of the largest processor time and, among these, at least
 // half of the largest bandwidth. It preserves the order, and returns all candidates
 // if no capacity is known.
-func Able[T any](candidates []T, capacityOf func(T) Capacity) []T {
+func SelectAble[T any](candidates []T, capacityOf func(T) Capacity) []T {
 	byCores := filterLargest(candidates, func(c T) float64 { return capacityOf(c).Cores })
 	return filterLargest(byCores, func(c T) float64 { return capacityOf(c).LinkMbps })
 }
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -39,7 +39,7 @@
 // unless fewer than Count others are left.
 func Choose(candidates []Candidate) []id.Daemon {
 	served := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.StoreLost })
-	able := capacity.Able(served, func(c Candidate) capacity.Capacity { return c.Capacity })
+	able := capacity.SelectAble(served, func(c Candidate) capacity.Capacity { return c.Capacity })
 	if len(able) < Count {
 		able = served
 	}
--- a/daemon/gateway/catchup.go
+++ b/daemon/gateway/catchup.go
@@ -33,7 +33,7 @@
 	for _, e := range entries {
 		known[e.Process.Daemon] = e.Capacity
 	}
-	return capacity.Able(daemons, func(d id.Daemon) capacity.Capacity { return known[d] })
+	return capacity.SelectAble(daemons, func(d id.Daemon) capacity.Capacity { return known[d] })
 }
 
 // Gone implements members.Listener.
--- a/daemon/gateway/hub.go
+++ b/daemon/gateway/hub.go
@@ -41,7 +41,7 @@
 // A standby owner connects to all daemons in advance, so that after a takeover
 // requests don't wait for 200 handshakes on one host.
 func (d *Daemon) isStandbyOwner(self id.Daemon, candidates []readers.Candidate) bool {
-	able := capacity.Able(candidates, func(c readers.Candidate) capacity.Capacity { return c.Capacity })
+	able := capacity.SelectAble(candidates, func(c readers.Candidate) capacity.Capacity { return c.Capacity })
 	names := make([]id.Daemon, 0, len(able))
 	for _, c := range able {
 		names = append(names, c.Daemon)
