--- a/core/route/table.go
+++ b/core/route/table.go
@@ -90,7 +90,7 @@
 
 // Walled reports whether the configuration has teams, so that requests need a
 // key.
-func (t *Table) Walled() bool { return len(t.teams) > 0 }
+func (t *Table) HasTeams() bool { return len(t.teams) > 0 }
 
 // Team returns a team by name, or nil.
 func (t *Table) Team(name id.Team) *Team { return t.teams[name] }
--- a/core/route/team_test.go
+++ b/core/route/team_test.go
@@ -25,11 +25,11 @@
 		{Name: "trek", Keys: hashKeys("c")},
 	}})
 	is.NoErr(err)
-	is.True(x.Walled())
+	is.True(x.HasTeams())
 	is.Equal(x.Owner(apikey.Of([]byte("b"))).Name, id.Team("desk"))
 	is.Equal(x.Owner(apikey.Of([]byte("d"))), nil)
 	is.Equal(x.Team("trek").Name, id.Team("trek"))
-	is.True(!newTestTable(t).Walled())
+	is.True(!newTestTable(t).HasTeams())
 }
 
 func TestInvalidTeamIsNamedInTheError(t *testing.T) {
--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -24,7 +24,7 @@
 // authenticate finds the team that a request's key belongs to. On a public
 // route the key is ignored.
 func (f *Forwarder) authenticate(r *Request, t *trace, routes *route.Table) *verdict.Error {
-	t.hasTeams = routes.Walled()
+	t.hasTeams = routes.HasTeams()
 	if !t.hasTeams || t.route.Public {
 		return nil
 	}
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -100,7 +100,7 @@
 // hasTeams reports whether the configuration in force has teams.
 func (d *Daemon) hasTeams() bool {
 	routes := d.tables.current().Routes
-	return routes != nil && routes.Walled()
+	return routes != nil && routes.HasTeams()
 }
 
 // configWait returns how long a call to the store waits for configuration changes.
