--- a/core/route/route.go
+++ b/core/route/route.go
@@ -51,7 +51,7 @@
 // bound.
 type Limits struct {
 	// HeadBytes bounds the header fields of a request.
-	HeadBytes int
+	HeaderBytes int
 	// BodyBytes bounds its body.
 	BodyBytes int
 }
--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -126,7 +126,7 @@
 
 // headerTooLarge reports whether the header exceeds the configured limit.
 func (d *Daemon) headerTooLarge(h *fasthttp.RequestHeader) bool {
-	limit := d.limits().HeadBytes
+	limit := d.limits().HeaderBytes
 	return limit > 0 && len(h.RawHeaders()) > limit
 }
 
