--- a/core/route/route.go
+++ b/core/route/route.go
@@ -98,7 +98,7 @@
 	KVTokens int
 	// HandleLife is how long a prefill engine keeps a prompt's KV cache for the
 	// decode.
-	HandleLife time.Duration
+	KVLifetime time.Duration
 	// SwitchTime is how long an engine takes to change its role.
 	SwitchTime time.Duration
 }
--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -94,7 +94,7 @@
 	f, r = newTest(t, engines)
 	routes, err := route.NewTable(route.Config{
 		Version:  1,
-		Services: []route.Service{{Name: "s", Engine: &route.Engine{HandleLife: time.Second}}},
+		Services: []route.Service{{Name: "s", Engine: &route.Engine{KVLifetime: time.Second}}},
 		Routes: []route.Route{{
 			Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Stream, MaxAttempts: 1,
 			Timeout: 10 * time.Second, Patience: 2 * time.Second, TargetLatency: time.Second,
