--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -7,11 +7,11 @@
 )
 
 // Passage is the state of an OrderGate for one endpoint.
-type Passage uint8
+type GateState uint8
 
 const (
 	// Closed: this process may not send orders.
-	Closed Passage = iota
+	Closed GateState = iota
 	// Wait: an order of the former holder may still arrive at the endpoint.
 	Wait
 	// ReadBack: the caller must read the endpoint's state and call Repaired.
@@ -21,7 +21,7 @@
 )
 
 // String names the passage.
-func (p Passage) String() string {
+func (p GateState) String() string {
 	switch p {
 	case Closed:
 		return "closed"
@@ -82,7 +82,7 @@
 
 // Allow returns whether orders may be sent to an endpoint at this moment. The
 // caller must call it immediately before each order.
-func (g *OrderGate) Allow(now time.Duration, endpoint id.Endpoint, checksFencing bool) Passage {
+func (g *OrderGate) Allow(now time.Duration, endpoint id.Endpoint, checksFencing bool) GateState {
 	switch {
 	case !g.lease.Valid(now) || g.lease.Fence() != g.fence:
 		return Closed
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -11,7 +11,7 @@
 // gateState returns whether an order may be sent now. Engines that check fencing
 // numbers are treated like those that do not: the orders of two holders must be
 // separated in time for all engines.
-func (o *orderer) gateState(now time.Duration, endpoint id.Endpoint) lease.Passage {
+func (o *orderer) gateState(now time.Duration, endpoint id.Endpoint) lease.GateState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.lease == nil || o.lease.Fence() <= o.rejectedFence {
--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -179,8 +179,8 @@
 }
 
 // passage returns what the gate returns for an order to the endpoint.
-func (p *Placer) passage(e live.Endpoint) lease.Passage {
-	var passage lease.Passage
+func (p *Placer) passage(e live.Endpoint) lease.GateState {
+	var passage lease.GateState
 	p.duty.Query(func(now time.Duration) { passage = p.gate.Allow(now, e.Name, e.ChecksFencing) })
 	return passage
 }
