--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -100,7 +100,7 @@
 // Repaired records that the endpoint's state was read back after the wait, which
 // opens the gate for the endpoint. The caller then orders again whatever differs
 // from the desired state.
-func (g *OrderGate) Repaired(now time.Duration, endpoint id.Endpoint) {
+func (g *OrderGate) MarkReadBack(now time.Duration, endpoint id.Endpoint) {
 	if now >= g.waitUntil {
 		g.readBack[endpoint] = true
 	}
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -119,7 +119,7 @@
 	w, now := p.w, p.now()
 	passage := p.gate.Allow(now, "e", false)
 	if passage == ReadBack {
-		p.gate.Repaired(now, "e")
+		p.gate.MarkReadBack(now, "e")
 	}
 	if passage != Open {
 		return
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -61,7 +61,7 @@
 	if o.lease == nil {
 		return 0, false
 	}
-	o.gate.Repaired(now, endpoint)
+	o.gate.MarkReadBack(now, endpoint)
 	fence := o.gate.Fence()
 	return fence, fence > o.rejectedFence && o.gate.Allow(now, endpoint, false) == lease.Open
 }
--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -226,7 +226,7 @@
 	p.duty.Post(func(now time.Duration) {
 		p.core.Observe(now, o)
 		if o.Reachable {
-			p.gate.Repaired(now, e.Name)
+			p.gate.MarkReadBack(now, e.Name)
 		}
 	})
 }
