--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -40,7 +40,7 @@
 type GateConfig struct {
 	// LongestOrder is the maximum time that an order may be in flight: the
 	// sender's timeout plus the delays of networks and endpoints.
-	LongestOrder time.Duration
+	MaxOrderDelay time.Duration
 	// LapseCovers is set if the time between a holder's last trust in its lease
 	// and the lapse of that lease for others is at least LongestOrder, so that no
 	// order of the former holder is in flight after a lapse.
@@ -74,7 +74,7 @@
 func (g *OrderGate) Acquired(now time.Duration, a Acquired) {
 	g.fence = a.Fence
 	g.readBack = map[id.Endpoint]bool{}
-	g.waitUntil = now + g.cfg.LongestOrder
+	g.waitUntil = now + g.cfg.MaxOrderDelay
 	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseCovers) {
 		g.waitUntil = now
 	}
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -61,7 +61,7 @@
 func (w *world) start(cfg Config, self id.Process) *process {
 	p := &process{w: w, self: self, offset: w.clock.RandomDuration(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
 	p.lease = New(cfg, "placement", self, p.now(), w.clock.Random)
-	p.gate = NewOrderGate(GateConfig{LongestOrder: w.maxOrderDelay}, p.lease)
+	p.gate = NewOrderGate(GateConfig{MaxOrderDelay: w.maxOrderDelay}, p.lease)
 	w.processes = append(w.processes, p)
 	p.tick()
 	return p
@@ -309,7 +309,7 @@
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
 		l := &Lease{heldFence: 2, trustedUntil: time.Hour}
-		g := NewOrderGate(GateConfig{LongestOrder: 4 * time.Second, LapseCovers: covers}, l)
+		g := NewOrderGate(GateConfig{MaxOrderDelay: 4 * time.Second, LapseCovers: covers}, l)
 		g.Acquired(time.Minute, Acquired{Fence: 2, Lapsed: true})
 		is.Equal(g.Allow(time.Minute, "e", false) == Wait, !covers)
 	}
--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -86,7 +86,7 @@
 		refused: cfg.Metrics.Counter("placement_orders_refused", metrics.UnitCount, "orders that engines refused or that failed"),
 		holding: cfg.Metrics.Gauge("placement_lease_held", metrics.UnitCount, "1 while this daemon holds the placement lease"),
 	}
-	p.gate = lease.NewOrderGate(lease.GateConfig{LongestOrder: maxOrderTime}, p.lease)
+	p.gate = lease.NewOrderGate(lease.GateConfig{MaxOrderDelay: maxOrderTime}, p.lease)
 	p.duty = duty.Start(duty.Config{Name: "placer", Now: cfg.Now, Tick: p.tick, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return p
 }
