--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -44,7 +44,7 @@
 	// LapseCovers is set if the time between a holder's last trust in its lease
 	// and the lapse of that lease for others is at least LongestOrder, so that no
 	// order of the former holder is in flight after a lapse.
-	LapseCovers bool
+	LapseExceedsOrderDelay bool
 }
 
 // OrderGate decides when the holder of a duty may send orders to an endpoint. An
@@ -75,7 +75,7 @@
 	g.fence = a.Fence
 	g.readBack = map[id.Endpoint]bool{}
 	g.waitUntil = now + g.cfg.MaxOrderDelay
-	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseCovers) {
+	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseExceedsOrderDelay) {
 		g.waitUntil = now
 	}
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -309,7 +309,7 @@
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
 		l := &Lease{heldFence: 2, trustedUntil: time.Hour}
-		g := NewOrderGate(GateConfig{MaxOrderDelay: 4 * time.Second, LapseCovers: covers}, l)
+		g := NewOrderGate(GateConfig{MaxOrderDelay: 4 * time.Second, LapseExceedsOrderDelay: covers}, l)
 		g.Acquired(time.Minute, Acquired{Fence: 2, Lapsed: true})
 		is.Equal(g.Allow(time.Minute, "e", false) == Wait, !covers)
 	}
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -56,7 +56,7 @@
 	case needed && o.lease == nil:
 		o.mu.Lock()
 		o.lease = lease.New(o.leaseConfig(), leaseRoles, o.f.self, now, o.d.newRand())
-		o.gate = lease.NewOrderGate(lease.GateConfig{MaxOrderDelay: o.longestOrder(), LapseCovers: true}, o.lease)
+		o.gate = lease.NewOrderGate(lease.GateConfig{MaxOrderDelay: o.longestOrder(), LapseExceedsOrderDelay: true}, o.lease)
 		o.mu.Unlock()
 	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.releaseSafe(now):
 		o.releaseLease(now)
