--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -175,7 +175,7 @@
 func (l *Lease) Fence() uint64 { return l.heldFence }
 
 // Holder returns the lease row as last seen, for status pages.
-func (l *Lease) Holder() Row { return l.seen }
+func (l *Lease) LastRow() Row { return l.seen }
 
 // Stopped reports whether a Release is complete.
 func (l *Lease) Stopped() bool { return l.phase == phaseStopped }
--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -123,7 +123,7 @@
 
 func (p *Placer) tick(now time.Duration) time.Duration {
 	p.performLease(now, p.lease.Tick(now))
-	row := p.lease.Holder()
+	row := p.lease.LastRow()
 	p.holder.Store(&row)
 	next := p.lease.Next()
 	if !p.lease.Valid(now) {
