--- a/core/randomrun/run_test.go
+++ b/core/randomrun/run_test.go
@@ -157,7 +157,7 @@
 
 // checkHost checks that a daemon holds no requests.
 func (s *simulation) checkHost(h *host) {
-	held := []int{h.requester.Len(), h.canceller.Working(), len(h.active), len(h.jobs), len(h.onDone)}
+	held := []int{h.requester.Len(), h.canceller.Pending(), len(h.active), len(h.jobs), len(h.onDone)}
 	for i, n := range held {
 		if n != 0 {
 			s.fail("%s: part %d of requester, canceller, active, jobs, waiting holds %d", h.self, i, n)
--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -240,4 +240,4 @@
 }
 
 // Working returns the number of pending orders.
-func (c *Canceller) Working() int { return len(c.orders) }
+func (c *Canceller) Pending() int { return len(c.orders) }
--- a/core/reap/reap_test.go
+++ b/core/reap/reap_test.go
@@ -47,7 +47,7 @@
 	is.Equal(out[0].Done.Key, key)
 	is.Equal(c.Add(0, Order{Key: key, Incarnation: 1})[0].Done.Reason, DoneIncarnation)
 	is.Equal(len(c.Remove(0, "e")), 1)
-	is.Equal(c.Working(), 0)
+	is.Equal(c.Pending(), 0)
 }
 
 // engine is a model of an endpoint that may lose its tombstones.
@@ -86,7 +86,7 @@
 		runAt := time.Duration(rng.Int64N(int64(DefaultMaxOrderDelay)))
 		ran, now := false, time.Duration(0)
 		actions := c.Add(0, Order{Key: key})
-		for c.Working() > 0 && now < time.Minute {
+		for c.Pending() > 0 && now < time.Minute {
 			if !ran && now >= runAt {
 				e.run(key.Request)
 				ran = true
@@ -109,7 +109,7 @@
 		if !ran {
 			e.run(key.Request)
 		}
-		is.Equal(c.Working(), 0)
+		is.Equal(c.Pending(), 0)
 		is.Equal(len(e.held), 0) // the endpoint holds nothing for the disconnected caller
 	}
 	is.True(overtaken > 500)
--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -72,7 +72,7 @@
 
 func (c *Cancels) tick(now time.Duration) time.Duration {
 	c.perform(c.canceller.Tick(now))
-	c.pending.Set(float64(c.canceller.Working()))
+	c.pending.Set(float64(c.canceller.Pending()))
 	return c.canceller.Next()
 }
 
