--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -75,7 +75,7 @@
 	To       live.Role
 	// Wanted is the target number of prefill engines. Prefills and Decodes are
 	// the current numbers of engines.
-	Wanted            float64
+	TargetPrefills    float64
 	Prefills, Decodes int
 }
 
@@ -151,7 +151,7 @@
 		return nil
 	}
 	wanted := d.Wanted(n)
-	change := Change{Wanted: wanted, Prefills: prefills, Decodes: decodes}
+	change := Change{TargetPrefills: wanted, Prefills: prefills, Decodes: decodes}
 	from := demand.Decodes
 	switch {
 	case prefills < d.cfg.MinPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.MinDecodes:
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -101,7 +101,7 @@
 	p.decider.Changed(now)
 	p.changes[c.Endpoint] = &change{pool: pool, to: c.To, startedAt: now}
 	o.d.logger.Event("role_change_begun", "pool", pool, "endpoint", c.Endpoint, "to", c.To,
-		"wanted_prefills", c.Wanted, "prefills", c.Prefills, "decodes", c.Decodes)
+		"wanted_prefills", c.TargetPrefills, "prefills", c.Prefills, "decodes", c.Decodes)
 }
 
 // endChanges removes the changes that are done or timed out, or whose engine is gone.
