--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -131,7 +131,7 @@
 
 // Wanted returns the number of prefill engines, out of n engines, that the work
 // requires.
-func (d *Decider) Wanted(n int) float64 {
+func (d *Decider) TargetPrefills(n int) float64 {
 	share := d.cfg.InitialPrefillShare
 	if d.Measured() {
 		prefill := d.cfg.PrefillHeadroom * d.prefillSeconds
@@ -150,7 +150,7 @@
 	if n < d.cfg.MinPrefills+d.cfg.MinDecodes || settling {
 		return nil
 	}
-	wanted := d.Wanted(n)
+	wanted := d.TargetPrefills(n)
 	change := Change{TargetPrefills: wanted, Prefills: prefills, Decodes: decodes}
 	from := demand.Decodes
 	switch {
