--- a/core/revision/commit.go
+++ b/core/revision/commit.go
@@ -82,14 +82,14 @@
 		if rec.Change.ID == p.change.ID {
 			return p.end(Outcome{Result: Accepted, Revision: rec.Revision})
 		}
-		o.Rivals = append(o.Rivals, ConflictingChange{
+		o.Conflicts = append(o.Conflicts, ConflictingChange{
 			Revision: rec.Revision,
 			ID:       rec.Change.ID,
 			Author:   rec.Change.Author,
 			Overlap:  Overlap(p.change, rec.Change),
 		})
 	}
-	if len(o.Rivals) < len(r.Rows) && p.rereads < p.cfg.FutureReads {
+	if len(o.Conflicts) < len(r.Rows) && p.rereads < p.cfg.FutureReads {
 		p.rereads++
 		return p.backOff(now)
 	}
--- a/core/revision/outcome.go
+++ b/core/revision/outcome.go
@@ -57,7 +57,7 @@
 	Record *Record
 	// Rivals lists, for a Conflict, the changes accepted since Expect, oldest
 	// first and at most the newest ProposerConfig.Batch.
-	Rivals []ConflictingChange
+	Conflicts []ConflictingChange
 	// Faults lists why the change was rejected.
 	Faults []live.Fault
 }
--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -153,7 +153,7 @@
 func conflictText(req opapi.ChangeRequest, o revision.Outcome) string {
 	text := "change " + req.ID + " was made against revision " + strconv.FormatUint(req.Expect, 10) +
 		", but the configuration is at revision " + strconv.FormatUint(o.Revision, 10)
-	for _, r := range o.Rivals {
+	for _, r := range o.Conflicts {
 		text += "; revision " + strconv.FormatUint(r.Revision, 10) + " by " + r.Author + " (change " + r.ID + ")"
 		if len(r.Overlap) > 0 {
 			text += " touches " + strings.Join(r.Overlap, ", ")
