--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -172,7 +172,7 @@
 
 // Newest reports whether the document is ready and no peer has a newer one, so
 // that an item missing from it does not exist as far as is known.
-func (f *Follower) Newest(now time.Duration) bool {
+func (f *Follower) UpToDate(now time.Duration) bool {
 	return f.Ready(now) && !f.behind()
 }
 
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -92,7 +92,7 @@
 func (c *Configs) tick(now time.Duration) time.Duration {
 	c.perform(c.follower.Tick(now))
 	c.ready.Store(c.follower.Ready(now))
-	c.newest.Store(c.follower.Newest(now))
+	c.newest.Store(c.follower.UpToDate(now))
 	c.storeUp.Store(c.follower.StoreUp())
 	return c.follower.Next()
 }
