--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -182,7 +182,7 @@
 	c.ID = fmt.Sprintf("%s-%d", c.ID, number)
 	l.revision++
 	l.chain = revision.NextChain(l.chain, c)
-	l.follower.Learn(revision.Record{Revision: l.revision, Change: c, Chain: l.chain})
+	l.follower.ApplyAccepted(revision.Record{Revision: l.revision, Change: c, Chain: l.chain})
 }
 
 // check returns an error if not all learned changes are in force: the follower
--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -145,7 +145,7 @@
 }
 
 // Learn applies a record whose acceptance this daemon's own proposer observed.
-func (f *Follower) Learn(rec Record) []FollowerAction {
+func (f *Follower) ApplyAccepted(rec Record) []FollowerAction {
 	return f.applyAll(nil, []Record{rec}, sourceStore)
 }
 
--- a/core/revision/revision_test.go
+++ b/core/revision/revision_test.go
@@ -37,7 +37,7 @@
 func followerAt(n int) *Follower {
 	f := NewFollower(DefaultFollowerConfig(), 0, newRand())
 	for _, r := range records(n) {
-		f.Learn(r)
+		f.ApplyAccepted(r)
 	}
 	return f
 }
@@ -88,7 +88,7 @@
 	f := followerAt(3)
 	bad := records(5)[3]
 	bad.Change.Ops[0].Item = json.RawMessage(`{"weight": 3}`)
-	actions := f.Learn(bad)
+	actions := f.ApplyAccepted(bad)
 	is.True(actions[0].Diverged != nil) // a record of another history is rejected
 	is.Equal(f.Current().Revision, uint64(3))
 }
@@ -165,6 +165,6 @@
 	doc, chain := f.doc, f.chain
 	for b.Loop() {
 		f.doc, f.chain = doc, chain
-		f.Learn(next)
+		f.ApplyAccepted(next)
 	}
 }
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -200,7 +200,7 @@
 func (c *Configs) Learn(record revision.Record) bool {
 	learnt := false
 	c.duty.Query(func(time.Duration) {
-		c.perform(c.follower.Learn(record))
+		c.perform(c.follower.ApplyAccepted(record))
 		learnt = c.follower.Current().Revision >= record.Revision
 	})
 	return learnt
