--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -108,7 +108,7 @@
 	cfg.Deadline, cfg.SnapshotEvery = 2*time.Second, 4
 	p := NewProposer(cfg, c, r.followers[client%len(r.followers)].Current(), r.clock.Random)
 	if resent {
-		p.Resent()
+		p.MarkResent()
 	}
 	called := r.nextStamp()
 	var act func([]ProposerAction)
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -96,7 +96,7 @@
 // under the same id. The proposer then withdraws the change in the table before it
 // reports the change as not run, so that the earlier proposal can't take effect
 // afterwards.
-func (p *Proposer) Resent() { p.maybeCommitted = true }
+func (p *Proposer) MarkResent() { p.maybeCommitted = true }
 
 // Start begins the proposal.
 func (p *Proposer) Start(now time.Duration) []ProposerAction {
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -184,7 +184,7 @@
 		replies: make(chan table.Reply, 4),
 	}
 	if resent {
-		p.core.Resent()
+		p.core.MarkResent()
 	}
 	outcome := p.run(ctx)
 	if outcome.Record != nil {
