--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -88,7 +88,7 @@
 // Learn merges another daemon's report of the spans in which the store responded, and
 // of the version up to which that daemon has read the list. It reports whether entries
 // were dropped as a result.
-func (l *List) Learn(reported uptime.History, listed uint64) bool {
+func (l *List) MergeUptime(reported uptime.History, listed uint64) bool {
 	o := &l.outage
 	o.listed = max(o.listed, listed)
 	for _, s := range reported {
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -225,7 +225,7 @@
 		if to == from || s.now < to.cutUntil {
 			continue
 		}
-		to.Learn(spans, from.known)
+		to.MergeUptime(spans, from.known)
 		if mayReturn {
 			to.MayReturn(s.now)
 		}
@@ -245,7 +245,7 @@
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil {
 			spans := other.Uptime()
-			d.Learn(spans, other.known)
+			d.MergeUptime(spans, other.known)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil && other.known == s.version {
 			spans := other.Uptime()
-			d.Learn(spans, other.known)
+			d.MergeUptime(spans, other.known)
 			s.read(d)
 			return
 		}
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -81,13 +81,13 @@
 	is.True(!l.Doubts(0))
 	l.Set(0, 10, []Endpoint{{Name: "a", Address: "1"}})
 	back := servedSpan(0, 11, time.Second, time.Second)
-	l.Learn(back, 0)
+	l.MergeUptime(back, 0)
 	l.MayReturn(1100 * time.Millisecond)
 	l.Set(1100*time.Millisecond, 11, nil)
 	is.Equal(l.Lapsed(), 1)
 	is.True(l.Doubts(1100 * time.Millisecond))
 	// A repeated or later report of the same return does not extend the time.
-	l.Learn(back, 0)
+	l.MergeUptime(back, 0)
 	l.MayReturn(3 * time.Second)
 	until := 1100*time.Millisecond + uptime.ReturnGrace
 	for _, asks := range []struct {
@@ -101,10 +101,10 @@
 		is.Equal(ask, asks.ask)
 	}
 	end := time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(servedSpan(0, 11, time.Second, end-1), 0))
-	is.True(l.Learn(servedSpan(11, 11, time.Second, end), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 11, time.Second, end-1), 0))
+	is.True(l.MergeUptime(servedSpan(11, 11, time.Second, end), 0))
 	is.Equal(l.Lapsed(), 0)
-	l.Learn(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
+	l.MergeUptime(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
 	l.Set(4*time.Second, 12, []Endpoint{{Name: "b", Address: "2"}})
 	l.Set(4*time.Second, 13, nil)
 	is.Equal(l.Lapsed(), 0)
@@ -120,7 +120,7 @@
 		l.StoreLost()
 		span := servedSpan(3, 12, -time.Minute, 5*time.Second)
 		if first {
-			l.Learn(span, 0)
+			l.MergeUptime(span, 0)
 		}
 		l.Set(5*time.Second, 12, []Endpoint{entry("b", "2")})
 		if !first {
@@ -128,7 +128,7 @@
 			upTo, ask := l.Ask(5*time.Second, 0)
 			is.True(ask)
 			is.Equal(upTo, uint64(12))
-			is.True(l.Learn(span, 0))
+			is.True(l.MergeUptime(span, 0))
 		}
 		is.Equal(names(l), []id.Endpoint{"b"})
 		_, ask := l.Ask(5*time.Second, 0)
@@ -150,9 +150,9 @@
 	is.Equal(l.Lapsed(), 1)
 	// Other daemons were served from 8 s on.
 	end := 8*time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
-	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, end-1), 0))
-	is.True(l.Learn(servedSpan(20, 20, 8*time.Second, end), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 20, 8*time.Second, end-1), 0))
+	is.True(l.MergeUptime(servedSpan(20, 20, 8*time.Second, end), 0))
 }
 
 // TestEntryLapsedInSharedOutageIsKept checks that a daemon that learns of the store's
@@ -164,12 +164,12 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	// The store responded for a second and was away again.
-	l.Learn(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
+	l.MergeUptime(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
 	is.True(!l.Settle())
-	is.True(!l.Learn(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
 	is.Equal(l.Lapsed(), 1)
-	is.True(l.Learn(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
+	is.True(l.MergeUptime(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
 	is.Equal(l.Lapsed(), 0)
 }
 
@@ -186,7 +186,7 @@
 	l.Current() // nothing has changed
 	l.Answered(25, 11*time.Second, true)
 	l.Set(11*time.Second, 25, nil)
-	l.Learn(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
+	l.MergeUptime(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
 	is.Equal(l.Lapsed(), 1)
 	end := 10*time.Second + uptime.ReturnGrace
 	l.Answered(25, end, true)
@@ -201,7 +201,7 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.Set(6*time.Second, 12, nil)
-	is.True(!l.Learn(servedSpan(14, 18, 5*time.Second, 9*time.Second), 15))
+	is.True(!l.MergeUptime(servedSpan(14, 18, 5*time.Second, 9*time.Second), 15))
 	is.Equal(l.Lapsed(), 1)
 	l.Set(9*time.Second, 15, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 0)
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -104,7 +104,7 @@
 // handleStoreStatus applies the store's status as reported by another daemon.
 func (d *Daemon) handleStoreStatus(from id.Daemon, status storeStatus) {
 	d.withRegistry(func(l *registry.List) {
-		if l.Learn(status.Uptime, status.Listed) {
+		if l.MergeUptime(status.Uptime, status.Listed) {
 			newest := status.Uptime.Newest()
 			d.logger.Event("store_was_there", "peer", from, "from", newest.From, "until", newest.Until, "length", newest.Length())
 			d.publish()
