--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -110,7 +110,7 @@
 }
 
 // Doubts reports whether entries that go missing may return.
-func (l *List) Doubts(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
+func (l *List) EntriesMayReturn(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
 
 // Ask reports whether to query other daemons now for the spans in which the store
 // responded to them, and the store version that their reply should reach. A daemon
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -220,7 +220,7 @@
 	if !from.reader || s.now < from.cutUntil {
 		return
 	}
-	spans, mayReturn := from.Uptime(), from.Doubts(s.now)
+	spans, mayReturn := from.Uptime(), from.EntriesMayReturn(s.now)
 	for _, to := range s.daemons {
 		if to == from || s.now < to.cutUntil {
 			continue
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -78,14 +78,14 @@
 func TestOutageReportedByAnotherDaemon(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	is.True(!l.Doubts(0))
+	is.True(!l.EntriesMayReturn(0))
 	l.Set(0, 10, []Endpoint{{Name: "a", Address: "1"}})
 	back := servedSpan(0, 11, time.Second, time.Second)
 	l.MergeUptime(back, 0)
 	l.MayReturn(1100 * time.Millisecond)
 	l.Set(1100*time.Millisecond, 11, nil)
 	is.Equal(l.Lapsed(), 1)
-	is.True(l.Doubts(1100 * time.Millisecond))
+	is.True(l.EntriesMayReturn(1100 * time.Millisecond))
 	// A repeated or later report of the same return does not extend the time.
 	l.MergeUptime(back, 0)
 	l.MayReturn(3 * time.Second)
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -96,7 +96,7 @@
 func (d *Daemon) storeStatus() *storeStatus {
 	status := storeStatus{Listed: d.endpoints.Position()}
 	d.withRegistry(func(l *registry.List) {
-		status.Uptime, status.MayReturn = l.Uptime(), l.Doubts(d.now())
+		status.Uptime, status.MayReturn = l.Uptime(), l.EntriesMayReturn(d.now())
 	})
 	return &status
 }
@@ -119,9 +119,9 @@
 // store was unavailable; the lock must be held.
 func (d *Daemon) mayReturn(from id.Daemon) {
 	list, now := d.tables.list, d.now()
-	doubted := list.Doubts(now)
+	doubted := list.EntriesMayReturn(now)
 	list.MayReturn(now)
-	if !doubted && list.Doubts(now) {
+	if !doubted && list.EntriesMayReturn(now) {
 		d.logger.Event("store_absence_told", "peer", from)
 	}
 }
