--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -100,7 +100,7 @@
 // MayReturn records another daemon's report of an outage: entries that have gone
 // missing since may return until the store has responded for uptime.ReturnGrace.
 // Repeated reports of the same return do not extend that time.
-func (l *List) MayReturn(now time.Duration) {
+func (l *List) ReportOutage(now time.Duration) {
 	o, newest := &l.outage, l.Uptime().Newest()
 	if newest.Since == o.returnedAt {
 		return
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -227,7 +227,7 @@
 		}
 		to.MergeUptime(spans, from.known)
 		if mayReturn {
-			to.MayReturn(s.now)
+			to.ReportOutage(s.now)
 		}
 		if s.version > to.known {
 			s.read(to)
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -82,13 +82,13 @@
 	l.Set(0, 10, []Endpoint{{Name: "a", Address: "1"}})
 	back := servedSpan(0, 11, time.Second, time.Second)
 	l.MergeUptime(back, 0)
-	l.MayReturn(1100 * time.Millisecond)
+	l.ReportOutage(1100 * time.Millisecond)
 	l.Set(1100*time.Millisecond, 11, nil)
 	is.Equal(l.Lapsed(), 1)
 	is.True(l.EntriesMayReturn(1100 * time.Millisecond))
 	// A repeated or later report of the same return does not extend the time.
 	l.MergeUptime(back, 0)
-	l.MayReturn(3 * time.Second)
+	l.ReportOutage(3 * time.Second)
 	until := 1100*time.Millisecond + uptime.ReturnGrace
 	for _, asks := range []struct {
 		at  time.Duration
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -120,7 +120,7 @@
 func (d *Daemon) mayReturn(from id.Daemon) {
 	list, now := d.tables.list, d.now()
 	doubted := list.EntriesMayReturn(now)
-	list.MayReturn(now)
+	list.ReportOutage(now)
 	if !doubted && list.EntriesMayReturn(now) {
 		d.logger.Event("store_absence_told", "peer", from)
 	}
