--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -55,12 +55,12 @@
 		return
 	}
 	o.away = false
-	l.Suspect(now)
+	l.SuspectOutage(now)
 }
 
 // Suspect records that the store may have been away until now: this daemon has not
 // called it in the meantime, and calls of others failed.
-func (l *List) Suspect(now time.Duration) {
+func (l *List) SuspectOutage(now time.Duration) {
 	o := &l.outage
 	o.ownReturnUntil = now + uptime.ReturnGrace
 	o.returnUntil = max(o.returnUntil, o.ownReturnUntil)
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -188,7 +188,7 @@
 		d.StoreBack(s.now)
 	}
 	if !d.unbroken && s.othersLost(d) {
-		d.Suspect(s.now)
+		d.SuspectOutage(s.now)
 	}
 	d.Answered(s.version, s.now, d.unbroken)
 	d.unbroken = true
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -58,7 +58,7 @@
 	suspect := !a.Unbroken && d.peersLost()
 	d.withRegistry(func(l *registry.List) {
 		if suspect {
-			l.Suspect(d.now())
+			l.SuspectOutage(d.now())
 		}
 		l.Answered(a.Newest, a.Clock, a.Unbroken)
 	})
