--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -133,7 +133,7 @@
 					break
 				}
 			default:
-				l.Settle()
+				l.DropRemoved()
 			}
 			var entries []Endpoint
 			for _, e := range rows {
--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -94,7 +94,7 @@
 	for _, s := range reported {
 		o.spans = o.spans.Add(s)
 	}
-	return l.Settle()
+	return l.DropRemoved()
 }
 
 // MayReturn records another daemon's report of an outage: entries that have gone
@@ -131,7 +131,7 @@
 
 // Settle drops the kept entries that the spans prove to be removed, and reports
 // whether there were any.
-func (l *List) Settle() bool {
+func (l *List) DropRemoved() bool {
 	spans, before := l.Uptime(), len(l.lapsed)
 	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool {
 		return slices.ContainsFunc(spans, func(s uptime.Span) bool {
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -238,7 +238,7 @@
 // query asks the readers, on behalf of a daemon, for the spans in which the store
 // responded to them.
 func (s *simFleet) query(d *simDaemon) {
-	d.Settle()
+	d.DropRemoved()
 	if _, ask := d.Ask(s.now, simQueryPause); !ask || s.now < d.cutUntil {
 		return
 	}
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -74,7 +74,7 @@
 		l.keepLapsed(now, old, after)
 	}
 	l.dropUnreadable(unreadable)
-	l.Settle()
+	l.DropRemoved()
 	l.dropReplaced()
 	l.dropAppliedRestarts()
 }
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -39,14 +39,14 @@
 	is.Equal(names(l), []id.Endpoint{"a", "b", "c"})
 	l.Set(11*time.Second, 1, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 2)
-	is.True(!l.Settle())
+	is.True(!l.DropRemoved())
 	end := 10*time.Second + uptime.ReturnGrace
 	l.Answered(1, time.Minute+uptime.ReturnGrace-1, true)
-	is.True(!l.Settle())
+	is.True(!l.DropRemoved())
 	is.True(!l.Due(end - 1))
 	is.True(l.Due(end))
 	l.Answered(1, time.Minute+uptime.ReturnGrace, true)
-	is.True(l.Settle())
+	is.True(l.DropRemoved())
 	is.True(!l.Due(end))
 	is.Equal(names(l), []id.Endpoint{"a"})
 }
@@ -166,7 +166,7 @@
 	// The store responded for a second and was away again.
 	l.MergeUptime(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
-	is.True(!l.Settle())
+	is.True(!l.DropRemoved())
 	is.True(!l.MergeUptime(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
 	is.Equal(l.Lapsed(), 1)
 	is.True(l.MergeUptime(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
@@ -190,7 +190,7 @@
 	is.Equal(l.Lapsed(), 1)
 	end := 10*time.Second + uptime.ReturnGrace
 	l.Answered(25, end, true)
-	is.True(l.Settle())
+	is.True(l.DropRemoved())
 }
 
 // TestLaggingDaemonKeepsEntries checks that a daemon that lags behind the store keeps
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -234,7 +234,7 @@
 	k, now, pause := d.tables, d.now(), d.uptimeQueryInterval()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.list.Settle() {
+	if k.list.DropRemoved() {
 		d.publish()
 	}
 	upTo, ask = k.list.Ask(now, pause)
