--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -151,4 +151,6 @@
 
 // Due reports whether the return grace is over for entries that are still kept. They
 // are dropped once the store is proven to have responded for all of that time.
-func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.outage.returnUntil }
+func (l *List) GraceOver(now time.Duration) bool {
+	return len(l.lapsed) > 0 && now >= l.outage.returnUntil
+}
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -43,11 +43,11 @@
 	end := 10*time.Second + uptime.ReturnGrace
 	l.Answered(1, time.Minute+uptime.ReturnGrace-1, true)
 	is.True(!l.DropRemoved())
-	is.True(!l.Due(end - 1))
-	is.True(l.Due(end))
+	is.True(!l.GraceOver(end - 1))
+	is.True(l.GraceOver(end))
 	l.Answered(1, time.Minute+uptime.ReturnGrace, true)
 	is.True(l.DropRemoved())
-	is.True(!l.Due(end))
+	is.True(!l.GraceOver(end))
 	is.Equal(names(l), []id.Endpoint{"a"})
 }
 
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -238,7 +238,7 @@
 		d.publish()
 	}
 	upTo, ask = k.list.Ask(now, pause)
-	return upTo, ask, k.list.Due(now)
+	return upTo, ask, k.list.GraceOver(now)
 }
 
 // every calls do at a fixed interval until the daemon ends.
