--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -79,7 +79,7 @@
 
 // Current records that the list is up to date with the last response of the store to
 // this daemon.
-func (l *List) Current() { l.position = max(l.position, l.outage.ownSpan.Until) }
+func (l *List) MarkCurrent() { l.position = max(l.position, l.outage.ownSpan.Until) }
 
 // Uptime returns the spans in which the store is known to have responded, to be sent
 // to other daemons.
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -196,7 +196,7 @@
 		s.read(d)
 		s.push(d)
 	}
-	d.Current()
+	d.MarkCurrent()
 }
 
 // othersLost reports whether a daemon sees that others have been without the store
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -183,7 +183,7 @@
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
 	l.Answered(20, 10*time.Second, false)
-	l.Current() // nothing has changed
+	l.MarkCurrent() // nothing has changed
 	l.Answered(25, 11*time.Second, true)
 	l.Set(11*time.Second, 25, nil)
 	l.MergeUptime(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -89,7 +89,7 @@
 
 // endpointsConfirmed records that the list of endpoints is up to date with the store.
 func (d *Daemon) endpointsConfirmed(time.Duration) {
-	d.withRegistry(func(l *registry.List) { l.Current() })
+	d.withRegistry(func(l *registry.List) { l.MarkCurrent() })
 }
 
 // storeStatus returns the store's status to report to other daemons.
