--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -117,7 +117,7 @@
 // whose own calls failed, or whose kept entries are due, queries each time. A daemon
 // that keeps entries because of others' reports, as the whole fleet may do at once,
 // queries at most once per pause.
-func (l *List) Ask(now, pause time.Duration) (upTo uint64, ask bool) {
+func (l *List) ShouldQuery(now, pause time.Duration) (upTo uint64, ask bool) {
 	o := &l.outage
 	if len(l.lapsed) == 0 {
 		return l.position, false
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -239,7 +239,7 @@
 // responded to them.
 func (s *simFleet) query(d *simDaemon) {
 	d.DropRemoved()
-	if _, ask := d.Ask(s.now, simQueryPause); !ask || s.now < d.cutUntil {
+	if _, ask := d.ShouldQuery(s.now, simQueryPause); !ask || s.now < d.cutUntil {
 		return
 	}
 	for _, other := range s.daemons {
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -97,7 +97,7 @@
 		{1200 * time.Millisecond, true}, {1300 * time.Millisecond, false}, {1900 * time.Millisecond, true},
 		{2500 * time.Millisecond, false}, {until, true}, {until + 1, true},
 	} {
-		_, ask := l.Ask(asks.at, 700*time.Millisecond)
+		_, ask := l.ShouldQuery(asks.at, 700*time.Millisecond)
 		is.Equal(ask, asks.ask)
 	}
 	end := time.Second + uptime.ReturnGrace
@@ -125,13 +125,13 @@
 		l.Set(5*time.Second, 12, []Endpoint{entry("b", "2")})
 		if !first {
 			is.Equal(names(l), []id.Endpoint{"a", "b"})
-			upTo, ask := l.Ask(5*time.Second, 0)
+			upTo, ask := l.ShouldQuery(5*time.Second, 0)
 			is.True(ask)
 			is.Equal(upTo, uint64(12))
 			is.True(l.MergeUptime(span, 0))
 		}
 		is.Equal(names(l), []id.Endpoint{"b"})
-		_, ask := l.Ask(5*time.Second, 0)
+		_, ask := l.ShouldQuery(5*time.Second, 0)
 		is.True(!ask)
 	}
 }
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -237,7 +237,7 @@
 	if k.list.DropRemoved() {
 		d.publish()
 	}
-	upTo, ask = k.list.Ask(now, pause)
+	upTo, ask = k.list.ShouldQuery(now, pause)
 	return upTo, ask, k.list.GraceOver(now)
 }
 
