--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -52,8 +52,8 @@
 	former, present := entry("a", "1"), entry("b", "1")
 	l.Set(0, 1, []Endpoint{former, present})
 	is.Equal(l.Disputed(), []Endpoint{former, present})
-	is.True(l.Displace(former))
-	is.True(!l.Displace(former))
+	is.True(l.MarkDisplaced(former))
+	is.True(!l.MarkDisplaced(former))
 	is.Equal(len(l.Disputed()), 0)
 	l.Set(time.Second, 1, []Endpoint{present})
 	l.Set(2*time.Second, 1, []Endpoint{former, present})
@@ -128,7 +128,7 @@
 				l.Restarted(instance, born[instance], live.RoleDecode)
 			case 6:
 				for _, e := range l.Disputed() {
-					l.Displace(e)
+					l.MarkDisplaced(e)
 					displaced[e.location()] = true
 					break
 				}
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -158,7 +158,7 @@
 // Displace records that another process responded at an endpoint's address: entries
 // with the same name and address are ignored from now on. It reports whether this was
 // not recorded before.
-func (l *List) Displace(e Endpoint) bool {
+func (l *List) MarkDisplaced(e Endpoint) bool {
 	_, known := l.displaced.Get(e.location())
 	l.displaced.Add(e.location(), struct{}{})
 	return !known
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -100,7 +100,7 @@
 func (d *Daemon) displace(e registry.Endpoint, by id.Instance) {
 	d.tables.mu.Lock()
 	defer d.tables.mu.Unlock()
-	if !d.tables.list.Displace(e) {
+	if !d.tables.list.MarkDisplaced(e) {
 		return
 	}
 	d.logger.Event("endpoint_displaced", "endpoint", e.Name, "address", e.Address, "by", by)
