--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -51,10 +51,10 @@
 	l := New()
 	former, present := entry("a", "1"), entry("b", "1")
 	l.Set(0, 1, []Endpoint{former, present})
-	is.Equal(l.Disputed(), []Endpoint{former, present})
+	is.Equal(l.AddressConflicts(), []Endpoint{former, present})
 	is.True(l.MarkDisplaced(former))
 	is.True(!l.MarkDisplaced(former))
-	is.Equal(len(l.Disputed()), 0)
+	is.Equal(len(l.AddressConflicts()), 0)
 	l.Set(time.Second, 1, []Endpoint{present})
 	l.Set(2*time.Second, 1, []Endpoint{former, present})
 	is.Equal(names(l), []id.Endpoint{"b"})
@@ -127,7 +127,7 @@
 			case 5:
 				l.Restarted(instance, born[instance], live.RoleDecode)
 			case 6:
-				for _, e := range l.Disputed() {
+				for _, e := range l.AddressConflicts() {
 					l.MarkDisplaced(e)
 					displaced[e.location()] = true
 					break
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -200,7 +200,7 @@
 
 // Disputed lists the endpoints that share an address with another one: at most one of
 // them is present, and only the process at the address can report which.
-func (l *List) Disputed() []Endpoint {
+func (l *List) AddressConflicts() []Endpoint {
 	all := l.All()
 	claims := make(map[string]int, len(all))
 	for _, e := range all {
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -17,7 +17,7 @@
 // Requests sent under the former name are refused: when 16 engines restarted within
 // 34 s, 518 requests were refused and 260 prefills were wasted.
 func (d *Daemon) inspectDisputed() {
-	for _, e := range d.tables.list.Disputed() {
+	for _, e := range d.tables.list.AddressConflicts() {
 		d.inspect(e)
 	}
 }
