--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -68,7 +68,7 @@
 
 // Answered records a response of the store to this daemon, with the version of its
 // newest change and its clock. Set unbroken if the previous call was answered too.
-func (l *List) Answered(newest uint64, clock time.Duration, unbroken bool) {
+func (l *List) RecordResponse(newest uint64, clock time.Duration, unbroken bool) {
 	o := &l.outage
 	next := o.ownSpan.Extend(newest, clock, unbroken)
 	if next.Since != o.ownSpan.Since {
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -190,7 +190,7 @@
 	if !d.unbroken && s.othersLost(d) {
 		d.SuspectOutage(s.now)
 	}
-	d.Answered(s.version, s.now, d.unbroken)
+	d.RecordResponse(s.version, s.now, d.unbroken)
 	d.unbroken = true
 	if s.version > d.known {
 		s.read(d)
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -34,18 +34,18 @@
 	l.Set(0, 1, []Endpoint{entry("a", "1"), entry("b", "2"), entry("c", "3")})
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
-	l.Answered(1, time.Minute, false)
+	l.RecordResponse(1, time.Minute, false)
 	l.Set(10*time.Second, 1, nil)
 	is.Equal(names(l), []id.Endpoint{"a", "b", "c"})
 	l.Set(11*time.Second, 1, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 2)
 	is.True(!l.DropRemoved())
 	end := 10*time.Second + uptime.ReturnGrace
-	l.Answered(1, time.Minute+uptime.ReturnGrace-1, true)
+	l.RecordResponse(1, time.Minute+uptime.ReturnGrace-1, true)
 	is.True(!l.DropRemoved())
 	is.True(!l.GraceOver(end - 1))
 	is.True(l.GraceOver(end))
-	l.Answered(1, time.Minute+uptime.ReturnGrace, true)
+	l.RecordResponse(1, time.Minute+uptime.ReturnGrace, true)
 	is.True(l.DropRemoved())
 	is.True(!l.GraceOver(end))
 	is.Equal(names(l), []id.Endpoint{"a"})
@@ -145,7 +145,7 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
-	l.Answered(20, 10*time.Second, false)
+	l.RecordResponse(20, 10*time.Second, false)
 	l.Set(10*time.Second, 20, nil)
 	is.Equal(l.Lapsed(), 1)
 	// Other daemons were served from 8 s on.
@@ -182,14 +182,14 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
-	l.Answered(20, 10*time.Second, false)
+	l.RecordResponse(20, 10*time.Second, false)
 	l.MarkCurrent() // nothing has changed
-	l.Answered(25, 11*time.Second, true)
+	l.RecordResponse(25, 11*time.Second, true)
 	l.Set(11*time.Second, 25, nil)
 	l.MergeUptime(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
 	is.Equal(l.Lapsed(), 1)
 	end := 10*time.Second + uptime.ReturnGrace
-	l.Answered(25, end, true)
+	l.RecordResponse(25, end, true)
 	is.True(l.DropRemoved())
 }
 
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -60,7 +60,7 @@
 		if suspect {
 			l.SuspectOutage(d.now())
 		}
-		l.Answered(a.Newest, a.Clock, a.Unbroken)
+		l.RecordResponse(a.Newest, a.Clock, a.Unbroken)
 	})
 }
 
