--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -106,7 +106,7 @@
 		return
 	}
 	o.returnedAt = newest.Since
-	o.returnUntil = max(o.returnUntil, now+uptime.ReturnGrace-newest.Length())
+	o.returnUntil = max(o.returnUntil, now+uptime.ReturnGrace-newest.Duration())
 }
 
 // Doubts reports whether entries that go missing may return.
@@ -146,7 +146,7 @@
 // this daemon must have read the list as it was then.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.outage.listed <= l.position && l.position <= s.Until
-	return s.Length() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
+	return s.Duration() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
 // Due reports whether the return grace is over for entries that are still kept. They
--- a/core/uptime/uptime.go
+++ b/core/uptime/uptime.go
@@ -38,7 +38,7 @@
 		return Span{Until: newest, Since: clock, Last: clock}
 	}
 	s.Until, s.Last = newest, clock
-	if s.From == 0 && s.Length() >= ReturnGrace {
+	if s.From == 0 && s.Duration() >= ReturnGrace {
 		s.From = newest
 	}
 	return s
@@ -52,7 +52,7 @@
 }
 
 // Length returns the time from the first to the last response.
-func (s Span) Length() time.Duration { return s.Last - s.Since }
+func (s Span) Duration() time.Duration { return s.Last - s.Since }
 
 // join returns the union of two spans that overlap in time.
 func join(a, b Span) Span {
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -106,7 +106,7 @@
 	d.withRegistry(func(l *registry.List) {
 		if l.MergeUptime(status.Uptime, status.Listed) {
 			newest := status.Uptime.Newest()
-			d.logger.Event("store_was_there", "peer", from, "from", newest.From, "until", newest.Until, "length", newest.Length())
+			d.logger.Event("store_was_there", "peer", from, "from", newest.From, "until", newest.Until, "length", newest.Duration())
 			d.publish()
 		}
 		if status.MayReturn {
@@ -131,7 +131,7 @@
 func (d *Daemon) answerUptime(q uptimeQuery) *storeStatus {
 	status := d.storeStatus()
 	newest := status.Uptime.Newest()
-	if newest.Until < q.UpTo || newest.Length() < uptime.ReturnGrace {
+	if newest.Until < q.UpTo || newest.Duration() < uptime.ReturnGrace {
 		d.endpoints.Poll()
 	}
 	return status
