--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -101,7 +101,7 @@
 // missing since may return until the store has responded for uptime.ReturnGrace.
 // Repeated reports of the same return do not extend that time.
 func (l *List) ReportOutage(now time.Duration) {
-	o, newest := &l.outage, l.Uptime().Newest()
+	o, newest := &l.outage, l.Uptime().Latest()
 	if newest.Since == o.returnedAt {
 		return
 	}
--- a/core/uptime/uptime.go
+++ b/core/uptime/uptime.go
@@ -95,7 +95,7 @@
 }
 
 // Newest returns the last span, or the zero Span if there is none.
-func (h History) Newest() Span {
+func (h History) Latest() Span {
 	if len(h) == 0 {
 		return Span{}
 	}
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -58,13 +58,13 @@
 func TestHistoryKeepsNewestSpans(t *testing.T) {
 	is := is.New(t)
 	var h History
-	is.True(!h.Newest().Known())
+	is.True(!h.Latest().Known())
 	for i := range time.Duration(9) {
 		h = h.Add(Span{Until: uint64(i + 1), Since: 10 * i * time.Second, Last: (10*i + 5) * time.Second})
 	}
 	is.Equal(len(h), maxSpans)
 	is.Equal(h[0].Until, uint64(7))
-	is.Equal(h.Newest().Until, uint64(9))
+	is.Equal(h.Latest().Until, uint64(9))
 }
 
 // TestRandomSpansCoverNoOutage simulates daemons that call a store with outages, fail
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -105,7 +105,7 @@
 func (d *Daemon) handleStoreStatus(from id.Daemon, status storeStatus) {
 	d.withRegistry(func(l *registry.List) {
 		if l.MergeUptime(status.Uptime, status.Listed) {
-			newest := status.Uptime.Newest()
+			newest := status.Uptime.Latest()
 			d.logger.Event("store_was_there", "peer", from, "from", newest.From, "until", newest.Until, "length", newest.Duration())
 			d.publish()
 		}
@@ -130,7 +130,7 @@
 // suffice, it polls the store at once, so that the next query gets a newer answer.
 func (d *Daemon) answerUptime(q uptimeQuery) *storeStatus {
 	status := d.storeStatus()
-	newest := status.Uptime.Newest()
+	newest := status.Uptime.Latest()
 	if newest.Until < q.UpTo || newest.Duration() < uptime.ReturnGrace {
 		d.endpoints.Poll()
 	}
