--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -253,8 +253,8 @@
 	state := f.snapshot()
 	f.mu.Unlock()
 	f.cfg.Changed(state)
-	if len(news.Changes) > 0 && f.cfg.Learnt != nil {
-		f.cfg.Learnt(news)
+	if len(news.Changes) > 0 && f.cfg.OnNews != nil {
+		f.cfg.OnNews(news)
 	}
 	return nil
 }
@@ -312,8 +312,8 @@
 	if changed, err = f.apply(news); err != nil {
 		return changed, err
 	}
-	if f.cfg.Learnt != nil {
-		f.cfg.Learnt(news)
+	if f.cfg.OnNews != nil {
+		f.cfg.OnNews(news)
 	}
 	f.confirm(begun)
 	return changed, nil
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -222,7 +222,7 @@
 	reported := make(chan News, 16)
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
-		Changed: func(State) {}, Learnt: func(n News) { reported <- n },
+		Changed: func(State) {}, OnNews: func(n News) { reported <- n },
 		Lost: func(error) {}, Back: func() {}, Rand: testRand(),
 	})
 	t.Cleanup(f.Close)
--- a/daemon/feed/news_test.go
+++ b/daemon/feed/news_test.go
@@ -147,7 +147,7 @@
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
 		Changed: func(State) {},
-		Learnt:  func(n News) { reported <- n },
+		OnNews:  func(n News) { reported <- n },
 		Lost:    func(error) {},
 		Back:    func() {},
 		Rand:    testRand(),
--- a/daemon/feed/types.go
+++ b/daemon/feed/types.go
@@ -102,7 +102,7 @@
 	// Learnt is called after Changed with changes that were read from the store,
 	// including those that the store had discarded and that a full read revealed.
 	// May be nil.
-	Learnt func(n News)
+	OnNews func(n News)
 	// Answered, if set, is called for each answer of the store, before Changed.
 	Answered func(a Answer)
 	// Confirmed, if set, is called after Changed with the time, by Now, at which a
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -89,7 +89,7 @@
 		Retry:     feedRetry,
 		IdleRetry: idleRetry,
 		Changed:   changed,
-		Learnt:    d.sendNews,
+		OnNews:    d.sendNews,
 		Now:       d.now,
 		Idle:      true,
 		Lost: func(err error) {
