--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -149,7 +149,7 @@
 		changed, err := f.step()
 		if err == nil {
 			pause = firstRetry
-			if changed && !f.fullReadDue() && !f.pause(f.cfg.Gather, nil) {
+			if changed && !f.fullReadDue() && !f.pause(f.cfg.BatchDelay, nil) {
 				return
 			}
 			continue
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -195,7 +195,7 @@
 	s := newSource()
 	states := make(chan State, 16)
 	f := Start(Config{
-		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond, Gather: testBound,
+		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond, BatchDelay: testBound,
 		Changed: func(s State) { states <- s },
 		Lost:    func(error) {},
 		Back:    func() {},
--- a/daemon/feed/types.go
+++ b/daemon/feed/types.go
@@ -90,7 +90,7 @@
 	Wait time.Duration
 	// Gather is the pause after changes, so that changes in quick succession are
 	// read by one more call and not by one call each.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// Retry is the maximum pause after a failed call; the pause doubles up to it.
 	Retry time.Duration
 	// IdleRetry replaces Retry once the table is known and while other daemons send
--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -281,7 +281,7 @@
 func (d *Daemon) hostsConfig(f *fleet) feed.Config {
 	cfg := d.followerConfig(tableDaemons, func(s feed.State) { f.members.SetHosts(d.hosts(s)) })
 	cfg.Wait = hostsWait
-	cfg.Gather = hostsGather
+	cfg.BatchDelay = hostsGather
 	return cfg
 }
 
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -82,16 +82,16 @@
 
 func (d *Daemon) followerConfig(name string, changed func(feed.State)) feed.Config {
 	return feed.Config{
-		Name:      name,
-		Source:    d.platform.Source,
-		Wait:      feedWait,
-		Gather:    feedGather,
-		Retry:     feedRetry,
-		IdleRetry: idleRetry,
-		Changed:   changed,
-		OnNews:    d.sendNews,
-		Now:       d.now,
-		Idle:      true,
+		Name:       name,
+		Source:     d.platform.Source,
+		Wait:       feedWait,
+		BatchDelay: feedGather,
+		Retry:      feedRetry,
+		IdleRetry:  idleRetry,
+		Changed:    changed,
+		OnNews:     d.sendNews,
+		Now:        d.now,
+		Idle:       true,
 		Lost: func(err error) {
 			d.logger.Warn("dependency_lost", "dependency", "store", "table", name, "why", err)
 			d.notifyRegistry(name, func(l *registry.List) { l.StoreLost() })
