--- a/daemon/feed/calls_test.go
+++ b/daemon/feed/calls_test.go
@@ -25,7 +25,7 @@
 		Answered: func(a Answer) { f.answers <- a },
 		Changed:  func(State) {},
 		Lost:     func(error) {},
-		Back:     func() {},
+		Regained: func() {},
 		Rand:     testRand(),
 	})
 	t.Cleanup(f.Close)
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -360,6 +360,6 @@
 	case err != nil && !was:
 		f.cfg.Lost(err)
 	case err == nil && was:
-		f.cfg.Back()
+		f.cfg.Regained()
 	}
 }
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -73,10 +73,10 @@
 	f := &testFollower{states: make(chan State, 16), lost: make(chan error, 16), back: make(chan struct{}, 16)}
 	f.Follower = Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
-		Changed: func(s State) { f.states <- s },
-		Lost:    func(err error) { f.lost <- err },
-		Back:    func() { f.back <- struct{}{} },
-		Rand:    testRand(),
+		Changed:  func(s State) { f.states <- s },
+		Lost:     func(err error) { f.lost <- err },
+		Regained: func() { f.back <- struct{}{} },
+		Rand:     testRand(),
 	})
 	t.Cleanup(f.Close)
 	return f
@@ -196,10 +196,10 @@
 	states := make(chan State, 16)
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond, BatchDelay: testBound,
-		Changed: func(s State) { states <- s },
-		Lost:    func(error) {},
-		Back:    func() {},
-		Rand:    testRand(),
+		Changed:  func(s State) { states <- s },
+		Lost:     func(error) {},
+		Regained: func() {},
+		Rand:     testRand(),
 	})
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3)))
@@ -223,7 +223,7 @@
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
 		Changed: func(State) {}, OnNews: func(n News) { reported <- n },
-		Lost: func(error) {}, Back: func() {}, Rand: testRand(),
+		Lost: func(error) {}, Regained: func() {}, Rand: testRand(),
 	})
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3), row("b", 5), row("c", 8)))
--- a/daemon/feed/news_test.go
+++ b/daemon/feed/news_test.go
@@ -146,11 +146,11 @@
 	reported := make(chan News, 16)
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
-		Changed: func(State) {},
-		OnNews:  func(n News) { reported <- n },
-		Lost:    func(error) {},
-		Back:    func() {},
-		Rand:    testRand(),
+		Changed:  func(State) {},
+		OnNews:   func(n News) { reported <- n },
+		Lost:     func(error) {},
+		Regained: func() {},
+		Rand:     testRand(),
 	})
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3)))
--- a/daemon/feed/types.go
+++ b/daemon/feed/types.go
@@ -115,7 +115,7 @@
 	// SetIdle(false).
 	Idle bool
 	// Lost is called when the store stops answering, Back when it answers again.
-	Lost func(err error)
-	Back func()
-	Rand *rand.Rand
+	Lost     func(err error)
+	Regained func()
+	Rand     *rand.Rand
 }
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -96,7 +96,7 @@
 			d.logger.Warn("dependency_lost", "dependency", "store", "table", name, "why", err)
 			d.notifyRegistry(name, func(l *registry.List) { l.StoreLost() })
 		},
-		Back: func() {
+		Regained: func() {
 			d.logger.Event("dependency_regained", "dependency", "store", "table", name)
 			d.notifyRegistry(name, func(l *registry.List) { l.StoreBack(d.now()) })
 		},
