--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -239,7 +239,7 @@
 	is.Equal(len(reported), 0)
 
 	other := idleAt(t, newSource(), 9, row("a", 3), row("b", 5), row("c", 8))
-	fresh, err := other.Take(News{Name: "t", After: 9, Position: 14, Changes: []Change{{Row: table.Row{Key: "b", Version: 14}, Removed: true}}})
+	fresh, err := other.ApplyNews(News{Name: "t", After: 9, Position: 14, Changes: []Change{{Row: table.Row{Key: "b", Version: 14}, Removed: true}}})
 	is.NoErr(err)
 	is.True(fresh)
 	is.Equal(other.Version(), uint64(14))
--- a/daemon/feed/news_test.go
+++ b/daemon/feed/news_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
-	fresh, err := f.Take(news(9, 12, Change{Row: row("b", 12)}))
+	fresh, err := f.ApplyNews(news(9, 12, Change{Row: row("b", 12)}))
 	is.NoErr(err)
 	is.True(fresh)
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 3, "b": 12})
@@ -44,13 +44,13 @@
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
-	_, err := f.Take(news(9, 12, Change{Row: row("b", 11)}, Change{Row: row("a", 12), Removed: true}))
+	_, err := f.ApplyNews(news(9, 12, Change{Row: row("b", 11)}, Change{Row: row("a", 12), Removed: true}))
 	is.NoErr(err)
 	next(t, f.states)
-	fresh, err := f.Take(news(5, 12, Change{Row: row("a", 7)}, Change{Row: row("a", 12), Removed: true}))
+	fresh, err := f.ApplyNews(news(5, 12, Change{Row: row("a", 7)}, Change{Row: row("a", 12), Removed: true}))
 	is.NoErr(err)
 	is.True(!fresh)
-	fresh, err = f.Take(news(10, 15, Change{Row: row("b", 11)}, Change{Row: row("c", 15)}))
+	fresh, err = f.ApplyNews(news(10, 15, Change{Row: row("b", 11)}, Change{Row: row("c", 15)}))
 	is.NoErr(err)
 	is.True(fresh)
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"b": 11, "c": 15}) // row a stays removed
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
-	_, err := f.Take(news(11, 12, Change{Row: row("b", 12)}))
+	_, err := f.ApplyNews(news(11, 12, Change{Row: row("b", 12)}))
 	is.True(errors.Is(err, ErrGap))
 	is.Equal(f.Version(), uint64(3))
 	// A full read returns the missing changes.
@@ -74,12 +74,12 @@
 	s := newSource()
 	f := idleAt(t, s, 9, row("a", 3))
 	for range 3 { // from three daemons
-		_, err := f.Take(news(9, 12))
+		_, err := f.ApplyNews(news(9, 12))
 		is.NoErr(err)
 	}
 	serve(t, s.reads, read(12, row("a", 12)))
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12})
-	_, err := f.Take(news(9, 12))
+	_, err := f.ApplyNews(news(9, 12))
 	is.NoErr(err)
 	select {
 	case s.reads <- read(12, row("a", 12)):
@@ -103,7 +103,7 @@
 		return Snapshot{Rows: []table.Row{row("a", 3)}, Position: 9}, nil
 	})
 	await(t, called)
-	_, err := f.Take(news(9, 12, Change{Row: row("a", 12)}))
+	_, err := f.ApplyNews(news(9, 12, Change{Row: row("a", 12)}))
 	is.NoErr(err)
 	is.Equal(keys(next(t, f.states)), map[string]uint64{"a": 12})
 	close(answer)
@@ -156,7 +156,7 @@
 	serve(t, s.reads, read(9, row("a", 3)))
 	serve(t, s.changes, func() (Delta, error) { return Delta{Position: 12, Changes: []Change{{Row: row("b", 12)}}}, nil })
 	is.Equal(next(t, reported), news(9, 12, Change{Row: row("b", 12)}))
-	_, err := f.Take(news(12, 14, Change{Row: row("c", 14)}))
+	_, err := f.ApplyNews(news(12, 14, Change{Row: row("c", 14)}))
 	is.NoErr(err)
 	is.Equal(len(reported), 0) // news of another daemon are not reported
 }
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -133,7 +133,7 @@
 	if follower == nil {
 		return
 	}
-	fresh, err := follower.Take(n.News)
+	fresh, err := follower.ApplyNews(n.News)
 	switch {
 	case eris.Is(err, feed.ErrGap):
 		d.logger.Event("table_news_missed", "peer", from, "table", n.News.Name, "position", n.News.Position)
