--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -51,7 +51,7 @@
 const (
 	// CallSlack is the time that an answer may take in addition to the requested
 	// wait.
-	CallSlack = 700 * time.Millisecond
+	CallMargin = 700 * time.Millisecond
 	// readTimeout is the timeout of a full read.
 	readTimeout = 1200 * time.Millisecond
 	// firstRetry is the first pause after a failed call.
@@ -346,7 +346,7 @@
 	}
 	half := f.wait / 2
 	wait = half + time.Duration(f.cfg.Rand.Int64N(int64(half)+1))
-	return wait, wait + CallSlack
+	return wait, wait + CallMargin
 }
 
 // reportReachability records the result of a call and calls Lost or Back if the
--- a/daemon/gateway/reading_test.go
+++ b/daemon/gateway/reading_test.go
@@ -16,7 +16,7 @@
 func TestReadersWithASilentStoreAreReplacedInTime(t *testing.T) {
 	is := is.New(t)
 	const bound = 2 * time.Second
-	detected := endpointsWait + feed.CallSlack
+	detected := endpointsWait + feed.CallMargin
 	reported := detected + memberPeriod
 	replaced := reported + readersInterval
 	is.True(replaced < bound)
