--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -74,7 +74,7 @@
 // kill stops the participant like a process that dies: it sends nothing more, not
 // even connection close frames.
 func (p *participant) kill() {
-	p.transport.SetFault(func(id.Daemon) peer.Drop { return peer.Lose })
+	p.transport.SetFault(func(id.Daemon) peer.Drop { return peer.DropTraffic })
 	p.duty.Close()
 }
 
--- a/daemon/peer/fault.go
+++ b/daemon/peer/fault.go
@@ -16,7 +16,7 @@
 	// Pass lets the traffic through.
 	Pass Drop = false
 	// Lose drops it without an error to the sender.
-	Lose Drop = true
+	DropTraffic Drop = true
 )
 
 // faults holds the fault injection hooks of tests and experiments.
@@ -47,7 +47,7 @@
 
 func (f *faults) drops(to id.Daemon) bool {
 	drop := f.drop.Load()
-	return drop != nil && (*drop)(to) == Lose
+	return drop != nil && (*drop)(to) == DropTraffic
 }
 
 func (f *faults) latency(to id.Daemon) time.Duration {
