--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -119,7 +119,7 @@
 	}
 	named := slices.ContainsFunc(a.Addresses, func(x entry.Address) bool { return x.Daemon == d.self.Daemon })
 	if named {
-		s.Named(d.now())
+		s.RecordNamed(d.now())
 	}
 }
 
--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -41,7 +41,7 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	answer := entry.Make(cfg, d.candidates(f), f.self.Daemon, rng)
 	if s := d.stopping.Load(); s != nil && containsDaemon(answer, f.self.Daemon) {
-		s.Named(d.now())
+		s.RecordNamed(d.now())
 	}
 	return answer, len(answer.Addresses) > 0
 }
--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -26,7 +26,7 @@
 func (s *Stop) Began() time.Duration { return s.began }
 
 // Named records that an answer still named this daemon.
-func (s *Stop) Named(now time.Duration) {
+func (s *Stop) RecordNamed(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan.Named(now)
