--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -138,7 +138,7 @@
 // noteCaller records for a planned stop that a caller's request still arrived.
 func (d *Daemon) noteCaller() {
 	if s := d.stopping.Load(); s != nil {
-		s.Caller(d.now())
+		s.RecordCaller(d.now())
 	}
 }
 
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -35,7 +35,7 @@
 // noteCaller records the arrival of a request during a planned stop.
 func (d *Daemon) noteCaller() {
 	if s := d.stopping.Load(); s != nil {
-		s.Caller(d.now())
+		s.RecordCaller(d.now())
 	}
 }
 
--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -33,7 +33,7 @@
 }
 
 // Caller records that a new caller still arrived.
-func (s *Stop) Caller(now time.Duration) {
+func (s *Stop) RecordCaller(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan.Caller(now)
