--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -188,7 +188,7 @@
 	}
 	r.measureOp(out, "owner-of-a-pool", size, func(i int) { rendezvous.Owner(modelName(i%targetModels), names) })
 	rng := capacityRand(n)
-	r.measureOp(out, "entry-answer", size, func(int) { entry.Make(entry.DefaultConfig(), candidates, names[0], rng) })
+	r.measureOp(out, "entry-answer", size, func(int) { entry.NewAnswer(entry.DefaultConfig(), candidates, names[0], rng) })
 }
 
 func memberEntry(i int) member.Entry {
--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -66,7 +66,7 @@
 // The first address is drawn by weight from all hosts, so that callers spread
 // evenly. Each further address comes from a failure domain used least so far, so
 // that a caller that tries the next address survives the loss of a domain.
-func Make(cfg Config, view []Candidate, self id.Daemon, rng *rand.Rand) Answer {
+func NewAnswer(cfg Config, view []Candidate, self id.Daemon, rng *rand.Rand) Answer {
 	chosen := selectCandidates(cfg, view, self)
 	slices.SortFunc(chosen, func(a, b Candidate) int { return strings.Compare(string(a.Daemon), string(b.Daemon)) })
 	weights := computeWeights(chosen)
--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -31,7 +31,7 @@
 	first := map[id.Daemon]int{}
 	rng := source()
 	for range 9000 {
-		a := Make(DefaultConfig(), nineCandidates(), "h0", rng)
+		a := NewAnswer(DefaultConfig(), nineCandidates(), "h0", rng)
 		first[a.Addresses[0].Daemon]++
 		is.Equal(len(a.Addresses), 6)
 		domains := map[id.Domain]bool{}
@@ -54,14 +54,14 @@
 	view[7].StopsIn = 4 * time.Second
 	rng := source()
 	for range 200 {
-		a := Make(DefaultConfig(), view, "h0", rng)
+		a := NewAnswer(DefaultConfig(), view, "h0", rng)
 		is.Equal(len(a.Addresses), 3)       // h0, h7, h8
 		is.Equal(a.Lifetime, 4*time.Second) // shortened to the announced stop
 	}
 	for i := range view {
 		view[i].State = member.Leaving
 	}
-	a := Make(DefaultConfig(), view, "h0", rng)
+	a := NewAnswer(DefaultConfig(), view, "h0", rng)
 	is.Equal(len(a.Addresses), 1) // the answering daemon is running
 	is.Equal(a.Addresses[0].Daemon, id.Daemon("h0"))
 }
@@ -73,7 +73,7 @@
 	first := map[id.Daemon]int{}
 	rng := source()
 	for range 9000 {
-		first[Make(DefaultConfig(), view, "h0", rng).Addresses[0].Daemon]++
+		first[NewAnswer(DefaultConfig(), view, "h0", rng).Addresses[0].Daemon]++
 	}
 	is.True(first["h0"] > 100 && first["h0"] < 450)
 }
@@ -116,7 +116,7 @@
 			if askedAt >= informedAt {
 				view[3].State = member.Leaving
 			}
-			a := Make(cfg, view, "h0", rng)
+			a := NewAnswer(cfg, view, "h0", rng)
 			for _, address := range a.Addresses {
 				is.True(address.Daemon != "h3" || askedAt+a.Lifetime <= closesAt)
 			}
--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -101,7 +101,7 @@
 	cfg.Lifetime = d.settings.Timings.EntryLifetimeMS.Duration()
 	cfg.MinLifetime = min(cfg.MinLifetime, cfg.Lifetime)
 	d.entryMu.Lock()
-	answer := entry.Make(cfg, d.candidates(), d.self.Daemon, d.entryRand)
+	answer := entry.NewAnswer(cfg, d.candidates(), d.self.Daemon, d.entryRand)
 	d.entryMu.Unlock()
 	out := opapi.EntryAnswer{LifetimeMS: int(answer.Lifetime.Milliseconds()), Addresses: []opapi.EntryAddress{}}
 	for _, a := range answer.Addresses {
--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -39,7 +39,7 @@
 	cfg := entry.Config{Lifetime: lifetime, MinLifetime: lifetime, MaxAddresses: maxEntryAddresses}
 	// Each call has its own random source, since calls run concurrently.
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	answer := entry.Make(cfg, d.candidates(f), f.self.Daemon, rng)
+	answer := entry.NewAnswer(cfg, d.candidates(f), f.self.Daemon, rng)
 	if s := d.stopping.Load(); s != nil && containsDaemon(answer, f.self.Daemon) {
 		s.RecordNamed(d.now())
 	}
