--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	cfg := DefaultStopConfig()
 	p := NewStopPlan(cfg, 0)
-	end := cfg.Spread + cfg.Lifetime
+	end := cfg.PropagationDelay + cfg.Lifetime
 	check := func(now time.Duration, inFlight int, want bool, why StopReason) {
 		t.Helper()
 		ok, reason := p.MayClose(now, inFlight)
@@ -111,7 +111,7 @@
 		closesAt := plan.Earliest()
 		for range 50 {
 			askedAt := time.Duration(rng.Int64N(int64(20 * time.Second)))
-			informedAt := time.Duration(rng.Int64N(int64(stop.Spread)))
+			informedAt := time.Duration(rng.Int64N(int64(stop.PropagationDelay)))
 			view := nineCandidates()
 			if askedAt >= informedAt {
 				view[3].State = member.Leaving
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -6,7 +6,7 @@
 type StopConfig struct {
 	// Spread is how long the announcement of the stop may take to reach every
 	// daemon, so that none names this daemon in its answers any more.
-	Spread time.Duration
+	PropagationDelay time.Duration
 	// Lifetime is the longest time for which callers may cache an earlier answer.
 	Lifetime time.Duration
 	// Quiet is how long no new caller must have arrived before the daemon closes.
@@ -19,10 +19,10 @@
 // DefaultStopConfig returns the defaults that match DefaultConfig.
 func DefaultStopConfig() StopConfig {
 	return StopConfig{
-		Spread:   4 * time.Second,
-		Lifetime: DefaultConfig().Lifetime,
-		Quiet:    time.Second,
-		Limit:    10 * time.Minute,
+		PropagationDelay: 4 * time.Second,
+		Lifetime:         DefaultConfig().Lifetime,
+		Quiet:            time.Second,
+		Limit:            10 * time.Minute,
 	}
 }
 
@@ -53,7 +53,7 @@
 // NewStopPlan returns the plan of a stop announced at now. From then on this daemon
 // must omit itself from its own answers.
 func NewStopPlan(cfg StopConfig, now time.Duration) *StopPlan {
-	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.Spread, lastCaller: now}
+	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.PropagationDelay, lastCaller: now}
 }
 
 // Named records that an answer named this daemon nevertheless, for example because
--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -23,10 +23,10 @@
 // hands over its work for the fleet, and keeps serving callers until none needs it.
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
-		Spread:   stopPropagation,
-		Lifetime: d.settings.Timings.EntryLifetimeMS.Duration(),
-		Quiet:    stopQuietPeriod,
-		Limit:    d.settings.Timings.DrainMS.Duration(),
+		PropagationDelay: stopPropagation,
+		Lifetime:         d.settings.Timings.EntryLifetimeMS.Duration(),
+		Quiet:            stopQuietPeriod,
+		Limit:            d.settings.Timings.DrainMS.Duration(),
 	}
 	s := leaving.Begin(cfg, d.now())
 	if !d.stopping.CompareAndSwap(nil, s) {
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -44,10 +44,10 @@
 // keep an answer with its address.
 func (d *Daemon) BeginStop() {
 	cfg := entry.StopConfig{
-		Spread:   stopPropagation,
-		Lifetime: keptLifetimes * d.set.entryLifetime(),
-		Quiet:    stopQuiet,
-		Limit:    Seconds(d.set.Bounds.GraceS) - stopMargin,
+		PropagationDelay: stopPropagation,
+		Lifetime:         keptLifetimes * d.set.entryLifetime(),
+		Quiet:            stopQuiet,
+		Limit:            Seconds(d.set.Bounds.GraceS) - stopMargin,
 	}
 	s := leaving.Begin(cfg, d.now())
 	if !d.stopping.CompareAndSwap(nil, s) {
