--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -94,7 +94,7 @@
 	check(end, 0, true, StopDone)
 	p.Caller(end)
 	check(end, 0, false, StopCallers)
-	is.Equal(p.Earliest(), end+cfg.Quiet)
+	is.Equal(p.Earliest(), end+cfg.QuietPeriod)
 	p.Named(end + time.Second)
 	check(end+2*time.Second, 0, false, StopAnswers)
 	check(cfg.Limit, 3, true, StopLimit)
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -10,7 +10,7 @@
 	// Lifetime is the longest time for which callers may cache an earlier answer.
 	Lifetime time.Duration
 	// Quiet is how long no new caller must have arrived before the daemon closes.
-	Quiet time.Duration
+	QuietPeriod time.Duration
 	// Limit bounds the duration of the stop; requests that still run then are
 	// aborted. Zero means no limit.
 	Limit time.Duration
@@ -21,7 +21,7 @@
 	return StopConfig{
 		PropagationDelay: 4 * time.Second,
 		Lifetime:         DefaultConfig().Lifetime,
-		Quiet:            time.Second,
+		QuietPeriod:      time.Second,
 		Limit:            10 * time.Minute,
 	}
 }
@@ -66,7 +66,7 @@
 // Earliest returns the earliest time at which the daemon may close, provided that
 // no requests are in flight then.
 func (p *StopPlan) Earliest() time.Duration {
-	return max(p.lastNamed+p.cfg.Lifetime, p.lastCaller+p.cfg.Quiet)
+	return max(p.lastNamed+p.cfg.Lifetime, p.lastCaller+p.cfg.QuietPeriod)
 }
 
 // MayClose reports whether the daemon may close, and the reason.
@@ -78,7 +78,7 @@
 		return false, StopAnswers
 	case inFlight > 0:
 		return false, StopStreams
-	case now < p.lastCaller+p.cfg.Quiet:
+	case now < p.lastCaller+p.cfg.QuietPeriod:
 		return false, StopCallers
 	default:
 		return true, StopDone
--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -25,7 +25,7 @@
 	cfg := entry.StopConfig{
 		PropagationDelay: stopPropagation,
 		Lifetime:         d.settings.Timings.EntryLifetimeMS.Duration(),
-		Quiet:            stopQuietPeriod,
+		QuietPeriod:      stopQuietPeriod,
 		Limit:            d.settings.Timings.DrainMS.Duration(),
 	}
 	s := leaving.Begin(cfg, d.now())
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -46,7 +46,7 @@
 	cfg := entry.StopConfig{
 		PropagationDelay: stopPropagation,
 		Lifetime:         keptLifetimes * d.set.entryLifetime(),
-		Quiet:            stopQuiet,
+		QuietPeriod:      stopQuiet,
 		Limit:            Seconds(d.set.Bounds.GraceS) - stopMargin,
 	}
 	s := leaving.Begin(cfg, d.now())
