--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -97,7 +97,7 @@
 	is.Equal(p.Earliest(), end+cfg.QuietPeriod)
 	p.Named(end + time.Second)
 	check(end+2*time.Second, 0, false, StopAnswers)
-	check(cfg.Limit, 3, true, StopLimit)
+	check(cfg.MaxDuration, 3, true, StopLimit)
 }
 
 // Callers query a daemon that receives the announcement of a stop late, and use
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -13,7 +13,7 @@
 	QuietPeriod time.Duration
 	// Limit bounds the duration of the stop; requests that still run then are
 	// aborted. Zero means no limit.
-	Limit time.Duration
+	MaxDuration time.Duration
 }
 
 // DefaultStopConfig returns the defaults that match DefaultConfig.
@@ -22,7 +22,7 @@
 		PropagationDelay: 4 * time.Second,
 		Lifetime:         DefaultConfig().Lifetime,
 		QuietPeriod:      time.Second,
-		Limit:            10 * time.Minute,
+		MaxDuration:      10 * time.Minute,
 	}
 }
 
@@ -72,7 +72,7 @@
 // MayClose reports whether the daemon may close, and the reason.
 func (p *StopPlan) MayClose(now time.Duration, inFlight int) (bool, StopReason) {
 	switch {
-	case p.cfg.Limit > 0 && now-p.startedAt >= p.cfg.Limit:
+	case p.cfg.MaxDuration > 0 && now-p.startedAt >= p.cfg.MaxDuration:
 		return true, StopLimit
 	case now < p.lastNamed+p.cfg.Lifetime:
 		return false, StopAnswers
--- a/daemon/app/stop.go
+++ b/daemon/app/stop.go
@@ -26,7 +26,7 @@
 		PropagationDelay: stopPropagation,
 		Lifetime:         d.settings.Timings.EntryLifetimeMS.Duration(),
 		QuietPeriod:      stopQuietPeriod,
-		Limit:            d.settings.Timings.DrainMS.Duration(),
+		MaxDuration:      d.settings.Timings.DrainMS.Duration(),
 	}
 	s := leaving.Begin(cfg, d.now())
 	if !d.stopping.CompareAndSwap(nil, s) {
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -47,7 +47,7 @@
 		PropagationDelay: stopPropagation,
 		Lifetime:         keptLifetimes * d.set.entryLifetime(),
 		QuietPeriod:      stopQuiet,
-		Limit:            Seconds(d.set.Bounds.GraceS) - stopMargin,
+		MaxDuration:      Seconds(d.set.Bounds.GraceS) - stopMargin,
 	}
 	s := leaving.Begin(cfg, d.now())
 	if !d.stopping.CompareAndSwap(nil, s) {
