--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -95,7 +95,7 @@
 	p.Caller(end)
 	check(end, 0, false, StopCallers)
 	is.Equal(p.Earliest(), end+cfg.QuietPeriod)
-	p.Named(end + time.Second)
+	p.RecordNamed(end + time.Second)
 	check(end+2*time.Second, 0, false, StopAnswers)
 	check(cfg.MaxDuration, 3, true, StopLimit)
 }
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -58,7 +58,7 @@
 
 // Named records that an answer named this daemon nevertheless, for example because
 // it was the only one left.
-func (p *StopPlan) Named(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
+func (p *StopPlan) RecordNamed(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
 // Caller records that a new caller arrived.
 func (p *StopPlan) Caller(now time.Duration) { p.lastCaller = now }
--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -29,7 +29,7 @@
 func (s *Stop) RecordNamed(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plan.Named(now)
+	s.plan.RecordNamed(now)
 }
 
 // Caller records that a new caller still arrived.
