--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -92,7 +92,7 @@
 	check(end-1, 0, false, StopAnswers)
 	check(end, 3, false, StopStreams)
 	check(end, 0, true, StopDone)
-	p.Caller(end)
+	p.RecordCaller(end)
 	check(end, 0, false, StopCallers)
 	is.Equal(p.Earliest(), end+cfg.QuietPeriod)
 	p.RecordNamed(end + time.Second)
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -61,7 +61,7 @@
 func (p *StopPlan) RecordNamed(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
 // Caller records that a new caller arrived.
-func (p *StopPlan) Caller(now time.Duration) { p.lastCaller = now }
+func (p *StopPlan) RecordCaller(now time.Duration) { p.lastCaller = now }
 
 // Earliest returns the earliest time at which the daemon may close, provided that
 // no requests are in flight then.
--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -36,7 +36,7 @@
 func (s *Stop) RecordCaller(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plan.Caller(now)
+	s.plan.RecordCaller(now)
 }
 
 func (s *Stop) mayClose(now time.Duration, inFlight int) (bool, entry.StopReason) {
