--- a/core/pool/reconcile.go
+++ b/core/pool/reconcile.go
@@ -16,7 +16,7 @@
 // holds. A request that is recorded as decoding at e but is missing from the list
 // has ended without a report from its daemon, which may be dead or partitioned;
 // it is cancelled to free its slot.
-func (m *Manager) Holding(now time.Duration, e id.Endpoint, held map[id.Request]bool) []sched.Action {
+func (m *Manager) ReconcileHeld(now time.Duration, e id.Endpoint, held map[id.Request]bool) []sched.Action {
 	var out []sched.Action
 	for _, r := range m.sortedRequests() {
 		t := m.requests[r]
--- a/core/pool/reconcile_test.go
+++ b/core/pool/reconcile_test.go
@@ -18,11 +18,11 @@
 	r.is.Equal(r.Status(r.now).Held, 1)
 
 	nothing := map[id.Request]bool{}
-	r.Holding(r.now, g.Grant.Decode, nothing)
+	r.ReconcileHeld(r.now, g.Grant.Decode, nothing)
 	r.is.Equal(r.Status(r.now).Held, 1) // sooner than reconcileAfter
 	r.now += 2 * reconcileAfter
-	r.Holding(r.now, g.Grant.Decode, map[id.Request]bool{"r1": true})
+	r.ReconcileHeld(r.now, g.Grant.Decode, map[id.Request]bool{"r1": true})
 	r.is.Equal(r.Status(r.now).Held, 1) // the engine still holds the request
-	r.Holding(r.now, g.Grant.Decode, nothing)
+	r.ReconcileHeld(r.now, g.Grant.Decode, nothing)
 	r.is.Equal(r.Status(r.now).Held, 0)
 }
--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -80,7 +80,7 @@
 func (b *Broker) Holding(p id.Pool, e id.Endpoint, held map[id.Request]bool) {
 	b.duty.Post(func(now time.Duration) {
 		if b.schedules(p) {
-			b.actions(now, p, b.manager(now, p).Holding(now, e, held))
+			b.actions(now, p, b.manager(now, p).ReconcileHeld(now, e, held))
 		}
 	})
 }
