--- a/core/pairing/patience.go
+++ b/core/pairing/patience.go
@@ -11,7 +11,7 @@
 // them. A stalled daemon sends this first request late. That delay does not
 // indicate a lack of capacity, so at least half of the patience is left for the
 // owner's decision.
-func WaitsSince(arrived, now, patience time.Duration) time.Duration {
+func WaitStart(arrived, now, patience time.Duration) time.Duration {
 	most := time.Duration(maxStallShare * float64(patience))
 	return max(arrived, now-most)
 }
--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -99,7 +99,7 @@
 }
 
 func (r *Runner) attempts(ctx context.Context, p *progress) *verdict.Error {
-	p.waitStart = pairing.WaitsSince(p.waitStart, r.Now(), p.job.Service.Patience())
+	p.waitStart = pairing.WaitStart(p.waitStart, r.Now(), p.job.Service.Patience())
 	for n := 1; ; n++ {
 		err := r.attempt(ctx, p, n)
 		if err == nil {
--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -36,7 +36,7 @@
 func (r *Runner) Run(ctx context.Context, call *Call) (*Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Service.Timeout())
 	defer cancel()
-	waitStart := pairing.WaitsSince(call.Arrived, r.Now(), call.Service.Patience())
+	waitStart := pairing.WaitStart(call.Arrived, r.Now(), call.Service.Patience())
 	s := &state{call: call, waitStart: waitStart, worst: verdict.NotRun}
 	for n := 1; ; n++ {
 		answer, err := r.attempt(ctx, s, n)
