--- a/core/overload/simulation.go
+++ b/core/overload/simulation.go
@@ -168,7 +168,7 @@
 		Pause: w.Callers.Pause,
 	}
 	c.requester = pairing.New(process, pairing.Options{Local: true})
-	w.send(c, c.requester.Ask(w.now, want, want.Patience))
+	w.send(c, c.requester.Request(w.now, want, want.Patience))
 }
 
 // send delivers the output of a caller's requester and schedules the
--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -147,7 +147,7 @@
 // Ask sends a Want; patience is how long from now the request can wait for
 // capacity. The owner refuses a request that gets none in that time, so an owner
 // that does not answer is stalled or dead.
-func (a *Asker) Ask(now time.Duration, w sched.Want, patience time.Duration) Output {
+func (a *Asker) Request(now time.Duration, w sched.Want, patience time.Duration) Output {
 	a.now = max(a.now, now)
 	e := &entry{want: w, askedAt: now, deadline: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
 	a.entries[w.Request] = e
--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -50,7 +50,7 @@
 func newWaitingAsker(is *is.I, owner id.Daemon) *Asker {
 	a := New(self, Options{})
 	a.Members(0, membersOwnedBy(a, owner))
-	out := a.Ask(0, want("r"), patience)
+	out := a.Request(0, want("r"), patience)
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, owner)
 	return a
@@ -188,7 +188,7 @@
 	is := is.New(t)
 	a := New(self, Options{Local: true})
 	a.Members(0, all)
-	out := a.Ask(0, want("r"), patience)
+	out := a.Request(0, want("r"), patience)
 	is.Equal(out.Messages[0].To, self.Daemon)
 	is.Equal(len(a.Members(0, all[1:]).Messages), 0)
 }
@@ -201,7 +201,7 @@
 	a.Members(0, []id.Daemon{"a", "b"})
 	owner := a.Owner("p")
 	other := map[id.Daemon]id.Daemon{"a": "b", "b": "a"}[owner]
-	a.Ask(time.Second, sched.Want{Request: "r", Pool: "p", Age: 100 * time.Millisecond}, time.Second)
+	a.Request(time.Second, sched.Want{Request: "r", Pool: "p", Age: 100 * time.Millisecond}, time.Second)
 	a.Granted("p", sched.Grant{Request: "r", Reservation: 7, Owner: id.Process{Daemon: owner}})
 	a.Progress(2*time.Second, sched.Progress{Request: "r", Phase: sched.PhaseDecoding})
 	a.Progress(3*time.Second, sched.Progress{Request: "r", Phase: sched.PhaseDecoding})
@@ -220,7 +220,7 @@
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
 			a := New(id.Process{Daemon: "d1", Incarnation: 1}, Options{Local: true})
-			a.Ask(0, sched.Want{Request: "r", Pool: "p"}, time.Second)
+			a.Request(0, sched.Want{Request: "r", Pool: "p"}, time.Second)
 			out := a.Refused("d1", sched.Refusal{Request: "r", Code: code, Reason: "not here"})
 			is.Equal(len(out.Answers), 1)
 			err := out.Answers[0].Err
--- a/core/pairing/next_test.go
+++ b/core/pairing/next_test.go
@@ -17,7 +17,7 @@
 	a := New(id.Process{Daemon: "a", Incarnation: 1}, Options{Resend: 250 * time.Millisecond, Margin: 100 * time.Millisecond})
 	a.Tick(0)
 	is.Equal(a.Next(), never)
-	a.Ask(time.Second, sched.Want{Request: "r", Pool: "p"}, 360*time.Millisecond)
+	a.Request(time.Second, sched.Want{Request: "r", Pool: "p"}, 360*time.Millisecond)
 	is.Equal(a.Next(), 1250*time.Millisecond)
 	is.Equal(len(a.Tick(1250*time.Millisecond).Messages), 1) // resent
 	is.Equal(a.Next(), 1460*time.Millisecond)
@@ -31,7 +31,7 @@
 func TestResendIntervalGrows(t *testing.T) {
 	is := is.New(t)
 	a := New(id.Process{Daemon: "a", Incarnation: 1}, Options{})
-	a.Ask(0, sched.Want{Request: "r", Pool: "p"}, 3*time.Second)
+	a.Request(0, sched.Want{Request: "r", Pool: "p"}, 3*time.Second)
 	var sent []time.Duration
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
 		if len(a.Tick(now).Messages) > 0 {
--- a/core/pairing/stall_test.go
+++ b/core/pairing/stall_test.go
@@ -48,7 +48,7 @@
 	a.Members(0, membersOwnedBy(a, "d2"))
 	w := want("r")
 	w.Lifetime = time.Minute
-	a.Ask(0, w, patience)
+	a.Request(0, w, patience)
 	for now := time.Duration(0); now < maxOwnerTimeout; now += 50 * ms {
 		is.Equal(len(a.Tick(now).Answers), 0)
 	}
@@ -64,7 +64,7 @@
 	prefilled := New(self, Options{})
 	w := want("r")
 	w.Lifetime, w.Prefilled = time.Minute, true
-	prefilled.Ask(0, w, patience)
+	prefilled.Request(0, w, patience)
 	is.Equal(len(prefilled.Tick(0).Answers), 0)
 	is.Equal(prefilled.Next(), DefaultResend)
 	for now := 50 * ms; now < patience+DefaultMargin; now += 50 * ms {
@@ -80,7 +80,7 @@
 		a := New(self, Options{})
 		w := want("r")
 		w.Lifetime = lifetime
-		a.Ask(0, w, patience)
+		a.Request(0, w, patience)
 		for now := time.Duration(0); now < end; now += 50 * ms {
 			is.Equal(len(a.Tick(now).Answers), 0)
 		}
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -94,7 +94,7 @@
 	h.jobs[j.id] = j
 	h.active[j.id] = true
 	c.sim.asks[j.id] = &askRecord{host: h}
-	h.handleOutput(h.requester.Ask(c.sim.now, j.want, 800*ms))
+	h.handleOutput(h.requester.Request(c.sim.now, j.want, 800*ms))
 }
 
 func (c *caller) fail() {
--- a/daemon/broker/ask.go
+++ b/daemon/broker/ask.go
@@ -16,7 +16,7 @@
 	answers := make(chan pairing.Answer, 1)
 	ask := func(now time.Duration) {
 		b.waiting[w.Request] = answers
-		b.output(now, b.asker.Ask(now, w, patience))
+		b.output(now, b.asker.Request(now, w, patience))
 	}
 	if !b.duty.PostContext(ctx, ask) {
 		return sched.Grant{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
--- a/daemon/broker/broker_test.go
+++ b/daemon/broker/broker_test.go
@@ -44,7 +44,7 @@
 
 	const asked = time.Minute
 	b.output(asked, b.asker.Members(asked, []id.Daemon{"owner"}))
-	b.output(asked, b.asker.Ask(asked, sched.Want{Request: "r", Pool: "p"}, time.Second))
+	b.output(asked, b.asker.Request(asked, sched.Want{Request: "r", Pool: "p"}, time.Second))
 	next := b.tick(asked)
 	is.Equal(next, asked+pairing.DefaultResend)
 	b.tick(next)
