--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -306,7 +306,7 @@
 
 // Members sets the live daemons. Requests of pools whose owner changed are sent to
 // the new owner: waiting ones as Wants, granted ones as Adopts.
-func (a *Asker) Members(now time.Duration, members []id.Daemon) Output {
+func (a *Asker) SetMembers(now time.Duration, members []id.Daemon) Output {
 	a.now = max(a.now, now)
 	a.members = slices.Clone(members)
 	var out Output
--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -49,7 +49,7 @@
 // newWaitingAsker returns an Asker that has sent the Want of request r to owner.
 func newWaitingAsker(is *is.I, owner id.Daemon) *Asker {
 	a := New(self, Options{})
-	a.Members(0, membersOwnedBy(a, owner))
+	a.SetMembers(0, membersOwnedBy(a, owner))
 	out := a.Request(0, want("r"), patience)
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, owner)
@@ -68,7 +68,7 @@
 func TestWaitingWantIsSentToTheNewOwner(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
-	out := a.Members(40*ms, membersOwnedBy(a, "d3"))
+	out := a.SetMembers(40*ms, membersOwnedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
 	is.Equal(out.Messages[0].Want.Request, id.Request("r"))
@@ -91,7 +91,7 @@
 	g := grantOf("d2", 7)
 	is.Equal(len(a.Granted(testPool, g).Answers), 1)
 	a.Progress(0, sched.Progress{Request: "r", Phase: sched.PhaseTransferring})
-	out := a.Members(0, membersOwnedBy(a, "d3"))
+	out := a.SetMembers(0, membersOwnedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
 	is.Equal(out.Messages[0].Adopt.Grant, g)
@@ -125,7 +125,7 @@
 func TestGrantsOfTwoOwners(t *testing.T) {
 	is := is.New(t)
 	a := newWaitingAsker(is, "d2")
-	a.Members(0, membersOwnedBy(a, "d3"))
+	a.SetMembers(0, membersOwnedBy(a, "d3"))
 	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Answers), 1)
 	out := a.Granted(testPool, grantOf("d3", 1))
 	is.Equal(len(out.Answers), 0)
@@ -177,7 +177,7 @@
 func TestResumeNotifiesTheOwner(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{})
-	a.Members(0, membersOwnedBy(a, "d3"))
+	a.SetMembers(0, membersOwnedBy(a, "d3"))
 	out := a.Resume(0, want("r"), sched.Grant{Request: "r", Decode: "e", Owner: self})
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
@@ -187,10 +187,10 @@
 func TestLocalSendsToItself(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{Local: true})
-	a.Members(0, all)
+	a.SetMembers(0, all)
 	out := a.Request(0, want("r"), patience)
 	is.Equal(out.Messages[0].To, self.Daemon)
-	is.Equal(len(a.Members(0, all[1:]).Messages), 0)
+	is.Equal(len(a.SetMembers(0, all[1:]).Messages), 0)
 }
 
 // Without the time spent in the phase, a new owner would assume that the whole
@@ -198,14 +198,14 @@
 func TestAdoptCarriesTheTimeInThePhase(t *testing.T) {
 	is := is.New(t)
 	a := New(id.Process{Daemon: "a", Incarnation: 1}, Options{})
-	a.Members(0, []id.Daemon{"a", "b"})
+	a.SetMembers(0, []id.Daemon{"a", "b"})
 	owner := a.Owner("p")
 	other := map[id.Daemon]id.Daemon{"a": "b", "b": "a"}[owner]
 	a.Request(time.Second, sched.Want{Request: "r", Pool: "p", Age: 100 * time.Millisecond}, time.Second)
 	a.Granted("p", sched.Grant{Request: "r", Reservation: 7, Owner: id.Process{Daemon: owner}})
 	a.Progress(2*time.Second, sched.Progress{Request: "r", Phase: sched.PhaseDecoding})
 	a.Progress(3*time.Second, sched.Progress{Request: "r", Phase: sched.PhaseDecoding})
-	out := a.Members(5*time.Second, []id.Daemon{other})
+	out := a.SetMembers(5*time.Second, []id.Daemon{other})
 	is.Equal(len(out.Messages), 1)
 	adopt := out.Messages[0].Adopt
 	is.Equal(adopt.InPhase, 3*time.Second)
--- a/core/pairing/stall_test.go
+++ b/core/pairing/stall_test.go
@@ -45,7 +45,7 @@
 func TestStalledOwnerDoesNotTimeOutARequest(t *testing.T) {
 	is := is.New(t)
 	a := New(self, Options{})
-	a.Members(0, membersOwnedBy(a, "d2"))
+	a.SetMembers(0, membersOwnedBy(a, "d2"))
 	w := want("r")
 	w.Lifetime = time.Minute
 	a.Request(0, w, patience)
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -153,7 +153,7 @@
 			names = append(names, p.Daemon)
 		}
 	}
-	h.handleOutput(h.requester.Members(h.sim.now, names))
+	h.handleOutput(h.requester.SetMembers(h.sim.now, names))
 	for _, p := range pools {
 		if h.requester.Owner(p) != h.self.Daemon {
 			delete(h.managers, p)
--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -14,7 +14,7 @@
 // another owner now is dropped: the askers report to the new owner what is in use.
 func (b *Broker) SetMembers(members []id.Daemon) {
 	b.duty.Post(func(now time.Duration) {
-		b.output(now, b.asker.Members(now, members))
+		b.output(now, b.asker.SetMembers(now, members))
 		for _, p := range b.sortedPools() {
 			if !b.owns(p) {
 				delete(b.managers, p)
