--- a/core/overload/simulation.go
+++ b/core/overload/simulation.go
@@ -51,7 +51,7 @@
 	run       *run
 	// requester sends the Want of the current attempt and repeats it if
 	// unanswered.
-	requester *pairing.Asker
+	requester *pairing.Requester
 }
 
 // simulation is the state of a replay.
--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -103,7 +103,7 @@
 }
 
 // Asker holds the requests of one daemon that wait for endpoints or hold a grant.
-type Asker struct {
+type Requester struct {
 	self    id.Process
 	opts    Options
 	members []id.Daemon
@@ -118,14 +118,14 @@
 const never = time.Duration(math.MaxInt64)
 
 // New returns an Asker whose only known member is this daemon.
-func New(self id.Process, opts Options) *Asker {
+func New(self id.Process, opts Options) *Requester {
 	if opts.Resend == 0 {
 		opts.Resend = DefaultResend
 	}
 	if opts.Margin == 0 {
 		opts.Margin = DefaultMargin
 	}
-	return &Asker{
+	return &Requester{
 		self:    self,
 		opts:    opts,
 		members: []id.Daemon{self.Daemon},
@@ -134,10 +134,10 @@
 }
 
 // Len returns the number of requests that wait or hold a grant.
-func (a *Asker) Len() int { return len(a.entries) }
+func (a *Requester) Len() int { return len(a.entries) }
 
 // Owner returns the daemon that schedules pool.
-func (a *Asker) Owner(pool id.Pool) id.Daemon {
+func (a *Requester) Owner(pool id.Pool) id.Daemon {
 	if a.opts.Local || len(a.members) == 0 {
 		return a.self.Daemon
 	}
@@ -147,7 +147,7 @@
 // Ask sends a Want; patience is how long from now the request can wait for
 // capacity. The owner refuses a request that gets none in that time, so an owner
 // that does not answer is stalled or dead.
-func (a *Asker) Request(now time.Duration, w sched.Want, patience time.Duration) Output {
+func (a *Requester) Request(now time.Duration, w sched.Want, patience time.Duration) Output {
 	a.now = max(a.now, now)
 	e := &entry{want: w, askedAt: now, deadline: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
 	a.entries[w.Request] = e
@@ -166,7 +166,7 @@
 
 // sendWant sends a Want to the pool's owner and schedules it to be resent after
 // resend.
-func (a *Asker) sendWant(now time.Duration, e *entry, resend time.Duration) Output {
+func (a *Requester) sendWant(now time.Duration, e *entry, resend time.Duration) Output {
 	e.owner = a.Owner(e.want.Pool)
 	e.sentAt = now
 	e.resend = resend
@@ -178,7 +178,7 @@
 
 // Resume registers a request whose grant was held by another process: the caller
 // has reconnected through this daemon while the engine is still generating.
-func (a *Asker) Resume(now time.Duration, w sched.Want, g sched.Grant) Output {
+func (a *Requester) Resume(now time.Duration, w sched.Want, g sched.Grant) Output {
 	a.now = max(a.now, now)
 	e := &entry{want: w, askedAt: now, sentAt: now, grant: &g, phase: sched.PhaseDecoding, phaseStart: now}
 	e.owner = a.Owner(w.Pool)
@@ -187,7 +187,7 @@
 }
 
 // Withdraw drops a request and notifies its owner.
-func (a *Asker) Withdraw(r id.Request) Output {
+func (a *Requester) Withdraw(r id.Request) Output {
 	e, ok := a.entries[r]
 	if !ok {
 		return Output{}
@@ -199,7 +199,7 @@
 
 // Progress forwards the progress of a granted request to its owner; a final phase
 // drops the request.
-func (a *Asker) Progress(now time.Duration, p sched.Progress) Output {
+func (a *Requester) Progress(now time.Duration, p sched.Progress) Output {
 	a.now = max(a.now, now)
 	e, ok := a.entries[p.Request]
 	if !ok || e.grant == nil {
@@ -226,7 +226,7 @@
 
 // Granted handles a grant. A grant for an unknown request is released at once, so
 // that its slot is not held until the grant expires.
-func (a *Asker) Granted(pool id.Pool, g sched.Grant) Output {
+func (a *Requester) Granted(pool id.Pool, g sched.Grant) Output {
 	e, ok := a.entries[g.Request]
 	if !ok {
 		release := sched.Progress{Request: g.Request, Reservation: g.Reservation, Phase: sched.PhaseCancelled}
@@ -243,7 +243,7 @@
 // occurs when both a former and a new owner grant the request, or when an owner
 // considers a delayed grant expired and replaces it. The first grant stays in use;
 // the second is released, and the current owner is sent the grant in use.
-func (a *Asker) rejectSecondGrant(e *entry, g sched.Grant) Output {
+func (a *Requester) rejectSecondGrant(e *entry, g sched.Grant) Output {
 	if g.Owner == e.grant.Owner && g.Reservation == e.grant.Reservation {
 		return Output{}
 	}
@@ -255,7 +255,7 @@
 	return out
 }
 
-func (a *Asker) adoptMessage(e *entry) Message {
+func (a *Requester) adoptMessage(e *entry) Message {
 	adopt := &sched.Adopt{Want: e.want, Grant: *e.grant, Phase: e.phase}
 	if e.phaseStart > 0 {
 		adopt.InPhase = max(0, a.now-e.phaseStart)
@@ -266,7 +266,7 @@
 
 // Bound handles a binding. It is stored with the grant, so that a new owner is
 // sent the endpoint in use.
-func (a *Asker) Bound(b sched.Binding) Output {
+func (a *Requester) Bound(b sched.Binding) Output {
 	e, ok := a.entries[b.Request]
 	if !ok || e.grant == nil || e.grant.Reservation != b.Reservation || !e.grant.Provisional {
 		return Output{}
@@ -280,7 +280,7 @@
 
 // Refused handles a refusal from a pool's owner. A refusal from a daemon that no
 // longer owns the pool is ignored: the current owner will answer.
-func (a *Asker) Refused(from id.Daemon, r sched.Refusal) Output {
+func (a *Requester) Refused(from id.Daemon, r sched.Refusal) Output {
 	e, ok := a.entries[r.Request]
 	if !ok || e.grant != nil || from != e.owner {
 		return Output{}
@@ -306,7 +306,7 @@
 
 // Members sets the live daemons. Requests of pools whose owner changed are sent to
 // the new owner: waiting ones as Wants, granted ones as Adopts.
-func (a *Asker) SetMembers(now time.Duration, members []id.Daemon) Output {
+func (a *Requester) SetMembers(now time.Duration, members []id.Daemon) Output {
 	a.now = max(a.now, now)
 	a.members = slices.Clone(members)
 	var out Output
@@ -320,7 +320,7 @@
 	return out
 }
 
-func (a *Asker) sendToNewOwner(now time.Duration, e *entry) Output {
+func (a *Requester) sendToNewOwner(now time.Duration, e *entry) Output {
 	if e.grant == nil {
 		return a.sendWant(now, e, a.opts.Resend)
 	}
@@ -329,16 +329,16 @@
 }
 
 // entryDue returns the time at which an unanswered entry is resent or times out.
-func (a *Asker) entryDue(e *entry) time.Duration { return min(e.sentAt+e.resend, e.deadline) }
+func (a *Requester) entryDue(e *entry) time.Duration { return min(e.sentAt+e.resend, e.deadline) }
 
 // Next returns the time at which Tick is due, or never if no request waits for an
 // answer.
-func (a *Asker) Next() time.Duration { return a.due }
+func (a *Requester) Next() time.Duration { return a.due }
 
 // Tick resends unanswered Wants and times out those past their deadline. If this
 // daemon was stalled, it first extends the deadline once by stallGrace. It iterates
 // over the entries only when one may be due.
-func (a *Asker) Tick(now time.Duration) Output {
+func (a *Requester) Tick(now time.Duration) Output {
 	a.now = max(a.now, now)
 	var out Output
 	if now < a.due {
@@ -367,7 +367,7 @@
 	return out
 }
 
-func (a *Asker) timeOut(e *entry) Output {
+func (a *Requester) timeOut(e *entry) Output {
 	out := a.Withdraw(e.want.Request)
 	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable,
 		"no answer from %s, which schedules pool %s", e.owner, e.want.Pool)
@@ -375,7 +375,7 @@
 	return out
 }
 
-func (a *Asker) sortedRequests() []id.Request {
+func (a *Requester) sortedRequests() []id.Request {
 	rs := make([]id.Request, 0, len(a.entries))
 	for r := range a.entries {
 		rs = append(rs, r)
--- a/core/pairing/asker_test.go
+++ b/core/pairing/asker_test.go
@@ -23,7 +23,7 @@
 )
 
 // membersOwnedBy returns the members without those that rank before owner.
-func membersOwnedBy(a *Asker, owner id.Daemon) []id.Daemon {
+func membersOwnedBy(a *Requester, owner id.Daemon) []id.Daemon {
 	members := append([]id.Daemon(nil), all...)
 	for range all {
 		a.members = members
@@ -47,7 +47,7 @@
 }
 
 // newWaitingAsker returns an Asker that has sent the Want of request r to owner.
-func newWaitingAsker(is *is.I, owner id.Daemon) *Asker {
+func newWaitingAsker(is *is.I, owner id.Daemon) *Requester {
 	a := New(self, Options{})
 	a.SetMembers(0, membersOwnedBy(a, owner))
 	out := a.Request(0, want("r"), patience)
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -21,7 +21,7 @@
 	sim       *simulation
 	self      id.Process
 	dead      bool
-	requester *pairing.Asker
+	requester *pairing.Requester
 	managers  map[id.Pool]*pool.Manager
 	ledgers   map[id.Pool]sched.Scheduler
 	poison    *poison.Ledger
--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -46,7 +46,7 @@
 type Broker struct {
 	cfg      Config
 	duty     *duty.Duty
-	asker    *pairing.Asker
+	asker    *pairing.Requester
 	managers map[id.Pool]*pool.Manager
 	doc      *live.Document
 	// configured holds the pools of doc; other pools get no manager.
