--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -84,7 +84,7 @@
 // Began records that the endpoint was sent a request; expected is the expected
 // time until its first output. The request is overdue after SlowFactor times that
 // time, but not before StuckAfter.
-func (d *Detector) Began(now time.Duration, name id.Endpoint, r id.Request, expected time.Duration) {
+func (d *Detector) RecordStart(now time.Duration, name id.Endpoint, r id.Request, expected time.Duration) {
 	e, ok := d.endpoints[name]
 	if !ok || len(e.inFlight) >= d.cfg.MaxInFlight {
 		return
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -44,7 +44,7 @@
 		}
 		f.requests++
 		r := id.Request(fmt.Sprint(f.requests))
-		f.Began(f.now, name(i), r, 100*time.Millisecond)
+		f.RecordStart(f.now, name(i), r, 100*time.Millisecond)
 		kind, latency := how(i)
 		if kind != 0 {
 			f.changes = append(f.changes, f.Outcome(f.now, name(i), Result{Request: r, Kind: kind, Latency: latency})...)
@@ -124,7 +124,7 @@
 	is.True(!f.Allowed(name(0)))
 	f.Tick(DefaultEjectMin)
 	is.True(f.Allowed(name(0)))
-	f.Began(DefaultEjectMin, name(0), "probe", 0)
+	f.RecordStart(DefaultEjectMin, name(0), "probe", 0)
 	is.True(!f.Allowed(name(0)))
 	f.Outcome(DefaultEjectMin, name(0), Result{Request: "probe", Kind: Withdrawn})
 	is.True(f.Allowed(name(0)))
@@ -133,9 +133,9 @@
 func TestLongAnswersAreNotStuck(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
-	f.Began(0, name(0), "decode", 0)               // produces tokens for a minute
-	f.Began(0, name(1), "prefill", 20*time.Second) // expected to take long
-	f.Began(0, name(2), "stuck", 100*time.Millisecond)
+	f.RecordStart(0, name(0), "decode", 0)               // produces tokens for a minute
+	f.RecordStart(0, name(1), "prefill", 20*time.Second) // expected to take long
+	f.RecordStart(0, name(2), "stuck", 100*time.Millisecond)
 	for now := time.Duration(0); now < time.Minute; now += 500 * time.Millisecond {
 		f.Progress(now, name(0))
 		f.changes = append(f.changes, f.Tick(now)...)
--- a/core/health/restart_test.go
+++ b/core/health/restart_test.go
@@ -27,7 +27,7 @@
 	for i := range 50 {
 		now += 20 * time.Millisecond
 		r := id.Request(rune('a' + i))
-		d.Began(now, former, r, time.Second)
+		d.RecordStart(now, former, r, time.Second)
 		d.Outcome(now, former, Result{Request: r, Kind: Failed})
 	}
 	is.True(!d.Allowed(former))
--- a/core/pool/progress.go
+++ b/core/pool/progress.go
@@ -107,7 +107,7 @@
 	if e == "" {
 		return
 	}
-	m.health.Began(now, e, t.want.Request, t.expectedFirstOutput())
+	m.health.RecordStart(now, e, t.want.Request, t.expectedFirstOutput())
 	m.endpoint(e).running[t.want.Request] = poison.Suspect{Fingerprint: t.fingerprint, Team: t.want.Team}
 }
 
