--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -65,7 +65,7 @@
 	// Slow: it didn't answer within the call's own time limit, which may be short.
 	Slow
 	// Withdrawn: the call ended for a reason that doesn't concern the endpoint.
-	Withdrawn
+	Neutral
 )
 
 // Balancer chooses among the endpoints of all services. It is not safe for
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -147,7 +147,7 @@
 	case err == nil:
 		return balance.OK
 	case err.Code == verdict.CodeCallerGone:
-		return balance.Withdrawn
+		return balance.Neutral
 	case err.Code == verdict.CodeDeadline:
 		return balance.Slow
 	case err.Code == verdict.CodeOverloaded:
