--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -49,7 +49,7 @@
 }
 
 // Request counts a request of a caller.
-func (w *Window) Request(now time.Duration) {
+func (w *Window) CountRequest(now time.Duration) {
 	w.advance(now)
 	w.requests[w.slot%int64(len(w.requests))]++
 }
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -19,7 +19,7 @@
 	}
 	is.Equal(allowed, 6)
 	for range 50 {
-		w.Request(time.Second)
+		w.CountRequest(time.Second)
 	}
 	for range 100 {
 		if w.Repeat(time.Second, 9) {
@@ -43,7 +43,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.CountRequest(now)
 				requests = append(requests, now)
 				continue
 			}
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -174,7 +174,7 @@
 func (f *Forwarder) countRequest(service id.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.window(service).Request(f.Now())
+	f.window(service).CountRequest(f.Now())
 }
 
 func (f *Forwarder) window(service id.Service) *retry.Window {
