--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -56,7 +56,7 @@
 
 // Repeat counts one more arrival of a request at an endpoint and returns true if
 // the window allows it; daemons is the number of daemons that share the slack.
-func (w *Window) Repeat(now time.Duration, daemons int) bool {
+func (w *Window) TakeRetry(now time.Duration, daemons int) bool {
 	w.advance(now)
 	if float64(w.used()+1) > w.allowed(daemons) {
 		return false
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -13,7 +13,7 @@
 	w := NewWindow(WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 58, Safety: 1})
 	allowed := 0
 	for range 100 {
-		if w.Repeat(0, 9) {
+		if w.TakeRetry(0, 9) {
 			allowed++
 		}
 	}
@@ -22,13 +22,13 @@
 		w.CountRequest(time.Second)
 	}
 	for range 100 {
-		if w.Repeat(time.Second, 9) {
+		if w.TakeRetry(time.Second, 9) {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 16)
-	is.True(!w.Repeat(10*time.Second, 9)) // the first retries still count
-	is.True(w.Repeat(11*time.Second, 9))
+	is.True(!w.TakeRetry(10*time.Second, 9)) // the first retries still count
+	is.True(w.TakeRetry(11*time.Second, 9))
 }
 
 // TestNoSpanExceedsTheLimit checks that in any order of events, a span of
@@ -47,7 +47,7 @@
 				requests = append(requests, now)
 				continue
 			}
-			if !w.Repeat(now, 1) {
+			if !w.TakeRetry(now, 1) {
 				continue
 			}
 			repeats = append(repeats, now)
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -192,7 +192,7 @@
 	daemons := f.Daemons()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	allowed := f.window(service).Repeat(f.Now(), daemons)
+	allowed := f.window(service).TakeRetry(f.Now(), daemons)
 	if !allowed {
 		f.stats.deniedRetries.Inc()
 	}
