--- a/core/pairing/asker.go
+++ b/core/pairing/asker.go
@@ -298,7 +298,7 @@
 	case verdict.CodeUnknownService, verdict.CodeForbidden:
 		err := verdict.New(verdict.NotRun, verdict.CodeUnavailable,
 			"%s, which schedules pool %s, has another configuration: %s", e.owner, e.want.Pool, r.Reason)
-		return err.WithRetryAfter(verdict.PassingRetryAfter)
+		return err.WithRetryAfter(verdict.TransientRetryAfter)
 	default:
 		return verdict.New(verdict.NotRun, r.Code, "%s", r.Reason).WithRetryAfter(r.RetryAfter)
 	}
@@ -371,7 +371,7 @@
 	out := a.Withdraw(e.want.Request)
 	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable,
 		"no answer from %s, which schedules pool %s", e.owner, e.want.Pool)
-	out.Answers = append(out.Answers, Answer{Request: e.want.Request, Err: err.WithRetryAfter(verdict.PassingRetryAfter)})
+	out.Answers = append(out.Answers, Answer{Request: e.want.Request, Err: err.WithRetryAfter(verdict.TransientRetryAfter)})
 	return out
 }
 
--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -64,7 +64,7 @@
 	}
 	if w.Age+first > s.patience {
 		// The estimates alone exceed the patience, and the next probe may correct them.
-		late = min(late, verdict.PassingRetryAfter)
+		late = min(late, verdict.TransientRetryAfter)
 	}
 	return &Refusal{
 		Request:    w.Request,
--- a/core/verdict/verdict.go
+++ b/core/verdict/verdict.go
@@ -84,7 +84,7 @@
 
 // PassingRetryAfter is the default retry delay advised to a caller whose request
 // was not run because of a transient failure.
-const PassingRetryAfter = time.Second
+const TransientRetryAfter = time.Second
 
 // Transient reports whether a failure that kept a request from running is
 // transient, so that its caller should retry. All other failures are caused by the
@@ -104,7 +104,7 @@
 // the failure is transient and no RetryAfter is set.
 func (e *Error) Advise() {
 	if e.Verdict == NotRun && e.RetryAfter == 0 && e.Code.Transient() {
-		e.RetryAfter = PassingRetryAfter
+		e.RetryAfter = TransientRetryAfter
 	}
 }
 
--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -158,7 +158,7 @@
 			is := is.New(t)
 			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
 			is.Equal(err.Verdict, verdict.NotRun)
-			is.Equal(err.RetryAfter, verdict.PassingRetryAfter)
+			is.Equal(err.RetryAfter, verdict.TransientRetryAfter)
 		})
 	}
 }
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -177,7 +177,7 @@
 func (s *Server) refuseConn(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
 	err := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this daemon has reached its limit of connections")
-	s.reject(ctx, err.WithRetryAfter(verdict.PassingRetryAfter))
+	s.reject(ctx, err.WithRetryAfter(verdict.TransientRetryAfter))
 }
 
 func (s *Server) ready(ctx *fasthttp.RequestCtx) {
@@ -238,7 +238,7 @@
 		return permanent
 	}
 	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon has no configuration yet, or an outdated one")
-	return err.WithRetryAfter(verdict.PassingRetryAfter)
+	return err.WithRetryAfter(verdict.TransientRetryAfter)
 }
 
 // authenticate finds the team of the request's bearer key.
