--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -38,11 +38,11 @@
 // For a non-idempotent request the verdict is MayHaveRun, since an earlier
 // attempt may have run.
 func (f *Forwarder) checkQuarantine(r *Request, t *trace) *verdict.Error {
-	if f.Suspicion.Ledger.Len() == 0 {
+	if f.Evidence.Ledger.Len() == 0 {
 		return nil
 	}
-	now := f.Suspicion.Wall()
-	finding := f.Suspicion.Ledger.Check(now, fingerprintOf(r, t))
+	now := f.Evidence.Wall()
+	finding := f.Evidence.Ledger.Check(now, fingerprintOf(r, t))
 	if finding.Standing != poison.Held && finding.Standing != poison.Quarantined {
 		return nil
 	}
@@ -71,17 +71,17 @@
 // endpoint has a new name after a restart, so each crash counts once.
 func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: fingerprintOf(r, t), Team: id.Team(t.route.Name)}
-	f.Suspicion.Ledger.Crash(f.Suspicion.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
-	f.Suspicion.Spread()
+	f.Evidence.Ledger.Crash(f.Evidence.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
+	f.Evidence.Spread()
 }
 
 // clearSuspicion clears the evidence against a request that an endpoint has
 // finished.
 func (f *Forwarder) clearSuspicion(r *Request, t *trace) {
-	if f.Suspicion.Ledger.Len() == 0 {
+	if f.Evidence.Ledger.Len() == 0 {
 		return
 	}
-	if f.Suspicion.Ledger.Finished(f.Suspicion.Wall(), fingerprintOf(r, t)) {
-		f.Suspicion.Spread()
+	if f.Evidence.Ledger.Finished(f.Evidence.Wall(), fingerprintOf(r, t)) {
+		f.Evidence.Spread()
 	}
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -222,7 +222,7 @@
 		Endpoints: d.platform.Endpoints,
 		Pairer:    pairer{d},
 		Balancer:  balance.New(d.set.Domain, d.newRand()),
-		Suspicion: forward.Suspicion{
+		Evidence: forward.Suspicion{
 			Ledger: d.poison,
 			Wall:   d.wall,
 			Spread: func() {
