--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -15,7 +15,7 @@
 type Suspicion struct {
 	Ledger *poison.Ledger
 	// Wall returns the wall-clock time for dating evidence.
-	Wall func() time.Time
+	WallClock func() time.Time
 	// Spread triggers the sending of new evidence to the other daemons. It
 	// doesn't block.
 	Spread func()
@@ -41,7 +41,7 @@
 	if f.Evidence.Ledger.Len() == 0 {
 		return nil
 	}
-	now := f.Evidence.Wall()
+	now := f.Evidence.WallClock()
 	finding := f.Evidence.Ledger.Check(now, fingerprintOf(r, t))
 	if finding.Standing != poison.Held && finding.Standing != poison.Quarantined {
 		return nil
@@ -71,7 +71,7 @@
 // endpoint has a new name after a restart, so each crash counts once.
 func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: fingerprintOf(r, t), Team: id.Team(t.route.Name)}
-	f.Evidence.Ledger.Crash(f.Evidence.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
+	f.Evidence.Ledger.Crash(f.Evidence.WallClock(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
 	f.Evidence.Spread()
 }
 
@@ -81,7 +81,7 @@
 	if f.Evidence.Ledger.Len() == 0 {
 		return
 	}
-	if f.Evidence.Ledger.Finished(f.Evidence.Wall(), fingerprintOf(r, t)) {
+	if f.Evidence.Ledger.Finished(f.Evidence.WallClock(), fingerprintOf(r, t)) {
 		f.Evidence.Spread()
 	}
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -223,8 +223,8 @@
 		Pairer:    pairer{d},
 		Balancer:  balance.New(d.set.Domain, d.newRand()),
 		Evidence: forward.Suspicion{
-			Ledger: d.poison,
-			Wall:   d.wall,
+			Ledger:    d.poison,
+			WallClock: d.wall,
 			Spread: func() {
 				if f := d.fleet.Load(); f != nil {
 					f.broker.EvidenceChanged()
