--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -18,7 +18,7 @@
 	WallClock func() time.Time
 	// Spread triggers the sending of new evidence to the other daemons. It
 	// doesn't block.
-	Spread func()
+	Broadcast func()
 }
 
 // fingerprintOf returns the fingerprint of a request: a hash of its caller,
@@ -72,7 +72,7 @@
 func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: fingerprintOf(r, t), Team: id.Team(t.route.Name)}
 	f.Evidence.Ledger.Crash(f.Evidence.WallClock(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
-	f.Evidence.Spread()
+	f.Evidence.Broadcast()
 }
 
 // clearSuspicion clears the evidence against a request that an endpoint has
@@ -82,6 +82,6 @@
 		return
 	}
 	if f.Evidence.Ledger.Finished(f.Evidence.WallClock(), fingerprintOf(r, t)) {
-		f.Evidence.Spread()
+		f.Evidence.Broadcast()
 	}
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -225,7 +225,7 @@
 		Evidence: forward.Suspicion{
 			Ledger:    d.poison,
 			WallClock: d.wall,
-			Spread: func() {
+			Broadcast: func() {
 				if f := d.fleet.Load(); f != nil {
 					f.broker.EvidenceChanged()
 				}
