--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -77,7 +77,7 @@
 		View:      func() *View { return view },
 		Endpoints: endpoints,
 		Balancer:  balance.New("north", rand.New(rand.NewPCG(1, 1))),
-		Evidence:  Suspicion{Ledger: poison.New(poison.Config{AloneCrashes: 3}), WallClock: func() time.Time { return time.Unix(1e9, 0) }, Broadcast: func() {}},
+		Evidence:  CrashEvidence{Ledger: poison.New(poison.Config{AloneCrashes: 3}), WallClock: func() time.Time { return time.Unix(1e9, 0) }, Broadcast: func() {}},
 		Repeats:   retry.WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 10, Safety: 1},
 		Daemons:   func() int { return 2 },
 		Stale:     func() bool { return false },
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -26,7 +26,7 @@
 	Pairer    Pairer
 	Balancer  *balance.Balancer
 	// Suspicion is the crash evidence shared with the other daemons.
-	Evidence Suspicion
+	Evidence CrashEvidence
 	// Repeats bounds the retries of each service.
 	Repeats retry.WindowConfig
 	// Misdirected is called with an endpoint whose registry entry doesn't match
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -12,7 +12,7 @@
 
 // Suspicion is the evidence against requests that crash endpoints, shared by
 // all daemons.
-type Suspicion struct {
+type CrashEvidence struct {
 	Ledger *poison.Ledger
 	// Wall returns the wall-clock time for dating evidence.
 	WallClock func() time.Time
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -222,7 +222,7 @@
 		Endpoints: d.platform.Endpoints,
 		Pairer:    pairer{d},
 		Balancer:  balance.New(d.set.Domain, d.newRand()),
-		Evidence: forward.Suspicion{
+		Evidence: forward.CrashEvidence{
 			Ledger:    d.poison,
 			WallClock: d.wall,
 			Broadcast: func() {
