--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -32,7 +32,7 @@
 	// Misdirected is called with an endpoint whose registry entry doesn't match
 	// the process at its address: that process refused a request as meant for
 	// another endpoint. It doesn't block.
-	Misdirected func(e registry.Endpoint)
+	ReportMisdirected func(e registry.Endpoint)
 	// Stale reports whether the configuration may be out of date.
 	Stale func() bool
 	// Freshness and Payer are used only if the configuration has teams.
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -60,7 +60,7 @@
 // if another endpoint has its address.
 func (f *Forwarder) recordFailure(r *Request, t *trace, e registry.Endpoint, err *verdict.Error) {
 	if err.Code == verdict.CodeSuperseded {
-		f.Misdirected(e)
+		f.ReportMisdirected(e)
 	}
 	if err.Code == verdict.CodeEndpointFailed && err.Verdict != verdict.NotRun {
 		f.recordCrash(r, t, e.Name)
