--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -73,18 +73,18 @@
 		entries = append(entries, e)
 	}
 	f := New(Deps{
-		Self:      func() id.Process { return id.Process{Daemon: "d"} },
-		View:      func() *View { return view },
-		Endpoints: endpoints,
-		Balancer:  balance.New("north", rand.New(rand.NewPCG(1, 1))),
-		Evidence:  CrashEvidence{Ledger: poison.New(poison.Config{AloneCrashes: 3}), WallClock: func() time.Time { return time.Unix(1e9, 0) }, Broadcast: func() {}},
-		Repeats:   retry.WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 10, Safety: 1},
-		Daemons:   func() int { return 2 },
-		Stale:     func() bool { return false },
-		TooLate:   func() bool { return false },
-		Log:       discardLog{},
-		Metrics:   metrics.New("d"),
-		Now:       func() time.Duration { return time.Hour },
+		Self:         func() id.Process { return id.Process{Daemon: "d"} },
+		View:         func() *View { return view },
+		Endpoints:    endpoints,
+		Balancer:     balance.New("north", rand.New(rand.NewPCG(1, 1))),
+		Evidence:     CrashEvidence{Ledger: poison.New(poison.Config{AloneCrashes: 3}), WallClock: func() time.Time { return time.Unix(1e9, 0) }, Broadcast: func() {}},
+		Repeats:      retry.WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 10, Safety: 1},
+		Daemons:      func() int { return 2 },
+		Stale:        func() bool { return false },
+		StopsTooSoon: func() bool { return false },
+		Log:          discardLog{},
+		Metrics:      metrics.New("d"),
+		Now:          func() time.Duration { return time.Hour },
 	})
 	f.Configure(entries)
 	return f, &Request{ID: "r", Method: "GET", Host: "h", Path: "/again/x", Target: "/again/x", Arrived: time.Hour, CallerWaits: time.Second}
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -40,7 +40,7 @@
 	Payer     QuotaCharger
 	// TooLate reports whether the daemon stops so soon that a new stream may not
 	// end before.
-	TooLate func() bool
+	StopsTooSoon func() bool
 	// Daemons returns how many daemons are alive; they share the slack of Repeats
 	// and the connections that an endpoint takes.
 	Daemons func() int
@@ -128,7 +128,7 @@
 	}
 	t.service = t.route.Choose(r.ID)
 	service := view.Routes.Service(t.service)
-	if t.route.Kind == route.Stream && f.TooLate() {
+	if t.route.Kind == route.Stream && f.StopsTooSoon() {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeLeaving, "this daemon is stopping")
 	}
 	if err := f.checkQuarantine(r, t); err != nil {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -241,7 +241,7 @@
 		Stale:             func() bool { return d.configs.Lost() },
 		Freshness:         freshnessAdapter{d},
 		Payer:             payer{d},
-		TooLate:           d.streamCutoffPassed,
+		StopsTooSoon:      d.streamCutoffPassed,
 		Daemons:           d.daemons,
 		Log:               d.logger,
 		Metrics:           d.metrics,
