--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -78,7 +78,7 @@
 		Endpoints:    endpoints,
 		Balancer:     balance.New("north", rand.New(rand.NewPCG(1, 1))),
 		Evidence:     CrashEvidence{Ledger: poison.New(poison.Config{AloneCrashes: 3}), WallClock: func() time.Time { return time.Unix(1e9, 0) }, Broadcast: func() {}},
-		Repeats:      retry.WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 10, Safety: 1},
+		RetryLimit:   retry.WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 10, Safety: 1},
 		Daemons:      func() int { return 2 },
 		Stale:        func() bool { return false },
 		StopsTooSoon: func() bool { return false },
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -28,7 +28,7 @@
 	// Suspicion is the crash evidence shared with the other daemons.
 	Evidence CrashEvidence
 	// Repeats bounds the retries of each service.
-	Repeats retry.WindowConfig
+	RetryLimit retry.WindowConfig
 	// Misdirected is called with an endpoint whose registry entry doesn't match
 	// the process at its address: that process refused a request as meant for
 	// another endpoint. It doesn't block.
@@ -180,7 +180,7 @@
 func (f *Forwarder) window(service id.Service) *retry.Window {
 	w := f.windows[service]
 	if w == nil {
-		w = retry.NewWindow(f.Repeats)
+		w = retry.NewWindow(f.RetryLimit)
 		f.windows[service] = w
 	}
 	return w
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -231,7 +231,7 @@
 				}
 			},
 		},
-		Repeats: retry.WindowConfig{
+		RetryLimit: retry.WindowConfig{
 			Span:   Seconds(d.set.Bounds.RepeatWindowS),
 			Ratio:  d.set.Bounds.RepeatRatio,
 			Slack:  d.set.Bounds.RepeatSlack,
