--- a/daemon/forward/bench_test.go
+++ b/daemon/forward/bench_test.go
@@ -87,5 +87,5 @@
 		Now:          func() time.Duration { return time.Hour },
 	})
 	f.Configure(entries)
-	return f, &Request{ID: "r", Method: "GET", Host: "h", Path: "/again/x", Target: "/again/x", Arrived: time.Hour, CallerWaits: time.Second}
+	return f, &Request{ID: "r", Method: "GET", Host: "h", Path: "/again/x", Target: "/again/x", Arrived: time.Hour, CallerTimeout: time.Second}
 }
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -156,8 +156,8 @@
 	if rt.Timeout > 0 {
 		limit = r.Arrived + rt.Timeout
 	}
-	if r.CallerWaits > 0 {
-		limit = min(limit, r.Arrived+r.CallerWaits)
+	if r.CallerTimeout > 0 {
+		limit = min(limit, r.Arrived+r.CallerTimeout)
 	}
 	return limit
 }
--- a/daemon/forward/leaving_test.go
+++ b/daemon/forward/leaving_test.go
@@ -110,7 +110,7 @@
 	}
 	f.View = func() *View { return view }
 	f.Pairer = owner
-	r.Path, r.Target, r.CallerWaits = "/stream/x", "/stream/x", 10*time.Second
+	r.Path, r.Target, r.CallerTimeout = "/stream/x", "/stream/x", 10*time.Second
 	leave = func(name id.Endpoint) {
 		e := view.Endpoints[name]
 		e.Leaving = true
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -41,7 +41,7 @@
 	// Arrived is when the request arrived, in the daemon's time.
 	Arrived time.Duration
 	// CallerWaits is how long the caller waits from Arrived on; 0 if not stated.
-	CallerWaits time.Duration
+	CallerTimeout time.Duration
 	// PromptTokens and OutputTokens are the size of a generation; Sized is set if
 	// the caller stated it. ExpectedOutput is the caller's estimate of the output
 	// tokens that will be used; 0 if not stated.
--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -173,8 +173,8 @@
 // closes the connection.
 func (d *Daemon) refuse(ctx *fasthttp.RequestCtx, caller context.Context, r *forward.Request, err *verdict.Error) {
 	left := time.Duration(0)
-	if r.CallerWaits > 0 {
-		left = max(0, r.Arrived+r.CallerWaits-d.now())
+	if r.CallerTimeout > 0 {
+		left = max(0, r.Arrived+r.CallerTimeout-d.now())
 	}
 	d.platform.Adapter.Error(ctx, err, left)
 	if caller.Err() != nil && err.Code == verdict.CodeCallerGone {
