--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -117,7 +117,7 @@
 		Left:        limit - startedAt,
 		Until:       until,
 		MaxConns:    f.maxConns(s),
-		Once:        !t.route.Repeatable(),
+		AtMostOnce:  !t.route.Repeatable(),
 		Team:        t.teamName(),
 		Credentials: t.credentials(r),
 	})
--- a/daemon/forward/call_test.go
+++ b/daemon/forward/call_test.go
@@ -62,7 +62,7 @@
 	_, err := f.Run(context.Background(), r)
 	is.Equal(err.Verdict, verdict.MayHaveRun)
 	is.Equal(len(s.sent), 1)
-	is.True(s.sent[0].Once)
+	is.True(s.sent[0].AtMostOnce)
 }
 
 // TestWeakestVerdictIsReturned checks that the error of an attempt that may have
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -57,7 +57,7 @@
 	g.trace.endpoint = engine.Name
 	f.countUnlisted(g.trace, engine)
 	attempt := g.newAttempt(engine)
-	attempt.Once = !g.trace.route.Resumable
+	attempt.AtMostOnce = !g.trace.route.Resumable
 	if g.trace.route.Resumable {
 		attempt.Until = min(attempt.Until, startedAt+headerTimeout)
 	}
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -34,7 +34,7 @@
 		f.countUnlisted(t, endpoint)
 		limit := f.deadline(r, t.route)
 		opened, err := f.Endpoints.Decode(ctx, &Attempt{
-			Request: r, Endpoint: endpoint, Left: limit - startedAt, Until: limit, MaxConns: f.maxConns(s), Once: true, LastEvent: r.LastEvent,
+			Request: r, Endpoint: endpoint, Left: limit - startedAt, Until: limit, MaxConns: f.maxConns(s), AtMostOnce: true, LastEvent: r.LastEvent,
 			Team: t.teamName(), Credentials: t.credentials(r),
 		}, KV{})
 		if err == nil {
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -93,7 +93,7 @@
 	// MaxConns bounds this daemon's connections to the endpoint.
 	MaxConns int
 	// Once is set for a request that must not run more than once.
-	Once bool
+	AtMostOnce bool
 	// LastEvent is the id of the last event that the caller has received, for a
 	// stream that is resumed; empty to start at the beginning.
 	LastEvent string
