--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -115,7 +115,7 @@
 	MaxConns int
 	// Careful prefers a new connection to an idle one that its endpoint may be
 	// closing right now. It is set for requests that must not run more than once.
-	Careful bool
+	AvoidStaleConn bool
 	// Stream leaves the body to be read with Answer.Read as it arrives.
 	Stream bool
 }
@@ -221,7 +221,7 @@
 		}
 		now := time.Now()
 		old := now.After(cn.expires)
-		if c.Careful {
+		if c.AvoidStaleConn {
 			old = old || now.Sub(cn.idleSince) > cn.expires.Sub(cn.idleSince)/carefulLifeDivisor
 		}
 		if old || !isQuiet(cn) {
