--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -109,7 +109,7 @@
 
 // Rest reads the remaining body of a short stream, at most limit bytes. It
 // returns an error if the body is longer.
-func (a *Answer) Rest(limit int64) ([]byte, error) {
+func (a *Answer) ReadRest(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err == nil && int64(len(body)) > limit {
 		err = errors.New("the body is too large")
