--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -187,7 +187,7 @@
 		return
 	}
 	task := func() {
-		ctx, cancel := endpoints.Short(c.duty.Context())
+		ctx, cancel := endpoints.WithShortTimeout(c.duty.Context())
 		defer cancel()
 		call(ctx, address)
 	}
--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -246,7 +246,7 @@
 		c.duty.Post(func(now time.Duration) { c.perform(c.core.ObjectReply(now, o.Row, stored)) })
 	}
 	put := func() {
-		ctx, cancel := endpoints.Short(c.duty.Context())
+		ctx, cancel := endpoints.WithShortTimeout(c.duty.Context())
 		defer cancel()
 		done(c.cfg.Objects.Put(ctx, o.Name, o.Body) == nil)
 	}
--- a/daemon/endpoints/endpoints.go
+++ b/daemon/endpoints/endpoints.go
@@ -153,7 +153,7 @@
 
 // Short returns a context with the timeout of a short call: a cancel, a report or a
 // list.
-func Short(parent context.Context) (context.Context, context.CancelFunc) {
+func WithShortTimeout(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(parent, shortTimeout)
 }
 
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -290,7 +290,7 @@
 }
 
 func (m *Members) readHostsOnce(ctx context.Context) {
-	call, cancel := endpoints.Short(ctx)
+	call, cancel := endpoints.WithShortTimeout(ctx)
 	defer cancel()
 	list, err := m.cfg.Hosts.List(call)
 	if err != nil {
--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -198,7 +198,7 @@
 }
 
 func (p *Placer) observeDemand() {
-	ctx, cancel := endpoints.Short(p.duty.Context())
+	ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 	defer cancel()
 	demands := p.cfg.Demand(ctx)
 	p.duty.Post(func(now time.Duration) {
@@ -209,7 +209,7 @@
 }
 
 func (p *Placer) observeOne(e *live.Endpoint) {
-	ctx, cancel := endpoints.Short(p.duty.Context())
+	ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 	defer cancel()
 	o := placement.Observation{Endpoint: e.Name}
 	engine := p.cfg.Endpoints.Engine(e.Address)
@@ -278,7 +278,7 @@
 	if !valid {
 		return
 	}
-	ctx, cancel := endpoints.Short(p.duty.Context())
+	ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 	defer cancel()
 	if _, err := p.cfg.Endpoints.Engine(e.Address).Order(ctx, order); err != nil {
 		p.refused.Inc()
@@ -289,7 +289,7 @@
 // reserve requests a grant for one load from the weight store.
 func (p *Placer) reserve(g *placement.GrantRequest) {
 	p.cfg.Work.Submit(func() {
-		ctx, cancel := endpoints.Short(p.duty.Context())
+		ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 		defer cancel()
 		grant, err := p.cfg.Weights.Reserve(ctx, g.Model)
 		if err != nil {
--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -226,7 +226,7 @@
 }
 
 func (r *Reports) queryLoad(p id.Pool, e *live.Endpoint) bool {
-	ctx, cancel := endpoints.Short(r.ctx)
+	ctx, cancel := endpoints.WithShortTimeout(r.ctx)
 	defer cancel()
 	r.queries.Inc()
 	report, err := r.load(ctx, e)
@@ -258,7 +258,7 @@
 
 // queryCacheEvents fetches cache events. A jump in their numbers is a gap.
 func (r *Reports) queryCacheEvents(p id.Pool, e *live.Endpoint, state *pollState) {
-	ctx, cancel := endpoints.Short(r.ctx)
+	ctx, cancel := endpoints.WithShortTimeout(r.ctx)
 	defer cancel()
 	r.queries.Inc()
 	batch, err := r.cfg.Endpoints.Engine(e.Address).CacheEvents(ctx, state.lastCacheEvent)
@@ -280,7 +280,7 @@
 }
 
 func (r *Reports) queryRequests(p id.Pool, e *live.Endpoint) {
-	ctx, cancel := endpoints.Short(r.ctx)
+	ctx, cancel := endpoints.WithShortTimeout(r.ctx)
 	defer cancel()
 	r.queries.Inc()
 	list, err := r.cfg.Endpoints.Engine(e.Address).Requests(ctx)
