--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -125,7 +125,7 @@
 		Peers:     peerFetcher{d},
 		Metrics:   d.metrics,
 		Installed: d.applyConfig,
-		Spread:    d.replicateRecord,
+		Replicate: d.replicateRecord,
 		Log:       d.logger.Event,
 		Violation: d.metrics.Violation,
 		Now:       d.now,
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -36,7 +36,7 @@
 	// Spread sends an accepted change to some peers before the operator gets the
 	// result: if this daemon terminates then and the store is unavailable, the change
 	// is still in force. It blocks for a bounded time.
-	Spread func(context.Context, revision.Record)
+	Replicate func(context.Context, revision.Record)
 	// Log writes one line per event.
 	Log func(event string, kv ...any)
 	// Violation reports a broken invariant.
@@ -189,7 +189,7 @@
 	outcome := p.run(ctx)
 	if outcome.Record != nil {
 		c.Learn(*outcome.Record)
-		c.cfg.Spread(ctx, *outcome.Record)
+		c.cfg.Replicate(ctx, *outcome.Record)
 	}
 	return outcome
 }
