--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -110,7 +110,7 @@
 		if err := peer.Decode(body, &r); err != nil {
 			return nil, err
 		}
-		return peer.Encode(&recordReply{Applied: h.d.configs.Learn(r)})
+		return peer.Encode(&recordReply{Applied: h.d.configs.Record(r)})
 	case kindPools:
 		return peer.Encode(h.d.poolsLocal())
 	case kindClaim:
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -188,7 +188,7 @@
 	}
 	outcome := p.run(ctx)
 	if outcome.Record != nil {
-		c.Learn(*outcome.Record)
+		c.Record(*outcome.Record)
 		c.cfg.Replicate(ctx, *outcome.Record)
 	}
 	return outcome
@@ -197,7 +197,7 @@
 // Learn records a change whose acceptance this daemon or a peer observed. It reports
 // whether this change or a later one is in force now, which is not the case while
 // earlier changes are missing.
-func (c *Configs) Learn(record revision.Record) bool {
+func (c *Configs) Record(record revision.Record) bool {
 	learnt := false
 	c.duty.Query(func(time.Duration) {
 		c.perform(c.follower.ApplyAccepted(record))
