--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -233,7 +233,7 @@
 		Cost:       minAttemptTime,
 		Idempotent: true,
 	})
-	return completion.Retry{Again: decision.Retry, Delay: decision.After, Reason: string(decision.Reason)}
+	return completion.Retry{Allowed: decision.Retry, Delay: decision.After, Reason: string(decision.Reason)}
 }
 
 // Success implements completion.Retrier.
--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -75,7 +75,7 @@
 func (f *fakes) ReleaseKV(*live.Endpoint, id.Request, string) {}
 
 func (f *fakes) Decide(_ *live.Team, _ *verdict.Error, n int, _ time.Duration) Retry {
-	return Retry{Again: n <= f.maxRetries}
+	return Retry{Allowed: n <= f.maxRetries}
 }
 func (f *fakes) Success(*live.Team)                      {}
 func (f *fakes) Decision(string, string, string, ...any) {}
--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -113,8 +113,8 @@
 		r.restartWait(p)
 		retry := r.Retries.Decide(p.job.Team, err, n, r.patience(p))
 		r.Recorder.Decision("request", string(p.job.ID), "retry",
-			"again", retry.Again, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
-		if !retry.Again {
+			"again", retry.Allowed, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
+		if !retry.Allowed {
 			return r.fail(ctx, p, err)
 		}
 		if !sleep(ctx, retry.Delay) {
--- a/daemon/completion/types.go
+++ b/daemon/completion/types.go
@@ -106,9 +106,9 @@
 
 // Retry is the decision of a Retrier.
 type Retry struct {
-	Again  bool
-	Delay  time.Duration
-	Reason string
+	Allowed bool
+	Delay   time.Duration
+	Reason  string
 }
 
 // Retrier decides about retries within the retry budgets.
--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -66,8 +66,8 @@
 	}
 	retry := r.Retries.Decide(s.call.Team, err, n, r.patience(s))
 	r.Recorder.Decision("request", string(s.call.ID), "retry",
-		"again", retry.Again, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
-	if !retry.Again {
+		"again", retry.Allowed, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
+	if !retry.Allowed {
 		return false
 	}
 	timer := time.NewTimer(retry.Delay)
