--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -46,7 +46,7 @@
 		ready:  make(chan struct{}),
 	}
 	registry := metrics.New(string(name))
-	keepalive, idle := app.ConnectionTimes(g.mode)
+	keepalive, idle := app.ConnectionTimeouts(g.mode)
 	cfg := peer.Config{
 		Self: p.self, Listen: "127.0.0.1:0", Keys: keys.Fixed(material), Handler: p, Registry: registry,
 		Keepalive: keepalive, IdleTimeout: idle,
--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -306,9 +306,9 @@
 
 func TestConnectionTimeoutsFitTheMembership(t *testing.T) {
 	is := is.New(t)
-	keepalive, idle := ConnectionTimes(member.Mesh)
+	keepalive, idle := ConnectionTimeouts(member.Mesh)
 	is.True(keepalive > 0 && keepalive < idle)
-	keepalive, idle = ConnectionTimes(member.Partial)
+	keepalive, idle = ConnectionTimeouts(member.Partial)
 	is.True(keepalive < 0)
 	// With the target of 420 daemons, each pair exchanges messages more often.
 	is.True(idle > 420*member.DefaultConfig(member.Partial).Period)
--- a/daemon/app/peerconns.go
+++ b/daemon/app/peerconns.go
@@ -21,7 +21,7 @@
 // ConnectionTimes returns the time between keepalive packets, negative for none,
 // and the idle time after which a connection is closed, for a membership mode.
 // With a mesh, every connection is in use all the time.
-func ConnectionTimes(mode member.Mode) (keepalive, idle time.Duration) {
+func ConnectionTimeouts(mode member.Mode) (keepalive, idle time.Duration) {
 	if mode == member.Partial {
 		return noKeepalive, partialIdleTimeout
 	}
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -52,7 +52,7 @@
 
 func (d *Daemon) listen() error {
 	var err error
-	keepalive, idle := ConnectionTimes(member.Mode(d.settings.Membership.Mode))
+	keepalive, idle := ConnectionTimeouts(member.Mode(d.settings.Membership.Mode))
 	if d.callerLn, err = listenTCP("callers", d.settings.Listen.Callers); err != nil {
 		return err
 	}
