--- a/cmd/internal/experiment/membership_member.go
+++ b/cmd/internal/experiment/membership_member.go
@@ -48,7 +48,7 @@
 	registry := metrics.New(string(name))
 	keepalive, idle := app.ConnectionTimeouts(g.mode)
 	cfg := peer.Config{
-		Self: p.self, Listen: "127.0.0.1:0", Keys: keys.Fixed(material), Handler: p, Registry: registry,
+		Self: p.self, Listen: "127.0.0.1:0", Keys: keys.FromMaterial(material), Handler: p, Registry: registry,
 		Keepalive: keepalive, IdleTimeout: idle,
 	}
 	if p.transport, err = peer.Listen(cfg); err != nil {
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -69,7 +69,7 @@
 	if log == nil {
 		log = io.Discard
 	}
-	daemon, err := app.New(s, app.Options{PeerKeys: keys.Fixed(material), Log: log})
+	daemon, err := app.New(s, app.Options{PeerKeys: keys.FromMaterial(material), Log: log})
 	if err != nil {
 		return eris.Wrapf(err, "daemon %s", m.name)
 	}
--- a/daemon/app/app_test.go
+++ b/daemon/app/app_test.go
@@ -208,7 +208,7 @@
 	cfg.Listen.Callers = f.daemons[0].CallerAddr()
 	material, err := f.ca.Peer(cfg.Daemon)
 	is.NoErr(err)
-	second, err := New(&cfg, Options{PeerKeys: keys.Fixed(material), Log: io.Discard})
+	second, err := New(&cfg, Options{PeerKeys: keys.FromMaterial(material), Log: io.Discard})
 	is.NoErr(err)
 	err = second.Start()
 	is.True(err != nil)
--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -144,7 +144,7 @@
 	}
 	material, err := f.ca.Peer(s.Daemon)
 	is.NoErr(err)
-	d, err := New(s, Options{PeerKeys: keys.Fixed(material), Log: f.log, Seed: uint64(i + 1)})
+	d, err := New(s, Options{PeerKeys: keys.FromMaterial(material), Log: f.log, Seed: uint64(i + 1)})
 	is.NoErr(err)
 	is.NoErr(d.Start())
 	return d
--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	return d.join(id.Process{Daemon: d.set.Daemon, Incarnation: incarnation}, keys.Fixed(material))
+	return d.join(id.Process{Daemon: d.set.Daemon, Incarnation: incarnation}, keys.FromMaterial(material))
 }
 
 // read reads one row. The reply carries the store's clock, by which evidence is
--- a/daemon/keys/keys_test.go
+++ b/daemon/keys/keys_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Fixed(m)
+	return FromMaterial(m)
 }
 
 // handshake runs one TLS handshake. It returns the server's connection state,
--- a/daemon/keys/store.go
+++ b/daemon/keys/store.go
@@ -52,7 +52,7 @@
 }
 
 // Fixed returns a store for material in memory, on which Reload has no effect.
-func Fixed(m *Material) *Store {
+func FromMaterial(m *Material) *Store {
 	s := &Store{}
 	s.current.Store(m)
 	return s
--- a/daemon/peer/fault_test.go
+++ b/daemon/peer/fault_test.go
@@ -48,7 +48,7 @@
 	a, atA := f.listen("a", nil)
 	material, err := f.ca.Peer("b")
 	is.NoErr(err)
-	sameKeys := func(c *Config) { c.Keys = keys.Fixed(material) }
+	sameKeys := func(c *Config) { c.Keys = keys.FromMaterial(material) }
 	b1, _ := f.listen("b", sameKeys)
 	address := b1.Address()
 	is.NoErr(a.SetPeer("b", address))
--- a/daemon/peer/fleet_test.go
+++ b/daemon/peer/fleet_test.go
@@ -106,7 +106,7 @@
 	cfg := Config{
 		Self:    id.Process{Daemon: name, Incarnation: 1},
 		Listen:  "127.0.0.1:0",
-		Keys:    keys.Fixed(material),
+		Keys:    keys.FromMaterial(material),
 		Handler: handler,
 	}
 	if change != nil {
