--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -169,7 +169,7 @@
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		endpoint, ok := keyvals[i+1].(id.Endpoint)
 		if ok && endpoint != "" {
-			r.d.decisions.Note(logline.SubjectEndpoint, string(endpoint), event, append([]any{"request", subject}, keyvals...)...)
+			r.d.decisions.RecordOnly(logline.SubjectEndpoint, string(endpoint), event, append([]any{"request", subject}, keyvals...)...)
 		}
 	}
 }
