--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -30,7 +30,7 @@
 )
 
 // Backing is the part of the daemon that carries out the operators' requests.
-type Backing interface {
+type Operations interface {
 	// Propose proposes a change and waits for its outcome; resent is set if the
 	// change may have been proposed before.
 	Propose(ctx context.Context, c revision.Change, resent bool) revision.Outcome
@@ -49,7 +49,7 @@
 
 // Server serves the operators' HTTP interface.
 type Server struct {
-	backing Backing
+	backing Operations
 	hashes  []string
 	log     func(event string, kv ...any)
 	http    *fasthttp.Server
@@ -57,7 +57,7 @@
 
 // New returns a Server that is not yet listening. hashes are the hashes of the
 // operators' keys.
-func New(b Backing, hashes []string, log func(event string, kv ...any)) *Server {
+func New(b Operations, hashes []string, log func(event string, kv ...any)) *Server {
 	s := &Server{backing: b, hashes: hashes, log: log}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
