--- a/cmd/internal/cli/fleetcmd/status.go
+++ b/cmd/internal/cli/fleetcmd/status.go
@@ -48,7 +48,7 @@
 	if !s.StoreUp {
 		store = "DOWN"
 	}
-	if _, err := fmt.Fprintf(w, "daemon=%s revision=%d store=%s violations=%d\n", s.Daemon, s.Revision, store, s.Violation); err != nil {
+	if _, err := fmt.Fprintf(w, "daemon=%s revision=%d store=%s violations=%d\n", s.Daemon, s.Revision, store, s.Violations); err != nil {
 		return err
 	}
 	for _, rows := range []output.Rows{hostRows(s), poolRows(s), teamRows(s), leaseRows(s)} {
--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -47,13 +47,13 @@
 func (b operatorBacking) Status() opapi.Status {
 	d := b.d
 	s := opapi.Status{
-		Daemon:    d.self.Daemon,
-		Revision:  d.Revision(),
-		StoreUp:   d.configs.StoreUp(),
-		Violation: d.metrics.Violations(),
-		Hosts:     d.hostStatus(),
-		Teams:     []opapi.TeamStatus{},
-		Leases:    []opapi.LeaseStatus{},
+		Daemon:     d.self.Daemon,
+		Revision:   d.Revision(),
+		StoreUp:    d.configs.StoreUp(),
+		Violations: d.metrics.Violations(),
+		Hosts:      d.hostStatus(),
+		Teams:      []opapi.TeamStatus{},
+		Leases:     []opapi.LeaseStatus{},
 	}
 	for _, reply := range d.queryPools() {
 		s.Pools = append(s.Pools, reply.Pools...)
--- a/daemon/opapi/opapi.go
+++ b/daemon/opapi/opapi.go
@@ -215,14 +215,14 @@
 
 // Status summarizes the fleet, as observed by the answering daemon.
 type Status struct {
-	Daemon    id.Daemon     `json:"daemon"`
-	Revision  uint64        `json:"revision"`
-	StoreUp   bool          `json:"store_up"`
-	Hosts     []HostStatus  `json:"hosts"`
-	Pools     []PoolStatus  `json:"pools"`
-	Teams     []TeamStatus  `json:"teams"`
-	Leases    []LeaseStatus `json:"leases"`
-	Violation uint64        `json:"invariant_violations"`
+	Daemon     id.Daemon     `json:"daemon"`
+	Revision   uint64        `json:"revision"`
+	StoreUp    bool          `json:"store_up"`
+	Hosts      []HostStatus  `json:"hosts"`
+	Pools      []PoolStatus  `json:"pools"`
+	Teams      []TeamStatus  `json:"teams"`
+	Leases     []LeaseStatus `json:"leases"`
+	Violations uint64        `json:"invariant_violations"`
 }
 
 // Explanation lists the recorded decisions about one object, oldest first.
