--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -68,10 +68,10 @@
 	return s
 }
 
-func (d *Daemon) hostStatus() []opapi.HostStatus {
-	var out []opapi.HostStatus
+func (d *Daemon) hostStatus() []opapi.DaemonStatus {
+	var out []opapi.DaemonStatus
 	for _, e := range d.members.Entries() {
-		out = append(out, opapi.HostStatus{
+		out = append(out, opapi.DaemonStatus{
 			Daemon:      e.Process.Daemon,
 			Incarnation: e.Process.Incarnation,
 			Domain:      e.Domain,
--- a/daemon/opapi/opapi.go
+++ b/daemon/opapi/opapi.go
@@ -166,7 +166,7 @@
 }
 
 // HostStatus is the status of one daemon as observed by the answering daemon.
-type HostStatus struct {
+type DaemonStatus struct {
 	Daemon      id.Daemon      `json:"daemon"`
 	Incarnation id.Incarnation `json:"incarnation"`
 	Domain      id.Domain      `json:"domain"`
@@ -215,14 +215,14 @@
 
 // Status summarizes the fleet, as observed by the answering daemon.
 type Status struct {
-	Daemon     id.Daemon     `json:"daemon"`
-	Revision   uint64        `json:"revision"`
-	StoreUp    bool          `json:"store_up"`
-	Hosts      []HostStatus  `json:"hosts"`
-	Pools      []PoolStatus  `json:"pools"`
-	Teams      []TeamStatus  `json:"teams"`
-	Leases     []LeaseStatus `json:"leases"`
-	Violations uint64        `json:"invariant_violations"`
+	Daemon     id.Daemon      `json:"daemon"`
+	Revision   uint64         `json:"revision"`
+	StoreUp    bool           `json:"store_up"`
+	Hosts      []DaemonStatus `json:"hosts"`
+	Pools      []PoolStatus   `json:"pools"`
+	Teams      []TeamStatus   `json:"teams"`
+	Leases     []LeaseStatus  `json:"leases"`
+	Violations uint64         `json:"invariant_violations"`
 }
 
 // Explanation lists the recorded decisions about one object, oldest first.
