--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	a := &Answer{pool: p, address: c.Address, conn: used, resp: fasthttp.AcquireResponse()}
-	a.stopWatching = used.EndWith(ctx)
+	a.stopWatching = used.BindContext(ctx)
 	if err := a.exchange(ctx, c); err != nil {
 		a.Close()
 		return nil, err
--- a/endpoint/client/dedicated.go
+++ b/endpoint/client/dedicated.go
@@ -42,7 +42,7 @@
 	}
 	d := &dedicatedExchange{ctx: ctx, address: e.address, operation: operation, conn: conn, reader: bufio.NewReader(conn), release: release}
 	d.resp = fasthttp.AcquireResponse()
-	d.stop = conn.EndWith(ctx)
+	d.stop = conn.BindContext(ctx)
 	req.SetHost(e.address)
 	if err := d.send(req, deadline); err != nil {
 		d.Close()
--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -90,7 +90,7 @@
 
 // EndWith closes the connection when ctx is cancelled, and calls Expire when the
 // deadline of ctx passes. stop works as that of context.AfterFunc.
-func (c *Conn) EndWith(ctx context.Context) (stop func() bool) {
+func (c *Conn) BindContext(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.Expire()
--- a/endpoint/netconn/conn_test.go
+++ b/endpoint/netconn/conn_test.go
@@ -137,7 +137,7 @@
 	awaitReadable(t, c)
 	ctx, cancel := context.WithDeadline(context.Background(), pastDeadline)
 	defer cancel()
-	is.True(!c.EndWith(ctx)())
+	is.True(!c.BindContext(ctx)())
 	var b [16]byte
 	n, err := c.Read(b[:])
 	is.NoErr(err)
@@ -146,7 +146,7 @@
 	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // not closed
 
 	gone, leave := context.WithCancel(context.Background())
-	c.EndWith(gone)
+	c.BindContext(gone)
 	leave()
 	_, err = other.Read(b[:]) // closed
 	is.Equal(err, io.EOF)
