--- a/cmd/internal/soak/simulation.go
+++ b/cmd/internal/soak/simulation.go
@@ -169,7 +169,7 @@
 	}
 	if !x.MeantToRun() {
 		before := r.Stage()
-		x.Usual()
+		x.AnswerNormally()
 		if r.Stage() != before {
 			s.registerStage(r)
 		}
