--- a/cmd/internal/soak/simulation.go
+++ b/cmd/internal/soak/simulation.go
@@ -183,11 +183,11 @@
 	runs := s.recordRun(r, x.RequestID())
 	s.teams.recordRun(x.RequestID())
 	if r.Stage() == "" && number%failEvery == 0 {
-		x.Whole(http.StatusInternalServerError, "failed", x.Signed())
+		x.Respond(http.StatusInternalServerError, "failed", x.Signed())
 		return
 	}
 	if r.Stage() == "" {
-		x.Whole(http.StatusOK, plainBody(x.RequestID()), x.Signed(), "Content-Type: text/plain")
+		x.Respond(http.StatusOK, plainBody(x.RequestID()), x.Signed(), "Content-Type: text/plain")
 		return
 	}
 	first := x.FirstEvent()
