--- a/cmd/internal/soak/simulation.go
+++ b/cmd/internal/soak/simulation.go
@@ -167,7 +167,7 @@
 	if x.RequestID() != "" {
 		s.teams.checkForwarded(s.checker, x)
 	}
-	if !x.MeantToRun() {
+	if !x.ShouldRun() {
 		before := r.Stage()
 		x.AnswerNormally()
 		if r.Stage() != before {
