--- a/cmd/internal/soak/caller.go
+++ b/cmd/internal/soak/caller.go
@@ -180,5 +180,5 @@
 		return false
 	}
 	o.answer = answer
-	return answer.Whole && !answer.Close
+	return answer.Complete && !answer.Close
 }
--- a/cmd/internal/soak/checker.go
+++ b/cmd/internal/soak/checker.go
@@ -62,7 +62,7 @@
 }
 
 // answered reports whether the caller received a whole successful response.
-func (o *outcome) answered() bool { return o.answer.Status == http.StatusOK && o.answer.Whole }
+func (o *outcome) answered() bool { return o.answer.Status == http.StatusOK && o.answer.Complete }
 
 // check records an outcome and checks the guarantees that can be checked before the
 // end of the run.
--- a/cmd/internal/soak/soak_test.go
+++ b/cmd/internal/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestCheckerFindsViolations(t *testing.T) {
 	whole := func(kind int, id string) outcome {
 		k := kinds[kind]
-		return outcome{id: id, kind: k, keyIndex: -1, answer: platformtest.Answer{Status: 200, Signed: true, Whole: true, Request: id, Body: k.body(id)}}
+		return outcome{id: id, kind: k, keyIndex: -1, answer: platformtest.Answer{Status: 200, Signed: true, Complete: true, Request: id, Body: k.body(id)}}
 	}
 	cases := map[string]struct {
 		alter func(o *outcome)
@@ -28,7 +28,7 @@
 		"another answer":            {func(o *outcome) { o.answer.Request = "other" }, 0, 1, true},
 		"another body":              {func(o *outcome) { o.answer.Body = plainBody("other") }, 1, 1, true},
 		"a stream without an event": {func(o *outcome) { o.answer.Body = o.answer.Body[20:] }, 2, 1, true},
-		"a stream that broke off":   {func(o *outcome) { o.answer.Body, o.answer.Whole = o.answer.Body[20:], false }, 2, 1, false},
+		"a stream that broke off":   {func(o *outcome) { o.answer.Body, o.answer.Complete = o.answer.Body[20:], false }, 2, 1, false},
 		"ran twice":                 {func(*outcome) {}, 1, 2, true},
 		"ran twice, idempotent":     {func(*outcome) {}, 0, 2, false},
 		"refused and ran":           {func(o *outcome) { o.answer.Status = 503 }, 1, 1, true},
