--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -91,7 +91,7 @@
 	case 1:
 		return fault{name: "store drops its history", inject: r.simulation.store.Forget}
 	case 2:
-		return fault{name: "store loses responses", inject: func() { r.simulation.store.Lose(3) }, revert: func() { r.simulation.store.Lose(0) }}
+		return fault{name: "store loses responses", inject: func() { r.simulation.store.DropReplies(3) }, revert: func() { r.simulation.store.DropReplies(0) }}
 	default:
 		return fault{name: "add a route", planned: true, inject: r.addRoute}
 	}
