--- a/cmd/internal/soak/faults.go
+++ b/cmd/internal/soak/faults.go
@@ -89,7 +89,7 @@
 			revert: func() { r.simulation.store.Refuse("*", 0) },
 		}
 	case 1:
-		return fault{name: "store drops its history", inject: r.simulation.store.Forget}
+		return fault{name: "store drops its history", inject: r.simulation.store.DropHistory}
 	case 2:
 		return fault{name: "store loses responses", inject: func() { r.simulation.store.DropReplies(3) }, revert: func() { r.simulation.store.DropReplies(0) }}
 	default:
