--- a/standin/engine.go
+++ b/standin/engine.go
@@ -54,7 +54,7 @@
 	// PrefillQueue bounds the prefills that wait.
 	PrefillQueue int
 	// KVLife is how long an exported KV cache is kept for its import.
-	KVLife          time.Duration
+	KVLifetime      time.Duration
 	KVBytesPerToken int64
 	// CacheBlocks bounds the prefix cache, in blocks of package prefixhash.
 	CacheBlocks int
@@ -89,7 +89,7 @@
 	defaults.Set(&c.DecodeTokenMS, DefaultDecodeTokenMS)
 	defaults.Set(&c.BatchSlowdown, DefaultBatchSlowdown)
 	defaults.Set(&c.PrefillQueue, DefaultPrefillQueue)
-	defaults.Set(&c.KVLife, DefaultKVLife)
+	defaults.Set(&c.KVLifetime, DefaultKVLife)
 	defaults.Set(&c.KVBytesPerToken, int64(DefaultKVBytesPerToken))
 	defaults.Set(&c.CacheBlocks, DefaultCacheBlocks)
 	defaults.Set(&c.CacheLag, DefaultCacheLag)
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -63,13 +63,13 @@
 		computedTokens: tokens - cached,
 	}
 	m.kvs[kv.name] = kv
-	kv.expiry = time.AfterFunc(e.cfg.KVLife, func() { e.expire(m, kv.name) })
+	kv.expiry = time.AfterFunc(e.cfg.KVLifetime, func() { e.expire(m, kv.name) })
 	return wire.PrefillResponse{
 		KV:           kv.name,
 		PromptTokens: tokens,
 		CachedTokens: cached,
 		KVBytes:      kv.bytes,
-		KVLifeMS:     int(e.cfg.KVLife / time.Millisecond),
+		KVLifeMS:     int(e.cfg.KVLifetime / time.Millisecond),
 	}
 }
 
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -39,7 +39,7 @@
 
 func TestExpiredKVCountsAsWastedWork(t *testing.T) {
 	is := is.New(t)
-	p := newEnginePair(t, func(c *standin.EngineConfig) { c.KVLife = time.Millisecond })
+	p := newEnginePair(t, func(c *standin.EngineConfig) { c.KVLifetime = time.Millisecond })
 	prompt := strings.Repeat("x", 400)
 	kv, err := p.orderPrefill(context.Background(), "r1", prompt)
 	is.NoErr(err)
--- a/standin/helper_test.go
+++ b/standin/helper_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	cfg := standin.EngineConfig{
 		Name: "prefill", Domain: "aktau-port", Model: "m", Role: standin.RolePrefill,
-		PrefillTokensPerSecond: 1e6, DecodeTokenMS: 0.1, KVLife: testTimeout, Seed: 1,
+		PrefillTokensPerSecond: 1e6, DecodeTokenMS: 0.1, KVLifetime: testTimeout, Seed: 1,
 	}
 	if change != nil {
 		change(&cfg)
