--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -80,7 +80,7 @@
 // of the counted work.
 func measure(ctx context.Context, env Env, f *fleet.Fleet, spec load.Spec) (*load.Result, fleet.Work, error) {
 	atWarm := snapshotAfter(env.Warmup, f)
-	atWaste := snapshotAfter(env.Warmup+standin.DefaultKVLife, f)
+	atWaste := snapshotAfter(env.Warmup+standin.DefaultKVLifetime, f)
 	res, err := load.Run(ctx, spec)
 	if err != nil {
 		return nil, fleet.Work{}, err
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,7 +16,7 @@
 	DefaultDecodeTokenMS          = 20.0
 	DefaultBatchSlowdown          = 0.03
 	DefaultPrefillQueue           = 64
-	DefaultKVLife                 = 800 * time.Millisecond
+	DefaultKVLifetime             = 800 * time.Millisecond
 	DefaultKVBytesPerToken        = 50_000
 	DefaultCacheBlocks            = 4096
 	DefaultCacheLag               = 50 * time.Millisecond
@@ -89,7 +89,7 @@
 	defaults.Set(&c.DecodeTokenMS, DefaultDecodeTokenMS)
 	defaults.Set(&c.BatchSlowdown, DefaultBatchSlowdown)
 	defaults.Set(&c.PrefillQueue, DefaultPrefillQueue)
-	defaults.Set(&c.KVLifetime, DefaultKVLife)
+	defaults.Set(&c.KVLifetime, DefaultKVLifetime)
 	defaults.Set(&c.KVBytesPerToken, int64(DefaultKVBytesPerToken))
 	defaults.Set(&c.CacheBlocks, DefaultCacheBlocks)
 	defaults.Set(&c.CacheLag, DefaultCacheLag)
