--- a/cmd/internal/fleet/counters.go
+++ b/cmd/internal/fleet/counters.go
@@ -22,7 +22,7 @@
 			c := e.Counters()
 			w.PrefillTokens += c.PrefillTokens
 			w.WastedTokens += c.PrefillTokensWasted
-			w.RanTwice += c.RanTwice
+			w.RanTwice += c.RepeatedDecodes
 			w.HeldAfterCancel += c.HeldAfterCancel
 			w.Running += c.Running
 			w.KVHeld += c.KVHeld
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -122,7 +122,7 @@
 	d.stage = stageDecode
 	e.counters.Decodes++
 	if e.decodeRuns.add(d.id) > 1 {
-		e.counters.RanTwice++
+		e.counters.RepeatedDecodes++
 	}
 	if strings.Contains(d.request.Prompt, CrashMarker) {
 		e.crash()
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -23,11 +23,11 @@
 	Decodes             int64 `json:"decodes"`
 	Tokens              int64 `json:"tokens"`
 	// RanTwice counts decodes of a request that this engine had decoded before.
-	RanTwice   int64 `json:"ran_twice"`
-	Resumes    int64 `json:"resumes"`
-	Cancels    int64 `json:"cancels"`
-	Refused    int64 `json:"refused"`
-	MaxRunning int   `json:"max_running"`
+	RepeatedDecodes int64 `json:"ran_twice"`
+	Resumes         int64 `json:"resumes"`
+	Cancels         int64 `json:"cancels"`
+	Refused         int64 `json:"refused"`
+	MaxRunning      int   `json:"max_running"`
 	// HeldAfterCancel is the number of slots that cancelled requests hold now.
 	HeldAfterCancel int `json:"held_after_cancel"`
 	Running         int `json:"running"`
