--- a/standin/objects.go
+++ b/standin/objects.go
@@ -19,7 +19,7 @@
 }
 
 // Objects is a simulated object store.
-type Objects struct {
+type ObjectStore struct {
 	faults   *faults
 	mu       sync.Mutex
 	objects  map[string][]byte
@@ -27,12 +27,12 @@
 }
 
 // NewObjects returns an empty store.
-func NewObjects(seed uint64) *Objects {
-	return &Objects{faults: newFaults(seed), objects: map[string][]byte{}}
+func NewObjects(seed uint64) *ObjectStore {
+	return &ObjectStore{faults: newFaults(seed), objects: map[string][]byte{}}
 }
 
 // Start starts the object store's server at addr, host:port.
-func (o *Objects) Start(addr string) (*Server, error) {
+func (o *ObjectStore) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
 		faults:         o.faults,
 		serve:          o.serve,
@@ -43,10 +43,10 @@
 }
 
 // Inject applies a fault.
-func (o *Objects) Inject(f wire.Fault) { o.faults.apply(f) }
+func (o *ObjectStore) Inject(f wire.Fault) { o.faults.apply(f) }
 
 // Counters returns a copy of the current counters.
-func (o *Objects) Counters() ObjectCounters {
+func (o *ObjectStore) Counters() ObjectCounters {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c := o.counters
@@ -55,7 +55,7 @@
 }
 
 // serve handles a call.
-func (o *Objects) serve(ctx *fasthttp.RequestCtx) {
+func (o *ObjectStore) serve(ctx *fasthttp.RequestCtx) {
 	name, ok := strings.CutPrefix(string(ctx.Path()), wire.PathObjects)
 	if !ok || name == "" {
 		notFound(ctx)
@@ -72,7 +72,7 @@
 }
 
 // put writes an object.
-func (o *Objects) put(ctx *fasthttp.RequestCtx, name string) {
+func (o *ObjectStore) put(ctx *fasthttp.RequestCtx, name string) {
 	body := append([]byte(nil), ctx.PostBody()...)
 	if len(body) > MaxObjectBytes {
 		refused(fasthttp.StatusRequestEntityTooLarge, wire.ErrorTooLarge, "object is too large").write(ctx)
@@ -86,7 +86,7 @@
 }
 
 // get reads an object.
-func (o *Objects) get(ctx *fasthttp.RequestCtx, name string) {
+func (o *ObjectStore) get(ctx *fasthttp.RequestCtx, name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.counters.Gets++
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -81,7 +81,7 @@
 // Platform is a set of stand-ins in one process.
 type Platform struct {
 	Table   *Table
-	Objects *Objects
+	Objects *ObjectStore
 	Hosts   *HostList
 	Weights *Weights
 	Engines []*Engine
