--- a/daemon/claims/claims_test.go
+++ b/daemon/claims/claims_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(tableServer.Close)
-	objects, err := standin.NewObjects(1).Start("127.0.0.1:0")
+	objects, err := standin.NewObjectStore(1).Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -27,7 +27,7 @@
 }
 
 // NewObjects returns an empty store.
-func NewObjects(seed uint64) *ObjectStore {
+func NewObjectStore(seed uint64) *ObjectStore {
 	return &ObjectStore{faults: newFaults(seed), objects: map[string][]byte{}}
 }
 
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -109,7 +109,7 @@
 	defaults.Set(&cfg.Table.Seed, cfg.Seed)
 	p := &Platform{
 		Table:    NewTable(cfg.Table),
-		Objects:  NewObjects(cfg.Seed),
+		Objects:  NewObjectStore(cfg.Seed),
 		Hosts:    NewHostList(cfg.HostsLag, cfg.Hosts, cfg.Seed),
 		Weights:  NewWeights(cfg.LoadsPerSecond, cfg.Seed),
 		Links:    NewLinks(cfg.RateWithin, cfg.RateAcross),
--- a/standin/table_test.go
+++ b/standin/table_test.go
@@ -122,7 +122,7 @@
 func TestObjectsHostsAndWeights(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	objects := client.NewObjects(serve(t, standin.NewObjects(1)), client.Options{})
+	objects := client.NewObjects(serve(t, standin.NewObjectStore(1)), client.Options{})
 	is.NoErr(objects.Put(ctx, "config 1", []byte("body")))
 	body, err := objects.Get(ctx, "config 1")
 	is.NoErr(err)
