--- a/standin/platform.go
+++ b/standin/platform.go
@@ -83,7 +83,7 @@
 	Table   *Table
 	Objects *ObjectStore
 	Hosts   *HostList
-	Weights *Weights
+	Weights *WeightStore
 	Engines []*Engine
 	Plains  []*PlainService
 	Links   *Links
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -21,7 +21,7 @@
 }
 
 // Weights is a simulated weight store, which grants loads at a limited rate.
-type Weights struct {
+type WeightStore struct {
 	faults   *faults
 	limiter  *rate.Limiter
 	mu       sync.Mutex
@@ -30,16 +30,16 @@
 
 // NewWeights returns a store that grants loadsPerSecond loads a second; 0 or less
 // takes the default.
-func NewWeights(loadsPerSecond float64, seed uint64) *Weights {
+func NewWeights(loadsPerSecond float64, seed uint64) *WeightStore {
 	if loadsPerSecond <= 0 {
 		loadsPerSecond = DefaultLoadsPerSecond
 	}
 	limiter := rate.NewLimiter(rate.Limit(loadsPerSecond), max(1, int(loadsPerSecond)))
-	return &Weights{faults: newFaults(seed), limiter: limiter}
+	return &WeightStore{faults: newFaults(seed), limiter: limiter}
 }
 
 // Start starts the weight store's server at addr, host:port.
-func (w *Weights) Start(addr string) (*Server, error) {
+func (w *WeightStore) Start(addr string) (*Server, error) {
 	return startStandIn(addr, &standIn{
 		faults:         w.faults,
 		serve:          w.serve,
@@ -50,17 +50,17 @@
 }
 
 // Inject applies a fault.
-func (w *Weights) Inject(f wire.Fault) { w.faults.apply(f) }
+func (w *WeightStore) Inject(f wire.Fault) { w.faults.apply(f) }
 
 // Counters returns a copy of the current counters.
-func (w *Weights) Counters() WeightCounters {
+func (w *WeightStore) Counters() WeightCounters {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counters
 }
 
 // serve handles a call.
-func (w *Weights) serve(ctx *fasthttp.RequestCtx) {
+func (w *WeightStore) serve(ctx *fasthttp.RequestCtx) {
 	model, ok := strings.CutPrefix(string(ctx.Path()), wire.PathWeights)
 	if !ok || model == "" {
 		notFound(ctx)
@@ -70,7 +70,7 @@
 }
 
 // grant grants a load, or returns the delay after which to retry.
-func (w *Weights) grant() wire.WeightGrant {
+func (w *WeightStore) grant() wire.WeightGrant {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	reservation := w.limiter.Reserve()
