--- a/standin/platform.go
+++ b/standin/platform.go
@@ -111,7 +111,7 @@
 		Table:    NewTable(cfg.Table),
 		Objects:  NewObjectStore(cfg.Seed),
 		Hosts:    NewHostList(cfg.HostsLag, cfg.Hosts, cfg.Seed),
-		Weights:  NewWeights(cfg.LoadsPerSecond, cfg.Seed),
+		Weights:  NewWeightStore(cfg.LoadsPerSecond, cfg.Seed),
 		Links:    NewLinks(cfg.RateWithin, cfg.RateAcross),
 		cfg:      cfg,
 		nextPort: cfg.BasePort,
--- a/standin/table_test.go
+++ b/standin/table_test.go
@@ -137,7 +137,7 @@
 	is.NoErr(err)
 	is.Equal(seen.Hosts[0].Name, "one") // the change is not visible before the lag ends
 
-	weights := client.NewWeights(serve(t, standin.NewWeights(0.01, 1)), client.Options{})
+	weights := client.NewWeights(serve(t, standin.NewWeightStore(0.01, 1)), client.Options{})
 	grant, err := weights.Reserve(ctx, "model")
 	is.NoErr(err)
 	is.True(grant.Granted)
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -30,7 +30,7 @@
 
 // NewWeights returns a store that grants loadsPerSecond loads a second; 0 or less
 // takes the default.
-func NewWeights(loadsPerSecond float64, seed uint64) *WeightStore {
+func NewWeightStore(loadsPerSecond float64, seed uint64) *WeightStore {
 	if loadsPerSecond <= 0 {
 		loadsPerSecond = DefaultLoadsPerSecond
 	}
