--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -34,7 +34,7 @@
 // Counts counts requests by outcome; a request and its retries by the caller count
 // once.
 type Counts struct {
-	Asked int `json:"asked"`
+	Requests int `json:"asked"`
 	// InTime and Late count answered requests.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -51,17 +51,17 @@
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
-	is.Equal(findRoute(a, "route-1").Counts, Counts{Asked: 9, InTime: 7, Failed: 2})
-	is.Equal(findRoute(a, "route-2").Counts, Counts{Asked: 10, InTime: 8, Failed: 2})
-	is.Equal(findRoute(a, "route-3").Counts, Counts{Asked: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
+	is.Equal(findRoute(a, "route-1").Counts, Counts{Requests: 9, InTime: 7, Failed: 2})
+	is.Equal(findRoute(a, "route-2").Counts, Counts{Requests: 10, InTime: 8, Failed: 2})
+	is.Equal(findRoute(a, "route-3").Counts, Counts{Requests: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
 	is.Equal(findRoute(a, "route-3").Refusals.Back, 3)
 	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
 	is.Equal(a.Vain[0], Vain{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
 	sum := Counts{}
 	for _, s := range a.Seconds {
-		sum.Asked += s.Asked
+		sum.Requests += s.Requests
 	}
-	is.Equal(sum.Asked, 45)
+	is.Equal(sum.Requests, 45)
 	is.Equal(len(a.Pools), 7) // the eighth was logged before the first arrival
 }
 
@@ -77,7 +77,7 @@
 	answered := line("03.1", "x2", "outcome=answered status=200 in_time=true")
 	a, err := Make(readLogs(t, refused+answered), Options{})
 	is.NoErr(err)
-	is.Equal(a.Routes[0].Counts, Counts{Asked: 1, Late: 1})
+	is.Equal(a.Routes[0].Counts, Counts{Requests: 1, Late: 1})
 	is.Equal(a.Routes[0].CameBack, 1)
 	is.Equal(a.Routes[0].Served, 1)
 	is.Equal(a.Routes[0].LateTime.Return, 2000.0)
@@ -86,7 +86,7 @@
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
 	a, err = Make(readLogs(t, refused+answered+again), Options{})
 	is.NoErr(err)
-	is.Equal(a.Routes[0].Counts, Counts{Asked: 2, InTime: 1, Late: 1})
+	is.Equal(a.Routes[0].Counts, Counts{Requests: 2, InTime: 1, Late: 1})
 }
 
 func TestSpanExcludesArrivalsOutsideIt(t *testing.T) {
@@ -100,7 +100,7 @@
 	is.NoErr(err)
 	asked := func(a *Account) (n int) {
 		for i := range a.Routes {
-			n += a.Routes[i].Asked
+			n += a.Routes[i].Requests
 		}
 		return n
 	}
@@ -119,7 +119,7 @@
 	a, err := Make(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
-	is.Equal(findRoute(a, "route-3").Asked, 20)
+	is.Equal(findRoute(a, "route-3").Requests, 20)
 	_, err = Make(readLogs(t, "no log at all\n"), Options{})
 	is.True(errors.Is(err, ErrNoRequests))
 }
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -98,7 +98,7 @@
 // count adds a request by the outcome of its last attempt.
 func (c *Counts) count(r request) {
 	last := r.last()
-	c.Asked++
+	c.Requests++
 	switch {
 	case last.outcome == outcomeAnswered && last.inTime && r.retryDelay()+last.timeToAnswer <= last.target:
 		c.InTime++
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -22,7 +22,7 @@
 		granted("04.0", "d3", "x3") + ended
 	a, err := Make(readLogs(t, text), Options{})
 	is.NoErr(err)
-	is.Equal(a.Routes[0].Counts, Counts{Asked: 4, InTime: 1, NoEnd: 3})
+	is.Equal(a.Routes[0].Counts, Counts{Requests: 4, InTime: 1, NoEnd: 3})
 	why := map[string]int{}
 	for _, r := range a.Reasons {
 		is.Equal(r.Outcome, outcomeNoEnd)
