--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -42,7 +42,7 @@
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 	// Left counts requests whose callers disconnected before the answer was due.
-	Left int `json:"left"`
+	Disconnected int `json:"left"`
 	// NoEnd counts streams that were granted engines and whose end is not logged:
 	// their daemon was killed, or the line was dropped. Plain calls are not counted
 	// here, since nothing is logged before their end.
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -53,7 +53,7 @@
 	is.Equal(a.Unreadable, 0.0)
 	is.Equal(findRoute(a, "route-1").Counts, Counts{Requests: 9, InTime: 7, Failed: 2})
 	is.Equal(findRoute(a, "route-2").Counts, Counts{Requests: 10, InTime: 8, Failed: 2})
-	is.Equal(findRoute(a, "route-3").Counts, Counts{Requests: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
+	is.Equal(findRoute(a, "route-3").Counts, Counts{Requests: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Disconnected: 2, NoEnd: 1})
 	is.Equal(findRoute(a, "route-3").Refusals.Back, 3)
 	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
 	is.Equal(a.Vain[0], Vain{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -105,7 +105,7 @@
 	case last.outcome == outcomeAnswered:
 		c.Late++
 	case last.outcome == outcomeCallerGone && len(r) == 1 && last.took < last.target:
-		c.Left++
+		c.Disconnected++
 	case last.outcome == outcomeNoEnd:
 		c.NoEnd++
 	case last.notRun:
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -131,7 +131,7 @@
 }
 
 func countCells(c *account.Counts) []string {
-	return formatInts(c.Requests, c.InTime, c.Late, c.Refused, c.Failed, c.Left, c.NoEnd)
+	return formatInts(c.Requests, c.InTime, c.Late, c.Refused, c.Failed, c.Disconnected, c.NoEnd)
 }
 
 func formatInts(all ...int) []string {
