--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -78,7 +78,7 @@
 	a, err := Make(readLogs(t, refused+answered), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Requests: 1, Late: 1})
-	is.Equal(a.Routes[0].CameBack, 1)
+	is.Equal(a.Routes[0].Retried, 1)
 	is.Equal(a.Routes[0].Served, 1)
 	is.Equal(a.Routes[0].LateTime.Return, 2000.0)
 	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -140,7 +140,7 @@
 			late = append(late, r)
 		}
 		if len(r) > 1 {
-			out.CameBack++
+			out.Retried++
 			out.Served += out.Answered() - before.Answered()
 		}
 	}
