--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -61,8 +61,8 @@
 	Counts
 	// CameBack counts the requests that their callers retried after a refusal or a
 	// failure, Served those of them that were then answered.
-	Retried int `json:"came_back"`
-	Served  int `json:"came_back_served"`
+	Retried         int `json:"came_back"`
+	RetriedAnswered int `json:"came_back_served"`
 	// LateTime is how the late answers spent their time.
 	LateTime LateTime `json:"late_time"`
 	// Refusals holds the times from arrival to refusal.
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -141,7 +141,7 @@
 		}
 		if len(r) > 1 {
 			out.Retried++
-			out.Served += out.Answered() - before.Answered()
+			out.RetriedAnswered += out.Answered() - before.Answered()
 		}
 	}
 	out.LateTime = meanLateTime(late)
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -155,7 +155,7 @@
 	for i := range a.Routes {
 		r := &a.Routes[i]
 		cells := append([]string{r.Name, r.Kind}, countCells(&r.Counts)...)
-		rows.Add(append(cells, formatInts(r.Retried, r.Served)...)...)
+		rows.Add(append(cells, formatInts(r.Retried, r.RetriedAnswered)...)...)
 	}
 	return rows
 }
