--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -73,7 +73,7 @@
 type LateTime struct {
 	// Return is the time from a request's first arrival to the arrival of the
 	// retry that was answered.
-	Return float64 `json:"return_ms"`
+	RetryDelay float64 `json:"return_ms"`
 	// Queue is the time in the queue for engines, Prefill the prefill time, Retries
 	// the time of the daemon's failed attempts at endpoints, Rest the time of the
 	// transfer and the first event, or of the plain call.
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -80,7 +80,7 @@
 	is.Equal(a.Routes[0].Counts, Counts{Requests: 1, Late: 1})
 	is.Equal(a.Routes[0].Retried, 1)
 	is.Equal(a.Routes[0].RetriedAnswered, 1)
-	is.Equal(a.Routes[0].LateTime.Return, 2000.0)
+	is.Equal(a.Routes[0].LateTime.RetryDelay, 2000.0)
 	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
 	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -159,7 +159,7 @@
 	for _, r := range late {
 		last := r.last()
 		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedTime)
-		out.Return += share * milliseconds(r.retryDelay())
+		out.RetryDelay += share * milliseconds(r.retryDelay())
 		out.Queue += share * milliseconds(last.queueTime)
 		out.Prefill += share * milliseconds(last.prefillTime)
 		out.Retries += share * milliseconds(last.failedTime)
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -168,7 +168,7 @@
 			continue
 		}
 		t := r.LateTime
-		cells := append([]string{r.Name, strconv.Itoa(r.Late)}, formatTenths(t.Return, t.Queue, t.Prefill, t.Retries, t.Rest)...)
+		cells := append([]string{r.Name, strconv.Itoa(r.Late)}, formatTenths(t.RetryDelay, t.Queue, t.Prefill, t.Retries, t.Rest)...)
 		rows.Add(append(cells, strconv.Itoa(t.Paused))...)
 	}
 	return rows
