--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -93,7 +93,7 @@
 	P90   float64 `json:"p90_ms"`
 	Max   float64 `json:"max_ms"`
 	// Back counts the refusals that the caller retried.
-	Back int `json:"back"`
+	Retried int `json:"back"`
 }
 
 // Reason counts the unanswered attempts with one route, outcome and reason.
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -54,7 +54,7 @@
 	is.Equal(findRoute(a, "route-1").Counts, Counts{Requests: 9, InTime: 7, Failed: 2})
 	is.Equal(findRoute(a, "route-2").Counts, Counts{Requests: 10, InTime: 8, Failed: 2})
 	is.Equal(findRoute(a, "route-3").Counts, Counts{Requests: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Disconnected: 2, NoEnd: 1})
-	is.Equal(findRoute(a, "route-3").Refusals.Back, 3)
+	is.Equal(findRoute(a, "route-3").Refusals.Retried, 3)
 	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
 	is.Equal(a.Vain[0], Vain{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
 	sum := Counts{}
@@ -81,7 +81,7 @@
 	is.Equal(a.Routes[0].Retried, 1)
 	is.Equal(a.Routes[0].RetriedAnswered, 1)
 	is.Equal(a.Routes[0].LateTime.RetryDelay, 2000.0)
-	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
+	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Retried: 1})
 	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
 	a, err = Make(readLogs(t, refused+answered+again), Options{})
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -182,7 +182,7 @@
 			}
 			took = append(took, a.took)
 			if i < len(r)-1 {
-				out.Back++
+				out.Retried++
 			}
 		}
 	}
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -180,7 +180,7 @@
 		r := &a.Routes[i]
 		if w := r.Refusals; w.Count > 0 {
 			cells := append([]string{r.Name, strconv.Itoa(w.Count)}, formatTenths(w.P50, w.P90, w.Max)...)
-			rows.Add(append(cells, strconv.Itoa(w.Back))...)
+			rows.Add(append(cells, strconv.Itoa(w.Retried))...)
 		}
 	}
 	return rows
