--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -66,7 +66,7 @@
 	// LateTime is how the late answers spent their time.
 	LateTime LateTime `json:"late_time"`
 	// Refusals holds the times from arrival to refusal.
-	Refusals Waits `json:"refusals"`
+	Refusals RefusalTimes `json:"refusals"`
 }
 
 // LateTime is the mean time of late answers, in milliseconds.
@@ -87,7 +87,7 @@
 }
 
 // Waits holds the times from arrival to refusal, in milliseconds.
-type Waits struct {
+type RefusalTimes struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -81,7 +81,7 @@
 	is.Equal(a.Routes[0].Retried, 1)
 	is.Equal(a.Routes[0].RetriedAnswered, 1)
 	is.Equal(a.Routes[0].LateTime.RetryDelay, 2000.0)
-	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Retried: 1})
+	is.Equal(a.Routes[0].Refusals, RefusalTimes{Count: 1, P50: 100, P90: 100, Max: 100, Retried: 1})
 	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
 	a, err = Make(readLogs(t, refused+answered+again), Options{})
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -172,9 +172,9 @@
 }
 
 // refusalWaits summarizes the times to refusal of attempts that did not run.
-func refusalWaits(requests []request) Waits {
+func refusalWaits(requests []request) RefusalTimes {
 	var took []time.Duration
-	out := Waits{}
+	out := RefusalTimes{}
 	for _, r := range requests {
 		for i, a := range r {
 			if a.outcome == outcomeAnswered || !a.notRun || a.outcome == outcomeCallerGone {
