--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -24,7 +24,7 @@
 	// Reasons counts the attempts that were not answered, by reason.
 	Reasons []Reason `json:"reasons"`
 	// Vain counts the wasted prompts by cause.
-	Vain []Vain `json:"vain"`
+	Vain []WastedPrompts `json:"vain"`
 	// Seconds counts the requests by the second of their arrival.
 	Seconds []Second `json:"seconds"`
 	// Pools holds the states of the pools as their owners logged them.
@@ -107,7 +107,7 @@
 }
 
 // Vain counts the wasted prompts of one cause and their tokens.
-type Vain struct {
+type WastedPrompts struct {
 	Cause  string `json:"cause"`
 	Count  int    `json:"count"`
 	Tokens int    `json:"tokens"`
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -224,8 +224,8 @@
 
 // wastedByCause counts the wasted prompts by cause, sorted by tokens in descending
 // order.
-func (b *builder) wastedByCause(from, to time.Time) []Vain {
-	byCause := map[string]Vain{}
+func (b *builder) wastedByCause(from, to time.Time) []WastedPrompts {
+	byCause := map[string]WastedPrompts{}
 	for _, v := range b.wasted {
 		if v.at.Before(from) || v.at.After(to) {
 			continue
@@ -236,7 +236,7 @@
 		sum.Tokens += v.tokens
 		byCause[v.cause] = sum
 	}
-	return slices.SortedFunc(maps.Values(byCause), func(x, y Vain) int {
+	return slices.SortedFunc(maps.Values(byCause), func(x, y WastedPrompts) int {
 		return cmp.Or(cmp.Compare(y.Tokens, x.Tokens), cmp.Compare(x.Cause, y.Cause))
 	})
 }
