--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -24,7 +24,7 @@
 	// Reasons counts the attempts that were not answered, by reason.
 	Reasons []Reason `json:"reasons"`
 	// Vain counts the wasted prompts by cause.
-	Vain []WastedPrompts `json:"vain"`
+	Wasted []WastedPrompts `json:"vain"`
 	// Seconds counts the requests by the second of their arrival.
 	Seconds []Second `json:"seconds"`
 	// Pools holds the states of the pools as their owners logged them.
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -56,7 +56,7 @@
 	is.Equal(findRoute(a, "route-3").Counts, Counts{Requests: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Disconnected: 2, NoEnd: 1})
 	is.Equal(findRoute(a, "route-3").Refusals.Retried, 3)
 	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
-	is.Equal(a.Vain[0], WastedPrompts{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
+	is.Equal(a.Wasted[0], WastedPrompts{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
 	sum := Counts{}
 	for _, s := range a.Seconds {
 		sum.Requests += s.Requests
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -43,7 +43,7 @@
 	requests := groupAttempts(b.attempts)
 	out.Routes = summarizeRoutes(requests)
 	out.Reasons = countReasons(b.attempts)
-	out.Vain = b.wastedByCause(out.From, out.To)
+	out.Wasted = b.wastedByCause(out.From, out.To)
 	out.Seconds = b.countBySecond(out.From, requests)
 	out.Pools = b.poolStates(out.From, out.To)
 	return out, nil
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -56,5 +56,5 @@
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=2s outcome=answered status=200 in_time=true\n"
 	a, err := Make(readLogs(t, text), Options{})
 	is.NoErr(err)
-	is.Equal(a.Vain, []WastedPrompts{{Cause: "decode failed: endpoint_failed", Count: 1, Tokens: 3000}})
+	is.Equal(a.Wasted, []WastedPrompts{{Cause: "decode failed: endpoint_failed", Count: 1, Tokens: 3000}})
 }
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -196,7 +196,7 @@
 
 func wastedRows(a *account.Account) output.Rows {
 	rows := output.Rows{Header: []string{"CAUSE", "PROMPTS", "TOKENS"}}
-	for _, v := range a.Vain {
+	for _, v := range a.Wasted {
 		rows.Add(append([]string{v.Cause}, formatInts(v.Count, v.Tokens)...)...)
 	}
 	return rows
