--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -121,7 +121,7 @@
 	Kind string `json:"kind"`
 	Counts
 	// VainTokens counts the tokens of prompts that were wasted in this second.
-	VainTokens int `json:"vain_tokens"`
+	WastedTokens int `json:"vain_tokens"`
 }
 
 // Pool is the state of a pool at one moment.
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -260,7 +260,7 @@
 	}
 	for _, v := range b.wasted {
 		if b.inSpan(v.at) && !v.at.Before(from) {
-			at(v.at, kindStream).VainTokens += v.tokens
+			at(v.at, kindStream).WastedTokens += v.tokens
 		}
 	}
 	var out []Second
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -207,7 +207,7 @@
 	for i := range a.Seconds {
 		s := &a.Seconds[i]
 		cells := append([]string{strconv.Itoa(s.At), s.Kind}, countCells(&s.Counts)...)
-		rows.Add(append(cells, strconv.Itoa(s.VainTokens))...)
+		rows.Add(append(cells, strconv.Itoa(s.WastedTokens))...)
 	}
 	return rows
 }
