--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -130,10 +130,10 @@
 	Pool      string  `json:"pool"`
 	// Prefills and Decodes count the engines by role, Working the busy prefill
 	// engines, Running the requests on the decode engines.
-	Prefills int `json:"prefills"`
-	Working  int `json:"prefills_working"`
-	Decodes  int `json:"decodes"`
-	Running  int `json:"decodes_running"`
+	Prefills        int `json:"prefills"`
+	PrefillsWorking int `json:"prefills_working"`
+	Decodes         int `json:"decodes"`
+	Running         int `json:"decodes_running"`
 	// MemoryHeld is the share of the decode engines' memory that is held, 0 to 1.
 	MemoryHeld float64 `json:"memory_held_share"`
 	Queued     int     `json:"queued"`
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -188,12 +188,12 @@
 
 func (b *builder) addPoolState(l *logstory.Line, f *fields) {
 	p := Pool{
-		Pool:     f.text("pool"),
-		Prefills: f.number("prefills"),
-		Working:  f.number("prefills_working"),
-		Decodes:  f.number("decodes"),
-		Running:  f.number("decodes_running"),
-		Queued:   f.number("queued"),
+		Pool:            f.text("pool"),
+		Prefills:        f.number("prefills"),
+		PrefillsWorking: f.number("prefills_working"),
+		Decodes:         f.number("decodes"),
+		Running:         f.number("decodes_running"),
+		Queued:          f.number("queued"),
 	}
 	if memory := f.number("memory"); memory > 0 {
 		p.MemoryHeld = float64(f.number("memory_held")) / float64(memory)
