--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -133,7 +133,7 @@
 	Prefills        int `json:"prefills"`
 	PrefillsWorking int `json:"prefills_working"`
 	Decodes         int `json:"decodes"`
-	Running         int `json:"decodes_running"`
+	DecodesRunning  int `json:"decodes_running"`
 	// MemoryHeld is the share of the decode engines' memory that is held, 0 to 1.
 	MemoryHeld float64 `json:"memory_held_share"`
 	Queued     int     `json:"queued"`
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -192,7 +192,7 @@
 		Prefills:        f.number("prefills"),
 		PrefillsWorking: f.number("prefills_working"),
 		Decodes:         f.number("decodes"),
-		Running:         f.number("decodes_running"),
+		DecodesRunning:  f.number("decodes_running"),
 		Queued:          f.number("queued"),
 	}
 	if memory := f.number("memory"); memory > 0 {
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -215,7 +215,7 @@
 func poolRows(a *account.Account) output.Rows {
 	rows := output.Rows{Header: []string{"SECOND", "POOL", "PREFILL", "WORKING", "DECODE", "RUNNING", "MEMORY HELD", "QUEUED"}}
 	for _, p := range a.Pools {
-		cells := append([]string{strconv.FormatFloat(p.AtSeconds, 'f', 1, 64), p.Pool}, formatInts(p.Prefills, p.PrefillsWorking, p.Decodes, p.Running)...)
+		cells := append([]string{strconv.FormatFloat(p.AtSeconds, 'f', 1, 64), p.Pool}, formatInts(p.Prefills, p.PrefillsWorking, p.Decodes, p.DecodesRunning)...)
 		rows.Add(append(cells, fmt.Sprintf("%.0f%%", 100*p.MemoryHeld), strconv.Itoa(p.Queued))...)
 	}
 	return rows
