--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -148,7 +148,7 @@
 
 // Make builds the account of log lines. It returns ErrNoRequests if they hold no
 // end of a request within the bounds.
-func Make(logs *logstory.Logs, o Options) (*Account, error) {
+func Summarize(logs *logstory.Logs, o Options) (*Account, error) {
 	b := newBuilder(o)
 	for i := range logs.Lines {
 		b.addLine(&logs.Lines[i])
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -47,7 +47,7 @@
 // fingerprint, made without this code.
 func TestAccountOfADay(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(readLogs(t, readDayLog(t)), Options{})
+	a, err := Summarize(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
@@ -75,7 +75,7 @@
 	}
 	refused := line("01.1", "x1", "outcome=overloaded verdict=not-run status=0 reason=full")
 	answered := line("03.1", "x2", "outcome=answered status=200 in_time=true")
-	a, err := Make(readLogs(t, refused+answered), Options{})
+	a, err := Summarize(readLogs(t, refused+answered), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Requests: 1, Late: 1})
 	is.Equal(a.Routes[0].Retried, 1)
@@ -84,19 +84,19 @@
 	is.Equal(a.Routes[0].Refusals, RefusalTimes{Count: 1, P50: 100, P90: 100, Max: 100, Retried: 1})
 	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
-	a, err = Make(readLogs(t, refused+answered+again), Options{})
+	a, err = Summarize(readLogs(t, refused+answered+again), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Requests: 2, InTime: 1, Late: 1})
 }
 
 func TestSpanExcludesArrivalsOutsideIt(t *testing.T) {
 	is := is.New(t)
-	whole, err := Make(readLogs(t, readDayLog(t)), Options{})
+	whole, err := Summarize(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	middle := whole.From.Add(20 * time.Second)
-	first, err := Make(readLogs(t, readDayLog(t)), Options{To: middle})
+	first, err := Summarize(readLogs(t, readDayLog(t)), Options{To: middle})
 	is.NoErr(err)
-	second, err := Make(readLogs(t, readDayLog(t)), Options{From: middle})
+	second, err := Summarize(readLogs(t, readDayLog(t)), Options{From: middle})
 	is.NoErr(err)
 	asked := func(a *Account) (n int) {
 		for i := range a.Routes {
@@ -106,7 +106,7 @@
 	}
 	is.True(asked(first) > 0 && asked(second) > 0)
 	is.True(asked(first)+asked(second) >= asked(whole)) // a request retried across the bound counts on both sides
-	_, err = Make(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
+	_, err = Summarize(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
@@ -116,17 +116,17 @@
 	is := is.New(t)
 	text := readDayLog(t)
 	bad := "ts=2026-03-24T23:44:50Z daemon=d level=info event=pool_state pool=p prefills=many\n" + "\xff\xfe\x00\n" + text[:200] + "\n"
-	a, err := Make(readLogs(t, bad+text), Options{})
+	a, err := Summarize(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
 	is.Equal(findRoute(a, "route-3").Requests, 20)
-	_, err = Make(readLogs(t, "no log at all\n"), Options{})
+	_, err = Summarize(readLogs(t, "no log at all\n"), Options{})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
 func TestAccountIsWrittenWithPlots(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(readLogs(t, readDayLog(t)), Options{})
+	a, err := Summarize(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	dir := t.TempDir()
 	is.NoErr(a.Report().Write(dir))
--- a/cmd/internal/account/ends_test.go
+++ b/cmd/internal/account/ends_test.go
@@ -20,7 +20,7 @@
 	text := granted("01.0", "d1", "x1") + line("02.0", "d1", "event=daemon_started") + line("20.0", "d1", "event=pool_lost") +
 		granted("03.0", "d2", "x2") +
 		granted("04.0", "d3", "x3") + ended
-	a, err := Make(readLogs(t, text), Options{})
+	a, err := Summarize(readLogs(t, text), Options{})
 	is.NoErr(err)
 	is.Equal(a.Routes[0].Counts, Counts{Requests: 4, InTime: 1, NoEnd: 3})
 	why := map[string]int{}
@@ -38,7 +38,7 @@
 	text := "ts=2026-12-03T10:00:01Z daemon=d1 level=info event=daemon_started\n" +
 		"ts=2026-12-03T10:00:02Z daemon=d1 level=info event=granted request=x route=r print=x\n" +
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=100ms outcome=answered status=200 in_time=true\n"
-	a, err := Make(readLogs(t, text), Options{})
+	a, err := Summarize(readLogs(t, text), Options{})
 	is.NoErr(err)
 	is.Equal(a.Reasons[0].Reason, reasonNotLogged)
 }
@@ -54,7 +54,7 @@
 	text := failed("decode", "may-have-run", "endpoint_failed") + failed("decode", "not-run", "overloaded") +
 		failed("prefill", "may-have-run", "endpoint_failed") +
 		"ts=2026-12-03T10:00:03Z daemon=d1 level=info event=request request=y route=r service=s kind=stream target=900ms print=y took=2s outcome=answered status=200 in_time=true\n"
-	a, err := Make(readLogs(t, text), Options{})
+	a, err := Summarize(readLogs(t, text), Options{})
 	is.NoErr(err)
 	is.Equal(a.Wasted, []WastedPrompts{{Cause: "decode failed: endpoint_failed", Count: 1, Tokens: 3000}})
 }
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -62,7 +62,7 @@
 	if err := logs.ReadPath(f.logs, cmd.InOrStdin()); err != nil {
 		return err
 	}
-	result, err := account.Make(&logs, options)
+	result, err := account.Summarize(&logs, options)
 	if err != nil {
 		return fmt.Errorf("%s: %d lines, %d unreadable: %w", f.logs, len(logs.Lines), logs.Unreadable, err)
 	}
