--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -11,7 +11,7 @@
 )
 
 // Account is the summary of the logs of a span of time.
-type Account struct {
+type Summary struct {
 	// From and To bound the span; the offsets in seconds below count from From.
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
@@ -148,7 +148,7 @@
 
 // Make builds the account of log lines. It returns ErrNoRequests if they hold no
 // end of a request within the bounds.
-func Summarize(logs *logstory.Logs, o Options) (*Account, error) {
+func Summarize(logs *logstory.Logs, o Options) (*Summary, error) {
 	b := newBuilder(o)
 	for i := range logs.Lines {
 		b.addLine(&logs.Lines[i])
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -34,7 +34,7 @@
 	return string(raw)
 }
 
-func findRoute(a *Account, name string) Route {
+func findRoute(a *Summary, name string) Route {
 	for _, r := range a.Routes {
 		if r.Name == name {
 			return r
@@ -98,7 +98,7 @@
 	is.NoErr(err)
 	second, err := Summarize(readLogs(t, readDayLog(t)), Options{From: middle})
 	is.NoErr(err)
-	asked := func(a *Account) (n int) {
+	asked := func(a *Summary) (n int) {
 		for i := range a.Routes {
 			n += a.Routes[i].Requests
 		}
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -17,7 +17,7 @@
 type request []*attempt
 
 // finish builds the account from the collected data.
-func (b *builder) finish(logs *logstory.Logs) (*Account, error) {
+func (b *builder) finish(logs *logstory.Logs) (*Summary, error) {
 	if len(b.attempts) == 0 {
 		return nil, ErrNoRequests
 	}
@@ -28,7 +28,7 @@
 	for _, a := range b.attempts {
 		a.failedTime = b.retries[a.id]
 	}
-	out := &Account{
+	out := &Summary{
 		From:  b.attempts[0].arrived.Truncate(time.Second),
 		Lines: len(logs.Lines),
 	}
--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -11,7 +11,7 @@
 const Name = "account"
 
 // Report returns the account as a report with its figures.
-func (a *Account) Report() *experiment.Report {
+func (a *Summary) Report() *experiment.Report {
 	figures := []experiment.Figure{a.memoryFigure(), a.rolesFigure()}
 	for _, kind := range a.kinds() {
 		figures = append(figures, a.outcomesFigure(kind))
@@ -19,12 +19,12 @@
 	return &experiment.Report{Experiment: Name, Data: a, Figures: figures}
 }
 
-func (a *Account) kinds() []string {
+func (a *Summary) kinds() []string {
 	return distinctNames(a.Seconds, func(s Second) string { return s.Kind })
 }
 
 // outcomesFigure shows the outcomes of a kind's requests by the second of arrival.
-func (a *Account) outcomesFigure(kind string) experiment.Figure {
+func (a *Summary) outcomesFigure(kind string) experiment.Figure {
 	lines := []struct {
 		name string
 		of   func(s *Second) int
@@ -52,14 +52,14 @@
 }
 
 // memoryFigure shows the share of the decode engines' memory that is held.
-func (a *Account) memoryFigure() experiment.Figure {
+func (a *Summary) memoryFigure() experiment.Figure {
 	return a.poolFigure("memory", "Decode memory held", "share", map[string]func(p *Pool) float64{
 		"held": func(p *Pool) float64 { return p.MemoryHeld },
 	})
 }
 
 // rolesFigure shows the engines by role and the length of the queue.
-func (a *Account) rolesFigure() experiment.Figure {
+func (a *Summary) rolesFigure() experiment.Figure {
 	return a.poolFigure("roles", "Engines by role, and requests in the queue", "count", map[string]func(p *Pool) float64{
 		"prefill": func(p *Pool) float64 { return float64(p.Prefills) },
 		"decode":  func(p *Pool) float64 { return float64(p.Decodes) },
@@ -67,7 +67,7 @@
 	})
 }
 
-func (a *Account) poolFigure(name, title, unit string, lines map[string]func(p *Pool) float64) experiment.Figure {
+func (a *Summary) poolFigure(name, title, unit string, lines map[string]func(p *Pool) float64) experiment.Figure {
 	f := experiment.Figure{Name: name, Title: title, XLabel: "second", YLabel: unit}
 	for _, pool := range a.poolNames() {
 		for _, line := range slices.Sorted(maps.Keys(lines)) {
@@ -84,7 +84,7 @@
 	return f
 }
 
-func (a *Account) poolNames() []string {
+func (a *Summary) poolNames() []string {
 	return distinctNames(a.Pools, func(p Pool) string { return p.Pool })
 }
 
--- a/cmd/internal/cli/reportcmd/report.go
+++ b/cmd/internal/cli/reportcmd/report.go
@@ -100,7 +100,7 @@
 }
 
 // printTables writes the results as tables.
-func printTables(w io.Writer, a *account.Account, out string) error {
+func printTables(w io.Writer, a *account.Summary, out string) error {
 	tables := []struct {
 		title string
 		rows  output.Rows
@@ -150,7 +150,7 @@
 	return out
 }
 
-func routeRows(a *account.Account) output.Rows {
+func routeRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"ROUTE", "KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "LEFT", "NO END", "CAME BACK", "SERVED THEN"}}
 	for i := range a.Routes {
 		r := &a.Routes[i]
@@ -160,7 +160,7 @@
 	return rows
 }
 
-func lateRows(a *account.Account) output.Rows {
+func lateRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"ROUTE", "LATE", "RETURN", "QUEUE", "PREFILL", "RETRIES", "REST", "ONLY PAUSED"}}
 	for i := range a.Routes {
 		r := &a.Routes[i]
@@ -174,7 +174,7 @@
 	return rows
 }
 
-func refusalRows(a *account.Account) output.Rows {
+func refusalRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"ROUTE", "REFUSALS", "P50", "P90", "MOST", "CAME BACK"}}
 	for i := range a.Routes {
 		r := &a.Routes[i]
@@ -186,7 +186,7 @@
 	return rows
 }
 
-func reasonRows(a *account.Account) output.Rows {
+func reasonRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"ROUTE", "TEAM", "COUNT", "OUTCOME", "REASON"}}
 	for _, r := range a.Reasons {
 		rows.Add(r.Route, r.Team, strconv.Itoa(r.Count), r.Outcome, r.Reason)
@@ -194,7 +194,7 @@
 	return rows
 }
 
-func wastedRows(a *account.Account) output.Rows {
+func wastedRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"CAUSE", "PROMPTS", "TOKENS"}}
 	for _, v := range a.Wasted {
 		rows.Add(append([]string{v.Cause}, formatInts(v.Count, v.Tokens)...)...)
@@ -202,7 +202,7 @@
 	return rows
 }
 
-func secondRows(a *account.Account) output.Rows {
+func secondRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"SECOND", "KIND", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "LEFT", "NO END", "TOKENS IN VAIN"}}
 	for i := range a.Seconds {
 		s := &a.Seconds[i]
@@ -212,7 +212,7 @@
 	return rows
 }
 
-func poolRows(a *account.Account) output.Rows {
+func poolRows(a *account.Summary) output.Rows {
 	rows := output.Rows{Header: []string{"SECOND", "POOL", "PREFILL", "WORKING", "DECODE", "RUNNING", "MEMORY HELD", "QUEUED"}}
 	for _, p := range a.Pools {
 		cells := append([]string{strconv.FormatFloat(p.AtSeconds, 'f', 1, 64), p.Pool}, formatInts(p.Prefills, p.PrefillsWorking, p.Decodes, p.DecodesRunning)...)
--- a/cmd/internal/cli/reportcmd/report_test.go
+++ b/cmd/internal/cli/reportcmd/report_test.go
@@ -42,7 +42,7 @@
 	is.NoErr(err)
 	raw, err := report(output.JSON, "", "--logs", dayLog)
 	is.NoErr(err)
-	var a account.Account
+	var a account.Summary
 	is.NoErr(json.Unmarshal([]byte(raw), &a))
 	is.Equal(a.Lines, 125)
 }
