--- a/cmd/internal/cli/fleetcmd/logs.go
+++ b/cmd/internal/cli/fleetcmd/logs.go
@@ -21,7 +21,7 @@
 	if err := logs.ReadPath(path, cmd.InOrStdin()); err != nil {
 		return err
 	}
-	story, err := logs.Tell(args[1])
+	story, err := logs.Explain(args[1])
 	if err != nil {
 		return fmt.Errorf("request %s in %d lines (%d unreadable): %w", args[1], len(logs.Lines), logs.Unreadable, err)
 	}
--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -53,7 +53,7 @@
 
 // Tell collects the lines about a request and derives its outcome. It returns
 // ErrUnknownRequest if no line names the request.
-func (l *Logs) Tell(request string) (*Story, error) {
+func (l *Logs) Explain(request string) (*Story, error) {
 	s := &Story{Request: request}
 	for _, line := range l.Lines {
 		if line.Fields[fieldRequest] == request {
--- a/cmd/internal/logstory/story_test.go
+++ b/cmd/internal/logstory/story_test.go
@@ -51,7 +51,7 @@
 	is := is.New(t)
 	l := readLogs(t)
 	is.Equal(l.Unreadable, 1) // the truncated line
-	s, err := l.Tell("a")
+	s, err := l.Explain("a")
 	is.NoErr(err)
 	is.Equal(eventNames(s.Own), "granted attempt_failed request")
 	is.Equal(eventNames(s.Beside), "pool_state endpoint_gone")
@@ -61,7 +61,7 @@
 
 func TestMissingEndIsReported(t *testing.T) {
 	is := is.New(t)
-	s, err := readLogs(t).Tell("b")
+	s, err := readLogs(t).Explain("b")
 	is.NoErr(err)
 	is.Equal(s.Cause, "its end is not logged; the last line is granted of city")
 	is.Equal(s.Silent, []string{"city was started anew at 2026-01-02T03:04:07Z: its former process ended without a word"})
@@ -79,7 +79,7 @@
 	path := filepath.Join(t.TempDir(), "all.log")
 	is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	is.NoErr(l.ReadPath(path, nil))
-	s, err := l.Tell("b")
+	s, err := l.Explain("b")
 	is.NoErr(err)
 	is.Equal(len(s.Silent), 1)
 	is.True(strings.HasPrefix(s.Silent[0], "city logs nothing behind 2026-01-02T03:04:06.5Z, others do until 2026-01-02T03:04:30Z"))
@@ -87,11 +87,11 @@
 
 func TestUnknownRequestIsAnError(t *testing.T) {
 	is := is.New(t)
-	_, err := readLogs(t).Tell("nobody")
+	_, err := readLogs(t).Explain("nobody")
 	is.True(errors.Is(err, ErrUnknownRequest))
 	var none Logs
 	is.True(none.ReadPath(t.TempDir(), nil) != nil)
 	is.NoErr(none.ReadPath("-", strings.NewReader(cityLog)))
-	_, err = none.Tell("a")
+	_, err = none.Explain("a")
 	is.NoErr(err)
 }
