--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/story.go
@@ -38,7 +38,7 @@
 var ErrUnknownRequest = errors.New("no line names this request: the id is wrong, the logs lack its daemon, or its lines were dropped")
 
 // Story holds the log lines about one request and its outcome.
-type Story struct {
+type Timeline struct {
 	Request string
 	// Own are the lines that name the request.
 	Own []Line
@@ -53,8 +53,8 @@
 
 // Tell collects the lines about a request and derives its outcome. It returns
 // ErrUnknownRequest if no line names the request.
-func (l *Logs) Explain(request string) (*Story, error) {
-	s := &Story{Request: request}
+func (l *Logs) Explain(request string) (*Timeline, error) {
+	s := &Timeline{Request: request}
 	for _, line := range l.Lines {
 		if line.Fields[fieldRequest] == request {
 			s.Own = append(s.Own, line)
@@ -74,7 +74,7 @@
 }
 
 // span returns the time range in which other lines count as related.
-func (s *Story) span() (from, to time.Time) {
+func (s *Timeline) span() (from, to time.Time) {
 	from = s.Own[0].At.Add(-contextWindow)
 	to = s.Own[len(s.Own)-1].At.Add(contextWindow / 5)
 	if took, ok := s.duration(); ok {
@@ -84,7 +84,7 @@
 }
 
 // duration returns how long the request took, and false if its end is not logged.
-func (s *Story) duration() (time.Duration, bool) {
+func (s *Timeline) duration() (time.Duration, bool) {
 	for _, line := range s.Own {
 		if line.Event == eventEnd {
 			d, err := time.ParseDuration(line.Fields["took"])
@@ -94,7 +94,7 @@
 	return 0, false
 }
 
-func (s *Story) findRelated(l *Logs) {
+func (s *Timeline) findRelated(l *Logs) {
 	from, to := s.span()
 	daemons, endpoints := map[string]bool{}, map[string]bool{}
 	for _, line := range s.Own {
@@ -130,7 +130,7 @@
 
 // service returns the service that the request was sent to, or an empty name if no
 // line names it.
-func (s *Story) service() string {
+func (s *Timeline) service() string {
 	for _, line := range s.Own {
 		if name := line.Fields["service"]; name != "" {
 			return name
@@ -141,7 +141,7 @@
 
 // findCause sets Cause from the line of the request's end. Without such a line it
 // explains why the end may be missing.
-func (s *Story) findCause(l *Logs) {
+func (s *Timeline) findCause(l *Logs) {
 	var end *Line
 	for i := range s.Own {
 		if s.Own[i].Event == eventEnd {
@@ -163,7 +163,7 @@
 }
 
 // explainMissingEnd sets Cause and Silent for a request whose end is not logged.
-func (s *Story) explainMissingEnd(l *Logs) {
+func (s *Timeline) explainMissingEnd(l *Logs) {
 	last := s.Own[len(s.Own)-1]
 	s.Cause = fmt.Sprintf("its end is not logged; the last line is %s of %s", last.Event, last.Daemon)
 	after := last.At
