--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -230,7 +230,7 @@
 
 func totalsOf(f *fleet.Fleet) totals {
 	var s totals
-	for i := range f.Places() {
+	for i := range f.Members() {
 		daemon := f.Daemon(i)
 		if daemon == nil {
 			continue
--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -73,7 +73,7 @@
 
 func (s *inProcessFleet) mode() string              { return modeInProcess }
 func (s *inProcessFleet) key() string               { return s.fleet.OperatorKey() }
-func (s *inProcessFleet) places() int               { return s.fleet.Places() }
+func (s *inProcessFleet) places() int               { return s.fleet.Members() }
 func (s *inProcessFleet) inject(f wire.Fault) error { return s.fleet.Inject(f) }
 func (s *inProcessFleet) close()                    { s.fleet.Close() }
 
--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -136,7 +136,7 @@
 // placesIn returns the places of a failure domain.
 func placesIn(f *fleet.Fleet, domain string) []int {
 	var out []int
-	for i := range f.Places() {
+	for i := range f.Members() {
 		if string(f.Domain(i)) == domain {
 			out = append(out, i)
 		}
--- a/cmd/internal/experiment/faults_injections.go
+++ b/cmd/internal/experiment/faults_injections.go
@@ -62,7 +62,7 @@
 // place.
 func (s *faultTarget) randomDaemon(excluded int) int {
 	for {
-		i := s.rng.IntN(s.fleet.Places())
+		i := s.rng.IntN(s.fleet.Members())
 		if i != excluded && s.fleet.Daemon(i) != nil {
 			return i
 		}
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -123,7 +123,7 @@
 
 // replaceDaemons stops each daemon with a planned stop and starts a new one.
 func (r *rolling) replaceDaemons(ctx context.Context) error {
-	for i := range r.fleet.Places() {
+	for i := range r.fleet.Members() {
 		began := time.Now()
 		if err := r.fleet.Stop(ctx, i); err != nil {
 			return err
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -15,7 +15,7 @@
 )
 
 // Places returns the number of members, with or without a running daemon.
-func (f *Fleet) Places() int { return len(f.members) }
+func (f *Fleet) Members() int { return len(f.members) }
 
 // Place returns the index of the member with a name, or -1 if there is none.
 func (f *Fleet) Place(name id.Daemon) int {
