--- a/cmd/internal/experiment/faults_injections.go
+++ b/cmd/internal/experiment/faults_injections.go
@@ -203,7 +203,7 @@
 	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			place = s.owner()
-			s.fleet.Daemon(place).Transport().SetFault(func(to id.Daemon) peer.Drop { return peer.Drop(s.fleet.Place(to)%2 == 0) })
+			s.fleet.Daemon(place).Transport().SetFault(func(to id.Daemon) peer.Drop { return peer.Drop(s.fleet.MemberIndex(to)%2 == 0) })
 			return nil
 		},
 		end: func(_ context.Context, s *faultTarget) error {
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -18,7 +18,7 @@
 func (f *Fleet) Members() int { return len(f.members) }
 
 // Place returns the index of the member with a name, or -1 if there is none.
-func (f *Fleet) Place(name id.Daemon) int {
+func (f *Fleet) MemberIndex(name id.Daemon) int {
 	return slices.IndexFunc(f.members, func(m *member) bool { return m.name == name })
 }
 
@@ -38,7 +38,7 @@
 	if len(running) == 0 {
 		return -1
 	}
-	return f.Place(rendezvous.Owner(string(pool), running))
+	return f.MemberIndex(rendezvous.Owner(string(pool), running))
 }
 
 // Hosts returns the true host list, that of the running daemons.
