--- a/cmd/internal/experiment/faults_injections.go
+++ b/cmd/internal/experiment/faults_injections.go
@@ -70,7 +70,7 @@
 }
 
 // owner returns the place of the daemon that schedules the pool.
-func (s *faultTarget) owner() int { return s.fleet.Owner(id.Pool(s.site.ModelService)) }
+func (s *faultTarget) owner() int { return s.fleet.OwnerIndex(id.Pool(s.site.ModelService)) }
 
 // killOwner kills the daemon that schedules the pool, and replaces it at the end.
 func killOwner() injection {
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -28,7 +28,7 @@
 // Owner returns the index of the member whose daemon schedules a pool, or -1 if no
 // daemon runs. It applies the rule that all daemons apply to the set of running
 // daemons, so it holds once they agree on that set.
-func (f *Fleet) Owner(pool id.Pool) int {
+func (f *Fleet) OwnerIndex(pool id.Pool) int {
 	var running []id.Daemon
 	for i, m := range f.members {
 		if f.Daemon(i) != nil {
