--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -112,7 +112,7 @@
 			w.NotRunButRan++
 		}
 	}
-	decoded := x.fleet.Decoded()
+	decoded := x.fleet.DecodeRuns()
 	for _, request := range x.observer.refusedRequests() {
 		if anyDecoded(attempts.attemptsOf(request), decoded) {
 			w.NotRunButRan++
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -88,7 +88,7 @@
 }
 
 // Decoded returns how often the engines started to decode each attempt.
-func (f *Fleet) Decoded() map[string]int {
+func (f *Fleet) DecodeRuns() map[string]int {
 	runs := map[string]int{}
 	for _, p := range f.platforms {
 		for _, e := range p.Engines {
