--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -158,13 +158,13 @@
 
 // result is the JSON result.
 type result struct {
-	Result *load.Result `json:"result"`
-	Work   fleet.Work   `json:"work"`
+	Result *load.Result       `json:"result"`
+	Work   fleet.EngineTotals `json:"work"`
 }
 
 // report prints the results and returns an error if answers are missing or have
 // faults.
-func report(cmd *cobra.Command, opts *common.Options, res *load.Result, work fleet.Work) error {
+func report(cmd *cobra.Command, opts *common.Options, res *load.Result, work fleet.EngineTotals) error {
 	t := res.Total
 	rows := output.Rows{}
 	rows.Add(fmt.Sprintf("requests=%d answered=%d lost=%d doubled=%d wasted_prefill=%.1f%% ttft_p95=%.0fms pace_p95=%.0fms",
--- a/cmd/internal/cli/localcmd/local_test.go
+++ b/cmd/internal/cli/localcmd/local_test.go
@@ -39,11 +39,11 @@
 	res.Total.Requests = 2
 	res.Total.Answered = 1
 	opts := &common.Options{Output: output.JSON}
-	is.Equal(exit.Code(report(cmd, opts, res, fleet.Work{})), exit.Faults)
+	is.Equal(exit.Code(report(cmd, opts, res, fleet.EngineTotals{})), exit.Faults)
 	res.Total.Answered = 2
-	is.NoErr(report(cmd, opts, res, fleet.Work{}))
+	is.NoErr(report(cmd, opts, res, fleet.EngineTotals{}))
 	res.Total.Doubled = 1
-	is.Equal(exit.Code(report(cmd, opts, res, fleet.Work{})), exit.Faults)
+	is.Equal(exit.Code(report(cmd, opts, res, fleet.EngineTotals{})), exit.Faults)
 }
 
 func TestUnknownDeploymentIsWrongUsage(t *testing.T) {
--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -78,12 +78,12 @@
 // without the warm-up. Wasted tokens are counted only when a KV cache expires, so
 // their count starts later by the lifetime of a KV cache. It then covers the waste
 // of the counted work.
-func measure(ctx context.Context, env Env, f *fleet.Fleet, spec load.Spec) (*load.Result, fleet.Work, error) {
+func measure(ctx context.Context, env Env, f *fleet.Fleet, spec load.Spec) (*load.Result, fleet.EngineTotals, error) {
 	atWarm := snapshotAfter(env.Warmup, f)
 	atWaste := snapshotAfter(env.Warmup+standin.DefaultKVLifetime, f)
 	res, err := load.Run(ctx, spec)
 	if err != nil {
-		return nil, fleet.Work{}, err
+		return nil, fleet.EngineTotals{}, err
 	}
 	settle(ctx, f)
 	end := f.Work()
@@ -94,15 +94,15 @@
 
 // snapshotAfter takes a snapshot of the engines' work after d. The returned
 // function returns the snapshot, or zero if d has not passed yet.
-func snapshotAfter(d time.Duration, f *fleet.Fleet) func() fleet.Work {
+func snapshotAfter(d time.Duration, f *fleet.Fleet) func() fleet.EngineTotals {
 	var mu sync.Mutex
-	var work fleet.Work
+	var work fleet.EngineTotals
 	timer := time.AfterFunc(d, func() {
 		mu.Lock()
 		defer mu.Unlock()
 		work = f.Work()
 	})
-	return func() fleet.Work {
+	return func() fleet.EngineTotals {
 		timer.Stop()
 		mu.Lock()
 		defer mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // addFaults adds faults for outcomes of a run that must never occur.
-func (r *Report) addFaults(run string, res *load.Result, work fleet.Work) {
+func (r *Report) addFaults(run string, res *load.Result, work fleet.EngineTotals) {
 	if n := res.Faults(); n > 0 {
 		r.addFault("%s: lost=%d doubled=%d wrong=%d", run, res.Total.Lost, res.Total.Doubled, res.Total.Wrong)
 	}
--- a/cmd/internal/experiment/experiment_test.go
+++ b/cmd/internal/experiment/experiment_test.go
@@ -90,12 +90,12 @@
 func TestFaultsAreReported(t *testing.T) {
 	is := is.New(t)
 	r := &Report{}
-	r.addFaults("calm", &load.Result{}, fleet.Work{})
+	r.addFaults("calm", &load.Result{}, fleet.EngineTotals{})
 	is.Equal(len(r.Faults), 0)
 	res := &load.Result{}
 	res.Total.Doubled = 1
-	r.addFaults("doubled", res, fleet.Work{})
-	r.addFaults("held", &load.Result{}, fleet.Work{HeldAfterCancel: 1})
-	r.addFaults("twice", &load.Result{}, fleet.Work{RanTwice: 1})
+	r.addFaults("doubled", res, fleet.EngineTotals{})
+	r.addFaults("held", &load.Result{}, fleet.EngineTotals{HeldAfterCancel: 1})
+	r.addFaults("twice", &load.Result{}, fleet.EngineTotals{RanTwice: 1})
 	is.Equal(r.Faults, []string{"doubled: lost=0 doubled=1 wrong=0", "held: held_after_cancel=1 running=0", "twice: ran_twice=1"})
 }
--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -44,10 +44,10 @@
 	OthersSent int `json:"others_sent"`
 	// OthersRefused and OthersLate are the numbers of their completions that were
 	// refused, and that were answered but missed a target.
-	OthersRefused int          `json:"others_refused"`
-	OthersLate    int          `json:"others_late"`
-	Result        *load.Result `json:"result"`
-	Work          fleet.Work   `json:"work"`
+	OthersRefused int                `json:"others_refused"`
+	OthersLate    int                `json:"others_late"`
+	Result        *load.Result       `json:"result"`
+	Work          fleet.EngineTotals `json:"work"`
 }
 
 // runFairness measures how a misbehaving team affects the others. The others send
--- a/cmd/internal/experiment/routing.go
+++ b/cmd/internal/experiment/routing.go
@@ -36,10 +36,10 @@
 	Bound Bound   `json:"bound"`
 	// BoundGoodput is the goodput of the bound at the actual arrival rate, in
 	// completions per second.
-	BoundGoodput float64      `json:"bound_goodput_per_second"`
-	WastedShare  float64      `json:"wasted_share"`
-	Result       *load.Result `json:"result"`
-	Work         fleet.Work   `json:"work"`
+	BoundGoodput float64            `json:"bound_goodput_per_second"`
+	WastedShare  float64            `json:"wasted_share"`
+	Result       *load.Result       `json:"result"`
+	Work         fleet.EngineTotals `json:"work"`
 }
 
 // runRouting compares the policies on the same arrivals.
--- a/cmd/internal/fleet/counters.go
+++ b/cmd/internal/fleet/counters.go
@@ -1,7 +1,7 @@
 package fleet
 
 // Work holds sums of the counters of a fleet's engines.
-type Work struct {
+type EngineTotals struct {
 	PrefillTokens int64 `json:"prefill_tokens"`
 	WastedTokens  int64 `json:"wasted_tokens"`
 	// RanTwice counts decodes of a request that the same engine had decoded before.
@@ -15,8 +15,8 @@
 }
 
 // Work returns the current sums.
-func (f *Fleet) Work() Work {
-	var w Work
+func (f *Fleet) Work() EngineTotals {
+	var w EngineTotals
 	for _, p := range f.platforms {
 		for _, e := range p.Engines {
 			c := e.Counters()
@@ -33,7 +33,7 @@
 
 // Since returns the sums with the counts of an earlier snapshot subtracted; the
 // numbers held now stay as they are.
-func (w Work) Since(earlier Work) Work {
+func (w EngineTotals) Since(earlier EngineTotals) EngineTotals {
 	w.PrefillTokens -= earlier.PrefillTokens
 	w.WastedTokens -= earlier.WastedTokens
 	w.RanTwice -= earlier.RanTwice
@@ -41,7 +41,7 @@
 }
 
 // WastedShare returns the share of the prefill tokens that were wasted, 0 to 1.
-func (w Work) WastedShare() float64 {
+func (w EngineTotals) WastedShare() float64 {
 	if w.PrefillTokens == 0 {
 		return 0
 	}
