--- a/cmd/internal/cli/localcmd/local.go
+++ b/cmd/internal/cli/localcmd/local.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return report(cmd, opts, res, fl.Work())
+	return report(cmd, opts, res, fl.EngineTotals())
 }
 
 func sitesOf(deployments []experiment.Deployment) []standin.PlatformConfig {
--- a/cmd/internal/experiment/deployment.go
+++ b/cmd/internal/experiment/deployment.go
@@ -86,7 +86,7 @@
 		return nil, fleet.EngineTotals{}, err
 	}
 	settle(ctx, f)
-	end := f.Work()
+	end := f.EngineTotals()
 	work := end.Since(atWarm())
 	work.WastedTokens = end.Since(atWaste()).WastedTokens
 	return res, work, ctx.Err()
@@ -100,7 +100,7 @@
 	timer := time.AfterFunc(d, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		work = f.Work()
+		work = f.EngineTotals()
 	})
 	return func() fleet.EngineTotals {
 		timer.Stop()
@@ -121,7 +121,7 @@
 func settle(ctx context.Context, f *fleet.Fleet) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	for w := f.Work(); w.Running > 0 || w.KVHeld > 0; w = f.Work() {
+	for w := f.EngineTotals(); w.Running > 0 || w.KVHeld > 0; w = f.EngineTotals() {
 		select {
 		case <-ctx.Done():
 			return
--- a/cmd/internal/fleet/counters.go
+++ b/cmd/internal/fleet/counters.go
@@ -15,7 +15,7 @@
 }
 
 // Work returns the current sums.
-func (f *Fleet) Work() EngineTotals {
+func (f *Fleet) EngineTotals() EngineTotals {
 	var w EngineTotals
 	for _, p := range f.platforms {
 		for _, e := range p.Engines {
