--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -146,7 +146,7 @@
 	before := memoryNow()
 	f, err := fleet.Start(ctx, fleet.Config{
 		Sites: []standin.PlatformConfig{run.site()}, Daemons: run.daemons, Change: run.addItems,
-		Tune: func(s *settings.Settings) { s.Membership.Mode = run.mode },
+		AdjustSettings: func(s *settings.Settings) { s.Membership.Mode = run.mode },
 	})
 	if err != nil {
 		return out, fmt.Errorf("%+v: %w", run, err)
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -56,7 +56,7 @@
 func runRolling(ctx context.Context, env Env) (*Report, error) {
 	d := faultDeployment()
 	f, attempts, err := faultFleet(ctx, env, d, func(c *fleet.Config) {
-		c.Tune = func(s *settings.Settings) {
+		c.AdjustSettings = func(s *settings.Settings) {
 			s.Timings.EntryLifetimeMS = rollingEntryLifeMS
 			s.Timings.DrainMS = rollingDrainMS
 		}
--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -29,7 +29,7 @@
 	// Log receives the daemons' log lines. By default they are discarded.
 	Log io.Writer
 	// Tune modifies the settings of a daemon before it starts; may be nil.
-	Tune func(*settings.Settings)
+	AdjustSettings func(*settings.Settings)
 	// Change modifies the live configuration before it is applied; may be nil.
 	Change func(*live.Document)
 }
--- a/cmd/internal/fleet/member.go
+++ b/cmd/internal/fleet/member.go
@@ -58,8 +58,8 @@
 	if s.Listen, err = m.reserveAddresses(); err != nil {
 		return err
 	}
-	if f.config.Tune != nil {
-		f.config.Tune(s)
+	if f.config.AdjustSettings != nil {
+		f.config.AdjustSettings(s)
 	}
 	material, err := f.ca.Peer(m.name)
 	if err != nil {
