--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -48,7 +48,7 @@
 	d := Deployment{Name: "claims", Site: site}
 	fleetTeams, loadTeams := d.Teams(1)
 	fleetTeams[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: daemons, Teams: fleetTeams, Change: raiseTimeouts})
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: daemons, Teams: fleetTeams, AdjustDocument: raiseTimeouts})
 	if err != nil {
 		return out, err
 	}
--- a/cmd/internal/experiment/capacity_idle.go
+++ b/cmd/internal/experiment/capacity_idle.go
@@ -145,7 +145,7 @@
 	}
 	before := memoryNow()
 	f, err := fleet.Start(ctx, fleet.Config{
-		Sites: []standin.PlatformConfig{run.site()}, Daemons: run.daemons, Change: run.addItems,
+		Sites: []standin.PlatformConfig{run.site()}, Daemons: run.daemons, AdjustDocument: run.addItems,
 		AdjustSettings: func(s *settings.Settings) { s.Membership.Mode = run.mode },
 	})
 	if err != nil {
--- a/cmd/internal/experiment/capacity_inflight.go
+++ b/cmd/internal/experiment/capacity_inflight.go
@@ -34,7 +34,7 @@
 	d := Deployment{Name: "in-flight", Site: site}
 	fleetTeams, loadTeams := d.Teams(1)
 	fleetTeams[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: fleetTeams, Change: raiseTimeouts})
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: 1, Teams: fleetTeams, AdjustDocument: raiseTimeouts})
 	if err != nil {
 		return err
 	}
--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -31,7 +31,7 @@
 	// Tune modifies the settings of a daemon before it starts; may be nil.
 	AdjustSettings func(*settings.Settings)
 	// Change modifies the live configuration before it is applied; may be nil.
-	Change func(*live.Document)
+	AdjustDocument func(*live.Document)
 }
 
 // Team is a team of the live configuration with its key.
@@ -72,8 +72,8 @@
 		doc.Endpoints = append(doc.Endpoints, site.Endpoints...)
 		doc.Links = append(doc.Links, site.Links...)
 	}
-	if c.Change != nil {
-		c.Change(doc)
+	if c.AdjustDocument != nil {
+		c.AdjustDocument(doc)
 	}
 	return doc
 }
