--- a/cmd/internal/experiment/fairness.go
+++ b/cmd/internal/experiment/fairness.go
@@ -98,7 +98,7 @@
 	defer f.Close()
 	bound := BoundOf(d.Site, d.Profile, d.FirstToken)
 	spec := d.spec(env, f, loadTeams, fairnessLoad*bound.Capacity*meanWeight(loadTeams))
-	spec.Patience = fairnessPatience
+	spec.Timeout = fairnessPatience
 	res, work, err := measure(ctx, env, f, spec)
 	if err != nil {
 		return FairnessFigures{}, err
--- a/cmd/internal/experiment/faults_load.go
+++ b/cmd/internal/experiment/faults_load.go
@@ -90,7 +90,7 @@
 		Entry: f.CallerAddresses(), Teams: teams, Seed: env.Seed, Duration: duration,
 		Rate:             share * bound.Capacity / (1 - d.Profile.PlainShare),
 		FirstTokenTarget: d.FirstToken, PaceTarget: d.Pace,
-		MaxAttempts: faultAttempts, Patience: faultPatience, Expect: Expected,
+		MaxAttempts: faultAttempts, Timeout: faultPatience, Expect: Expected,
 	}
 	client := load.NewClient()
 	x := &driver{fleet: f, spec: spec, observer: newObserver(client.Transport), prompts: load.NewPrompts(env.Seed, teams)}
@@ -168,7 +168,7 @@
 
 // sendNonStreaming sends a completion that is answered in one body.
 func (x *driver) sendNonStreaming(ctx context.Context, a load.Arrival, prompt string, tokens int) requestRecord {
-	ctx, cancel := context.WithTimeout(ctx, x.spec.Patience)
+	ctx, cancel := context.WithTimeout(ctx, x.spec.Timeout)
 	defer cancel()
 	begun := time.Now()
 	reply, err := x.nonStreaming[callerOf(a)].complete(ctx, prompt, tokens)
--- a/cmd/internal/fleet/fleet_test.go
+++ b/cmd/internal/fleet/fleet_test.go
@@ -29,7 +29,7 @@
 	res, err := load.Run(context.Background(), load.Spec{
 		Entry: f.CallerAddresses(), Rate: 20, Requests: 20, Seed: seed,
 		Teams:       []load.Team{{Name: "agents", Key: "k", Profile: testProfile()}},
-		MaxAttempts: 1000, Patience: time.Minute,
+		MaxAttempts: 1000, Timeout: time.Minute,
 		Expect:    func(_, prompt string, n int) string { return standin.Answer(prompt, n) },
 		PlainRuns: f.PlainRuns,
 	})
--- a/cmd/internal/load/load.go
+++ b/cmd/internal/load/load.go
@@ -88,7 +88,7 @@
 	// ignores it.
 	MaxAttempts int
 	// Patience is the timeout for the whole answer, over all attempts. Default 30 s.
-	Patience time.Duration
+	Timeout time.Duration
 	// Expect returns the expected answers; if nil, only completeness is checked.
 	Expect Expect
 	// PlainRuns, if set, is called at the end of the run and returns how often the
@@ -117,8 +117,8 @@
 	if s.MaxAttempts == 0 {
 		s.MaxAttempts = DefaultMaxAttempts
 	}
-	if s.Patience == 0 {
-		s.Patience = DefaultPatience
+	if s.Timeout == 0 {
+		s.Timeout = DefaultPatience
 	}
 	teams := make([]Team, len(s.Teams))
 	copy(teams, s.Teams)
--- a/cmd/internal/load/plain.go
+++ b/cmd/internal/load/plain.go
@@ -29,7 +29,7 @@
 		rec.Outcome = OutcomeFailed
 		return rec
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.spec.Timeout)
 	defer cancel()
 	start := time.Now()
 	c.retryLoop(ctx, &rec, func(ctx context.Context, address string) attemptResult {
--- a/cmd/internal/load/stream.go
+++ b/cmd/internal/load/stream.go
@@ -47,7 +47,7 @@
 	request := opapi.CompletionRequest{
 		Model: c.team.Profile.Model, Prompt: prompt, MaxTokens: maxTokens, Stream: true,
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.spec.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.spec.Timeout)
 	defer cancel()
 	s := &stream{caller: c, request: request, answer: newAnswer(), rec: &rec, start: time.Now()}
 	c.retryLoop(ctx, &rec, s.attempt)
