--- a/cmd/internal/load/load.go
+++ b/cmd/internal/load/load.go
@@ -103,7 +103,7 @@
 	DefaultFirstTokenTarget = 360 * time.Millisecond
 	DefaultPaceTarget       = 50 * time.Millisecond
 	DefaultMaxAttempts      = 6
-	DefaultPatience         = 30 * time.Second
+	DefaultTimeout          = 30 * time.Second
 )
 
 // withDefaults returns a copy with the defaults of unset fields filled in.
@@ -118,7 +118,7 @@
 		s.MaxAttempts = DefaultMaxAttempts
 	}
 	if s.Timeout == 0 {
-		s.Timeout = DefaultPatience
+		s.Timeout = DefaultTimeout
 	}
 	teams := make([]Team, len(s.Teams))
 	copy(teams, s.Teams)
