--- a/cmd/internal/cli/soakcmd/soak.go
+++ b/cmd/internal/cli/soakcmd/soak.go
@@ -33,7 +33,7 @@
 		Example: "  scripts/soak.sh 1 2 3",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if cfg.Dir == "" || cfg.Daemons < 1 || cfg.Callers < 1 || cfg.Length <= 0 {
+			if cfg.Dir == "" || cfg.Daemons < 1 || cfg.Callers < 1 || cfg.Duration <= 0 {
 				return exit.Errorf(exit.Usage, "--dir DIR is missing, or --daemons, --callers or --length is not above 0")
 			}
 			cfg.Out = cmd.OutOrStdout()
@@ -45,6 +45,6 @@
 	fs.Uint64Var(&cfg.Seed, "seed", 1, "seed of the faults and requests")
 	fs.IntVar(&cfg.Daemons, "daemons", defaultDaemons, "number of daemons")
 	fs.IntVar(&cfg.Callers, "callers", defaultCallers, "number of concurrent callers")
-	fs.DurationVar(&cfg.Length, "length", defaultLength, "time during which faults are injected")
+	fs.DurationVar(&cfg.Duration, "length", defaultLength, "time during which faults are injected")
 	return cmd
 }
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -26,7 +26,7 @@
 	// Callers is the number of concurrent callers.
 	Callers int
 	// Length is how long faults are injected.
-	Length time.Duration
+	Duration time.Duration
 	// Out receives a line for each fault and each violation, and the result.
 	Out io.Writer
 }
@@ -160,7 +160,7 @@
 	start := time.Now()
 	var reverts sync.WaitGroup
 	defer reverts.Wait()
-	for _, f := range r.plan(rng, r.cfg.Length) {
+	for _, f := range r.plan(rng, r.cfg.Duration) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
