--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -11,7 +11,7 @@
 )
 
 // Account is the summary of the logs of a span of time.
-type Account struct {
+type Summary struct {
 	// From and To bound the span; the offsets in seconds below count from From.
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
@@ -24,7 +24,7 @@
 	// Reasons counts the attempts that were not answered, by reason.
 	Reasons []Reason `json:"reasons"`
 	// Vain counts the wasted prompts by cause.
-	Vain []Vain `json:"vain"`
+	Wasted []WastedPrompts `json:"vain"`
 	// Seconds counts the requests by the second of their arrival.
 	Seconds []Second `json:"seconds"`
 	// Pools holds the states of the pools as their owners logged them.
@@ -34,7 +34,7 @@
 // Counts counts requests by outcome; a request and its retries by the caller count
 // once.
 type Counts struct {
-	Asked int `json:"asked"`
+	Requests int `json:"asked"`
 	// InTime and Late count answered requests.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
@@ -42,7 +42,7 @@
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 	// Left counts requests whose callers disconnected before the answer was due.
-	Left int `json:"left"`
+	Disconnected int `json:"left"`
 	// NoEnd counts streams that were granted engines and whose end is not logged:
 	// their daemon was killed, or the line was dropped. Plain calls are not counted
 	// here, since nothing is logged before their end.
@@ -61,19 +61,19 @@
 	Counts
 	// CameBack counts the requests that their callers retried after a refusal or a
 	// failure, Served those of them that were then answered.
-	CameBack int `json:"came_back"`
-	Served   int `json:"came_back_served"`
+	Retried         int `json:"came_back"`
+	RetriedAnswered int `json:"came_back_served"`
 	// LateTime is how the late answers spent their time.
 	LateTime LateTime `json:"late_time"`
 	// Refusals holds the times from arrival to refusal.
-	Refusals Waits `json:"refusals"`
+	Refusals RefusalTimes `json:"refusals"`
 }
 
 // LateTime is the mean time of late answers, in milliseconds.
 type LateTime struct {
 	// Return is the time from a request's first arrival to the arrival of the
 	// retry that was answered.
-	Return float64 `json:"return_ms"`
+	RetryDelay float64 `json:"return_ms"`
 	// Queue is the time in the queue for engines, Prefill the prefill time, Retries
 	// the time of the daemon's failed attempts at endpoints, Rest the time of the
 	// transfer and the first event, or of the plain call.
@@ -87,13 +87,13 @@
 }
 
 // Waits holds the times from arrival to refusal, in milliseconds.
-type Waits struct {
+type RefusalTimes struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
 	Max   float64 `json:"max_ms"`
 	// Back counts the refusals that the caller retried.
-	Back int `json:"back"`
+	Retried int `json:"back"`
 }
 
 // Reason counts the unanswered attempts with one route, outcome and reason.
@@ -107,7 +107,7 @@
 }
 
 // Vain counts the wasted prompts of one cause and their tokens.
-type Vain struct {
+type WastedPrompts struct {
 	Cause  string `json:"cause"`
 	Count  int    `json:"count"`
 	Tokens int    `json:"tokens"`
@@ -121,7 +121,7 @@
 	Kind string `json:"kind"`
 	Counts
 	// VainTokens counts the tokens of prompts that were wasted in this second.
-	VainTokens int `json:"vain_tokens"`
+	WastedTokens int `json:"vain_tokens"`
 }
 
 // Pool is the state of a pool at one moment.
@@ -130,10 +130,10 @@
 	Pool      string  `json:"pool"`
 	// Prefills and Decodes count the engines by role, Working the busy prefill
 	// engines, Running the requests on the decode engines.
-	Prefills int `json:"prefills"`
-	Working  int `json:"prefills_working"`
-	Decodes  int `json:"decodes"`
-	Running  int `json:"decodes_running"`
+	Prefills        int `json:"prefills"`
+	PrefillsWorking int `json:"prefills_working"`
+	Decodes         int `json:"decodes"`
+	DecodesRunning  int `json:"decodes_running"`
 	// MemoryHeld is the share of the decode engines' memory that is held, 0 to 1.
 	MemoryHeld float64 `json:"memory_held_share"`
 	Queued     int     `json:"queued"`
@@ -148,7 +148,7 @@
 
 // Make builds the account of log lines. It returns ErrNoRequests if they hold no
 // end of a request within the bounds.
-func Make(logs *logstory.Logs, o Options) (*Account, error) {
+func Summarize(logs *logstory.Logs, o Options) (*Summary, error) {
 	b := newBuilder(o)
 	for i := range logs.Lines {
 		b.addLine(&logs.Lines[i])
--- a/cmd/internal/account/account_test.go
+++ b/cmd/internal/account/account_test.go
@@ -34,7 +34,7 @@
 	return string(raw)
 }
 
-func findRoute(a *Account, name string) Route {
+func findRoute(a *Summary, name string) Route {
 	for _, r := range a.Routes {
 		if r.Name == name {
 			return r
@@ -47,21 +47,21 @@
 // fingerprint, made without this code.
 func TestAccountOfADay(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(readLogs(t, readDayLog(t)), Options{})
+	a, err := Summarize(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	is.Equal(a.Lines, 125)
 	is.Equal(a.Unreadable, 0.0)
-	is.Equal(findRoute(a, "route-1").Counts, Counts{Asked: 9, InTime: 7, Failed: 2})
-	is.Equal(findRoute(a, "route-2").Counts, Counts{Asked: 10, InTime: 8, Failed: 2})
-	is.Equal(findRoute(a, "route-3").Counts, Counts{Asked: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Left: 2, NoEnd: 1})
-	is.Equal(findRoute(a, "route-3").Refusals.Back, 3)
+	is.Equal(findRoute(a, "route-1").Counts, Counts{Requests: 9, InTime: 7, Failed: 2})
+	is.Equal(findRoute(a, "route-2").Counts, Counts{Requests: 10, InTime: 8, Failed: 2})
+	is.Equal(findRoute(a, "route-3").Counts, Counts{Requests: 20, InTime: 7, Late: 3, Refused: 6, Failed: 1, Disconnected: 2, NoEnd: 1})
+	is.Equal(findRoute(a, "route-3").Refusals.Retried, 3)
 	is.Equal(findRoute(a, "route-3").LateTime.Paused, 3)
-	is.Equal(a.Vain[0], Vain{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
+	is.Equal(a.Wasted[0], WastedPrompts{Cause: "no decode: overloaded", Count: 3, Tokens: 11226})
 	sum := Counts{}
 	for _, s := range a.Seconds {
-		sum.Asked += s.Asked
+		sum.Requests += s.Requests
 	}
-	is.Equal(sum.Asked, 45)
+	is.Equal(sum.Requests, 45)
 	is.Equal(len(a.Pools), 7) // the eighth was logged before the first arrival
 }
 
@@ -75,38 +75,38 @@
 	}
 	refused := line("01.1", "x1", "outcome=overloaded verdict=not-run status=0 reason=full")
 	answered := line("03.1", "x2", "outcome=answered status=200 in_time=true")
-	a, err := Make(readLogs(t, refused+answered), Options{})
+	a, err := Summarize(readLogs(t, refused+answered), Options{})
 	is.NoErr(err)
-	is.Equal(a.Routes[0].Counts, Counts{Asked: 1, Late: 1})
-	is.Equal(a.Routes[0].CameBack, 1)
-	is.Equal(a.Routes[0].Served, 1)
-	is.Equal(a.Routes[0].LateTime.Return, 2000.0)
-	is.Equal(a.Routes[0].Refusals, Waits{Count: 1, P50: 100, P90: 100, Max: 100, Back: 1})
+	is.Equal(a.Routes[0].Counts, Counts{Requests: 1, Late: 1})
+	is.Equal(a.Routes[0].Retried, 1)
+	is.Equal(a.Routes[0].RetriedAnswered, 1)
+	is.Equal(a.Routes[0].LateTime.RetryDelay, 2000.0)
+	is.Equal(a.Routes[0].Refusals, RefusalTimes{Count: 1, P50: 100, P90: 100, Max: 100, Retried: 1})
 	// An attempt of another caller, or after an answer, is another request.
 	again := line("04.1", "x3", "outcome=answered status=200 in_time=true")
-	a, err = Make(readLogs(t, refused+answered+again), Options{})
+	a, err = Summarize(readLogs(t, refused+answered+again), Options{})
 	is.NoErr(err)
-	is.Equal(a.Routes[0].Counts, Counts{Asked: 2, InTime: 1, Late: 1})
+	is.Equal(a.Routes[0].Counts, Counts{Requests: 2, InTime: 1, Late: 1})
 }
 
 func TestSpanExcludesArrivalsOutsideIt(t *testing.T) {
 	is := is.New(t)
-	whole, err := Make(readLogs(t, readDayLog(t)), Options{})
+	whole, err := Summarize(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	middle := whole.From.Add(20 * time.Second)
-	first, err := Make(readLogs(t, readDayLog(t)), Options{To: middle})
+	first, err := Summarize(readLogs(t, readDayLog(t)), Options{To: middle})
 	is.NoErr(err)
-	second, err := Make(readLogs(t, readDayLog(t)), Options{From: middle})
+	second, err := Summarize(readLogs(t, readDayLog(t)), Options{From: middle})
 	is.NoErr(err)
-	asked := func(a *Account) (n int) {
+	asked := func(a *Summary) (n int) {
 		for i := range a.Routes {
-			n += a.Routes[i].Asked
+			n += a.Routes[i].Requests
 		}
 		return n
 	}
 	is.True(asked(first) > 0 && asked(second) > 0)
 	is.True(asked(first)+asked(second) >= asked(whole)) // a request retried across the bound counts on both sides
-	_, err = Make(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
+	_, err = Summarize(readLogs(t, readDayLog(t)), Options{From: whole.To.Add(time.Hour)})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
@@ -116,17 +116,17 @@
 	is := is.New(t)
 	text := readDayLog(t)
 	bad := "ts=2026-03-24T23:44:50Z daemon=d level=info event=pool_state pool=p prefills=many\n" + "\xff\xfe\x00\n" + text[:200] + "\n"
-	a, err := Make(readLogs(t, bad+text), Options{})
+	a, err := Summarize(readLogs(t, bad+text), Options{})
 	is.NoErr(err)
 	is.True(a.Unreadable > 2.0/130 && a.Unreadable < 4.0/125)
-	is.Equal(findRoute(a, "route-3").Asked, 20)
-	_, err = Make(readLogs(t, "no log at all\n"), Options{})
+	is.Equal(findRoute(a, "route-3").Requests, 20)
+	_, err = Summarize(readLogs(t, "no log at all\n"), Options{})
 	is.True(errors.Is(err, ErrNoRequests))
 }
 
 func TestAccountIsWrittenWithPlots(t *testing.T) {
 	is := is.New(t)
-	a, err := Make(readLogs(t, readDayLog(t)), Options{})
+	a, err := Summarize(readLogs(t, readDayLog(t)), Options{})
 	is.NoErr(err)
 	dir := t.TempDir()
 	is.NoErr(a.Report().Write(dir))
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -17,7 +17,7 @@
 type request []*attempt
 
 // finish builds the account from the collected data.
-func (b *builder) finish(logs *logstory.Logs) (*Account, error) {
+func (b *builder) finish(logs *logstory.Logs) (*Summary, error) {
 	if len(b.attempts) == 0 {
 		return nil, ErrNoRequests
 	}
@@ -28,7 +28,7 @@
 	for _, a := range b.attempts {
 		a.failedTime = b.retries[a.id]
 	}
-	out := &Account{
+	out := &Summary{
 		From:  b.attempts[0].arrived.Truncate(time.Second),
 		Lines: len(logs.Lines),
 	}
@@ -43,7 +43,7 @@
 	requests := groupAttempts(b.attempts)
 	out.Routes = summarizeRoutes(requests)
 	out.Reasons = countReasons(b.attempts)
-	out.Vain = b.wastedByCause(out.From, out.To)
+	out.Wasted = b.wastedByCause(out.From, out.To)
 	out.Seconds = b.countBySecond(out.From, requests)
 	out.Pools = b.poolStates(out.From, out.To)
 	return out, nil
@@ -98,14 +98,14 @@
 // count adds a request by the outcome of its last attempt.
 func (c *Counts) count(r request) {
 	last := r.last()
-	c.Asked++
+	c.Requests++
 	switch {
 	case last.outcome == outcomeAnswered && last.inTime && r.retryDelay()+last.timeToAnswer <= last.target:
 		c.InTime++
 	case last.outcome == outcomeAnswered:
 		c.Late++
 	case last.outcome == outcomeCallerGone && len(r) == 1 && last.took < last.target:
-		c.Left++
+		c.Disconnected++
 	case last.outcome == outcomeNoEnd:
 		c.NoEnd++
 	case last.notRun:
@@ -140,8 +140,8 @@
 			late = append(late, r)
 		}
 		if len(r) > 1 {
-			out.CameBack++
-			out.Served += out.Answered() - before.Answered()
+			out.Retried++
+			out.RetriedAnswered += out.Answered() - before.Answered()
 		}
 	}
 	out.LateTime = meanLateTime(late)
@@ -159,7 +159,7 @@
 	for _, r := range late {
 		last := r.last()
 		rest := max(0, last.timeToAnswer-last.queueTime-last.prefillTime-last.failedTime)
-		out.Return += share * milliseconds(r.retryDelay())
+		out.RetryDelay += share * milliseconds(r.retryDelay())
 		out.Queue += share * milliseconds(last.queueTime)
 		out.Prefill += share * milliseconds(last.prefillTime)
 		out.Retries += share * milliseconds(last.failedTime)
@@ -172,9 +172,9 @@
 }
 
 // refusalWaits summarizes the times to refusal of attempts that did not run.
-func refusalWaits(requests []request) Waits {
+func refusalWaits(requests []request) RefusalTimes {
 	var took []time.Duration
-	out := Waits{}
+	out := RefusalTimes{}
 	for _, r := range requests {
 		for i, a := range r {
 			if a.outcome == outcomeAnswered || !a.notRun || a.outcome == outcomeCallerGone {
@@ -182,7 +182,7 @@
 			}
 			took = append(took, a.took)
 			if i < len(r)-1 {
-				out.Back++
+				out.Retried++
 			}
 		}
 	}
@@ -224,8 +224,8 @@
 
 // wastedByCause counts the wasted prompts by cause, sorted by tokens in descending
 // order.
-func (b *builder) wastedByCause(from, to time.Time) []Vain {
-	byCause := map[string]Vain{}
+func (b *builder) wastedByCause(from, to time.Time) []WastedPrompts {
+	byCause := map[string]WastedPrompts{}
 	for _, v := range b.wasted {
 		if v.at.Before(from) || v.at.After(to) {
 			continue
@@ -236,7 +236,7 @@
 		sum.Tokens += v.tokens
 		byCause[v.cause] = sum
 	}
-	return slices.SortedFunc(maps.Values(byCause), func(x, y Vain) int {
+	return slices.SortedFunc(maps.Values(byCause), func(x, y WastedPrompts) int {
 		return cmp.Or(cmp.Compare(y.Tokens, x.Tokens), cmp.Compare(x.Cause, y.Cause))
 	})
 }
@@ -260,7 +260,7 @@
 	}
 	for _, v := range b.wasted {
 		if b.inSpan(v.at) && !v.at.Before(from) {
-			at(v.at, kindStream).VainTokens += v.tokens
+			at(v.at, kindStream).WastedTokens += v.tokens
 		}
 	}
 	var out []Second
--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -20,33 +20,35 @@
 }
 
 func describeCommand(b *strings.Builder, cmd *cobra.Command) {
-	// Cobra adds these when a command runs; here none or one of them has.
+	// Cobra adds these flags to a command when it runs; most of the commands
+	// described here have not run.
 	cmd.InitDefaultHelpFlag()
 	cmd.InitDefaultVersionFlag()
 	fmt.Fprintf(b, "\n## %s\n\n", cmd.CommandPath())
-	fmt.Fprintf(b, "%s\n\n", block(cmd.UseLine()))
-	fmt.Fprintf(b, "%s\n", prose(cmd.Long))
+	fmt.Fprintf(b, "%s\n\n", codeBlock(cmd.UseLine()))
+	fmt.Fprintf(b, "%s\n", formatProse(cmd.Long))
 	if cmd.Example != "" {
-		fmt.Fprintf(b, "\nExamples:\n\n%s\n", block(cmd.Example))
+		fmt.Fprintf(b, "\nExamples:\n\n%s\n", codeBlock(cmd.Example))
 	}
 	describeFlags(b, "Flags", cmd.LocalNonPersistentFlags())
-	describeFlags(b, "Flags of this and all below", cmd.PersistentFlags())
-	for _, sub := range subcommands(cmd) {
+	describeFlags(b, "Flags of this command and its subcommands", cmd.PersistentFlags())
+	for _, sub := range visibleSubcommands(cmd) {
 		describeCommand(b, sub)
 	}
 }
 
-// subcommands are those that people see, by name. Cobra's own are left out:
-// they depend on whether the command has run.
-func subcommands(cmd *cobra.Command) []*cobra.Command {
-	var seen []*cobra.Command
+// visibleSubcommands returns the subcommands that are not hidden, sorted by
+// name. Cobra's own subcommands are left out, since they exist only once the
+// command has run.
+func visibleSubcommands(cmd *cobra.Command) []*cobra.Command {
+	var visible []*cobra.Command
 	for _, sub := range cmd.Commands() {
 		if !sub.Hidden && sub.Name() != "help" && sub.Name() != "completion" {
-			seen = append(seen, sub)
+			visible = append(visible, sub)
 		}
 	}
-	slices.SortFunc(seen, func(a, b *cobra.Command) int { return strings.Compare(a.Name(), b.Name()) })
-	return seen
+	slices.SortFunc(visible, func(a, b *cobra.Command) int { return strings.Compare(a.Name(), b.Name()) })
+	return visible
 }
 
 func describeFlags(b *strings.Builder, title string, flags *pflag.FlagSet) {
@@ -56,7 +58,7 @@
 			return
 		}
 		kind, usage := pflag.UnquoteUsage(f)
-		fmt.Fprintf(rows, "| `--%s` | %s | %s | %s |\n", f.Name, kind, code(defaultOf(f)), cell(usage))
+		fmt.Fprintf(rows, "| `--%s` | %s | %s | %s |\n", f.Name, kind, inlineCode(defaultOf(f)), tableCell(usage))
 	})
 	if rows.Len() > 0 {
 		fmt.Fprintf(b, "\n%s:\n\n| flag | value | default | meaning |\n|---|---|---|---|\n%s", title, rows)
@@ -70,8 +72,8 @@
 	return f.DefValue
 }
 
-// block indents text, so that it is shown as it stands.
-func block(text string) string {
+// codeBlock indents text, so that Markdown shows it unchanged.
+func codeBlock(text string) string {
 	var lines []string
 	for _, line := range strings.Split(strings.Trim(text, "\n"), "\n") {
 		lines = append(lines, "    "+strings.TrimPrefix(line, "  "))
@@ -79,26 +81,26 @@
 	return strings.Join(lines, "\n")
 }
 
-// prose keeps paragraphs, and shows lists as they stand.
-func prose(text string) string {
+// formatProse keeps paragraphs and shows lists as code blocks.
+func formatProse(text string) string {
 	paragraphs := strings.Split(strings.TrimSpace(text), "\n\n")
 	for i, p := range paragraphs {
 		if title, list, ok := strings.Cut(p, ":\n  "); ok {
-			paragraphs[i] = title + ":\n\n" + block("  "+list)
+			paragraphs[i] = title + ":\n\n" + codeBlock("  "+list)
 		}
 	}
 	return strings.Join(paragraphs, "\n\n")
 }
 
-// code shows a short text as code; nothing stays nothing.
-func code(text string) string {
+// inlineCode shows a short text as code; an empty text stays empty.
+func inlineCode(text string) string {
 	if text == "" {
 		return ""
 	}
-	return "`" + cell(text) + "`"
+	return "`" + tableCell(text) + "`"
 }
 
-// cell makes a text fit into one cell of a table.
-func cell(text string) string {
+// tableCell puts a text on one line and escapes it for a table.
+func tableCell(text string) string {
 	return strings.ReplaceAll(strings.Join(strings.Fields(text), " "), "|", "\\|")
 }
--- a/cmd/internal/cli/docscmd/fields.go
+++ b/cmd/internal/cli/docscmd/fields.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// row is one line of a table of fields.
-type row struct{ path, kind, preset, bounds, text string }
+// row is one row of a table of fields.
+type row struct{ path, typeName, defaultValue, bounds, text string }
 
-// fieldTable walks a struct and lists its fields, those of nested structs
-// under their paths.
+// fieldTable lists the fields of a struct, with those of nested structs under
+// their paths.
 type fieldTable struct {
 	docs   map[string]structDoc
 	bounds func(path string, f fieldDoc) string
 	rows   []row
 }
 
-// walk lists the fields of v below a path.
+// walk lists the fields of v, which is at path.
 func (t *fieldTable) walk(v reflect.Value, path string) {
 	for _, f := range t.docs[v.Type().Name()].fields {
 		field := v.FieldByName(f.goName)
@@ -26,14 +26,15 @@
 			continue
 		}
 		at := strings.TrimPrefix(path+"."+f.name, ".")
-		t.rows = append(t.rows, row{at, kindOf(field.Type()), presetOf(field), t.bounds(at, f), f.text})
+		t.rows = append(t.rows, row{at, typeName(field.Type()), defaultText(field), t.bounds(at, f), f.text})
 		if nested, ok := nestedStruct(field); ok {
 			t.walk(nested, at+strings.Repeat("[]", depth(field.Type())))
 		}
 	}
 }
 
-// nestedStruct gives a value of the struct that a field holds, points to or lists.
+// nestedStruct returns a value of the struct type that a field holds, points to
+// or lists.
 func nestedStruct(v reflect.Value) (reflect.Value, bool) {
 	t := v.Type()
 	if t.Kind() == reflect.Struct {
@@ -45,7 +46,7 @@
 	return reflect.Zero(t), t.Kind() == reflect.Struct
 }
 
-// depth counts the lists around a type.
+// depth returns the number of lists around a type.
 func depth(t reflect.Type) int {
 	n := 0
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
@@ -57,17 +58,17 @@
 	return n
 }
 
-// kindOf names a type as a person who writes a file knows it.
-func kindOf(t reflect.Type) string {
+// typeName returns the name of a type for the authors of configuration files.
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return kindOf(t.Elem())
+		return typeName(t.Elem())
 	case reflect.Struct:
 		return "object"
 	case reflect.Map:
 		return "object of texts"
 	case reflect.Slice:
-		return "list of " + kindOf(t.Elem()) + "s"
+		return "list of " + typeName(t.Elem()) + "s"
 	case reflect.String:
 		return "text"
 	case reflect.Bool:
@@ -79,8 +80,9 @@
 	}
 }
 
-// presetOf shows a scalar's default; empty ones are left to the comment.
-func presetOf(v reflect.Value) string {
+// defaultText formats the default of a scalar. It is empty for other types and
+// for zero values, whose meaning the field's comment explains.
+func defaultText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Struct, reflect.Slice, reflect.Map, reflect.Pointer:
 		return ""
@@ -99,6 +101,6 @@
 func (t *fieldTable) print(b *strings.Builder) {
 	b.WriteString("| field | value | default | range | meaning |\n|---|---|---|---|---|\n")
 	for _, r := range t.rows {
-		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", r.path, r.kind, code(r.preset), cell(r.bounds), cell(r.text))
+		fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", r.path, r.typeName, inlineCode(r.defaultValue), tableCell(r.bounds), tableCell(r.text))
 	}
 }
--- a/cmd/internal/cli/docscmd/live.go
+++ b/cmd/internal/cli/docscmd/live.go
@@ -18,8 +18,8 @@
 	}
 	var b strings.Builder
 	b.WriteString("# Live configuration\n\n" + docs["Document"].text + "\n\n" +
-		"A file of JSON with comments. `samphirequay config check FILE` checks it, `samphirequay config apply FILE` makes it live. " +
-		"Labels steer the system: see [the on-call's handbook](../OPERATORS.md).\n")
+		"A file of JSON with comments. `samphirequay config check FILE` checks it, `samphirequay config apply FILE` applies it. " +
+		"Labels control the system: see [the operators' handbook](../OPERATORS.md).\n")
 	filled := normalizedItems()
 	bounds := liveBounds()
 	for _, list := range reflect.VisibleFields(reflect.TypeFor[live.Document]()) {
@@ -36,8 +36,8 @@
 	return b.String(), nil
 }
 
-// oneOfEach is a document with one empty item of each kind.
-func oneOfEach() *live.Document {
+// singleItemDocument returns a document with one empty item of each kind.
+func singleItemDocument() *live.Document {
 	return &live.Document{
 		Teams:     []live.Team{{}},
 		Services:  []live.Service{{}},
@@ -47,35 +47,36 @@
 	}
 }
 
-// normalizedItems shows the defaults. Only a pool with a model has those of
-// its engines.
+// normalizedItems returns a document with the defaults of each kind. The pool
+// has a model while it is normalized, since only pools with a model get
+// defaults for engines.
 func normalizedItems() *live.Document {
-	doc := oneOfEach()
+	doc := singleItemDocument()
 	doc.Pools[0].Model = "model"
 	filled := live.Normalize(doc)
 	filled.Pools[0].Model = ""
 	return filled
 }
 
-// liveBounds asks the check of the live configuration for the range of each
-// number, by giving it numbers that are in none.
+// liveBounds returns the range of each number by its path. It reads them from
+// the faults that live.Check reports for numbers outside of every range.
 func liveBounds() map[string]string {
-	doc := oneOfEach()
+	doc := singleItemDocument()
 	for _, item := range []any{&doc.Teams[0], &doc.Services[0], &doc.Pools[0], &doc.Endpoints[0], &doc.Links[0]} {
-		spoil(reflect.ValueOf(item).Elem())
+		setOutOfRange(reflect.ValueOf(item).Elem())
 	}
 	bounds := make(map[string]string)
 	for _, f := range live.Check(doc) {
 		if _, text, ok := strings.Cut(f.Message, " is not between "); ok {
 			low, high, _ := strings.Cut(text, " and ")
-			bounds[f.Path] = "from " + plainNumber(low) + " to " + plainNumber(high)
+			bounds[f.Path] = "from " + formatDecimal(low) + " to " + formatDecimal(high)
 		}
 	}
 	return bounds
 }
 
-// plainNumber writes a number without an exponent.
-func plainNumber(text string) string {
+// formatDecimal formats a number without an exponent.
+func formatDecimal(text string) string {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return text
@@ -83,8 +84,8 @@
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
-// spoil sets every number of a struct to one that no range holds.
-func spoil(v reflect.Value) {
+// setOutOfRange sets every number of a struct to a value outside of every range.
+func setOutOfRange(v reflect.Value) {
 	for i := range v.NumField() {
 		switch f := v.Field(i); f.Kind() {
 		case reflect.Int:
--- a/cmd/internal/experiment/capacity_claims.go
+++ b/cmd/internal/experiment/capacity_claims.go
@@ -14,7 +14,8 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// ClaimFigures are the store's work for calls that must not run twice.
+// ClaimFigures are the cost of calls that must not run twice: the table's
+// transactions and reads and the processor time, each per call.
 type ClaimFigures struct {
 	Daemons   int     `json:"daemons"`
 	Calls     int     `json:"calls"`
@@ -25,7 +26,8 @@
 	CPUMicros float64 `json:"cpu_us_process"`
 }
 
-// capacityClaims makes calls with a key of their own through the daemons.
+// capacityClaims sends calls, each with its own idempotency key, through the
+// daemons.
 func capacityClaims(ctx context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	for _, daemons := range []int{1, capacityDaemons} {
 		f, err := claimOnce(ctx, daemons)
@@ -33,7 +35,7 @@
 			return err
 		}
 		out.Claims = append(out.Claims, f)
-		r.add("claim daemons=%d calls=%d failed=%d rate=%.0f/s transactions=%.3f_a_call reads=%.3f_a_call cpu=%.0fus_process",
+		r.addLine("claim daemons=%d calls=%d failed=%d rate=%.0f/s transactions=%.3f_a_call reads=%.3f_a_call cpu=%.0fus_process",
 			f.Daemons, f.Calls, f.Failed, f.Rate, f.Writes, f.Reads, f.CPUMicros)
 	}
 	return nil
@@ -44,9 +46,9 @@
 	site := overheadSite()
 	site.Plains[0].Slots = claimSlots
 	d := Deployment{Name: "claims", Site: site}
-	ofFleet, ofLoad := d.Teams(1)
-	ofFleet[0].MaxInFlight = claimSlots
-	f, err := fleet.Start(ctx, fleet.Config{Sites: siteOf(d), Daemons: daemons, Teams: ofFleet, Change: patient})
+	fleetTeams, loadTeams := d.Teams(1)
+	fleetTeams[0].MaxInFlight = claimSlots
+	f, err := fleet.Start(ctx, fleet.Config{Sites: sitesOf(d), Daemons: daemons, Teams: fleetTeams, AdjustDocument: raiseTimeouts})
 	if err != nil {
 		return out, err
 	}
@@ -54,15 +56,15 @@
 	if err := sleep(ctx, idleSettle); err != nil {
 		return out, err
 	}
-	at := sumOf(f)
+	start := totalsOf(f)
 	idle := cpuDuring(func() { err = sleep(ctx, idleTime) })
-	idleDid := sumOf(f).since(at)
+	idleDelta := totalsOf(f).since(start)
 	if err != nil {
 		return out, err
 	}
 	client := load.NewClient()
 	defer client.CloseIdleConnections()
-	at = sumOf(f)
+	start = totalsOf(f)
 	var mu sync.Mutex
 	busy := cpuDuring(func() {
 		_, err = each(ctx, Env{Parallel: capacityClaimCallers}, make([]struct{}, capacityClaimCount), func(ctx context.Context, _ struct{}) (struct{}, error) {
@@ -70,7 +72,7 @@
 			out.Failed++
 			number := out.Failed
 			mu.Unlock()
-			ok, err := claimedCall(ctx, client, f, site.PlainService, ofLoad[0].Key, number)
+			ok, err := claimedCall(ctx, client, f, site.PlainService, loadTeams[0].Key, number)
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
@@ -81,16 +83,16 @@
 	})
 	answered := out.Rate
 	out.Failed = capacityClaimCount - int(answered)
-	did := sumOf(f).since(at)
+	delta := totalsOf(f).since(start)
 	share := busy.wall.Seconds() / idle.wall.Seconds()
 	out.Rate = answered / busy.wall.Seconds()
-	out.Writes = (did.writes - idleDid.writes*share) / answered
-	out.Reads = (did.reads - idleDid.reads*share) / answered
+	out.Writes = (delta.writes - idleDelta.writes*share) / answered
+	out.Reads = (delta.reads - idleDelta.reads*share) / answered
 	out.CPUMicros = (busy.cpu.Seconds() - idle.cpu.Seconds()*share) * 1e6 / answered
 	return out, err
 }
 
-// claimedCall makes one call; false if it was refused.
+// claimedCall makes one call; it returns false if the status is not 200.
 func claimedCall(ctx context.Context, client *http.Client, f *fleet.Fleet, service, key string, number int) (bool, error) {
 	addresses := f.CallerAddresses()
 	url := "http://" + addresses[number%len(addresses)] + opapi.PathServices + service + "/stems/confirm"
--- a/cmd/internal/experiment/capacity_core.go
+++ b/cmd/internal/experiment/capacity_core.go
@@ -15,8 +15,9 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// capacityDocument is a configuration of so many endpoints, teams and models;
-// each model has a service and a pool with its share of the endpoints.
+// capacityDocument returns a configuration with the given numbers of endpoints,
+// teams and models. Each model has a service, and a pool with an equal share of
+// the endpoints.
 func capacityDocument(endpoints, teams, models int) *live.Document {
 	doc := &live.Document{Revision: 1}
 	for i := range models {
@@ -55,14 +56,15 @@
 func memberName(i int) id.Daemon    { return id.Daemon(fmt.Sprintf("host-%03d", i)) }
 func capacityRand(n int) *rand.Rand { return rand.New(rand.NewPCG(1, uint64(n))) }
 
-// capacityCore measures the steps of the core at today's size and the target's.
+// capacityCore measures operations of the core at sizes from the current one (22
+// endpoints, 4 teams, 1 model) up to the target.
 func capacityCore(_ context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	for _, s := range []struct{ endpoints, teams, models int }{
 		{22, 4, 1}, {22, 900, 1}, {300, 900, 1}, {900, 900, 1}, {900, 900, 31},
 	} {
 		doc := capacityDocument(s.endpoints, s.teams, s.models)
 		size := fmt.Sprintf("endpoints=%d teams=%d models=%d", s.endpoints, s.teams, s.models)
-		r.op(out, "schedule-request", size, scheduling(doc))
+		r.measureOp(out, "schedule-request", size, scheduleStep(doc))
 		if s.endpoints != 22 || s.teams != 4 {
 			continue
 		}
@@ -80,12 +82,13 @@
 	return nil
 }
 
-// scheduling is a request's whole way through a pool's ledger: the want with
-// its grant, and the progress of its phases. Half of the slots are in use.
-func scheduling(doc *live.Document) func(int) { return schedulingWith(doc, func() {}) }
+// scheduleStep returns an operation that takes a request through all stages in a
+// pool's ledger: the want with its grant, and the progress of its phases. Half
+// of the slots are in use.
+func scheduleStep(doc *live.Document) func(int) { return scheduleStepWith(doc, func() {}) }
 
-// schedulingWith tells of each grant.
-func schedulingWith(doc *live.Document, granted func()) func(int) {
+// scheduleStepWith is scheduleStep with a callback for each grant.
+func scheduleStepWith(doc *live.Document, granted func()) func(int) {
 	pool := doc.Pools[0].Name
 	l := sched.NewLedger(sched.Options{
 		Pool: pool, Self: id.Process{Daemon: "owner", Incarnation: 1}, Seed: 1, Settle: 1,
@@ -119,7 +122,8 @@
 	l.Progress(now, sched.Progress{Request: g.Request, Reservation: g.Reservation, Phase: sched.PhaseDone, OutputTokens: 20})
 }
 
-// capacityWant is a request of 2,000 tokens, whose prompt has 31 whole blocks.
+// capacityWant returns a request with a prompt of 2,000 tokens, which has 31
+// whole blocks.
 func capacityWant(doc *live.Document, i int) sched.Want {
 	w := sched.Want{
 		Request: id.Request(fmt.Sprintf("01HZX%021d", i)), Team: doc.Teams[i%len(doc.Teams)].Name,
@@ -133,56 +137,58 @@
 	return w
 }
 
-// wantBlocks is the number of whole blocks of a prompt of 2,000 tokens.
+// wantBlocks is the number of whole blocks in a prompt of 2,000 tokens.
 const wantBlocks = 31
 
-// configOps measures what a daemon does for each accepted change.
+// configOps measures the operations that a daemon performs for each change of the
+// configuration.
 func (r *Report) configOps(out *CapacityFigures, size string, doc *live.Document) error {
 	change := capacityChange(doc)
-	r.op(out, "config-propose", size, func(int) {
-		// The check of the whole document, at the daemon that was asked.
+	r.measureOp(out, "config-propose", size, func(int) {
+		// The daemon that receives the proposal validates the whole document.
 		if _, faults := revision.Apply(doc, change); len(faults) > 0 {
 			panic(faults[0].Error())
 		}
 	})
-	r.op(out, "config-index", size, func(int) { live.NewIndex(doc) })
-	learning := newLearning(doc)
-	r.op(out, "config-learn", size, func(i int) { learning.learn(change, i) })
+	r.measureOp(out, "config-index", size, func(int) { live.NewIndex(doc) })
+	follower := newRecordFollower(doc)
+	r.measureOp(out, "config-learn", size, func(i int) { follower.learn(change, i) })
 	l := sched.NewLedger(sched.Options{Pool: doc.Pools[0].Name, Self: id.Process{Daemon: "owner", Incarnation: 1}, Settle: 1, Violation: func(string, string) {}})
 	now := time.Duration(0)
-	r.op(out, "config-schedule", size, func(int) {
+	r.measureOp(out, "config-schedule", size, func(int) {
 		now += time.Millisecond
 		l.Configure(now, doc)
 	})
-	return learning.check()
+	return follower.check()
 }
 
-// memberOps measures the view of the membership and the choices that go over it.
+// memberOps measures the membership view and the operations that iterate over
+// all members.
 func (r *Report) memberOps(out *CapacityFigures, n int) {
 	size := fmt.Sprintf("daemons=%d", n)
 	m := member.New(member.DefaultConfig(member.Partial), memberEntry(0), 0, capacityRand(n))
 	now := time.Duration(0)
 	beat := uint64(0)
-	hear := func(i int) {
+	receive := func(i int) {
 		beat++
 		from := memberEntry(1 + i%(n-1))
 		from.Beat = beat
 		m.Receive(now, member.Message{Kind: member.Probe, Seq: beat, From: from})
 	}
 	for i := range n - 1 {
-		hear(i)
+		receive(i)
 	}
-	r.op(out, "member-receive", size, hear)
-	r.op(out, "member-view", size, func(int) { m.View() })
+	r.measureOp(out, "member-receive", size, receive)
+	r.measureOp(out, "member-view", size, func(int) { m.View() })
 	var names []id.Daemon
 	var candidates []entry.Candidate
 	for i := range n {
 		names = append(names, memberName(i))
 		candidates = append(candidates, entry.Candidate{Daemon: memberName(i), Domain: domainName(i % targetDomains), Address: memberEntry(i).CallerAddress, State: member.Alive})
 	}
-	r.op(out, "owner-of-a-pool", size, func(i int) { rendezvous.Owner(modelName(i%targetModels), names) })
+	r.measureOp(out, "owner-of-a-pool", size, func(i int) { rendezvous.Owner(modelName(i%targetModels), names) })
 	rng := capacityRand(n)
-	r.op(out, "entry-answer", size, func(int) { entry.Make(entry.DefaultConfig(), candidates, names[0], rng) })
+	r.measureOp(out, "entry-answer", size, func(int) { entry.NewAnswer(entry.DefaultConfig(), candidates, names[0], rng) })
 }
 
 func memberEntry(i int) member.Entry {
--- a/cmd/internal/experiment/capacity_sizes.go
+++ b/cmd/internal/experiment/capacity_sizes.go
@@ -17,38 +17,39 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// SizeFigures are the bytes of one thing.
+// SizeFigures are the size of one message, stored row or heap structure.
 type SizeFigures struct {
 	Of    string  `json:"of"`
 	Bytes float64 `json:"bytes"`
 }
 
-func (r *Report) size(out *CapacityFigures, of string, bytes float64) {
+func (r *Report) addSize(out *CapacityFigures, of string, bytes float64) {
 	out.Sizes = append(out.Sizes, SizeFigures{Of: of, Bytes: bytes})
-	r.add("size of=%q bytes=%.0f", of, bytes)
+	r.addLine("size of=%q bytes=%.0f", of, bytes)
 }
 
-// sent adds the size of a message between daemons, before encryption.
-func (r *Report) sent(out *CapacityFigures, of string, message any) error {
+// addMessageSize adds the encoded size of a message between daemons, before
+// encryption.
+func (r *Report) addMessageSize(out *CapacityFigures, of string, message any) error {
 	raw, err := peer.Encode(message)
 	if err != nil {
 		return fmt.Errorf("%s: %w", of, err)
 	}
-	r.size(out, "message "+of, float64(len(raw)))
+	r.addSize(out, "message "+of, float64(len(raw)))
 	return nil
 }
 
-// stored adds the size of a row of the table.
-func (r *Report) stored(out *CapacityFigures, of string, row any) error {
+// addRowSize adds the encoded size of a row of the table.
+func (r *Report) addRowSize(out *CapacityFigures, of string, row any) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
 		return fmt.Errorf("%s: %w", of, err)
 	}
-	r.size(out, "row "+of, float64(len(raw)))
+	r.addSize(out, "row "+of, float64(len(raw)))
 	return nil
 }
 
-// capacitySizes gives the bytes of messages, rows and states.
+// capacitySizes measures the sizes of messages, rows and in-memory state.
 func capacitySizes(_ context.Context, _ Env, r *Report, out *CapacityFigures) error {
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
 	if err := r.brokerSizes(out, doc); err != nil {
@@ -67,7 +68,7 @@
 		{"config fetch", revision.Fetch{Seq: 1, Peer: memberName(1), After: 1234566}},
 		{"config snapshot", snapshot},
 	} {
-		if err := r.sent(out, m.name, m.body); err != nil {
+		if err := r.addMessageSize(out, m.name, m.body); err != nil {
 			return err
 		}
 	}
@@ -76,19 +77,19 @@
 		e := memberEntry(i)
 		hosts.Hosts = append(hosts.Hosts, wire.Host{Name: string(e.Process.Daemon), Domain: string(e.Domain), Address: e.Address, State: "live"})
 	}
-	if err := r.stored(out, "host list of 420 hosts", hosts); err != nil {
+	if err := r.addRowSize(out, "host list of 420 hosts", hosts); err != nil {
 		return err
 	}
-	if err := r.stored(out, "config record", record); err != nil {
+	if err := r.addRowSize(out, "config record", record); err != nil {
 		return err
 	}
-	if err := r.stored(out, "config snapshot", snapshot); err != nil {
+	if err := r.addRowSize(out, "config snapshot", snapshot); err != nil {
 		return err
 	}
 	return r.stateSizes(out)
 }
 
-// brokerSizes are the messages of one request.
+// brokerSizes measures the sizes of the messages of one request.
 func (r *Report) brokerSizes(out *CapacityFigures, doc *live.Document) error {
 	want := capacityWant(doc, 1)
 	grant := sched.Grant{
@@ -109,40 +110,41 @@
 		{"progress", broker.Envelope{Progress: &pairing.PoolProgress{Pool: want.Pool, Progress: progress}}},
 		{"refusal", broker.Envelope{Refusal: &sched.Refusal{Request: want.Request, Code: "overloaded", RetryAfter: time.Second, Reason: "no slot in time"}}},
 	} {
-		if err := r.sent(out, m.name, m.body); err != nil {
+		if err := r.addMessageSize(out, m.name, m.body); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stateSizes are what a daemon's parts hold at the target's size.
+// stateSizes measures the heap use of the parts of a daemon, up to the target
+// size.
 func (r *Report) stateSizes(out *CapacityFigures) error {
-	r.held(out, "document, 900 endpoints 900 teams 31 models", func() any {
+	r.addHeapSize(out, "document, 900 endpoints 900 teams 31 models", func() any {
 		return capacityDocument(targetEndpoints, targetTeams, targetModels)
 	})
 	doc := capacityDocument(targetEndpoints, targetTeams, targetModels)
-	r.held(out, "index of that document", func() any { return live.NewIndex(doc) })
+	r.addHeapSize(out, "index of that document", func() any { return live.NewIndex(doc) })
 	for _, s := range []struct{ endpoints, teams, models int }{{22, 4, 1}, {29, 900, 1}, {900, 900, 1}} {
 		sized := capacityDocument(s.endpoints, s.teams, s.models)
-		r.held(out, fmt.Sprintf("ledger of a pool, %d endpoints %d teams", s.endpoints, s.teams), func() any {
-			step := scheduling(sized)
+		r.addHeapSize(out, fmt.Sprintf("ledger of a pool, %d endpoints %d teams", s.endpoints, s.teams), func() any {
+			step := scheduleStep(sized)
 			for i := range 10 * s.endpoints {
 				step(i)
 			}
 			return step
 		})
 	}
-	r.held(out, "membership of 420 daemons", func() any {
+	r.addHeapSize(out, "membership of 420 daemons", func() any {
 		m := member.New(member.DefaultConfig(member.Partial), memberEntry(0), 0, capacityRand(0))
 		for i := range targetDaemons - 1 {
 			m.Receive(0, member.Message{Kind: member.Probe, Seq: uint64(i + 1), From: memberEntry(i + 1)})
 		}
 		return m
 	})
-	var records *learning
-	r.held(out, "1,024 records of changes", func() any {
-		records = newLearning(doc)
+	var records *recordFollower
+	r.addHeapSize(out, "1,024 records of changes", func() any {
+		records = newRecordFollower(doc)
 		for i := range 1024 {
 			records.learn(capacityChange(doc), i)
 		}
@@ -151,47 +153,48 @@
 	return records.check()
 }
 
-// held measures what stays on the heap for a thing.
-func (r *Report) held(out *CapacityFigures, of string, make func() any) {
+// addHeapSize adds the heap memory that a value holds after garbage collection.
+func (r *Report) addHeapSize(out *CapacityFigures, of string, make func() any) {
 	before := memoryNow()
-	thing := make()
+	value := make()
 	after := memoryNow()
-	runtime.KeepAlive(thing)
-	r.size(out, "heap of a "+of, max(after.heap-before.heap, 0))
+	runtime.KeepAlive(value)
+	r.addSize(out, "heap of a "+of, max(after.heap-before.heap, 0))
 }
 
-// learning is a follower that is told of one accepted change after the other.
-type learning struct {
+// recordFollower passes accepted changes, numbered in sequence, to a follower.
+type recordFollower struct {
 	follower *revision.Follower
 	chain    string
 	revision uint64
 }
 
-// newLearning returns one that has a document in force.
-func newLearning(doc *live.Document) *learning {
-	l := &learning{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
-	for i, part := range parts(wholeChange(doc)) {
+// newRecordFollower returns a recordFollower with a document in force.
+func newRecordFollower(doc *live.Document) *recordFollower {
+	l := &recordFollower{follower: revision.NewFollower(revision.DefaultFollowerConfig(), 0, capacityRand(1))}
+	for i, part := range splitChange(fullChange(doc)) {
 		l.learn(part, i)
 	}
 	return l
 }
 
-func (l *learning) learn(c revision.Change, number int) {
+func (l *recordFollower) learn(c revision.Change, number int) {
 	c.ID = fmt.Sprintf("%s-%d", c.ID, number)
 	l.revision++
 	l.chain = revision.NextChain(l.chain, c)
-	l.follower.Learn(revision.Record{Revision: l.revision, Change: c, Chain: l.chain})
+	l.follower.ApplyAccepted(revision.Record{Revision: l.revision, Change: c, Chain: l.chain})
 }
 
-// check tells whether all that was learnt is in force: else refusals were measured.
-func (l *learning) check() error {
+// check returns an error if not all learned changes are in force: the follower
+// has then refused some, and the measurement would be of refusals.
+func (l *recordFollower) check() error {
 	if got := l.follower.Current().Revision; got != l.revision {
 		return fmt.Errorf("revision %d is in force after %d changes", got, l.revision)
 	}
 	return nil
 }
 
-// capacityChange is a change of the common kind: one label of one endpoint.
+// capacityChange returns a typical change: it sets one label of one endpoint.
 func capacityChange(doc *live.Document) revision.Change {
 	return revision.Change{
 		ID: "01HZXABCDEFGHJKMNPQRSTVWXY", Author: "operator@site", At: time.Unix(1764700000, 0).UTC(),
@@ -199,8 +202,8 @@
 	}
 }
 
-// wholeChange puts every item of a document.
-func wholeChange(doc *live.Document) revision.Change {
+// fullChange returns a change that puts every item of a document.
+func fullChange(doc *live.Document) revision.Change {
 	c := revision.Change{ID: "whole", At: time.Unix(1764700000, 0).UTC()}
 	for i := range doc.Teams {
 		c.Ops = append(c.Ops, putOp(live.KindTeam, string(doc.Teams[i].Name), doc.Teams[i]))
@@ -223,13 +226,13 @@
 func putOp(kind live.Kind, name string, item any) revision.Op {
 	raw, err := json.Marshal(item)
 	if err != nil {
-		panic(err) // the live types always encode
+		panic(err) // values of the live types can always be encoded
 	}
 	return revision.Op{Action: revision.ActionPut, Kind: kind, Name: name, Item: raw}
 }
 
-// parts cuts a change into ones of as many steps as one may have.
-func parts(c revision.Change) []revision.Change {
+// splitChange splits a change into changes of at most revision.MaxOps operations.
+func splitChange(c revision.Change) []revision.Change {
 	var out []revision.Change
 	for from := 0; from < len(c.Ops); from += revision.MaxOps {
 		part := c
--- a/cmd/internal/experiment/config_test.go
+++ b/cmd/internal/experiment/config_test.go
@@ -13,66 +13,66 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// marked is a document whose markers have these numbers.
+// marked returns a document in which the markers have the numbers a and b.
 func marked(revision uint64, a, b int) *live.Document {
 	return &live.Document{Revision: revision, Teams: []live.Team{
 		{Name: markers[0], MaxInFlight: a}, {Name: markers[1], MaxInFlight: b},
 	}}
 }
 
-func TestWatchSeesHalfAChangeAndAWayBack(t *testing.T) {
+func TestWatcherDetectsPartialChangesAndReverts(t *testing.T) {
 	is := is.New(t)
-	w := &watch{}
-	s := &stay{inForce: map[uint64]time.Time{}}
-	w.note(s, marked(1, 5, 5))
-	w.note(s, marked(3, 6, 6))
-	is.Equal(w.half, 0)
-	is.Equal(w.revert, 0)
+	w := &configWatcher{}
+	s := &lifetime{inForce: map[uint64]time.Time{}}
+	w.record(s, marked(1, 5, 5))
+	w.record(s, marked(3, 6, 6))
+	is.Equal(w.halfApplied, 0)
+	is.Equal(w.reverts, 0)
 	is.Equal(len(s.inForce), 3)
-	w.note(s, marked(4, 7, 6))
-	is.Equal(w.half, 1)
-	w.note(s, marked(3, 6, 6))
-	is.Equal(w.revert, 1)
+	w.record(s, marked(4, 7, 6))
+	is.Equal(w.halfApplied, 1)
+	w.record(s, marked(3, 6, 6))
+	is.Equal(w.reverts, 1)
 	is.Equal(s.newest, uint64(4))
 }
 
-func TestRaceNeedsOneWinnerAndALoserThatIsTold(t *testing.T) {
+func TestRaceNeedsOneWinnerAndANotifiedLoser(t *testing.T) {
 	is := is.New(t)
 	requests := [2]opapi.ChangeRequest{{ID: "first"}, {ID: "second"}}
-	told := exit.Errorf(exit.Conflict, "revision 3 by operator-1 (change first)")
-	untold := exit.Errorf(exit.Unavailable, "try again")
-	c := &changing{}
-	c.judge(requests, [2]error{nil, told})
+	conflict := exit.Errorf(exit.Conflict, "revision 3 by operator-1 (change first)")
+	unavailable := exit.Errorf(exit.Unavailable, "try again")
+	c := &changeDriver{}
+	c.recordRace(requests, [2]error{nil, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 1, OneWinner: 1, LoserTold: 1})
-	c.judge(requests, [2]error{nil, untold})
+	c.recordRace(requests, [2]error{nil, unavailable})
 	is.Equal(c.out, ConfigFigures{Races: 2, OneWinner: 2, LoserTold: 1})
-	c.judge(requests, [2]error{nil, nil})
-	c.judge(requests, [2]error{told, told})
+	c.recordRace(requests, [2]error{nil, nil})
+	c.recordRace(requests, [2]error{conflict, conflict})
 	is.Equal(c.out, ConfigFigures{Races: 4, OneWinner: 2, LoserTold: 1})
 }
 
 func TestMissingChangesAreCounted(t *testing.T) {
 	is := is.New(t)
-	c := &changing{accepted: []acceptedChange{{id: "a", revision: 1}, {id: "b", revision: 2}, {id: "c", revision: 3}}}
+	c := &changeDriver{accepted: []acceptedChange{{id: "a", revision: 1}, {id: "b", revision: 2}, {id: "c", revision: 3}}}
 	seen := map[string]bool{}
 	entry := func(id string, revision uint64) opapi.HistoryEntry {
 		return opapi.HistoryEntry{ID: id, Revision: revision}
 	}
 	whole := opapi.History{Entries: []opapi.HistoryEntry{entry("a", 1), entry("b", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(whole, seen), 0)
+	is.Equal(c.countMissing(whole, seen), 0)
 	is.True(seen["a"] && seen["b"] && seen["c"])
 	late := opapi.History{Entries: []opapi.HistoryEntry{entry("b", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(late, seen), 0) // it began with a snapshot
+	is.Equal(c.countMissing(late, seen), 0) // this daemon started from a snapshot
 	moved := opapi.History{Entries: []opapi.HistoryEntry{entry("a", 1), entry("c", 2), entry("c", 3)}}
-	is.Equal(c.missingIn(moved, seen), 2) // b is lost, c is there twice
+	is.Equal(c.countMissing(moved, seen), 2) // b is missing and c occurs twice
 }
 
-func TestFigureOfAPhaseLeavesOutTheKilled(t *testing.T) {
+func TestPhaseFiguresExcludeKilledDaemons(t *testing.T) {
 	is := is.New(t)
 	begun := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
-	c := &changing{
-		watch: &watch{stays: []*stay{
+	c := &changeDriver{
+		watch: &configWatcher{lifetimes: []*lifetime{
 			{from: at(0), inForce: map[uint64]time.Time{5: at(1100)}},
 			{from: at(0), inForce: map[uint64]time.Time{5: at(6000)}},
 			{from: at(0), ended: true, inForce: map[uint64]time.Time{}},
@@ -84,11 +84,11 @@
 	p, never := c.phaseFigures(phaseCalm)
 	is.Equal(p.Samples, 2)
 	is.Equal(p.OverLimit, 1)
-	is.Equal(never, 1) // the one that goes on without it
+	is.Equal(never, 1) // the process that is still running without the change
 	is.Equal(p.P50MS, 100.0)
 }
 
-func TestAttachReadsWhatTheScriptWrote(t *testing.T) {
+func TestAttachProcessesReadsTheScriptsFiles(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	write := func(name, text string) { is.NoErr(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)) }
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -9,26 +9,29 @@
 )
 
 const (
-	// watchPause is between two looks at a daemon; it is the error of every
-	// time that the experiment gives.
-	watchPause = 15 * time.Millisecond
-	// watchTimeout bounds one look.
-	watchTimeout = 2 * time.Second
+	// watchPollInterval is the time between two polls of a daemon. It limits the
+	// precision of all times that the experiment measures.
+	watchPollInterval = 15 * time.Millisecond
+	// watchPollTimeout is the timeout of one poll.
+	watchPollTimeout = 2 * time.Second
 )
 
-// watch looks at the configuration in force at every place all the time.
-type watch struct {
+// configWatcher polls the configuration in force at every place. It counts reverts
+// to an older revision, and replies that hold only a part of a change.
+type configWatcher struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	stays  []*stay
-	revert int
-	half   int
+	mu          sync.Mutex
+	lifetimes   []*lifetime
+	reverts     int
+	halfApplied int
 }
 
-// stay is one process at one place, from its first answer to its last.
-type stay struct {
+// lifetime is the observed lifetime of one daemon process at one place: from its
+// first reply to its last. inForce holds the time at which each revision was first
+// seen in force.
+type lifetime struct {
 	place      int
 	from, to   time.Time
 	ended      bool
@@ -38,88 +41,89 @@
 	newestSeen *live.Document
 }
 
-func startWatch(site configSite) *watch {
+func startConfigWatcher(site configSite) *configWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{cancel: cancel}
+	w := &configWatcher{cancel: cancel}
 	for place := range site.places() {
 		w.wg.Go(func() { w.follow(ctx, site, place) })
 	}
 	return w
 }
 
-func (w *watch) close() {
+func (w *configWatcher) close() {
 	w.cancel()
 	w.wg.Wait()
 }
 
-// follow looks at one place until ctx ends. A look without an answer, or a new
-// address, ends the stay.
-func (w *watch) follow(ctx context.Context, site configSite, place int) {
-	var now *stay
+// follow polls one place until ctx ends. A failed poll or a new address ends the
+// lifetime of the process.
+func (w *configWatcher) follow(ctx context.Context, site configSite, place int) {
+	var current *lifetime
 	var address string
 	for ctx.Err() == nil {
 		if at := site.address(place); at != address {
 			address = at
-			now = w.end(now)
+			current = w.end(current)
 		}
 		if address != "" {
-			now = w.look(ctx, rawOperator{address: address, key: site.key()}, place, now)
+			current = w.poll(ctx, rawOperator{address: address, key: site.key()}, place, current)
 		}
-		if sleep(ctx, watchPause) != nil {
+		if sleep(ctx, watchPollInterval) != nil {
 			return
 		}
 	}
 }
 
-// look takes one answer.
-func (w *watch) look(ctx context.Context, at rawOperator, place int, now *stay) *stay {
-	once, cancel := context.WithTimeout(ctx, watchTimeout)
+// poll requests the configuration once. It returns the current lifetime, or nil if
+// the daemon did not reply.
+func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, current *lifetime) *lifetime {
+	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
 	if err != nil {
 		if ctx.Err() != nil {
-			return now
+			return current
 		}
-		return w.end(now)
+		return w.end(current)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now == nil {
-		now = &stay{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
-		w.stays = append(w.stays, now)
+	if current == nil {
+		current = &lifetime{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
+		w.lifetimes = append(w.lifetimes, current)
 	}
-	w.note(now, doc)
-	return now
+	w.record(current, doc)
+	return current
 }
 
-// note takes what a daemon has in force.
-func (w *watch) note(s *stay, doc *live.Document) {
-	s.to = time.Now()
-	if doc.Revision < s.newest {
-		w.revert++
+// record updates a lifetime with the document in force at its daemon.
+func (w *configWatcher) record(l *lifetime, doc *live.Document) {
+	l.to = time.Now()
+	if doc.Revision < l.newest {
+		w.reverts++
 	}
 	if markerOf(doc, 0) != markerOf(doc, 1) {
-		w.half++
+		w.halfApplied++
 	}
-	for rev := s.newest + 1; rev <= doc.Revision; rev++ {
-		s.inForce[rev] = s.to
+	for rev := l.newest + 1; rev <= doc.Revision; rev++ {
+		l.inForce[rev] = l.to
 	}
-	s.newest = max(s.newest, doc.Revision)
-	s.newestSeen = doc
+	l.newest = max(l.newest, doc.Revision)
+	l.newestSeen = doc
 }
 
-// end closes a stay.
-func (w *watch) end(s *stay) *stay {
-	if s == nil {
+// end marks a lifetime as ended and returns nil.
+func (w *configWatcher) end(l *lifetime) *lifetime {
+	if l == nil {
 		return nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s.ended = true
+	l.ended = true
 	return nil
 }
 
-// markerOf is the number of a marker in a document; 0 before the first change.
+// markerOf returns the number of a marker in a document; 0 before the first change.
 func markerOf(doc *live.Document, which int) int {
 	for i := range doc.Teams {
 		if doc.Teams[i].Name == markers[which] {
--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -10,29 +10,31 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// domainFactor stretches the phases: a failure domain is cut off, and then
-// back, for twice the measured time.
+// domainFactor extends the phases: the cut of a failure domain and the time after
+// its return each last twice the measured duration.
 const domainFactor = 2
 
-// DomainFigures are the figures of a failure domain that was cut off.
+// DomainFigures are the results of cutting off one failure domain.
 type DomainFigures struct {
 	Domain string `json:"domain"`
-	Wrongs
-	// RestCapacity is what the rest can carry, completions a second.
+	Anomalies
+	// RestCapacity is the capacity of the remaining failure domains, in
+	// completions per second.
 	RestCapacity  float64 `json:"rest_capacity_per_second"`
 	GoodputBefore float64 `json:"goodput_before_per_second"`
 	GoodputCut    float64 `json:"goodput_cut_per_second"`
 	GoodputAfter  float64 `json:"goodput_after_per_second"`
-	// CutBackMS is how long after the cut the goodput was at 95% of what the
-	// rest can carry; ReturnBackMS how long after the return it was at 95% of
-	// what it was before. -1 if it was not.
-	CutBackMS    int64          `json:"cut_back_to_95_ms"`
-	ReturnBackMS int64          `json:"return_back_to_95_ms"`
-	Ended        map[string]int `json:"ended"`
-	series       Series
+	// CutRecoveryMS is the time from the cut until the goodput reached 95% of
+	// what the remaining failure domains can serve. ReturnRecoveryMS is the time
+	// from the return until it reached 95% of its value before the cut. Both are
+	// -1 if it did not.
+	CutRecoveryMS    int64          `json:"cut_back_to_95_ms"`
+	ReturnRecoveryMS int64          `json:"return_back_to_95_ms"`
+	Ended            map[string]int `json:"ended"`
+	series           Series
 }
 
-// runDomain cuts each failure domain of the site off, one fleet for each.
+// runDomain cuts off each failure domain of the site, each in a fleet of its own.
 func runDomain(ctx context.Context, env Env) (*Report, error) {
 	domains := faultDeployment().Site.Domains
 	figures, err := each(ctx, env, domains, func(ctx context.Context, domain string) (DomainFigures, error) {
@@ -46,14 +48,14 @@
 	fig := Figure{Name: "domain-goodput", Title: "Goodput around the cut of a failure domain",
 		XLabel: "time, seconds", YLabel: "goodput, completions a second"}
 	for _, f := range figures {
-		report.domainLine(f)
+		report.addDomain(f)
 		fig.Series = append(fig.Series, f.series)
 	}
 	report.Figures = []Figure{fig}
 	return report, nil
 }
 
-// domainOnce cuts one failure domain off and lets it return.
+// domainOnce cuts off one failure domain and then restores it.
 func domainOnce(ctx context.Context, env Env, domain string) (DomainFigures, error) {
 	d := faultDeployment()
 	f, attempts, err := faultFleet(ctx, env, d, nil)
@@ -62,34 +64,36 @@
 	}
 	defer f.Close()
 	at := env.phases()
-	at.fault.to = at.fault.from + domainFactor*env.Duration
-	at.rest = window{at.fault.to, at.fault.to + domainFactor*env.Duration}
+	at.during.to = at.during.from + domainFactor*env.Duration
+	at.after = window{at.during.to, at.during.to + domainFactor*env.Duration}
 	_, teams := d.Teams(faultTeams)
-	x := newDriver(env, d, f, teams, faultLoadShare, at.rest.to)
-	struck := make(chan error, 1)
-	go func() { struck <- strikeAt(ctx, &scene{fleet: f, site: d.Site}, cutDomain(domain), at.fault) }()
+	x := newDriver(env, d, f, teams, faultLoadShare, at.after.to)
+	injected := make(chan error, 1)
+	go func() {
+		injected <- injectDuring(ctx, &faultTarget{fleet: f, site: d.Site}, cutDomain(domain), at.during)
+	}()
 	x.run(ctx)
-	if err := <-struck; err != nil {
+	if err := <-injected; err != nil {
 		return DomainFigures{}, fmt.Errorf("failure domain %s: %w", domain, err)
 	}
 	if err := ctx.Err(); err != nil {
 		return DomainFigures{}, err
 	}
-	rest := BoundOf(without(d.Site, domain), d.Profile, d.FirstToken).Capacity
-	before := x.share(at.quiet)
+	rest := BoundOf(withoutDomain(d.Site, domain), d.Profile, d.FirstToken).Capacity
+	shareBefore := x.share(at.before)
 	arriving := x.spec.Rate * (1 - d.Profile.PlainShare)
 	carried := math.Min(1, rest/arriving)
 	return DomainFigures{
-		Domain: domain, Wrongs: x.wrongs(ctx, attempts), RestCapacity: rest,
-		GoodputBefore: x.perSecond(at.quiet), GoodputCut: x.perSecond(at.fault), GoodputAfter: x.perSecond(at.rest),
-		CutBackMS:    x.backAfter(at.fault.from, at.fault.to, backShare*carried*before),
-		ReturnBackMS: x.backAfter(at.rest.from, at.rest.to, backShare*before),
-		Ended:        x.codes(), series: x.series(domain),
+		Domain: domain, Anomalies: x.anomalies(ctx, attempts), RestCapacity: rest,
+		GoodputBefore: x.perSecond(at.before), GoodputCut: x.perSecond(at.during), GoodputAfter: x.perSecond(at.after),
+		CutRecoveryMS:    x.recoveryTime(at.during.from, at.during.to, recoveredShare*carried*shareBefore),
+		ReturnRecoveryMS: x.recoveryTime(at.after.from, at.after.to, recoveredShare*shareBefore),
+		Ended:            x.codes(), series: x.series(domain),
 	}, nil
 }
 
-// without is a site without the engines of a failure domain.
-func without(site standin.PlatformConfig, domain string) standin.PlatformConfig {
+// withoutDomain returns a site without the engines of a failure domain.
+func withoutDomain(site standin.PlatformConfig, domain string) standin.PlatformConfig {
 	engines := site.Engines
 	site.Engines = nil
 	for _, e := range engines {
@@ -100,12 +104,12 @@
 	return site
 }
 
-// cutDomain kills all daemons of a failure domain at once, and its endpoints
-// lose all state and answer nothing until it returns.
-func cutDomain(domain string) strike {
+// cutDomain kills all daemons of a failure domain at once. Its endpoints lose all
+// state and do not reply until the fault ends.
+func cutDomain(domain string) injection {
 	var places []int
-	return strike{
-		begin: func(_ context.Context, s *scene) error {
+	return injection{
+		begin: func(_ context.Context, s *faultTarget) error {
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(true), Crash: true}); err != nil {
 				return err
 			}
@@ -115,7 +119,7 @@
 			}
 			return nil
 		},
-		end: func(_ context.Context, s *scene) error {
+		end: func(_ context.Context, s *faultTarget) error {
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(false)}); err != nil {
 				return err
 			}
@@ -129,10 +133,10 @@
 	}
 }
 
-// placesIn lists the places of a failure domain.
+// placesIn returns the places of a failure domain.
 func placesIn(f *fleet.Fleet, domain string) []int {
 	var out []int
-	for i := range f.Places() {
+	for i := range f.Members() {
 		if string(f.Domain(i)) == domain {
 			out = append(out, i)
 		}
@@ -140,8 +144,8 @@
 	return out
 }
 
-// injectDomain sets a fault of every endpoint of a failure domain.
-func (s *scene) injectDomain(domain string, fault wire.Fault) error {
+// injectDomain injects a fault into every endpoint of a failure domain.
+func (s *faultTarget) injectDomain(domain string, fault wire.Fault) error {
 	var targets []string
 	for _, e := range s.site.Engines {
 		if e.Domain == domain {
@@ -162,12 +166,12 @@
 	return nil
 }
 
-// domainLine adds the line of a failure domain.
-func (r *Report) domainLine(f DomainFigures) {
-	r.add("domain=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
+// addDomain adds the line and the faults of a failure domain.
+func (r *Report) addDomain(f DomainFigures) {
+	r.addLine("domain=%s lost=%d doubled=%d ran_twice=%d orphans=%d not_run_but_ran=%d wrong=%d violations=%d "+
 		"rest_capacity=%.1f/s goodput_before=%.1f/s goodput_cut=%.1f/s goodput_after=%.1f/s "+
 		"cut_back_to_95_ms=%d return_back_to_95_ms=%d",
 		f.Domain, f.Lost, f.Doubled, f.RanTwice, f.Orphans, f.NotRunButRan, f.Wrong, f.Violations,
-		f.RestCapacity, f.GoodputBefore, f.GoodputCut, f.GoodputAfter, f.CutBackMS, f.ReturnBackMS)
-	r.wrong(f.Domain, f.Wrongs)
+		f.RestCapacity, f.GoodputBefore, f.GoodputCut, f.GoodputAfter, f.CutRecoveryMS, f.ReturnRecoveryMS)
+	r.addAnomalies(f.Domain, f.Anomalies)
 }
--- a/cmd/internal/experiment/faults_cases.go
+++ b/cmd/internal/experiment/faults_cases.go
@@ -8,32 +8,32 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// The stages of a request in which engines are crashed.
+// The stages of a request during which engines are crashed.
 const (
 	stagePrefill = "prefill"
 	stageDecode  = "decode"
 )
 
-// hangUps decides which callers hang up.
+// hangUps selects the callers that hang up.
 type hangUps struct{ on atomic.Bool }
 
-// chosen tells whether the caller of an arrival hangs up: half of them, while
-// the fault stands.
-func (h *hangUps) chosen(a load.Arrival) bool {
+// selected reports whether the caller of an arrival hangs up: about half of the
+// callers of completions do while the fault is active.
+func (h *hangUps) selected(a load.Arrival) bool {
 	return h.on.Load() && !a.Plain && a.TextSeed%2 == 0
 }
 
-// faultCase is one line of the experiment.
+// faultCase is one injected fault of the experiment.
 type faultCase struct {
-	name   string
-	strike strike
-	// lasting says that the fault stands until its end, so that the way back
-	// begins there and not at its beginning.
+	name      string
+	injection injection
+	// lasting is true if the fault has its effect until its end. The recovery
+	// time is then measured from the end, otherwise from the start.
 	lasting bool
 }
 
-// faultCases lists the faults: singly, in pairs, and twice in a row. Each call
-// makes new ones, since strikes keep what they struck.
+// faultCases returns the faults: single, in pairs, and repeated. Each call creates
+// new ones, since an injected fault stores its targets.
 func faultCases() []faultCase {
 	return append(singleFaults(), pairedFaults()...)
 }
@@ -45,7 +45,7 @@
 		{"owner-killed", killOwner(), false},
 		{"engine-crash-prefill", crashEngine(stagePrefill), false},
 		{"engine-crash-decode", crashEngine(stageDecode), false},
-		{"engine-slow", standing(engines, wire.Fault{Slow: value(slowFactor)}, wire.Fault{Slow: value(1.0)}), true},
+		{"engine-slow", standInFault(engines, wire.Fault{Slow: value(slowFactor)}, wire.Fault{Slow: value(1.0)}), true},
 		{"transfer-stall", transferStall(), true},
 		{"table-down", tableDown(), true},
 		{"table-slow", tableFault(wire.Fault{DelayMS: value(slowTableMS)}, wire.Fault{DelayMS: value(0)}), true},
@@ -59,23 +59,23 @@
 
 func pairedFaults() []faultCase {
 	return []faultCase{
-		{"daemon-killed+table-down", both(killDaemon(), tableDown()), false},
-		{"engine-crash-decode+owner-killed", both(crashEngine(stageDecode), killOwner()), false},
-		{"transfer-stall+daemon-killed", both(transferStall(), killDaemon()), true},
-		{"owner-killed-twice", twice(killOwner(), killOwner()), false},
-		{"engine-crash-decode-twice", twice(crashEngine(stageDecode), crashEngine(stageDecode)), false},
+		{"daemon-killed+table-down", combine(killDaemon(), tableDown()), false},
+		{"engine-crash-decode+owner-killed", combine(crashEngine(stageDecode), killOwner()), false},
+		{"transfer-stall+daemon-killed", combine(transferStall(), killDaemon()), true},
+		{"owner-killed-twice", inSequence(killOwner(), killOwner()), false},
+		{"engine-crash-decode-twice", inSequence(crashEngine(stageDecode), crashEngine(stageDecode)), false},
 	}
 }
 
-func transferStall() strike {
-	return standing(firstOf(stalledEngines, standin.RoleDecode),
+func transferStall() injection {
+	return standInFault(firstOf(stalledEngines, standin.RoleDecode),
 		wire.Fault{StallTransfers: value(true)}, wire.Fault{StallTransfers: value(false)})
 }
 
-func tableDown() strike {
+func tableDown() injection {
 	return tableFault(wire.Fault{Down: value(true)}, wire.Fault{Down: value(false)})
 }
 
-func tableFault(on, off wire.Fault) strike {
-	return standing(named(standin.TargetTable), on, off)
+func tableFault(on, off wire.Fault) injection {
+	return standInFault(targetNames(standin.TargetTable), on, off)
 }
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -15,10 +15,10 @@
 )
 
 // Places returns the number of members, with or without a running daemon.
-func (f *Fleet) Places() int { return len(f.members) }
+func (f *Fleet) Members() int { return len(f.members) }
 
 // Place returns the index of the member with a name, or -1 if there is none.
-func (f *Fleet) Place(name id.Daemon) int {
+func (f *Fleet) MemberIndex(name id.Daemon) int {
 	return slices.IndexFunc(f.members, func(m *member) bool { return m.name == name })
 }
 
@@ -28,7 +28,7 @@
 // Owner returns the index of the member whose daemon schedules a pool, or -1 if no
 // daemon runs. It applies the rule that all daemons apply to the set of running
 // daemons, so it holds once they agree on that set.
-func (f *Fleet) Owner(pool id.Pool) int {
+func (f *Fleet) OwnerIndex(pool id.Pool) int {
 	var running []id.Daemon
 	for i, m := range f.members {
 		if f.Daemon(i) != nil {
@@ -38,7 +38,7 @@
 	if len(running) == 0 {
 		return -1
 	}
-	return f.Place(rendezvous.Owner(string(pool), running))
+	return f.MemberIndex(rendezvous.Owner(string(pool), running))
 }
 
 // Hosts returns the true host list, that of the running daemons.
@@ -88,7 +88,7 @@
 }
 
 // Decoded returns how often the engines started to decode each attempt.
-func (f *Fleet) Decoded() map[string]int {
+func (f *Fleet) DecodeRuns() map[string]int {
 	runs := map[string]int{}
 	for _, p := range f.platforms {
 		for _, e := range p.Engines {
--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -57,8 +57,8 @@
 
 	commit     committer
 	reads      reader
-	storeCalls map[CallID]*storeCall
-	lastID     CallID
+	storeCalls map[StoreCallID]*storeCall
+	lastID     StoreCallID
 
 	timers   timers
 	timerSeq uint64
@@ -73,12 +73,12 @@
 	if err != nil {
 		panic(err) // unreachable: the size is a positive constant
 	}
-	return &Claims{cfg: cfg, ops: map[string][]*op{}, storeCalls: map[CallID]*storeCall{}, recent: recent}
+	return &Claims{cfg: cfg, ops: map[string][]*op{}, storeCalls: map[StoreCallID]*storeCall{}, recent: recent}
 }
 
 func (cfg Config) withDefaults() Config {
 	defaults.Set(&cfg.Window, DefaultWindow)
-	defaults.Set(&cfg.Gap, DefaultGap)
+	defaults.Set(&cfg.MinInterval, DefaultMinInterval)
 	defaults.Set(&cfg.MaxBatch, DefaultMaxBatch)
 	defaults.Set(&cfg.MaxInFlight, DefaultMaxInFlight)
 	defaults.Set(&cfg.MaxWait, DefaultMaxWait)
@@ -216,7 +216,7 @@
 }
 
 // SetGap changes Config.Gap, for example when the number of writers changes.
-func (c *Claims) SetGap(gap time.Duration) { c.cfg.Gap = gap }
+func (c *Claims) SetMinInterval(gap time.Duration) { c.cfg.MinInterval = gap }
 
 // Pending returns the number of Begins, Finishes and Releases in progress.
 func (c *Claims) Pending() int { return c.count }
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -174,7 +174,7 @@
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(nil)
-	b.SetGap(0)
+	b.SetMinInterval(0)
 	var out []Action
 	for i := range 3 * DefaultMaxBatch {
 		out = append(out, b.Begin(0, b.wall(), newBegin(fmt.Sprint(i), Token(fmt.Sprint(i))))...)
@@ -213,9 +213,9 @@
 func TestRateAtTargetSize(t *testing.T) {
 	is := is.New(t)
 	const perSecond, share, seconds = 1650, 60, 5
-	gap := GapFor(4*share, 4)
+	gap := MinIntervalFor(4*share, 4)
 	b := newHarness(nil)
-	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, Gap: gap})
+	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, MinInterval: gap})
 	type pendingReply struct {
 		at time.Duration
 		tx *Transact
@@ -263,7 +263,7 @@
 	writers := Writers(members, 2)
 	is.Equal(len(writers), 2)
 	is.Equal(len(Writers(members[:1], 2)), 1)
-	is.Equal(GapFor(240, len(members)), DefaultGap)
+	is.Equal(MinIntervalFor(240, len(members)), DefaultMinInterval)
 	is.Equal(WriterFor("row", nil), id.Daemon(""))
 	without := slices.DeleteFunc(slices.Clone(members), func(d id.Daemon) bool { return d == writers[0] })
 	is.True(slices.Contains(Writers(without, 2), writers[1]))
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -72,7 +72,7 @@
 }
 
 // CallID identifies a call to the store within one Claims.
-type CallID uint64
+type StoreCallID uint64
 
 // Action is one instruction to the caller of Claims. Exactly one field is set.
 type Action struct {
@@ -95,13 +95,13 @@
 // Transact is one group commit. It must be sent once; the client must not retry
 // it on its own.
 type Transact struct {
-	ID          CallID
+	ID          StoreCallID
 	Transaction table.Transaction
 }
 
 // Read is a read of rows by key.
 type Read struct {
-	ID   CallID
+	ID   StoreCallID
 	Keys []string
 }
 
@@ -156,7 +156,7 @@
 	// Gap is the minimum time between the starts of two transactions. It divides
 	// the store's write rate among the writers; see GapFor. Default 37.5 ms: nine
 	// daemons that each write their own claims share 240 transactions a second.
-	Gap time.Duration
+	MinInterval time.Duration
 	// MaxBatch bounds the rows of a transaction or read. Default 64.
 	MaxBatch int
 	// MaxInFlight bounds the transactions in flight and, separately, the reads in
@@ -183,7 +183,7 @@
 // Defaults of Config.
 const (
 	DefaultWindow        = 5 * time.Millisecond
-	DefaultGap           = 37500 * time.Microsecond
+	DefaultMinInterval   = 37500 * time.Microsecond
 	DefaultMaxBatch      = 64
 	DefaultMaxInFlight   = 2
 	DefaultMaxWait       = 300 * time.Millisecond
--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -31,7 +31,7 @@
 	first := map[id.Daemon]int{}
 	rng := source()
 	for range 9000 {
-		a := Make(DefaultConfig(), nineCandidates(), "h0", rng)
+		a := NewAnswer(DefaultConfig(), nineCandidates(), "h0", rng)
 		first[a.Addresses[0].Daemon]++
 		is.Equal(len(a.Addresses), 6)
 		domains := map[id.Domain]bool{}
@@ -54,14 +54,14 @@
 	view[7].StopsIn = 4 * time.Second
 	rng := source()
 	for range 200 {
-		a := Make(DefaultConfig(), view, "h0", rng)
+		a := NewAnswer(DefaultConfig(), view, "h0", rng)
 		is.Equal(len(a.Addresses), 3)       // h0, h7, h8
 		is.Equal(a.Lifetime, 4*time.Second) // shortened to the announced stop
 	}
 	for i := range view {
 		view[i].State = member.Leaving
 	}
-	a := Make(DefaultConfig(), view, "h0", rng)
+	a := NewAnswer(DefaultConfig(), view, "h0", rng)
 	is.Equal(len(a.Addresses), 1) // the answering daemon is running
 	is.Equal(a.Addresses[0].Daemon, id.Daemon("h0"))
 }
@@ -73,7 +73,7 @@
 	first := map[id.Daemon]int{}
 	rng := source()
 	for range 9000 {
-		first[Make(DefaultConfig(), view, "h0", rng).Addresses[0].Daemon]++
+		first[NewAnswer(DefaultConfig(), view, "h0", rng).Addresses[0].Daemon]++
 	}
 	is.True(first["h0"] > 100 && first["h0"] < 450)
 }
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	cfg := DefaultStopConfig()
 	p := NewStopPlan(cfg, 0)
-	end := cfg.Spread + cfg.Lifetime
+	end := cfg.PropagationDelay + cfg.Lifetime
 	check := func(now time.Duration, inFlight int, want bool, why StopReason) {
 		t.Helper()
 		ok, reason := p.MayClose(now, inFlight)
@@ -92,12 +92,12 @@
 	check(end-1, 0, false, StopAnswers)
 	check(end, 3, false, StopStreams)
 	check(end, 0, true, StopDone)
-	p.Caller(end)
+	p.RecordCaller(end)
 	check(end, 0, false, StopCallers)
-	is.Equal(p.Earliest(), end+cfg.Quiet)
-	p.Named(end + time.Second)
+	is.Equal(p.Earliest(), end+cfg.QuietPeriod)
+	p.RecordNamed(end + time.Second)
 	check(end+2*time.Second, 0, false, StopAnswers)
-	check(cfg.Limit, 3, true, StopLimit)
+	check(cfg.MaxDuration, 3, true, StopLimit)
 }
 
 // Callers query a daemon that receives the announcement of a stop late, and use
@@ -111,12 +111,12 @@
 		closesAt := plan.Earliest()
 		for range 50 {
 			askedAt := time.Duration(rng.Int64N(int64(20 * time.Second)))
-			informedAt := time.Duration(rng.Int64N(int64(stop.Spread)))
+			informedAt := time.Duration(rng.Int64N(int64(stop.PropagationDelay)))
 			view := nineCandidates()
 			if askedAt >= informedAt {
 				view[3].State = member.Leaving
 			}
-			a := Make(cfg, view, "h0", rng)
+			a := NewAnswer(cfg, view, "h0", rng)
 			for _, address := range a.Addresses {
 				is.True(address.Daemon != "h3" || askedAt+a.Lifetime <= closesAt)
 			}
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -6,23 +6,23 @@
 type StopConfig struct {
 	// Spread is how long the announcement of the stop may take to reach every
 	// daemon, so that none names this daemon in its answers any more.
-	Spread time.Duration
+	PropagationDelay time.Duration
 	// Lifetime is the longest time for which callers may cache an earlier answer.
 	Lifetime time.Duration
 	// Quiet is how long no new caller must have arrived before the daemon closes.
-	Quiet time.Duration
+	QuietPeriod time.Duration
 	// Limit bounds the duration of the stop; requests that still run then are
 	// aborted. Zero means no limit.
-	Limit time.Duration
+	MaxDuration time.Duration
 }
 
 // DefaultStopConfig returns the defaults that match DefaultConfig.
 func DefaultStopConfig() StopConfig {
 	return StopConfig{
-		Spread:   4 * time.Second,
-		Lifetime: DefaultConfig().Lifetime,
-		Quiet:    time.Second,
-		Limit:    10 * time.Minute,
+		PropagationDelay: 4 * time.Second,
+		Lifetime:         DefaultConfig().Lifetime,
+		QuietPeriod:      time.Second,
+		MaxDuration:      10 * time.Minute,
 	}
 }
 
@@ -53,32 +53,32 @@
 // NewStopPlan returns the plan of a stop announced at now. From then on this daemon
 // must omit itself from its own answers.
 func NewStopPlan(cfg StopConfig, now time.Duration) *StopPlan {
-	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.Spread, lastCaller: now}
+	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.PropagationDelay, lastCaller: now}
 }
 
 // Named records that an answer named this daemon nevertheless, for example because
 // it was the only one left.
-func (p *StopPlan) Named(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
+func (p *StopPlan) RecordNamed(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
 // Caller records that a new caller arrived.
-func (p *StopPlan) Caller(now time.Duration) { p.lastCaller = now }
+func (p *StopPlan) RecordCaller(now time.Duration) { p.lastCaller = now }
 
 // Earliest returns the earliest time at which the daemon may close, provided that
 // no requests are in flight then.
 func (p *StopPlan) Earliest() time.Duration {
-	return max(p.lastNamed+p.cfg.Lifetime, p.lastCaller+p.cfg.Quiet)
+	return max(p.lastNamed+p.cfg.Lifetime, p.lastCaller+p.cfg.QuietPeriod)
 }
 
 // MayClose reports whether the daemon may close, and the reason.
 func (p *StopPlan) MayClose(now time.Duration, inFlight int) (bool, StopReason) {
 	switch {
-	case p.cfg.Limit > 0 && now-p.startedAt >= p.cfg.Limit:
+	case p.cfg.MaxDuration > 0 && now-p.startedAt >= p.cfg.MaxDuration:
 		return true, StopLimit
 	case now < p.lastNamed+p.cfg.Lifetime:
 		return false, StopAnswers
 	case inFlight > 0:
 		return false, StopStreams
-	case now < p.lastCaller+p.cfg.Quiet:
+	case now < p.lastCaller+p.cfg.QuietPeriod:
 		return false, StopCallers
 	default:
 		return true, StopDone
--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -47,7 +47,7 @@
 	MaxQueue int
 	// Remembered bounds the number of ended requests that are remembered, so
 	// that a late repeat of a Want is not granted again.
-	Remembered int
+	MaxEnded int
 	// Disabled lists mechanisms to switch off for measurements.
 	Disabled []Mechanism
 	// Health reports the allowed endpoints; nil allows every endpoint.
@@ -69,7 +69,7 @@
 	DefaultFullHold      = 150 * time.Millisecond
 	DefaultExpiresIn     = time.Second
 	DefaultMaxQueue      = 8192
-	DefaultRemembered    = 4096
+	DefaultMaxEnded      = 4096
 )
 
 func (o Options) withDefaults() Options {
@@ -82,6 +82,6 @@
 	defaults.Set(&o.FullHold, DefaultFullHold)
 	defaults.Set(&o.ExpiresIn, DefaultExpiresIn)
 	defaults.Set(&o.MaxQueue, DefaultMaxQueue)
-	defaults.Set(&o.Remembered, DefaultRemembered)
+	defaults.Set(&o.MaxEnded, DefaultMaxEnded)
 	return o
 }
--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -7,11 +7,11 @@
 )
 
 // Passage is the state of an OrderGate for one endpoint.
-type Passage uint8
+type GateState uint8
 
 const (
 	// Closed: this process may not send orders.
-	Closed Passage = iota
+	Closed GateState = iota
 	// Wait: an order of the former holder may still arrive at the endpoint.
 	Wait
 	// ReadBack: the caller must read the endpoint's state and call Repaired.
@@ -21,7 +21,7 @@
 )
 
 // String names the passage.
-func (p Passage) String() string {
+func (p GateState) String() string {
 	switch p {
 	case Closed:
 		return "closed"
@@ -40,11 +40,11 @@
 type GateConfig struct {
 	// LongestOrder is the maximum time that an order may be in flight: the
 	// sender's timeout plus the delays of networks and endpoints.
-	LongestOrder time.Duration
+	MaxOrderDelay time.Duration
 	// LapseCovers is set if the time between a holder's last trust in its lease
 	// and the lapse of that lease for others is at least LongestOrder, so that no
 	// order of the former holder is in flight after a lapse.
-	LapseCovers bool
+	LapseExceedsOrderDelay bool
 }
 
 // OrderGate decides when the holder of a duty may send orders to an endpoint. An
@@ -74,15 +74,15 @@
 func (g *OrderGate) Acquired(now time.Duration, a Acquired) {
 	g.fence = a.Fence
 	g.readBack = map[id.Endpoint]bool{}
-	g.waitUntil = now + g.cfg.LongestOrder
-	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseCovers) {
+	g.waitUntil = now + g.cfg.MaxOrderDelay
+	if a.Fence == 1 || a.Own || a.Quiet || (a.Lapsed && g.cfg.LapseExceedsOrderDelay) {
 		g.waitUntil = now
 	}
 }
 
 // Allow returns whether orders may be sent to an endpoint at this moment. The
 // caller must call it immediately before each order.
-func (g *OrderGate) Allow(now time.Duration, endpoint id.Endpoint, checksFencing bool) Passage {
+func (g *OrderGate) Allow(now time.Duration, endpoint id.Endpoint, checksFencing bool) GateState {
 	switch {
 	case !g.lease.Valid(now) || g.lease.Fence() != g.fence:
 		return Closed
@@ -100,7 +100,7 @@
 // Repaired records that the endpoint's state was read back after the wait, which
 // opens the gate for the endpoint. The caller then orders again whatever differs
 // from the desired state.
-func (g *OrderGate) Repaired(now time.Duration, endpoint id.Endpoint) {
+func (g *OrderGate) MarkReadBack(now time.Duration, endpoint id.Endpoint) {
 	if now >= g.waitUntil {
 		g.readBack[endpoint] = true
 	}
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -33,15 +33,15 @@
 	// MostSent and MostWatched bound the heartbeats that a daemon sends per
 	// second, the latter while it is watched. In a larger fleet the period grows,
 	// and the other daemons' timeouts grow with it. Mesh only; 0 for no bound.
-	MostSent    float64
-	MostWatched float64
+	MaxHeartbeatsPerSecond        float64
+	MaxWatchedHeartbeatsPerSecond float64
 	// MeshUpTo is the largest number of other daemons at which all daemons
 	// exchange heartbeats with all. In a larger fleet each daemon has two
 	// neighbours on each of Rings hash rings, which monitor each other and spread
 	// updates: a daemon's traffic does not grow with the fleet. Mesh only; 0 for
 	// no bound.
-	MeshUpTo int
-	Rings    int
+	MaxMeshPeers int
+	Rings        int
 	// NeighbourPeriod replaces Period between neighbours, and GossipInterval is
 	// the minimum time between heartbeats that spread updates.
 	NeighbourPeriod time.Duration
@@ -50,7 +50,7 @@
 	// it is declared dead.
 	PartitionedFor time.Duration
 	// Forget is how long a dead daemon that the host list lacks is kept.
-	Forget time.Duration
+	ForgetAfter time.Duration
 	// StallAfter is how late a Tick may come before this daemon counts it as a
 	// stall of its own process.
 	StallAfter time.Duration
@@ -91,7 +91,7 @@
 		NeighbourPeriod: 600 * time.Millisecond,
 		GossipInterval:  100 * time.Millisecond,
 		PartitionedFor:  time.Minute,
-		Forget:          10 * time.Minute,
+		ForgetAfter:     10 * time.Minute,
 		StallAfter:      500 * time.Millisecond,
 		DomainShare:     0.75,
 		ReviveEvery:     2 * time.Second,
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -73,7 +73,7 @@
 }
 
 // Local is the status that a daemon reports about itself to the others.
-type Local struct {
+type LocalStatus struct {
 	Revision uint64
 	InFlight int
 	Settings uint64
@@ -92,7 +92,7 @@
 }
 
 // SetLocal sets the status that the next messages report.
-func (m *Membership) SetLocal(l Local) {
+func (m *Membership) SetLocalStatus(l LocalStatus) {
 	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
 		// Its eligibility for duties has changed.
 		m.expediteUpdates()
@@ -201,9 +201,9 @@
 // basePeriod where the number of receivers would exceed the bound on heartbeats
 // per second.
 func (m *Membership) ownPeriod() time.Duration {
-	most := m.cfg.MostSent
+	most := m.cfg.MaxHeartbeatsPerSecond
 	if m.self.Watched {
-		most = m.cfg.MostWatched
+		most = m.cfg.MaxWatchedHeartbeatsPerSecond
 	}
 	if m.rings.enabled && !m.self.Watched {
 		return max(m.basePeriod(), m.cfg.NeighbourPeriod)
@@ -313,7 +313,7 @@
 
 // Hosts merges the host list. A host that is listed as leaving is leaving; a
 // daemon missing from the list is not declared dead for that alone.
-func (m *Membership) Hosts(now time.Duration, hosts []Host) []Action {
+func (m *Membership) MergeHosts(now time.Duration, hosts []Host) []Action {
 	for _, name := range m.order {
 		p := m.peers[name]
 		p.listed, p.listedLeaving = false, false
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -34,8 +34,8 @@
 	c.WatchedPeriod = 120 * time.Millisecond
 	c.WatchedSuspect = 390 * time.Millisecond
 	c.WatchedDead = 1500 * time.Millisecond
-	c.MostSent, c.MostWatched = 60, 600
-	c.MeshUpTo = 24
+	c.MaxHeartbeatsPerSecond, c.MaxWatchedHeartbeatsPerSecond = 60, 600
+	c.MaxMeshPeers = 24
 }
 
 func (k *fleetKind) fleet(n, domains int, seed uint64) *fleet {
@@ -203,7 +203,7 @@
 	list := f.hosts()
 	list[5].Leaving = true
 	list = append(list[:6], list[7:]...) // host-006 is absent
-	f.act("host-000", f.members["host-000"].Hosts(f.now, list))
+	f.act("host-000", f.members["host-000"].MergeHosts(f.now, list))
 	e, _ := f.members["host-000"].Get("host-005")
 	is.Equal(e.State, Leaving)
 	e, _ = f.members["host-000"].Get("host-006")
@@ -310,7 +310,7 @@
 	is.Equal(at(300*time.Millisecond, "c"), Alive)
 	is.Equal(at(900*time.Millisecond, "b"), Dead)
 	is.Equal(at(999*time.Millisecond, "c"), Alive)
-	m.SetLocal(Local{Watched: true})
+	m.SetLocalStatus(LocalStatus{Watched: true})
 	next := m.Next()
 	m.Tick(next)
 	is.Equal(m.Next(), next+cfg.WatchedPeriod)
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -84,7 +84,7 @@
 // neighbours watch each other.
 func (m *Membership) chooseNeighbours(now time.Duration) {
 	m.rings.neighboursStale = false
-	m.rings.enabled = m.cfg.MeshUpTo > 0 && len(m.order) > m.cfg.MeshUpTo
+	m.rings.enabled = m.cfg.MaxMeshPeers > 0 && len(m.order) > m.cfg.MaxMeshPeers
 	before := make(map[*peer]bool, 2*m.cfg.Rings)
 	for _, p := range m.peers {
 		if p.neighbour {
@@ -174,4 +174,4 @@
 
 // Large reports whether the fleet is so large that each daemon watches a few
 // neighbours instead of all others.
-func (m *Membership) Large() bool { return m.rings.enabled }
+func (m *Membership) UsesRings() bool { return m.rings.enabled }
--- a/core/member/timeouts_test.go
+++ b/core/member/timeouts_test.go
@@ -16,7 +16,7 @@
 		c.WatchedPeriod = 120 * time.Millisecond
 		c.WatchedSuspect = 390 * time.Millisecond
 		c.WatchedDead = 1500 * time.Millisecond
-		c.MostSent, c.MostWatched = rate, 10*rate
+		c.MaxHeartbeatsPerSecond, c.MaxWatchedHeartbeatsPerSecond = rate, 10*rate
 	}, Mesh, n, 5, 1)
 	f.run(5 * time.Second)
 	return f
@@ -70,7 +70,7 @@
 // is detected sooner in a large mesh as well.
 func TestWatchedDaemonInLargeMesh(t *testing.T) {
 	f := boundedMesh(90, 60)
-	f.members["host-003"].SetLocal(Local{Watched: true})
+	f.members["host-003"].SetLocalStatus(LocalStatus{Watched: true})
 	f.run(3 * time.Second)
 	f.stopped["host-003"] = true
 	f.within(t, 800*time.Millisecond, "suspected by all", func() bool {
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -16,7 +16,7 @@
 
 // desk returns the replay of Desk with all mechanisms enabled.
 func desk(bursts ...Burst) Replay {
-	r := Desk(bursts...)
+	r := SamplePool(bursts...)
 	r.New = schedulerWithout()
 	return r
 }
@@ -46,17 +46,17 @@
 	var sum total
 	for seed := uint64(1); seed <= seeds; seed++ {
 		one := r.Run(seed)
-		sum.Asked += one.Asked
+		sum.Requests += one.Requests
 		sum.InTime += one.InTime
 		sum.Late += one.Late
 		sum.Refused += one.Refused
 		sum.Left += one.Left
-		sum.VainTokens += one.VainTokens
+		sum.WastedTokens += one.WastedTokens
 		sum.Preempted += one.Preempted
 		sum.LargestShare += one.LargestShare / seeds
 		sum.LargeShare += one.LargeShare / seeds
 		sum.Refusals += one.Refusals
-		sum.AtOnce += one.AtOnce
+		sum.ImmediateRefusals += one.ImmediateRefusals
 		sum.recovery += one.Recovery(6, 22) / seeds
 	}
 	return sum
@@ -85,7 +85,7 @@
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal, kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without the mechanism %d", with.InTime, with.Asked, off.InTime)
+	t.Logf("in time %d of %d, without the mechanism %d", with.InTime, with.Requests, off.InTime)
 	is.True(with.Goodput() >= off.Goodput()+0.025)
 }
 
@@ -98,10 +98,10 @@
 	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	off := runSeeds(r)
 	t.Logf("in time %d and %d of %d, served %d and %d, at once %d of %d and %d of %d refusals, largest %.2f %.2f",
-		with.InTime, off.InTime, with.Asked, with.InTime+with.Late, off.InTime+off.Late,
-		with.AtOnce, with.Refusals, off.AtOnce, off.Refusals, with.LargestShare, with.LargeShare)
-	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
-	is.Equal(off.AtOnce, 0)
+		with.InTime, off.InTime, with.Requests, with.InTime+with.Late, off.InTime+off.Late,
+		with.ImmediateRefusals, with.Refusals, off.ImmediateRefusals, off.Refusals, with.LargestShare, with.LargeShare)
+	is.True(share(with.ImmediateRefusals, with.Refusals) >= 0.4)
+	is.Equal(off.ImmediateRefusals, 0)
 	is.True(with.Goodput() >= off.Goodput()-0.01)
 	is.True(with.LargestShare >= 0.7)
 	is.True(with.LargeShare >= 0.7)
@@ -132,7 +132,7 @@
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.LearnedLead)
 	off := runSeeds(r)
-	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Asked, off.InTime, with.AtOnce, with.Refusals)
+	t.Logf("in time %d of %d, without LearnedLead %d; %d of %d refusals at once", with.InTime, with.Requests, off.InTime, with.ImmediateRefusals, with.Refusals)
 	is.True(with.Goodput() >= off.Goodput()+0.015)
-	is.True(share(with.AtOnce, with.Refusals) >= 0.4)
+	is.True(share(with.ImmediateRefusals, with.Refusals) >= 0.4)
 }
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -21,18 +21,18 @@
 
 // Result summarizes a replay.
 type Result struct {
-	Asked, InTime, Late, Refused, Left int
+	Requests, InTime, Late, Refused, Left int
 	// Retried counts the callers that retried, RefusedAgain those that were
 	// refused more than once.
 	Retried, RefusedAgain int
 	// Refusals counts all refusals, AtOnce those within 120 ms.
-	Refusals, AtOnce int
+	Refusals, ImmediateRefusals int
 	// RefusedPermanently counts the callers that were refused with a code that
 	// rules out a retry.
 	RefusedPermanently int
 	// VainTokens counts the prompt tokens of granted requests that were not
 	// served, and the tokens prefilled again after preemptions.
-	VainTokens int
+	WastedTokens int
 	// Preempted counts the preemptions of requests for lack of memory.
 	Preempted int
 	// LargestShare and LargeShare are the served shares of the largest tenth of
@@ -43,13 +43,13 @@
 }
 
 // Second counts the requests that arrived in one second.
-type Second struct{ Asked, InTime, Late, Refused int }
+type Second struct{ Requests, InTime, Late, Refused int }
 
 // Served is the share of requests that were answered.
-func (r *Result) Served() float64 { return share(r.InTime+r.Late, r.Asked) }
+func (r *Result) Served() float64 { return share(r.InTime+r.Late, r.Requests) }
 
 // Goodput is the share of requests that were answered in time.
-func (r *Result) Goodput() float64 { return share(r.InTime, r.Asked) }
+func (r *Result) Goodput() float64 { return share(r.InTime, r.Requests) }
 
 func share(n, of int) float64 {
 	if of == 0 {
@@ -63,10 +63,10 @@
 func (r *Result) Recovery(calm int, from int) time.Duration {
 	usual := 0.0
 	for _, s := range r.Seconds[:min(calm, len(r.Seconds))] {
-		usual += share(s.InTime, s.Asked) / float64(calm)
+		usual += share(s.InTime, s.Requests) / float64(calm)
 	}
 	good := func(i int) bool {
-		return i < len(r.Seconds) && share(r.Seconds[i].InTime, r.Seconds[i].Asked) >= 0.9*usual
+		return i < len(r.Seconds) && share(r.Seconds[i].InTime, r.Seconds[i].Requests) >= 0.9*usual
 	}
 	for i := from; i < len(r.Seconds); i++ {
 		if good(i) && good(i+1) {
@@ -78,14 +78,14 @@
 
 // result sums up the outcomes of the callers.
 func (w *simulation) result() *Result {
-	r := &Result{Asked: len(w.callers), RefusedPermanently: w.refusedPermanently, VainTokens: w.wastedTokens, Preempted: w.preempted}
+	r := &Result{Requests: len(w.callers), RefusedPermanently: w.refusedPermanently, WastedTokens: w.wastedTokens, Preempted: w.preempted}
 	for _, c := range w.callers {
 		second := int(c.arrived / time.Second)
 		for len(r.Seconds) <= second {
 			r.Seconds = append(r.Seconds, Second{})
 		}
 		s := &r.Seconds[second]
-		s.Asked++
+		s.Requests++
 		switch c.outcome {
 		case inTime:
 			r.InTime++
@@ -109,7 +109,7 @@
 	for _, wait := range w.refusalWaits {
 		r.Refusals++
 		if wait <= atOnceLimit {
-			r.AtOnce++
+			r.ImmediateRefusals++
 		}
 	}
 	r.LargestShare, r.LargeShare = w.largeShares()
--- a/core/overload/simulation.go
+++ b/core/overload/simulation.go
@@ -51,7 +51,7 @@
 	run       *run
 	// requester sends the Want of the current attempt and repeats it if
 	// unanswered.
-	requester *pairing.Asker
+	requester *pairing.Requester
 }
 
 // simulation is the state of a replay.
@@ -168,7 +168,7 @@
 		Pause: w.Callers.Pause,
 	}
 	c.requester = pairing.New(process, pairing.Options{Local: true})
-	w.send(c, c.requester.Ask(w.now, want, want.Patience))
+	w.send(c, c.requester.Request(w.now, want, want.Patience))
 }
 
 // send delivers the output of a caller's requester and schedules the
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -55,11 +55,11 @@
 	Wait time.Duration
 	// Back is after how long the refused request should be retried: after the
 	// requests that were refused before it.
-	Back time.Duration
+	RetryAfter time.Duration
 }
 
 // Take grants the cost if the account allows it.
-func (l *Ledger) Take(now time.Duration, c Charge) (ok bool, r Refusal) {
+func (l *Ledger) TryCharge(now time.Duration, c Charge) (ok bool, r Refusal) {
 	a := l.account(now, c)
 	if !a.allows(c.Cost) {
 		return false, a.refuse(now, c.Cost)
@@ -73,7 +73,7 @@
 func (a *account) refuse(now time.Duration, cost float64) Refusal {
 	r := Refusal{Wait: a.waitFor(cost)}
 	at := max(now+r.Wait, a.reservedUntil)
-	r.Back = min(at-now, maxWait)
+	r.RetryAfter = min(at-now, maxWait)
 	if rate := a.limit.Rate * a.share; rate > 0 {
 		a.reservedUntil = min(at+time.Duration(cost/rate*float64(time.Second)), now+maxReserved)
 	}
@@ -86,7 +86,7 @@
 
 // Owe charges a cost that was already spent, and returns how long the account
 // stays in debt.
-func (l *Ledger) Owe(now time.Duration, c Charge) time.Duration {
+func (l *Ledger) ChargeSpent(now time.Duration, c Charge) time.Duration {
 	a := l.account(now, c)
 	a.balance -= c.Cost
 	if a.balance > 0 {
@@ -96,7 +96,7 @@
 }
 
 // Return credits what was granted for a request that has not run.
-func (l *Ledger) Return(now time.Duration, c Charge) {
+func (l *Ledger) Refund(now time.Duration, c Charge) {
 	a := l.account(now, c)
 	a.balance = min(a.balance+c.Cost, a.maxBalance)
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -23,23 +23,23 @@
 	is.Equal(tokens.Cost(Size{}), 200.0)
 	is.Equal(Limit{Rate: 1}.Cost(Size{Known: true, Prompt: 5200}), 1.0)
 	is.True(!Limit{Burst: 5}.Limited())
-	is.True(Limit{Rate: -1}.Check() != nil)
-	is.True(Limit{Burst: math.NaN()}.Check() != nil)
-	is.NoErr(tokens.Check())
+	is.True(Limit{Rate: -1}.Validate() != nil)
+	is.True(Limit{Burst: math.NaN()}.Validate() != nil)
+	is.NoErr(tokens.Validate())
 }
 
 func TestAccountRefillsUpToTheBurst(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	ok, _ := l.Take(0, charge(150)) // half of the burst is available, and a debt of 50 remains
+	ok, _ := l.TryCharge(0, charge(150)) // half of the burst is available, and a debt of 50 remains
 	is.True(ok)
-	ok, refused := l.Take(0, charge(1))
+	ok, refused := l.TryCharge(0, charge(1))
 	is.True(!ok)
 	is.Equal(refused.Wait, 500*time.Millisecond)
-	ok, _ = l.Take(501*time.Millisecond, charge(1))
+	ok, _ = l.TryCharge(501*time.Millisecond, charge(1))
 	is.True(ok)
-	l.Return(501*time.Millisecond, charge(1))
-	_, _ = l.Take(time.Hour, charge(0))
+	l.Refund(501*time.Millisecond, charge(1))
+	_, _ = l.TryCharge(time.Hour, charge(0))
 	balance, _ := l.Balance(desk)
 	is.Equal(balance, 200.0)
 }
@@ -47,12 +47,12 @@
 func TestLoweredLimitAppliesImmediately(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	_, _ = l.Take(0, charge(0))
+	_, _ = l.TryCharge(0, charge(0))
 	low := charge(5)
 	low.Limit = Limit{Rate: 1, Burst: 10}
 	granted := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
-		if ok, _ := l.Take(at, low); ok {
+		if ok, _ := l.TryCharge(at, low); ok {
 			granted++
 		}
 	}
@@ -71,7 +71,7 @@
 		c.Limit = Limit{Rate: 1000, Burst: 1000}
 		c.Share = 1.0 / daemons
 		for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
-			if ok, _ := l.Take(at, c); ok {
+			if ok, _ := l.TryCharge(at, c); ok {
 				total += cost
 			}
 		}
@@ -82,30 +82,30 @@
 
 func TestSmallRequestsArePaidInAdvanceUntilTheKeeperRefuses(t *testing.T) {
 	is := is.New(t)
-	p := NewPurse()
-	p.SetAhead(400)
+	p := NewLocalBudget()
+	p.SetMaxDebt(400)
 	a, _ := p.Spend(0, desk, 200)
-	is.Equal(a, Paid)
+	is.Equal(a, Granted)
 	a, _ = p.Spend(0, desk, 200)
-	is.Equal(a, Paid)
+	is.Equal(a, Granted)
 	a, _ = p.Spend(0, desk, 200)
 	is.Equal(a, AskKeeper)
-	is.True(p.Return(desk, 200))
+	is.True(p.Refund(desk, 200))
 	is.Equal(p.Settle(0), []Debt{{Team: desk, Cost: 200}})
-	is.True(!p.Return(desk, 200)) // already reported to the keeper
+	is.True(!p.Refund(desk, 200)) // already reported to the keeper
 	is.Equal(len(p.Settle(0)), 0)
 
-	p.Shut(0, desk, Refusal{Wait: 300 * time.Millisecond})
+	p.RefuseFor(0, desk, Refusal{Wait: 300 * time.Millisecond})
 	a, wait := p.Spend(100*time.Millisecond, desk, 1)
 	is.Equal(a, Refused)
 	is.Equal(wait, 200*time.Millisecond)
 	a, _ = p.Spend(300*time.Millisecond, desk, 1)
 	is.Equal(a, AskKeeper) // nothing is paid in advance so soon after a refusal
 	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
-	is.Equal(a, Paid)
+	is.Equal(a, Granted)
 
-	p.Shut(10*time.Second, desk, Refusal{Wait: time.Hour})
-	p.Open()
+	p.RefuseFor(10*time.Second, desk, Refusal{Wait: time.Hour})
+	p.ClearRefusals()
 	a, _ = p.Spend(10*time.Second, desk, 1)
 	is.Equal(a, AskKeeper)
 }
@@ -114,14 +114,14 @@
 	is := is.New(t)
 	tolerance := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140}
 	limit := charge(0).Limit
-	is.Equal(tolerance.Of(limit), 0.1*1000+140)
-	is.Equal(tolerance.Ahead(7), 5.0)
+	is.Equal(tolerance.For(limit), 0.1*1000+140)
+	is.Equal(tolerance.MaxDebt(7), 5.0)
 	l := NewLedger(tolerance)
-	_, _ = l.Take(0, charge(0))
+	_, _ = l.TryCharge(0, charge(0))
 	granted := 0.0
 	const from, length = time.Hour, 100 * time.Second
 	for at := from; at < from+length; at += 10 * time.Millisecond {
-		if ok, _ := l.Take(at, charge(10)); ok {
+		if ok, _ := l.TryCharge(at, charge(10)); ok {
 			granted += 10
 		}
 	}
@@ -133,19 +133,19 @@
 func TestSimultaneousRefusalsGetStaggeredRetries(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Tolerance{})
-	_, _ = l.Take(0, charge(100)) // the account is empty
+	_, _ = l.TryCharge(0, charge(100)) // the account is empty
 	last := time.Duration(0)
 	for range 5 {
-		ok, refused := l.Take(0, charge(50))
+		ok, refused := l.TryCharge(0, charge(50))
 		is.True(!ok)
-		is.True(refused.Back >= last)
-		last = refused.Back + 500*time.Millisecond // the income that the request takes
+		is.True(refused.RetryAfter >= last)
+		last = refused.RetryAfter + 500*time.Millisecond // the income that the request takes
 	}
 	for range 1000 {
-		_, _ = l.Take(0, charge(50))
+		_, _ = l.TryCharge(0, charge(50))
 	}
-	_, refused := l.Take(0, charge(50))
-	is.True(refused.Back <= maxReserved)
+	_, refused := l.TryCharge(0, charge(50))
+	is.True(refused.RetryAfter <= maxReserved)
 	is.Equal(refused.Wait, minWait) // the reservations do not change when there is credit
 }
 
@@ -161,6 +161,6 @@
 	for i := 0; b.Loop(); i++ {
 		c.Team = teams[i%len(teams)]
 		at += 150 * time.Microsecond
-		_, _ = l.Take(at, c)
+		_, _ = l.TryCharge(at, c)
 	}
 }
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -109,15 +109,15 @@
 type keeperAccounts struct {
 	keeper  int
 	ledger  *Ledger
-	purses  []*Purse
+	purses  []*LocalBudget
 	settled []time.Duration
 }
 
 func newKeeperAccounts(f *fleet) strategy {
 	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, f.daemons)}
 	for range f.daemons {
-		p := NewPurse()
-		p.SetAhead(testTolerance.Ahead(f.daemons))
+		p := NewLocalBudget()
+		p.SetMaxDebt(testTolerance.MaxDebt(f.daemons))
 		a.purses = append(a.purses, p)
 	}
 	return a
@@ -125,7 +125,7 @@
 
 func (a *keeperAccounts) decide(f *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
 	switch answer, _ := a.purses[daemon].Spend(f.now, team, cost); answer {
-	case Paid:
+	case Granted:
 		done(true)
 	case Refused:
 		done(false)
@@ -137,11 +137,11 @@
 func (a *keeperAccounts) ask(f *fleet, daemon int, team id.Team, cost float64, done func(bool), tries int) {
 	answered := false
 	f.send(a.keeper, func() {
-		ok, refused := a.ledger.Take(f.now, Charge{Team: team, Limit: f.limits[team], Cost: cost, Share: 1})
+		ok, refused := a.ledger.TryCharge(f.now, Charge{Team: team, Limit: f.limits[team], Cost: cost, Share: 1})
 		f.send(daemon, func() {
 			answered = true
 			if !ok {
-				a.purses[daemon].Shut(f.now, team, refused)
+				a.purses[daemon].RefuseFor(f.now, team, refused)
 			}
 			done(ok)
 		})
@@ -168,9 +168,9 @@
 	}
 	f.send(a.keeper, func() {
 		for _, d := range debts {
-			wait := a.ledger.Owe(f.now, Charge{Team: d.Team, Limit: f.limits[d.Team], Cost: d.Cost, Share: 1})
+			wait := a.ledger.ChargeSpent(f.now, Charge{Team: d.Team, Limit: f.limits[d.Team], Cost: d.Cost, Share: 1})
 			if wait > 0 {
-				f.send(daemon, func() { a.purses[daemon].Shut(f.now, d.Team, Refusal{Wait: wait, Back: wait}) })
+				f.send(daemon, func() { a.purses[daemon].RefuseFor(f.now, d.Team, Refusal{Wait: wait, RetryAfter: wait}) })
 			}
 		}
 	})
@@ -280,7 +280,7 @@
 	limit := f.limits[team]
 	limit.Rate /= float64(f.daemons)
 	limit.Burst /= float64(f.daemons)
-	ok, _ := s.ledgers[daemon].Take(f.now, Charge{Team: team, Limit: limit, Cost: cost, Share: 1})
+	ok, _ := s.ledgers[daemon].TryCharge(f.now, Charge{Team: team, Limit: limit, Cost: cost, Share: 1})
 	done(ok)
 }
 
@@ -459,7 +459,7 @@
 	highest := 0.0
 	for team, all := range f.granted {
 		limit := f.limits[team]
-		allowed := limit.Rate*testTolerance.Window.Seconds() + limit.Burst + testTolerance.Of(limit)
+		allowed := limit.Rate*testTolerance.Window.Seconds() + limit.Burst + testTolerance.For(limit)
 		sum, first := 0.0, 0
 		for _, s := range all {
 			sum += s.cost
--- a/core/randomrun/host_test.go
+++ b/core/randomrun/host_test.go
@@ -21,7 +21,7 @@
 	sim       *simulation
 	self      id.Process
 	dead      bool
-	requester *pairing.Asker
+	requester *pairing.Requester
 	managers  map[id.Pool]*pool.Manager
 	ledgers   map[id.Pool]sched.Scheduler
 	poison    *poison.Ledger
@@ -153,7 +153,7 @@
 			names = append(names, p.Daemon)
 		}
 	}
-	h.handleOutput(h.requester.Members(h.sim.now, names))
+	h.handleOutput(h.requester.SetMembers(h.sim.now, names))
 	for _, p := range pools {
 		if h.requester.Owner(p) != h.self.Daemon {
 			delete(h.managers, p)
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -39,7 +39,7 @@
 // unless fewer than Count others are left.
 func Choose(candidates []Candidate) []id.Daemon {
 	served := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.StoreLost })
-	able := capacity.Able(served, func(c Candidate) capacity.Capacity { return c.Capacity })
+	able := capacity.SelectAble(served, func(c Candidate) capacity.Capacity { return c.Capacity })
 	if len(able) < Count {
 		able = served
 	}
@@ -100,13 +100,13 @@
 // wait after the start is over, it does if it is chosen or fewer than Count daemons
 // are. A daemon that only continues to read during settleTime does not, since a
 // change that arrives after a gap makes each receiver read the whole table again.
-func (d *Decision) Tells() bool { return d.broadcasts }
+func (d *Decision) Broadcasts() bool { return d.broadcasts }
 
 // Chosen returns the readers as of the last decision.
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
 
 // Waited reports whether the wait after the start is over.
-func (d *Decision) Waited() bool { return d.startupOver }
+func (d *Decision) StartupOver() bool { return d.startupOver }
 
 // Decide reports whether the daemon reads, given the current candidates and whether
 // it is the only daemon that ever enrolled. After startupWait, or at once if it is
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -14,7 +14,7 @@
 
 // startedEntry returns the entry of one start of an instance.
 func startedEntry(instance id.Instance, born int64, address string) Endpoint {
-	return Endpoint{Name: Incarnation(instance, born), Instance: instance, Born: born, Address: address, Role: live.RoleDecode}
+	return Endpoint{Name: Incarnation(instance, born), Instance: instance, StartedUnixMS: born, Address: address, Role: live.RoleDecode}
 }
 
 func TestLaterStartReplacesEarlier(t *testing.T) {
@@ -51,10 +51,10 @@
 	l := New()
 	former, present := entry("a", "1"), entry("b", "1")
 	l.Set(0, 1, []Endpoint{former, present})
-	is.Equal(l.Disputed(), []Endpoint{former, present})
-	is.True(l.Displace(former))
-	is.True(!l.Displace(former))
-	is.Equal(len(l.Disputed()), 0)
+	is.Equal(l.AddressConflicts(), []Endpoint{former, present})
+	is.True(l.MarkDisplaced(former))
+	is.True(!l.MarkDisplaced(former))
+	is.Equal(len(l.AddressConflicts()), 0)
 	l.Set(time.Second, 1, []Endpoint{present})
 	l.Set(2*time.Second, 1, []Endpoint{former, present})
 	is.Equal(names(l), []id.Endpoint{"b"})
@@ -127,13 +127,13 @@
 			case 5:
 				l.Restarted(instance, born[instance], live.RoleDecode)
 			case 6:
-				for _, e := range l.Disputed() {
-					l.Displace(e)
+				for _, e := range l.AddressConflicts() {
+					l.MarkDisplaced(e)
 					displaced[e.location()] = true
 					break
 				}
 			default:
-				l.Settle()
+				l.DropRemoved()
 			}
 			var entries []Endpoint
 			for _, e := range rows {
@@ -152,13 +152,13 @@
 		if _, twice := present[e.Instance]; twice {
 			t.Fatalf("%s is listed twice", e.Instance)
 		}
-		if e.Born < shown[e.Instance] {
-			t.Fatalf("start of %s went back from %d to %d", e.Instance, shown[e.Instance], e.Born)
+		if e.StartedUnixMS < shown[e.Instance] {
+			t.Fatalf("start of %s went back from %d to %d", e.Instance, shown[e.Instance], e.StartedUnixMS)
 		}
 		if displaced[e.location()] {
 			t.Fatalf("displaced endpoint %s is listed", e.Name)
 		}
-		present[e.Instance] = e.Born
+		present[e.Instance] = e.StartedUnixMS
 	}
 	clear(shown)
 	for instance, born := range present {
--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -55,12 +55,12 @@
 		return
 	}
 	o.away = false
-	l.Suspect(now)
+	l.SuspectOutage(now)
 }
 
 // Suspect records that the store may have been away until now: this daemon has not
 // called it in the meantime, and calls of others failed.
-func (l *List) Suspect(now time.Duration) {
+func (l *List) SuspectOutage(now time.Duration) {
 	o := &l.outage
 	o.ownReturnUntil = now + uptime.ReturnGrace
 	o.returnUntil = max(o.returnUntil, o.ownReturnUntil)
@@ -68,7 +68,7 @@
 
 // Answered records a response of the store to this daemon, with the version of its
 // newest change and its clock. Set unbroken if the previous call was answered too.
-func (l *List) Answered(newest uint64, clock time.Duration, unbroken bool) {
+func (l *List) RecordResponse(newest uint64, clock time.Duration, unbroken bool) {
 	o := &l.outage
 	next := o.ownSpan.Extend(newest, clock, unbroken)
 	if next.Since != o.ownSpan.Since {
@@ -79,7 +79,7 @@
 
 // Current records that the list is up to date with the last response of the store to
 // this daemon.
-func (l *List) Current() { l.position = max(l.position, l.outage.ownSpan.Until) }
+func (l *List) MarkCurrent() { l.position = max(l.position, l.outage.ownSpan.Until) }
 
 // Uptime returns the spans in which the store is known to have responded, to be sent
 // to other daemons.
@@ -88,36 +88,36 @@
 // Learn merges another daemon's report of the spans in which the store responded, and
 // of the version up to which that daemon has read the list. It reports whether entries
 // were dropped as a result.
-func (l *List) Learn(reported uptime.History, listed uint64) bool {
+func (l *List) MergeUptime(reported uptime.History, listed uint64) bool {
 	o := &l.outage
 	o.listed = max(o.listed, listed)
 	for _, s := range reported {
 		o.spans = o.spans.Add(s)
 	}
-	return l.Settle()
+	return l.DropRemoved()
 }
 
 // MayReturn records another daemon's report of an outage: entries that have gone
 // missing since may return until the store has responded for uptime.ReturnGrace.
 // Repeated reports of the same return do not extend that time.
-func (l *List) MayReturn(now time.Duration) {
-	o, newest := &l.outage, l.Uptime().Newest()
+func (l *List) ReportOutage(now time.Duration) {
+	o, newest := &l.outage, l.Uptime().Latest()
 	if newest.Since == o.returnedAt {
 		return
 	}
 	o.returnedAt = newest.Since
-	o.returnUntil = max(o.returnUntil, now+uptime.ReturnGrace-newest.Length())
+	o.returnUntil = max(o.returnUntil, now+uptime.ReturnGrace-newest.Duration())
 }
 
 // Doubts reports whether entries that go missing may return.
-func (l *List) Doubts(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
+func (l *List) EntriesMayReturn(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
 
 // Ask reports whether to query other daemons now for the spans in which the store
 // responded to them, and the store version that their reply should reach. A daemon
 // whose own calls failed, or whose kept entries are due, queries each time. A daemon
 // that keeps entries because of others' reports, as the whole fleet may do at once,
 // queries at most once per pause.
-func (l *List) Ask(now, pause time.Duration) (upTo uint64, ask bool) {
+func (l *List) ShouldQuery(now, pause time.Duration) (upTo uint64, ask bool) {
 	o := &l.outage
 	if len(l.lapsed) == 0 {
 		return l.position, false
@@ -131,7 +131,7 @@
 
 // Settle drops the kept entries that the spans prove to be removed, and reports
 // whether there were any.
-func (l *List) Settle() bool {
+func (l *List) DropRemoved() bool {
 	spans, before := l.Uptime(), len(l.lapsed)
 	maps.DeleteFunc(l.lapsed, func(_ id.Endpoint, p lapsedEntry) bool {
 		return slices.ContainsFunc(spans, func(s uptime.Span) bool {
@@ -146,9 +146,11 @@
 // this daemon must have read the list as it was then.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.outage.listed <= l.position && l.position <= s.Until
-	return s.Length() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
+	return s.Duration() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
 // Due reports whether the return grace is over for entries that are still kept. They
 // are dropped once the store is proven to have responded for all of that time.
-func (l *List) Due(now time.Duration) bool { return len(l.lapsed) > 0 && now >= l.outage.returnUntil }
+func (l *List) GraceOver(now time.Duration) bool {
+	return len(l.lapsed) > 0 && now >= l.outage.returnUntil
+}
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -188,15 +188,15 @@
 		d.StoreBack(s.now)
 	}
 	if !d.unbroken && s.othersLost(d) {
-		d.Suspect(s.now)
+		d.SuspectOutage(s.now)
 	}
-	d.Answered(s.version, s.now, d.unbroken)
+	d.RecordResponse(s.version, s.now, d.unbroken)
 	d.unbroken = true
 	if s.version > d.known {
 		s.read(d)
 		s.push(d)
 	}
-	d.Current()
+	d.MarkCurrent()
 }
 
 // othersLost reports whether a daemon sees that others have been without the store
@@ -220,14 +220,14 @@
 	if !from.reader || s.now < from.cutUntil {
 		return
 	}
-	spans, mayReturn := from.Uptime(), from.Doubts(s.now)
+	spans, mayReturn := from.Uptime(), from.EntriesMayReturn(s.now)
 	for _, to := range s.daemons {
 		if to == from || s.now < to.cutUntil {
 			continue
 		}
-		to.Learn(spans, from.known)
+		to.MergeUptime(spans, from.known)
 		if mayReturn {
-			to.MayReturn(s.now)
+			to.ReportOutage(s.now)
 		}
 		if s.version > to.known {
 			s.read(to)
@@ -238,14 +238,14 @@
 // query asks the readers, on behalf of a daemon, for the spans in which the store
 // responded to them.
 func (s *simFleet) query(d *simDaemon) {
-	d.Settle()
-	if _, ask := d.Ask(s.now, simQueryPause); !ask || s.now < d.cutUntil {
+	d.DropRemoved()
+	if _, ask := d.ShouldQuery(s.now, simQueryPause); !ask || s.now < d.cutUntil {
 		return
 	}
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil {
 			spans := other.Uptime()
-			d.Learn(spans, other.known)
+			d.MergeUptime(spans, other.known)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 	for _, other := range s.daemons {
 		if other != d && other.reader && s.now >= other.cutUntil && other.known == s.version {
 			spans := other.Uptime()
-			d.Learn(spans, other.known)
+			d.MergeUptime(spans, other.known)
 			s.read(d)
 			return
 		}
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -74,7 +74,7 @@
 		l.keepLapsed(now, old, after)
 	}
 	l.dropUnreadable(unreadable)
-	l.Settle()
+	l.DropRemoved()
 	l.dropReplaced()
 	l.dropAppliedRestarts()
 }
@@ -84,7 +84,7 @@
 func latestStarts(entries []Endpoint) map[id.Instance]Endpoint {
 	latest := map[id.Instance]Endpoint{}
 	for _, e := range entries {
-		if e.Born > latest[e.Instance].Born {
+		if e.StartedUnixMS > latest[e.Instance].StartedUnixMS {
 			latest[e.Instance] = e
 		}
 	}
@@ -158,7 +158,7 @@
 // Displace records that another process responded at an endpoint's address: entries
 // with the same name and address are ignored from now on. It reports whether this was
 // not recorded before.
-func (l *List) Displace(e Endpoint) bool {
+func (l *List) MarkDisplaced(e Endpoint) bool {
 	_, known := l.displaced.Get(e.location())
 	l.displaced.Add(e.location(), struct{}{})
 	return !known
@@ -168,10 +168,10 @@
 // and of its present role. It reports whether this was not recorded before.
 func (l *List) Restarted(instance id.Instance, born int64, role live.Role) bool {
 	entry, ok := l.entry(instance)
-	if !ok || born <= entry.Born || born <= l.restarted[instance].Born {
+	if !ok || born <= entry.StartedUnixMS || born <= l.restarted[instance].StartedUnixMS {
 		return false
 	}
-	entry.Born = born
+	entry.StartedUnixMS = born
 	entry.Name = Incarnation(instance, born)
 	entry.Role = role
 	l.restarted[instance] = entry
@@ -200,7 +200,7 @@
 
 // Disputed lists the endpoints that share an address with another one: at most one of
 // them is present, and only the process at the address can report which.
-func (l *List) Disputed() []Endpoint {
+func (l *List) AddressConflicts() []Endpoint {
 	all := l.All()
 	claims := make(map[string]int, len(all))
 	for _, e := range all {
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -34,20 +34,20 @@
 	l.Set(0, 1, []Endpoint{entry("a", "1"), entry("b", "2"), entry("c", "3")})
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
-	l.Answered(1, time.Minute, false)
+	l.RecordResponse(1, time.Minute, false)
 	l.Set(10*time.Second, 1, nil)
 	is.Equal(names(l), []id.Endpoint{"a", "b", "c"})
 	l.Set(11*time.Second, 1, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 2)
-	is.True(!l.Settle())
+	is.True(!l.DropRemoved())
 	end := 10*time.Second + uptime.ReturnGrace
-	l.Answered(1, time.Minute+uptime.ReturnGrace-1, true)
-	is.True(!l.Settle())
-	is.True(!l.Due(end - 1))
-	is.True(l.Due(end))
-	l.Answered(1, time.Minute+uptime.ReturnGrace, true)
-	is.True(l.Settle())
-	is.True(!l.Due(end))
+	l.RecordResponse(1, time.Minute+uptime.ReturnGrace-1, true)
+	is.True(!l.DropRemoved())
+	is.True(!l.GraceOver(end - 1))
+	is.True(l.GraceOver(end))
+	l.RecordResponse(1, time.Minute+uptime.ReturnGrace, true)
+	is.True(l.DropRemoved())
+	is.True(!l.GraceOver(end))
 	is.Equal(names(l), []id.Endpoint{"a"})
 }
 
@@ -78,17 +78,17 @@
 func TestOutageReportedByAnotherDaemon(t *testing.T) {
 	is := is.New(t)
 	l := New()
-	is.True(!l.Doubts(0))
+	is.True(!l.EntriesMayReturn(0))
 	l.Set(0, 10, []Endpoint{{Name: "a", Address: "1"}})
 	back := servedSpan(0, 11, time.Second, time.Second)
-	l.Learn(back, 0)
-	l.MayReturn(1100 * time.Millisecond)
+	l.MergeUptime(back, 0)
+	l.ReportOutage(1100 * time.Millisecond)
 	l.Set(1100*time.Millisecond, 11, nil)
 	is.Equal(l.Lapsed(), 1)
-	is.True(l.Doubts(1100 * time.Millisecond))
+	is.True(l.EntriesMayReturn(1100 * time.Millisecond))
 	// A repeated or later report of the same return does not extend the time.
-	l.Learn(back, 0)
-	l.MayReturn(3 * time.Second)
+	l.MergeUptime(back, 0)
+	l.ReportOutage(3 * time.Second)
 	until := 1100*time.Millisecond + uptime.ReturnGrace
 	for _, asks := range []struct {
 		at  time.Duration
@@ -97,14 +97,14 @@
 		{1200 * time.Millisecond, true}, {1300 * time.Millisecond, false}, {1900 * time.Millisecond, true},
 		{2500 * time.Millisecond, false}, {until, true}, {until + 1, true},
 	} {
-		_, ask := l.Ask(asks.at, 700*time.Millisecond)
+		_, ask := l.ShouldQuery(asks.at, 700*time.Millisecond)
 		is.Equal(ask, asks.ask)
 	}
 	end := time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(servedSpan(0, 11, time.Second, end-1), 0))
-	is.True(l.Learn(servedSpan(11, 11, time.Second, end), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 11, time.Second, end-1), 0))
+	is.True(l.MergeUptime(servedSpan(11, 11, time.Second, end), 0))
 	is.Equal(l.Lapsed(), 0)
-	l.Learn(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
+	l.MergeUptime(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
 	l.Set(4*time.Second, 12, []Endpoint{{Name: "b", Address: "2"}})
 	l.Set(4*time.Second, 13, nil)
 	is.Equal(l.Lapsed(), 0)
@@ -120,18 +120,18 @@
 		l.StoreLost()
 		span := servedSpan(3, 12, -time.Minute, 5*time.Second)
 		if first {
-			l.Learn(span, 0)
+			l.MergeUptime(span, 0)
 		}
 		l.Set(5*time.Second, 12, []Endpoint{entry("b", "2")})
 		if !first {
 			is.Equal(names(l), []id.Endpoint{"a", "b"})
-			upTo, ask := l.Ask(5*time.Second, 0)
+			upTo, ask := l.ShouldQuery(5*time.Second, 0)
 			is.True(ask)
 			is.Equal(upTo, uint64(12))
-			is.True(l.Learn(span, 0))
+			is.True(l.MergeUptime(span, 0))
 		}
 		is.Equal(names(l), []id.Endpoint{"b"})
-		_, ask := l.Ask(5*time.Second, 0)
+		_, ask := l.ShouldQuery(5*time.Second, 0)
 		is.True(!ask)
 	}
 }
@@ -145,14 +145,14 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
-	l.Answered(20, 10*time.Second, false)
+	l.RecordResponse(20, 10*time.Second, false)
 	l.Set(10*time.Second, 20, nil)
 	is.Equal(l.Lapsed(), 1)
 	// Other daemons were served from 8 s on.
 	end := 8*time.Second + uptime.ReturnGrace
-	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
-	is.True(!l.Learn(servedSpan(0, 20, 8*time.Second, end-1), 0))
-	is.True(l.Learn(servedSpan(20, 20, 8*time.Second, end), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 20, 8*time.Second, 10*time.Second), 0))
+	is.True(!l.MergeUptime(servedSpan(0, 20, 8*time.Second, end-1), 0))
+	is.True(l.MergeUptime(servedSpan(20, 20, 8*time.Second, end), 0))
 }
 
 // TestEntryLapsedInSharedOutageIsKept checks that a daemon that learns of the store's
@@ -164,12 +164,12 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	// The store responded for a second and was away again.
-	l.Learn(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
+	l.MergeUptime(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
-	is.True(!l.Settle())
-	is.True(!l.Learn(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
+	is.True(!l.DropRemoved())
+	is.True(!l.MergeUptime(servedSpan(0, 14, 30*time.Second, 31*time.Second), 0))
 	is.Equal(l.Lapsed(), 1)
-	is.True(l.Learn(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
+	is.True(l.MergeUptime(servedSpan(14, 15, 30*time.Second, 33*time.Second), 0))
 	is.Equal(l.Lapsed(), 0)
 }
 
@@ -182,15 +182,15 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.StoreBack(10 * time.Second)
-	l.Answered(20, 10*time.Second, false)
-	l.Current() // nothing has changed
-	l.Answered(25, 11*time.Second, true)
+	l.RecordResponse(20, 10*time.Second, false)
+	l.MarkCurrent() // nothing has changed
+	l.RecordResponse(25, 11*time.Second, true)
 	l.Set(11*time.Second, 25, nil)
-	l.Learn(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
+	l.MergeUptime(servedSpan(0, 25, 10*time.Second, 11*time.Second), 0)
 	is.Equal(l.Lapsed(), 1)
 	end := 10*time.Second + uptime.ReturnGrace
-	l.Answered(25, end, true)
-	is.True(l.Settle())
+	l.RecordResponse(25, end, true)
+	is.True(l.DropRemoved())
 }
 
 // TestLaggingDaemonKeepsEntries checks that a daemon that lags behind the store keeps
@@ -201,7 +201,7 @@
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
 	l.Set(6*time.Second, 12, nil)
-	is.True(!l.Learn(servedSpan(14, 18, 5*time.Second, 9*time.Second), 15))
+	is.True(!l.MergeUptime(servedSpan(14, 18, 5*time.Second, 9*time.Second), 15))
 	is.Equal(l.Lapsed(), 1)
 	l.Set(9*time.Second, 15, []Endpoint{entry("a", "1")})
 	is.Equal(l.Lapsed(), 0)
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -49,14 +49,14 @@
 }
 
 // Request counts a request of a caller.
-func (w *Window) Request(now time.Duration) {
+func (w *Window) CountRequest(now time.Duration) {
 	w.advance(now)
 	w.requests[w.slot%int64(len(w.requests))]++
 }
 
 // Repeat counts one more arrival of a request at an endpoint and returns true if
 // the window allows it; daemons is the number of daemons that share the slack.
-func (w *Window) Repeat(now time.Duration, daemons int) bool {
+func (w *Window) TakeRetry(now time.Duration, daemons int) bool {
 	w.advance(now)
 	if float64(w.used()+1) > w.allowed(daemons) {
 		return false
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -13,22 +13,22 @@
 	w := NewWindow(WindowConfig{Span: 10 * time.Second, Ratio: 0.2, Slack: 58, Safety: 1})
 	allowed := 0
 	for range 100 {
-		if w.Repeat(0, 9) {
+		if w.TakeRetry(0, 9) {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 6)
 	for range 50 {
-		w.Request(time.Second)
+		w.CountRequest(time.Second)
 	}
 	for range 100 {
-		if w.Repeat(time.Second, 9) {
+		if w.TakeRetry(time.Second, 9) {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 16)
-	is.True(!w.Repeat(10*time.Second, 9)) // the first retries still count
-	is.True(w.Repeat(11*time.Second, 9))
+	is.True(!w.TakeRetry(10*time.Second, 9)) // the first retries still count
+	is.True(w.TakeRetry(11*time.Second, 9))
 }
 
 // TestNoSpanExceedsTheLimit checks that in any order of events, a span of
@@ -43,11 +43,11 @@
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.CountRequest(now)
 				requests = append(requests, now)
 				continue
 			}
-			if !w.Repeat(now, 1) {
+			if !w.TakeRetry(now, 1) {
 				continue
 			}
 			repeats = append(repeats, now)
--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -75,7 +75,7 @@
 	To       live.Role
 	// Wanted is the target number of prefill engines. Prefills and Decodes are
 	// the current numbers of engines.
-	Wanted            float64
+	TargetPrefills    float64
 	Prefills, Decodes int
 }
 
@@ -131,7 +131,7 @@
 
 // Wanted returns the number of prefill engines, out of n engines, that the work
 // requires.
-func (d *Decider) Wanted(n int) float64 {
+func (d *Decider) TargetPrefills(n int) float64 {
 	share := d.cfg.InitialPrefillShare
 	if d.Measured() {
 		prefill := d.cfg.PrefillHeadroom * d.prefillSeconds
@@ -150,8 +150,8 @@
 	if n < d.cfg.MinPrefills+d.cfg.MinDecodes || settling {
 		return nil
 	}
-	wanted := d.Wanted(n)
-	change := Change{Wanted: wanted, Prefills: prefills, Decodes: decodes}
+	wanted := d.TargetPrefills(n)
+	change := Change{TargetPrefills: wanted, Prefills: prefills, Decodes: decodes}
 	from := demand.Decodes
 	switch {
 	case prefills < d.cfg.MinPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.MinDecodes:
@@ -226,7 +226,7 @@
 		return "", false
 	}
 	least := slices.MinFunc(free, func(a, b sched.EngineDemand) int {
-		return cmp.Or(cmp.Compare(a.Work, b.Work), cmp.Compare(a.Endpoint, b.Endpoint))
+		return cmp.Or(cmp.Compare(a.Requests, b.Requests), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return least.Endpoint, true
 }
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -10,7 +10,7 @@
 type EngineDemand struct {
 	Endpoint id.Endpoint
 	// Work is the number of requests at the engine.
-	Work int
+	Requests int
 	// Drained is set while the engine gets no new work or is about to change its
 	// role.
 	Drained bool
@@ -37,11 +37,11 @@
 	// Tried counts the attempts to place a request on an engine since the
 	// scheduler started, which are most of its work. Repeated counts the Wants
 	// that arrived again while they were queued.
-	Tried    uint64
-	Repeated uint64
+	Attempts      uint64
+	RepeatedWants uint64
 }
 
 // Demander is a scheduler that reports the demand of its pool.
-type Demander interface {
+type DemandReporter interface {
 	Demand(now time.Duration) Demand
 }
--- a/daemon/app/adapters.go
+++ b/daemon/app/adapters.go
@@ -169,7 +169,7 @@
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		endpoint, ok := keyvals[i+1].(id.Endpoint)
 		if ok && endpoint != "" {
-			r.d.decisions.Note(logline.SubjectEndpoint, string(endpoint), event, append([]any{"request", subject}, keyvals...)...)
+			r.d.decisions.RecordOnly(logline.SubjectEndpoint, string(endpoint), event, append([]any{"request", subject}, keyvals...)...)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 		Cost:       minAttemptTime,
 		Idempotent: true,
 	})
-	return completion.Retry{Again: decision.Retry, Delay: decision.After, Reason: string(decision.Reason)}
+	return completion.Retry{Allowed: decision.Retry, Delay: decision.After, Reason: string(decision.Reason)}
 }
 
 // Success implements completion.Retrier.
--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -64,8 +64,8 @@
 func (d *Daemon) processAlive(p id.Process) bool { return p == d.self || d.members.Alive(p) }
 
 // memberLocal returns what the membership announces about this daemon.
-func (d *Daemon) memberLocal() member.Local {
-	return member.Local{Revision: d.Revision(), InFlight: d.inFlight()}
+func (d *Daemon) memberLocal() member.LocalStatus {
+	return member.LocalStatus{Revision: d.Revision(), InFlight: d.inFlight()}
 }
 
 func (d *Daemon) inFlight() int { return d.front.InFlight() }
@@ -101,7 +101,7 @@
 	cfg.Lifetime = d.settings.Timings.EntryLifetimeMS.Duration()
 	cfg.MinLifetime = min(cfg.MinLifetime, cfg.Lifetime)
 	d.entryMu.Lock()
-	answer := entry.Make(cfg, d.candidates(), d.self.Daemon, d.entryRand)
+	answer := entry.NewAnswer(cfg, d.candidates(), d.self.Daemon, d.entryRand)
 	d.entryMu.Unlock()
 	out := opapi.EntryAnswer{LifetimeMS: int(answer.Lifetime.Milliseconds()), Addresses: []opapi.EntryAddress{}}
 	for _, a := range answer.Addresses {
@@ -119,7 +119,7 @@
 	}
 	named := slices.ContainsFunc(a.Addresses, func(x entry.Address) bool { return x.Daemon == d.self.Daemon })
 	if named {
-		s.Named(d.now())
+		s.RecordNamed(d.now())
 	}
 }
 
@@ -138,7 +138,7 @@
 // noteCaller records for a planned stop that a caller's request still arrived.
 func (d *Daemon) noteCaller() {
 	if s := d.stopping.Load(); s != nil {
-		s.Caller(d.now())
+		s.RecordCaller(d.now())
 	}
 }
 
--- a/daemon/app/fleet_test.go
+++ b/daemon/app/fleet_test.go
@@ -144,7 +144,7 @@
 	}
 	material, err := f.ca.Peer(s.Daemon)
 	is.NoErr(err)
-	d, err := New(s, Options{PeerKeys: keys.Fixed(material), Log: f.log, Seed: uint64(i + 1)})
+	d, err := New(s, Options{PeerKeys: keys.FromMaterial(material), Log: f.log, Seed: uint64(i + 1)})
 	is.NoErr(err)
 	is.NoErr(d.Start())
 	return d
@@ -306,9 +306,9 @@
 
 func TestConnectionTimeoutsFitTheMembership(t *testing.T) {
 	is := is.New(t)
-	keepalive, idle := ConnectionTimes(member.Mesh)
+	keepalive, idle := ConnectionTimeouts(member.Mesh)
 	is.True(keepalive > 0 && keepalive < idle)
-	keepalive, idle = ConnectionTimes(member.Partial)
+	keepalive, idle = ConnectionTimeouts(member.Partial)
 	is.True(keepalive < 0)
 	// With the target of 420 daemons, each pair exchanges messages more often.
 	is.True(idle > 420*member.DefaultConfig(member.Partial).Period)
--- a/daemon/app/limits.go
+++ b/daemon/app/limits.go
@@ -50,7 +50,7 @@
 
 // countFleet counts the daemons that are not dead, and those of them that are
 // reachable.
-func (d *Daemon) countFleet() quotas.Fleet { return quotas.Count(d.members.Entries()) }
+func (d *Daemon) countFleet() quotas.Fleet { return quotas.CountFleet(d.members.Entries()) }
 
 // limitedCompletions enforces the teams' limits on completions.
 type limitedCompletions struct {
@@ -98,12 +98,12 @@
 		return func(*verdict.Error) {}, nil
 	}
 	cost := limit.Cost(size)
-	if err := q.Pay(ctx, team.Name, limit, cost, chargeTimeout); err != nil {
+	if err := q.Charge(ctx, team.Name, limit, cost, chargeTimeout); err != nil {
 		return nil, err
 	}
 	return func(err *verdict.Error) {
 		if err != nil && err.Verdict == verdict.NotRun {
-			q.Return(team.Name, cost)
+			q.Refund(team.Name, cost)
 		}
 	}, nil
 }
--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -60,7 +60,7 @@
 }
 
 func newPeerHandler(d *Daemon) *peerHandler {
-	return &peerHandler{Handler: link.Handler{Receiver: receiver{d}, Wired: d.started}, d: d}
+	return &peerHandler{Handler: link.Handler{Receiver: receiver{d}, Ready: d.started}, d: d}
 }
 
 // receiver implements link.Receiver.
@@ -85,7 +85,7 @@
 
 // HandleCall implements peer.Handler.
 func (h *peerHandler) HandleCall(ctx context.Context, from id.Daemon, kind peer.Kind, body []byte) ([]byte, error) {
-	if !h.Open() {
+	if !h.Accepting() {
 		return nil, eris.New("the daemon is starting")
 	}
 	switch kind {
@@ -110,7 +110,7 @@
 		if err := peer.Decode(body, &r); err != nil {
 			return nil, err
 		}
-		return peer.Encode(&recordReply{Applied: h.d.configs.Learn(r)})
+		return peer.Encode(&recordReply{Applied: h.d.configs.Record(r)})
 	case kindPools:
 		return peer.Encode(h.d.poolsLocal())
 	case kindClaim:
--- a/daemon/app/start.go
+++ b/daemon/app/start.go
@@ -52,7 +52,7 @@
 
 func (d *Daemon) listen() error {
 	var err error
-	keepalive, idle := ConnectionTimes(member.Mode(d.settings.Membership.Mode))
+	keepalive, idle := ConnectionTimeouts(member.Mode(d.settings.Membership.Mode))
 	if d.callerLn, err = listenTCP("callers", d.settings.Listen.Callers); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 		Peers:     peerFetcher{d},
 		Metrics:   d.metrics,
 		Installed: d.applyConfig,
-		Spread:    d.replicateRecord,
+		Replicate: d.replicateRecord,
 		Log:       d.logger.Event,
 		Violation: d.metrics.Violation,
 		Now:       d.now,
--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -14,7 +14,7 @@
 // another owner now is dropped: the askers report to the new owner what is in use.
 func (b *Broker) SetMembers(members []id.Daemon) {
 	b.duty.Post(func(now time.Duration) {
-		b.output(now, b.asker.Members(now, members))
+		b.output(now, b.asker.SetMembers(now, members))
 		for _, p := range b.sortedPools() {
 			if !b.owns(p) {
 				delete(b.managers, p)
@@ -80,7 +80,7 @@
 func (b *Broker) Holding(p id.Pool, e id.Endpoint, held map[id.Request]bool) {
 	b.duty.Post(func(now time.Duration) {
 		if b.schedules(p) {
-			b.actions(now, p, b.manager(now, p).Holding(now, e, held))
+			b.actions(now, p, b.manager(now, p).ReconcileHeld(now, e, held))
 		}
 	})
 }
--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -72,7 +72,7 @@
 
 func (c *Cancels) tick(now time.Duration) time.Duration {
 	c.perform(c.canceller.Tick(now))
-	c.pending.Set(float64(c.canceller.Working()))
+	c.pending.Set(float64(c.canceller.Pending()))
 	return c.canceller.Next()
 }
 
@@ -187,7 +187,7 @@
 		return
 	}
 	task := func() {
-		ctx, cancel := endpoints.Short(c.duty.Context())
+		ctx, cancel := endpoints.WithShortTimeout(c.duty.Context())
 		defer cancel()
 		call(ctx, address)
 	}
--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -30,7 +30,7 @@
 	writers := chooseWriters(members, c.cfg.Writers != nil)
 	c.writers.Store(&writers)
 	gap := gapOf(c.cfg.Self.Daemon, len(members), writers)
-	c.duty.Post(func(time.Duration) { c.core.SetGap(gap) })
+	c.duty.Post(func(time.Duration) { c.core.SetMinInterval(gap) })
 }
 
 // chooseWriters returns the writers. It returns none if each daemon writes its own
@@ -46,11 +46,11 @@
 func gapOf(self id.Daemon, members int, writers []id.Daemon) time.Duration {
 	switch {
 	case len(writers) == 0:
-		return claim.GapFor(writerBudget, members)
+		return claim.MinIntervalFor(writerBudget, members)
 	case slices.Contains(writers, self):
-		return claim.GapFor(writerBudget, len(writers))
+		return claim.MinIntervalFor(writerBudget, len(writers))
 	default:
-		return claim.GapFor(nonWriterBudget, members-len(writers))
+		return claim.MinIntervalFor(nonWriterBudget, members-len(writers))
 	}
 }
 
--- a/daemon/completion/fail_test.go
+++ b/daemon/completion/fail_test.go
@@ -75,7 +75,7 @@
 func (f *fakes) ReleaseKV(*live.Endpoint, id.Request, string) {}
 
 func (f *fakes) Decide(_ *live.Team, _ *verdict.Error, n int, _ time.Duration) Retry {
-	return Retry{Again: n <= f.maxRetries}
+	return Retry{Allowed: n <= f.maxRetries}
 }
 func (f *fakes) Success(*live.Team)                      {}
 func (f *fakes) Decision(string, string, string, ...any) {}
@@ -158,7 +158,7 @@
 			is := is.New(t)
 			err := (&fakes{pairErr: verdict.New(verdict.NotRun, code, "passes")}).run(nil)
 			is.Equal(err.Verdict, verdict.NotRun)
-			is.Equal(err.RetryAfter, verdict.PassingRetryAfter)
+			is.Equal(err.RetryAfter, verdict.TransientRetryAfter)
 		})
 	}
 }
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -36,7 +36,7 @@
 	// Spread sends an accepted change to some peers before the operator gets the
 	// result: if this daemon terminates then and the store is unavailable, the change
 	// is still in force. It blocks for a bounded time.
-	Spread func(context.Context, revision.Record)
+	Replicate func(context.Context, revision.Record)
 	// Log writes one line per event.
 	Log func(event string, kv ...any)
 	// Violation reports a broken invariant.
@@ -92,7 +92,7 @@
 func (c *Configs) tick(now time.Duration) time.Duration {
 	c.perform(c.follower.Tick(now))
 	c.ready.Store(c.follower.Ready(now))
-	c.newest.Store(c.follower.Newest(now))
+	c.newest.Store(c.follower.UpToDate(now))
 	c.storeUp.Store(c.follower.StoreUp())
 	return c.follower.Next()
 }
@@ -184,12 +184,12 @@
 		replies: make(chan table.Reply, 4),
 	}
 	if resent {
-		p.core.Resent()
+		p.core.MarkResent()
 	}
 	outcome := p.run(ctx)
 	if outcome.Record != nil {
-		c.Learn(*outcome.Record)
-		c.cfg.Spread(ctx, *outcome.Record)
+		c.Record(*outcome.Record)
+		c.cfg.Replicate(ctx, *outcome.Record)
 	}
 	return outcome
 }
@@ -197,10 +197,10 @@
 // Learn records a change whose acceptance this daemon or a peer observed. It reports
 // whether this change or a later one is in force now, which is not the case while
 // earlier changes are missing.
-func (c *Configs) Learn(record revision.Record) bool {
+func (c *Configs) Record(record revision.Record) bool {
 	learnt := false
 	c.duty.Query(func(time.Duration) {
-		c.perform(c.follower.Learn(record))
+		c.perform(c.follower.ApplyAccepted(record))
 		learnt = c.follower.Current().Revision >= record.Revision
 	})
 	return learnt
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -51,7 +51,7 @@
 const (
 	// CallSlack is the time that an answer may take in addition to the requested
 	// wait.
-	CallSlack = 700 * time.Millisecond
+	CallMargin = 700 * time.Millisecond
 	// readTimeout is the timeout of a full read.
 	readTimeout = 1200 * time.Millisecond
 	// firstRetry is the first pause after a failed call.
@@ -149,7 +149,7 @@
 		changed, err := f.step()
 		if err == nil {
 			pause = firstRetry
-			if changed && !f.fullReadDue() && !f.pause(f.cfg.Gather, nil) {
+			if changed && !f.fullReadDue() && !f.pause(f.cfg.BatchDelay, nil) {
 				return
 			}
 			continue
@@ -253,8 +253,8 @@
 	state := f.snapshot()
 	f.mu.Unlock()
 	f.cfg.Changed(state)
-	if len(news.Changes) > 0 && f.cfg.Learnt != nil {
-		f.cfg.Learnt(news)
+	if len(news.Changes) > 0 && f.cfg.OnNews != nil {
+		f.cfg.OnNews(news)
 	}
 	return nil
 }
@@ -312,8 +312,8 @@
 	if changed, err = f.apply(news); err != nil {
 		return changed, err
 	}
-	if f.cfg.Learnt != nil {
-		f.cfg.Learnt(news)
+	if f.cfg.OnNews != nil {
+		f.cfg.OnNews(news)
 	}
 	f.confirm(begun)
 	return changed, nil
@@ -346,7 +346,7 @@
 	}
 	half := f.wait / 2
 	wait = half + time.Duration(f.cfg.Rand.Int64N(int64(half)+1))
-	return wait, wait + CallSlack
+	return wait, wait + CallMargin
 }
 
 // reportReachability records the result of a call and calls Lost or Back if the
@@ -360,6 +360,6 @@
 	case err != nil && !was:
 		f.cfg.Lost(err)
 	case err == nil && was:
-		f.cfg.Back()
+		f.cfg.Regained()
 	}
 }
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -73,10 +73,10 @@
 	f := &testFollower{states: make(chan State, 16), lost: make(chan error, 16), back: make(chan struct{}, 16)}
 	f.Follower = Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
-		Changed: func(s State) { f.states <- s },
-		Lost:    func(err error) { f.lost <- err },
-		Back:    func() { f.back <- struct{}{} },
-		Rand:    testRand(),
+		Changed:  func(s State) { f.states <- s },
+		Lost:     func(err error) { f.lost <- err },
+		Regained: func() { f.back <- struct{}{} },
+		Rand:     testRand(),
 	})
 	t.Cleanup(f.Close)
 	return f
@@ -195,11 +195,11 @@
 	s := newSource()
 	states := make(chan State, 16)
 	f := Start(Config{
-		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond, Gather: testBound,
-		Changed: func(s State) { states <- s },
-		Lost:    func(error) {},
-		Back:    func() {},
-		Rand:    testRand(),
+		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond, BatchDelay: testBound,
+		Changed:  func(s State) { states <- s },
+		Lost:     func(error) {},
+		Regained: func() {},
+		Rand:     testRand(),
 	})
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3)))
@@ -222,8 +222,8 @@
 	reported := make(chan News, 16)
 	f := Start(Config{
 		Name: "t", Source: s, Wait: testBound, Retry: time.Millisecond,
-		Changed: func(State) {}, Learnt: func(n News) { reported <- n },
-		Lost: func(error) {}, Back: func() {}, Rand: testRand(),
+		Changed: func(State) {}, OnNews: func(n News) { reported <- n },
+		Lost: func(error) {}, Regained: func() {}, Rand: testRand(),
 	})
 	t.Cleanup(f.Close)
 	serve(t, s.reads, read(9, row("a", 3), row("b", 5), row("c", 8)))
@@ -239,7 +239,7 @@
 	is.Equal(len(reported), 0)
 
 	other := idleAt(t, newSource(), 9, row("a", 3), row("b", 5), row("c", 8))
-	fresh, err := other.Take(News{Name: "t", After: 9, Position: 14, Changes: []Change{{Row: table.Row{Key: "b", Version: 14}, Removed: true}}})
+	fresh, err := other.ApplyNews(News{Name: "t", After: 9, Position: 14, Changes: []Change{{Row: table.Row{Key: "b", Version: 14}, Removed: true}}})
 	is.NoErr(err)
 	is.True(fresh)
 	is.Equal(other.Version(), uint64(14))
--- a/daemon/feed/types.go
+++ b/daemon/feed/types.go
@@ -90,7 +90,7 @@
 	Wait time.Duration
 	// Gather is the pause after changes, so that changes in quick succession are
 	// read by one more call and not by one call each.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// Retry is the maximum pause after a failed call; the pause doubles up to it.
 	Retry time.Duration
 	// IdleRetry replaces Retry once the table is known and while other daemons send
@@ -102,7 +102,7 @@
 	// Learnt is called after Changed with changes that were read from the store,
 	// including those that the store had discarded and that a full read revealed.
 	// May be nil.
-	Learnt func(n News)
+	OnNews func(n News)
 	// Answered, if set, is called for each answer of the store, before Changed.
 	Answered func(a Answer)
 	// Confirmed, if set, is called after Changed with the time, by Now, at which a
@@ -115,7 +115,7 @@
 	// SetIdle(false).
 	Idle bool
 	// Lost is called when the store stops answering, Back when it answers again.
-	Lost func(err error)
-	Back func()
-	Rand *rand.Rand
+	Lost     func(err error)
+	Regained func()
+	Rand     *rand.Rand
 }
--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -24,7 +24,7 @@
 // authenticate finds the team that a request's key belongs to. On a public
 // route the key is ignored.
 func (f *Forwarder) authenticate(r *Request, t *trace, routes *route.Table) *verdict.Error {
-	t.hasTeams = routes.Walled()
+	t.hasTeams = routes.HasTeams()
 	if !t.hasTeams || t.route.Public {
 		return nil
 	}
@@ -34,7 +34,7 @@
 	switch {
 	case t.team != nil:
 		return f.checkFreshness(t)
-	case f.Freshness.Behind():
+	case f.Freshness.Outdated():
 		f.Freshness.Refresh()
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the key is not known, and the configuration may be out of date").
 			WithRetryAfter(staleRetryAfter)
@@ -90,7 +90,7 @@
 	limit := t.team.Limit
 	cost := limit.Cost(quota.Size{Known: r.Sized, Prompt: r.PromptTokens, Output: r.OutputTokens})
 	patience := time.Duration(chargeTimeFraction * float64(f.timeLeft(r, t.route)))
-	if err := f.Payer.Pay(ctx, t.team.Name, limit, cost, patience); err != nil {
+	if err := f.Payer.Charge(ctx, t.team.Name, limit, cost, patience); err != nil {
 		return err
 	}
 	t.charged = cost
@@ -100,7 +100,7 @@
 // refund returns the charge of a request that has not run.
 func (f *Forwarder) refund(t *trace, err *verdict.Error) {
 	if t.charged > 0 && err != nil && err.Verdict == verdict.NotRun {
-		f.Payer.Return(t.team.Name, t.charged)
+		f.Payer.Refund(t.team.Name, t.charged)
 	}
 }
 
--- a/daemon/forward/call.go
+++ b/daemon/forward/call.go
@@ -117,7 +117,7 @@
 		Left:        limit - startedAt,
 		Until:       until,
 		MaxConns:    f.maxConns(s),
-		Once:        !t.route.Repeatable(),
+		AtMostOnce:  !t.route.Repeatable(),
 		Team:        t.teamName(),
 		Credentials: t.credentials(r),
 	})
@@ -147,7 +147,7 @@
 	case err == nil:
 		return balance.OK
 	case err.Code == verdict.CodeCallerGone:
-		return balance.Withdrawn
+		return balance.Neutral
 	case err.Code == verdict.CodeDeadline:
 		return balance.Slow
 	case err.Code == verdict.CodeOverloaded:
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -26,21 +26,21 @@
 	Pairer    Pairer
 	Balancer  *balance.Balancer
 	// Suspicion is the crash evidence shared with the other daemons.
-	Suspicion Suspicion
+	Evidence CrashEvidence
 	// Repeats bounds the retries of each service.
-	Repeats retry.WindowConfig
+	RetryLimit retry.WindowConfig
 	// Misdirected is called with an endpoint whose registry entry doesn't match
 	// the process at its address: that process refused a request as meant for
 	// another endpoint. It doesn't block.
-	Misdirected func(e registry.Endpoint)
+	ReportMisdirected func(e registry.Endpoint)
 	// Stale reports whether the configuration may be out of date.
 	Stale func() bool
 	// Freshness and Payer are used only if the configuration has teams.
 	Freshness Freshness
-	Payer     Payer
+	Payer     QuotaCharger
 	// TooLate reports whether the daemon stops so soon that a new stream may not
 	// end before.
-	TooLate func() bool
+	StopsTooSoon func() bool
 	// Daemons returns how many daemons are alive; they share the slack of Repeats
 	// and the connections that an endpoint takes.
 	Daemons func() int
@@ -128,7 +128,7 @@
 	}
 	t.service = t.route.Choose(r.ID)
 	service := view.Routes.Service(t.service)
-	if t.route.Kind == route.Stream && f.TooLate() {
+	if t.route.Kind == route.Stream && f.StopsTooSoon() {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeLeaving, "this daemon is stopping")
 	}
 	if err := f.checkQuarantine(r, t); err != nil {
@@ -156,8 +156,8 @@
 	if rt.Timeout > 0 {
 		limit = r.Arrived + rt.Timeout
 	}
-	if r.CallerWaits > 0 {
-		limit = min(limit, r.Arrived+r.CallerWaits)
+	if r.CallerTimeout > 0 {
+		limit = min(limit, r.Arrived+r.CallerTimeout)
 	}
 	return limit
 }
@@ -174,13 +174,13 @@
 func (f *Forwarder) countRequest(service id.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.window(service).Request(f.Now())
+	f.window(service).CountRequest(f.Now())
 }
 
 func (f *Forwarder) window(service id.Service) *retry.Window {
 	w := f.windows[service]
 	if w == nil {
-		w = retry.NewWindow(f.Repeats)
+		w = retry.NewWindow(f.RetryLimit)
 		f.windows[service] = w
 	}
 	return w
@@ -192,7 +192,7 @@
 	daemons := f.Daemons()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	allowed := f.window(service).Repeat(f.Now(), daemons)
+	allowed := f.window(service).TakeRetry(f.Now(), daemons)
 	if !allowed {
 		f.stats.deniedRetries.Inc()
 	}
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -12,13 +12,13 @@
 
 // Suspicion is the evidence against requests that crash endpoints, shared by
 // all daemons.
-type Suspicion struct {
+type CrashEvidence struct {
 	Ledger *poison.Ledger
 	// Wall returns the wall-clock time for dating evidence.
-	Wall func() time.Time
+	WallClock func() time.Time
 	// Spread triggers the sending of new evidence to the other daemons. It
 	// doesn't block.
-	Spread func()
+	Broadcast func()
 }
 
 // fingerprintOf returns the fingerprint of a request: a hash of its caller,
@@ -28,7 +28,7 @@
 // streams would quarantine them all. The fingerprint is computed once per request.
 func fingerprintOf(r *Request, t *trace) poison.Fingerprint {
 	if t.fingerprint == (poison.Fingerprint{}) {
-		t.fingerprint = poison.Print(id.Team(t.route.Name), t.service,
+		t.fingerprint = poison.NewFingerprint(id.Team(t.route.Name), t.service,
 			[]byte(r.Caller), []byte(r.Method), []byte(r.Target), []byte(r.Prompt), r.Body)
 	}
 	return t.fingerprint
@@ -38,11 +38,11 @@
 // For a non-idempotent request the verdict is MayHaveRun, since an earlier
 // attempt may have run.
 func (f *Forwarder) checkQuarantine(r *Request, t *trace) *verdict.Error {
-	if f.Suspicion.Ledger.Len() == 0 {
+	if f.Evidence.Ledger.Len() == 0 {
 		return nil
 	}
-	now := f.Suspicion.Wall()
-	finding := f.Suspicion.Ledger.Check(now, fingerprintOf(r, t))
+	now := f.Evidence.WallClock()
+	finding := f.Evidence.Ledger.Check(now, fingerprintOf(r, t))
 	if finding.Standing != poison.Held && finding.Standing != poison.Quarantined {
 		return nil
 	}
@@ -60,7 +60,7 @@
 // if another endpoint has its address.
 func (f *Forwarder) recordFailure(r *Request, t *trace, e registry.Endpoint, err *verdict.Error) {
 	if err.Code == verdict.CodeSuperseded {
-		f.Misdirected(e)
+		f.ReportMisdirected(e)
 	}
 	if err.Code == verdict.CodeEndpointFailed && err.Verdict != verdict.NotRun {
 		f.recordCrash(r, t, e.Name)
@@ -71,17 +71,17 @@
 // endpoint has a new name after a restart, so each crash counts once.
 func (f *Forwarder) recordCrash(r *Request, t *trace, e id.Endpoint) {
 	suspect := poison.Suspect{Fingerprint: fingerprintOf(r, t), Team: id.Team(t.route.Name)}
-	f.Suspicion.Ledger.Crash(f.Suspicion.Wall(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
-	f.Suspicion.Spread()
+	f.Evidence.Ledger.Crash(f.Evidence.WallClock(), poison.CrashID{Endpoint: e}, []poison.Suspect{suspect})
+	f.Evidence.Broadcast()
 }
 
 // clearSuspicion clears the evidence against a request that an endpoint has
 // finished.
 func (f *Forwarder) clearSuspicion(r *Request, t *trace) {
-	if f.Suspicion.Ledger.Len() == 0 {
+	if f.Evidence.Ledger.Len() == 0 {
 		return
 	}
-	if f.Suspicion.Ledger.Finished(f.Suspicion.Wall(), fingerprintOf(r, t)) {
-		f.Suspicion.Spread()
+	if f.Evidence.Ledger.Finished(f.Evidence.WallClock(), fingerprintOf(r, t)) {
+		f.Evidence.Broadcast()
 	}
 }
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -41,7 +41,7 @@
 	// Arrived is when the request arrived, in the daemon's time.
 	Arrived time.Duration
 	// CallerWaits is how long the caller waits from Arrived on; 0 if not stated.
-	CallerWaits time.Duration
+	CallerTimeout time.Duration
 	// PromptTokens and OutputTokens are the size of a generation; Sized is set if
 	// the caller stated it. ExpectedOutput is the caller's estimate of the output
 	// tokens that will be used; 0 if not stated.
@@ -93,7 +93,7 @@
 	// MaxConns bounds this daemon's connections to the endpoint.
 	MaxConns int
 	// Once is set for a request that must not run more than once.
-	Once bool
+	AtMostOnce bool
 	// LastEvent is the id of the last event that the caller has received, for a
 	// stream that is resumed; empty to start at the beginning.
 	LastEvent string
@@ -145,12 +145,12 @@
 
 // Payer enforces the limits of teams over all daemons; daemon/quotas implements
 // it.
-type Payer interface {
+type QuotaCharger interface {
 	// Pay charges a request to its team, or refuses it. patience bounds the wait
 	// for the daemon that keeps the team's account.
-	Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
+	Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
 	// Return refunds the charge of a request that has not run. It doesn't block.
-	Return(team id.Team, cost float64)
+	Refund(team id.Team, cost float64)
 }
 
 // Freshness reports how old the configuration may be.
@@ -159,7 +159,7 @@
 	// longer ago than allowed, and how old the configuration may be.
 	Fresh() (fresh bool, age time.Duration)
 	// Behind reports whether a newer configuration may exist elsewhere.
-	Behind() bool
+	Outdated() bool
 	// Refresh schedules a read of the configuration. It doesn't block, and reads
 	// are rate-limited however often it is called.
 	Refresh()
--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	return d.join(id.Process{Daemon: d.set.Daemon, Incarnation: incarnation}, keys.Fixed(material))
+	return d.join(id.Process{Daemon: d.set.Daemon, Incarnation: incarnation}, keys.FromMaterial(material))
 }
 
 // read reads one row. The reply carries the store's clock, by which evidence is
@@ -208,7 +208,7 @@
 		Spread:     func(s poison.State) { d.spreadEvidence(f, s) },
 		Relay:      func(s poison.State) { d.relayEvidence(f, s) },
 		Epoch:      *d.epoch.Load(),
-		Behind:     d.logDelay("broker"),
+		OnDelay:    d.logDelay("broker"),
 		Metrics:    d.metrics,
 		Now:        d.now,
 		Ready:      ready,
@@ -223,8 +223,8 @@
 		Sender:   f.links(),
 		Listener: fleetListener{d, f},
 		Metrics:  d.metrics,
-		Local: func() member.Local {
-			return member.Local{
+		Local: func() member.LocalStatus {
+			return member.LocalStatus{
 				Revision:  d.revision(),
 				InFlight:  int(d.inFlight.Load()),
 				Watched:   f.owner.Load(),
@@ -234,11 +234,11 @@
 				Proof:     d.proofToSend(),
 			}
 		},
-		Log:    d.logger.Event,
-		Now:    d.now,
-		Rand:   d.newRand(),
-		Behind: d.logDelay("members"),
-		Ready:  ready,
+		Log:     d.logger.Event,
+		Now:     d.now,
+		Rand:    d.newRand(),
+		OnDelay: d.logDelay("members"),
+		Ready:   ready,
 	})
 	f.orderer = startOrderer(d, f, work, ready)
 	f.hosts = feed.Start(d.hostsConfig(f))
@@ -281,7 +281,7 @@
 func (d *Daemon) hostsConfig(f *fleet) feed.Config {
 	cfg := d.followerConfig(tableDaemons, func(s feed.State) { f.members.SetHosts(d.hosts(s)) })
 	cfg.Wait = hostsWait
-	cfg.Gather = hostsGather
+	cfg.BatchDelay = hostsGather
 	return cfg
 }
 
--- a/daemon/gateway/entry.go
+++ b/daemon/gateway/entry.go
@@ -39,9 +39,9 @@
 	cfg := entry.Config{Lifetime: lifetime, MinLifetime: lifetime, MaxAddresses: maxEntryAddresses}
 	// Each call has its own random source, since calls run concurrently.
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	answer := entry.Make(cfg, d.candidates(f), f.self.Daemon, rng)
+	answer := entry.NewAnswer(cfg, d.candidates(f), f.self.Daemon, rng)
 	if s := d.stopping.Load(); s != nil && containsDaemon(answer, f.self.Daemon) {
-		s.Named(d.now())
+		s.RecordNamed(d.now())
 	}
 	return answer, len(answer.Addresses) > 0
 }
@@ -75,7 +75,7 @@
 }
 
 // count counts the daemons of the fleet as the quotas need it.
-func (f *fleet) count() quotas.Fleet { return quotas.Count(f.members.Entries()) }
+func (f *fleet) count() quotas.Fleet { return quotas.CountFleet(f.members.Entries()) }
 
 // daemons returns the number of daemons that share the fleet-wide bounds. It includes
 // silent daemons, which may still be serving requests.
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -82,7 +82,7 @@
 func (c *configFreshness) behind() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tracker.Behind()
+	return c.tracker.Outdated()
 }
 
 // mayRefresh limits the rate of reads for unknown keys: it returns true at most once
@@ -100,7 +100,7 @@
 // hasTeams reports whether the configuration in force has teams.
 func (d *Daemon) hasTeams() bool {
 	routes := d.tables.current().Routes
-	return routes != nil && routes.Walled()
+	return routes != nil && routes.HasTeams()
 }
 
 // configWait returns how long a call to the store waits for configuration changes.
@@ -173,7 +173,7 @@
 }
 
 // Behind implements forward.Freshness.
-func (f freshnessAdapter) Behind() bool {
+func (f freshnessAdapter) Outdated() bool {
 	age, ok := f.d.freshness.age(f.d.now())
 	return !ok || age > unknownKeyMaxAge || f.d.freshness.behind()
 }
--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -126,7 +126,7 @@
 
 // headerTooLarge reports whether the header exceeds the configured limit.
 func (d *Daemon) headerTooLarge(h *fasthttp.RequestHeader) bool {
-	limit := d.limits().HeadBytes
+	limit := d.limits().HeaderBytes
 	return limit > 0 && len(h.RawHeaders()) > limit
 }
 
@@ -173,8 +173,8 @@
 // closes the connection.
 func (d *Daemon) refuse(ctx *fasthttp.RequestCtx, caller context.Context, r *forward.Request, err *verdict.Error) {
 	left := time.Duration(0)
-	if r.CallerWaits > 0 {
-		left = max(0, r.Arrived+r.CallerWaits-d.now())
+	if r.CallerTimeout > 0 {
+		left = max(0, r.Arrived+r.CallerTimeout-d.now())
 	}
 	d.platform.Adapter.Error(ctx, err, left)
 	if caller.Err() != nil && err.Code == verdict.CodeCallerGone {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -222,30 +222,30 @@
 		Endpoints: d.platform.Endpoints,
 		Pairer:    pairer{d},
 		Balancer:  balance.New(d.set.Domain, d.newRand()),
-		Suspicion: forward.Suspicion{
-			Ledger: d.poison,
-			Wall:   d.wall,
-			Spread: func() {
+		Evidence: forward.CrashEvidence{
+			Ledger:    d.poison,
+			WallClock: d.wall,
+			Broadcast: func() {
 				if f := d.fleet.Load(); f != nil {
 					f.broker.EvidenceChanged()
 				}
 			},
 		},
-		Repeats: retry.WindowConfig{
+		RetryLimit: retry.WindowConfig{
 			Span:   Seconds(d.set.Bounds.RepeatWindowS),
 			Ratio:  d.set.Bounds.RepeatRatio,
 			Slack:  d.set.Bounds.RepeatSlack,
 			Safety: repeatSafety,
 		},
-		Misdirected: d.inspect,
-		Stale:       func() bool { return d.configs.Lost() },
-		Freshness:   freshnessAdapter{d},
-		Payer:       payer{d},
-		TooLate:     d.streamCutoffPassed,
-		Daemons:     d.daemons,
-		Log:         d.logger,
-		Metrics:     d.metrics,
-		Now:         d.now,
+		ReportMisdirected: d.inspect,
+		Stale:             func() bool { return d.configs.Lost() },
+		Freshness:         freshnessAdapter{d},
+		Payer:             payer{d},
+		StopsTooSoon:      d.streamCutoffPassed,
+		Daemons:           d.daemons,
+		Log:               d.logger,
+		Metrics:           d.metrics,
+		Now:               d.now,
 	})
 	return nil
 }
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -17,7 +17,7 @@
 // Requests sent under the former name are refused: when 16 engines restarted within
 // 34 s, 518 requests were refused and 260 prefills were wasted.
 func (d *Daemon) inspectDisputed() {
-	for _, e := range d.tables.list.Disputed() {
+	for _, e := range d.tables.list.AddressConflicts() {
 		d.inspect(e)
 	}
 }
@@ -74,7 +74,7 @@
 	switch {
 	case err != nil:
 		return identityUnknown
-	case state.Born > e.Born:
+	case state.StartedUnixMS > e.StartedUnixMS:
 		d.markRestarted(e, state)
 		return identityChanged
 	case state.Role != e.Role:
@@ -100,7 +100,7 @@
 func (d *Daemon) displace(e registry.Endpoint, by id.Instance) {
 	d.tables.mu.Lock()
 	defer d.tables.mu.Unlock()
-	if !d.tables.list.Displace(e) {
+	if !d.tables.list.MarkDisplaced(e) {
 		return
 	}
 	d.logger.Event("endpoint_displaced", "endpoint", e.Name, "address", e.Address, "by", by)
@@ -112,9 +112,9 @@
 func (d *Daemon) markRestarted(e registry.Endpoint, state EngineState) {
 	d.tables.mu.Lock()
 	defer d.tables.mu.Unlock()
-	if !d.tables.list.Restarted(e.Instance, state.Born, state.Role) {
+	if !d.tables.list.Restarted(e.Instance, state.StartedUnixMS, state.Role) {
 		return
 	}
-	d.logger.Event("endpoint_restarted", "endpoint", e.Name, "born", state.Born, "role", state.Role)
+	d.logger.Event("endpoint_restarted", "endpoint", e.Name, "born", state.StartedUnixMS, "role", state.Role)
 	d.publish()
 }
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -11,7 +11,7 @@
 // gateState returns whether an order may be sent now. Engines that check fencing
 // numbers are treated like those that do not: the orders of two holders must be
 // separated in time for all engines.
-func (o *orderer) gateState(now time.Duration, endpoint id.Endpoint) lease.Passage {
+func (o *orderer) gateState(now time.Duration, endpoint id.Endpoint) lease.GateState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.lease == nil || o.lease.Fence() <= o.rejectedFence {
@@ -39,7 +39,7 @@
 		return OrderRefused, 0
 	}
 	if state.Changing || state.Role == c.to {
-		return OrderTaken, 0
+		return OrderAccepted, 0
 	}
 	fence, ok := o.openGate(endpoint)
 	if !ok {
@@ -61,7 +61,7 @@
 	if o.lease == nil {
 		return 0, false
 	}
-	o.gate.Repaired(now, endpoint)
+	o.gate.MarkReadBack(now, endpoint)
 	fence := o.gate.Fence()
 	return fence, fence > o.rejectedFence && o.gate.Allow(now, endpoint, false) == lease.Open
 }
@@ -73,7 +73,7 @@
 	c.retryAt = now + orderRetryDelay
 	o.releaseSafeAt = now + o.longestOrder()
 	switch result {
-	case OrderTaken:
+	case OrderAccepted:
 		c.ordered = true
 		c.orderedAt = now
 	case OrderFenced:
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -101,9 +101,9 @@
 	cfg.WatchedPeriod = watchedPeriod
 	cfg.WatchedSuspect = watchedSuspect
 	cfg.WatchedDead = watchedDead
-	cfg.MostSent = maxHeartbeats
-	cfg.MostWatched = maxWatchedHeartbeats
-	cfg.MeshUpTo = meshUpTo
+	cfg.MaxHeartbeatsPerSecond = maxHeartbeats
+	cfg.MaxWatchedHeartbeatsPerSecond = maxWatchedHeartbeats
+	cfg.MaxMeshPeers = meshUpTo
 	return cfg
 }
 
@@ -112,7 +112,7 @@
 		Self:        f.self,
 		Listen:      d.set.Listen.Peers,
 		Keys:        material,
-		Handler:     &peerHandler{Handler: link.Handler{Receiver: receiver{d, f}, Wired: ready}, d: d},
+		Handler:     &peerHandler{Handler: link.Handler{Receiver: receiver{d, f}, Ready: ready}, d: d},
 		KindName:    link.KindName(kindNames),
 		Registry:    d.metrics,
 		Address:     func(name id.Daemon) string { return f.members.Address(name) },
@@ -170,7 +170,7 @@
 func (h *peerHandler) HandleCall(_ context.Context, from id.Daemon, kind peer.Kind, body []byte) ([]byte, error) {
 	var q uptimeQuery
 	switch {
-	case !h.Open():
+	case !h.Accepting():
 	case kind == kindTables:
 		return peer.Encode(&tablesReply{States: h.d.tableStates(), Store: *h.d.storeStatus()})
 	case kind == kindUptime && h.decode(from, body, &q):
@@ -206,7 +206,7 @@
 // decode decodes a message of this package. It returns false if the daemon does not
 // accept messages yet, or if the message is invalid, which is logged.
 func (h *peerHandler) decode(from id.Daemon, body []byte, msg any) bool {
-	if !h.Open() {
+	if !h.Accepting() {
 		return false
 	}
 	if err := peer.Decode(body, msg); err != nil {
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -65,15 +65,15 @@
 		entries := f.members.Entries()
 		f.notePeersLost(d.now(), entries)
 		candidates := readingCandidates(entries)
-		now := decision.Decide(d.now(), candidates, !decision.Waited() && f.onlyOne())
+		now := decision.Decide(d.now(), candidates, !decision.StartupOver() && f.onlyOne())
 		chosen := decision.Chosen()
 		f.readers.Store(&chosen)
-		f.broadcasts.Store(decision.Tells())
-		f.linked.Store(asHub.update(d.now(), decision.Tells() || d.isStandbyOwner(f.self.Daemon, candidates)))
-		if now != reads || decision.Waited() && !logged {
+		f.broadcasts.Store(decision.Broadcasts())
+		f.linked.Store(asHub.update(d.now(), decision.Broadcasts() || d.isStandbyOwner(f.self.Daemon, candidates)))
+		if now != reads || decision.StartupOver() && !logged {
 			d.logger.Event("store_reading_changed", "reads", now)
 		}
-		reads, logged = now, logged || decision.Waited()
+		reads, logged = now, logged || decision.StartupOver()
 		for _, follower := range d.followers() {
 			follower.SetIdle(!reads)
 		}
@@ -133,7 +133,7 @@
 	if follower == nil {
 		return
 	}
-	fresh, err := follower.Take(n.News)
+	fresh, err := follower.ApplyNews(n.News)
 	switch {
 	case eris.Is(err, feed.ErrGap):
 		d.logger.Event("table_news_missed", "peer", from, "table", n.News.Name, "position", n.News.Position)
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -73,19 +73,19 @@
 	p.loggedAt = now
 	working := 0
 	for _, e := range d.Prefills {
-		if e.Work > 0 {
+		if e.Requests > 0 {
 			working++
 		}
 	}
 	running := 0
 	for _, e := range d.Decodes {
-		running += e.Work
+		running += e.Requests
 	}
 	o.d.logger.Event("pool_state", "pool", name, "prefills", len(d.Prefills), "prefills_working", working,
 		"prefill_backlog", d.PrefillBacklog, "decodes", len(d.Decodes), "decodes_running", running,
 		"memory", d.Memory, "memory_held", d.MemoryHeld, "queued", d.Queued, "memory_wanted", d.MemoryWanted,
-		"engines_tried", d.Tried-p.tried, "wants_repeated", d.Repeated-p.repeated)
-	p.tried, p.repeated = d.Tried, d.Repeated
+		"engines_tried", d.Attempts-p.tried, "wants_repeated", d.RepeatedWants-p.repeated)
+	p.tried, p.repeated = d.Attempts, d.RepeatedWants
 }
 
 // markDrained marks the engines that are about to change their role as drained.
@@ -101,7 +101,7 @@
 	p.decider.Changed(now)
 	p.changes[c.Endpoint] = &change{pool: pool, to: c.To, startedAt: now}
 	o.d.logger.Event("role_change_begun", "pool", pool, "endpoint", c.Endpoint, "to", c.To,
-		"wanted_prefills", c.Wanted, "prefills", c.Prefills, "decodes", c.Decodes)
+		"wanted_prefills", c.TargetPrefills, "prefills", c.Prefills, "decodes", c.Decodes)
 }
 
 // endChanges removes the changes that are done or timed out, or whose engine is gone.
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -82,21 +82,21 @@
 
 func (d *Daemon) followerConfig(name string, changed func(feed.State)) feed.Config {
 	return feed.Config{
-		Name:      name,
-		Source:    d.platform.Source,
-		Wait:      feedWait,
-		Gather:    feedGather,
-		Retry:     feedRetry,
-		IdleRetry: idleRetry,
-		Changed:   changed,
-		Learnt:    d.sendNews,
-		Now:       d.now,
-		Idle:      true,
+		Name:       name,
+		Source:     d.platform.Source,
+		Wait:       feedWait,
+		BatchDelay: feedGather,
+		Retry:      feedRetry,
+		IdleRetry:  idleRetry,
+		Changed:    changed,
+		OnNews:     d.sendNews,
+		Now:        d.now,
+		Idle:       true,
 		Lost: func(err error) {
 			d.logger.Warn("dependency_lost", "dependency", "store", "table", name, "why", err)
 			d.notifyRegistry(name, func(l *registry.List) { l.StoreLost() })
 		},
-		Back: func() {
+		Regained: func() {
 			d.logger.Event("dependency_regained", "dependency", "store", "table", name)
 			d.notifyRegistry(name, func(l *registry.List) { l.StoreBack(d.now()) })
 		},
@@ -234,11 +234,11 @@
 	k, now, pause := d.tables, d.now(), d.uptimeQueryInterval()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.list.Settle() {
+	if k.list.DropRemoved() {
 		d.publish()
 	}
-	upTo, ask = k.list.Ask(now, pause)
-	return upTo, ask, k.list.Due(now)
+	upTo, ask = k.list.ShouldQuery(now, pause)
+	return upTo, ask, k.list.GraceOver(now)
 }
 
 // every calls do at a fixed interval until the daemon ends.
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -58,9 +58,9 @@
 	suspect := !a.Unbroken && d.peersLost()
 	d.withRegistry(func(l *registry.List) {
 		if suspect {
-			l.Suspect(d.now())
+			l.SuspectOutage(d.now())
 		}
-		l.Answered(a.Newest, a.Clock, a.Unbroken)
+		l.RecordResponse(a.Newest, a.Clock, a.Unbroken)
 	})
 }
 
@@ -89,14 +89,14 @@
 
 // endpointsConfirmed records that the list of endpoints is up to date with the store.
 func (d *Daemon) endpointsConfirmed(time.Duration) {
-	d.withRegistry(func(l *registry.List) { l.Current() })
+	d.withRegistry(func(l *registry.List) { l.MarkCurrent() })
 }
 
 // storeStatus returns the store's status to report to other daemons.
 func (d *Daemon) storeStatus() *storeStatus {
 	status := storeStatus{Listed: d.endpoints.Position()}
 	d.withRegistry(func(l *registry.List) {
-		status.Uptime, status.MayReturn = l.Uptime(), l.Doubts(d.now())
+		status.Uptime, status.MayReturn = l.Uptime(), l.EntriesMayReturn(d.now())
 	})
 	return &status
 }
@@ -104,9 +104,9 @@
 // handleStoreStatus applies the store's status as reported by another daemon.
 func (d *Daemon) handleStoreStatus(from id.Daemon, status storeStatus) {
 	d.withRegistry(func(l *registry.List) {
-		if l.Learn(status.Uptime, status.Listed) {
-			newest := status.Uptime.Newest()
-			d.logger.Event("store_was_there", "peer", from, "from", newest.From, "until", newest.Until, "length", newest.Length())
+		if l.MergeUptime(status.Uptime, status.Listed) {
+			newest := status.Uptime.Latest()
+			d.logger.Event("store_was_there", "peer", from, "from", newest.From, "until", newest.Until, "length", newest.Duration())
 			d.publish()
 		}
 		if status.MayReturn {
@@ -119,9 +119,9 @@
 // store was unavailable; the lock must be held.
 func (d *Daemon) mayReturn(from id.Daemon) {
 	list, now := d.tables.list, d.now()
-	doubted := list.Doubts(now)
-	list.MayReturn(now)
-	if !doubted && list.Doubts(now) {
+	doubted := list.EntriesMayReturn(now)
+	list.ReportOutage(now)
+	if !doubted && list.EntriesMayReturn(now) {
 		d.logger.Event("store_absence_told", "peer", from)
 	}
 }
@@ -130,8 +130,8 @@
 // suffice, it polls the store at once, so that the next query gets a newer answer.
 func (d *Daemon) answerUptime(q uptimeQuery) *storeStatus {
 	status := d.storeStatus()
-	newest := status.Uptime.Newest()
-	if newest.Until < q.UpTo || newest.Length() < uptime.ReturnGrace {
+	newest := status.Uptime.Latest()
+	if newest.Until < q.UpTo || newest.Duration() < uptime.ReturnGrace {
 		d.endpoints.Poll()
 	}
 	return status
--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -26,17 +26,17 @@
 func (s *Stop) Began() time.Duration { return s.began }
 
 // Named records that an answer still named this daemon.
-func (s *Stop) Named(now time.Duration) {
+func (s *Stop) RecordNamed(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plan.Named(now)
+	s.plan.RecordNamed(now)
 }
 
 // Caller records that a new caller still arrived.
-func (s *Stop) Caller(now time.Duration) {
+func (s *Stop) RecordCaller(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plan.Caller(now)
+	s.plan.RecordCaller(now)
 }
 
 func (s *Stop) mayClose(now time.Duration, inFlight int) (bool, entry.StopReason) {
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -58,13 +58,13 @@
 	Listener Listener
 	Metrics  *metrics.Registry
 	// Local returns the state that this daemon reports about itself.
-	Local func() member.Local
+	Local func() member.LocalStatus
 	// Log writes one line for each event.
 	Log  func(event string, kv ...any)
 	Now  func() time.Duration
 	Rand *rand.Rand
 	// Behind, if set, is called with the time that work waits in the duty's queue.
-	Behind func(late time.Duration)
+	OnDelay func(late time.Duration)
 	// Ready delays the duty's start until it is closed.
 	Ready <-chan struct{}
 }
@@ -100,7 +100,7 @@
 		stalls:            cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon was not run for a while"),
 	}
 	m.publish()
-	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, Behind: cfg.Behind, Metrics: cfg.Metrics, Ready: cfg.Ready})
+	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, OnDelay: cfg.OnDelay, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	m.SetHosts(cfg.Seeds)
 	if cfg.Hosts != nil {
 		go m.readHosts()
@@ -126,7 +126,7 @@
 
 // SetHosts applies a host list that was read elsewhere.
 func (m *Members) SetHosts(hosts []member.Host) {
-	m.duty.Post(func(now time.Duration) { m.perform(m.core.Hosts(now, hosts)) })
+	m.duty.Post(func(now time.Duration) { m.perform(m.core.MergeHosts(now, hosts)) })
 }
 
 // Entries returns the entries of the view, this daemon's included, sorted by name.
@@ -168,7 +168,7 @@
 
 func (m *Members) tick(now time.Duration) time.Duration {
 	due := now >= m.core.Next()
-	m.core.SetLocal(m.cfg.Local())
+	m.core.SetLocalStatus(m.cfg.Local())
 	m.perform(m.core.Tick(now))
 	if due {
 		// Not on each tick: copying the view of a large fleet costs more than all
@@ -231,7 +231,7 @@
 
 func (m *Members) publish() {
 	entries := m.core.View()
-	v := &view{entries: entries, byDaemon: make(map[id.Daemon]member.Entry, len(entries)), large: m.core.Large()}
+	v := &view{entries: entries, byDaemon: make(map[id.Daemon]member.Entry, len(entries)), large: m.core.UsesRings()}
 	for _, e := range entries {
 		v.byDaemon[e.Process.Daemon] = e
 	}
@@ -290,7 +290,7 @@
 }
 
 func (m *Members) readHostsOnce(ctx context.Context) {
-	call, cancel := endpoints.Short(ctx)
+	call, cancel := endpoints.WithShortTimeout(ctx)
 	defer cancel()
 	list, err := m.cfg.Hosts.List(call)
 	if err != nil {
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -43,7 +43,7 @@
 	core.SuspectAfter = 20 * time.Millisecond
 	core.DeadAfter = 60 * time.Millisecond
 	core.StallAfter = time.Hour
-	core.Forget = forget
+	core.ForgetAfter = forget
 	begun := time.Now()
 	l := newRecorder()
 	m := Start(Config{
@@ -52,7 +52,7 @@
 		Sender:   l,
 		Listener: l,
 		Metrics:  metrics.New("a"),
-		Local:    func() member.Local { return member.Local{} },
+		Local:    func() member.LocalStatus { return member.LocalStatus{} },
 		Log:      func(string, ...any) {},
 		Now:      func() time.Duration { return time.Since(begun) },
 		Rand:     rand.New(rand.NewPCG(1, 1)),
--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -86,7 +86,7 @@
 		refused: cfg.Metrics.Counter("placement_orders_refused", metrics.UnitCount, "orders that engines refused or that failed"),
 		holding: cfg.Metrics.Gauge("placement_lease_held", metrics.UnitCount, "1 while this daemon holds the placement lease"),
 	}
-	p.gate = lease.NewOrderGate(lease.GateConfig{LongestOrder: maxOrderTime}, p.lease)
+	p.gate = lease.NewOrderGate(lease.GateConfig{MaxOrderDelay: maxOrderTime}, p.lease)
 	p.duty = duty.Start(duty.Config{Name: "placer", Now: cfg.Now, Tick: p.tick, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return p
 }
@@ -123,7 +123,7 @@
 
 func (p *Placer) tick(now time.Duration) time.Duration {
 	p.performLease(now, p.lease.Tick(now))
-	row := p.lease.Holder()
+	row := p.lease.LastRow()
 	p.holder.Store(&row)
 	next := p.lease.Next()
 	if !p.lease.Valid(now) {
@@ -198,7 +198,7 @@
 }
 
 func (p *Placer) observeDemand() {
-	ctx, cancel := endpoints.Short(p.duty.Context())
+	ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 	defer cancel()
 	demands := p.cfg.Demand(ctx)
 	p.duty.Post(func(now time.Duration) {
@@ -209,7 +209,7 @@
 }
 
 func (p *Placer) observeOne(e *live.Endpoint) {
-	ctx, cancel := endpoints.Short(p.duty.Context())
+	ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 	defer cancel()
 	o := placement.Observation{Endpoint: e.Name}
 	engine := p.cfg.Endpoints.Engine(e.Address)
@@ -226,7 +226,7 @@
 	p.duty.Post(func(now time.Duration) {
 		p.core.Observe(now, o)
 		if o.Reachable {
-			p.gate.Repaired(now, e.Name)
+			p.gate.MarkReadBack(now, e.Name)
 		}
 	})
 }
@@ -278,7 +278,7 @@
 	if !valid {
 		return
 	}
-	ctx, cancel := endpoints.Short(p.duty.Context())
+	ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 	defer cancel()
 	if _, err := p.cfg.Endpoints.Engine(e.Address).Order(ctx, order); err != nil {
 		p.refused.Inc()
@@ -289,7 +289,7 @@
 // reserve requests a grant for one load from the weight store.
 func (p *Placer) reserve(g *placement.GrantRequest) {
 	p.cfg.Work.Submit(func() {
-		ctx, cancel := endpoints.Short(p.duty.Context())
+		ctx, cancel := endpoints.WithShortTimeout(p.duty.Context())
 		defer cancel()
 		grant, err := p.cfg.Weights.Reserve(ctx, g.Model)
 		if err != nil {
--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -36,7 +36,7 @@
 func (r *Runner) Run(ctx context.Context, call *Call) (*Answer, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Service.Timeout())
 	defer cancel()
-	waitStart := pairing.WaitsSince(call.Arrived, r.Now(), call.Service.Patience())
+	waitStart := pairing.WaitStart(call.Arrived, r.Now(), call.Service.Patience())
 	s := &state{call: call, waitStart: waitStart, worst: verdict.NotRun}
 	for n := 1; ; n++ {
 		answer, err := r.attempt(ctx, s, n)
@@ -66,8 +66,8 @@
 	}
 	retry := r.Retries.Decide(s.call.Team, err, n, r.patience(s))
 	r.Recorder.Decision("request", string(s.call.ID), "retry",
-		"again", retry.Again, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
-	if !retry.Again {
+		"again", retry.Allowed, "attempt", n, "delay", retry.Delay, "why", retry.Reason, "code", err.Code, "err", err.Error())
+	if !retry.Allowed {
 		return false
 	}
 	timer := time.NewTimer(retry.Delay)
--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -54,9 +54,9 @@
 	if !limited {
 		return &ChargeReply{Seq: req.Seq, Granted: true}
 	}
-	granted, refused := q.ledger.Take(now, c)
+	granted, refused := q.ledger.TryCharge(now, c)
 	balance, _ := q.ledger.Balance(req.Team)
-	return &ChargeReply{Seq: req.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.Back, Balance: balance}
+	return &ChargeReply{Seq: req.Seq, Granted: granted, Wait: refused.Wait, RetryAfter: refused.RetryAfter, Balance: balance}
 }
 
 // chargeDebts charges what a daemon spent in advance, as the keeper, and returns the
@@ -68,7 +68,7 @@
 		if !limited {
 			continue
 		}
-		if wait := q.ledger.Owe(now, c); wait > 0 {
+		if wait := q.ledger.ChargeSpent(now, c); wait > 0 {
 			notice.Teams = append(notice.Teams, IndebtedTeam{Team: d.Team, Wait: wait})
 		}
 	}
@@ -78,6 +78,6 @@
 // refund credits what was granted for a request that has not run, as the keeper.
 func (q *Quotas) refund(now time.Duration, r *Refund) {
 	if c, limited := q.newCharge(now, r.Team, r.Cost, nil); limited {
-		q.ledger.Return(now, c)
+		q.ledger.Refund(now, c)
 	}
 }
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/pay.go
@@ -22,7 +22,7 @@
 
 // Pay charges a request to its team, or refuses it. cost is in the limit's units.
 // patience bounds the wait for the keeper.
-func (q *Quotas) Pay(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
+func (q *Quotas) Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	answers := make(chan ChargeReply, 1)
 	p := &pendingCharge{request: ChargeRequest{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
 	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, p) }) {
@@ -56,7 +56,7 @@
 	q.refreshFleet(now)
 	answer, wait := q.purse.Spend(now, p.request.Team, p.request.Cost)
 	switch {
-	case answer == quota.Paid:
+	case answer == quota.Granted:
 		q.scheduleSettlement(now)
 		p.answer <- ChargeReply{Granted: true}
 	case answer == quota.Refused:
@@ -102,9 +102,9 @@
 }
 
 // Return credits what was charged for a request that has not run.
-func (q *Quotas) Return(team id.Team, cost float64) {
+func (q *Quotas) Refund(team id.Team, cost float64) {
 	q.duty.PostLater(func(now time.Duration) {
-		if q.purse.Return(team, cost) {
+		if q.purse.Refund(team, cost) {
 			return
 		}
 		credit := &Refund{Team: team, Cost: cost}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -81,9 +81,9 @@
 // Platform is a set of stand-ins in one process.
 type Platform struct {
 	Table   *Table
-	Objects *Objects
+	Objects *ObjectStore
 	Hosts   *HostList
-	Weights *Weights
+	Weights *WeightStore
 	Engines []*Engine
 	Plains  []*PlainService
 	Links   *Links
@@ -109,9 +109,9 @@
 	defaults.Set(&cfg.Table.Seed, cfg.Seed)
 	p := &Platform{
 		Table:    NewTable(cfg.Table),
-		Objects:  NewObjects(cfg.Seed),
+		Objects:  NewObjectStore(cfg.Seed),
 		Hosts:    NewHostList(cfg.HostsLag, cfg.Hosts, cfg.Seed),
-		Weights:  NewWeights(cfg.LoadsPerSecond, cfg.Seed),
+		Weights:  NewWeightStore(cfg.LoadsPerSecond, cfg.Seed),
 		Links:    NewLinks(cfg.RateWithin, cfg.RateAcross),
 		cfg:      cfg,
 		nextPort: cfg.BasePort,
