--- a/cmd/internal/account/account.go
+++ b/cmd/internal/account/account.go
@@ -10,7 +10,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// Account is the summary of the logs of a span of time.
+// Summary is the summary of the logs of a span of time.
 type Summary struct {
 	// From and To bound the span; the offsets in seconds below count from From.
 	From time.Time `json:"from"`
@@ -23,7 +23,7 @@
 	Routes []Route `json:"routes"`
 	// Reasons counts the attempts that were not answered, by reason.
 	Reasons []Reason `json:"reasons"`
-	// Vain counts the wasted prompts by cause.
+	// Wasted counts the wasted prompts by cause.
 	Wasted []WastedPrompts `json:"vain"`
 	// Seconds counts the requests by the second of their arrival.
 	Seconds []Second `json:"seconds"`
@@ -41,7 +41,7 @@
 	// Refused counts requests that did not run, Failed those that may have run.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	// Left counts requests whose callers disconnected before the answer was due.
+	// Disconnected counts requests whose callers disconnected before the answer was due.
 	Disconnected int `json:"left"`
 	// NoEnd counts streams that were granted engines and whose end is not logged:
 	// their daemon was killed, or the line was dropped. Plain calls are not counted
@@ -59,8 +59,8 @@
 	// Kind is the route's kind as the daemons log it.
 	Kind string `json:"kind"`
 	Counts
-	// CameBack counts the requests that their callers retried after a refusal or a
-	// failure, Served those of them that were then answered.
+	// Retried counts the requests that their callers retried after a refusal or a
+	// failure, RetriedAnswered those of them that were then answered.
 	Retried         int `json:"came_back"`
 	RetriedAnswered int `json:"came_back_served"`
 	// LateTime is how the late answers spent their time.
@@ -71,7 +71,7 @@
 
 // LateTime is the mean time of late answers, in milliseconds.
 type LateTime struct {
-	// Return is the time from a request's first arrival to the arrival of the
+	// RetryDelay is the time from a request's first arrival to the arrival of the
 	// retry that was answered.
 	RetryDelay float64 `json:"return_ms"`
 	// Queue is the time in the queue for engines, Prefill the prefill time, Retries
@@ -86,13 +86,13 @@
 	Paused int `json:"paused"`
 }
 
-// Waits holds the times from arrival to refusal, in milliseconds.
+// RefusalTimes holds the times from arrival to refusal, in milliseconds.
 type RefusalTimes struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
 	Max   float64 `json:"max_ms"`
-	// Back counts the refusals that the caller retried.
+	// Retried counts the refusals that the caller retried.
 	Retried int `json:"back"`
 }
 
@@ -106,7 +106,7 @@
 	Count   int    `json:"count"`
 }
 
-// Vain counts the wasted prompts of one cause and their tokens.
+// WastedPrompts counts the wasted prompts of one cause and their tokens.
 type WastedPrompts struct {
 	Cause  string `json:"cause"`
 	Count  int    `json:"count"`
@@ -115,12 +115,12 @@
 
 // Second counts the requests that first arrived within one second, by outcome.
 type Second struct {
-	// At is the second, counted from Account.From.
+	// At is the second, counted from Summary.From.
 	At int `json:"at_s"`
 	// Kind is the routes' kind.
 	Kind string `json:"kind"`
 	Counts
-	// VainTokens counts the tokens of prompts that were wasted in this second.
+	// WastedTokens counts the tokens of prompts that were wasted in this second.
 	WastedTokens int `json:"vain_tokens"`
 }
 
@@ -128,8 +128,8 @@
 type Pool struct {
 	AtSeconds float64 `json:"at_s"`
 	Pool      string  `json:"pool"`
-	// Prefills and Decodes count the engines by role, Working the busy prefill
-	// engines, Running the requests on the decode engines.
+	// Prefills and Decodes count the engines by role, PrefillsWorking the busy
+	// prefill engines, DecodesRunning the requests on the decode engines.
 	Prefills        int `json:"prefills"`
 	PrefillsWorking int `json:"prefills_working"`
 	Decodes         int `json:"decodes"`
@@ -139,15 +139,15 @@
 	Queued     int     `json:"queued"`
 }
 
-// Options select the requests of an account.
+// Options select the requests of a summary.
 type Options struct {
 	// From (inclusive) and To (exclusive) bound the arrivals; the zero time means
 	// no bound.
 	From, To time.Time
 }
 
-// Make builds the account of log lines. It returns ErrNoRequests if they hold no
-// end of a request within the bounds.
+// Summarize builds the summary of log lines. It returns ErrNoRequests if they hold
+// no end of a request within the bounds.
 func Summarize(logs *logstory.Logs, o Options) (*Summary, error) {
 	b := newBuilder(o)
 	for i := range logs.Lines {
--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -16,7 +16,7 @@
 // request is one request of a caller: its attempts in order of arrival.
 type request []*attempt
 
-// finish builds the account from the collected data.
+// finish builds the summary from the collected data.
 func (b *builder) finish(logs *logstory.Logs) (*Summary, error) {
 	if len(b.attempts) == 0 {
 		return nil, ErrNoRequests
--- a/cmd/internal/account/figures.go
+++ b/cmd/internal/account/figures.go
@@ -7,10 +7,10 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/experiment"
 )
 
-// Name is the base name of the account's files.
+// Name is the base name of the summary's files.
 const Name = "account"
 
-// Report returns the account as a report with its figures.
+// Report returns the summary as a report with its figures.
 func (a *Summary) Report() *experiment.Report {
 	figures := []experiment.Figure{a.memoryFigure(), a.rolesFigure()}
 	for _, kind := range a.kinds() {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// Log events that an account evaluates.
+// Log events that a summary evaluates.
 const (
 	eventRequest   = "request"
 	eventGranted   = "granted"
@@ -58,7 +58,7 @@
 	failedTime             time.Duration
 }
 
-// builder collects the data of an account from log lines.
+// builder collects the data of a summary from log lines.
 type builder struct {
 	span     Options
 	attempts []*attempt
--- a/cmd/internal/cli/fleetcmd/logs.go
+++ b/cmd/internal/cli/fleetcmd/logs.go
@@ -21,26 +21,26 @@
 	if err := logs.ReadPath(path, cmd.InOrStdin()); err != nil {
 		return err
 	}
-	story, err := logs.Explain(args[1])
+	timeline, err := logs.Explain(args[1])
 	if err != nil {
 		return fmt.Errorf("request %s in %d lines (%d unreadable): %w", args[1], len(logs.Lines), logs.Unreadable, err)
 	}
 	rows := output.Rows{Header: []string{"AT", "DAEMON", "EVENT", "TEXT"}}
-	addLines(&rows, story.Own)
-	if len(story.Beside) > 0 {
+	addLines(&rows, timeline.Own)
+	if len(timeline.Beside) > 0 {
 		rows.Add("", "", "", "related lines:")
-		addLines(&rows, story.Beside)
+		addLines(&rows, timeline.Beside)
 	}
-	if err := output.Print(cmd.OutOrStdout(), opts.Output, story, rows); err != nil {
+	if err := output.Print(cmd.OutOrStdout(), opts.Output, timeline, rows); err != nil {
 		return err
 	}
 	if opts.Output != output.Table {
 		return nil
 	}
-	for _, where := range story.Silent {
+	for _, where := range timeline.Silent {
 		fmt.Fprintf(cmd.OutOrStdout(), "silent: %s\n", where)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "cause: %s\n", story.Cause)
+	fmt.Fprintf(cmd.OutOrStdout(), "cause: %s\n", timeline.Cause)
 	return nil
 }
 
--- a/cmd/internal/fleet/config.go
+++ b/cmd/internal/fleet/config.go
@@ -28,9 +28,9 @@
 	Teams []Team
 	// Log receives the daemons' log lines. By default they are discarded.
 	Log io.Writer
-	// Tune modifies the settings of a daemon before it starts; may be nil.
+	// AdjustSettings modifies the settings of a daemon before it starts; may be nil.
 	AdjustSettings func(*settings.Settings)
-	// Change modifies the live configuration before it is applied; may be nil.
+	// AdjustDocument modifies the live configuration before it is applied; may be nil.
 	AdjustDocument func(*live.Document)
 }
 
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -14,10 +14,10 @@
 	"github.com/samphirequay/samphirequay/endpoint/wire"
 )
 
-// Places returns the number of members, with or without a running daemon.
+// Members returns the number of members, with or without a running daemon.
 func (f *Fleet) Members() int { return len(f.members) }
 
-// Place returns the index of the member with a name, or -1 if there is none.
+// MemberIndex returns the index of the member with a name, or -1 if there is none.
 func (f *Fleet) MemberIndex(name id.Daemon) int {
 	return slices.IndexFunc(f.members, func(m *member) bool { return m.name == name })
 }
@@ -25,7 +25,7 @@
 // Domain returns the failure domain of member i.
 func (f *Fleet) Domain(i int) id.Domain { return f.members[i].domain }
 
-// Owner returns the index of the member whose daemon schedules a pool, or -1 if no
+// OwnerIndex returns the index of the member whose daemon schedules a pool, or -1 if no
 // daemon runs. It applies the rule that all daemons apply to the set of running
 // daemons, so it holds once they agree on that set.
 func (f *Fleet) OwnerIndex(pool id.Pool) int {
@@ -87,7 +87,7 @@
 	return out
 }
 
-// Decoded returns how often the engines started to decode each attempt.
+// DecodeRuns returns how often the engines started to decode each attempt.
 func (f *Fleet) DecodeRuns() map[string]int {
 	runs := map[string]int{}
 	for _, p := range f.platforms {
--- a/cmd/internal/fleet/counters.go
+++ b/cmd/internal/fleet/counters.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Work holds sums of the counters of a fleet's engines.
+// EngineTotals holds sums of the counters of a fleet's engines.
 type EngineTotals struct {
 	PrefillTokens int64 `json:"prefill_tokens"`
 	WastedTokens  int64 `json:"wasted_tokens"`
@@ -14,38 +14,38 @@
 	KVHeld  int `json:"kv_held"`
 }
 
-// Work returns the current sums.
+// EngineTotals returns the current sums.
 func (f *Fleet) EngineTotals() EngineTotals {
-	var w EngineTotals
+	var t EngineTotals
 	for _, p := range f.platforms {
 		for _, e := range p.Engines {
 			c := e.Counters()
-			w.PrefillTokens += c.PrefillTokens
-			w.WastedTokens += c.PrefillTokensWasted
-			w.RanTwice += c.RepeatedDecodes
-			w.HeldAfterCancel += c.HeldAfterCancel
-			w.Running += c.Running
-			w.KVHeld += c.KVHeld
+			t.PrefillTokens += c.PrefillTokens
+			t.WastedTokens += c.PrefillTokensWasted
+			t.RanTwice += c.RepeatedDecodes
+			t.HeldAfterCancel += c.HeldAfterCancel
+			t.Running += c.Running
+			t.KVHeld += c.KVHeld
 		}
 	}
-	return w
+	return t
 }
 
 // Since returns the sums with the counts of an earlier snapshot subtracted; the
 // numbers held now stay as they are.
-func (w EngineTotals) Since(earlier EngineTotals) EngineTotals {
-	w.PrefillTokens -= earlier.PrefillTokens
-	w.WastedTokens -= earlier.WastedTokens
-	w.RanTwice -= earlier.RanTwice
-	return w
+func (t EngineTotals) Since(earlier EngineTotals) EngineTotals {
+	t.PrefillTokens -= earlier.PrefillTokens
+	t.WastedTokens -= earlier.WastedTokens
+	t.RanTwice -= earlier.RanTwice
+	return t
 }
 
 // WastedShare returns the share of the prefill tokens that were wasted, 0 to 1.
-func (w EngineTotals) WastedShare() float64 {
-	if w.PrefillTokens == 0 {
+func (t EngineTotals) WastedShare() float64 {
+	if t.PrefillTokens == 0 {
 		return 0
 	}
-	return float64(w.WastedTokens) / float64(w.PrefillTokens)
+	return float64(t.WastedTokens) / float64(t.PrefillTokens)
 }
 
 // PlainRuns returns how often the plain services ran each idempotency key.
--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -112,7 +112,7 @@
 }
 
 // retryLoop makes attempts until the request has ended, MaxAttempts is reached or
-// the context, which is bounded by Patience, ends.
+// the context, which is bounded by Timeout, ends.
 func (c *Caller) retryLoop(ctx context.Context, rec *Record, try func(ctx context.Context, address string) attemptResult) {
 	policy := retryPolicy()
 	for c.mayRetry(rec) {
--- a/cmd/internal/load/load.go
+++ b/cmd/internal/load/load.go
@@ -28,7 +28,7 @@
 	// BehaviourCancel cancels each request shortly after sending it.
 	BehaviourCancel Behaviour = "cancel"
 	// BehaviourRetry ignores Retry-After: it retries a request after every error,
-	// with only a short delay, until Patience expires.
+	// with only a short delay, until Timeout expires.
 	BehaviourRetry Behaviour = "retry"
 )
 
@@ -87,7 +87,7 @@
 	// MaxAttempts bounds the attempts of one request. Default 6. BehaviourRetry
 	// ignores it.
 	MaxAttempts int
-	// Patience is the timeout for the whole answer, over all attempts. Default 30 s.
+	// Timeout is the timeout for the whole answer, over all attempts. Default 30 s.
 	Timeout time.Duration
 	// Expect returns the expected answers; if nil, only completeness is checked.
 	Expect Expect
--- a/cmd/internal/logstory/story.go
+++ b/cmd/internal/logstory/timeline.go
@@ -37,7 +37,7 @@
 // ErrUnknownRequest means that no line names the request.
 var ErrUnknownRequest = errors.New("no line names this request: the id is wrong, the logs lack its daemon, or its lines were dropped")
 
-// Story holds the log lines about one request and its outcome.
+// Timeline holds the log lines about one request and its outcome.
 type Timeline struct {
 	Request string
 	// Own are the lines that name the request.
@@ -51,7 +51,7 @@
 	Cause string
 }
 
-// Tell collects the lines about a request and derives its outcome. It returns
+// Explain collects the lines about a request and derives its outcome. It returns
 // ErrUnknownRequest if no line names the request.
 func (l *Logs) Explain(request string) (*Timeline, error) {
 	s := &Timeline{Request: request}
--- a/cmd/internal/soak/run.go
+++ b/cmd/internal/soak/run.go
@@ -25,7 +25,7 @@
 	Daemons int
 	// Callers is the number of concurrent callers.
 	Callers int
-	// Length is how long faults are injected.
+	// Duration is how long faults are injected.
 	Duration time.Duration
 	// Out receives a line for each fault and each violation, and the result.
 	Out io.Writer
--- a/daemon/app/peerconns.go
+++ b/daemon/app/peerconns.go
@@ -18,7 +18,7 @@
 	partialIdleTimeout = 150 * time.Second
 )
 
-// ConnectionTimes returns the time between keepalive packets, negative for none,
+// ConnectionTimeouts returns the time between keepalive packets, negative for none,
 // and the idle time after which a connection is closed, for a membership mode.
 // With a mesh, every connection is in use all the time.
 func ConnectionTimeouts(mode member.Mode) (keepalive, idle time.Duration) {
--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -57,5 +57,5 @@
 		OverLimit:    isOverLimit,
 		MaxConns:     d.settings.Limits.MaxConnections,
 	})
-	d.operator = operator.New(operatorBacking{d}, d.settings.OperatorKeyHashes, d.logger.Event)
+	d.operator = operator.New(operations{d}, d.settings.OperatorKeyHashes, d.logger.Event)
 }
--- a/daemon/app/status.go
+++ b/daemon/app/status.go
@@ -16,36 +16,36 @@
 	"github.com/samphirequay/samphirequay/daemon/placer"
 )
 
-// operatorBacking implements operator.Backing.
-type operatorBacking struct{ d *Daemon }
+// operations implements operator.Operations.
+type operations struct{ d *Daemon }
 
-// Propose implements operator.Backing.
-func (b operatorBacking) Propose(ctx context.Context, c revision.Change, resent bool) revision.Outcome {
-	outcome := b.d.configs.Propose(ctx, c, resent)
-	b.d.decisions.Decide(logline.SubjectChange, c.ID, "change_proposed",
+// Propose implements operator.Operations.
+func (o operations) Propose(ctx context.Context, c revision.Change, resent bool) revision.Outcome {
+	outcome := o.d.configs.Propose(ctx, c, resent)
+	o.d.decisions.Decide(logline.SubjectChange, c.ID, "change_proposed",
 		"author", c.Author, "result", outcome.Result, "revision", outcome.Revision)
 	return outcome
 }
 
-// DocumentAt implements operator.Backing.
-func (b operatorBacking) DocumentAt(rev uint64) (*live.Document, bool) {
-	return b.d.configs.DocumentAt(rev)
+// DocumentAt implements operator.Operations.
+func (o operations) DocumentAt(rev uint64) (*live.Document, bool) {
+	return o.d.configs.DocumentAt(rev)
 }
 
-// Document implements operator.Backing.
-func (b operatorBacking) Document() *live.Document { return b.d.configs.Index().Document() }
+// Document implements operator.Operations.
+func (o operations) Document() *live.Document { return o.d.configs.Index().Document() }
 
-// History implements operator.Backing.
-func (b operatorBacking) History(after uint64, limit int) []revision.Record {
-	return b.d.configs.History(after, limit)
+// History implements operator.Operations.
+func (o operations) History(after uint64, limit int) []revision.Record {
+	return o.d.configs.History(after, limit)
 }
 
-// BeginStop implements operator.Backing.
-func (b operatorBacking) BeginStop() { b.d.BeginStop() }
+// BeginStop implements operator.Operations.
+func (o operations) BeginStop() { o.d.BeginStop() }
 
-// Status implements operator.Backing. The pools' owners report their pools.
-func (b operatorBacking) Status() opapi.Status {
-	d := b.d
+// Status implements operator.Operations. The pools' owners report their pools.
+func (o operations) Status() opapi.Status {
+	d := o.d
 	s := opapi.Status{
 		Daemon:     d.self.Daemon,
 		Revision:   d.Revision(),
@@ -59,8 +59,8 @@
 		s.Pools = append(s.Pools, reply.Pools...)
 	}
 	slices.SortFunc(s.Pools, func(x, y opapi.PoolStatus) int { return cmp.Compare(x.Pool, y.Pool) })
-	for i := range b.Document().Teams {
-		s.Teams = append(s.Teams, d.front.TeamStatus(b.Document().Teams[i].Name))
+	for i := range o.Document().Teams {
+		s.Teams = append(s.Teams, d.front.TeamStatus(o.Document().Teams[i].Name))
 	}
 	if row := d.placer.Holder(); row.Fence > 0 {
 		s.Leases = append(s.Leases, opapi.LeaseStatus{Duty: placer.Duty, Holder: row.Holder.Daemon, Fence: row.Fence})
@@ -179,15 +179,15 @@
 	return out
 }
 
-// Explain implements operator.Backing. It returns the decisions of all daemons on
+// Explain implements operator.Operations. It returns the decisions of all daemons on
 // the subject, sorted by time.
-func (b operatorBacking) Explain(kind, subject string) opapi.Explanation {
+func (o operations) Explain(kind, subject string) opapi.Explanation {
 	q := explainQuery{Kind: kind, ID: subject}
-	out := b.d.explainLocal(q)
+	out := o.d.explainLocal(q)
 	var mu sync.Mutex
-	b.d.queryPeers(b.d.members.Others(), func(ctx context.Context, to id.Daemon) {
+	o.d.queryPeers(o.d.members.Others(), func(ctx context.Context, to id.Daemon) {
 		var reply opapi.Explanation
-		if b.d.transport.Call(ctx, to, kindExplain, &q, &reply) != nil {
+		if o.d.transport.Call(ctx, to, kindExplain, &q, &reply) != nil {
 			return
 		}
 		mu.Lock()
@@ -198,11 +198,11 @@
 	return out
 }
 
-// Quarantine implements operator.Backing.
-func (b operatorBacking) Quarantine() opapi.QuarantineList {
+// Quarantine implements operator.Operations.
+func (o operations) Quarantine() opapi.QuarantineList {
 	list := opapi.QuarantineList{Entries: []opapi.QuarantineEntry{}}
 	seen := make(map[string]bool)
-	for _, reply := range b.d.queryPools() {
+	for _, reply := range o.d.queryPools() {
 		for _, e := range reply.Quarantine {
 			if !seen[e.Fingerprint] {
 				seen[e.Fingerprint] = true
--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -33,7 +33,7 @@
 	Relay  func(s poison.State)
 	// Epoch is the wall clock time at time zero of Now.
 	Epoch time.Time
-	// Behind, if set, is called with the time for which work waited for the broker.
+	// OnDelay, if set, is called with the time for which work waited for the broker.
 	OnDelay func(late time.Duration)
 	Metrics *metrics.Registry
 	// Now is the time since the daemon's start.
@@ -44,11 +44,11 @@
 
 // Broker pairs requests with endpoints.
 type Broker struct {
-	cfg      Config
-	duty     *duty.Duty
-	asker    *pairing.Requester
-	managers map[id.Pool]*pool.Manager
-	doc      *live.Document
+	cfg       Config
+	duty      *duty.Duty
+	requester *pairing.Requester
+	managers  map[id.Pool]*pool.Manager
+	doc       *live.Document
 	// configured holds the pools of doc; other pools get no manager.
 	configured map[id.Pool]bool
 	waiting    map[id.Request]chan<- pairing.Answer
@@ -66,7 +66,7 @@
 func New(cfg Config) *Broker {
 	b := &Broker{
 		cfg:          cfg,
-		asker:        pairing.New(cfg.Self, pairing.Options{Local: cfg.Local}),
+		requester:    pairing.New(cfg.Self, pairing.Options{Local: cfg.Local}),
 		managers:     make(map[id.Pool]*pool.Manager),
 		doc:          &live.Document{},
 		waiting:      make(map[id.Request]chan<- pairing.Answer),
@@ -84,8 +84,8 @@
 
 // tick performs the actions that are due and returns the time of the next one.
 func (b *Broker) tick(now time.Duration) time.Duration {
-	b.output(now, b.asker.Tick(now))
-	next := b.asker.Next()
+	b.output(now, b.requester.Tick(now))
+	next := b.requester.Next()
 	for _, p := range b.sortedPools() {
 		m := b.managers[p]
 		if m.Next() <= now {
--- a/daemon/broker/broker_test.go
+++ b/daemon/broker/broker_test.go
@@ -43,8 +43,8 @@
 	b.Close() // from here on the test replaces the duty
 
 	const asked = time.Minute
-	b.output(asked, b.asker.SetMembers(asked, []id.Daemon{"owner"}))
-	b.output(asked, b.asker.Request(asked, sched.Want{Request: "r", Pool: "p"}, time.Second))
+	b.output(asked, b.requester.SetMembers(asked, []id.Daemon{"owner"}))
+	b.output(asked, b.requester.Request(asked, sched.Want{Request: "r", Pool: "p"}, time.Second))
 	next := b.tick(asked)
 	is.Equal(next, asked+pairing.DefaultResend)
 	b.tick(next)
--- a/daemon/broker/deliver.go
+++ b/daemon/broker/deliver.go
@@ -8,7 +8,7 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// output delivers the asker's answers and bindings, and sends its messages.
+// output delivers the requester's answers and bindings, and sends its messages.
 func (b *Broker) output(now time.Duration, out pairing.Output) {
 	for _, a := range out.Answers {
 		b.answer(a)
@@ -95,10 +95,10 @@
 		p := e.Drain.Pool
 		b.actions(now, p, b.manager(now, p).Drain(now, e.Drain.Endpoint, e.Drain.On))
 	case e.Grant != nil:
-		b.output(now, b.asker.Granted(e.Grant.Pool, e.Grant.Grant))
+		b.output(now, b.requester.Granted(e.Grant.Pool, e.Grant.Grant))
 	case e.Binding != nil:
-		b.output(now, b.asker.Bound(*e.Binding))
+		b.output(now, b.requester.Bound(*e.Binding))
 	case e.Refusal != nil:
-		b.output(now, b.asker.Refused(from, *e.Refusal))
+		b.output(now, b.requester.Refused(from, *e.Refusal))
 	}
 }
--- a/daemon/broker/messages.go
+++ b/daemon/broker/messages.go
@@ -1,7 +1,7 @@
 // Package broker pairs requests with endpoints. One goroutine, a duty, drives two
-// deterministic parts: the asker for this daemon's own requests (core/pairing) and the
-// managers of the pools that this daemon owns (core/pool). All events reach it through
-// one bounded ring.
+// deterministic parts: the requester for this daemon's own requests (core/pairing) and
+// the managers of the pools that this daemon owns (core/pool). All events reach it
+// through one bounded ring.
 package broker
 
 import (
@@ -55,7 +55,7 @@
 }
 
 // Sender sends an envelope to another daemon without blocking. An error means that
-// it will not arrive; the asker resends its messages.
+// it will not arrive; the requester resends its messages.
 type Sender interface {
 	SendBroker(to id.Daemon, e *Envelope) error
 }
--- a/daemon/broker/ask.go
+++ b/daemon/broker/pair.go
@@ -14,11 +14,11 @@
 // the request is withdrawn.
 func (b *Broker) Pair(ctx context.Context, w sched.Want, patience time.Duration) (sched.Grant, *verdict.Error) {
 	answers := make(chan pairing.Answer, 1)
-	ask := func(now time.Duration) {
+	request := func(now time.Duration) {
 		b.waiting[w.Request] = answers
-		b.output(now, b.asker.Request(now, w, patience))
+		b.output(now, b.requester.Request(now, w, patience))
 	}
-	if !b.duty.PostContext(ctx, ask) {
+	if !b.duty.PostContext(ctx, request) {
 		return sched.Grant{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
 	}
 	select {
@@ -30,7 +30,7 @@
 	case <-ctx.Done():
 		b.duty.Post(func(now time.Duration) {
 			delete(b.waiting, w.Request)
-			b.output(now, b.asker.Withdraw(w.Request))
+			b.output(now, b.requester.Withdraw(w.Request))
 		})
 		return sched.Grant{}, verdict.New(verdict.NotRun, verdict.CodeCallerGone, "the caller is gone").WithCause(context.Cause(ctx))
 	case <-b.duty.Context().Done():
@@ -40,7 +40,7 @@
 
 // Resume registers a request whose engine stream was started by another process.
 func (b *Broker) Resume(w sched.Want, g sched.Grant) {
-	b.duty.Post(func(now time.Duration) { b.output(now, b.asker.Resume(now, w, g)) })
+	b.duty.Post(func(now time.Duration) { b.output(now, b.requester.Resume(now, w, g)) })
 }
 
 // Progress reports the progress of a granted request.
@@ -49,7 +49,7 @@
 		if p.Phase >= sched.PhaseDecoding {
 			delete(b.bindings, p.Request)
 		}
-		b.output(now, b.asker.Progress(now, p))
+		b.output(now, b.requester.Progress(now, p))
 	})
 }
 
--- a/daemon/broker/pools.go
+++ b/daemon/broker/pools.go
@@ -11,10 +11,10 @@
 )
 
 // SetMembers sets the live daemons, including this one. The manager of a pool that has
-// another owner now is dropped: the askers report to the new owner what is in use.
+// another owner now is dropped: the requesters report to the new owner what is in use.
 func (b *Broker) SetMembers(members []id.Daemon) {
 	b.duty.Post(func(now time.Duration) {
-		b.output(now, b.asker.SetMembers(now, members))
+		b.output(now, b.requester.SetMembers(now, members))
 		for _, p := range b.sortedPools() {
 			if !b.owns(p) {
 				delete(b.managers, p)
@@ -63,7 +63,7 @@
 // Drain makes a pool's owner stop new work for an endpoint, or allow it again.
 func (b *Broker) Drain(p id.Pool, e id.Endpoint, on bool) {
 	b.duty.Post(func(now time.Duration) {
-		b.sendTo(now, b.asker.Owner(p), &Envelope{Drain: &Drain{Pool: p, Endpoint: e, On: on}})
+		b.sendTo(now, b.requester.Owner(p), &Envelope{Drain: &Drain{Pool: p, Endpoint: e, On: on}})
 	})
 }
 
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (b *Broker) owns(p id.Pool) bool { return b.asker.Owner(p) == b.cfg.Self.Daemon }
+func (b *Broker) owns(p id.Pool) bool { return b.requester.Owner(p) == b.cfg.Self.Daemon }
 
 // Owners returns the owner of each of the pools, by this daemon's view of the
 // membership.
@@ -119,7 +119,7 @@
 	owners := make([]id.Daemon, len(pools))
 	b.duty.Query(func(time.Duration) {
 		for i, p := range pools {
-			owners[i] = b.asker.Owner(p)
+			owners[i] = b.requester.Owner(p)
 		}
 	})
 	return owners
--- a/daemon/configs/configs.go
+++ b/daemon/configs/configs.go
@@ -33,7 +33,7 @@
 	Metrics *metrics.Registry
 	// Installed is called within the duty for each newer configuration.
 	Installed func(x *live.Index, from uint64)
-	// Spread sends an accepted change to some peers before the operator gets the
+	// Replicate sends an accepted change to some peers before the operator gets the
 	// result: if this daemon terminates then and the store is unavailable, the change
 	// is still in force. It blocks for a bounded time.
 	Replicate func(context.Context, revision.Record)
@@ -194,7 +194,7 @@
 	return outcome
 }
 
-// Learn records a change whose acceptance this daemon or a peer observed. It reports
+// Record records a change whose acceptance this daemon or a peer observed. It reports
 // whether this change or a later one is in force now, which is not the case while
 // earlier changes are missing.
 func (c *Configs) Record(record revision.Record) bool {
--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -43,7 +43,7 @@
 	// call. It may be called earlier or later: 1 ms to 1 s after the last call, and
 	// soon after each work item.
 	Tick func(now time.Duration) time.Duration
-	// Behind, if set, is called in the duty's goroutine with the time for which a
+	// OnDelay, if set, is called in the duty's goroutine with the time for which a
 	// work item waited in the ring, at most twice a second. All other work items
 	// wait as long.
 	OnDelay func(late time.Duration)
--- a/daemon/endpoints/endpoints.go
+++ b/daemon/endpoints/endpoints.go
@@ -151,8 +151,8 @@
 	return client.Timeouts{First: headerTimeout, Idle: idleTimeout}
 }
 
-// Short returns a context with the timeout of a short call: a cancel, a report or a
-// list.
+// WithShortTimeout returns a context with the timeout of a short call: a cancel, a
+// report or a list.
 func WithShortTimeout(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(parent, shortTimeout)
 }
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -49,7 +49,7 @@
 }
 
 const (
-	// CallSlack is the time that an answer may take in addition to the requested
+	// CallMargin is the time that an answer may take in addition to the requested
 	// wait.
 	CallMargin = 700 * time.Millisecond
 	// readTimeout is the timeout of a full read.
@@ -349,7 +349,7 @@
 	return wait, wait + CallMargin
 }
 
-// reportReachability records the result of a call and calls Lost or Back if the
+// reportReachability records the result of a call and calls Lost or Regained if the
 // store has stopped answering or answers again.
 func (f *Follower) reportReachability(err error) {
 	f.mu.Lock()
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -189,7 +189,7 @@
 	is.Equal(len(f.lost), 0)
 }
 
-// After changes the follower pauses for Config.Gather before the next call.
+// After changes the follower pauses for Config.BatchDelay before the next call.
 func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	is := is.New(t)
 	s := newSource()
--- a/daemon/feed/types.go
+++ b/daemon/feed/types.go
@@ -88,7 +88,7 @@
 	// random between half of Wait and Wait. Otherwise the calls of a fleet, which a
 	// change ends at the same time, would all go silent at the same time.
 	Wait time.Duration
-	// Gather is the pause after changes, so that changes in quick succession are
+	// BatchDelay is the pause after changes, so that changes in quick succession are
 	// read by one more call and not by one call each.
 	BatchDelay time.Duration
 	// Retry is the maximum pause after a failed call; the pause doubles up to it.
@@ -99,7 +99,7 @@
 	IdleRetry time.Duration
 	// Changed is called with each new state; it must not block for long.
 	Changed func(s State)
-	// Learnt is called after Changed with changes that were read from the store,
+	// OnNews is called after Changed with changes that were read from the store,
 	// including those that the store had discarded and that a full read revealed.
 	// May be nil.
 	OnNews func(n News)
@@ -114,7 +114,7 @@
 	// Idle makes the follower read the table once and then follow it only after
 	// SetIdle(false).
 	Idle bool
-	// Lost is called when the store stops answering, Back when it answers again.
+	// Lost is called when the store stops answering, Regained when it answers again.
 	Lost     func(err error)
 	Regained func()
 	Rand     *rand.Rand
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -25,11 +25,11 @@
 	Endpoints Endpoints
 	Pairer    Pairer
 	Balancer  *balance.Balancer
-	// Suspicion is the crash evidence shared with the other daemons.
+	// Evidence is the crash evidence shared with the other daemons.
 	Evidence CrashEvidence
-	// Repeats bounds the retries of each service.
+	// RetryLimit bounds the retries of each service.
 	RetryLimit retry.WindowConfig
-	// Misdirected is called with an endpoint whose registry entry doesn't match
+	// ReportMisdirected is called with an endpoint whose registry entry doesn't match
 	// the process at its address: that process refused a request as meant for
 	// another endpoint. It doesn't block.
 	ReportMisdirected func(e registry.Endpoint)
@@ -38,10 +38,10 @@
 	// Freshness and Payer are used only if the configuration has teams.
 	Freshness Freshness
 	Payer     QuotaCharger
-	// TooLate reports whether the daemon stops so soon that a new stream may not
+	// StopsTooSoon reports whether the daemon stops so soon that a new stream may not
 	// end before.
 	StopsTooSoon func() bool
-	// Daemons returns how many daemons are alive; they share the slack of Repeats
+	// Daemons returns how many daemons are alive; they share the slack of RetryLimit
 	// and the connections that an endpoint takes.
 	Daemons func() int
 	Log     Log
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -10,13 +10,13 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Suspicion is the evidence against requests that crash endpoints, shared by
+// CrashEvidence is the evidence against requests that crash endpoints, shared by
 // all daemons.
 type CrashEvidence struct {
 	Ledger *poison.Ledger
-	// Wall returns the wall-clock time for dating evidence.
+	// WallClock returns the wall-clock time for dating evidence.
 	WallClock func() time.Time
-	// Spread triggers the sending of new evidence to the other daemons. It
+	// Broadcast triggers the sending of new evidence to the other daemons. It
 	// doesn't block.
 	Broadcast func()
 }
--- a/daemon/forward/types.go
+++ b/daemon/forward/types.go
@@ -40,7 +40,7 @@
 	HasKey bool
 	// Arrived is when the request arrived, in the daemon's time.
 	Arrived time.Duration
-	// CallerWaits is how long the caller waits from Arrived on; 0 if not stated.
+	// CallerTimeout is how long the caller waits from Arrived on; 0 if not stated.
 	CallerTimeout time.Duration
 	// PromptTokens and OutputTokens are the size of a generation; Sized is set if
 	// the caller stated it. ExpectedOutput is the caller's estimate of the output
@@ -92,7 +92,7 @@
 	Until time.Duration
 	// MaxConns bounds this daemon's connections to the endpoint.
 	MaxConns int
-	// Once is set for a request that must not run more than once.
+	// AtMostOnce is set for a request that must not run more than once.
 	AtMostOnce bool
 	// LastEvent is the id of the last event that the caller has received, for a
 	// stream that is resumed; empty to start at the beginning.
@@ -143,13 +143,13 @@
 	Progress(p sched.Progress)
 }
 
-// Payer enforces the limits of teams over all daemons; daemon/quotas implements
-// it.
+// QuotaCharger enforces the limits of teams over all daemons; daemon/quotas
+// implements it.
 type QuotaCharger interface {
-	// Pay charges a request to its team, or refuses it. patience bounds the wait
+	// Charge charges a request to its team, or refuses it. patience bounds the wait
 	// for the daemon that keeps the team's account.
 	Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error
-	// Return refunds the charge of a request that has not run. It doesn't block.
+	// Refund refunds the charge of a request that has not run. It doesn't block.
 	Refund(team id.Team, cost float64)
 }
 
@@ -158,7 +158,7 @@
 	// Fresh reports whether no key that this daemon still accepts was revoked
 	// longer ago than allowed, and how old the configuration may be.
 	Fresh() (fresh bool, age time.Duration)
-	// Behind reports whether a newer configuration may exist elsewhere.
+	// Outdated reports whether a newer configuration may exist elsewhere.
 	Outdated() bool
 	// Refresh schedules a read of the configuration. It doesn't block, and reads
 	// are rate-limited however often it is called.
--- a/daemon/gateway/engines.go
+++ b/daemon/gateway/engines.go
@@ -15,7 +15,7 @@
 	Changing bool
 	// Orders counts the role orders that the engine has accepted.
 	Orders uint64
-	// Born orders the starts of the engine, as in its registry entry: a later start
+	// StartedUnixMS orders the starts of the engine, as in its registry entry: a later start
 	// has a higher value. 0 if the engine does not report it.
 	StartedUnixMS int64
 }
@@ -37,7 +37,7 @@
 
 // The results of an order.
 const (
-	// OrderTaken: the engine carries the order out, or already has the role.
+	// OrderAccepted: the engine carries the order out, or already has the role.
 	OrderAccepted OrderResult = iota + 1
 	// OrderRefused: the engine accepted another order first, or is gone.
 	OrderRefused
--- a/daemon/gateway/freshness.go
+++ b/daemon/gateway/freshness.go
@@ -79,7 +79,7 @@
 	return now - since, ok
 }
 
-func (c *configFreshness) behind() bool {
+func (c *configFreshness) outdated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tracker.Outdated()
@@ -172,10 +172,10 @@
 	return ok && age <= Milliseconds(f.d.set.Bounds.RevokeMS)-revokeMargin, age
 }
 
-// Behind implements forward.Freshness.
+// Outdated implements forward.Freshness.
 func (f freshnessAdapter) Outdated() bool {
 	age, ok := f.d.freshness.age(f.d.now())
-	return !ok || age > unknownKeyMaxAge || f.d.freshness.behind()
+	return !ok || age > unknownKeyMaxAge || f.d.freshness.outdated()
 }
 
 // Refresh implements forward.Freshness. It does nothing while the store does not
--- a/daemon/gateway/freshness_test.go
+++ b/daemon/gateway/freshness_test.go
@@ -37,6 +37,6 @@
 	is.True(ok)
 	is.True(age >= 2*time.Second && age < 2100*time.Millisecond)
 	c.learn(3*time.Second, freshness.Proof{Version: 11, At: time.Hour + 2*time.Second})
-	is.True(c.behind()) // 11 is not in force here yet
+	is.True(c.outdated()) // 11 is not in force here yet
 	is.Equal(c.proof().Version, uint64(7))
 }
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -240,7 +240,7 @@
 		ReportMisdirected: d.inspect,
 		Stale:             func() bool { return d.configs.Lost() },
 		Freshness:         freshnessAdapter{d},
-		Payer:             payer{d},
+		Payer:             quotaCharger{d},
 		StopsTooSoon:      d.streamCutoffPassed,
 		Daemons:           d.daemons,
 		Log:               d.logger,
--- a/daemon/gateway/limits.go
+++ b/daemon/gateway/limits.go
@@ -56,21 +56,21 @@
 	return team.Limit, true
 }
 
-// payer implements forward.Payer with the fleet's quotas.
-type payer struct{ d *Daemon }
+// quotaCharger implements forward.QuotaCharger with the fleet's quotas.
+type quotaCharger struct{ d *Daemon }
 
-// Pay implements forward.Payer.
-func (p payer) Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
-	f := p.d.fleet.Load()
+// Charge implements forward.QuotaCharger.
+func (q quotaCharger) Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
+	f := q.d.fleet.Load()
 	if f == nil {
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon is not enrolled in the fleet yet")
 	}
 	return f.quotas.Charge(ctx, team, limit, cost, patience)
 }
 
-// Return implements forward.Payer.
-func (p payer) Refund(team id.Team, cost float64) {
-	if f := p.d.fleet.Load(); f != nil {
+// Refund implements forward.QuotaCharger.
+func (q quotaCharger) Refund(team id.Team, cost float64) {
+	if f := q.d.fleet.Load(); f != nil {
 		f.quotas.Refund(team, cost)
 	}
 }
--- a/daemon/keys/store.go
+++ b/daemon/keys/store.go
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// Fixed returns a store for material in memory, on which Reload has no effect.
+// FromMaterial returns a store for material in memory, on which Reload has no effect.
 func FromMaterial(m *Material) *Store {
 	s := &Store{}
 	s.current.Store(m)
--- a/daemon/leaving/leaving.go
+++ b/daemon/leaving/leaving.go
@@ -25,14 +25,14 @@
 // Began returns the time at which the stop began.
 func (s *Stop) Began() time.Duration { return s.began }
 
-// Named records that an answer still named this daemon.
+// RecordNamed records that an answer still named this daemon.
 func (s *Stop) RecordNamed(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan.RecordNamed(now)
 }
 
-// Caller records that a new caller still arrived.
+// RecordCaller records that a new caller still arrived.
 func (s *Stop) RecordCaller(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/link/link.go
+++ b/daemon/link/link.go
@@ -64,11 +64,11 @@
 // initialised.
 type Handler struct {
 	Receiver Receiver
-	// Wired is closed once the Receiver is ready; messages are dropped until then.
+	// Ready is closed once the Receiver is ready; messages are dropped until then.
 	Ready <-chan struct{}
 }
 
-// Open reports whether messages are passed on.
+// Accepting reports whether messages are passed on.
 func (h *Handler) Accepting() bool {
 	select {
 	case <-h.Ready:
--- a/daemon/logline/decision.go
+++ b/daemon/logline/decision.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// Note records a decision in the journal only. It serves decisions that a line
+// RecordOnly records a decision in the journal only. It serves decisions that a line
 // already reports under another id.
 func (d *Decisions) RecordOnly(subject Subject, id, event string, kv ...any) {
 	d.journal.Add(Decision{At: d.logger.now(), Subject: subject, ID: id, Event: event, Text: encodePairs(kv)})
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -63,7 +63,7 @@
 	Log  func(event string, kv ...any)
 	Now  func() time.Duration
 	Rand *rand.Rand
-	// Behind, if set, is called with the time that work waits in the duty's queue.
+	// OnDelay, if set, is called with the time that work waits in the duty's queue.
 	OnDelay func(late time.Duration)
 	// Ready delays the duty's start until it is closed.
 	Ready <-chan struct{}
--- a/daemon/opapi/opapi.go
+++ b/daemon/opapi/opapi.go
@@ -165,7 +165,7 @@
 	Entries []HistoryEntry `json:"entries"`
 }
 
-// HostStatus is the status of one daemon as observed by the answering daemon.
+// DaemonStatus is the status of one daemon as observed by the answering daemon.
 type DaemonStatus struct {
 	Daemon      id.Daemon      `json:"daemon"`
 	Incarnation id.Incarnation `json:"incarnation"`
--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -29,7 +29,7 @@
 	maxConns       = 256
 )
 
-// Backing is the part of the daemon that carries out the operators' requests.
+// Operations is the part of the daemon that carries out the operators' requests.
 type Operations interface {
 	// Propose proposes a change and waits for its outcome; resent is set if the
 	// change may have been proposed before.
--- a/daemon/peer/fault.go
+++ b/daemon/peer/fault.go
@@ -15,7 +15,7 @@
 const (
 	// Pass lets the traffic through.
 	Pass Drop = false
-	// Lose drops it without an error to the sender.
+	// DropTraffic drops it without an error to the sender.
 	DropTraffic Drop = true
 )
 
@@ -26,7 +26,7 @@
 }
 
 // SetFault drops outgoing messages, calls, answers, datagrams and new dials to the
-// peers for which drop returns Lose. The loss is one-way: traffic from these peers
+// peers for which drop returns DropTraffic. The loss is one-way: traffic from these peers
 // still arrives. A nil drop ends it.
 func (t *Transport) SetFault(drop func(to id.Daemon) Drop) {
 	if drop == nil {
--- a/daemon/placer/placer.go
+++ b/daemon/placer/placer.go
@@ -254,9 +254,9 @@
 	if !ok {
 		return
 	}
-	passage := p.gate.Allow(now, o.Endpoint, o.ChecksFencing)
-	p.cfg.Decide(o.Endpoint, "placement_order", "setup", o.Setup, "passage", passage, "fence", p.gate.Fence(), "why", o.Reason)
-	if passage != lease.Open {
+	state := p.gate.Allow(now, o.Endpoint, o.ChecksFencing)
+	p.cfg.Decide(o.Endpoint, "placement_order", "setup", o.Setup, "passage", state, "fence", p.gate.Fence(), "why", o.Reason)
+	if state != lease.Open {
 		return
 	}
 	order := wire.Order{
--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -155,7 +155,7 @@
 		before, err := engine.OrderState(context.Background())
 		is.NoErr(err)
 		stale := wire.Order{Fence: oldFence, Model: "something-else", Version: "0", Role: before.Role}
-		h.waitFor("b has ordered or the gate is open", func() bool { return b.passage(endpoint) == lease.Open })
+		h.waitFor("b has ordered or the gate is open", func() bool { return b.gateState(endpoint) == lease.Open })
 		if checks {
 			// The engine learns b's fence from b's next order.
 			_, err = engine.Order(context.Background(), wire.Order{Fence: b.gate.Fence(), Model: before.Model, Adapter: before.Adapter, Version: before.Version, Role: before.Role})
@@ -178,11 +178,11 @@
 	is.True(b.holds())
 }
 
-// passage returns what the gate returns for an order to the endpoint.
-func (p *Placer) passage(e live.Endpoint) lease.GateState {
-	var passage lease.GateState
-	p.duty.Query(func(now time.Duration) { passage = p.gate.Allow(now, e.Name, e.ChecksFencing) })
-	return passage
+// gateState returns what the gate returns for an order to the endpoint.
+func (p *Placer) gateState(e live.Endpoint) lease.GateState {
+	var gateState lease.GateState
+	p.duty.Query(func(now time.Duration) { gateState = p.gate.Allow(now, e.Name, e.ChecksFencing) })
+	return gateState
 }
 
 func TestReleaseHandsOverAtOnce(t *testing.T) {
--- a/daemon/quotas/pay.go
+++ b/daemon/quotas/charge.go
@@ -20,7 +20,7 @@
 	minRetrySpread = 100 * time.Millisecond
 )
 
-// Pay charges a request to its team, or refuses it. cost is in the limit's units.
+// Charge charges a request to its team, or refuses it. cost is in the limit's units.
 // patience bounds the wait for the keeper.
 func (q *Quotas) Charge(ctx context.Context, team id.Team, limit quota.Limit, cost float64, patience time.Duration) *verdict.Error {
 	answers := make(chan ChargeReply, 1)
@@ -54,7 +54,7 @@
 // startCharge charges a request in advance, or sends it to the keeper.
 func (q *Quotas) startCharge(now time.Duration, p *pendingCharge) {
 	q.refreshFleet(now)
-	answer, wait := q.purse.Spend(now, p.request.Team, p.request.Cost)
+	answer, wait := q.budget.Spend(now, p.request.Team, p.request.Cost)
 	switch {
 	case answer == quota.Granted:
 		q.scheduleSettlement(now)
@@ -101,10 +101,10 @@
 		WithRetryAfter(retryAfter).WithCause(r.cause())
 }
 
-// Return credits what was charged for a request that has not run.
+// Refund credits the charge of a request that has not run.
 func (q *Quotas) Refund(team id.Team, cost float64) {
 	q.duty.PostLater(func(now time.Duration) {
-		if q.purse.Refund(team, cost) {
+		if q.budget.Refund(team, cost) {
 			return
 		}
 		credit := &Refund{Team: team, Cost: cost}
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -45,7 +45,7 @@
 	Daemons, Reached int
 }
 
-// Count counts the daemons of a membership's view.
+// CountFleet counts the daemons of a membership's view.
 func CountFleet(entries []member.Entry) Fleet {
 	out := Fleet{}
 	for _, e := range entries {
@@ -89,7 +89,7 @@
 	members []id.Daemon
 	keeper  id.Daemon
 	ledger  *quota.Ledger
-	purse   *quota.LocalBudget
+	budget  *quota.LocalBudget
 	// share is the fraction of the limits that this daemon may grant as the keeper.
 	share   float64
 	pending map[uint64]*pendingCharge
@@ -126,7 +126,7 @@
 		cfg:        cfg,
 		key:        DefaultKey,
 		ledger:     quota.NewLedger(cfg.Tolerance),
-		purse:      quota.NewLocalBudget(),
+		budget:     quota.NewLocalBudget(),
 		pending:    map[uint64]*pendingCharge{},
 		refusals:   cfg.Metrics.Counter("quota_refusals", metrics.UnitCount, "Requests that were refused since their team is at its limit."),
 		unanswered: cfg.Metrics.Counter("quota_keeper_silent", metrics.UnitCount, "Requests that were refused since the keeper of their team's account did not answer."),
@@ -156,7 +156,7 @@
 	q.duty.Post(func(now time.Duration) {
 		q.key = key
 		// A new configuration may have raised limits.
-		q.purse.ClearRefusals()
+		q.budget.ClearRefusals()
 		q.chooseKeeper(now)
 	})
 }
@@ -171,7 +171,7 @@
 	q.keeper = keeper
 	// The accounts here are outdated once other keepers have granted requests.
 	q.ledger = quota.NewLedger(q.cfg.Tolerance)
-	q.purse.ClearRefusals()
+	q.budget.ClearRefusals()
 	for _, p := range q.pending {
 		q.sendRequest(now, p)
 	}
@@ -204,7 +204,7 @@
 	f := q.cfg.Fleet()
 	daemons := float64(max(1, f.Daemons))
 	q.share = min(1, float64(max(1, f.Reached))/daemons)
-	q.purse.SetMaxDebt(q.cfg.Tolerance.MaxDebt(f.Daemons))
+	q.budget.SetMaxDebt(q.cfg.Tolerance.MaxDebt(f.Daemons))
 	q.accounts.Set(float64(q.ledger.Len()))
 }
 
@@ -215,7 +215,7 @@
 		return
 	}
 	q.hasDebts = false
-	debts := q.purse.Settle(now)
+	debts := q.budget.Settle(now)
 	if len(debts) == 0 {
 		return
 	}
@@ -273,7 +273,7 @@
 	}
 	delete(q.pending, r.Seq)
 	if !r.Granted {
-		q.purse.RefuseFor(now, p.request.Team, quota.Refusal{Wait: r.Wait, RetryAfter: r.RetryAfter})
+		q.budget.RefuseFor(now, p.request.Team, quota.Refusal{Wait: r.Wait, RetryAfter: r.RetryAfter})
 	}
 	answer := *r
 	answer.keeper = q.keeper
@@ -282,6 +282,6 @@
 
 func (q *Quotas) handleDebtNotice(now time.Duration, s *DebtNotice) {
 	for _, t := range s.Teams {
-		q.purse.RefuseFor(now, t.Team, quota.Refusal{Wait: t.Wait, RetryAfter: t.Wait})
+		q.budget.RefuseFor(now, t.Team, quota.Refusal{Wait: t.Wait, RetryAfter: t.Wait})
 	}
 }
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -85,7 +85,7 @@
 	return keeper, keeper
 }
 
-func (f *fleet) pay(name id.Daemon, cost float64) *verdict.Error {
+func (f *fleet) charge(name id.Daemon, cost float64) *verdict.Error {
 	return f.duties[name].Charge(context.Background(), desk, f.limit, cost, patience)
 }
 
@@ -95,7 +95,7 @@
 	granted := 0
 	for range 4 {
 		for _, name := range f.members {
-			err := f.pay(name, 1)
+			err := f.charge(name, 1)
 			if err == nil {
 				granted++
 				continue
@@ -111,12 +111,12 @@
 func TestRefundRestoresTheBalance(t *testing.T) {
 	f := newFleet(t, quota.Tolerance{}, "a", "b")
 	_, other := f.keeper()
-	paid := 0.0
-	for f.pay(other, 4) == nil {
-		paid += 4
+	charged := 0.0
+	for f.charge(other, 4) == nil {
+		charged += 4
 	}
-	f.duties[other].Refund(desk, paid)
-	for f.pay(other, 4) != nil {
+	f.duties[other].Refund(desk, charged)
+	for f.charge(other, 4) != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -127,7 +127,7 @@
 	keeper, other := f.keeper()
 	f.unreachable[keeper] = true
 	for range 10 {
-		is.Equal(f.pay(other, 1), nil) // a quarter of the slack, half of it here
+		is.Equal(f.charge(other, 1), nil) // a quarter of the slack, half of it here
 	}
 	err := f.duties[other].Charge(context.Background(), desk, f.limit, 1, time.Millisecond)
 	is.Equal(err.Code, verdict.CodeUnavailable)
@@ -144,7 +144,7 @@
 	f.unreachable[keeper] = true
 	f.mu.Unlock()
 	answer := make(chan *verdict.Error, 1)
-	go func() { answer <- f.pay(other, 1) }()
+	go func() { answer <- f.charge(other, 1) }()
 	var left []id.Daemon
 	for _, name := range f.members {
 		if name != keeper {
--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -107,7 +107,7 @@
 	return n, err
 }
 
-// Rest reads the remaining body of a short stream, at most limit bytes. It
+// ReadRest reads the remaining body of a short stream, at most limit bytes. It
 // returns an error if the body is longer.
 func (a *Answer) ReadRest(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -113,7 +113,7 @@
 	Until time.Time
 	// MaxConns bounds the connections to the address; 0 for no bound.
 	MaxConns int
-	// Careful prefers a new connection to an idle one that its endpoint may be
+	// AvoidStaleConn prefers a new connection to an idle one that its endpoint may be
 	// closing right now. It is set for requests that must not run more than once.
 	AvoidStaleConn bool
 	// Stream leaves the body to be read with Answer.Read as it arrives.
--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -88,7 +88,7 @@
 	_ = c.Conn.SetDeadline(pastDeadline) // fails on a closed connection only
 }
 
-// EndWith closes the connection when ctx is cancelled, and calls Expire when the
+// BindContext closes the connection when ctx is cancelled, and calls Expire when the
 // deadline of ctx passes. stop works as that of context.AfterFunc.
 func (c *Conn) BindContext(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -53,7 +53,7 @@
 	BatchSlowdown float64
 	// PrefillQueue bounds the prefills that wait.
 	PrefillQueue int
-	// KVLife is how long an exported KV cache is kept for its import.
+	// KVLifetime is how long an exported KV cache is kept for its import.
 	KVLifetime      time.Duration
 	KVBytesPerToken int64
 	// CacheBlocks bounds the prefix cache, in blocks of package prefixhash.
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -17,7 +17,7 @@
 	pullTimeout = 2 * time.Second
 )
 
-// exportedKV is a KV cache that waits for its import. Its lifetime (KVLife) also
+// exportedKV is a KV cache that waits for its import. Its lifetime (KVLifetime) also
 // runs while it is being transferred.
 type exportedKV struct {
 	name           string
--- a/standin/engine_reports.go
+++ b/standin/engine_reports.go
@@ -22,7 +22,7 @@
 	ImportsFailed       int64 `json:"imports_failed"`
 	Decodes             int64 `json:"decodes"`
 	Tokens              int64 `json:"tokens"`
-	// RanTwice counts decodes of a request that this engine had decoded before.
+	// RepeatedDecodes counts decodes of a request that this engine had decoded before.
 	RepeatedDecodes int64 `json:"ran_twice"`
 	Resumes         int64 `json:"resumes"`
 	Cancels         int64 `json:"cancels"`
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -18,7 +18,7 @@
 	Objects int   `json:"objects"`
 }
 
-// Objects is a simulated object store.
+// ObjectStore is a simulated object store.
 type ObjectStore struct {
 	faults   *faults
 	mu       sync.Mutex
@@ -26,7 +26,7 @@
 	counters ObjectCounters
 }
 
-// NewObjects returns an empty store.
+// NewObjectStore returns an empty store.
 func NewObjectStore(seed uint64) *ObjectStore {
 	return &ObjectStore{faults: newFaults(seed), objects: map[string][]byte{}}
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -20,7 +20,7 @@
 	Refused int64 `json:"refused"`
 }
 
-// Weights is a simulated weight store, which grants loads at a limited rate.
+// WeightStore is a simulated weight store, which grants loads at a limited rate.
 type WeightStore struct {
 	faults   *faults
 	limiter  *rate.Limiter
@@ -28,7 +28,7 @@
 	counters WeightCounters
 }
 
-// NewWeights returns a store that grants loadsPerSecond loads a second; 0 or less
+// NewWeightStore returns a store that grants loadsPerSecond loads a second; 0 or less
 // takes the default.
 func NewWeightStore(loadsPerSecond float64, seed uint64) *WeightStore {
 	if loadsPerSecond <= 0 {
