--- a/cmd/internal/experiment/config_change.go
+++ b/cmd/internal/experiment/config_change.go
@@ -73,12 +73,12 @@
 	return req, n, nil
 }
 
-// operator returns a client that tries the daemon at place first, then those at
-// the following places.
+// operator returns a client that tries the daemon of member first, then those of
+// the following members.
 func (c *changeDriver) operator(first int) (*operator.Client, error) {
 	var addresses []string
-	for i := range c.site.places() {
-		if a := c.site.address((first + i) % c.site.places()); a != "" {
+	for i := range c.site.members() {
+		if a := c.site.address((first + i) % c.site.members()); a != "" {
 			addresses = append(addresses, a)
 		}
 	}
@@ -192,12 +192,12 @@
 	var refused []pendingChange
 	var all sync.WaitGroup
 	var failed error
-	for place := range c.site.places() {
+	for member := range c.site.members() {
 		req, n, err := c.nextRequest(0)
 		if err != nil {
 			return nil, err
 		}
-		address := c.site.address(place)
+		address := c.site.address(member)
 		if address == "" {
 			continue
 		}
--- a/cmd/internal/experiment/config_figures.go
+++ b/cmd/internal/experiment/config_figures.go
@@ -15,12 +15,12 @@
 const settlePollInterval = 100 * time.Millisecond
 
 // settle waits until a daemon with the newest accepted revision runs at every
-// place, at most configSettle.
+// member, at most configSettle.
 func (c *changeDriver) settle(ctx context.Context) error {
 	newest := c.newest()
 	ctx, cancel := context.WithTimeout(ctx, configSettle)
 	defer cancel()
-	for !c.watch.allHave(newest, c.site.places()) {
+	for !c.watch.allHave(newest, c.site.members()) {
 		if sleep(ctx, settlePollInterval) != nil {
 			// The figures count the revisions that are still missing.
 			return nil
@@ -30,8 +30,8 @@
 }
 
 // allHave reports whether a daemon with at least the given revision runs at every
-// place.
-func (w *configWatcher) allHave(revision uint64, places int) bool {
+// member.
+func (w *configWatcher) allHave(revision uint64, members int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	have := 0
@@ -40,13 +40,13 @@
 			have++
 		}
 	}
-	return have == places
+	return have == members
 }
 
 // figures summarizes the run.
 func (c *changeDriver) figures(ctx context.Context) ConfigFigures {
 	out := c.out
-	out.Mode, out.Daemons = c.site.mode(), c.site.places()
+	out.Mode, out.Daemons = c.site.mode(), c.site.members()
 	out.Accepted, out.Resent = len(c.accepted), c.resent
 	out.LostAccepted = c.countLost(ctx)
 	c.watch.mu.Lock()
@@ -90,7 +90,7 @@
 			if took > configLimit {
 				out.OverLimit++
 				c.env.logf("config late phase=%s revision=%d place=%d took=%s accepted_at=%s stay=%s..%s ended=%t",
-					phase, a.revision, s.place, took, c.sinceStart(a.at), c.sinceStart(s.from), c.sinceStart(s.to), s.ended)
+					phase, a.revision, s.member, took, c.sinceStart(a.at), c.sinceStart(s.from), c.sinceStart(s.to), s.ended)
 			}
 			// The histogram ends at one minute; longer times count as never.
 			if times.RecordValue(max(took.Milliseconds(), 1)) != nil {
@@ -149,18 +149,18 @@
 func (c *changeDriver) countLost(ctx context.Context) int {
 	lost := 0
 	anywhere := make(map[string]bool)
-	for place := range c.site.places() {
-		at := rawOperator{address: c.site.address(place), key: c.site.key()}
+	for member := range c.site.members() {
+		at := rawOperator{address: c.site.address(member), key: c.site.key()}
 		history, err := at.history(ctx, 0)
 		if err != nil {
-			c.env.logf("config history of place %d: %v", place, err)
+			c.env.logf("config history of member %d: %v", member, err)
 			lost++
 			continue
 		}
 		lost += c.countMissing(history, anywhere)
 		doc, err := at.config(ctx)
 		if err != nil || markerOf(doc, 0) != c.lastNumber() {
-			c.env.logf("config place %d: marker %d, want %d: %v", place, markerOf(doc, 0), c.lastNumber(), err)
+			c.env.logf("config member %d: marker %d, want %d: %v", member, markerOf(doc, 0), c.lastNumber(), err)
 			lost++
 		}
 	}
--- a/cmd/internal/experiment/config_site.go
+++ b/cmd/internal/experiment/config_site.go
@@ -42,11 +42,11 @@
 type configSite interface {
 	mode() string
 	key() string
-	// places is the number of daemons when all are running.
-	places() int
-	// address is the operator address of the daemon at a place; empty if none
-	// runs there.
-	address(place int) string
+	// members is the number of members, with or without a running daemon.
+	members() int
+	// address is the operator address of a member's daemon; empty if it has no
+	// running daemon.
+	address(member int) string
 	// inject sets a fault of a stand-in.
 	inject(f wire.Fault) error
 	// churn kills and replaces daemons until ctx ends.
@@ -73,12 +73,12 @@
 
 func (s *inProcessFleet) mode() string              { return modeInProcess }
 func (s *inProcessFleet) key() string               { return s.fleet.OperatorKey() }
-func (s *inProcessFleet) places() int               { return s.fleet.Members() }
+func (s *inProcessFleet) members() int              { return s.fleet.Members() }
 func (s *inProcessFleet) inject(f wire.Fault) error { return s.fleet.Inject(f) }
 func (s *inProcessFleet) close()                    { s.fleet.Close() }
 
-func (s *inProcessFleet) address(place int) string {
-	daemon := s.fleet.Daemon(place)
+func (s *inProcessFleet) address(member int) string {
+	daemon := s.fleet.Daemon(member)
 	if daemon == nil {
 		return ""
 	}
@@ -86,12 +86,12 @@
 }
 
 func (s *inProcessFleet) churn(ctx context.Context) {
-	for place := 0; ctx.Err() == nil; place = (place + 1) % s.places() {
-		s.fleet.Kill(place)
+	for member := 0; ctx.Err() == nil; member = (member + 1) % s.members() {
+		s.fleet.Kill(member)
 		// When ctx ends, the daemon is still replaced, so that the fleet is
 		// complete; the error of the wait is not needed.
 		_ = sleep(ctx, churnDowntime)
-		if s.fleet.Replace(place) != nil {
+		if s.fleet.Replace(member) != nil {
 			return
 		}
 		_ = sleep(ctx, churnInterval)
@@ -133,10 +133,10 @@
 	return p, nil
 }
 
-func (p *processFleet) mode() string             { return modeProcesses }
-func (p *processFleet) key() string              { return p.operatorKey }
-func (p *processFleet) places() int              { return len(p.addresses) }
-func (p *processFleet) address(place int) string { return p.addresses[place] }
+func (p *processFleet) mode() string              { return modeProcesses }
+func (p *processFleet) key() string               { return p.operatorKey }
+func (p *processFleet) members() int              { return len(p.addresses) }
+func (p *processFleet) address(member int) string { return p.addresses[member] }
 
 // churn does nothing: scripts/experiment-config.sh kills and replaces the daemons.
 func (p *processFleet) churn(context.Context) {}
--- a/cmd/internal/experiment/config_watch.go
+++ b/cmd/internal/experiment/config_watch.go
@@ -16,7 +16,7 @@
 	watchPollTimeout = 2 * time.Second
 )
 
-// configWatcher polls the configuration in force at every place. It counts reverts
+// configWatcher polls the configuration in force at every member. It counts reverts
 // to an older revision, and replies that hold only a part of a change.
 type configWatcher struct {
 	cancel context.CancelFunc
@@ -28,11 +28,11 @@
 	halfApplied int
 }
 
-// lifetime is the observed lifetime of one daemon process at one place: from its
+// lifetime is the observed lifetime of one daemon process of a member: from its
 // first reply to its last. inForce holds the time at which each revision was first
 // seen in force.
 type lifetime struct {
-	place      int
+	member     int
 	from, to   time.Time
 	ended      bool
 	first      uint64
@@ -44,8 +44,8 @@
 func startConfigWatcher(site configSite) *configWatcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &configWatcher{cancel: cancel}
-	for place := range site.places() {
-		w.wg.Go(func() { w.follow(ctx, site, place) })
+	for member := range site.members() {
+		w.wg.Go(func() { w.follow(ctx, site, member) })
 	}
 	return w
 }
@@ -55,18 +55,18 @@
 	w.wg.Wait()
 }
 
-// follow polls one place until ctx ends. A failed poll or a new address ends the
+// follow polls one member until ctx ends. A failed poll or a new address ends the
 // lifetime of the process.
-func (w *configWatcher) follow(ctx context.Context, site configSite, place int) {
+func (w *configWatcher) follow(ctx context.Context, site configSite, member int) {
 	var current *lifetime
 	var address string
 	for ctx.Err() == nil {
-		if at := site.address(place); at != address {
+		if at := site.address(member); at != address {
 			address = at
 			current = w.end(current)
 		}
 		if address != "" {
-			current = w.poll(ctx, rawOperator{address: address, key: site.key()}, place, current)
+			current = w.poll(ctx, rawOperator{address: address, key: site.key()}, member, current)
 		}
 		if sleep(ctx, watchPollInterval) != nil {
 			return
@@ -76,7 +76,7 @@
 
 // poll requests the configuration once. It returns the current lifetime, or nil if
 // the daemon did not reply.
-func (w *configWatcher) poll(ctx context.Context, at rawOperator, place int, current *lifetime) *lifetime {
+func (w *configWatcher) poll(ctx context.Context, at rawOperator, member int, current *lifetime) *lifetime {
 	once, cancel := context.WithTimeout(ctx, watchPollTimeout)
 	defer cancel()
 	doc, err := at.config(once)
@@ -89,7 +89,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if current == nil {
-		current = &lifetime{place: place, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
+		current = &lifetime{member: member, from: time.Now(), first: doc.Revision, newest: doc.Revision, inForce: map[uint64]time.Time{}}
 		w.lifetimes = append(w.lifetimes, current)
 	}
 	w.record(current, doc)
--- a/cmd/internal/experiment/domain.go
+++ b/cmd/internal/experiment/domain.go
@@ -107,14 +107,14 @@
 // cutDomain kills all daemons of a failure domain at once. Its endpoints lose all
 // state and do not reply until the fault ends.
 func cutDomain(domain string) injection {
-	var places []int
+	var members []int
 	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(true), Crash: true}); err != nil {
 				return err
 			}
-			places = placesIn(s.fleet, domain)
-			for _, i := range places {
+			members = membersIn(s.fleet, domain)
+			for _, i := range members {
 				s.fleet.Kill(i)
 			}
 			return nil
@@ -123,7 +123,7 @@
 			if err := s.injectDomain(domain, wire.Fault{Hang: value(false)}); err != nil {
 				return err
 			}
-			for _, i := range places {
+			for _, i := range members {
 				if err := s.fleet.Replace(i); err != nil {
 					return err
 				}
@@ -133,8 +133,8 @@
 	}
 }
 
-// placesIn returns the places of a failure domain.
-func placesIn(f *fleet.Fleet, domain string) []int {
+// membersIn returns the indexes of the members in a failure domain.
+func membersIn(f *fleet.Fleet, domain string) []int {
 	var out []int
 	for i := range f.Members() {
 		if string(f.Domain(i)) == domain {
--- a/cmd/internal/experiment/faults_injections.go
+++ b/cmd/internal/experiment/faults_injections.go
@@ -47,19 +47,19 @@
 // killDaemon kills a daemon that does not schedule the pool, and replaces it at the
 // end.
 func killDaemon() injection {
-	place := -1
+	member := -1
 	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
-			place = s.randomDaemon(s.owner())
-			s.fleet.Kill(place)
+			member = s.randomDaemon(s.owner())
+			s.fleet.Kill(member)
 			return nil
 		},
-		end: func(_ context.Context, s *faultTarget) error { return s.fleet.Replace(place) },
+		end: func(_ context.Context, s *faultTarget) error { return s.fleet.Replace(member) },
 	}
 }
 
-// randomDaemon returns a random place where a daemon runs, other than the excluded
-// place.
+// randomDaemon returns the index of a random member whose daemon runs, other than
+// the excluded member.
 func (s *faultTarget) randomDaemon(excluded int) int {
 	for {
 		i := s.rng.IntN(s.fleet.Members())
@@ -69,19 +69,19 @@
 	}
 }
 
-// owner returns the place of the daemon that schedules the pool.
+// owner returns the index of the member whose daemon schedules the pool.
 func (s *faultTarget) owner() int { return s.fleet.OwnerIndex(id.Pool(s.site.ModelService)) }
 
 // killOwner kills the daemon that schedules the pool, and replaces it at the end.
 func killOwner() injection {
-	place := -1
+	member := -1
 	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
-			place = s.owner()
-			s.fleet.Kill(place)
+			member = s.owner()
+			s.fleet.Kill(member)
 			return nil
 		},
-		end: func(_ context.Context, s *faultTarget) error { return s.fleet.Replace(place) },
+		end: func(_ context.Context, s *faultTarget) error { return s.fleet.Replace(member) },
 	}
 }
 
@@ -183,9 +183,9 @@
 	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
 			old := s.fleet.Hosts()
-			place := s.randomDaemon(s.owner())
-			s.fleet.Kill(place)
-			err := s.fleet.Replace(place)
+			member := s.randomDaemon(s.owner())
+			s.fleet.Kill(member)
+			err := s.fleet.Replace(member)
 			s.fleet.SetHosts(old)
 			return err
 		},
@@ -196,18 +196,18 @@
 	}
 }
 
-// oneWayLoss drops all messages from the pool's owner to every second place, but
+// oneWayLoss drops all messages from the pool's owner to every second member, but
 // not those in the other direction.
 func oneWayLoss() injection {
-	place := -1
+	member := -1
 	return injection{
 		begin: func(_ context.Context, s *faultTarget) error {
-			place = s.owner()
-			s.fleet.Daemon(place).Transport().SetFault(func(to id.Daemon) peer.Drop { return peer.Drop(s.fleet.MemberIndex(to)%2 == 0) })
+			member = s.owner()
+			s.fleet.Daemon(member).Transport().SetFault(func(to id.Daemon) peer.Drop { return peer.Drop(s.fleet.MemberIndex(to)%2 == 0) })
 			return nil
 		},
 		end: func(_ context.Context, s *faultTarget) error {
-			if d := s.fleet.Daemon(place); d != nil {
+			if d := s.fleet.Daemon(member); d != nil {
 				d.Transport().SetFault(nil)
 			}
 			return nil
