--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -145,7 +145,7 @@
 		}
 	}
 	out.LateTime = meanLateTime(late)
-	out.Refusals = refusalWaits(requests)
+	out.Refusals = refusalTimes(requests)
 	return out
 }
 
@@ -171,8 +171,8 @@
 	return out
 }
 
-// refusalWaits summarizes the times to refusal of attempts that did not run.
-func refusalWaits(requests []request) RefusalTimes {
+// refusalTimes summarizes the times to refusal of attempts that did not run.
+func refusalTimes(requests []request) RefusalTimes {
 	var took []time.Duration
 	out := RefusalTimes{}
 	for _, r := range requests {
--- a/cmd/internal/account/read.go
+++ b/cmd/internal/account/read.go
@@ -36,7 +36,7 @@
 
 // ErrNoRequests means that the logs hold no end of a request on a route within the
 // span.
-var ErrNoRequests = errors.New("no line tells of the end of a request on a route: these are no daemons' logs, or the span of time holds none")
+var ErrNoRequests = errors.New("no line reports the end of a request on a route: these are not the logs of daemons, or no request ended in the span of time")
 
 // attempt is one attempt of a caller as its daemon logged it.
 type attempt struct {
--- a/cmd/internal/cli/reportcmd/report_test.go
+++ b/cmd/internal/cli/reportcmd/report_test.go
@@ -58,7 +58,7 @@
 		{"no such file", "nowhere.log", exit.Failed, "", []string{"--logs", "nowhere.log"}},
 		{"a bad time", "--from \"noon\" is not an RFC 3339 time", exit.Usage, "", []string{"--logs", dayLog, "--from", "noon"}},
 		{"an empty span", "is not before", exit.Usage, "", []string{"--logs", dayLog, "--from", "2026-03-24T23:45:00Z", "--to", "2026-03-24T23:44:00Z"}},
-		{"other text", "no line tells of the end of a request", exit.Failed, "hello\n", []string{"--logs", "-"}},
+		{"other text", "no line reports the end of a request", exit.Failed, "hello\n", []string{"--logs", "-"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -60,9 +60,10 @@
 	return float64(good) / float64(all)
 }
 
-// recoveryTime returns the time in milliseconds from from until the share of good
-// completions is at least bound, both within the next recoveryWindow and over the
-// whole time up to end. It returns notRecovered if there is no such time.
+// recoveryTime returns the time in milliseconds, counted from the offset from, until
+// the share of good completions is at least bound, both within the next
+// recoveryWindow and over the whole time up to end. It returns notRecovered if there
+// is no such time.
 func (x *driver) recoveryTime(from, end time.Duration, bound float64) int64 {
 	for t := from; t+recoveryWindow <= end; t += recoveryStep {
 		if x.share(window{t, t + recoveryWindow}) >= bound && x.share(window{t, end}) >= bound {
--- a/cmd/internal/experiment/faults_nonstreaming.go
+++ b/cmd/internal/experiment/faults_nonstreaming.go
@@ -113,7 +113,7 @@
 	return answer, nil
 }
 
-// complete sends a completion until it is answered or refused for good, or until
+// complete sends a completion until it is answered or permanently refused, or until
 // ctx ends.
 func (c *nonStreamingCaller) complete(ctx context.Context, prompt string, maxTokens int) (completionReply, error) {
 	for {
--- a/cmd/internal/fleet/control.go
+++ b/cmd/internal/fleet/control.go
@@ -25,8 +25,8 @@
 // Domain returns the failure domain of member i.
 func (f *Fleet) Domain(i int) id.Domain { return f.members[i].domain }
 
-// OwnerIndex returns the index of the member whose daemon schedules a pool, or -1 if no
-// daemon runs. It applies the rule that all daemons apply to the set of running
+// OwnerIndex returns the index of the member whose daemon schedules a pool, or -1 if
+// no daemon runs. It applies the rule that all daemons apply to the set of running
 // daemons, so it holds once they agree on that set.
 func (f *Fleet) OwnerIndex(pool id.Pool) int {
 	var running []id.Daemon
--- a/daemon/app/fleet.go
+++ b/daemon/app/fleet.go
@@ -107,12 +107,12 @@
 	for _, a := range answer.Addresses {
 		out.Addresses = append(out.Addresses, opapi.EntryAddress{Address: a.Address, Domain: a.Domain, Weight: a.Weight})
 	}
-	d.noteNamed(answer)
+	d.recordNamed(answer)
 	return out
 }
 
-// noteNamed records for a planned stop that an answer still named this daemon.
-func (d *Daemon) noteNamed(a entry.Answer) {
+// recordNamed records for a planned stop that an answer still named this daemon.
+func (d *Daemon) recordNamed(a entry.Answer) {
 	s := d.stopping.Load()
 	if s == nil {
 		return
@@ -135,8 +135,8 @@
 	}
 }
 
-// noteCaller records for a planned stop that a caller's request still arrived.
-func (d *Daemon) noteCaller() {
+// recordCaller records for a planned stop that a caller's request still arrived.
+func (d *Daemon) recordCaller() {
 	if s := d.stopping.Load(); s != nil {
 		s.RecordCaller(d.now())
 	}
--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -48,7 +48,7 @@
 		Metrics:      d.metrics,
 		Entry:        d.entryAnswer,
 		Ready:        d.ready,
-		OnRequest:    d.noteCaller,
+		OnRequest:    d.recordCaller,
 		Log:          d.logger.Event,
 		Logger:       httpLogger{d.logger},
 		Now:          d.now,
--- a/daemon/broker/broker.go
+++ b/daemon/broker/broker.go
@@ -74,7 +74,7 @@
 		evidence:     &evidence{ledger: cfg.Poison},
 		lostMessages: cfg.Metrics.Counter("broker_messages_lost", metrics.UnitCount, "messages to other daemons that could not be queued"),
 	}
-	b.unknownPools = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in the configuration here")
+	b.unknownPools = cfg.Metrics.Counter("broker_unknown_pool", metrics.UnitCount, "messages about pools that are not in this daemon's configuration")
 	b.duty = duty.Start(duty.Config{Name: "broker", Ring: ringSize, Now: cfg.Now, Tick: b.tick, OnDelay: cfg.OnDelay, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return b
 }
--- a/daemon/cancels/cancels.go
+++ b/daemon/cancels/cancels.go
@@ -59,9 +59,9 @@
 		callbacks: make(map[reap.Key][]func()),
 		active:    make(map[id.Request]int),
 		sent:      cfg.Metrics.Counter("cancels_sent", metrics.UnitCount, "cancel orders sent to endpoints"),
-		ended:     cfg.Metrics.CounterMap("cancels_ended", metrics.UnitCount, "cancels that came to an end, by reason"),
+		ended:     cfg.Metrics.CounterMap("cancels_ended", metrics.UnitCount, "ended cancels, by reason"),
 		orphans:   cfg.Metrics.Counter("orphans_found", metrics.UnitCount, "requests of ended processes found at endpoints"),
-		pending:   cfg.Metrics.Gauge("cancels_working", metrics.UnitCount, "cancels not yet certain"),
+		pending:   cfg.Metrics.Gauge("cancels_working", metrics.UnitCount, "cancels that are not confirmed yet"),
 	}
 	c.duty = duty.Start(duty.Config{Name: "cancels", Now: cfg.Now, Tick: c.tick, Metrics: cfg.Metrics, Ready: cfg.Ready})
 	return c
--- a/daemon/claims/members.go
+++ b/daemon/claims/members.go
@@ -29,8 +29,8 @@
 func (c *Claims) SetMembers(members []id.Daemon) {
 	writers := chooseWriters(members, c.cfg.Writers != nil)
 	c.writers.Store(&writers)
-	gap := gapOf(c.cfg.Self.Daemon, len(members), writers)
-	c.duty.Post(func(time.Duration) { c.core.SetMinInterval(gap) })
+	interval := minIntervalOf(c.cfg.Self.Daemon, len(members), writers)
+	c.duty.Post(func(time.Duration) { c.core.SetMinInterval(interval) })
 }
 
 // chooseWriters returns the writers. It returns none if each daemon writes its own
@@ -42,8 +42,8 @@
 	return claim.Writers(members, writerCount)
 }
 
-// gapOf returns the minimum interval between two transactions of a daemon.
-func gapOf(self id.Daemon, members int, writers []id.Daemon) time.Duration {
+// minIntervalOf returns the minimum interval between two transactions of a daemon.
+func minIntervalOf(self id.Daemon, members int, writers []id.Daemon) time.Duration {
 	switch {
 	case len(writers) == 0:
 		return claim.MinIntervalFor(writerBudget, members)
--- a/daemon/claims/members_test.go
+++ b/daemon/claims/members_test.go
@@ -28,11 +28,11 @@
 		is.Equal(len(writers) == 0, n <= maxSelfWriters)
 		rate := 0.0
 		for _, d := range members {
-			rate += 1 / gapOf(d, n, writers).Seconds()
+			rate += 1 / minIntervalOf(d, n, writers).Seconds()
 		}
 		is.True(rate < writerBudget+nonWriterBudget+1)
 		for _, d := range writers {
-			is.True(gapOf(d, n, writers) < 20*time.Millisecond)
+			is.True(minIntervalOf(d, n, writers) < 20*time.Millisecond)
 		}
 		is.Equal(len(chooseWriters(members, false)), 0) // no Writers configured
 	}
--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -78,7 +78,7 @@
 		done:  make(chan struct{}),
 	}
 	if cfg.Metrics != nil {
-		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "How long work waited for the duty "+cfg.Name+", last measured.")
+		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "Latest measured queueing delay of the duty "+cfg.Name+".")
 	}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	go d.run()
--- a/daemon/forward/decode.go
+++ b/daemon/forward/decode.go
@@ -42,7 +42,7 @@
 // kvLeft is how long a KV cache created at prefilledAt may still wait for a
 // decode engine.
 func (g *generation) kvLeft(prefilledAt time.Duration) time.Duration {
-	life := time.Duration(kvLifeFraction * float64(g.service.Engine.KVLifetime))
+	life := time.Duration(kvLifetimeFraction * float64(g.service.Engine.KVLifetime))
 	return prefilledAt + life - g.f.Now()
 }
 
--- a/daemon/forward/plainstream.go
+++ b/daemon/forward/plainstream.go
@@ -101,7 +101,7 @@
 	b.cancel()
 	switch {
 	case errors.Is(b.ended, io.EOF):
-		b.f.clearSuspicion(b.request, b.trace)
+		b.f.clearEvidence(b.request, b.trace)
 	case broken:
 		b.f.recordCrash(b.request, b.trace, b.trace.endpoint)
 	}
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -75,9 +75,9 @@
 	f.Evidence.Broadcast()
 }
 
-// clearSuspicion clears the evidence against a request that an endpoint has
+// clearEvidence clears the evidence against a request that an endpoint has
 // finished.
-func (f *Forwarder) clearSuspicion(r *Request, t *trace) {
+func (f *Forwarder) clearEvidence(r *Request, t *trace) {
 	if f.Evidence.Ledger.Len() == 0 {
 		return
 	}
--- a/daemon/forward/stats.go
+++ b/daemon/forward/stats.go
@@ -22,11 +22,11 @@
 func newStats(r *metrics.Registry) stats {
 	return stats{
 		outcomes:       r.CounterMap("forward_outcomes", metrics.UnitCount, "Ended requests, by outcome."),
-		deniedRetries:  r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Repeats that the bound on a service's repeats did not allow."),
-		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prompts that were read and not decoded."),
+		deniedRetries:  r.Counter("forward_repeats_unpaid", metrics.UnitCount, "Retries that the retry limit of a service did not allow."),
+		wastedPrefills: r.Counter("forward_prefills_wasted", metrics.UnitCount, "Prefills that no decode used."),
 		refusedStale:   r.Counter("forward_refused_stale", metrics.UnitCount, "Requests with a key that were refused since the configuration may have been too old."),
-		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Sendings to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
-		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that went on at another engine."),
+		sentUnlisted:   r.Counter("forward_sent_unlisted", metrics.UnitCount, "Requests sent to endpoints that the store no longer lists and that are kept, since they may have lapsed with it."),
+		resumedStreams: r.Counter("forward_streams_resumed", metrics.UnitCount, "Streams that were resumed at another engine."),
 		requestTime:    r.Latency("forward_request_time", "Time from a request's arrival to its end."),
 		firstEvent:     r.Latency("forward_first_event_time", "Time from a stream's arrival to its first event."),
 		engineWait:     r.Latency("forward_wait_time", "Time that a stream waited for its engines."),
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -23,10 +23,10 @@
 	// prefill at another engine in time.
 	minPrefillTimeout      = 350 * time.Millisecond
 	prefillTimeoutPerToken = 100 * time.Microsecond
-	// kvLifeFraction is the fraction of a KV cache's lifetime in which it may be
+	// kvLifetimeFraction is the fraction of a KV cache's lifetime in which it may be
 	// sent to another decode engine: the transfer must begin before the lifetime
 	// ends.
-	kvLifeFraction = 0.7
+	kvLifetimeFraction = 0.7
 	// stallTimeout is the pause after which a resumable stream is moved to another
 	// engine.
 	stallTimeout = 1500 * time.Millisecond
--- a/daemon/front/stats.go
+++ b/daemon/front/stats.go
@@ -26,7 +26,7 @@
 		teamRefused:       r.CounterMap("team_requests_failed", metrics.UnitCount, "requests ended by an error, by team"),
 		answered:          r.CounterMap("requests_answered", metrics.UnitCount, "whole answers delivered, by team"),
 		refused:           r.CounterMap("requests_failed", metrics.UnitCount, "requests ended by an error, by code"),
-		callersGone:       r.Counter("callers_gone", metrics.UnitCount, "callers that closed before their answer was whole"),
+		callersGone:       r.Counter("callers_gone", metrics.UnitCount, "callers that disconnected before their answer was complete"),
 		firstToken:        r.Latency("first_token", "time from a request's arrival to its first token"),
 		interTokenLatency: r.Latency("token_pace", "mean time between the tokens of an answer"),
 	}
--- a/daemon/gateway/engines.go
+++ b/daemon/gateway/engines.go
@@ -15,8 +15,8 @@
 	Changing bool
 	// Orders counts the role orders that the engine has accepted.
 	Orders uint64
-	// StartedUnixMS orders the starts of the engine, as in its registry entry: a later start
-	// has a higher value. 0 if the engine does not report it.
+	// StartedUnixMS orders the starts of the engine, as in its registry entry: a later
+	// start has a higher value. 0 if the engine does not report it.
 	StartedUnixMS int64
 }
 
--- a/daemon/gateway/enroll.go
+++ b/daemon/gateway/enroll.go
@@ -273,15 +273,15 @@
 // table. It can be long, since the membership spreads new daemons as well.
 const hostsWait = 15 * time.Second
 
-// hostsGather is the pause after changes in the daemons' table. All daemons of a
+// hostsBatchDelay is the pause after changes in the daemons' table. All daemons of a
 // fleet start at about the same time; without the pause each of them would make
 // one call for each other daemon.
-const hostsGather = time.Second
+const hostsBatchDelay = time.Second
 
 func (d *Daemon) hostsConfig(f *fleet) feed.Config {
 	cfg := d.followerConfig(tableDaemons, func(s feed.State) { f.members.SetHosts(d.hosts(s)) })
 	cfg.Wait = hostsWait
-	cfg.BatchDelay = hostsGather
+	cfg.BatchDelay = hostsBatchDelay
 	return cfg
 }
 
--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -138,7 +138,7 @@
 		return
 	}
 	d.inFlight.Add(1)
-	d.noteCaller()
+	d.recordCaller()
 	if d.stopping.Load() != nil {
 		ctx.SetConnectionClose()
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -207,11 +207,11 @@
 		d.logger.Error("invariant_violated", "name", name, "detail", detail)
 	})
 	d.poison = poison.New(poison.Config{AloneCrashes: crashesToRefuse})
-	d.metrics.GaugeFunc("evidence_breaks", metrics.UnitCount, "Endpoints that broke off while they ran requests, as held against those by all daemons.", func() float64 {
+	d.metrics.GaugeFunc("evidence_breaks", metrics.UnitCount, "Crashes of endpoints that are recorded as evidence against the requests that they ran, from all daemons.", func() float64 {
 		return float64(d.poison.Len())
 	})
 	d.tables = newTableCache()
-	d.unusable = d.metrics.CounterMap("registry_entries_unusable", metrics.UnitCount, "Changes of registered entries that name no endpoint to use, by reason.")
+	d.unusable = d.metrics.CounterMap("registry_entries_unusable", metrics.UnitCount, "Changed registry entries that describe no usable endpoint, by reason.")
 	d.metrics.GaugeFunc("registry_unlisted", metrics.UnitCount, "Endpoints that the store no longer lists and that are kept, since they may have lapsed with it.", func() float64 {
 		return float64(d.tables.current().Lapsed)
 	})
--- a/daemon/gateway/inspect.go
+++ b/daemon/gateway/inspect.go
@@ -12,11 +12,11 @@
 // time, its identity is unknown.
 const inspectTimeout = 300 * time.Millisecond
 
-// inspectDisputed inspects the endpoints whose address two entries claim. After a
+// inspectConflicts inspects the endpoints whose address two entries claim. After a
 // restart, a late heartbeat may write the entry of the former process again.
 // Requests sent under the former name are refused: when 16 engines restarted within
 // 34 s, 518 requests were refused and 260 prefills were wasted.
-func (d *Daemon) inspectDisputed() {
+func (d *Daemon) inspectConflicts() {
 	for _, e := range d.tables.list.AddressConflicts() {
 		d.inspect(e)
 	}
--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -83,7 +83,7 @@
 		store:   store.New(d.platform.Store, work, d.metrics),
 		pools:   map[id.Pool]*poolRoles{},
 		results: d.metrics.CounterMap("role_orders", metrics.UnitCount, "Orders to engines to change their role, by result."),
-		fence:   d.metrics.Gauge("role_lease_fence", metrics.UnitCount, "Fencing number of the lease of orders held here; 0 for none."),
+		fence:   d.metrics.Gauge("role_lease_fence", metrics.UnitCount, "Fencing number of the lease for role orders that this daemon holds; 0 for none."),
 	}
 	o.duty = duty.Start(duty.Config{Name: "roles", Now: d.now, Tick: o.tick, Metrics: d.metrics, Ready: ready})
 	return o
--- a/daemon/gateway/orders.go
+++ b/daemon/gateway/orders.go
@@ -71,7 +71,7 @@
 	o.results.Add(result.String(), 1)
 	c.pending = false
 	c.retryAt = now + orderRetryDelay
-	o.releaseSafeAt = now + o.longestOrder()
+	o.releaseSafeAt = now + o.maxOrderDelay()
 	switch result {
 	case OrderAccepted:
 		c.ordered = true
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -63,9 +63,9 @@
 	// there would be more, the period grows.
 	maxHeartbeats        = 60
 	maxWatchedHeartbeats = 600
-	// meshUpTo is the largest number of other daemons at which all exchange
+	// maxMeshPeers is the largest number of other daemons at which all exchange
 	// heartbeats with all: maxHeartbeats allows one to each every memberPeriod.
-	meshUpTo = 24
+	maxMeshPeers = 24
 	// goneGrace is how long a dead daemon's grants stay reserved. By then its engines
 	// have noticed that it is gone.
 	goneGrace = time.Second
@@ -103,7 +103,7 @@
 	cfg.WatchedDead = watchedDead
 	cfg.MaxHeartbeatsPerSecond = maxHeartbeats
 	cfg.MaxWatchedHeartbeatsPerSecond = maxWatchedHeartbeats
-	cfg.MaxMeshPeers = meshUpTo
+	cfg.MaxMeshPeers = maxMeshPeers
 	return cfg
 }
 
--- a/daemon/gateway/reading.go
+++ b/daemon/gateway/reading.go
@@ -63,7 +63,7 @@
 	var asHub hub
 	d.every(readersInterval, func() {
 		entries := f.members.Entries()
-		f.notePeersLost(d.now(), entries)
+		f.recordPeersLost(d.now(), entries)
 		candidates := readingCandidates(entries)
 		now := decision.Decide(d.now(), candidates, !decision.StartupOver() && f.onlyOne())
 		chosen := decision.Chosen()
--- a/daemon/gateway/rolechanges.go
+++ b/daemon/gateway/rolechanges.go
@@ -20,9 +20,9 @@
 	settledAt time.Duration
 	// loggedAt is when the pool's state was last logged.
 	loggedAt time.Duration
-	// tried and repeated are the scheduler's counters as last logged.
-	tried    uint64
-	repeated uint64
+	// attempts and repeatedWants are the scheduler's counters as last logged.
+	attempts      uint64
+	repeatedWants uint64
 }
 
 // change is a pending role change of one engine.
@@ -84,8 +84,8 @@
 	o.d.logger.Event("pool_state", "pool", name, "prefills", len(d.Prefills), "prefills_working", working,
 		"prefill_backlog", d.PrefillBacklog, "decodes", len(d.Decodes), "decodes_running", running,
 		"memory", d.Memory, "memory_held", d.MemoryHeld, "queued", d.Queued, "memory_wanted", d.MemoryWanted,
-		"engines_tried", d.Attempts-p.tried, "wants_repeated", d.RepeatedWants-p.repeated)
-	p.tried, p.repeated = d.Attempts, d.RepeatedWants
+		"engines_tried", d.Attempts-p.attempts, "wants_repeated", d.RepeatedWants-p.repeatedWants)
+	p.attempts, p.repeatedWants = d.Attempts, d.RepeatedWants
 }
 
 // markDrained marks the engines that are about to change their role as drained.
@@ -151,7 +151,7 @@
 		return
 	}
 	c.pending = true
-	o.releaseSafeAt = now + orderTimeout + o.longestOrder()
+	o.releaseSafeAt = now + orderTimeout + o.maxOrderDelay()
 	sent := o.work.Submit(func() { o.runOrder(endpoint, c) })
 	if !sent {
 		c.pending = false
--- a/daemon/gateway/rolelease.go
+++ b/daemon/gateway/rolelease.go
@@ -31,9 +31,9 @@
 	return cfg
 }
 
-// longestOrder returns the time after an order during which another holder must not
+// maxOrderDelay returns the time after an order during which another holder must not
 // send one.
-func (o *orderer) longestOrder() time.Duration {
+func (o *orderer) maxOrderDelay() time.Duration {
 	return Milliseconds(o.d.set.Bounds.LeaseMS) + orderTimeout
 }
 
@@ -56,7 +56,7 @@
 	case needed && o.lease == nil:
 		o.mu.Lock()
 		o.lease = lease.New(o.leaseConfig(), leaseRoles, o.f.self, now, o.d.newRand())
-		o.gate = lease.NewOrderGate(lease.GateConfig{MaxOrderDelay: o.longestOrder(), LapseExceedsOrderDelay: true}, o.lease)
+		o.gate = lease.NewOrderGate(lease.GateConfig{MaxOrderDelay: o.maxOrderDelay(), LapseExceedsOrderDelay: true}, o.lease)
 		o.mu.Unlock()
 	case !needed && o.lease != nil && now-o.idleSince >= leaseIdleTimeout && o.releaseSafe(now):
 		o.releaseLease(now)
--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -32,8 +32,8 @@
 	return s != nil && d.now()-s.Began() >= streamCutoff
 }
 
-// noteCaller records the arrival of a request during a planned stop.
-func (d *Daemon) noteCaller() {
+// recordCaller records the arrival of a request during a planned stop.
+func (d *Daemon) recordCaller() {
 	if s := d.stopping.Load(); s != nil {
 		s.RecordCaller(d.now())
 	}
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -25,9 +25,9 @@
 	// which endpoints have left within the two seconds after which these must get no
 	// more requests.
 	endpointsWait = 600 * time.Millisecond
-	// feedGather is the pause after changes, which batches them. It is much shorter
+	// feedBatchDelay is the pause after changes, which batches them. It is much shorter
 	// than the two seconds within which a change must be in force.
-	feedGather = 350 * time.Millisecond
+	feedBatchDelay = 350 * time.Millisecond
 	// feedRetry bounds the pause after a failed call to the store.
 	feedRetry = 400 * time.Millisecond
 	// idleRetry replaces feedRetry for a daemon that receives the changes from other
@@ -85,7 +85,7 @@
 		Name:       name,
 		Source:     d.platform.Source,
 		Wait:       feedWait,
-		BatchDelay: feedGather,
+		BatchDelay: feedBatchDelay,
 		Retry:      feedRetry,
 		IdleRetry:  idleRetry,
 		Changed:    changed,
@@ -217,28 +217,28 @@
 		if d.tables.current().Lapsed == 0 {
 			return
 		}
-		upTo, ask, due := d.settleRegistry()
+		upTo, query, due := d.settleRegistry()
 		if due {
 			d.endpoints.Poll()
 		}
-		if ask {
+		if query {
 			d.queryUptime(upTo)
 		}
 	})
 }
 
-// settleRegistry drops lapsed entries that have gone for certain. ask reports whether
+// settleRegistry drops lapsed entries that have gone for certain. query reports whether
 // to query other daemons for the store's uptime, up to the store's version upTo; due
 // reports whether the next answer of the store may decide about the remaining ones.
-func (d *Daemon) settleRegistry() (upTo uint64, ask, due bool) {
+func (d *Daemon) settleRegistry() (upTo uint64, query, due bool) {
 	k, now, pause := d.tables, d.now(), d.uptimeQueryInterval()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.list.DropRemoved() {
 		d.publish()
 	}
-	upTo, ask = k.list.ShouldQuery(now, pause)
-	return upTo, ask, k.list.GraceOver(now)
+	upTo, query = k.list.ShouldQuery(now, pause)
+	return upTo, query, k.list.GraceOver(now)
 }
 
 // every calls do at a fixed interval until the daemon ends.
@@ -289,7 +289,7 @@
 			f.quotas.SetKey(keeperKey(k.routes))
 		}
 	}
-	d.inspectDisputed()
+	d.inspectConflicts()
 }
 
 // withMatchingRole drops the endpoints that have no role although their service runs
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -75,8 +75,8 @@
 	return since > 0 && d.now()-since >= minPeerOutage
 }
 
-// notePeersLost records since when other daemons have been unable to reach the store.
-func (f *fleet) notePeersLost(now time.Duration, entries []member.Entry) {
+// recordPeersLost records since when other daemons have been unable to reach the store.
+func (f *fleet) recordPeersLost(now time.Duration, entries []member.Entry) {
 	lost := slices.ContainsFunc(entries, func(e member.Entry) bool {
 		return e.State == member.Alive && e.StoreLost && e.Process.Daemon != f.self.Daemon
 	})
@@ -110,18 +110,18 @@
 			d.publish()
 		}
 		if status.MayReturn {
-			d.mayReturn(from)
+			d.recordOutageReport(from)
 		}
 	})
 }
 
-// mayReturn records another daemon's report that entries may have lapsed because the
-// store was unavailable; the lock must be held.
-func (d *Daemon) mayReturn(from id.Daemon) {
+// recordOutageReport records another daemon's report that entries may have lapsed
+// because the store was unavailable; the lock must be held.
+func (d *Daemon) recordOutageReport(from id.Daemon) {
 	list, now := d.tables.list, d.now()
-	doubted := list.EntriesMayReturn(now)
+	before := list.EntriesMayReturn(now)
 	list.ReportOutage(now)
-	if !doubted && list.EntriesMayReturn(now) {
+	if !before && list.EntriesMayReturn(now) {
 		d.logger.Event("store_absence_told", "peer", from)
 	}
 }
--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -56,7 +56,7 @@
 	output  io.Writer
 	encoder log.Logger
 	now     func() time.Time
-	// routine counts the dropped routine lines.
+	// routineDropped counts the dropped routine lines.
 	routineDropped *metrics.Counter
 
 	cancel context.CancelFunc
@@ -85,7 +85,7 @@
 		done:   make(chan struct{}),
 	}
 	if cfg.Registry != nil {
-		l.routineDropped = cfg.Registry.Counter("log_routine_dropped", metrics.UnitCount, "Routine lines left out because the log fell behind.")
+		l.routineDropped = cfg.Registry.Counter("log_routine_dropped", metrics.UnitCount, "Routine lines dropped because the output was too slow.")
 	}
 	encoder := log.With(log.NewLogfmtLogger(ringWriter{l.lines}), "ts", log.Valuer(l.timestamp), "daemon", cfg.Daemon)
 	l.encoder = level.NewFilter(encoder, allowed)
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -97,7 +97,7 @@
 		core:              member.New(cfg.Core, cfg.Self, cfg.Now(), cfg.Rand),
 		reportedRevisions: make(map[id.Daemon]uint64),
 		changes:           cfg.Metrics.CounterMap("member_changes", metrics.UnitCount, "changes of daemons' states, by new state"),
-		stalls:            cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon was not run for a while"),
+		stalls:            cfg.Metrics.Counter("member_stalls", metrics.UnitCount, "times that this daemon's process got no processor time for a while"),
 	}
 	m.publish()
 	m.duty = duty.Start(duty.Config{Name: "members", Now: cfg.Now, Tick: m.tick, OnDelay: cfg.OnDelay, Metrics: cfg.Metrics, Ready: cfg.Ready})
--- a/daemon/operator/fuzz_test.go
+++ b/daemon/operator/fuzz_test.go
@@ -15,14 +15,14 @@
 
 const fuzzKey = "operator-key"
 
-// fuzzBacking applies changes to one document, as the proposer does.
-type fuzzBacking struct {
+// fuzzOperations applies changes to one document, as the proposer does.
+type fuzzOperations struct {
 	doc     *live.Document
 	applied *live.Document
 	stops   int
 }
 
-func (b *fuzzBacking) Propose(_ context.Context, c revision.Change, _ bool) revision.Outcome {
+func (b *fuzzOperations) Propose(_ context.Context, c revision.Change, _ bool) revision.Outcome {
 	next, faults := revision.Apply(b.doc, c)
 	if len(faults) > 0 {
 		return revision.Outcome{Result: revision.Rejected, Faults: faults}
@@ -31,15 +31,15 @@
 	return revision.Outcome{Result: revision.Accepted, Revision: next.Revision}
 }
 
-func (b *fuzzBacking) DocumentAt(rev uint64) (*live.Document, bool) {
+func (b *fuzzOperations) DocumentAt(rev uint64) (*live.Document, bool) {
 	return b.doc, rev == b.doc.Revision
 }
-func (b *fuzzBacking) Document() *live.Document              { return b.doc }
-func (b *fuzzBacking) History(uint64, int) []revision.Record { return nil }
-func (b *fuzzBacking) Status() opapi.Status                  { return opapi.Status{} }
-func (b *fuzzBacking) Explain(_, _ string) opapi.Explanation { return opapi.Explanation{} }
-func (b *fuzzBacking) Quarantine() opapi.QuarantineList      { return opapi.QuarantineList{} }
-func (b *fuzzBacking) BeginStop()                            { b.stops++ }
+func (b *fuzzOperations) Document() *live.Document              { return b.doc }
+func (b *fuzzOperations) History(uint64, int) []revision.Record { return nil }
+func (b *fuzzOperations) Status() opapi.Status                  { return opapi.Status{} }
+func (b *fuzzOperations) Explain(_, _ string) opapi.Explanation { return opapi.Explanation{} }
+func (b *fuzzOperations) Quarantine() opapi.QuarantineList      { return opapi.QuarantineList{} }
+func (b *fuzzOperations) BeginStop()                            { b.stops++ }
 
 // FuzzChange checks that the response to any request body is valid JSON, and
 // that an accepted change leaves a document without faults.
@@ -51,7 +51,7 @@
 	f.Add([]byte(`{"id":"5","expect":18446744073709551615,"ops":[{"action":"put","kind":"link","name":"l","item":null}]}`))
 	f.Add([]byte(`[`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		b := &fuzzBacking{doc: live.Normalize(&live.Document{
+		b := &fuzzOperations{doc: live.Normalize(&live.Document{
 			Revision:  7,
 			Pools:     []live.Pool{{Name: "p", EndpointSelector: "pool=p"}},
 			Endpoints: []live.Endpoint{{Name: "e", Labels: live.Labels{"pool": "p", live.LabelRole: "plain"}, Address: "127.0.0.1:1", Domain: "f"}},
@@ -76,7 +76,7 @@
 	})
 }
 
-func checkApplied(t *testing.T, b *fuzzBacking) {
+func checkApplied(t *testing.T, b *fuzzOperations) {
 	if b.applied == nil || b.applied.Revision != b.doc.Revision+1 {
 		t.Fatalf("accepted as %+v", b.applied)
 	}
@@ -103,7 +103,7 @@
 	f.Add("POST", opapi.PathStop, bearer)
 	f.Add("GET", opapi.PathExplain+"?kind=%00&id=%ff", bearer+fuzzKey)
 	f.Fuzz(func(t *testing.T, method, target, authorization string) {
-		b := &fuzzBacking{doc: &live.Document{Revision: 7}}
+		b := &fuzzOperations{doc: &live.Document{Revision: 7}}
 		s := New(b, []string{keys.Hash(fuzzKey)}, func(string, ...any) {})
 		ctx := &fasthttp.RequestCtx{}
 		ctx.Request.Header.SetMethod(method)
--- a/daemon/peer/fault.go
+++ b/daemon/peer/fault.go
@@ -26,8 +26,8 @@
 }
 
 // SetFault drops outgoing messages, calls, answers, datagrams and new dials to the
-// peers for which drop returns DropTraffic. The loss is one-way: traffic from these peers
-// still arrives. A nil drop ends it.
+// peers for which drop returns DropTraffic. The loss is one-way: traffic from these
+// peers still arrives. A nil drop ends it.
 func (t *Transport) SetFault(drop func(to id.Daemon) Drop) {
 	if drop == nil {
 		t.faults.drop.Store(nil)
--- a/daemon/peer/traffic.go
+++ b/daemon/peer/traffic.go
@@ -50,7 +50,7 @@
 		sentBytes:     registry.CounterMap("peer_sent_bytes", metrics.UnitBytes, "Bytes of messages sent to peers, by kind, before encryption."),
 		received:      registry.CounterMap("peer_received", metrics.UnitCount, "Messages received from peers, by kind."),
 		receivedBytes: registry.CounterMap("peer_received_bytes", metrics.UnitBytes, "Bytes of messages received from peers, by kind, before encryption."),
-		lost:          registry.CounterMap("peer_lost", metrics.UnitCount, "Messages taken for sending and then dropped, by kind."),
+		lost:          registry.CounterMap("peer_lost", metrics.UnitCount, "Messages accepted for sending and then dropped, by kind."),
 	}
 }
 
--- a/daemon/reports/reports.go
+++ b/daemon/reports/reports.go
@@ -86,8 +86,8 @@
 		cfg:     cfg,
 		done:    make(chan struct{}),
 		polls:   make(map[id.Endpoint]*pollState),
-		queries: cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "questions to endpoints"),
-		failed:  cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "questions to endpoints without an answer"),
+		queries: cfg.Metrics.Counter("reports_asked", metrics.UnitCount, "queries to endpoints"),
+		failed:  cfg.Metrics.Counter("reports_failed", metrics.UnitCount, "queries to endpoints without an answer"),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	go r.run()
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -95,8 +95,8 @@
 		dialer:    newDialer(o.DialTimeout),
 		addresses: map[string]*addressConns{},
 		dialled:   o.Metrics.Counter("upstream_dialled", metrics.UnitCount, "Connections opened to endpoints."),
-		reused:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a kept connection."),
-		foreign:   o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no request that waits."),
+		reused:    o.Metrics.Counter("upstream_kept", metrics.UnitCount, "Requests sent on a reused connection."),
+		foreign:   o.Metrics.Counter("upstream_foreign", metrics.UnitCount, "Answers dropped because they belong to no pending request."),
 	}
 }
 
@@ -206,10 +206,10 @@
 	}
 }
 
-// carefulLifeDivisor divides the lifetime in which an idle connection is reused
+// staleConnDivisor divides the lifetime in which an idle connection is reused
 // for requests that must not run more than once: near its end the endpoint may
 // close the connection just as the request is sent.
-const carefulLifeDivisor = 2
+const staleConnDivisor = 2
 
 // takeIdle returns the most recently used idle connection that is neither too old
 // nor closed, or nil. It closes the others that it finds.
@@ -222,7 +222,7 @@
 		now := time.Now()
 		old := now.After(cn.expires)
 		if c.AvoidStaleConn {
-			old = old || now.Sub(cn.idleSince) > cn.expires.Sub(cn.idleSince)/carefulLifeDivisor
+			old = old || now.Sub(cn.idleSince) > cn.expires.Sub(cn.idleSince)/staleConnDivisor
 		}
 		if old || !isQuiet(cn) {
 			_ = cn.Close()
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -11,7 +11,7 @@
 // CrashMarker, contained in a prompt, crashes each engine that runs the prompt.
 const CrashMarker = "[[crash]]"
 
-// AnswerToken returns the output token at place seq, counted from 1, of the
+// AnswerToken returns the output token at position seq, counted from 1, of the
 // answer to a prompt.
 func AnswerToken(prompt string, seq int) string {
 	return answerToken(xxhash.Sum64String(prompt), seq)
@@ -27,8 +27,8 @@
 	return b.String()
 }
 
-// answerToken derives a token from the hash of the prompt (seed) and the place of
-// the token in the answer (seq).
+// answerToken derives a token from the hash of the prompt (seed) and the position
+// of the token in the answer (seq).
 func answerToken(seed uint64, seq int) string {
 	var raw [16]byte
 	binary.LittleEndian.PutUint64(raw[:8], seed)
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -28,8 +28,8 @@
 	counters WeightCounters
 }
 
-// NewWeightStore returns a store that grants loadsPerSecond loads a second; 0 or less
-// takes the default.
+// NewWeightStore returns a store that grants loadsPerSecond loads a second; 0 or
+// less takes the default.
 func NewWeightStore(loadsPerSecond float64, seed uint64) *WeightStore {
 	if loadsPerSecond <= 0 {
 		loadsPerSecond = DefaultLoadsPerSecond
