--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -78,7 +78,7 @@
 		done:  make(chan struct{}),
 	}
 	if cfg.Metrics != nil {
-		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "Latest measured queueing delay of the duty "+cfg.Name+".")
+		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "Queueing delay of the duty "+cfg.Name+", as last measured.")
 	}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	go d.run()
