--- a/daemon/gateway/stop.go
+++ b/daemon/gateway/stop.go
@@ -16,8 +16,8 @@
 	// stopPropagation is how long it takes until every daemon knows that this one is
 	// leaving.
 	stopPropagation = 500 * time.Millisecond
-	// stopQuiet is the time without a new request after which the daemon may close.
-	stopQuiet = 300 * time.Millisecond
+	// stopQuietPeriod is the time without a new request after which the daemon may close.
+	stopQuietPeriod = 300 * time.Millisecond
 	// streamCutoff is the time after the start of a planned stop from which new
 	// streams are refused, since they might not finish before the process ends.
 	streamCutoff = 2800 * time.Millisecond
@@ -46,7 +46,7 @@
 	cfg := entry.StopConfig{
 		PropagationDelay: stopPropagation,
 		Lifetime:         keptLifetimes * d.set.entryLifetime(),
-		QuietPeriod:      stopQuiet,
+		QuietPeriod:      stopQuietPeriod,
 		MaxDuration:      Seconds(d.set.Bounds.GraceS) - stopMargin,
 	}
 	s := leaving.Begin(cfg, d.now())
