--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -43,7 +43,7 @@
 	// call. It may be called earlier or later: 1 ms to 1 s after the last call, and
 	// soon after each work item.
 	Tick func(now time.Duration) time.Duration
-	// Behind, if set, is called in the duty's goroutine with the time for which a
+	// OnDelay, if set, is called in the duty's goroutine with the time for which a
 	// work item waited in the ring, at most twice a second. All other work items
 	// wait as long.
 	OnDelay func(late time.Duration)
@@ -78,7 +78,7 @@
 		done:  make(chan struct{}),
 	}
 	if cfg.Metrics != nil {
-		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "How long work waited for the duty "+cfg.Name+", last measured.")
+		d.delayGauge = cfg.Metrics.Gauge("duty_"+cfg.Name+"_behind", metrics.UnitMilliseconds, "Queueing delay of the duty "+cfg.Name+", as last measured.")
 	}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	go d.run()
--- a/daemon/forward/poison.go
+++ b/daemon/forward/poison.go
@@ -10,13 +10,13 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// Suspicion is the evidence against requests that crash endpoints, shared by
+// CrashEvidence is the evidence against requests that crash endpoints, shared by
 // all daemons.
 type CrashEvidence struct {
 	Ledger *poison.Ledger
-	// Wall returns the wall-clock time for dating evidence.
+	// WallClock returns the wall-clock time for dating evidence.
 	WallClock func() time.Time
-	// Spread triggers the sending of new evidence to the other daemons. It
+	// Broadcast triggers the sending of new evidence to the other daemons. It
 	// doesn't block.
 	Broadcast func()
 }
@@ -75,9 +75,9 @@
 	f.Evidence.Broadcast()
 }
 
-// clearSuspicion clears the evidence against a request that an endpoint has
+// clearEvidence clears the evidence against a request that an endpoint has
 // finished.
-func (f *Forwarder) clearSuspicion(r *Request, t *trace) {
+func (f *Forwarder) clearEvidence(r *Request, t *trace) {
 	if f.Evidence.Ledger.Len() == 0 {
 		return
 	}
