--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -64,7 +64,7 @@
 	Unreachable
 	// Slow: it didn't answer within the call's own time limit, which may be short.
 	Slow
-	// Withdrawn: the call ended for a reason that doesn't concern the endpoint.
+	// Neutral: the call ended for a reason that doesn't concern the endpoint.
 	Neutral
 )
 
--- a/core/capacity/capacity.go
+++ b/core/capacity/capacity.go
@@ -21,7 +21,7 @@
 // link sends nothing else to the other daemons while it sends them a large change.
 const minShare = 0.5
 
-// Able returns the candidates that are able to perform a duty for all daemons:
+// SelectAble returns the candidates that are able to perform a duty for all daemons:
 // those with at least half of the largest processor time and, among these, at least
 // half of the largest bandwidth. It preserves the order, and returns all candidates
 // if no capacity is known.
--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -215,8 +215,8 @@
 	return max(c.now, min(next, c.nextSendAt()))
 }
 
-// SetGap changes Config.Gap, for example when the number of writers changes.
-func (c *Claims) SetMinInterval(gap time.Duration) { c.cfg.MinInterval = gap }
+// SetMinInterval changes Config.MinInterval, for example when the number of writers changes.
+func (c *Claims) SetMinInterval(interval time.Duration) { c.cfg.MinInterval = interval }
 
 // Pending returns the number of Begins, Finishes and Releases in progress.
 func (c *Claims) Pending() int { return c.count }
--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -26,7 +26,7 @@
 	// window.
 	skipWindow bool
 	inFlight   int
-	// notBefore is the earliest start of the next transaction, by Config.Gap.
+	// notBefore is the earliest start of the next transaction, by Config.MinInterval.
 	notBefore time.Duration
 	// retryAt is the earliest time of the next store call after a failed one.
 	retryAt  time.Duration
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -71,7 +71,7 @@
 	Failure *Failure `cbor:"2,keyasint,omitempty"`
 }
 
-// CallID identifies a call to the store within one Claims.
+// StoreCallID identifies a call to the store within one Claims.
 type StoreCallID uint64
 
 // Action is one instruction to the caller of Claims. Exactly one field is set.
@@ -153,8 +153,8 @@
 	// Window is how long a write waits for others to share its transaction.
 	// Default 5 ms.
 	Window time.Duration
-	// Gap is the minimum time between the starts of two transactions. It divides
-	// the store's write rate among the writers; see GapFor. Default 37.5 ms: nine
+	// MinInterval is the minimum time between the starts of two transactions. It divides
+	// the store's write rate among the writers; see MinIntervalFor. Default 37.5 ms: nine
 	// daemons that each write their own claims share 240 transactions a second.
 	MinInterval time.Duration
 	// MaxBatch bounds the rows of a transaction or read. Default 64.
--- a/core/claim/shard.go
+++ b/core/claim/shard.go
@@ -23,8 +23,8 @@
 	return rendezvous.Owner(row, writers)
 }
 
-// GapFor returns the Config.Gap at which the given number of writers together make
-// at most the given number of transactions a second.
+// MinIntervalFor returns the Config.MinInterval at which the given number of writers
+// together make at most the given number of transactions a second.
 func MinIntervalFor(transactionsPerSecond, writers int) time.Duration {
 	return time.Duration(max(writers, 1)) * time.Second / time.Duration(max(transactionsPerSecond, 1))
 }
--- a/core/entry/entry.go
+++ b/core/entry/entry.go
@@ -62,7 +62,7 @@
 	Lifetime  time.Duration
 }
 
-// Make computes an answer from the daemons in view; self is the answering daemon.
+// NewAnswer computes an answer from the daemons in view; self is the answering daemon.
 // The first address is drawn by weight from all hosts, so that callers spread
 // evenly. Each further address comes from a failure domain used least so far, so
 // that a caller that tries the next address survives the loss of a domain.
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -4,14 +4,15 @@
 
 // StopConfig sets the timing of a daemon's stop.
 type StopConfig struct {
-	// Spread is how long the announcement of the stop may take to reach every
-	// daemon, so that none names this daemon in its answers any more.
+	// PropagationDelay is how long the announcement of the stop may take to reach
+	// every daemon, so that none names this daemon in its answers any more.
 	PropagationDelay time.Duration
 	// Lifetime is the longest time for which callers may cache an earlier answer.
 	Lifetime time.Duration
-	// Quiet is how long no new caller must have arrived before the daemon closes.
+	// QuietPeriod is how long no new caller must have arrived before the daemon
+	// closes.
 	QuietPeriod time.Duration
-	// Limit bounds the duration of the stop; requests that still run then are
+	// MaxDuration bounds the duration of the stop; requests that still run then are
 	// aborted. Zero means no limit.
 	MaxDuration time.Duration
 }
@@ -56,11 +57,11 @@
 	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.PropagationDelay, lastCaller: now}
 }
 
-// Named records that an answer named this daemon nevertheless, for example because
+// RecordNamed records that an answer named this daemon nevertheless, for example because
 // it was the only one left.
 func (p *StopPlan) RecordNamed(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
-// Caller records that a new caller arrived.
+// RecordCaller records that a new caller arrived.
 func (p *StopPlan) RecordCaller(now time.Duration) { p.lastCaller = now }
 
 // Earliest returns the earliest time at which the daemon may close, provided that
--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -89,5 +89,5 @@
 // Newest returns the proof to send to other daemons; ok is false if there is none.
 func (t *Tracker) Newest() (p Proof, ok bool) { return t.newest, t.newest.Version > 0 }
 
-// Behind reports whether a configuration newer than the one in force was accepted.
+// Outdated reports whether a configuration newer than the one in force was accepted.
 func (t *Tracker) Outdated() bool { return t.newer.Version > t.version }
--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -81,7 +81,7 @@
 	return Healthy
 }
 
-// Began records that the endpoint was sent a request; expected is the expected
+// RecordStart records that the endpoint was sent a request; expected is the expected
 // time until its first output. The request is overdue after SlowFactor times that
 // time, but not before StuckAfter.
 func (d *Detector) RecordStart(now time.Duration, name id.Endpoint, r id.Request, expected time.Duration) {
--- a/core/kvsched/options.go
+++ b/core/kvsched/options.go
@@ -45,8 +45,8 @@
 	ExpiresIn time.Duration
 	// MaxQueue bounds the number of waiting requests.
 	MaxQueue int
-	// Remembered bounds the number of ended requests that are remembered, so
-	// that a late repeat of a Want is not granted again.
+	// MaxEnded bounds the number of records of ended requests, which keep a late
+	// duplicate of a Want from being granted again.
 	MaxEnded int
 	// Disabled lists mechanisms to switch off for measurements.
 	Disabled []Mechanism
--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -6,7 +6,7 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Passage is the state of an OrderGate for one endpoint.
+// GateState is the state of an OrderGate for one endpoint.
 type GateState uint8
 
 const (
@@ -14,15 +14,15 @@
 	Closed GateState = iota
 	// Wait: an order of the former holder may still arrive at the endpoint.
 	Wait
-	// ReadBack: the caller must read the endpoint's state and call Repaired.
+	// ReadBack: the caller must read the endpoint's state and call MarkReadBack.
 	ReadBack
 	// Open: this process may send orders.
 	Open
 )
 
-// String names the passage.
-func (p GateState) String() string {
-	switch p {
+// String returns the name of the state.
+func (s GateState) String() string {
+	switch s {
 	case Closed:
 		return "closed"
 	case Wait:
@@ -38,11 +38,11 @@
 
 // GateConfig configures an OrderGate.
 type GateConfig struct {
-	// LongestOrder is the maximum time that an order may be in flight: the
+	// MaxOrderDelay is the maximum time that an order may be in flight: the
 	// sender's timeout plus the delays of networks and endpoints.
 	MaxOrderDelay time.Duration
-	// LapseCovers is set if the time between a holder's last trust in its lease
-	// and the lapse of that lease for others is at least LongestOrder, so that no
+	// LapseExceedsOrderDelay is set if the time between a holder's last trust in its lease
+	// and the lapse of that lease for others is at least MaxOrderDelay, so that no
 	// order of the former holder is in flight after a lapse.
 	LapseExceedsOrderDelay bool
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// Repaired records that the endpoint's state was read back after the wait, which
+// MarkReadBack records that the endpoint's state was read back after the wait, which
 // opens the gate for the endpoint. The caller then orders again whatever differs
 // from the desired state.
 func (g *OrderGate) MarkReadBack(now time.Duration, endpoint id.Endpoint) {
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -174,7 +174,7 @@
 // Fence returns the fencing number of the lease held; 0 for none.
 func (l *Lease) Fence() uint64 { return l.heldFence }
 
-// Holder returns the lease row as last seen, for status pages.
+// LastRow returns the lease row as last seen, for status pages.
 func (l *Lease) LastRow() Row { return l.seen }
 
 // Stopped reports whether a Release is complete.
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -304,7 +304,7 @@
 }
 
 // TestLapseCoveringOrdersOpensGateImmediately: after a lapse the gate waits unless
-// LapseCovers is set.
+// LapseExceedsOrderDelay is set.
 func TestLapseCoveringOrdersOpensGateImmediately(t *testing.T) {
 	for _, covers := range []bool{false, true} {
 		is := is.New(t)
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -30,12 +30,13 @@
 	WatchedPeriod  time.Duration
 	WatchedSuspect time.Duration
 	WatchedDead    time.Duration
-	// MostSent and MostWatched bound the heartbeats that a daemon sends per
-	// second, the latter while it is watched. In a larger fleet the period grows,
-	// and the other daemons' timeouts grow with it. Mesh only; 0 for no bound.
+	// MaxHeartbeatsPerSecond and MaxWatchedHeartbeatsPerSecond bound the heartbeats
+	// that a daemon sends per second, the latter while it is watched. In a larger
+	// fleet the period grows, and the other daemons' timeouts grow with it. Mesh
+	// only; 0 for no bound.
 	MaxHeartbeatsPerSecond        float64
 	MaxWatchedHeartbeatsPerSecond float64
-	// MeshUpTo is the largest number of other daemons at which all daemons
+	// MaxMeshPeers is the largest number of other daemons at which all daemons
 	// exchange heartbeats with all. In a larger fleet each daemon has two
 	// neighbours on each of Rings hash rings, which monitor each other and spread
 	// updates: a daemon's traffic does not grow with the fleet. Mesh only; 0 for
@@ -49,7 +50,7 @@
 	// PartitionedFor is how long a silent daemon may stay partitioned before
 	// it is declared dead.
 	PartitionedFor time.Duration
-	// Forget is how long a dead daemon that the host list lacks is kept.
+	// ForgetAfter is how long a dead daemon that the host list lacks is kept.
 	ForgetAfter time.Duration
 	// StallAfter is how late a Tick may come before this daemon counts it as a
 	// stall of its own process.
--- a/core/member/detect.go
+++ b/core/member/detect.go
@@ -217,7 +217,7 @@
 	return out
 }
 
-// forgetOld drops peers that have been dead for Config.Forget and are missing from
+// forgetOld drops peers that have been dead for Config.ForgetAfter and are missing from
 // the host list.
 func (m *Membership) forgetOld(now time.Duration) {
 	var old []id.Daemon
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Local is the status that a daemon reports about itself to the others.
+// LocalStatus is the status that a daemon reports about itself to the others.
 type LocalStatus struct {
 	Revision uint64
 	InFlight int
@@ -91,7 +91,7 @@
 	Proof *freshness.Proof
 }
 
-// SetLocal sets the status that the next messages report.
+// SetLocalStatus sets the status that the next messages report.
 func (m *Membership) SetLocalStatus(l LocalStatus) {
 	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
 		// Its eligibility for duties has changed.
@@ -311,7 +311,7 @@
 	}
 }
 
-// Hosts merges the host list. A host that is listed as leaving is leaving; a
+// MergeHosts merges the host list. A host that is listed as leaving is leaving; a
 // daemon missing from the list is not declared dead for that alone.
 func (m *Membership) MergeHosts(now time.Duration, hosts []Host) []Action {
 	for _, name := range m.order {
--- a/core/member/rings.go
+++ b/core/member/rings.go
@@ -11,7 +11,7 @@
 // rings is the state used in a large fleet, in which each daemon watches a few
 // neighbours instead of all others.
 type rings struct {
-	// enabled is set while the fleet is larger than Config.MeshUpTo.
+	// enabled is set while the fleet is larger than Config.MaxMeshPeers.
 	enabled bool
 	// neighboursStale is set when the neighbours must be recomputed.
 	neighboursStale bool
@@ -26,8 +26,8 @@
 	syncAt time.Duration
 	// returnedSyncAt is when the next Sync may be sent to a returned daemon.
 	returnedSyncAt time.Duration
-	// wantsWatched is the last Local.Watched, wantsWatchedSince since when it has
-	// been set; linked is the last Local.Linked.
+	// wantsWatched is the last LocalStatus.Watched, wantsWatchedSince since when it has
+	// been set; linked is the last LocalStatus.Linked.
 	wantsWatched      bool
 	wantsWatchedSince time.Duration
 	linked            bool
@@ -172,6 +172,6 @@
 	return now - heard
 }
 
-// Large reports whether the fleet is so large that each daemon watches a few
+// UsesRings reports whether the fleet is so large that each daemon watches a few
 // neighbours instead of all others.
 func (m *Membership) UsesRings() bool { return m.rings.enabled }
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -69,7 +69,7 @@
 
 // Silence returns the time since a message last arrived directly from the daemon.
 // It also grows while one direction of the path is lost and the daemon is alive.
-// For an unknown daemon it returns Config.Forget.
+// For an unknown daemon it returns Config.ForgetAfter.
 func (m *Membership) Silence(now time.Duration, name id.Daemon) time.Duration {
 	p, ok := m.peers[name]
 	if !ok {
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -14,8 +14,8 @@
 // seeds is the number of seeds that each load is replayed with.
 const seeds = 5
 
-// desk returns the replay of Desk with all mechanisms enabled.
-func desk(bursts ...Burst) Replay {
+// samplePool returns the replay of SamplePool with all mechanisms enabled.
+func samplePool(bursts ...Burst) Replay {
 	r := SamplePool(bursts...)
 	r.New = schedulerWithout()
 	return r
@@ -64,12 +64,12 @@
 
 func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
-	is.Equal(desk(tripleBurst...).Run(7), desk(tripleBurst...).Run(7))
+	is.Equal(samplePool(tripleBurst...).Run(7), samplePool(tripleBurst...).Run(7))
 }
 
 func TestBurstsWithinCapacityAreServedInTime(t *testing.T) {
 	is := is.New(t)
-	sum := runSeeds(desk(usualBursts...))
+	sum := runSeeds(samplePool(usualBursts...))
 	t.Logf("goodput %.3f", sum.Goodput())
 	is.True(sum.Goodput() >= 0.99)
 	is.Equal(sum.Refused, 0)
@@ -80,7 +80,7 @@
 // the same.
 func TestLearnedLeadImprovesGoodput(t *testing.T) {
 	is := is.New(t)
-	r := desk(tripleBurst...)
+	r := samplePool(tripleBurst...)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal, kvsched.LearnedLead)
@@ -93,7 +93,7 @@
 // largest requests are served at least 0.7 times as often as all.
 func TestRefusalsOnArrival(t *testing.T) {
 	is := is.New(t)
-	r := desk(tripleBurst...)
+	r := samplePool(tripleBurst...)
 	with := runSeeds(r)
 	r.New = schedulerWithout(kvsched.ArrivalRefusal)
 	off := runSeeds(r)
@@ -111,17 +111,17 @@
 // that arrive after the burst.
 func TestRecoveryAfterBurst(t *testing.T) {
 	is := is.New(t)
-	sum := runSeeds(desk(tripleBurst...))
+	sum := runSeeds(samplePool(tripleBurst...))
 	t.Logf("recovered after %v", sum.recovery)
 	is.True(sum.recovery <= 3*time.Second)
 }
 
 // TestOtherEngineParameters: with half the memory, half the speed and more
 // engines, the mechanisms still work; no constant is fitted to the engines of
-// Desk.
+// SamplePool.
 func TestOtherEngineParameters(t *testing.T) {
 	is := is.New(t)
-	r := desk(tripleBurst...)
+	r := samplePool(tripleBurst...)
 	r.Load.PerSecond = 11
 	r.Engines.Decodes = 24
 	r.Engines.Prefills = 6
--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -19,7 +19,7 @@
 // largePool returns the replay of a pool of 90 engines at the load of 90
 // daemons, with two bursts.
 func largePool() Replay {
-	r := desk(
+	r := samplePool(
 		Burst{At: 2 * time.Second, For: 4 * time.Second, Factor: 1.6},
 		Burst{At: 8 * time.Second, For: 4 * time.Second, Factor: 2.2},
 	)
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -25,12 +25,12 @@
 	// Retried counts the callers that retried, RefusedAgain those that were
 	// refused more than once.
 	Retried, RefusedAgain int
-	// Refusals counts all refusals, AtOnce those within 120 ms.
+	// Refusals counts all refusals, ImmediateRefusals those within 120 ms.
 	Refusals, ImmediateRefusals int
 	// RefusedPermanently counts the callers that were refused with a code that
 	// rules out a retry.
 	RefusedPermanently int
-	// VainTokens counts the prompt tokens of granted requests that were not
+	// WastedTokens counts the prompt tokens of granted requests that were not
 	// served, and the tokens prefilled again after preemptions.
 	WastedTokens int
 	// Preempted counts the preemptions of requests for lack of memory.
--- a/core/overload/desk.go
+++ b/core/overload/sample_pool.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Desk returns the replay of a pool of 14 engines, with 16 requests and 29,250
-// tokens of memory each, at 60% of its capacity. A KV cache transfer and the
-// first token take 100 ms. The caller sets New.
+// SamplePool returns the replay of a pool of 14 engines, with 16 requests and
+// 29,250 tokens of memory each, at 60% of its capacity. A KV cache transfer and
+// the first token take 100 ms. The caller sets New.
 func SamplePool(bursts ...Burst) Replay {
 	return Replay{
 		Load: Load{
@@ -21,7 +21,7 @@
 	}
 }
 
-// UsualBursts returns bursts that the pool of Desk can serve in time.
+// UsualBursts returns bursts that the pool of SamplePool can serve in time.
 func UsualBursts() []Burst {
 	return []Burst{
 		{At: 6 * time.Second, For: 5 * time.Second, Factor: 1.5},
--- a/core/overload/slowdown_test.go
+++ b/core/overload/slowdown_test.go
@@ -88,7 +88,7 @@
 func TestMemorySchedulerRecoversFromSlowdown(t *testing.T) {
 	for _, factor := range []float64{5, 40, 400} {
 		for seed := uint64(1); seed <= seeds; seed++ {
-			r := desk()
+			r := samplePool()
 			r.Load.Length = 40 * time.Second
 			r.Callers.Retries = 1000
 			r.Engines.Slowdowns = []Slowdown{testSlowdown(factor)}
--- a/core/pairing/patience.go
+++ b/core/pairing/patience.go
@@ -6,7 +6,7 @@
 // before its daemon first requests endpoints.
 const maxStallShare = 0.5
 
-// WaitsSince returns the time from which a request counts as waiting for
+// WaitStart returns the time from which a request counts as waiting for
 // endpoints, given its arrival and the time at which its daemon first requests
 // them. A stalled daemon sends this first request late. That delay does not
 // indicate a lack of capacity, so at least half of the patience is left for the
--- a/core/pairing/patience_test.go
+++ b/core/pairing/patience_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWaitsSince(t *testing.T) {
+func TestWaitStart(t *testing.T) {
 	is := is.New(t)
 	const patience = 360 * time.Millisecond
 	is.Equal(WaitStart(time.Second, time.Second+2*ms, patience), time.Second) // from its arrival
--- a/core/pairing/asker.go
+++ b/core/pairing/requester.go
@@ -24,8 +24,8 @@
 	// that waits for 3 s would reach an owner that is short of processor time
 	// twelve times.
 	maxResend = time.Second
-	// DefaultMargin is added to a request's patience before the asker stops waiting
-	// for the owner's answer.
+	// DefaultMargin is added to a request's patience before the requester stops
+	// waiting for the owner's answer.
 	DefaultMargin = 100 * time.Millisecond
 	// maxOwnerTimeout bounds how long a request waits for an owner that does not
 	// answer, if its caller can wait as long: by then the membership has replaced a
@@ -60,7 +60,8 @@
 	Progress sched.Progress `cbor:"2,keyasint"`
 }
 
-// Answer is the result of an Ask: a grant, or an error whose verdict is NotRun.
+// Answer is the result of a call of Request: a grant, or an error whose verdict is
+// NotRun.
 type Answer struct {
 	Request id.Request
 	Grant   *sched.Grant
@@ -75,7 +76,7 @@
 	Bindings []sched.Binding
 }
 
-// Options configure an Asker; zero durations mean the defaults.
+// Options configure a Requester; zero durations mean the defaults.
 type Options struct {
 	// Local makes this daemon the owner of every pool, for policies without an
 	// owner.
@@ -87,9 +88,9 @@
 }
 
 type entry struct {
-	want    sched.Want
-	askedAt time.Duration
-	sentAt  time.Duration
+	want        sched.Want
+	requestedAt time.Duration
+	sentAt      time.Duration
 	// resend is the time after sentAt at which the want is resent.
 	resend   time.Duration
 	deadline time.Duration
@@ -102,7 +103,7 @@
 	phaseStart time.Duration
 }
 
-// Asker holds the requests of one daemon that wait for endpoints or hold a grant.
+// Requester holds the requests of one daemon that wait for endpoints or hold a grant.
 type Requester struct {
 	self    id.Process
 	opts    Options
@@ -117,7 +118,7 @@
 // never is the due time while no entry waits.
 const never = time.Duration(math.MaxInt64)
 
-// New returns an Asker whose only known member is this daemon.
+// New returns a Requester whose only known member is this daemon.
 func New(self id.Process, opts Options) *Requester {
 	if opts.Resend == 0 {
 		opts.Resend = DefaultResend
@@ -144,12 +145,12 @@
 	return rendezvous.Owner(string(pool), a.members)
 }
 
-// Ask sends a Want; patience is how long from now the request can wait for
+// Request sends a Want; patience is how long from now the request can wait for
 // capacity. The owner refuses a request that gets none in that time, so an owner
 // that does not answer is stalled or dead.
 func (a *Requester) Request(now time.Duration, w sched.Want, patience time.Duration) Output {
 	a.now = max(a.now, now)
-	e := &entry{want: w, askedAt: now, deadline: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
+	e := &entry{want: w, requestedAt: now, deadline: now + max(patience+a.opts.Margin, ownerTimeout(&w))}
 	a.entries[w.Request] = e
 	return a.sendWant(now, e, a.opts.Resend)
 }
@@ -172,7 +173,7 @@
 	e.resend = resend
 	a.due = min(a.due, a.entryDue(e))
 	w := e.want
-	w.Age += now - e.askedAt
+	w.Age += now - e.requestedAt
 	return Output{Messages: []Message{{To: e.owner, Want: &w}}}
 }
 
@@ -180,7 +181,7 @@
 // has reconnected through this daemon while the engine is still generating.
 func (a *Requester) Resume(now time.Duration, w sched.Want, g sched.Grant) Output {
 	a.now = max(a.now, now)
-	e := &entry{want: w, askedAt: now, sentAt: now, grant: &g, phase: sched.PhaseDecoding, phaseStart: now}
+	e := &entry{want: w, requestedAt: now, sentAt: now, grant: &g, phase: sched.PhaseDecoding, phaseStart: now}
 	e.owner = a.Owner(w.Pool)
 	a.entries[w.Request] = e
 	return Output{Messages: []Message{a.adoptMessage(e)}}
@@ -260,7 +261,7 @@
 	if e.phaseStart > 0 {
 		adopt.InPhase = max(0, a.now-e.phaseStart)
 	}
-	adopt.Want.Age += max(0, a.now-e.askedAt)
+	adopt.Want.Age += max(0, a.now-e.requestedAt)
 	return Message{To: e.owner, Adopt: adopt}
 }
 
@@ -304,8 +305,8 @@
 	}
 }
 
-// Members sets the live daemons. Requests of pools whose owner changed are sent to
-// the new owner: waiting ones as Wants, granted ones as Adopts.
+// SetMembers sets the live daemons. Requests of pools whose owner changed are sent
+// to the new owner: waiting ones as Wants, granted ones as Adopts.
 func (a *Requester) SetMembers(now time.Duration, members []id.Daemon) Output {
 	a.now = max(a.now, now)
 	a.members = slices.Clone(members)
--- a/core/pairing/asker_test.go
+++ b/core/pairing/requester_test.go
@@ -46,8 +46,9 @@
 	return out
 }
 
-// newWaitingAsker returns an Asker that has sent the Want of request r to owner.
-func newWaitingAsker(is *is.I, owner id.Daemon) *Requester {
+// newWaitingRequester returns a Requester that has sent the Want of request r to
+// owner.
+func newWaitingRequester(is *is.I, owner id.Daemon) *Requester {
 	a := New(self, Options{})
 	a.SetMembers(0, membersOwnedBy(a, owner))
 	out := a.Request(0, want("r"), patience)
@@ -67,7 +68,7 @@
 
 func TestWaitingWantIsSentToTheNewOwner(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	out := a.SetMembers(40*ms, membersOwnedBy(a, "d3"))
 	is.Equal(len(out.Messages), 1)
 	is.Equal(out.Messages[0].To, id.Daemon("d3"))
@@ -87,7 +88,7 @@
 
 func TestGrantInUseIsAdoptedByTheNewOwner(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	g := grantOf("d2", 7)
 	is.Equal(len(a.Granted(testPool, g).Answers), 1)
 	a.Progress(0, sched.Progress{Request: "r", Phase: sched.PhaseTransferring})
@@ -106,7 +107,7 @@
 
 func TestGrantForAWithdrawnRequestIsReleased(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	out := a.Withdraw("r")
 	is.Equal(out.Messages[0].Withdraw.Request, id.Request("r"))
 	out = a.Granted(testPool, grantOf("d3", 4))
@@ -124,7 +125,7 @@
 
 func TestGrantsOfTwoOwners(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	a.SetMembers(0, membersOwnedBy(a, "d3"))
 	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Answers), 1)
 	out := a.Granted(testPool, grantOf("d3", 1))
@@ -136,11 +137,11 @@
 	is.Equal(len(a.Granted(testPool, grantOf("d2", 1)).Messages), 0)    // a duplicate
 }
 
-// If the owner considers its first grant expired and sends another, the asker
+// If the owner considers its first grant expired and sends another, the requester
 // must keep the first, release the second and report the first to the owner.
 func TestReplacementOfADelayedGrantIsReleased(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	a.Granted(testPool, grantOf("d2", 1))
 	out := a.Granted(testPool, grantOf("d2", 2))
 	is.Equal(len(out.Answers), 0)
@@ -151,7 +152,7 @@
 
 func TestResendAndTimeout(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	is.Equal(len(a.Tick(DefaultResend-1).Messages), 0)
 	out := a.Tick(DefaultResend)
 	is.Equal(len(out.Messages), 1)
@@ -168,7 +169,7 @@
 
 func TestGrantedRequestDoesNotTimeOut(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	a.Granted(testPool, grantOf("d2", 1))
 	is.Equal(a.Tick(time.Hour), Output{})
 	is.Equal(a.Len(), 1)
--- a/core/pairing/stall_test.go
+++ b/core/pairing/stall_test.go
@@ -14,7 +14,7 @@
 // time out because of the stall.
 func TestStallDoesNotTimeOutARequest(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	end := patience + DefaultMargin
 	out := a.Tick(end + 600*ms) // due at DefaultResend
 	is.Equal(len(out.Answers), 0)
@@ -27,7 +27,7 @@
 // gets an error.
 func TestDeadlineIsExtendedOnceAfterAStall(t *testing.T) {
 	is := is.New(t)
-	a := newWaitingAsker(is, "d2")
+	a := newWaitingRequester(is, "d2")
 	late := patience + DefaultMargin + 600*ms
 	out := a.Tick(late)
 	is.Equal(len(out.Answers), 0)
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -18,7 +18,7 @@
 // Fingerprint identifies a request by team and content, independent of its ID.
 type Fingerprint [16]byte
 
-// Print returns the fingerprint of a request. The boundaries between the parts of
+// NewFingerprint returns the fingerprint of a request. The boundaries between the parts of
 // the content matter: "ab" and "c" differ from "a" and "bc".
 func NewFingerprint(team id.Team, service id.Service, content ...[]byte) Fingerprint {
 	h := sha256.New()
--- a/core/pool/reconcile.go
+++ b/core/pool/reconcile.go
@@ -12,10 +12,10 @@
 // arrive out of order, but by less than this.
 const reconcileAfter = 2 * time.Second
 
-// Holding compares the tracked requests with the list of requests that an engine
-// holds. A request that is recorded as decoding at e but is missing from the list
-// has ended without a report from its daemon, which may be dead or partitioned;
-// it is cancelled to free its slot.
+// ReconcileHeld compares the tracked requests with the list of requests that an
+// engine holds. A request that is recorded as decoding at e but is missing from the
+// list has ended without a report from its daemon, which may be dead or
+// partitioned; it is cancelled to free its slot.
 func (m *Manager) ReconcileHeld(now time.Duration, e id.Endpoint, held map[id.Request]bool) []sched.Action {
 	var out []sched.Action
 	for _, r := range m.sortedRequests() {
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -53,12 +53,12 @@
 type Refusal struct {
 	// Wait is how long it takes until the account has credit.
 	Wait time.Duration
-	// Back is after how long the refused request should be retried: after the
-	// requests that were refused before it.
+	// RetryAfter is the delay after which the request should be retried: later than
+	// the requests that were refused before it.
 	RetryAfter time.Duration
 }
 
-// Take grants the cost if the account allows it.
+// TryCharge grants the cost if the account allows it.
 func (l *Ledger) TryCharge(now time.Duration, c Charge) (ok bool, r Refusal) {
 	a := l.account(now, c)
 	if !a.allows(c.Cost) {
@@ -84,8 +84,8 @@
 // retries: callers wait no longer than that.
 const maxReserved = 8 * time.Second
 
-// Owe charges a cost that was already spent, and returns how long the account
-// stays in debt.
+// ChargeSpent charges a cost that was already spent, and returns how long the
+// account stays in debt.
 func (l *Ledger) ChargeSpent(now time.Duration, c Charge) time.Duration {
 	a := l.account(now, c)
 	a.balance -= c.Cost
@@ -95,7 +95,7 @@
 	return a.waitFor(0)
 }
 
-// Return credits what was granted for a request that has not run.
+// Refund credits the cost that was granted for a request that has not run.
 func (l *Ledger) Refund(now time.Duration, c Charge) {
 	a := l.account(now, c)
 	a.balance = min(a.balance+c.Cost, a.maxBalance)
--- a/core/quota/limit.go
+++ b/core/quota/limit.go
@@ -27,7 +27,7 @@
 // Limited reports whether there is a limit at all.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Check returns an error that names the first invalid value of the limit.
+// Validate returns an error that names the first invalid value of the limit.
 func (l Limit) Validate() error {
 	figures := []struct {
 		name  string
@@ -71,7 +71,7 @@
 	Slack     float64
 }
 
-// Of returns the tolerance for one limit, in units.
+// For returns the tolerance for one limit, in units.
 func (t Tolerance) For(l Limit) float64 {
 	return t.Overshoot*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
 }
@@ -90,7 +90,7 @@
 // team may still use one unit at a time.
 func (t Tolerance) maxBalance(l Limit) float64 { return max(l.Burst, 1) + burstShare*t.For(l) }
 
-// Ahead returns what each of the given number of daemons may spend before the
+// MaxDebt returns how much each of the given number of daemons may spend before the
 // keeper has charged it, in units.
 func (t Tolerance) MaxDebt(daemons int) float64 {
 	return localShare * t.Slack / float64(max(1, daemons))
--- a/core/quota/purse.go
+++ b/core/quota/local_budget.go
@@ -9,7 +9,8 @@
 	"github.com/samphirequay/samphirequay/core/id"
 )
 
-// Purse is what one daemon spends in advance, before the keeper has charged it.
+// LocalBudget holds the costs that one daemon granted in advance, before the keeper
+// has charged them.
 type LocalBudget struct {
 	budgets map[id.Team]*teamBudget
 	// maxDebt bounds what each team may spend here before the keeper has charged
@@ -17,7 +18,7 @@
 	maxDebt float64
 }
 
-// teamBudget is one team's part of a Purse.
+// teamBudget is one team's part of a LocalBudget.
 type teamBudget struct {
 	// debt was spent and is not yet reported to the keeper.
 	debt float64
@@ -40,19 +41,19 @@
 	budgetIdleTimeout = time.Minute
 )
 
-// NewPurse returns an empty purse.
+// NewLocalBudget returns a LocalBudget without debts.
 func NewLocalBudget() *LocalBudget { return &LocalBudget{budgets: map[id.Team]*teamBudget{}} }
 
-// SetAhead sets what each team may spend before the keeper has charged it, in
+// SetMaxDebt sets how much each team may spend before the keeper has charged it, in
 // units.
-func (p *LocalBudget) SetMaxDebt(units float64) { p.maxDebt = units }
+func (b *LocalBudget) SetMaxDebt(units float64) { b.maxDebt = units }
 
 // Decision is the result of Spend.
 type Decision uint8
 
 // The decisions.
 const (
-	// Paid: the request may be sent; its cost is part of the debt.
+	// Granted: the request may be sent; its cost is part of the debt.
 	Granted Decision = iota + 1
 	// AskKeeper: the keeper has to decide.
 	AskKeeper
@@ -60,39 +61,41 @@
 	Refused
 )
 
-// Spend pays for a request if the team's debt stays within the bound. wait is the
+// Spend grants a request if the team's debt stays within the bound. wait is the
 // delay before a retry; it is set with Refused only.
-func (p *LocalBudget) Spend(now time.Duration, team id.Team, cost float64) (d Decision, wait time.Duration) {
-	k := p.budget(now, team)
+func (b *LocalBudget) Spend(now time.Duration, team id.Team, cost float64) (d Decision, wait time.Duration) {
+	k := b.budget(now, team)
 	switch {
 	case now < k.refuseUntil:
 		return Refused, max(k.retryAt, k.refuseUntil) - now
-	case now < k.askUntil || k.debt+cost > p.maxDebt:
+	case now < k.askUntil || k.debt+cost > b.maxDebt:
 		return AskKeeper, 0
 	}
 	k.debt += cost
 	return Granted, 0
 }
 
-// Shut records that the keeper refuses a team's requests for a while.
-func (p *LocalBudget) RefuseFor(now time.Duration, team id.Team, r Refusal) {
-	k := p.budget(now, team)
+// RefuseFor records that the keeper refused a request of the team, whose requests
+// are then refused here too for r.Wait, at most maxRefusePeriod.
+func (b *LocalBudget) RefuseFor(now time.Duration, team id.Team, r Refusal) {
+	k := b.budget(now, team)
 	k.refuseUntil = now + min(r.Wait, maxRefusePeriod)
 	k.retryAt = now + r.RetryAfter
 	k.askUntil = k.refuseUntil + askPeriod
 }
 
-// Open discards all refusals: another keeper, or another limit, may grant more.
-func (p *LocalBudget) ClearRefusals() {
-	for _, k := range p.budgets {
+// ClearRefusals discards all refusals: another keeper, or another limit, may grant
+// more.
+func (b *LocalBudget) ClearRefusals() {
+	for _, k := range b.budgets {
 		k.refuseUntil = 0
 	}
 }
 
-// Return takes back what was paid for a request that has not run; false if it was
-// already reported to the keeper.
-func (p *LocalBudget) Refund(team id.Team, cost float64) bool {
-	k := p.budgets[team]
+// Refund removes the cost of a request that has not run from the team's debt; false
+// if the cost was already reported to the keeper.
+func (b *LocalBudget) Refund(team id.Team, cost float64) bool {
+	k := b.budgets[team]
 	if k == nil || k.debt < cost {
 		return false
 	}
@@ -106,25 +109,25 @@
 	Cost float64 `cbor:"2,keyasint"`
 }
 
-// Settle empties the purse and returns the debts by team, for the keeper to charge.
-func (p *LocalBudget) Settle(now time.Duration) []Debt {
+// Settle resets the debts and returns them by team, for the keeper to charge.
+func (b *LocalBudget) Settle(now time.Duration) []Debt {
 	var out []Debt
-	for team, k := range p.budgets {
+	for team, k := range b.budgets {
 		if k.debt > 0 {
 			out = append(out, Debt{Team: team, Cost: k.debt})
 			k.debt = 0
 		}
 	}
-	maps.DeleteFunc(p.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.lastUsed >= budgetIdleTimeout })
+	maps.DeleteFunc(b.budgets, func(_ id.Team, k *teamBudget) bool { return k.debt == 0 && now-k.lastUsed >= budgetIdleTimeout })
 	slices.SortFunc(out, func(a, b Debt) int { return cmp.Compare(a.Team, b.Team) })
 	return out
 }
 
-func (p *LocalBudget) budget(now time.Duration, team id.Team) *teamBudget {
-	k := p.budgets[team]
+func (b *LocalBudget) budget(now time.Duration, team id.Team) *teamBudget {
+	k := b.budgets[team]
 	if k == nil {
 		k = &teamBudget{}
-		p.budgets[team] = k
+		b.budgets[team] = k
 	}
 	k.lastUsed = now
 	return k
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -100,7 +100,7 @@
 	is.Equal(a, Refused)
 	is.Equal(wait, 200*time.Millisecond)
 	a, _ = p.Spend(300*time.Millisecond, desk, 1)
-	is.Equal(a, AskKeeper) // nothing is paid in advance so soon after a refusal
+	is.Equal(a, AskKeeper) // nothing is granted in advance so soon after a refusal
 	a, _ = p.Spend(300*time.Millisecond+askPeriod, desk, 1)
 	is.Equal(a, Granted)
 
--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -14,12 +14,12 @@
 // Strategies for enforcing a limit over many daemons, simulated on the same
 // workload: the one in use and the alternatives to it.
 
-// strategy is one of them. decide decides on a request that arrived at a daemon;
-// it calls done at once or after an exchange of messages.
+// strategy is a way to enforce a limit. decide decides on a request that arrived at
+// a daemon; it calls done at once or after an exchange of messages.
 type strategy interface {
 	decide(f *fleet, daemon int, team id.Team, cost float64, done func(ok bool))
-	// exchange is called periodically for each daemon, for the messages in the
-	// background.
+	// exchange is called periodically for each daemon, to send the messages that
+	// belong to no single request.
 	exchange(f *fleet, daemon int)
 	// restarted is called when a daemon has restarted without its state.
 	restarted(f *fleet, daemon int)
@@ -104,27 +104,27 @@
 	f.now = until
 }
 
-// keeperAccounts is the strategy in use: accounts at one keeper, which large
-// requests ask; small ones are paid in advance and settled later.
+// keeperAccounts is the strategy in use: accounts at one keeper, which decides on
+// large requests; small ones are granted in advance and charged later.
 type keeperAccounts struct {
 	keeper  int
 	ledger  *Ledger
-	purses  []*LocalBudget
+	budgets []*LocalBudget
 	settled []time.Duration
 }
 
 func newKeeperAccounts(f *fleet) strategy {
 	a := &keeperAccounts{ledger: NewLedger(testTolerance), settled: make([]time.Duration, f.daemons)}
 	for range f.daemons {
-		p := NewLocalBudget()
-		p.SetMaxDebt(testTolerance.MaxDebt(f.daemons))
-		a.purses = append(a.purses, p)
+		b := NewLocalBudget()
+		b.SetMaxDebt(testTolerance.MaxDebt(f.daemons))
+		a.budgets = append(a.budgets, b)
 	}
 	return a
 }
 
 func (a *keeperAccounts) decide(f *fleet, daemon int, team id.Team, cost float64, done func(bool)) {
-	switch answer, _ := a.purses[daemon].Spend(f.now, team, cost); answer {
+	switch answer, _ := a.budgets[daemon].Spend(f.now, team, cost); answer {
 	case Granted:
 		done(true)
 	case Refused:
@@ -141,7 +141,7 @@
 		f.send(daemon, func() {
 			answered = true
 			if !ok {
-				a.purses[daemon].RefuseFor(f.now, team, refused)
+				a.budgets[daemon].RefuseFor(f.now, team, refused)
 			}
 			done(ok)
 		})
@@ -162,7 +162,7 @@
 		return
 	}
 	a.settled[daemon] = f.now
-	debts := a.purses[daemon].Settle(f.now)
+	debts := a.budgets[daemon].Settle(f.now)
 	if len(debts) == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 		for _, d := range debts {
 			wait := a.ledger.ChargeSpent(f.now, Charge{Team: d.Team, Limit: f.limits[d.Team], Cost: d.Cost, Share: 1})
 			if wait > 0 {
-				f.send(daemon, func() { a.purses[daemon].RefuseFor(f.now, d.Team, Refusal{Wait: wait, RetryAfter: wait}) })
+				f.send(daemon, func() { a.budgets[daemon].RefuseFor(f.now, d.Team, Refusal{Wait: wait, RetryAfter: wait}) })
 			}
 		}
 	})
--- a/core/readers/readers.go
+++ b/core/readers/readers.go
@@ -96,7 +96,7 @@
 // NewDecision returns the decision of the daemon self.
 func NewDecision(self id.Daemon) *Decision { return &Decision{self: self} }
 
-// Tells reports whether the daemon broadcasts the changes that it reads: once the
+// Broadcasts reports whether the daemon broadcasts the changes that it reads: once the
 // wait after the start is over, it does if it is chosen or fewer than Count daemons
 // are. A daemon that only continues to read during settleTime does not, since a
 // change that arrives after a gap makes each receiver read the whole table again.
@@ -105,7 +105,7 @@
 // Chosen returns the readers as of the last decision.
 func (d *Decision) Chosen() []id.Daemon { return d.chosen }
 
-// Waited reports whether the wait after the start is over.
+// StartupOver reports whether the wait after the start is over.
 func (d *Decision) StartupOver() bool { return d.startupOver }
 
 // Decide reports whether the daemon reads, given the current candidates and whether
--- a/core/reap/canceller.go
+++ b/core/reap/canceller.go
@@ -239,5 +239,5 @@
 	return next
 }
 
-// Working returns the number of pending orders.
+// Pending returns the number of pending orders.
 func (c *Canceller) Pending() int { return len(c.orders) }
--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -58,7 +58,7 @@
 	l.SuspectOutage(now)
 }
 
-// Suspect records that the store may have been away until now: this daemon has not
+// SuspectOutage records that the store may have been away until now: this daemon has not
 // called it in the meantime, and calls of others failed.
 func (l *List) SuspectOutage(now time.Duration) {
 	o := &l.outage
@@ -66,7 +66,7 @@
 	o.returnUntil = max(o.returnUntil, o.ownReturnUntil)
 }
 
-// Answered records a response of the store to this daemon, with the version of its
+// RecordResponse records a response of the store to this daemon, with the version of its
 // newest change and its clock. Set unbroken if the previous call was answered too.
 func (l *List) RecordResponse(newest uint64, clock time.Duration, unbroken bool) {
 	o := &l.outage
@@ -77,7 +77,7 @@
 	o.ownSpan = next
 }
 
-// Current records that the list is up to date with the last response of the store to
+// MarkCurrent records that the list is up to date with the last response of the store to
 // this daemon.
 func (l *List) MarkCurrent() { l.position = max(l.position, l.outage.ownSpan.Until) }
 
@@ -85,7 +85,7 @@
 // to other daemons.
 func (l *List) Uptime() uptime.History { return l.outage.spans.Add(l.outage.ownSpan) }
 
-// Learn merges another daemon's report of the spans in which the store responded, and
+// MergeUptime merges another daemon's report of the spans in which the store responded, and
 // of the version up to which that daemon has read the list. It reports whether entries
 // were dropped as a result.
 func (l *List) MergeUptime(reported uptime.History, listed uint64) bool {
@@ -97,7 +97,7 @@
 	return l.DropRemoved()
 }
 
-// MayReturn records another daemon's report of an outage: entries that have gone
+// ReportOutage records another daemon's report of an outage: entries that have gone
 // missing since may return until the store has responded for uptime.ReturnGrace.
 // Repeated reports of the same return do not extend that time.
 func (l *List) ReportOutage(now time.Duration) {
@@ -109,10 +109,10 @@
 	o.returnUntil = max(o.returnUntil, now+uptime.ReturnGrace-newest.Duration())
 }
 
-// Doubts reports whether entries that go missing may return.
+// EntriesMayReturn reports whether entries that go missing may return.
 func (l *List) EntriesMayReturn(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
 
-// Ask reports whether to query other daemons now for the spans in which the store
+// ShouldQuery reports whether to query other daemons now for the spans in which the store
 // responded to them, and the store version that their reply should reach. A daemon
 // whose own calls failed, or whose kept entries are due, queries each time. A daemon
 // that keeps entries because of others' reports, as the whole fleet may do at once,
@@ -129,7 +129,7 @@
 	return l.position, true
 }
 
-// Settle drops the kept entries that the spans prove to be removed, and reports
+// DropRemoved drops the kept entries that the spans prove to be removed, and reports
 // whether there were any.
 func (l *List) DropRemoved() bool {
 	spans, before := l.Uptime(), len(l.lapsed)
@@ -149,7 +149,7 @@
 	return s.Duration() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
-// Due reports whether the return grace is over for entries that are still kept. They
+// GraceOver reports whether the return grace is over for entries that are still kept. They
 // are dropped once the store is proven to have responded for all of that time.
 func (l *List) GraceOver(now time.Duration) bool {
 	return len(l.lapsed) > 0 && now >= l.outage.returnUntil
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -155,7 +155,7 @@
 	return entries[i], true
 }
 
-// Displace records that another process responded at an endpoint's address: entries
+// MarkDisplaced records that another process responded at an endpoint's address: entries
 // with the same name and address are ignored from now on. It reports whether this was
 // not recorded before.
 func (l *List) MarkDisplaced(e Endpoint) bool {
@@ -198,7 +198,7 @@
 	return out
 }
 
-// Disputed lists the endpoints that share an address with another one: at most one of
+// AddressConflicts lists the endpoints that share an address with another one: at most one of
 // them is present, and only the process at the address can report which.
 func (l *List) AddressConflicts() []Endpoint {
 	all := l.All()
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -48,13 +48,13 @@
 	}
 }
 
-// Request counts a request of a caller.
+// CountRequest counts a request of a caller.
 func (w *Window) CountRequest(now time.Duration) {
 	w.advance(now)
 	w.requests[w.slot%int64(len(w.requests))]++
 }
 
-// Repeat counts one more arrival of a request at an endpoint and returns true if
+// TakeRetry counts one more arrival of a request at an endpoint and returns true if
 // the window allows it; daemons is the number of daemons that share the slack.
 func (w *Window) TakeRetry(now time.Duration, daemons int) bool {
 	w.advance(now)
--- a/core/revision/follow_store.go
+++ b/core/revision/follow_store.go
@@ -144,7 +144,7 @@
 	return []FollowerAction{{Installed: &Installed{From: from, To: f.doc.Revision, Document: f.doc}}}
 }
 
-// Learn applies a record whose acceptance this daemon's own proposer observed.
+// ApplyAccepted applies a record whose acceptance this daemon's own proposer observed.
 func (f *Follower) ApplyAccepted(rec Record) []FollowerAction {
 	return f.applyAll(nil, []Record{rec}, sourceStore)
 }
--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -170,7 +170,7 @@
 	return f.readFailed && waited && newest && f.doc.Revision > 0
 }
 
-// Newest reports whether the document is ready and no peer has a newer one, so
+// UpToDate reports whether the document is ready and no peer has a newer one, so
 // that an item missing from it does not exist as far as is known.
 func (f *Follower) UpToDate(now time.Duration) bool {
 	return f.Ready(now) && !f.behind()
--- a/core/revision/outcome.go
+++ b/core/revision/outcome.go
@@ -55,7 +55,7 @@
 	Revision uint64
 	// Record is set if this proposer's own commit was confirmed.
 	Record *Record
-	// Rivals lists, for a Conflict, the changes accepted since Expect, oldest
+	// Conflicts lists, for a Conflict, the changes accepted since Expect, oldest
 	// first and at most the newest ProposerConfig.Batch.
 	Conflicts []ConflictingChange
 	// Faults lists why the change was rejected.
--- a/core/revision/proposer.go
+++ b/core/revision/proposer.go
@@ -92,7 +92,7 @@
 	return &Proposer{cfg: cfg, change: change, digest: Digest(change), base: base, rng: rng, pause: cfg.Backoff}
 }
 
-// Resent records, before Start, that the change may have been proposed before
+// MarkResent records, before Start, that the change may have been proposed before
 // under the same id. The proposer then withdraws the change in the table before it
 // reports the change as not run, so that the earlier proposal can't take effect
 // afterwards.
--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -73,7 +73,7 @@
 type Change struct {
 	Endpoint id.Endpoint
 	To       live.Role
-	// Wanted is the target number of prefill engines. Prefills and Decodes are
+	// TargetPrefills is the target number of prefill engines. Prefills and Decodes are
 	// the current numbers of engines.
 	TargetPrefills    float64
 	Prefills, Decodes int
@@ -129,7 +129,7 @@
 	return float64(d.MemoryHeld) / perEngine
 }
 
-// Wanted returns the number of prefill engines, out of n engines, that the work
+// TargetPrefills returns the number of prefill engines, out of n engines, that the work
 // requires.
 func (d *Decider) TargetPrefills(n int) float64 {
 	share := d.cfg.InitialPrefillShare
@@ -150,13 +150,13 @@
 	if n < d.cfg.MinPrefills+d.cfg.MinDecodes || settling {
 		return nil
 	}
-	wanted := d.TargetPrefills(n)
-	change := Change{TargetPrefills: wanted, Prefills: prefills, Decodes: decodes}
+	target := d.TargetPrefills(n)
+	change := Change{TargetPrefills: target, Prefills: prefills, Decodes: decodes}
 	from := demand.Decodes
 	switch {
-	case prefills < d.cfg.MinPrefills, float64(prefills) < wanted-d.hysteresis() && decodes > d.cfg.MinDecodes:
+	case prefills < d.cfg.MinPrefills, float64(prefills) < target-d.hysteresis() && decodes > d.cfg.MinDecodes:
 		change.To = live.RolePrefill
-	case decodes < d.cfg.MinDecodes, float64(prefills) > wanted+d.hysteresis() && prefills > d.cfg.MinPrefills:
+	case decodes < d.cfg.MinDecodes, float64(prefills) > target+d.hysteresis() && prefills > d.cfg.MinPrefills:
 		change.To = live.RoleDecode
 		from = demand.Prefills
 	default:
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -50,7 +50,7 @@
 // Limits bounds the size of requests, in bytes; 0 if the configuration sets no
 // bound.
 type Limits struct {
-	// HeadBytes bounds the header fields of a request.
+	// HeaderBytes bounds the header fields of a request.
 	HeaderBytes int
 	// BodyBytes bounds its body.
 	BodyBytes int
@@ -96,7 +96,7 @@
 	Slots int
 	// KVTokens is an engine's KV cache memory, in tokens.
 	KVTokens int
-	// HandleLife is how long a prefill engine keeps a prompt's KV cache for the
+	// KVLifetime is how long a prefill engine keeps a prompt's KV cache for the
 	// decode.
 	KVLifetime time.Duration
 	// SwitchTime is how long an engine takes to change its role.
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Walled reports whether the configuration has teams, so that requests need a
+// HasTeams reports whether the configuration has teams, so that requests need a
 // key.
 func (t *Table) HasTeams() bool { return len(t.teams) > 0 }
 
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -9,7 +9,7 @@
 // EngineDemand is the load of one engine of a pool, for placement.
 type EngineDemand struct {
 	Endpoint id.Endpoint
-	// Work is the number of requests at the engine.
+	// Requests is the number of requests at the engine.
 	Requests int
 	// Drained is set while the engine gets no new work or is about to change its
 	// role.
@@ -34,14 +34,14 @@
 	Queued       int
 	MemoryWanted int
 	PromptWanted int
-	// Tried counts the attempts to place a request on an engine since the
-	// scheduler started, which are most of its work. Repeated counts the Wants
+	// Attempts counts the attempts to place a request on an engine since the
+	// scheduler started, which are most of its work. RepeatedWants counts the Wants
 	// that arrived again while they were queued.
 	Attempts      uint64
 	RepeatedWants uint64
 }
 
-// Demander is a scheduler that reports the demand of its pool.
+// DemandReporter is a scheduler that reports the demand of its pool.
 type DemandReporter interface {
 	Demand(now time.Duration) Demand
 }
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -160,7 +160,7 @@
 	Want  Want  `cbor:"1,keyasint"`
 	Grant Grant `cbor:"2,keyasint"`
 	Phase Phase `cbor:"3,keyasint"`
-	// For is how long the request has been in Phase; 0 if unknown.
+	// InPhase is how long the request has been in Phase; 0 if unknown.
 	InPhase time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
--- a/core/sched/options.go
+++ b/core/sched/options.go
@@ -93,7 +93,7 @@
 	// FreeSlotWaste is the WasteWeight from which a service uses only slots that
 	// are free now. Default 0.95.
 	FreeSlotWaste float64
-	// Remembered bounds the records of ended requests, which keep a late
+	// MaxEnded bounds the records of ended requests, which keep a late
 	// duplicate of a Want from running again. Default 16384.
 	MaxEnded int
 	// Health may be nil; then every endpoint is allowed.
--- a/core/uptime/uptime.go
+++ b/core/uptime/uptime.go
@@ -51,7 +51,7 @@
 	return s.From > 0 && s.From <= after && upTo <= s.Until
 }
 
-// Length returns the time from the first to the last response.
+// Duration returns the time from the first to the last response.
 func (s Span) Duration() time.Duration { return s.Last - s.Since }
 
 // join returns the union of two spans that overlap in time.
@@ -94,7 +94,7 @@
 	return out[max(0, len(out)-maxSpans):]
 }
 
-// Newest returns the last span, or the zero Span if there is none.
+// Latest returns the last span, or the zero Span if there is none.
 func (h History) Latest() Span {
 	if len(h) == 0 {
 		return Span{}
--- a/core/verdict/verdict.go
+++ b/core/verdict/verdict.go
@@ -82,7 +82,7 @@
 	Cause error
 }
 
-// PassingRetryAfter is the default retry delay advised to a caller whose request
+// TransientRetryAfter is the default retry delay advised to a caller whose request
 // was not run because of a transient failure.
 const TransientRetryAfter = time.Second
 
