--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -149,7 +149,7 @@
 	return c.flush()
 }
 
-// Release gives up a claim whose call was not dispatched and never will be, or
+// Release ends a claim whose call was not dispatched and never will be, or
 // cancels a Begin whose caller no longer waits. Only the owner may request it.
 // The version of the claim may be 0. The result is one Settled, unless nothing
 // was written yet.
@@ -215,7 +215,8 @@
 	return max(c.now, min(next, c.nextSendAt()))
 }
 
-// SetMinInterval changes Config.MinInterval, for example when the number of writers changes.
+// SetMinInterval changes Config.MinInterval, for example when the number of writers
+// changes.
 func (c *Claims) SetMinInterval(interval time.Duration) { c.cfg.MinInterval = interval }
 
 // Pending returns the number of Begins, Finishes and Releases in progress.
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -153,9 +153,10 @@
 	// Window is how long a write waits for others to share its transaction.
 	// Default 5 ms.
 	Window time.Duration
-	// MinInterval is the minimum time between the starts of two transactions. It divides
-	// the store's write rate among the writers; see MinIntervalFor. Default 37.5 ms: nine
-	// daemons that each write their own claims share 240 transactions a second.
+	// MinInterval is the minimum time between the starts of two transactions. It
+	// divides the store's write rate among the writers; see MinIntervalFor. Default
+	// 37.5 ms: nine daemons that each write their own claims share 240 transactions
+	// a second.
 	MinInterval time.Duration
 	// MaxBatch bounds the rows of a transaction or read. Default 64.
 	MaxBatch int
--- a/core/entry/stop.go
+++ b/core/entry/stop.go
@@ -57,8 +57,8 @@
 	return &StopPlan{cfg: cfg, startedAt: now, lastNamed: now + cfg.PropagationDelay, lastCaller: now}
 }
 
-// RecordNamed records that an answer named this daemon nevertheless, for example because
-// it was the only one left.
+// RecordNamed records that an answer named this daemon nevertheless, for example
+// because it was the only one left.
 func (p *StopPlan) RecordNamed(now time.Duration) { p.lastNamed = max(p.lastNamed, now) }
 
 // RecordCaller records that a new caller arrived.
--- a/core/kvsched/demand.go
+++ b/core/kvsched/demand.go
@@ -7,7 +7,7 @@
 	"github.com/samphirequay/samphirequay/core/sched"
 )
 
-// Demand implements sched.Demander.
+// Demand implements sched.DemandReporter.
 func (l *Ledger) Demand(now time.Duration) sched.Demand {
 	d := sched.Demand{Queued: len(l.queue), PrefillWork: l.prefillWork, Attempts: l.tried, RepeatedWants: l.repeated}
 	for _, e := range l.order {
--- a/core/lease/gate.go
+++ b/core/lease/gate.go
@@ -41,9 +41,9 @@
 	// MaxOrderDelay is the maximum time that an order may be in flight: the
 	// sender's timeout plus the delays of networks and endpoints.
 	MaxOrderDelay time.Duration
-	// LapseExceedsOrderDelay is set if the time between a holder's last trust in its lease
-	// and the lapse of that lease for others is at least MaxOrderDelay, so that no
-	// order of the former holder is in flight after a lapse.
+	// LapseExceedsOrderDelay is set if the time between a holder's last trust in its
+	// lease and the lapse of that lease for others is at least MaxOrderDelay, so
+	// that no order of the former holder is in flight after a lapse.
 	LapseExceedsOrderDelay bool
 }
 
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -14,7 +14,7 @@
 
 // process is one contender with its own clock.
 type process struct {
-	w      *world
+	w      *simulation
 	self   id.Process
 	lease  *Lease
 	gate   *OrderGate
@@ -36,8 +36,8 @@
 	staleOrders int
 }
 
-// world simulates processes with one table and one endpoint.
-type world struct {
+// simulation runs processes with one table and one endpoint.
+type simulation struct {
 	clock     *tabletest.Clock
 	model     *tabletest.Model
 	processes []*process
@@ -49,16 +49,16 @@
 	maxOrderDelay  time.Duration
 }
 
-func newWorld(seed uint64, cfg Config, n int) *world {
+func newSimulation(seed uint64, cfg Config, n int) *simulation {
 	clock := tabletest.NewClock(seed)
-	w := &world{clock: clock, model: tabletest.New(clock), maxOrderDelay: 2 * time.Second}
+	w := &simulation{clock: clock, model: tabletest.New(clock), maxOrderDelay: 2 * time.Second}
 	for i := range n {
 		w.start(cfg, id.Process{Daemon: id.Daemon(fmt.Sprintf("d%d", i)), Incarnation: 1})
 	}
 	return w
 }
 
-func (w *world) start(cfg Config, self id.Process) *process {
+func (w *simulation) start(cfg Config, self id.Process) *process {
 	p := &process{w: w, self: self, offset: w.clock.RandomDuration(time.Hour), rate: 0.99 + 0.02*w.clock.Random.Float64()}
 	p.lease = New(cfg, "placement", self, p.now(), w.clock.Random)
 	p.gate = NewOrderGate(GateConfig{MaxOrderDelay: w.maxOrderDelay}, p.lease)
@@ -135,7 +135,7 @@
 }
 
 // checkOverlap counts the moments at which more than one process holds the lease.
-func (w *world) checkOverlap() {
+func (w *simulation) checkOverlap() {
 	valid := 0
 	for _, p := range w.processes {
 		if !p.dead && p.lease.Valid(p.now()) {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (w *world) holder() *process {
+func (w *simulation) holder() *process {
 	for _, p := range w.processes {
 		if !p.dead && p.lease.Valid(p.now()) {
 			return p
@@ -158,7 +158,7 @@
 
 // injectFaults pauses, kills and restarts processes, takes the table down, and halts
 // and releases leases, at random until a time.
-func (w *world) injectFaults(cfg Config, until time.Duration) {
+func (w *simulation) injectFaults(cfg Config, until time.Duration) {
 	r := w.clock.Random
 	if w.clock.Now() >= until {
 		return
@@ -194,8 +194,8 @@
 	w.clock.After(w.clock.RandomDuration(6*time.Second), func() { w.injectFaults(cfg, until) })
 }
 
-func simulate(seed uint64, cfg Config, dropConditions bool) *world {
-	w := newWorld(seed, cfg, 3)
+func simulate(seed uint64, cfg Config, dropConditions bool) *simulation {
+	w := newSimulation(seed, cfg, 3)
 	w.dropConditions = dropConditions
 	w.model.Faults = tabletest.Faults{LoseRequest: 0.08, LoseReply: 0.1, Late: 0.08, Stale: 0.15}
 	w.injectFaults(cfg, 60*time.Second)
@@ -208,7 +208,7 @@
 	return w
 }
 
-func (w *world) fencesIncrease() bool {
+func (w *simulation) fencesIncrease() bool {
 	for i := 1; i < len(w.fences); i++ {
 		if w.fences[i] <= w.fences[i-1] {
 			return false
@@ -236,9 +236,9 @@
 func TestChecksDetectInjectedFaults(t *testing.T) {
 	unsafe := DefaultConfig()
 	unsafe.Safety = 1.6 // the holder trusts its lease for longer than the TTL
-	for name, inject := range map[string]func(seed uint64) *world{
-		"no conditions": func(seed uint64) *world { return simulate(seed, DefaultConfig(), true) },
-		"no safety":     func(seed uint64) *world { return simulate(seed, unsafe, false) },
+	for name, inject := range map[string]func(seed uint64) *simulation{
+		"no conditions": func(seed uint64) *simulation { return simulate(seed, DefaultConfig(), true) },
+		"no safety":     func(seed uint64) *simulation { return simulate(seed, unsafe, false) },
 	} {
 		found := 0
 		for seed := range uint64(20) {
@@ -255,7 +255,7 @@
 
 func TestReleaseHandsOverImmediately(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, DefaultConfig(), 3)
+	w := newSimulation(1, DefaultConfig(), 3)
 	w.clock.Run(10 * time.Second)
 	h := w.holder()
 	is.True(h != nil)
@@ -273,7 +273,7 @@
 // need not wait, since no order of the former holder can still be in flight.
 func TestQuietReleaseOpensGateImmediately(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, DefaultConfig(), 3)
+	w := newSimulation(1, DefaultConfig(), 3)
 	w.clock.Run(10 * time.Second)
 	h := w.holder()
 	h.act(h.lease.Release(h.now(), true))
@@ -289,7 +289,7 @@
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.FormerEnded = true
-	w := newWorld(4, cfg, 1)
+	w := newSimulation(4, cfg, 1)
 	w.clock.Run(10 * time.Second)
 	h := w.holder()
 	h.dead = true
@@ -318,7 +318,7 @@
 func TestPausedHolderStopsByItsOwnClock(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	w := newWorld(2, cfg, 2)
+	w := newSimulation(2, cfg, 2)
 	w.clock.Run(10 * time.Second)
 	h := w.holder()
 	h.paused = w.clock.Now() + 30*time.Second
@@ -333,7 +333,7 @@
 func TestLeaseLapsesSafelyDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	w := newWorld(3, cfg, 3)
+	w := newSimulation(3, cfg, 3)
 	w.clock.Run(10 * time.Second)
 	h := w.holder()
 	w.model.Faults.Down = true
--- a/core/live/live.go
+++ b/core/live/live.go
@@ -128,7 +128,7 @@
 	// milliseconds. Default 50.
 	TokenPaceTargetMS int `json:"token_pace_target_ms,omitempty"`
 	// PatienceMS is how long a request may wait for its first token before it is
-	// rejected, in milliseconds. Default: the first-token target.
+	// refused, in milliseconds. Default: the first-token target.
 	PatienceMS int `json:"patience_ms,omitempty"`
 	// WasteWeight weighs wasted prefill work against goodput, from 0 to 1: 0
 	// starts prefills early and accepts waste, 1 delays them until waste is
--- a/core/poison/standing.go
+++ b/core/poison/standing.go
@@ -7,11 +7,11 @@
 
 // Check returns how a request with the fingerprint is to be treated.
 //
-// One crash makes it suspected. It is quarantined after AloneCrashes crashes at
-// which nothing else ran, after SharedCrashes crashes of which it was alone at
-// one, or after SharedCrashes crashes if all other requests at them have since been
-// cleared. A crash with a single request counts as alone once Settle has passed:
-// until then another daemon may still report a second request.
+// One crash makes the request suspected. It is quarantined after AloneCrashes
+// crashes at which nothing else ran, after SharedCrashes crashes of which it was
+// alone at one, or after SharedCrashes crashes if all other requests at them have
+// since been cleared. A crash with a single request counts as alone once Settle has
+// passed: until then another daemon may still report a second request.
 func (l *Ledger) Check(wall time.Time, f Fingerprint) Finding {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -18,8 +18,8 @@
 // Fingerprint identifies a request by team and content, independent of its ID.
 type Fingerprint [16]byte
 
-// NewFingerprint returns the fingerprint of a request. The boundaries between the parts of
-// the content matter: "ab" and "c" differ from "a" and "bc".
+// NewFingerprint returns the fingerprint of a request. The boundaries between the
+// parts of the content matter: "ab" and "c" differ from "a" and "bc".
 func NewFingerprint(team id.Team, service id.Service, content ...[]byte) Fingerprint {
 	h := sha256.New()
 	write := func(part []byte) {
@@ -157,7 +157,7 @@
 	// Default 2 s.
 	Settle time.Duration
 	// AloneCrashes is after how many crashes at which nothing else ran a request is
-	// quarantined. Default 2: a single one may be chance.
+	// quarantined. Default 2: a single crash may be a coincidence.
 	AloneCrashes int
 	// SharedCrashes is after how many crashes a request is quarantined if it was
 	// alone at one of them, or if all other requests at them were cleared. Default 3.
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -29,8 +29,8 @@
 	updatedAt time.Duration
 	limit     Limit
 	share     float64
-	// reservedUntil is up to when the account's income is reserved for refused
-	// requests that were given a time for their retry.
+	// reservedUntil is the time up to which the credit that the account gains is
+	// reserved for refused requests that were given a time for their retry.
 	reservedUntil time.Duration
 }
 
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -80,7 +80,7 @@
 	is.True(total >= 0.9*1000*length.Seconds())
 }
 
-func TestSmallRequestsArePaidInAdvanceUntilTheKeeperRefuses(t *testing.T) {
+func TestSmallRequestsAreGrantedInAdvanceUntilTheKeeperRefuses(t *testing.T) {
 	is := is.New(t)
 	p := NewLocalBudget()
 	p.SetMaxDebt(400)
@@ -139,7 +139,7 @@
 		ok, refused := l.TryCharge(0, charge(50))
 		is.True(!ok)
 		is.True(refused.RetryAfter >= last)
-		last = refused.RetryAfter + 500*time.Millisecond // the income that the request takes
+		last = refused.RetryAfter + 500*time.Millisecond // the time in which the account gains the request's cost
 	}
 	for range 1000 {
 		_, _ = l.TryCharge(0, charge(50))
@@ -149,8 +149,8 @@
 	is.Equal(refused.Wait, minWait) // the reservations do not change when there is credit
 }
 
-// BenchmarkTake charges requests of 900 teams.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkTryCharge charges requests of 900 teams.
+func BenchmarkTryCharge(b *testing.B) {
 	l := NewLedger(Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 140_000})
 	teams := make([]id.Team, 900)
 	for i := range teams {
--- a/core/randomrun/job_test.go
+++ b/core/randomrun/job_test.go
@@ -93,7 +93,7 @@
 	c.job = j
 	h.jobs[j.id] = j
 	h.active[j.id] = true
-	c.sim.asks[j.id] = &askRecord{host: h}
+	c.sim.asks[j.id] = &requestRecord{host: h}
 	h.handleOutput(h.requester.Request(c.sim.now, j.want, 800*ms))
 }
 
@@ -125,14 +125,14 @@
 	}
 }
 
-// handleAnswer handles an answer of the requester and checks that each Ask has
-// exactly one.
+// handleAnswer handles an answer of the requester and checks that each call
+// of Requester.Request has exactly one.
 func (h *host) handleAnswer(a pairing.Answer) {
 	record := h.sim.asks[a.Request]
 	record.answers++
 	j := h.jobs[a.Request]
 	if record.host != h || record.answers > 1 || record.withdrawn || j == nil {
-		h.sim.fail("ask %s: answer %d after withdrawal=%v", a.Request, record.answers, record.withdrawn)
+		h.sim.fail("request %s: answer %d after withdrawal=%v", a.Request, record.answers, record.withdrawn)
 	}
 	if a.Err == nil {
 		j.grant = a.Grant
@@ -141,7 +141,7 @@
 		return
 	}
 	if a.Err.Verdict != verdict.NotRun || h.sim.started[a.Request] {
-		h.sim.fail("ask %s was refused with verdict %v, started=%v", a.Request, a.Err.Verdict, h.sim.started[a.Request])
+		h.sim.fail("request %s was refused with verdict %v, started=%v", a.Request, a.Err.Verdict, h.sim.started[a.Request])
 	}
 	h.sim.stats.refused++
 	delete(h.active, j.id)
--- a/core/randomrun/simulation_test.go
+++ b/core/randomrun/simulation_test.go
@@ -43,7 +43,7 @@
 	// lastDelivery is the time of the latest delivery from one daemon to another; it
 	// keeps their messages in order.
 	lastDelivery map[[2]id.Daemon]time.Duration
-	asks         map[id.Request]*askRecord
+	asks         map[id.Request]*requestRecord
 	// started holds the attempts that an engine has started to work on.
 	started map[id.Request]bool
 	// ended holds the requests for which an endpoint has acknowledged to a canceller
@@ -64,8 +64,8 @@
 	answered, refused, failed, disconnected, resumed, killed, crashes, cancels, cancelledGrants int
 }
 
-// askRecord is the state of one Ask.
-type askRecord struct {
+// requestRecord is the state of one call of Requester.Request.
+type requestRecord struct {
 	host      *host
 	answers   int
 	withdrawn bool
@@ -100,7 +100,7 @@
 		rng:          rand.New(rand.NewPCG(seed, 11)),
 		engines:      map[id.Endpoint]*engine{},
 		lastDelivery: map[[2]id.Daemon]time.Duration{},
-		asks:         map[id.Request]*askRecord{},
+		asks:         map[id.Request]*requestRecord{},
 		started:      map[id.Request]bool{},
 		ended:        map[reap.Key]bool{},
 		faulty:       faulty,
--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -15,9 +15,9 @@
 	Name id.Endpoint
 	// Instance is the name that the endpoint itself uses; a restart may keep it.
 	Instance id.Instance
-	// StartedUnixMS is the start time by the endpoint's clock in Unix milliseconds; 0 if the
-	// endpoint does not report it. It orders the incarnations of one instance, and
-	// is never compared with a clock of this daemon.
+	// StartedUnixMS is the start time by the endpoint's clock in Unix milliseconds;
+	// 0 if the endpoint does not report it. It orders the incarnations of one
+	// instance, and is never compared with a clock of this daemon.
 	StartedUnixMS int64
 	Service       id.Service
 	// Address has the form IP:port.
--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -58,16 +58,17 @@
 	l.SuspectOutage(now)
 }
 
-// SuspectOutage records that the store may have been away until now: this daemon has not
-// called it in the meantime, and calls of others failed.
+// SuspectOutage records that the store may have been unavailable until now: this
+// daemon has not called it in the meantime, and calls of others failed.
 func (l *List) SuspectOutage(now time.Duration) {
 	o := &l.outage
 	o.ownReturnUntil = now + uptime.ReturnGrace
 	o.returnUntil = max(o.returnUntil, o.ownReturnUntil)
 }
 
-// RecordResponse records a response of the store to this daemon, with the version of its
-// newest change and its clock. Set unbroken if the previous call was answered too.
+// RecordResponse records a response of the store to this daemon, with the version of
+// its newest change and its clock. Set unbroken if the previous call was answered
+// too.
 func (l *List) RecordResponse(newest uint64, clock time.Duration, unbroken bool) {
 	o := &l.outage
 	next := o.ownSpan.Extend(newest, clock, unbroken)
@@ -77,17 +78,17 @@
 	o.ownSpan = next
 }
 
-// MarkCurrent records that the list is up to date with the last response of the store to
-// this daemon.
+// MarkCurrent records that the list is up to date with the last response of the
+// store to this daemon.
 func (l *List) MarkCurrent() { l.position = max(l.position, l.outage.ownSpan.Until) }
 
 // Uptime returns the spans in which the store is known to have responded, to be sent
 // to other daemons.
 func (l *List) Uptime() uptime.History { return l.outage.spans.Add(l.outage.ownSpan) }
 
-// MergeUptime merges another daemon's report of the spans in which the store responded, and
-// of the version up to which that daemon has read the list. It reports whether entries
-// were dropped as a result.
+// MergeUptime merges another daemon's report of the spans in which the store
+// responded, and of the version up to which that daemon has read the list. It
+// reports whether entries were dropped as a result.
 func (l *List) MergeUptime(reported uptime.History, listed uint64) bool {
 	o := &l.outage
 	o.listed = max(o.listed, listed)
@@ -112,11 +113,11 @@
 // EntriesMayReturn reports whether entries that go missing may return.
 func (l *List) EntriesMayReturn(now time.Duration) bool { return l.outage.mayHaveLapsed(now) }
 
-// ShouldQuery reports whether to query other daemons now for the spans in which the store
-// responded to them, and the store version that their reply should reach. A daemon
-// whose own calls failed, or whose kept entries are due, queries each time. A daemon
-// that keeps entries because of others' reports, as the whole fleet may do at once,
-// queries at most once per pause.
+// ShouldQuery reports whether to query other daemons now for the spans in which the
+// store responded to them, and the store version that their reply should reach. A
+// daemon whose own calls failed, or whose kept entries are due, queries each time. A
+// daemon that keeps entries because of others' reports, as the whole fleet may do at
+// once, queries at most once per pause.
 func (l *List) ShouldQuery(now, pause time.Duration) (upTo uint64, ask bool) {
 	o := &l.outage
 	if len(l.lapsed) == 0 {
@@ -142,15 +143,16 @@
 }
 
 // overdue reports whether an entry is still missing at the end of the return grace.
-// The store must have responded for all that time, since it may be away again, and
-// this daemon must have read the list as it was then.
+// The store must have responded for all that time, since it may be unavailable
+// again, and this daemon must have read the list as it was then.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.outage.listed <= l.position && l.position <= s.Until
 	return s.Duration() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
 }
 
-// GraceOver reports whether the return grace is over for entries that are still kept. They
-// are dropped once the store is proven to have responded for all of that time.
+// GraceOver reports whether the return grace is over for entries that are still
+// kept. They are dropped once the store is proven to have responded for all of that
+// time.
 func (l *List) GraceOver(now time.Duration) bool {
 	return len(l.lapsed) > 0 && now >= l.outage.returnUntil
 }
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -27,13 +27,13 @@
 	simCutDetection = 1200 * time.Millisecond
 	// simChoosePause is the time between two choices of readers.
 	simChoosePause = 500 * time.Millisecond
-	// simLapseAfter is how long the store must be away for entries to lapse;
-	// simOthersLost is for how long others must have been without the store before a
-	// daemon suspects an outage.
+	// simLapseAfter is how long the store must be unavailable for entries to
+	// lapse; simOthersLost is for how long others must have been without the store
+	// before a daemon suspects an outage.
 	simLapseAfter = 2400 * time.Millisecond
 	simOthersLost = time.Second
 	// notYet is the return time of an endpoint whose entry lapsed while the store is
-	// still away.
+	// still unavailable.
 	notYet = time.Duration(math.MaxInt64)
 )
 
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -155,9 +155,9 @@
 	return entries[i], true
 }
 
-// MarkDisplaced records that another process responded at an endpoint's address: entries
-// with the same name and address are ignored from now on. It reports whether this was
-// not recorded before.
+// MarkDisplaced records that another process responded at an endpoint's address:
+// entries with the same name and address are ignored from now on. It reports whether
+// this was not recorded before.
 func (l *List) MarkDisplaced(e Endpoint) bool {
 	_, known := l.displaced.Get(e.location())
 	l.displaced.Add(e.location(), struct{}{})
@@ -198,8 +198,8 @@
 	return out
 }
 
-// AddressConflicts lists the endpoints that share an address with another one: at most one of
-// them is present, and only the process at the address can report which.
+// AddressConflicts lists the endpoints that share an address with another one: at
+// most one of them is present, and only the process at the address can report which.
 func (l *List) AddressConflicts() []Endpoint {
 	all := l.All()
 	claims := make(map[string]int, len(all))
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -104,7 +104,7 @@
 	is.True(!l.MergeUptime(servedSpan(0, 11, time.Second, end-1), 0))
 	is.True(l.MergeUptime(servedSpan(11, 11, time.Second, end), 0))
 	is.Equal(l.Lapsed(), 0)
-	l.MergeUptime(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was not away
+	l.MergeUptime(servedSpan(11, 14, time.Second, 4*time.Second), 0) // the store was available
 	l.Set(4*time.Second, 12, []Endpoint{{Name: "b", Address: "2"}})
 	l.Set(4*time.Second, 13, nil)
 	is.Equal(l.Lapsed(), 0)
@@ -163,7 +163,7 @@
 	l := New()
 	l.Set(0, 10, []Endpoint{entry("a", "1")})
 	l.StoreLost()
-	// The store responded for a second and was away again.
+	// The store responded for a second and was unavailable again.
 	l.MergeUptime(servedSpan(0, 12, 5*time.Second, 6*time.Second), 0)
 	l.Set(6*time.Second, 12, nil)
 	is.True(!l.DropRemoved())
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -200,9 +200,8 @@
 	Binding *Binding
 }
 
-// Scheduler schedules the requests of one pool. The policies and the naive
-// version implement it. Times are durations since an arbitrary start and never
-// decrease.
+// Scheduler schedules the requests of one pool. Each scheduling policy implements
+// it. Times are durations since an arbitrary start and never decrease.
 type Scheduler interface {
 	// Configure applies a new configuration; requests in flight continue.
 	Configure(now time.Duration, doc *live.Document) []Action
--- a/core/sched/retry_after.go
+++ b/core/sched/retry_after.go
@@ -16,9 +16,9 @@
 )
 
 // pressure counts recent grants and refusals with exponential decay. When
-// refusals outnumber grants, clients that retry at the same moment would crowd
-// out new requests again and again. RetryAfter therefore grows with the ratio of
-// refusals to grants and is randomized.
+// refusals outnumber grants, clients that retry at the same moment would repeatedly
+// displace new requests. RetryAfter therefore grows with the ratio of refusals to
+// grants and is randomized.
 type pressure struct {
 	grants   float64
 	refusals float64
--- a/core/sched/team.go
+++ b/core/sched/team.go
@@ -48,7 +48,7 @@
 func (t *team) inFlight() int { return t.queued + t.granted }
 
 // add inserts a request into its level by the latest time of its grant, so that a
-// long prompt, which has little time to wait, does not wait behind short prompts
+// long prompt, which has little time to wait, is not queued after short prompts
 // that have more.
 func (t *team) add(w *waiting) {
 	l := &t.levels[w.level()]
--- a/core/uptime/uptime_test.go
+++ b/core/uptime/uptime_test.go
@@ -78,7 +78,7 @@
 		var unbroken [daemons]bool
 		version, clock := uint64(1), time.Duration(0)
 		away := false
-		var during []uint64 // changes made while the store was away
+		var during []uint64 // changes made while the store was unavailable
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			clock += time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond
 			d := rapid.IntRange(0, daemons-1).Draw(t, "daemon")
@@ -112,7 +112,7 @@
 			for _, s := range slices.Concat(known[0], known[1], known[2]) {
 				for _, v := range during {
 					if s.Covers(v-1, v) {
-						t.Fatalf("%+v covers change %d, made while the store was away", s, v)
+						t.Fatalf("%+v covers change %d, made while the store was unavailable", s, v)
 					}
 				}
 			}
