--- a/core/balance/restart_test.go
+++ b/core/balance/restart_test.go
@@ -16,9 +16,9 @@
 func TestRestartedEndpointStartsWithNewState(t *testing.T) {
 	is := is.New(t)
 	b := New("d", rand.New(rand.NewPCG(1, 2)))
-	start := func(born int64) {
+	start := func(startedUnixMS int64) {
 		b.Configure([]registry.Endpoint{{
-			Name: registry.Incarnation("a", born), Instance: "a", StartedUnixMS: born, Service: "s", Domain: "d", Slots: 4,
+			Name: registry.Incarnation("a", startedUnixMS), Instance: "a", StartedUnixMS: startedUnixMS, Service: "s", Domain: "d", Slots: 4,
 		}})
 	}
 	start(100)
--- a/core/claim/claims_test.go
+++ b/core/claim/claims_test.go
@@ -213,9 +213,9 @@
 func TestRateAtTargetSize(t *testing.T) {
 	is := is.New(t)
 	const perSecond, share, seconds = 1650, 60, 5
-	gap := MinIntervalFor(4*share, 4)
+	interval := MinIntervalFor(4*share, 4)
 	b := newHarness(nil)
-	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, MinInterval: gap})
+	b.Claims = New(Config{OwnerAlive: func(id.Process) bool { return true }, MinInterval: interval})
 	type pendingReply struct {
 		at time.Duration
 		tx *Transact
--- a/core/claim/model_test.go
+++ b/core/claim/model_test.go
@@ -107,7 +107,7 @@
 	restarts       int
 	lostReplies    int
 	storeDownUntil time.Duration
-	gap            time.Duration
+	minInterval    time.Duration
 	violations     []string
 }
 
@@ -117,7 +117,7 @@
 		table:    &memTable{rows: map[string]table.Row{}, history: map[string][]table.Row{}},
 		attempts: map[Token]*attempt{}, runs: map[string]int{},
 		answers: map[string]string{}, failedWith: map[string]verdict.Verdict{},
-		gap: []time.Duration{time.Nanosecond, DefaultMinInterval, 4 * DefaultMinInterval}[seed%3],
+		minInterval: []time.Duration{time.Nanosecond, DefaultMinInterval, 4 * DefaultMinInterval}[seed%3],
 	}
 	for i := range 3 {
 		s.daemons = append(s.daemons, s.start(id.Process{Daemon: id.Daemon(fmt.Sprint("d", i)), Incarnation: 1}))
@@ -126,7 +126,7 @@
 }
 
 func (s *simulation) start(p id.Process) *daemon {
-	return &daemon{process: p, claims: New(Config{OwnerAlive: s.alive, MaxBatch: 4, MinInterval: s.gap, CallTimeout: 100 * time.Millisecond})}
+	return &daemon{process: p, claims: New(Config{OwnerAlive: s.alive, MaxBatch: 4, MinInterval: s.minInterval, CallTimeout: 100 * time.Millisecond})}
 }
 
 func (s *simulation) alive(p id.Process) bool {
--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -209,8 +209,8 @@
 			out++
 		}
 	}
-	most := max(1, int(d.cfg.MaxEjected*float64(len(members))))
-	return out < min(most, len(members)-1)
+	limit := max(1, int(d.cfg.MaxEjected*float64(len(members))))
+	return out < min(limit, len(members)-1)
 }
 
 // Tick ends ejections and detects stuck work; call it at Next or earlier.
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -99,7 +99,7 @@
 }
 
 func TestMostOfAGroupIsNeverEjected(t *testing.T) {
-	for n, most := range map[int]int{1: 0, 2: 1, 4: 1, 5: 2, 18: 7} {
+	for n, limit := range map[int]int{1: 0, 2: 1, 4: 1, 5: 2, 18: 7} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(n)
@@ -111,7 +111,7 @@
 						out++
 					}
 				}
-				is.Equal(out, most)
+				is.Equal(out, limit)
 			}
 		})
 	}
--- a/core/health/restart_test.go
+++ b/core/health/restart_test.go
@@ -14,8 +14,8 @@
 func TestRestartedEndpointIsNotEjected(t *testing.T) {
 	is := is.New(t)
 	d := New(Config{})
-	members := func(born int64) []Member {
-		out := []Member{{Endpoint: registry.Incarnation("a", born), Pool: "p"}}
+	members := func(startedUnixMS int64) []Member {
+		out := []Member{{Endpoint: registry.Incarnation("a", startedUnixMS), Pool: "p"}}
 		for _, name := range []id.Endpoint{"b", "c", "d", "e"} {
 			out = append(out, Member{Endpoint: name, Pool: "p"})
 		}
--- a/core/kvsched/restart_test.go
+++ b/core/kvsched/restart_test.go
@@ -13,10 +13,10 @@
 
 // restarted returns the document with one engine replaced by its incarnation
 // that started at the given time.
-func restarted(doc *live.Document, which int, born int64) *live.Document {
+func restarted(doc *live.Document, which int, startedUnixMS int64) *live.Document {
 	out := *doc
 	out.Endpoints = append([]live.Endpoint(nil), doc.Endpoints...)
-	out.Endpoints[which].Name = registry.Incarnation("engine", born)
+	out.Endpoints[which].Name = registry.Incarnation("engine", startedUnixMS)
 	return &out
 }
 
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -117,11 +117,11 @@
 // delay of up to maxOrderDelay.
 func (p *process) order() {
 	w, now := p.w, p.now()
-	passage := p.gate.Allow(now, "e", false)
-	if passage == ReadBack {
+	state := p.gate.Allow(now, "e", false)
+	if state == ReadBack {
 		p.gate.MarkReadBack(now, "e")
 	}
-	if passage != Open {
+	if state != Open {
 		return
 	}
 	fence := p.gate.Fence()
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -201,17 +201,17 @@
 // basePeriod where the number of receivers would exceed the bound on heartbeats
 // per second.
 func (m *Membership) ownPeriod() time.Duration {
-	most := m.cfg.MaxHeartbeatsPerSecond
+	maxRate := m.cfg.MaxHeartbeatsPerSecond
 	if m.self.Watched {
-		most = m.cfg.MaxWatchedHeartbeatsPerSecond
+		maxRate = m.cfg.MaxWatchedHeartbeatsPerSecond
 	}
 	if m.rings.enabled && !m.self.Watched {
 		return max(m.basePeriod(), m.cfg.NeighbourPeriod)
 	}
-	if most <= 0 || m.cfg.Mode != Mesh {
+	if maxRate <= 0 || m.cfg.Mode != Mesh {
 		return m.basePeriod()
 	}
-	bound := time.Duration(float64(m.seenPeers) / most * float64(time.Second))
+	bound := time.Duration(float64(m.seenPeers) / maxRate * float64(time.Second))
 	return max(m.basePeriod(), min(bound, maxPeriodFactor*m.basePeriod()))
 }
 
--- a/core/member/queue.go
+++ b/core/member/queue.go
@@ -33,16 +33,16 @@
 	}
 }
 
-// take returns up to most entries for one message: by urgency first, then those
+// take returns up to limit entries for one message: by urgency first, then those
 // sent least often. It drops entries that were sent repeats times.
-func (n *updateQueue) take(most, repeats int) []Entry {
+func (n *updateQueue) take(limit, repeats int) []Entry {
 	if len(*n) == 0 {
 		return nil
 	}
 	slices.SortStableFunc(*n, func(a, b update) int {
 		return cmp.Or(cmp.Compare(a.urgency(), b.urgency()), cmp.Compare(a.sends, b.sends))
 	})
-	out := make([]Entry, min(most, len(*n)))
+	out := make([]Entry, min(limit, len(*n)))
 	for i := range out {
 		(*n)[i].sends++
 		out[i] = (*n)[i].entry
--- a/core/pairing/patience.go
+++ b/core/pairing/patience.go
@@ -12,6 +12,6 @@
 // indicate a lack of capacity, so at least half of the patience is left for the
 // owner's decision.
 func WaitStart(arrived, now, patience time.Duration) time.Duration {
-	most := time.Duration(maxStallShare * float64(patience))
-	return max(arrived, now-most)
+	maxStall := time.Duration(maxStallShare * float64(patience))
+	return max(arrived, now-maxStall)
 }
--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -40,11 +40,11 @@
 
 // Incarnation returns the name of one start of an instance. Endpoints that do not
 // report a start time use a different instance for each start.
-func Incarnation(instance id.Instance, born int64) id.Endpoint {
-	if born == 0 {
+func Incarnation(instance id.Instance, startedUnixMS int64) id.Endpoint {
+	if startedUnixMS == 0 {
 		return id.Endpoint(instance)
 	}
-	return id.Endpoint(string(instance) + "@" + strconv.FormatInt(born, 10))
+	return id.Endpoint(string(instance) + "@" + strconv.FormatInt(startedUnixMS, 10))
 }
 
 // location is an incarnation and the address that its entry names.
--- a/core/registry/incarnation_test.go
+++ b/core/registry/incarnation_test.go
@@ -13,8 +13,8 @@
 )
 
 // startedEntry returns the entry of one start of an instance.
-func startedEntry(instance id.Instance, born int64, address string) Endpoint {
-	return Endpoint{Name: Incarnation(instance, born), Instance: instance, StartedUnixMS: born, Address: address, Role: live.RoleDecode}
+func startedEntry(instance id.Instance, startedUnixMS int64, address string) Endpoint {
+	return Endpoint{Name: Incarnation(instance, startedUnixMS), Instance: instance, StartedUnixMS: startedUnixMS, Address: address, Role: live.RoleDecode}
 }
 
 func TestLaterStartReplacesEarlier(t *testing.T) {
@@ -105,7 +105,7 @@
 		l := New()
 		now := time.Duration(0)
 		rows := map[id.Instance]Endpoint{}
-		born := map[id.Instance]int64{}
+		startedUnixMS := map[id.Instance]int64{}
 		shown := map[id.Instance]int64{}
 		displaced := map[location]bool{}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -114,10 +114,10 @@
 			address := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "address"))
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0:
-				born[instance] += int64(rapid.IntRange(1, 5).Draw(t, "later"))
-				rows[instance] = startedEntry(instance, born[instance], address)
+				startedUnixMS[instance] += int64(rapid.IntRange(1, 5).Draw(t, "later"))
+				rows[instance] = startedEntry(instance, startedUnixMS[instance], address)
 			case 1:
-				rows[instance] = startedEntry(instance, max(1, born[instance]-1), address)
+				rows[instance] = startedEntry(instance, max(1, startedUnixMS[instance]-1), address)
 			case 2:
 				delete(rows, instance)
 			case 3:
@@ -125,7 +125,7 @@
 			case 4:
 				l.StoreBack(now)
 			case 5:
-				l.Restarted(instance, born[instance], live.RoleDecode)
+				l.Restarted(instance, startedUnixMS[instance], live.RoleDecode)
 			case 6:
 				for _, e := range l.AddressConflicts() {
 					l.MarkDisplaced(e)
@@ -161,7 +161,7 @@
 		present[e.Instance] = e.StartedUnixMS
 	}
 	clear(shown)
-	for instance, born := range present {
-		shown[instance] = born
+	for instance, startedUnixMS := range present {
+		shown[instance] = startedUnixMS
 	}
 }
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -103,9 +103,9 @@
 
 func (s *simFleet) down() bool { return s.now < s.downUntil }
 
-// between returns a random duration in [least, most).
-func (s *simFleet) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rng.Int64N(int64(most-least)))
+// between returns a random duration in [low, high).
+func (s *simFleet) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rng.Int64N(int64(high-low)))
 }
 
 // injectFaults randomly starts outages of the store, refusals of single daemons by
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -166,13 +166,13 @@
 
 // Restarted records an endpoint's own report of a later start than that of its entry,
 // and of its present role. It reports whether this was not recorded before.
-func (l *List) Restarted(instance id.Instance, born int64, role live.Role) bool {
+func (l *List) Restarted(instance id.Instance, startedUnixMS int64, role live.Role) bool {
 	entry, ok := l.entry(instance)
-	if !ok || born <= entry.StartedUnixMS || born <= l.restarted[instance].StartedUnixMS {
+	if !ok || startedUnixMS <= entry.StartedUnixMS || startedUnixMS <= l.restarted[instance].StartedUnixMS {
 		return false
 	}
-	entry.StartedUnixMS = born
-	entry.Name = Incarnation(instance, born)
+	entry.StartedUnixMS = startedUnixMS
+	entry.Name = Incarnation(instance, startedUnixMS)
 	entry.Role = role
 	l.restarted[instance] = entry
 	return true
