--- a/core/quota/strategies_test.go
+++ b/core/quota/strategies_test.go
@@ -197,7 +197,7 @@
 
 type credit struct {
 	balance, rate, use float64
-	at, asked          time.Duration
+	at, requestedAt    time.Duration
 }
 
 // leaseTerm is how long a lease is valid, and after how long it is renewed.
@@ -237,10 +237,10 @@
 
 func (l *leases) exchange(f *fleet, daemon int) {
 	for team, x := range l.credits[daemon] {
-		if f.now-x.asked < leaseTerm {
+		if f.now-x.requestedAt < leaseTerm {
 			continue
 		}
-		x.asked = f.now
+		x.requestedAt = f.now
 		f.send(l.keeper, func() {
 			// In proportion to use: the keeper knows the use of all daemons.
 			total := 0.0
@@ -476,14 +476,14 @@
 // refusedWithinLimits returns the share of their requested units that the teams
 // within their limits were refused.
 func (f *fleet) refusedWithinLimits() float64 {
-	refused, asked := 0.0, 0.0
+	refused, requested := 0.0, 0.0
 	for team := range f.limits {
 		if team != teamName(hotTeam) {
 			refused += f.refused[team]
-			asked += f.requested[team]
+			requested += f.requested[team]
 		}
 	}
-	return refused / asked
+	return refused / requested
 }
 
 var strategies = []struct {
