--- a/core/member/member.go
+++ b/core/member/member.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Local is the status that a daemon reports about itself to the others.
+// LocalStatus is the status that a daemon reports about itself to the others.
 type LocalStatus struct {
 	Revision uint64
 	InFlight int
@@ -91,7 +91,7 @@
 	Proof *freshness.Proof
 }
 
-// SetLocal sets the status that the next messages report.
+// SetLocalStatus sets the status that the next messages report.
 func (m *Membership) SetLocalStatus(l LocalStatus) {
 	if m.rings.enabled && (l.Revision == 0) != (m.self.Revision == 0) {
 		// Its eligibility for duties has changed.
@@ -201,17 +201,17 @@
 // basePeriod where the number of receivers would exceed the bound on heartbeats
 // per second.
 func (m *Membership) ownPeriod() time.Duration {
-	most := m.cfg.MaxHeartbeatsPerSecond
+	maxRate := m.cfg.MaxHeartbeatsPerSecond
 	if m.self.Watched {
-		most = m.cfg.MaxWatchedHeartbeatsPerSecond
+		maxRate = m.cfg.MaxWatchedHeartbeatsPerSecond
 	}
 	if m.rings.enabled && !m.self.Watched {
 		return max(m.basePeriod(), m.cfg.NeighbourPeriod)
 	}
-	if most <= 0 || m.cfg.Mode != Mesh {
+	if maxRate <= 0 || m.cfg.Mode != Mesh {
 		return m.basePeriod()
 	}
-	bound := time.Duration(float64(m.seenPeers) / most * float64(time.Second))
+	bound := time.Duration(float64(m.seenPeers) / maxRate * float64(time.Second))
 	return max(m.basePeriod(), min(bound, maxPeriodFactor*m.basePeriod()))
 }
 
@@ -311,7 +311,7 @@
 	}
 }
 
-// Hosts merges the host list. A host that is listed as leaving is leaving; a
+// MergeHosts merges the host list. A host that is listed as leaving is leaving; a
 // daemon missing from the list is not declared dead for that alone.
 func (m *Membership) MergeHosts(now time.Duration, hosts []Host) []Action {
 	for _, name := range m.order {
--- a/core/registry/outages_test.go
+++ b/core/registry/outages_test.go
@@ -27,13 +27,13 @@
 	simCutDetection = 1200 * time.Millisecond
 	// simChoosePause is the time between two choices of readers.
 	simChoosePause = 500 * time.Millisecond
-	// simLapseAfter is how long the store must be away for entries to lapse;
-	// simOthersLost is for how long others must have been without the store before a
-	// daemon suspects an outage.
+	// simLapseAfter is how long the store must be unavailable for entries to
+	// lapse; simOthersLost is for how long others must have been without the store
+	// before a daemon suspects an outage.
 	simLapseAfter = 2400 * time.Millisecond
 	simOthersLost = time.Second
 	// notYet is the return time of an endpoint whose entry lapsed while the store is
-	// still away.
+	// still unavailable.
 	notYet = time.Duration(math.MaxInt64)
 )
 
@@ -103,9 +103,9 @@
 
 func (s *simFleet) down() bool { return s.now < s.downUntil }
 
-// between returns a random duration in [least, most).
-func (s *simFleet) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.rng.Int64N(int64(most-least)))
+// between returns a random duration in [low, high).
+func (s *simFleet) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rng.Int64N(int64(high-low)))
 }
 
 // injectFaults randomly starts outages of the store, refusals of single daemons by
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -160,7 +160,7 @@
 	Want  Want  `cbor:"1,keyasint"`
 	Grant Grant `cbor:"2,keyasint"`
 	Phase Phase `cbor:"3,keyasint"`
-	// For is how long the request has been in Phase; 0 if unknown.
+	// InPhase is how long the request has been in Phase; 0 if unknown.
 	InPhase time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
@@ -200,9 +200,8 @@
 	Binding *Binding
 }
 
-// Scheduler schedules the requests of one pool. The policies and the naive
-// version implement it. Times are durations since an arbitrary start and never
-// decrease.
+// Scheduler schedules the requests of one pool. Each scheduling policy implements
+// it. Times are durations since an arbitrary start and never decrease.
 type Scheduler interface {
 	// Configure applies a new configuration; requests in flight continue.
 	Configure(now time.Duration, doc *live.Document) []Action
