--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -107,7 +107,7 @@
 		return nil
 	}
 	delete(e.inFlight, r.Request)
-	if r.Kind == Withdrawn {
+	if r.Kind == Neutral {
 		return nil
 	}
 	d.recordOutcome(now, e, r)
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -126,7 +126,7 @@
 	is.True(f.Allowed(name(0)))
 	f.RecordStart(DefaultEjectMin, name(0), "probe", 0)
 	is.True(!f.Allowed(name(0)))
-	f.Outcome(DefaultEjectMin, name(0), Result{Request: "probe", Kind: Withdrawn})
+	f.Outcome(DefaultEjectMin, name(0), Result{Request: "probe", Kind: Neutral})
 	is.True(f.Allowed(name(0)))
 }
 
--- a/core/health/types.go
+++ b/core/health/types.go
@@ -34,7 +34,7 @@
 	// Crashed: the endpoint's incarnation ended.
 	Crashed
 	// Withdrawn: the work ended for a reason unrelated to the endpoint's health.
-	Withdrawn
+	Neutral
 )
 
 // Result is the outcome of one piece of work.
--- a/core/pool/actions.go
+++ b/core/pool/actions.go
@@ -45,7 +45,7 @@
 		t.decode = b.Decode
 		return
 	}
-	m.endWork(now, t, health.Result{Request: b.Request, Kind: health.Withdrawn})
+	m.endWork(now, t, health.Result{Request: b.Request, Kind: health.Neutral})
 	t.decode = b.Decode
 	m.startWork(now, t)
 }
--- a/core/pool/manager.go
+++ b/core/pool/manager.go
@@ -171,7 +171,7 @@
 
 // Withdraw drops a request that waits or has a grant but has not started.
 func (m *Manager) Withdraw(now time.Duration, r id.Request) []sched.Action {
-	m.endRequest(now, r, health.Withdrawn)
+	m.endRequest(now, r, health.Neutral)
 	return m.recordActions(now, m.sched.Withdraw(now, r))
 }
 
@@ -192,7 +192,7 @@
 // from an earlier ownership is dropped first: the work may have moved to another
 // endpoint since.
 func (m *Manager) Adopt(now time.Duration, a sched.Adopt) []sched.Action {
-	m.endRequest(now, a.Want.Request, health.Withdrawn)
+	m.endRequest(now, a.Want.Request, health.Neutral)
 	fingerprint, _ := poison.ParseFingerprint(a.Want.Fingerprint)
 	t := &trackedRequest{want: a.Want, fingerprint: fingerprint, prefill: a.Grant.Prefill, decode: a.Grant.Decode, reservation: a.Grant.Reservation, adopted: true, phase: a.Phase, updatedAt: now}
 	m.requests[a.Want.Request] = t
@@ -236,7 +236,7 @@
 func (m *Manager) ProcessGone(now time.Duration, p id.Process) []sched.Action {
 	for _, r := range m.sortedRequests() {
 		if m.requests[r].want.From == p {
-			m.endRequest(now, r, health.Withdrawn)
+			m.endRequest(now, r, health.Neutral)
 		}
 	}
 	return m.recordActions(now, m.sched.ProcessGone(now, p))
@@ -264,7 +264,7 @@
 	m.lastSweep = now
 	for _, r := range m.sortedRequests() {
 		if now-m.requests[r].updatedAt > trackedRequestTTL {
-			m.endRequest(now, r, health.Withdrawn)
+			m.endRequest(now, r, health.Neutral)
 		}
 	}
 }
--- a/core/pool/progress.go
+++ b/core/pool/progress.go
@@ -50,7 +50,7 @@
 		m.recordFailure(now, t, p)
 		return
 	case sched.PhaseCancelled:
-		m.endRequest(now, p.Request, health.Withdrawn)
+		m.endRequest(now, p.Request, health.Neutral)
 		return
 	case sched.PhaseDone:
 		m.recordDone(now, t, p)
@@ -75,7 +75,7 @@
 // phaseOutcome returns the outcome of the phase that ends with p.
 func (t *trackedRequest) phaseOutcome(p sched.Progress) health.Result {
 	if t.decodesElsewhere(p) {
-		return health.Result{Request: p.Request, Kind: health.Withdrawn}
+		return health.Result{Request: p.Request, Kind: health.Neutral}
 	}
 	return health.Result{Request: p.Request, Kind: health.OK, Latency: prefillPace(t, p)}
 }
@@ -176,7 +176,7 @@
 func outcomeOf(p sched.Progress) health.OutcomeKind {
 	switch {
 	case p.Endpoint == "" || p.Full || p.Leaving || p.Unreachable:
-		return health.Withdrawn
+		return health.Neutral
 	case p.Crashed:
 		return health.Crashed
 	default:
