--- a/core/health/detector.go
+++ b/core/health/detector.go
@@ -81,7 +81,7 @@
 	return Healthy
 }
 
-// Began records that the endpoint was sent a request; expected is the expected
+// RecordStart records that the endpoint was sent a request; expected is the expected
 // time until its first output. The request is overdue after SlowFactor times that
 // time, but not before StuckAfter.
 func (d *Detector) RecordStart(now time.Duration, name id.Endpoint, r id.Request, expected time.Duration) {
@@ -107,7 +107,7 @@
 		return nil
 	}
 	delete(e.inFlight, r.Request)
-	if r.Kind == Withdrawn {
+	if r.Kind == Neutral {
 		return nil
 	}
 	d.recordOutcome(now, e, r)
@@ -209,8 +209,8 @@
 			out++
 		}
 	}
-	most := max(1, int(d.cfg.MaxEjected*float64(len(members))))
-	return out < min(most, len(members)-1)
+	limit := max(1, int(d.cfg.MaxEjected*float64(len(members))))
+	return out < min(limit, len(members)-1)
 }
 
 // Tick ends ejections and detects stuck work; call it at Next or earlier.
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -99,7 +99,7 @@
 }
 
 func TestMostOfAGroupIsNeverEjected(t *testing.T) {
-	for n, most := range map[int]int{1: 0, 2: 1, 4: 1, 5: 2, 18: 7} {
+	for n, limit := range map[int]int{1: 0, 2: 1, 4: 1, 5: 2, 18: 7} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(n)
@@ -111,7 +111,7 @@
 						out++
 					}
 				}
-				is.Equal(out, most)
+				is.Equal(out, limit)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	is.True(f.Allowed(name(0)))
 	f.RecordStart(DefaultEjectMin, name(0), "probe", 0)
 	is.True(!f.Allowed(name(0)))
-	f.Outcome(DefaultEjectMin, name(0), Result{Request: "probe", Kind: Withdrawn})
+	f.Outcome(DefaultEjectMin, name(0), Result{Request: "probe", Kind: Neutral})
 	is.True(f.Allowed(name(0)))
 }
 
--- a/core/registry/endpoint.go
+++ b/core/registry/endpoint.go
@@ -15,9 +15,9 @@
 	Name id.Endpoint
 	// Instance is the name that the endpoint itself uses; a restart may keep it.
 	Instance id.Instance
-	// Born is the start time by the endpoint's clock in Unix milliseconds; 0 if the
-	// endpoint does not report it. It orders the incarnations of one instance, and
-	// is never compared with a clock of this daemon.
+	// StartedUnixMS is the start time by the endpoint's clock in Unix milliseconds;
+	// 0 if the endpoint does not report it. It orders the incarnations of one
+	// instance, and is never compared with a clock of this daemon.
 	StartedUnixMS int64
 	Service       id.Service
 	// Address has the form IP:port.
@@ -40,11 +40,11 @@
 
 // Incarnation returns the name of one start of an instance. Endpoints that do not
 // report a start time use a different instance for each start.
-func Incarnation(instance id.Instance, born int64) id.Endpoint {
-	if born == 0 {
+func Incarnation(instance id.Instance, startedUnixMS int64) id.Endpoint {
+	if startedUnixMS == 0 {
 		return id.Endpoint(instance)
 	}
-	return id.Endpoint(string(instance) + "@" + strconv.FormatInt(born, 10))
+	return id.Endpoint(string(instance) + "@" + strconv.FormatInt(startedUnixMS, 10))
 }
 
 // location is an incarnation and the address that its entry names.
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -155,9 +155,9 @@
 	return entries[i], true
 }
 
-// Displace records that another process responded at an endpoint's address: entries
-// with the same name and address are ignored from now on. It reports whether this was
-// not recorded before.
+// MarkDisplaced records that another process responded at an endpoint's address:
+// entries with the same name and address are ignored from now on. It reports whether
+// this was not recorded before.
 func (l *List) MarkDisplaced(e Endpoint) bool {
 	_, known := l.displaced.Get(e.location())
 	l.displaced.Add(e.location(), struct{}{})
@@ -166,13 +166,13 @@
 
 // Restarted records an endpoint's own report of a later start than that of its entry,
 // and of its present role. It reports whether this was not recorded before.
-func (l *List) Restarted(instance id.Instance, born int64, role live.Role) bool {
+func (l *List) Restarted(instance id.Instance, startedUnixMS int64, role live.Role) bool {
 	entry, ok := l.entry(instance)
-	if !ok || born <= entry.StartedUnixMS || born <= l.restarted[instance].StartedUnixMS {
+	if !ok || startedUnixMS <= entry.StartedUnixMS || startedUnixMS <= l.restarted[instance].StartedUnixMS {
 		return false
 	}
-	entry.StartedUnixMS = born
-	entry.Name = Incarnation(instance, born)
+	entry.StartedUnixMS = startedUnixMS
+	entry.Name = Incarnation(instance, startedUnixMS)
 	entry.Role = role
 	l.restarted[instance] = entry
 	return true
@@ -198,8 +198,8 @@
 	return out
 }
 
-// Disputed lists the endpoints that share an address with another one: at most one of
-// them is present, and only the process at the address can report which.
+// AddressConflicts lists the endpoints that share an address with another one: at
+// most one of them is present, and only the process at the address can report which.
 func (l *List) AddressConflicts() []Endpoint {
 	all := l.All()
 	claims := make(map[string]int, len(all))
--- a/daemon/app/requests.go
+++ b/daemon/app/requests.go
@@ -48,7 +48,7 @@
 		Metrics:      d.metrics,
 		Entry:        d.entryAnswer,
 		Ready:        d.ready,
-		OnRequest:    d.noteCaller,
+		OnRequest:    d.recordCaller,
 		Log:          d.logger.Event,
 		Logger:       httpLogger{d.logger},
 		Now:          d.now,
@@ -57,5 +57,5 @@
 		OverLimit:    isOverLimit,
 		MaxConns:     d.settings.Limits.MaxConnections,
 	})
-	d.operator = operator.New(operatorBacking{d}, d.settings.OperatorKeyHashes, d.logger.Event)
+	d.operator = operator.New(operations{d}, d.settings.OperatorKeyHashes, d.logger.Event)
 }
