--- a/core/health/types.go
+++ b/core/health/types.go
@@ -33,7 +33,7 @@
 	TimedOut
 	// Crashed: the endpoint's incarnation ended.
 	Crashed
-	// Withdrawn: the work ended for a reason unrelated to the endpoint's health.
+	// Neutral: the work ended for a reason unrelated to the endpoint's health.
 	Neutral
 )
 
--- a/core/kvsched/mechanisms.go
+++ b/core/kvsched/mechanisms.go
@@ -8,8 +8,8 @@
 
 // The mechanisms.
 const (
-	// LearnedLead estimates the time from a grant to the first token from
-	// completed requests.
+	// LearnedLead estimates the time from a grant to the first token from the
+	// first tokens of earlier requests.
 	LearnedLead Mechanism = "learned-lead"
 	// ArrivalRefusal refuses a request on arrival if it is predicted to miss
 	// its target.
--- a/core/kvsched/outputmean.go
+++ b/core/kvsched/outputmean.go
@@ -21,8 +21,8 @@
 // shrink moves a guess towards the mean (a weighted geometric mean of the two).
 // Single guesses are often far off, and low ones make engines exceed their
 // memory: in the simulation of TestLedgerAgainstSimulatedEngines, at eight
-// seeds, engines exceed it in 0.35% to 1.3% of the observations, and in 0.9% to
-// 2.4% with unshrunk guesses.
+// seeds, engines exceed it in 0.13% to 2.4% of the observations (1.0% on
+// average), and in 0.6% to 2.3% (1.7% on average) with unshrunk guesses.
 func (g *outputMean) shrink(guess float64) float64 {
 	if g.weight == 0 {
 		return guess
--- a/core/kvsched/simulation_test.go
+++ b/core/kvsched/simulation_test.go
@@ -112,7 +112,7 @@
 	if len(answered) != sent {
 		t.Errorf("%d requests, %d answered", sent, len(answered))
 	}
-	// 0.9% to 2.4% over the eight seeds, with guesses that have the right
+	// 0.13% to 2.4% over the eight seeds, with guesses that have the right
 	// median and a standard deviation of a factor of 1.65.
 	t.Logf("engines exceeded their memory in %.2f%% of the observations", 100*float64(exceeded)/float64(observations))
 	if share := float64(exceeded) / float64(observations); share > 0.03 {
--- a/core/overload/engines.go
+++ b/core/overload/engines.go
@@ -166,7 +166,8 @@
 	}
 }
 
-// start starts the decode of a prefilled run if the engine has room for it.
+// start starts the decode of a prefilled run. If the engine's batch or memory is
+// full, the prefill is wasted and the request is refused.
 func (e *decodeEngine) start(r *run) {
 	w := e.w
 	if r.caller.run != r || r.caller.outcome != unserved {
--- a/core/overload/owner_test.go
+++ b/core/overload/owner_test.go
@@ -39,9 +39,10 @@
 // event, so each event cost more the longer the queue was, and waiting requests
 // were sent again four times a second. It learned of completed requests about a
 // second late (its duty ran 0.8 s to 1.35 s behind, with 237,282 evaluations
-// and 2,582 repeated wants), so engines appeared busy while 526 requests were
-// queued and 549,441 of 1,451,129 tokens of memory were in use. Only the owner
-// logged event=duty_behind.
+// and 2,582 repeated wants). All 26 prefill engines appeared busy, with a
+// backlog of 11.5 s, while 526 requests were queued, the 64 decode engines ran
+// 160 requests, and 549,441 of 1,451,129 tokens of memory were in use. Only the
+// owner logged event=duty_behind.
 func TestOwnerOnSmallHostServesAsManyInTime(t *testing.T) {
 	r := largePool()
 	atOnce := r.Run(1)
--- a/core/overload/result.go
+++ b/core/overload/result.go
@@ -58,8 +58,9 @@
 	return float64(n) / float64(of)
 }
 
-// Recovery returns the time from second from until the share in time is back at
-// 90% of its mean over the first calm seconds, for two consecutive seconds.
+// Recovery returns how long after the second with index from the share in time is
+// back at 90% of its usual value for two consecutive seconds. The usual value is
+// the mean over the first calm seconds.
 func (r *Result) Recovery(calm int, from int) time.Duration {
 	usual := 0.0
 	for _, s := range r.Seconds[:min(calm, len(r.Seconds))] {
--- a/core/pool/quarantine.go
+++ b/core/pool/quarantine.go
@@ -10,7 +10,8 @@
 	"github.com/samphirequay/samphirequay/core/verdict"
 )
 
-// liftQuarantines lifts the quarantines named by the labels of the pool's services.
+// liftQuarantines lifts the quarantines named by the labels of the pool's services;
+// the value "all" lifts every quarantine.
 func (m *Manager) liftQuarantines(now time.Duration, doc *live.Document) {
 	for i := range doc.Services {
 		svc := &doc.Services[i]
--- a/core/pool/status.go
+++ b/core/pool/status.go
@@ -13,7 +13,8 @@
 	// Answered and Refused count since this daemon became the owner.
 	Answered uint64
 	Refused  uint64
-	// Unreachable counts the endpoints whose latest report says unreachable.
+	// Unreachable counts the endpoints whose state could not be read for their
+	// latest report.
 	Unreachable int
 	// PrefillLoad and DecodeLoad are the utilisation of the two roles, 0 to 1.
 	PrefillLoad float64
--- a/core/sched/optimistic.go
+++ b/core/sched/optimistic.go
@@ -149,7 +149,7 @@
 	return a
 }
 
-// draw returns the first eligible endpoint after a random position, or nil if
+// draw returns the first eligible endpoint from a random position on, or nil if
 // there is none.
 func (o *Optimistic) draw(role live.Role, w *Want) *endpoint {
 	list := o.roles[role]
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// regroup groups the endpoints by role again and keeps their order within each
-// former role.
+// regroup lists the endpoints by their current role; endpoints of the same former
+// role keep their order.
 func (o *Optimistic) regroup() {
 	old := o.roles
 	o.roles = map[live.Role][]*endpoint{}
