--- a/core/kvsched/ledger_test.go
+++ b/core/kvsched/ledger_test.go
@@ -267,8 +267,8 @@
 	is.True(localPrefills > 0 && localPrefills <= 6)
 }
 
-// TestLocalPrefillCountsAsPrefillWork: without it, a pool that is short of
-// prefill engines would appear to have too many.
+// TestLocalPrefillCountsAsPrefillWork: if the work of local prefills were not
+// counted, a pool that is short of prefill engines would appear to have too many.
 func TestLocalPrefillCountsAsPrefillWork(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(t, document(1, 2, 30000))
--- a/core/pairing/requester_test.go
+++ b/core/pairing/requester_test.go
@@ -213,9 +213,9 @@
 	is.Equal(adopt.Want.Age, 4100*time.Millisecond)
 }
 
-// This daemon has found the service and the team in its configuration. An owner
-// that does not has another version of it, so the caller must get an error that
-// can be retried.
+// This daemon has found the service and the permission in its configuration. An
+// owner that refuses for lack of either has another version of the configuration,
+// so the caller must get an error that can be retried.
 func TestRefusalByAnotherConfigurationCanBeRetried(t *testing.T) {
 	for _, code := range []verdict.Code{verdict.CodeUnknownService, verdict.CodeForbidden} {
 		t.Run(string(code), func(t *testing.T) {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -206,7 +206,7 @@
 	s.engines["e03"].Setup = Setup{Model: "old", Role: live.RolePrefill}
 	s.run(2*time.Minute, nil)
 	s.is.Equal(s.engines["e03"].Setup, Setup{Model: "m", Version: "1", Role: live.RoleDecode})
-	s.is.Equal(s.decisionCount("change"), 1) // one repair
+	s.is.Equal(s.decisionCount("change"), 1) // one change reverts the order
 	s.is.Equal(s.decisionCount("settled"), 1)
 }
 
--- a/core/sched/demand.go
+++ b/core/sched/demand.go
@@ -23,7 +23,8 @@
 	// PrefillWork is the predicted engine time of all prefills granted since the
 	// scheduler started, including prefills that decode engines run themselves.
 	PrefillWork time.Duration
-	// PrefillBacklog is the predicted time of all granted prefills.
+	// PrefillBacklog is the predicted time of all granted prefills that have not
+	// ended.
 	PrefillBacklog time.Duration
 	// Memory is the memory of the decode engines, in tokens; MemoryHeld is the
 	// part in use.
--- a/core/sched/messages.go
+++ b/core/sched/messages.go
@@ -115,9 +115,9 @@
 	PhaseDone
 	// PhaseFailed: the attempt failed; the reservation is released.
 	PhaseFailed
-	// PhaseCancelled: the caller is gone and the attempt was cancelled; a decode is
-	// reported as cancelled only after its endpoint has confirmed. The reservation
-	// is released.
+	// PhaseCancelled: the attempt was cancelled, usually because the caller is gone;
+	// a decode is reported as cancelled only after its endpoint has confirmed. The
+	// reservation is released.
 	PhaseCancelled
 )
 
