--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -15,7 +15,7 @@
 	// maxUpdatesPerHeartbeat bounds the updates on one heartbeat.
 	maxUpdatesPerHeartbeat = 24
 	// digestGrace is how long a neighbour's digest may differ from this daemon's
-	// before it is sent a Sync: updates take less time to spread.
+	// before this daemon sends a Sync: updates normally spread in less time.
 	digestGrace = 2 * time.Second
 	// syncInterval is the minimum time between two such Syncs, and
 	// startSyncInterval that between two at startup, while most daemons have not
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -27,8 +27,9 @@
 	// nextCheck is when Tick is due at the latest, also between heartbeats that are
 	// far apart: to detect failed peers, and stalls of this daemon's own process.
 	nextCheck time.Duration
-	// lastBeat is when the last heartbeats were sent; seenPeers counts the peers
-	// that were seen and not absent at that time.
+	// lastBeat is when the last heartbeats were sent; seenPeers counts the seen
+	// peers at that time, without the dead ones and, on the rings, without those
+	// that have no place there.
 	lastBeat  time.Duration
 	seenPeers int
 	isolated  bool
--- a/core/member/rings_test.go
+++ b/core/member/rings_test.go
@@ -321,7 +321,8 @@
 	})
 }
 
-// TestRingsBusyDaemonsCauseNoDeaths repeatedly stalls daemons for half a second.
+// TestRingsBusyDaemonsCauseNoDeaths repeatedly stalls daemons for half a second: no
+// daemon may be declared dead for it.
 func TestRingsBusyDaemonsCauseNoDeaths(t *testing.T) {
 	eachLargeFleet(t, func(t *testing.T, is *is.I, f *fleet) {
 		f.loss = 0.02
