--- a/core/lease/reply.go
+++ b/core/lease/reply.go
@@ -137,7 +137,8 @@
 }
 
 // watchPause returns the time until the next read: WatchEvery, or less if the lease
-// lapses earlier, but at least WatchEvery/8.
+// lapses earlier, so that a lapsed lease is acquired without delay, but at least
+// WatchEvery/8.
 func (l *Lease) watchPause(now time.Duration) time.Duration {
 	left := l.unchangedSince + l.seen.TTL + l.cfg.Margin - now
 	return max(min(l.cfg.WatchEvery, left), l.cfg.WatchEvery/8)
