--- a/core/poison/ledger.go
+++ b/core/poison/ledger.go
@@ -17,7 +17,8 @@
 	allCleared    clearance
 	// refuseUntil is the time of the latest dropped crash, plus Settle, in
 	// milliseconds since 1970. Reports of crashes up to then are refused: a late
-	// report of a dropped crash would lack the other requests that ran there.
+	// report of a dropped crash would lack the other requests that ran there, and
+	// its request would wrongly count as having run alone.
 	refuseUntil int64
 	// lastChange is the number of the last change, for Delta.
 	lastChange uint64
--- a/core/poison/types.go
+++ b/core/poison/types.go
@@ -151,7 +151,7 @@
 
 // Config sets the limits of a Ledger; zero fields take the defaults.
 type Config struct {
-	// Quarantine is how long a crash counts. Default 1 h.
+	// Quarantine is how long a crash counts, from its time on. Default 1 h.
 	Quarantine time.Duration
 	// Settle is how long the reports of a crash may take to arrive from all daemons.
 	// Default 2 s.
