--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -18,9 +18,10 @@
 	accounts  map[id.Team]*account
 }
 
-// account is a token bucket: it fills at its team's rate up to maxBalance. A
-// request may cost more than the balance and leave a debt, so that the large
-// requests of a team have the same chance as the small ones.
+// account is a token bucket: it fills at its team's rate up to maxBalance. While the
+// balance is positive, a request may cost more than the balance and leave a debt, so
+// that the large requests of a team have the same chance as the small ones; allows
+// describes the exception.
 type account struct {
 	balance float64
 	// maxBalance is the most that the account may hold.
@@ -140,8 +141,8 @@
 	return a.balance > 0
 }
 
-// majorityShare: only one side of a partition can have more than this share of the
-// daemons.
+// majorityShare is the share of the daemons that only one side of a partition can
+// exceed.
 const majorityShare = 0.5
 
 // waitFor returns how long it takes until the account allows a cost.
