--- a/core/registry/lapse.go
+++ b/core/registry/lapse.go
@@ -21,8 +21,8 @@
 type outage struct {
 	// away is set while the store does not respond to this daemon.
 	away bool
-	// returnUntil is until when missing entries may return, unless the spans
-	// provide better information; it has no meaning while away is set.
+	// returnUntil is until when missing entries may return, unless the spans prove
+	// that an entry was removed; it has no meaning while away is set.
 	returnUntil time.Duration
 	// ownReturnUntil is the part of returnUntil that comes from this daemon's own
 	// observations, not from reports of others.
@@ -143,8 +143,9 @@
 }
 
 // overdue reports whether an entry is still missing at the end of the return grace.
-// The store must have responded for all that time, since it may be unavailable
-// again, and this daemon must have read the list as it was then.
+// The store must have responded throughout the grace, since it may have become
+// unavailable again after its return. This daemon's list must be as recent as that
+// of any other daemon and lie within the span.
 func (l *List) overdue(s uptime.Span, p lapsedEntry) bool {
 	asListed := l.outage.listed <= l.position && l.position <= s.Until
 	return s.Duration() >= uptime.ReturnGrace && asListed && p.upTo <= s.Until
