--- a/core/claim/commit.go
+++ b/core/claim/commit.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxCommitBytes bounds the values of one transaction, in bytes; only the last
-	// value may exceed it.
+	// maxCommitBytes bounds the values of one transaction, in bytes. No value is
+	// added once their sum has reached it, so that the last value may exceed it.
 	maxCommitBytes = 1 << 20
 	// backoffMin and backoffMax bound the delay after a failed store call.
 	backoffMin = 10 * time.Millisecond
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -96,8 +96,8 @@
 	c.queueRead(o)
 }
 
-// ReadReply handles the rows of a read. A key without a row counts as
-// absent.
+// ReadReply handles the rows of a read, which may be stale. A key without a row
+// counts as absent.
 func (c *Claims) ReadReply(now time.Duration, id StoreCallID, rows []table.Row) []Action {
 	c.advance(now)
 	k := c.endStoreCall(id)
