--- a/core/revision/follower.go
+++ b/core/revision/follower.go
@@ -157,10 +157,12 @@
 // StoreUp reports whether the last read of the store succeeded.
 func (f *Follower) StoreUp() bool { return f.storeUp }
 
-// Ready reports whether the daemon may act on the document. If a read of the store
-// has confirmed it, no peer may have a newer revision, or StartGrace must be over.
-// If the store could not be read, StartGrace must be over, no peer may have a newer
-// revision, and the document must not be the empty one.
+// Ready reports whether the daemon may act on the document.
+//
+// A document that a read of the store has confirmed is ready if no peer has a newer
+// revision; once StartGrace is over, the confirmation alone suffices. Without a
+// confirmation, because reads of the store failed, a document other than the empty
+// one is ready if StartGrace is over and no peer has a newer revision.
 func (f *Follower) Ready(now time.Duration) bool {
 	waited := now-f.started >= f.cfg.StartGrace
 	newest := !f.behind()
--- a/core/revision/linear_test.go
+++ b/core/revision/linear_test.go
@@ -81,7 +81,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// run is one randomized history.
+// run is one randomised history.
 type run struct {
 	clock     *tabletest.Clock
 	model     *tabletest.Model
--- a/core/revision/table/tabletest/model.go
+++ b/core/revision/table/tabletest/model.go
@@ -1,4 +1,4 @@
-// Package tabletest is a model of the platform's table for randomized tests of
+// Package tabletest is a model of the platform's table for randomised tests of
 // state machines: a simulated clock that advances from event to event, and a table
 // that loses requests and replies, applies calls late, returns stale rows, and has
 // outages.
@@ -15,7 +15,7 @@
 )
 
 // seedsEnv is the environment variable that multiplies the number of seeds of
-// randomized tests.
+// randomised tests.
 const seedsEnv = "SAMPHIREQUAY_SEEDS"
 
 // Seeds returns n times the value of SAMPHIREQUAY_SEEDS (default 1).
