--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -142,7 +142,7 @@
 }
 
 // Decide returns the next change, or nil if none is needed. It chooses the engine
-// with the least work.
+// with the fewest requests.
 func (d *Decider) Decide(now time.Duration, demand sched.Demand) *Change {
 	prefills, decodes := countRoles(demand)
 	n := prefills + decodes
@@ -213,8 +213,8 @@
 	d.changedAt = now
 }
 
-// leastLoaded returns the engine with the least work among those not drained, and
-// false if there is none.
+// leastLoaded returns the engine with the fewest requests among those not drained,
+// and false if there is none.
 func leastLoaded(engines []sched.EngineDemand) (id.Endpoint, bool) {
 	var free []sched.EngineDemand
 	for _, e := range engines {
