--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -99,7 +99,7 @@
 	}
 	is.Equal(b.Slowest()[0], id.Endpoint("a"))
 	is.Equal(serve(b, 0, 30, answerOK)["a"], 0)
-	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50)
+	is.True(serve(b, 6*estimateDecay, 300, answerOK)["a"] > 50) // the slow endpoint is tried again
 }
 
 func TestEjectedEndpointIsPickedIfNoOtherIsLeft(t *testing.T) {
