--- a/daemon/gateway/front.go
+++ b/daemon/gateway/front.go
@@ -27,8 +27,8 @@
 	// idleTimeout is longer than any caller keeps an idle connection, so that the
 	// server does not close a connection on which a request is being sent.
 	idleTimeout = 75 * time.Second
-	// smallReadBuffer is the read buffer of the other listeners, which receive short
-	// requests.
+	// smallReadBuffer is the size of the read buffer of the other listeners, in bytes.
+	// They receive short requests.
 	smallReadBuffer = 4 << 10
 	// callerProbeIdle, callerProbeEvery and callerProbeCount set the TCP keepalive
 	// probes that detect dead connections of callers.
--- a/daemon/gateway/orderer.go
+++ b/daemon/gateway/orderer.go
@@ -21,7 +21,8 @@
 	// before an order. When the fleet starts, or the store returns, endpoints
 	// register over two of their heartbeats.
 	initialSettleTime = 2500 * time.Millisecond
-	// measuredSettleTime replaces initialSettleTime once work was measured.
+	// measuredSettleTime replaces initialSettleTime once the division into roles
+	// follows measured work.
 	measuredSettleTime = 400 * time.Millisecond
 	// orderTimeout bounds an order together with the state query before it.
 	orderTimeout = 800 * time.Millisecond
--- a/daemon/gateway/peers.go
+++ b/daemon/gateway/peers.go
@@ -73,14 +73,15 @@
 	// store's tables before this one catches up. Its own feed is rarely that much
 	// slower.
 	catchUpDelay = 250 * time.Millisecond
-	// maxCatchUpAttempts and maxCatchUpPause bound the attempts to catch up. By then
-	// the store's feed has ended a call and started another.
+	// maxCatchUpAttempts and maxCatchUpPause bound the attempts to catch up. By the
+	// last attempt the store's feed has ended a call and started another.
 	maxCatchUpAttempts = 8
 	maxCatchUpPause    = 2 * time.Second
 	// tablesTimeout bounds a call to another daemon.
 	tablesTimeout = 400 * time.Millisecond
-	// Bounds on the traffic between daemons. The memory that they allow matters with
-	// nine or more daemons.
+	// Bounds on the traffic between daemons: queued messages per peer, concurrent
+	// calls, and the bytes of a message. The memory that they allow matters with nine
+	// or more daemons.
 	peerRing       = 256
 	peerCalls      = 32
 	peerMaxMessage = 1 << 20
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -227,7 +227,7 @@
 	})
 }
 
-// settleRegistry drops lapsed entries that have gone for certain. query reports whether
+// settleRegistry drops lapsed entries that are certainly gone. query reports whether
 // to query other daemons for the store's uptime, up to the store's version upTo; due
 // reports whether the next answer of the store may decide about the remaining ones.
 func (d *Daemon) settleRegistry() (upTo uint64, query, due bool) {
--- a/daemon/gateway/uptime.go
+++ b/daemon/gateway/uptime.go
@@ -30,9 +30,9 @@
 	UpTo uint64 `cbor:"1,keyasint"`
 }
 
-// uptimeQueryPause is the pause between uptime queries, multiplied by the number of
-// daemons: after an outage of the store all daemons may hold lapsed entries, and query
-// the same three daemons.
+// uptimeQueryPause is the part of the pause between uptime queries that each daemon of
+// the fleet adds. The pause grows with the fleet because after an outage of the store
+// all daemons may hold lapsed entries, and query the same three daemons.
 const uptimeQueryPause = 5 * time.Millisecond
 
 // uptimeQueryInterval returns the pause between two uptime queries while lapsed
@@ -47,8 +47,8 @@
 
 // minPeerOutage is how long other daemons must have been unable to reach the store
 // for this one to assume an outage before its own first answer. It is shorter than
-// the time in which entries lapse, and longer than it takes to replace readers that
-// alone are refused by the store.
+// the time in which entries lapse. It is longer than it takes to replace readers if
+// the store refuses only these, which is not an outage.
 const minPeerOutage = time.Second
 
 // storeAnswered records an answer of the store. An answer that does not directly
