--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -13,8 +13,8 @@
 	"github.com/samphirequay/samphirequay/daemon/ring"
 )
 
-// Never is returned by a Tick that does not need to be called again. It is
-// called nonetheless, at least once a second.
+// Never is returned by a Tick that does not need to be called again. Such a Tick
+// is still called at least once a second.
 const Never = time.Duration(math.MaxInt64)
 
 const (
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -240,7 +240,7 @@
 	f.mu.Lock()
 	f.fullRead = false
 	if f.known && snapshot.Position < f.state.Position {
-		// News from another daemon were applied while this read was in flight.
+		// News from another daemon was applied while this read was in flight.
 		f.mu.Unlock()
 		return nil
 	}
--- a/daemon/feed/news_test.go
+++ b/daemon/feed/news_test.go
@@ -158,7 +158,7 @@
 	is.Equal(next(t, reported), news(9, 12, Change{Row: row("b", 12)}))
 	_, err := f.ApplyNews(news(12, 14, Change{Row: row("c", 14)}))
 	is.NoErr(err)
-	is.Equal(len(reported), 0) // news of another daemon are not reported
+	is.Equal(len(reported), 0) // news of another daemon is not reported
 }
 
 func await(t *testing.T, c <-chan struct{}) {
--- a/daemon/opapi/opapi.go
+++ b/daemon/opapi/opapi.go
@@ -185,7 +185,7 @@
 	Plain   int       `json:"plain"`
 	Leaving int       `json:"leaving"`
 	Ejected int       `json:"ejected"`
-	// Unreachable counts the endpoints that their latest report found unreachable.
+	// Unreachable counts the endpoints whose latest load query failed.
 	Unreachable int    `json:"unreachable"`
 	Queued      int    `json:"queued"`
 	Running     int    `json:"running"`
--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -23,7 +23,7 @@
 const (
 	bearer         = "Bearer "
 	maxChangeBytes = 4 << 20
-	maxHistory     = 500
+	maxHistory     = 500 // changes in one answer
 	changeTimeout  = 8 * time.Second
 	readTimeout    = 10 * time.Second
 	maxConns       = 256
--- a/daemon/peer/conn.go
+++ b/daemon/peer/conn.go
@@ -60,7 +60,7 @@
 // errorText returns the error's text, truncated to fit in a QUIC CONNECTION_CLOSE
 // frame.
 func errorText(err error) string {
-	const longest = 200
+	const longest = 200 // bytes
 	if err == nil {
 		return ""
 	}
--- a/daemon/quotas/keeper.go
+++ b/daemon/quotas/keeper.go
@@ -7,8 +7,8 @@
 	"github.com/samphirequay/samphirequay/core/quota"
 )
 
-// maxAnswered is the number of replies that the keeper caches: those of more than a
-// second, within which a request may be repeated.
+// maxAnswered is the number of replies that the keeper caches. It covers the replies of
+// more than a second; a repeated request arrives within that time.
 const maxAnswered = 2048
 
 // reply sends a reply to another daemon. The requester repeats its request if the
