--- a/daemon/broker/evidence.go
+++ b/daemon/broker/evidence.go
@@ -7,10 +7,10 @@
 	"github.com/samphirequay/samphirequay/core/poison"
 )
 
-// evidence collects the evidence about requests that crash endpoints which is pending
-// for other daemons. It separates this daemon's own evidence from evidence that it
-// received: if each daemon forwarded received evidence to all, one crash would cost a
-// message for each pair of daemons.
+// evidence collects the evidence that is still to be sent to other daemons, about
+// requests that crash endpoints. It separates this daemon's own evidence from evidence
+// that it received: if each daemon forwarded received evidence to all, one crash would
+// cost a message for each pair of daemons.
 type evidence struct {
 	ledger *poison.Ledger
 
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -284,8 +284,8 @@
 }
 
 // readChanges waits for changes and reports whether there were any. Without changes
-// the position stays at the last change: only then do the news of one daemon
-// continue where those of another ended.
+// the position stays at the last change: only then does the news of one daemon
+// continue where the news of another ended.
 func (f *Follower) readChanges(parent context.Context, after uint64) (changed bool, err error) {
 	wait, limit := f.callTimeouts()
 	ctx, cancel := context.WithTimeout(parent, limit)
--- a/daemon/feed/news.go
+++ b/daemon/feed/news.go
@@ -87,7 +87,7 @@
 
 // ApplyNews applies another daemon's news; fresh reports whether there were any new
 // changes. It returns ErrGap if changes before the news are missing. News without
-// changes make the follower read the table.
+// changes makes the follower read the table.
 func (f *Follower) ApplyNews(n News) (fresh bool, err error) {
 	if len(n.Changes) > 0 {
 		return f.apply(n)
--- a/daemon/gateway/hub.go
+++ b/daemon/gateway/hub.go
@@ -59,8 +59,9 @@
 // not know yet which daemons broadcast.
 const evidenceRetry = 500 * time.Millisecond
 
-// spreadEvidence sends this daemon's new evidence to all other daemons, or in a
-// large fleet to the daemons that broadcast it to all.
+// spreadEvidence sends this daemon's new evidence to all other daemons. In a large
+// fleet a daemon that does not broadcast sends it only to those that do, which forward
+// it to all.
 func (d *Daemon) spreadEvidence(f *fleet, s poison.State) {
 	if !f.members.Large() || f.broadcasts.Load() {
 		f.links().SendEvidence(f.members.Others(), s)
--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -255,7 +255,7 @@
 	}
 }
 
-// sleep waits for pause. It returns false if the daemon ends before.
+// sleep waits for pause. It returns false if the daemon ends first.
 func (d *Daemon) sleep(pause time.Duration) bool {
 	select {
 	case <-d.ctx.Done():
--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -12,8 +12,9 @@
 
 // Call sends a request to the peer and decodes its answer into resp, which may be
 // nil. The error is always a *verdict.Error: NotRun means that the peer's handler
-// has not run and will not, MayHaveRun that it may have run. An error of the
-// handler itself is returned with the handler's verdict.
+// has not run and will not, MayHaveRun that it may have run, Ran that it has run but
+// its answer cannot be used. An error of the handler itself is returned with the
+// handler's verdict.
 func (t *Transport) Call(ctx context.Context, to id.Daemon, kind Kind, req, resp any) error {
 	r, err := t.find(to)
 	if err != nil {
