--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -70,8 +70,8 @@
 	foreign *metrics.Counter
 }
 
-// addressConns holds the connections to one address: the number that is open, and
-// the idle ones, the last used at the end.
+// addressConns holds the connections to one address: the number of open ones,
+// including the idle ones, and the idle ones, the most recently used last.
 type addressConns struct {
 	open int
 	idle []*conn
