--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -240,7 +240,7 @@
 	f.mu.Lock()
 	f.fullRead = false
 	if f.known && snapshot.Position < f.state.Position {
-		// News from another daemon were applied while this read was in flight.
+		// News from another daemon was applied while this read was in flight.
 		f.mu.Unlock()
 		return nil
 	}
@@ -284,8 +284,8 @@
 }
 
 // readChanges waits for changes and reports whether there were any. Without changes
-// the position stays at the last change: only then do the news of one daemon
-// continue where those of another ended.
+// the position stays at the last change: only then does the news of one daemon
+// continue where the news of another ended.
 func (f *Follower) readChanges(parent context.Context, after uint64) (changed bool, err error) {
 	wait, limit := f.callTimeouts()
 	ctx, cancel := context.WithTimeout(parent, limit)
