--- a/cmd/internal/account/build.go
+++ b/cmd/internal/account/build.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// groupAttempts groups the attempts by request: an attempt with the same route and
-// fingerprint after an unanswered one belongs to the same request.
+// groupAttempts groups the attempts by request: an attempt that follows an unanswered
+// one with the same route and fingerprint within retryWindow belongs to the same
+// request.
 func groupAttempts(attempts []*attempt) []request {
 	var out []request
 	latest := map[string]int{} // index of the latest request by route and fingerprint
--- a/cmd/internal/account/ends.go
+++ b/cmd/internal/account/ends.go
@@ -17,8 +17,8 @@
 	reasonNotLogged = "its daemon kept running and logged no end"
 )
 
-// silentAfter is how long before the newest line of all logs a daemon's last line
-// must be to count as the end of its process: a running daemon logs a line at least
+// silentAfter is the age of a daemon's last line, compared with the newest line of all
+// logs, above which its process counts as ended: a running daemon logs a line at least
 // every 10 s.
 const silentAfter = 12 * time.Second
 
--- a/cmd/internal/experiment/capacity.go
+++ b/cmd/internal/experiment/capacity.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The system size that the results are extrapolated to; targetRequests is per
-// second.
+// The target size of the system, to which the results are extrapolated.
+// targetRequests is in requests per second.
 const (
 	targetDaemons   = 420
 	targetEndpoints = 900
--- a/cmd/internal/experiment/config.go
+++ b/cmd/internal/experiment/config.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// Parameters of the experiment: numbers of daemons, of changes and of races, and
-// waiting times.
+// Parameters of the experiment.
 const (
-	configDaemons   = 9
+	configDaemons = 9
+	// Numbers of changes in four of the phases, and the number of races.
 	configCalm      = 20
 	configReplacing = 30
 	configSlow      = 15
 	configLossy     = 25
 	configRaces     = 20
-	configPause     = 150 * time.Millisecond
-	configSettle    = 15 * time.Second
+	// configPause is the delay after each change or race, and configSettle the
+	// maximum wait until all daemons have the newest revision.
+	configPause  = 150 * time.Millisecond
+	configSettle = 15 * time.Second
 	// configAim and configLimit are the desired and the maximum time until a
 	// change is in force at all daemons.
 	configAim   = time.Second
@@ -33,7 +35,8 @@
 	phaseRaces     = "races"
 )
 
-// Faults injected into the table.
+// Faults injected into the table: the delay of its replies, and the share of its writes
+// whose reply is lost.
 const (
 	configDelayMS = 300
 	configLost    = 0.3
--- a/cmd/internal/fleet/address_test.go
+++ b/cmd/internal/fleet/address_test.go
@@ -15,7 +15,9 @@
 // The port of a killed daemon must not be assigned to another process. In 5 of 360
 // runs beside 39 other fleets, callers that still used the killed daemon's address
 // received status 400 or 404 without a code from a model engine of another fleet
-// that had been assigned the port.
+// that had been assigned the port. The responses came from the killed daemon's
+// address, such as 127.0.0.1:35661, and had the body "request has no id", which only
+// the stand-in of a model engine sends.
 func TestAddressOfKilledDaemonStaysReserved(t *testing.T) {
 	is := is.New(t)
 	f, err := Start(context.Background(), Config{Sites: []standin.PlatformConfig{standin.Bunker()}})
--- a/cmd/internal/load/caller.go
+++ b/cmd/internal/load/caller.go
@@ -99,7 +99,7 @@
 	// connFailed is set if the connection failed; the next attempt uses another
 	// address.
 	connFailed bool
-	// delay before the next attempt.
+	// delay is the time until the next attempt.
 	delay time.Duration
 }
 
--- a/cmd/internal/soak/simulation.go
+++ b/cmd/internal/soak/simulation.go
@@ -198,8 +198,9 @@
 	x.Stream(first, streamSize, true)
 }
 
-// Runners refuse, fail or interrupt in mid-stream every request whose number is a
-// multiple of these.
+// Runners refuse each request whose number is a multiple of refuseEvery. Plain runners
+// fail the multiples of failEvery, and engines interrupt the first run of the multiples
+// of breakEvery in mid-stream.
 const (
 	refuseEvery = 17
 	failEvery   = 23
--- a/endpoint/netconn/conn.go
+++ b/endpoint/netconn/conn.go
@@ -37,7 +37,7 @@
 func New(c net.Conn) *Conn { return &Conn{Conn: c} }
 
 // Read implements net.Conn. After the deadline it returns data that has been
-// received, and the deadline error once there is none.
+// received, up to maxLateBytes per deadline, and then the deadline error.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/endpoint/netconn/dial.go
+++ b/endpoint/netconn/dial.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// lateThreshold is the delay past its timeout with which a dial ends only if this
-// process was stalled.
+// lateThreshold separates late timers from normal ones: a dial that ends more than
+// this long after its timeout ended late because this process was stalled.
 const lateThreshold = 20 * time.Millisecond
 
 // Dialer opens connections. Timeout must be set.
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -170,7 +170,7 @@
 		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "can't reach the engine that holds the KV cache: "+err.Error())
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache pull was refused by "+address)
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache is gone: its pull failed at "+address)
 	}
 	var out pullResponse
 	if err := json.Unmarshal(resp.Body(), &out); err != nil {
