--- a/cmd/internal/experiment/faults_measure.go
+++ b/cmd/internal/experiment/faults_measure.go
@@ -141,7 +141,7 @@
 
 // lost reports whether an answer began but was not completed, or whether a call
 // with an idempotency key was answered but never ran. An answer is not lost if the
-// caller hung up or its patience ended first.
+// caller hung up, or if its patience ended while the answer was still arriving.
 func (d requestRecord) lost(runs map[string]int) bool {
 	switch {
 	case d.HungUp:
--- a/cmd/internal/experiment/rolling.go
+++ b/cmd/internal/experiment/rolling.go
@@ -176,7 +176,8 @@
 	return nil
 }
 
-// label sets the label that drains engines, and waits until it is in force.
+// label sets the label that drains engines, or removes it if to is empty, and waits
+// until the change is in force.
 func (r *rolling) label(ctx context.Context, engines []int, to string) error {
 	for _, i := range engines {
 		revision, err := r.fleet.Label(ctx, live.KindEndpoint, r.site.Engines[i].Name, live.Labels{live.LabelLeaving: to})
