--- a/daemon/gateway/tables.go
+++ b/daemon/gateway/tables.go
@@ -227,7 +227,7 @@
 	})
 }
 
-// settleRegistry drops lapsed entries that have gone for certain. query reports whether
+// settleRegistry drops lapsed entries that are certainly gone. query reports whether
 // to query other daemons for the store's uptime, up to the store's version upTo; due
 // reports whether the next answer of the store may decide about the remaining ones.
 func (d *Daemon) settleRegistry() (upTo uint64, query, due bool) {
@@ -255,7 +255,7 @@
 	}
 }
 
-// sleep waits for pause. It returns false if the daemon ends before.
+// sleep waits for pause. It returns false if the daemon ends first.
 func (d *Daemon) sleep(pause time.Duration) bool {
 	select {
 	case <-d.ctx.Done():
