--- a/core/claim/claims.go
+++ b/core/claim/claims.go
@@ -103,7 +103,7 @@
 		claimed: wall.UnixMilli(),
 	}
 	if c.count >= c.cfg.MaxOps {
-		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many claims are in progress").WithRetryAfter(defaultRetryAfter))
+		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many claims at work").WithRetryAfter(defaultRetryAfter))
 		return c.flush()
 	}
 	if !c.answeredByQueue(o) {
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -156,7 +156,7 @@
 
 func (c *Claims) rowUnreadable(o *op, err error) {
 	if o.kind == opBegin {
-		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be decoded").WithCause(err))
+		c.refuse(o, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the claim row can't be read").WithCause(err))
 	} else {
 		c.settle(o, false)
 	}
@@ -168,7 +168,7 @@
 	case row.Token == o.token && row.State == StateClaimed:
 		c.proceed(o, version)
 	case row.Token == o.token && row.State == StateReleased:
-		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the claim was released by its owner"))
+		c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeSuperseded, "the owner has given this claim up"))
 		c.done(o)
 	case c.claimable(row):
 		o.expectedVersion = version
@@ -205,7 +205,7 @@
 	if f == nil {
 		f = &Failure{Verdict: verdict.MayHaveRun, Code: verdict.CodeInternal, Message: "the stored outcome is empty"}
 	}
-	c.refuse(o, verdict.New(f.Verdict, f.Code, "an earlier call with this idempotency key failed: %s", f.Message))
+	c.refuse(o, verdict.New(f.Verdict, f.Code, "an earlier call under this key failed: %s", f.Message))
 }
 
 func (c *Claims) decideFinish(o *op, row Row, version uint64) {
@@ -246,8 +246,8 @@
 	}
 	if !ownerAlive {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-			"an earlier call with this idempotency key may have run; its daemon has failed")
+			"an earlier call under this key was lost with its daemon and may have run")
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeClaimed,
-		"a call with this idempotency key is running").WithRetryAfter(defaultRetryAfter)
+		"a call under this key is running").WithRetryAfter(defaultRetryAfter)
 }
--- a/core/claim/lifecycle.go
+++ b/core/claim/lifecycle.go
@@ -82,7 +82,7 @@
 	o.outcome = Outcome{Failure: &Failure{
 		Verdict: verdict.Ran,
 		Code:    verdict.CodeUnavailable,
-		Message: "the call ran, but its answer was too large for the table and could not be stored in the object store",
+		Message: "the call ran, its answer was too large to be kept in the table and could not be stored",
 	}}
 	c.start(o)
 }
@@ -108,7 +108,7 @@
 		return
 	}
 	c.refuse(o, verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"the claim could not be stored within %s", c.cfg.MaxWait).WithRetryAfter(defaultRetryAfter))
+		"the claim could not be stored in %s", c.cfg.MaxWait).WithRetryAfter(defaultRetryAfter))
 	c.abandon(o)
 }
 
--- a/core/kvsched/admission.go
+++ b/core/kvsched/admission.go
@@ -54,7 +54,7 @@
 const forecastMargin = 1.6
 
 // causePastTarget is the reason for a refusal on arrival.
-const causePastTarget = "the requests before it occupy the engines past its target"
+const causePastTarget = "those before it take the engines past its target"
 
 const (
 	// minOverloadRetryAfter is the shortest retry delay for a request that
--- a/core/kvsched/grant.go
+++ b/core/kvsched/grant.go
@@ -14,8 +14,8 @@
 const (
 	causeNoPrefillEngine = "no prefill engine is free"
 	causeNoMemory        = "no decode engine has memory"
-	causeNoEngine        = "no engine is available"
-	causeLate            = "late requests wait until the pool has spare memory"
+	causeNoEngine        = "no engine can be used"
+	causeLate            = "late requests wait until the pool has room to spare"
 )
 
 // grantWaiting scans the queue and grants the requests that can be granted.
--- a/core/live/check.go
+++ b/core/live/check.go
@@ -74,7 +74,7 @@
 		it.fault("name", "%s", msg)
 	}
 	if names[name] {
-		it.fault("name", "the name is not unique")
+		it.fault("name", "the name is used twice")
 	}
 	names[name] = true
 	return it
@@ -102,7 +102,7 @@
 func (it item) labels(l Labels) {
 	for k := range l {
 		if msg := nameFault(k); msg != "" {
-			it.fault("labels", "a label key %s", msg)
+			it.fault("labels", "a label's key: %s", msg)
 			return
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	invalid := func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) }
 	if strings.ContainsFunc(name, invalid) {
-		return "contains a space or a non-printable character"
+		return "holds a space or a character that cannot be printed"
 	}
 	return ""
 }
@@ -148,7 +148,7 @@
 			continue
 		}
 		if seen[hash] {
-			it.fault(field, "the key is already in use")
+			it.fault(field, "the key is in use already")
 		}
 		seen[hash] = true
 	}
@@ -227,11 +227,11 @@
 func (it item) address(address string, seen map[string]bool) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
-		it.fault("address", "%q is not an IP address and a port", address)
+		it.fault("address", "%q is not an IP number and a port", address)
 		return
 	}
 	if seen[ap.String()] {
-		it.fault("address", "%q is already in use", address)
+		it.fault("address", "%q is used twice", address)
 	}
 	seen[ap.String()] = true
 }
--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -104,7 +104,7 @@
 		return []sched.Action{{To: w.From, Refusal: &sched.Refusal{
 			Request: w.Request,
 			Code:    verdict.CodeNoEndpoint,
-			Reason:  "the pool has no endpoint of a role that the service needs",
+			Reason:  "no endpoint of a role that the service needs",
 		}}}
 	}
 	p.grants[w.Request] = g
--- a/core/resume/keyring.go
+++ b/core/resume/keyring.go
@@ -78,7 +78,7 @@
 			return nil, fmt.Errorf("resume key %d has %d bytes, want %d or more", key.ID, len(key.Secret), MinSecretBytes)
 		}
 		if _, duplicate := k.secrets[key.ID]; duplicate {
-			return nil, fmt.Errorf("resume key %d is configured twice", key.ID)
+			return nil, fmt.Errorf("resume key %d is given twice", key.ID)
 		}
 		k.secrets[key.ID] = key.Secret
 	}
@@ -120,10 +120,10 @@
 		return Token{}, &Error{Reason: ReasonMalformed, Detail: err.Error()}
 	}
 	if t.Team != team {
-		return Token{}, &Error{Reason: ReasonWrongTeam, Detail: "the token belongs to another team"}
+		return Token{}, &Error{Reason: ReasonWrongTeam, Detail: "it belongs to another team"}
 	}
 	if t.Expired(wall) {
-		return Token{}, &Error{Reason: ReasonExpired, Detail: "the token has expired"}
+		return Token{}, &Error{Reason: ReasonExpired, Detail: "its time is over"}
 	}
 	return t, nil
 }
--- a/core/revision/apply.go
+++ b/core/revision/apply.go
@@ -101,13 +101,13 @@
 	d := json.NewDecoder(bytes.NewReader(op.Item))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&item); err != nil {
-		return fmt.Errorf("the item can't be decoded: %w", err)
+		return fmt.Errorf("the item can't be read: %w", err)
 	}
 	if *name(&item) == "" {
 		*name(&item) = N(op.Name)
 	}
 	if string(*name(&item)) != op.Name {
-		return fmt.Errorf("the item's name %q differs from the op's", *name(&item))
+		return fmt.Errorf("the item's name is %q", *name(&item))
 	}
 	if at >= 0 {
 		(*list)[at] = item
--- a/core/sched/admission.go
+++ b/core/sched/admission.go
@@ -70,7 +70,7 @@
 		Request:    w.Request,
 		Code:       verdict.CodeOverloaded,
 		RetryAfter: l.retryAfter(late),
-		Reason: fmt.Sprintf("predicted wait %v plus %v to the first token exceeds the remaining patience of %v; estimates: %s",
+		Reason: fmt.Sprintf("predicted wait %v and first token %v, patience %v; estimates: %s",
 			wait, first, s.patience-w.Age, l.pool.describe(l.now)),
 	}
 }
@@ -220,7 +220,7 @@
 		Request:    w.want.Request,
 		Code:       verdict.CodeOverloaded,
 		RetryAfter: l.retryAfter(l.drainTime(w.team)),
-		Reason: fmt.Sprintf("waited %v with a patience of %v, blocked by %s",
-			l.now-w.arrived, w.service.patience, cmp.Or(w.blocked, "earlier requests")),
+		Reason: fmt.Sprintf("waited %v of %v, held up by %s",
+			l.now-w.arrived, w.service.patience, cmp.Or(w.blocked, "requests before it")),
 	}
 }
--- a/core/sched/optimistic.go
+++ b/core/sched/optimistic.go
@@ -102,7 +102,7 @@
 			Request:    w.Request,
 			Code:       verdict.CodeNoEndpoint,
 			RetryAfter: boundRetry(o.options.ReportLag),
-			Reason:     "no ready endpoint for a role that the service needs",
+			Reason:     "no ready endpoint of a role that the service needs",
 		}}}
 	}
 	o.hold(r)
--- a/core/sched/want.go
+++ b/core/sched/want.go
@@ -37,7 +37,7 @@
 func (l *Ledger) answerRepeated(w *Want) ([]Action, bool) {
 	if r := l.granted[w.Request]; r != nil {
 		if r.want.From != w.From {
-			return []Action{{To: w.From, Refusal: superseded(w, "the caller reconnected through another daemon")}}, true
+			return []Action{{To: w.From, Refusal: superseded(w, "the caller came back through another daemon")}}, true
 		}
 		grant := r.grant
 		return []Action{{To: w.From, Grant: &grant}}, true
--- a/daemon/app/peers.go
+++ b/daemon/app/peers.go
@@ -128,7 +128,7 @@
 		reply := h.d.claims.HandleFinish(ctx, from, &call)
 		return peer.Encode(&reply)
 	default:
-		return nil, eris.Errorf("unknown call kind %d from %s", kind, from)
+		return nil, eris.Errorf("unknown kind of call %d from %s", kind, from)
 	}
 }
 
--- a/daemon/claims/claims.go
+++ b/daemon/claims/claims.go
@@ -118,7 +118,7 @@
 }
 
 func stoppingError() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable, "this daemon accepts no claims now")
+	return verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable, "this daemon takes no claims now")
 }
 
 func (c *Claims) resolve(ctx context.Context, r result) (*claim.Claim, *claim.Answer, *verdict.Error) {
@@ -130,7 +130,7 @@
 	}
 	body, err := c.cfg.Objects.Get(ctx, r.answer.Object)
 	if err != nil {
-		verr := verdict.New(verdict.Ran, verdict.CodeUnavailable, "the call has run; its stored answer is temporarily unreadable")
+		verr := verdict.New(verdict.Ran, verdict.CodeUnavailable, "the call has run; its stored answer can't be read now")
 		return nil, nil, verr.WithRetryAfter(time.Second).WithCause(err)
 	}
 	full := *r.answer
--- a/daemon/claims/remote.go
+++ b/daemon/claims/remote.go
@@ -40,7 +40,7 @@
 		}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"no daemon that writes claims is reachable").WithRetryAfter(writerRetryAfter)}
+		"no daemon that writes claims can be reached").WithRetryAfter(writerRetryAfter)}
 }
 
 func (c *Claims) callBegin(ctx context.Context, to id.Daemon, b claim.Begin) (BeginReply, error) {
@@ -62,7 +62,7 @@
 		return result{claim: held}
 	}
 	c.abandon(b)
-	return result{err: verdict.New(verdict.NotRun, verdict.CodeInternal, "the writer of the claim replied with another claim")}
+	return result{err: verdict.New(verdict.NotRun, verdict.CodeInternal, "the reply of a claim's writer is of another claim")}
 }
 
 // handleRefusal returns a writer's refusal. A writer that failed to store the claim
@@ -84,7 +84,7 @@
 		return result{err: callerGoneError()}
 	}
 	return result{err: verdict.New(verdict.NotRun, verdict.CodeClaimUnavailable,
-		"daemon %s, which writes the claim, did not reply", to).WithRetryAfter(writerRetryAfter).WithCause(cause)}
+		"daemon %s, which writes the claim, gave no answer", to).WithRetryAfter(writerRetryAfter).WithCause(cause)}
 }
 
 // finishRemotely stores an outcome through the row's first writer, and locally if
@@ -103,7 +103,7 @@
 	b := call.Begin
 	if b.Owner.Daemon != from || b.Token == "" || b.Key == "" {
 		return BeginReply{Refusal: refusalOf(verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"daemon %s can't claim on behalf of %s", from, b.Owner))}
+			"daemon %s can't claim for %s", from, b.Owner))}
 	}
 	r := c.beginLocally(ctx, b)
 	if r.err != nil {
--- a/daemon/completion/attempt.go
+++ b/daemon/completion/attempt.go
@@ -279,7 +279,7 @@
 func (a *attempt) deliver(ctx context.Context, ts TokenStream, ev wire.TokenEvent) (bool, *verdict.Error) {
 	ready, err := a.p.seq.Push(stream.Event{Attempt: id.Request(ev.Request), Seq: ev.Seq, Text: ev.Text, Finish: ev.Finish})
 	if err != nil {
-		return false, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "endpoint %s sent an event that does not fit the stream", a.decode.Name).WithCause(err)
+		return false, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "endpoint %s sent events out of bounds", a.decode.Name).WithCause(err)
 	}
 	for _, e := range ready {
 		out := a.event(ts, e)
--- a/daemon/completion/runner.go
+++ b/daemon/completion/runner.go
@@ -175,7 +175,7 @@
 	w := r.want(p, n)
 	patience := r.patience(p)
 	if patience <= 0 || r.remaining(p.job) <= 0 {
-		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "the request timed out before attempt %d", n)
+		return verdict.New(verdict.NotRun, verdict.CodeDeadline, "out of time before attempt %d", n)
 	}
 	grant, verr := r.Pairer.Pair(ctx, w, patience)
 	if verr != nil {
--- a/daemon/endpoints/endpoints.go
+++ b/daemon/endpoints/endpoints.go
@@ -165,7 +165,7 @@
 func (t tokenStream) Next() (wire.TokenEvent, error) {
 	e, err := t.s.Next()
 	if err == io.EOF {
-		return e, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream has ended after its terminal event")
+		return e, verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream ended behind its terminal event")
 	}
 	return e, err
 }
--- a/daemon/forward/access.go
+++ b/daemon/forward/access.go
@@ -39,7 +39,7 @@
 		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the key is not known, and the configuration may be out of date").
 			WithRetryAfter(staleRetryAfter)
 	case !r.HasKey:
-		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the request has no team key")
+		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the request has no key of a team")
 	default:
 		return verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the key belongs to no team")
 	}
@@ -78,7 +78,7 @@
 
 // errKeyRejected is the cause of refusals because of a request's key: a retry
 // at another endpoint would not help.
-var errKeyRejected = errors.New("the request's key is not known to be valid")
+var errKeyRejected = errors.New("the request's key is not known to be good")
 
 func keyRejected(err *verdict.Error) bool { return errors.Is(err.Cause, errKeyRejected) }
 
--- a/daemon/forward/forward.go
+++ b/daemon/forward/forward.go
@@ -118,7 +118,7 @@
 	t.registry = view.Registry
 	t.route = view.Routes.Match(r.Host, r.Path)
 	if t.route == nil && f.Stale() {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no route matches, and the configuration may be out of date")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "no route is known, and the configuration may be out of date")
 	}
 	if t.route == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no route for this host and path")
--- a/daemon/forward/relay.go
+++ b/daemon/forward/relay.go
@@ -111,7 +111,7 @@
 	}
 	if opened.Events == nil {
 		s.finish(sched.PhaseFailed)
-		return errors.New("the engine for resuming the stream answered with an error")
+		return errors.New("the engine that was to go on answered with an error")
 	}
 	s.opened.Events = opened.Events
 	s.f.stats.resumedStreams.Inc()
@@ -253,10 +253,10 @@
 	case complete:
 		return nil
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdict.New(verdict.Ran, verdict.CodeDeadline, "the stream reached its time limit")
+		return verdict.New(verdict.Ran, verdict.CodeDeadline, "the stream was cut at its time limit")
 	case readErr != nil && ctx.Err() == nil:
 		return verdict.New(verdict.Ran, verdict.CodeEndpointFailed, "the stream broke").WithCause(readErr)
 	default:
-		return verdict.New(verdict.Ran, verdict.CodeCallerGone, "the caller disconnected")
+		return verdict.New(verdict.Ran, verdict.CodeCallerGone, "the caller left")
 	}
 }
--- a/daemon/forward/stream.go
+++ b/daemon/forward/stream.go
@@ -111,7 +111,7 @@
 	case f.checkQuarantine(g.request, g.trace) != nil:
 		// checkQuarantine has set the reason.
 	case keyRejected(err):
-		g.trace.reason = "its key is no longer valid"
+		g.trace.reason = "its key is no longer good"
 	case refusedByOwner(err):
 		g.trace.reason = "the pool's owner refused"
 	case g.pairings >= maxPairings:
--- a/daemon/front/completions.go
+++ b/daemon/front/completions.go
@@ -51,7 +51,7 @@
 // classify authenticates the request and builds the job from its body.
 func (s *Server) classify(ctx *fasthttp.RequestCtx) (*completion.Job, *opapi.CompletionRequest, *verdict.Error) {
 	if !ctx.IsPost() {
-		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s only accepts POST", opapi.PathCompletions)
+		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s takes POST", opapi.PathCompletions)
 	}
 	team, err := s.authenticate(ctx)
 	if err != nil {
@@ -84,7 +84,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(body); err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the body is not a JSON completion request: %v (at byte %d)", err, decoder.InputOffset())
+			"the body is no JSON completion request: %v (at byte %d)", err, decoder.InputOffset())
 	}
 	switch {
 	case body.Model == "":
@@ -93,7 +93,7 @@
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the field prompt is missing or empty")
 	case body.MaxTokens < 1 || body.MaxTokens > maxMaxTokens:
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the field max_tokens is %d and must be between 1 and %d", body.MaxTokens, maxMaxTokens)
+			"the field max_tokens is %d, not between 1 and %d", body.MaxTokens, maxMaxTokens)
 	}
 	return body, nil
 }
@@ -107,13 +107,13 @@
 	}
 	token, err := s.Tokens.Verify(header, job.Team.Name, time.Now())
 	if err != nil {
-		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the header %s contains no valid resume token: %v", opapi.HeaderLastEventID, err)
+		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the header %s holds no valid resume token: %v", opapi.HeaderLastEventID, err)
 	}
 	if token.RequestHash != resume.HashRequest(job.Prompt, job.MaxTokens) || token.Service != job.Service.Name {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the resume token was issued for another request body")
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the resume token belongs to another request body")
 	}
 	if body.Delivered != "" && token.TextHash != resume.HashText(body.Delivered) {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the field delivered is not the text that the resume token was issued for")
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, "the field delivered is not the text that the resume token stands for")
 	}
 	job.ID = id.Request(token.Request)
 	job.Resume = &completion.ResumePoint{
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -176,7 +176,7 @@
 // connection.
 func (s *Server) refuseConn(ctx *fasthttp.RequestCtx) {
 	ctx.SetConnectionClose()
-	err := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this daemon has reached its limit of connections")
+	err := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "this daemon has as many connections as it takes")
 	s.reject(ctx, err.WithRetryAfter(verdict.TransientRetryAfter))
 }
 
@@ -190,7 +190,7 @@
 
 func (s *Server) entry(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsGet() {
-		s.reject(ctx, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s only accepts GET", opapi.PathEntry))
+		s.reject(ctx, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "%s takes GET", opapi.PathEntry))
 		return
 	}
 	httpjson.Write(ctx, fasthttp.StatusOK, s.Entry())
@@ -237,7 +237,7 @@
 	if newest {
 		return permanent
 	}
-	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon has no configuration yet, or an outdated one")
+	err := verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon has no configuration yet, or not the newest one")
 	return err.WithRetryAfter(verdict.TransientRetryAfter)
 }
 
@@ -246,7 +246,7 @@
 	header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	key, ok := strings.CutPrefix(header, bearer)
 	if !ok || key == "" {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the Authorization header contains no bearer key")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnauthorized, "the Authorization header holds no bearer key")
 	}
 	newest := s.Newest()
 	team, ok := s.Directory().TeamByKey(key)
@@ -256,7 +256,7 @@
 	limit := min(s.MaxBodyBytes, team.MaxBodyBytes)
 	if size := len(ctx.PostBody()); size > limit {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeTooLarge,
-			"the body of %d bytes is larger than the team's limit of %d", size, limit)
+			"the body has %d bytes, larger than the %d that the team may send", size, limit)
 	}
 	return team, nil
 }
--- a/daemon/front/services.go
+++ b/daemon/front/services.go
@@ -87,7 +87,7 @@
 	}
 	if svc.Type != live.ServicePlain {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"%s is a model service; use %s", name, opapi.PathCompletions)
+			"%s is a model service: use %s", name, opapi.PathCompletions)
 	}
 	key, err := idempotencyKey(ctx, svc)
 	if err != nil {
@@ -115,7 +115,7 @@
 	key := string(ctx.Request.Header.Peek(opapi.HeaderIdempotencyKey))
 	if len(key) > maxKeyBytes {
 		return "", verdict.New(verdict.NotRun, verdict.CodeBadRequest,
-			"the header %s has %d bytes; at most %d are allowed", opapi.HeaderIdempotencyKey, len(key), maxKeyBytes)
+			"the header %s has %d bytes, not at most %d", opapi.HeaderIdempotencyKey, len(key), maxKeyBytes)
 	}
 	if ctx.IsGet() || ctx.IsHead() {
 		return "", nil
--- a/daemon/front/sse.go
+++ b/daemon/front/sse.go
@@ -26,7 +26,7 @@
 		defer run.end()
 		cancel(nil)
 		if !ok {
-			first.err = verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the answer ended without an event")
+			first.err = verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "the answer ended before it began")
 		}
 		run.failed(first.err)
 		writeError(ctx, first.err, run.job.ID)
--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -113,7 +113,7 @@
 func (s *Server) change(ctx *fasthttp.RequestCtx) {
 	var req opapi.ChangeRequest
 	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body is not a valid change: %v", err))
+		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body is no change: %v", err))
 		return
 	}
 	call, cancel := context.WithTimeout(context.Background(), changeTimeout)
@@ -145,14 +145,14 @@
 		return fasthttp.StatusServiceUnavailable, err.WithRetryAfter(time.Second)
 	default:
 		err := verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable,
-			"it is not known whether change %s was accepted; send it again with the same id", req.ID)
+			"it is not known whether change %s was accepted; send it again under the same id", req.ID)
 		return fasthttp.StatusServiceUnavailable, err.WithRetryAfter(time.Second)
 	}
 }
 
 func conflictText(req opapi.ChangeRequest, o revision.Outcome) string {
 	text := "change " + req.ID + " was made against revision " + strconv.FormatUint(req.Expect, 10) +
-		", but the configuration is at revision " + strconv.FormatUint(o.Revision, 10)
+		", the configuration is at " + strconv.FormatUint(o.Revision, 10)
 	for _, r := range o.Conflicts {
 		text += "; revision " + strconv.FormatUint(r.Revision, 10) + " by " + r.Author + " (change " + r.ID + ")"
 		if len(r.Overlap) > 0 {
@@ -178,7 +178,7 @@
 	}
 	rev, err := strconv.ParseUint(string(wanted), 10, 64)
 	if err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "revision is not a number: %q", wanted))
+		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "revision is no number: %q", wanted))
 		return
 	}
 	doc, ok := s.backing.DocumentAt(rev)
@@ -212,7 +212,7 @@
 	kind := string(ctx.QueryArgs().Peek("kind"))
 	name := string(ctx.QueryArgs().Peek("id"))
 	if kind == "" || name == "" {
-		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "explain requires the parameters kind and id"))
+		fail(ctx, fasthttp.StatusBadRequest, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "explain needs kind and id"))
 		return
 	}
 	answer(ctx, s.backing.Explain(kind, name))
--- a/daemon/peer/answer.go
+++ b/daemon/peer/answer.go
@@ -111,7 +111,7 @@
 	case err != nil:
 		reply.Failure = failureOf(err)
 	case len(body) > t.cfg.MaxMessage:
-		reply.Failure = failureOf(verdict.New(verdict.Ran, verdict.CodeTooLarge, "answer of %d bytes exceeds the limit of %d", len(body), t.cfg.MaxMessage))
+		reply.Failure = failureOf(verdict.New(verdict.Ran, verdict.CodeTooLarge, "answer of %d bytes, bound %d", len(body), t.cfg.MaxMessage))
 	default:
 		reply.Body = body
 	}
--- a/daemon/peer/call.go
+++ b/daemon/peer/call.go
@@ -48,11 +48,11 @@
 	if errors.Is(cause, ErrTooLarge) {
 		code = verdict.CodeTooLarge
 	}
-	return verdict.New(verdict.NotRun, code, "daemon %s could not be reached", to).WithCause(cause)
+	return verdict.New(verdict.NotRun, code, "daemon %s was not reached", to).WithCause(cause)
 }
 
 func mayHaveRun(to id.Daemon, cause error) error {
-	return verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "daemon %s did not answer", to).WithCause(cause)
+	return verdict.New(verdict.MayHaveRun, verdict.CodeUnavailable, "daemon %s gave no answer", to).WithCause(cause)
 }
 
 // call runs one call on a stream of its own. The peer handles only complete
@@ -108,7 +108,7 @@
 func readAnswer(to id.Daemon, data []byte, resp any) error {
 	var a answer
 	if err := Decode(data, &a); err != nil {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "daemon %s sent an answer that cannot be decoded", to).WithCause(err)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "daemon %s gave a broken answer", to).WithCause(err)
 	}
 	if a.Failure != nil {
 		return a.Failure.asError()
@@ -117,7 +117,7 @@
 		return nil
 	}
 	if err := Decode(a.Body, resp); err != nil {
-		return verdict.New(verdict.Ran, verdict.CodeInternal, "daemon %s sent an answer of an unexpected type", to).WithCause(err)
+		return verdict.New(verdict.Ran, verdict.CodeInternal, "daemon %s gave an answer of another type", to).WithCause(err)
 	}
 	return nil
 }
--- a/daemon/plaincall/runner.go
+++ b/daemon/plaincall/runner.go
@@ -102,7 +102,7 @@
 	w := r.want(s, n)
 	patience := r.patience(s)
 	if patience <= 0 {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "the call timed out before attempt %d", n)
+		return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "out of time before attempt %d", n)
 	}
 	grant, err := r.Pairer.Pair(ctx, w, patience)
 	if err != nil {
--- a/daemon/quotas/charge.go
+++ b/daemon/quotas/charge.go
@@ -26,7 +26,7 @@
 	answers := make(chan ChargeReply, 1)
 	p := &pendingCharge{request: ChargeRequest{Seq: q.seq.Add(1), Team: team, Limit: limit, Cost: cost}, answer: answers}
 	if !q.duty.PostContext(ctx, func(now time.Duration) { q.startCharge(now, p) }) {
-		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon accepts no requests now")
+		return verdict.New(verdict.NotRun, verdict.CodeUnavailable, "this daemon takes no requests now")
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -123,7 +123,7 @@
 // cause describes for operators which keeper refused, and on which grounds.
 func (r *ChargeReply) cause() error {
 	if r.repeated {
-		return eris.Errorf("%s, which keeps its account, reported the limit a moment ago", r.keeper)
+		return eris.Errorf("%s, which keeps its account, said so a moment ago", r.keeper)
 	}
 	return eris.Errorf("its account at %s holds %.0f", r.keeper, r.Balance)
 }
--- a/daemon/upstream/answer.go
+++ b/daemon/upstream/answer.go
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	return errors.New("received only answers to other requests")
+	return errors.New("only answers to other requests came")
 }
 
 // isForeign reports whether the answer has another request's id.
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -150,7 +150,7 @@
 		return kept, nil
 	}
 	if !p.reserveSlot(c) {
-		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to the endpoint are in use"))
+		return nil, notRun(c, verdict.CodeOverloaded, errors.New("all connections to it are in use"))
 	}
 	dialed, err := p.dialer.Dial(ctx, c.Address)
 	if err != nil {
@@ -331,7 +331,7 @@
 		code = verdict.CodeDeadline
 	}
 	if cause == io.EOF {
-		cause = errors.New("the endpoint closed the connection without an answer")
+		cause = errors.New("it closed the connection without an answer")
 	}
-	return verdict.New(verdict.MayHaveRun, code, "the exchange with %s failed", c.Address).WithCause(cause)
+	return verdict.New(verdict.MayHaveRun, code, "the exchange with %s broke", c.Address).WithCause(cause)
 }
--- a/endpoint/client/plain.go
+++ b/endpoint/client/plain.go
@@ -41,7 +41,7 @@
 // returns an error with the verdict NotRun; it returns any other response unchanged.
 func (p *Plain) Call(ctx context.Context, in PlainRequest) (PlainResponse, error) {
 	if !validTarget(in.Path) {
-		return PlainResponse{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "path %q is not a valid request target", in.Path)
+		return PlainResponse{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "path %q can't be sent", in.Path)
 	}
 	req, err := newRequest(in.Method, "http://"+p.address+in.Path, nil)
 	if err != nil {
--- a/standin/engine_decode.go
+++ b/standin/engine_decode.go
@@ -66,7 +66,7 @@
 	}
 	m := e.memory
 	if _, ok := m.decodes[r.Request]; ok {
-		return nil, nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine already holds this request")
+		return nil, nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine holds this request")
 	}
 	if m.running >= e.cfg.Slots {
 		e.counters.Refused++
--- a/standin/engine_kv.go
+++ b/standin/engine_kv.go
@@ -143,10 +143,10 @@
 		return f
 	}
 	if !e.faults.waitWhile(ctx.Done(), func(s faultState) bool { return s.stall }) {
-		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled during its KV import")
+		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled in its import")
 	}
 	if e.cfg.Links.Transfer(ctx, source.Domain, e.cfg.Domain, size) != nil {
-		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled during its KV import")
+		return refused(fasthttp.StatusConflict, wire.ErrorCancelled, "request was cancelled in its import")
 	}
 	pull.End = true
 	_, f = e.pull(source.Address, pull)
@@ -167,14 +167,14 @@
 	req.SetRequestURI("http://" + address + pathPull)
 	req.SetBodyRaw(body)
 	if err := e.pullClient.DoTimeout(req, resp, pullTimeout); err != nil {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "can't reach the engine that holds the KV cache: "+err.Error())
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache's engine can't be reached: "+err.Error())
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache is gone: its pull failed at "+address)
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "KV cache is gone at "+address)
 	}
 	var out pullResponse
 	if err := json.Unmarshal(resp.Body(), &out); err != nil {
-		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "can't decode the pull response of "+address)
+		return 0, refused(fasthttp.StatusGone, wire.ErrorKVGone, "unreadable answer of "+address)
 	}
 	return out.Bytes, nil
 }
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -63,7 +63,7 @@
 		return f
 	}
 	if !e.orders.ready {
-		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is changing its model or role")
+		return refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "engine is loading")
 	}
 	if e.orders.current.Role != role {
 		return refused(fasthttp.StatusConflict, wire.ErrorRole, "engine's role is "+e.orders.current.Role)
--- a/standin/engine_orders.go
+++ b/standin/engine_orders.go
@@ -53,14 +53,14 @@
 		return
 	}
 	if o.Role != RolePrefill && o.Role != RoleDecode {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "unknown role: "+o.Role).write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "no such role: "+o.Role).write(ctx)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ChecksFencing && o.Fence < e.orders.current.Fence {
 		e.counters.OrdersRefused++
-		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order has a stale fencing number").write(ctx)
+		refused(fasthttp.StatusConflict, wire.ErrorStaleFence, "order's fencing number is old").write(ctx)
 		return
 	}
 	e.applyOrder(o)
--- a/standin/engine_prefill.go
+++ b/standin/engine_prefill.go
@@ -61,7 +61,7 @@
 	}
 	m := e.memory
 	if _, ok := m.prefills[r.Request]; ok {
-		return nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "engine already holds a prefill of this request")
+		return nil, failed(fasthttp.StatusConflict, wire.ErrorDuplicate, "request is in its prefill")
 	}
 	if len(m.queue) >= e.cfg.PrefillQueue {
 		e.counters.Refused++
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -27,12 +27,12 @@
 	args := ctx.QueryArgs()
 	after, err := strconv.Atoi(string(args.Peek("after")))
 	if err != nil || after < 0 {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "after is not a non-negative integer").write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "after is not a number").write(ctx)
 		return
 	}
 	incarnation, err := strconv.ParseUint(string(args.Peek("incarnation")), 10, 64)
 	if err != nil {
-		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "incarnation is not an unsigned integer").write(ctx)
+		refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "incarnation is not a number").write(ctx)
 		return
 	}
 	d, f := e.takeOver(string(args.Peek("request")), owner{string(args.Peek("owner")), incarnation})
--- a/standin/objects.go
+++ b/standin/objects.go
@@ -92,7 +92,7 @@
 	o.counters.Gets++
 	body, ok := o.objects[name]
 	if !ok {
-		failed(fasthttp.StatusNotFound, wire.ErrorNotFound, "object not found: "+name).write(ctx)
+		failed(fasthttp.StatusNotFound, wire.ErrorNotFound, "no object "+name).write(ctx)
 		return
 	}
 	ctx.SetBody(body)
--- a/standin/reply.go
+++ b/standin/reply.go
@@ -56,7 +56,7 @@
 func setJSON(ctx *fasthttp.RequestCtx, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		ctx.Error("stand-in can't encode its response: "+err.Error(), fasthttp.StatusInternalServerError)
+		ctx.Error("stand-in can't encode its answer: "+err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
 	ctx.SetContentType("application/json")
@@ -66,7 +66,7 @@
 // decodeBody decodes the JSON body of a call.
 func decodeBody(ctx *fasthttp.RequestCtx, into any) *failure {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
-		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "can't decode the request body: "+err.Error())
+		return refused(fasthttp.StatusBadRequest, wire.ErrorBadRequest, "unreadable body: "+err.Error())
 	}
 	return nil
 }
--- a/standin/table_serve.go
+++ b/standin/table_serve.go
@@ -82,7 +82,7 @@
 	t.mu.Lock()
 	t.counters.OverRate++
 	t.mu.Unlock()
-	f := refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "table rate limit exceeded")
+	f := refused(fasthttp.StatusServiceUnavailable, wire.ErrorUnavailable, "table is over its rate")
 	f.retryAfter = delay
 	return f
 }
