--- a/cmd/internal/cli/output/output.go
+++ b/cmd/internal/cli/output/output.go
@@ -17,7 +17,7 @@
 )
 
 // Check refuses an unknown format.
-func Check(format string) error {
+func CheckFormat(format string) error {
 	if format == Table || format == JSON {
 		return nil
 	}
--- a/cmd/internal/cli/root/root.go
+++ b/cmd/internal/cli/root/root.go
@@ -47,7 +47,7 @@
 		Args:          common.Args(cobra.NoArgs),
 		RunE:          func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			return output.Check(opts.Output)
+			return output.CheckFormat(opts.Output)
 		},
 	}
 	cmd.SetVersionTemplate("samphirequay {{.Version}}\n")
