--- a/cmd/internal/cli/common/options.go
+++ b/cmd/internal/cli/common/options.go
@@ -1,5 +1,5 @@
-// Package common holds what the commands share: the flags that say how to
-// reach the daemons and how to print, and the checks of arguments.
+// Package common holds code that the commands share: the flags for the
+// connection to the daemons and for the output format, and argument checks.
 package common
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/cli/output"
 )
 
-// The environment variables that stand in for flags.
+// Environment variables that replace flags that are not set.
 const (
 	EnvOperators = "SAMPHIREQUAY_OPERATORS"
 	EnvKey       = "SAMPHIREQUAY_OPERATOR_KEY"
@@ -27,28 +27,28 @@
 	Key       string
 	CA        string
 	Output    string
-	// ChangeID is the id of a change that is sent again; empty makes a new one.
+	// ChangeID is the id of a change that is sent again; if empty, a new id is made.
 	ChangeID string
 }
 
-// OutputFlag adds the flag that every command has.
+// OutputFlag adds the flag for the output format, which every command has.
 func (o *Options) OutputFlag(flags *pflag.FlagSet) {
 	flags.StringVarP(&o.Output, "output", "o", output.Table, "format of the result: table or json")
 }
 
-// ConnectionFlags adds the flags of the commands that talk to daemons.
+// ConnectionFlags adds the flags of the commands that connect to daemons.
 func (o *Options) ConnectionFlags(flags *pflag.FlagSet) {
-	flags.StringSliceVar(&o.Operators, "operators", nil, "operators' addresses of daemons, host:port[,host:port] (or $"+EnvOperators+")")
-	flags.StringVar(&o.Key, "key", "", "operator's key (better: $"+EnvKey+", which other users of the host can't see)")
-	flags.StringVar(&o.CA, "ca", "", "PEM file with the authorities of the daemons; switches TLS on (or $"+EnvCA+")")
+	flags.StringSliceVar(&o.Operators, "operators", nil, "operator addresses of daemons, host:port[,host:port] (or $"+EnvOperators+")")
+	flags.StringVar(&o.Key, "key", "", "operator key (better: $"+EnvKey+", which other users of the host can't see)")
+	flags.StringVar(&o.CA, "ca", "", "PEM file with the CA certificates of the daemons; enables TLS (or $"+EnvCA+")")
 }
 
 // ChangeFlag adds the flag of the commands that make changes.
 func (o *Options) ChangeFlag(flags *pflag.FlagSet) {
-	flags.StringVar(&o.ChangeID, "change-id", "", "id of the change, to send one again whose outcome is not known; default: a new id")
+	flags.StringVar(&o.ChangeID, "change-id", "", "id of the change, to resend a change whose outcome is not known; default: a new id")
 }
 
-// Client returns a client to the daemons.
+// Client returns a client of the daemons.
 func (o *Options) Client() (*operator.Client, error) {
 	return operator.New(operator.Config{
 		Addresses: o.addresses(),
@@ -57,7 +57,7 @@
 	})
 }
 
-// addresses returns the daemons to talk to.
+// addresses returns the addresses of the daemons, from the flag or the environment.
 func (o *Options) addresses() []string {
 	if len(o.Operators) > 0 {
 		return o.Operators
@@ -65,7 +65,8 @@
 	return splitList(os.Getenv(EnvOperators))
 }
 
-// Single refuses more than one address: for what is meant for one daemon.
+// RequireOneAddress returns an error unless exactly one address is given, for
+// commands that work on one daemon.
 func (o *Options) RequireOneAddress() error {
 	if n := len(o.addresses()); n != 1 {
 		return exit.Errorf(exit.Usage, "this is meant for one daemon: --operators must name one address, not %d", n)
@@ -73,6 +74,7 @@
 	return nil
 }
 
+// flagOrEnv returns a flag's value, or the environment variable's if it is empty.
 func flagOrEnv(value, name string) string {
 	if value != "" {
 		return value
@@ -80,7 +82,7 @@
 	return os.Getenv(name)
 }
 
-// Author is the name that goes into the history of changes.
+// Author returns the user name that the history of changes records.
 func Author() string {
 	u, err := user.Current()
 	if err != nil {
@@ -89,7 +91,8 @@
 	return u.Username
 }
 
-// Args gives a check of arguments the exit code for wrong usage.
+// Args wraps an argument check so that its errors have the exit code for wrong
+// usage.
 func Args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		return exit.Wrap(exit.Usage, check(cmd, args))
--- a/cmd/internal/cli/common/text.go
+++ b/cmd/internal/cli/common/text.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/cli/exit"
 )
 
-// maxFileBytes bounds what a command reads, in bytes.
+// maxFileBytes is the maximum size of an input file, in bytes.
 const maxFileBytes = 64 << 20
 
 // ReadFile reads a file; "-" is the standard input.
@@ -28,7 +28,7 @@
 	return io.ReadAll(io.LimitReader(r, maxFileBytes))
 }
 
-// LabelText writes labels as key=value pairs in the order of their keys.
+// LabelText formats labels as key=value pairs, sorted by key.
 func LabelText(labels map[string]string) string {
 	pairs := make([]string, 0, len(labels))
 	for k, v := range labels {
@@ -38,6 +38,7 @@
 	return strings.Join(pairs, ",")
 }
 
+// splitList splits a comma-separated list and drops empty parts.
 func splitList(text string) []string {
 	var out []string
 	for _, part := range strings.Split(text, ",") {
--- a/cmd/internal/cli/configcmd/apply.go
+++ b/cmd/internal/cli/configcmd/apply.go
@@ -12,9 +12,9 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// applyAnswer is the JSON result of apply.
+// applyResult is the JSON result of apply.
 type applyResult struct {
-	// Change is empty if there was nothing to do, or with --dry-run.
+	// Change is empty if nothing differs, or with --dry-run.
 	Change   string     `json:"change,omitempty"`
 	Revision uint64     `json:"revision"`
 	DryRun   bool       `json:"dry_run"`
@@ -26,10 +26,10 @@
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Make the live configuration equal to a file",
-		Long: `Compare a file with the newest configuration and ask for the difference as one
-change, wholly or not at all. The change is refused with exit code 3 if
-somebody else changed the configuration meanwhile; run it again then. Items
-that are not in the file stay unless --prune is given.`,
+		Long: `Compare a file with the newest configuration and submit the differences as one
+atomic change. The change is rejected with exit code 3 if the configuration was
+changed by another user in the meantime; in that case, run the command again.
+Items that are not in the file stay unless --prune is given.`,
 		Example: `  samphirequay config apply fleet.hujson --dry-run
   samphirequay config apply fleet.hujson --prune`,
 		Args: common.Args(cobra.ExactArgs(1)),
@@ -47,12 +47,12 @@
 	}
 	opts.ChangeFlag(cmd.Flags())
 	cmd.Flags().BoolVar(&prune, "prune", false, "delete the items that are not in the file")
-	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "show the steps and change nothing")
+	cmd.Flags().BoolVar(&dryRun, "dry-run", false, "show the steps without applying them")
 	return cmd
 }
 
-// readToApply reads the file. It must be a whole configuration if what is not
-// in it is deleted.
+// readToApply reads the file. With prune, which deletes the items that are not
+// in the file, the file must hold a whole configuration.
 func readToApply(cmd *cobra.Command, path string, prune bool) (*live.Document, error) {
 	if !prune {
 		return readPart(cmd, path)
--- a/cmd/internal/cli/configcmd/config.go
+++ b/cmd/internal/cli/configcmd/config.go
@@ -1,4 +1,4 @@
-// Package configcmd holds the commands about the whole live configuration:
+// Package configcmd holds the commands for the whole live configuration:
 // check, apply, get, history, diff and explain.
 package configcmd
 
@@ -19,14 +19,14 @@
 	"github.com/samphirequay/samphirequay/daemon/settings"
 )
 
-// Command returns the commands about the live configuration.
+// Command returns the commands for the live configuration.
 func Command(opts *common.Options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "config",
 		Short: "Check, apply and read the live configuration",
 		Long: `The live configuration holds teams, services, pools, endpoints and links. Each
-accepted change gives it a new revision, which is in force everywhere within
-seconds and never goes back.`,
+accepted change gives it a new revision, which takes effect on all daemons
+within seconds. Revisions never decrease.`,
 		Example: "  samphirequay config apply fleet.hujson",
 		Args:    common.Args(cobra.NoArgs),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
@@ -47,8 +47,8 @@
 	return doc, faults, nil
 }
 
-// readPart reads a file that may hold a part of a configuration, whose
-// references may be to items outside of the file.
+// readPart reads a file that may hold a part of a configuration, with
+// references to items that are not in the file.
 func readPart(cmd *cobra.Command, path string) (*live.Document, error) {
 	text, err := common.ReadFile(cmd, path)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return &doc, nil
 }
 
-// faultsError tells the first fault and how many more there are.
+// faultsError returns an error with the first fault and the number of others.
 func faultsError(faults settings.Faults) error {
 	if len(faults) == 1 {
 		return exit.Errorf(exit.Faults, "%w", faults[0])
@@ -77,7 +77,7 @@
 	Message string `json:"message"`
 }
 
-// checkAnswer is the JSON result of check.
+// checkResult is the JSON result of check.
 type checkResult struct {
 	File   string  `json:"file"`
 	OK     bool    `json:"ok"`
@@ -87,10 +87,10 @@
 func checkCommand(opts *common.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a file without asking a daemon",
+		Short: "Check a file without contacting a daemon",
 		Long: `Check a file of JSON with comments that holds a live configuration: its
-syntax, unknown fields, types, names, selectors and references. It asks no
-daemon. - is the standard input.`,
+syntax, unknown fields, types, names, selectors and references. No daemon is
+contacted. - is the standard input.`,
 		Example: "  samphirequay config check fleet.hujson",
 		Args:    common.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -123,8 +123,8 @@
 	cmd := &cobra.Command{
 		Use:   "get",
 		Short: "Read the live configuration as JSON",
-		Long: `Read the live configuration, the newest or at a revision that the daemon still
-keeps. The result is JSON in every format and can be given to apply.`,
+		Long: `Read the newest live configuration, or a revision that the daemon still keeps.
+The output is always JSON and is valid input for apply.`,
 		Example: "  samphirequay config get --revision 17 > fleet-17.json",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -168,12 +168,12 @@
 			return output.Print(cmd.OutOrStdout(), opts.Output, history, rows)
 		},
 	}
-	cmd.Flags().Uint64Var(&after, "after", 0, "list changes behind this revision")
-	cmd.Flags().IntVar(&limit, "limit", 50, "list at most so many")
+	cmd.Flags().Uint64Var(&after, "after", 0, "list changes after this revision")
+	cmd.Flags().IntVar(&limit, "limit", 50, "maximum number of changes to list")
 	return cmd
 }
 
-// stepsText sums up the steps of a change in one cell.
+// stepsText summarizes the steps of a change for one table cell.
 func stepsText(ops []opapi.Op) string {
 	const shown = 3
 	var parts []string
@@ -187,7 +187,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// StepText writes one step of a change.
+// StepText formats one step of a change.
 func StepText(op opapi.Op) string {
 	text := op.Action + " " + string(op.Kind) + " " + op.Name
 	if len(op.Labels) > 0 {
@@ -196,7 +196,7 @@
 	return text
 }
 
-// compactItem is an item's JSON on one line.
+// compactJSON returns the JSON of a value on one line.
 func compactJSON(value any) string {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/cmd/internal/cli/configcmd/explain.go
+++ b/cmd/internal/cli/configcmd/explain.go
@@ -13,7 +13,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// fieldHelp explains one field of the live configuration.
+// fieldHelp describes one field of the live configuration.
 type fieldHelp struct {
 	Field   string `json:"field"`
 	Type    string `json:"type"`
@@ -25,16 +25,16 @@
 	return &cobra.Command{
 		Use:   "explain [KIND[.FIELD]]",
 		Short: "Explain the fields of the live configuration",
-		Long:  "Explain the fields of the live configuration: their type, default and meaning. It asks no daemon.",
+		Long:  "Explain the fields of the live configuration: their type, default and meaning. No daemon is contacted.",
 		Example: `  samphirequay config explain service
   samphirequay config explain service.waste_weight`,
 		Args: common.Args(cobra.MaximumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			what := ""
+			path := ""
 			if len(args) == 1 {
-				what = args[0]
+				path = args[0]
 			}
-			fields, err := explain(what)
+			fields, err := explain(path)
 			if err != nil {
 				return err
 			}
@@ -64,7 +64,7 @@
 }
 
 // kindFields lists the fields of a kind in the order of its type. The defaults
-// are what normalizing fills in.
+// are those that live.Normalize sets.
 func kindFields(kind live.Kind) []fieldHelp {
 	value, err := document.New(kind)
 	if err != nil {
@@ -84,7 +84,9 @@
 	return out
 }
 
-// normalized returns an item of a kind with all defaults filled in.
+// normalized returns an item of a kind with all defaults filled in. The pool has
+// a model while it is normalized, since only pools with a model get defaults for
+// engines.
 func normalized(kind live.Kind) any {
 	doc := live.Normalize(&live.Document{
 		Teams: make([]live.Team, 1), Services: make([]live.Service, 1), Endpoints: make([]live.Endpoint, 1),
--- a/cmd/internal/cli/daemoncmd/daemon.go
+++ b/cmd/internal/cli/daemoncmd/daemon.go
@@ -26,11 +26,12 @@
 	cmd := &cobra.Command{
 		Use:   "samphirequayd --settings FILE",
 		Short: "The samphirequay daemon",
-		Long: `The daemon that every entry host runs. SIGTERM or an interrupt begins a planned
-stop, which interrupts no request; a second one ends the process at once.
+		Long: `The daemon that runs on every entry host. SIGTERM or an interrupt begins a
+planned stop, which interrupts no request; a second signal ends the process
+immediately.
 
 Exit codes:
-  0  stopped as planned, or the settings are right
+  0  stopped as planned, or the settings are valid
   1  failed
   2  wrong usage
   5  the settings have faults`,
@@ -59,11 +60,11 @@
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return exit.Wrap(exit.Usage, err) })
 	cmd.AddCommand(newPlatform())
 	cmd.Flags().StringVar(&path, "settings", "", "file with the settings, JSON with comments")
-	cmd.Flags().BoolVar(&check, "check", false, "check the settings and end")
+	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 	return cmd
 }
 
-// report prints every fault but the last, which becomes the error.
+// reportFaults prints all faults but the last, which it returns as the error.
 func reportFaults(w io.Writer, faults settings.Faults) error {
 	if len(faults) == 0 {
 		return nil
@@ -74,7 +75,7 @@
 	return exit.Wrap(exit.Faults, faults[len(faults)-1])
 }
 
-// run runs the daemon until it is told to stop, by a signal or by an operator.
+// run runs the daemon until a signal or an operator stops it.
 func run(cmd *cobra.Command, s *settings.Settings) error {
 	daemon, err := app.New(s, app.Options{})
 	if err != nil {
@@ -88,7 +89,7 @@
 	case <-daemon.Done():
 		return nil
 	}
-	// The drain has a bound of its own in the settings.
+	// The settings limit the time of the drain, so the context needs no deadline.
 	return daemon.Stop(context.Background())
 }
 
@@ -96,7 +97,8 @@
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// After the first signal the next one ends the process at once.
+	// Restores the default handling, so that a second signal ends the process
+	// immediately.
 	context.AfterFunc(ctx, stop)
 	cmd := New()
 	cmd.SetArgs(args)
--- a/cmd/internal/cli/daemoncmd/platform.go
+++ b/cmd/internal/cli/daemoncmd/platform.go
@@ -18,11 +18,13 @@
 )
 
 const (
-	// memoryShare of the process's bound is the runtime's own limit: beyond it
-	// the collector works harder rather than let the process be killed.
+	// memoryLimitShare is the Go runtime's memory limit as a share of the
+	// process's limit: above it, the garbage collector runs more often, so that
+	// the process is not killed.
 	memoryLimitShare = 0.6
-	// collectAt is the heap's growth, in percent, at which the collector runs:
-	// memory is dearer than processor time on the small entry hosts.
+	// gcPercent is the heap growth, in percent, that triggers a garbage
+	// collection. It is low since the small entry hosts have less memory to spare
+	// than processor time.
 	gcPercent = 50
 	bytesInMB = 1 << 20
 )
@@ -34,12 +36,13 @@
 	cmd := &cobra.Command{
 		Use:   "platform [--settings FILE]",
 		Short: "Run a daemon on the users' platform",
-		Long: `Runs a daemon on the users' platform: what is configured and which endpoints there
-are is read from the platform's store. The settings are those that the platform
-renders from deploy/settings.json.tmpl; their path is in ` + platform.SettingsVariable + `.
+		Long: `Run a daemon on the users' platform. The configuration and the list of endpoints
+are read from the platform's store. The platform renders the settings from
+deploy/settings.json.tmpl; the path of the settings is in ` + platform.SettingsVariable + `.
 
-SIGTERM or an interrupt begins a planned stop; a second one ends the process at
-once. SIGHUP has the settings read and checked again.`,
+SIGTERM or an interrupt begins a planned stop; a second signal ends the process
+immediately. On SIGHUP, the settings are read and checked again; changes apply
+at the next start.`,
 		Example: "  samphirequayd platform --settings /etc/samphirequay/settings.toml --check",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -61,7 +64,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "file with the settings, JSON with comments; default: $"+platform.SettingsVariable)
-	cmd.Flags().BoolVar(&check, "check", false, "check the settings and end")
+	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 	return cmd
 }
 
@@ -69,8 +72,8 @@
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryLimitShare * s.MemoryMB * bytesInMB))
 	registry := metrics.New(string(s.Daemon))
-	sides := platform.New(cmd.Context(), s, registry)
-	daemon, err := gateway.New(s, sides, gateway.Options{
+	ports := platform.New(cmd.Context(), s, registry)
+	daemon, err := gateway.New(s, ports, gateway.Options{
 		Log:     cmd.OutOrStdout(),
 		Metrics: registry,
 		Seed:    rand.Uint64(),
@@ -78,15 +81,15 @@
 	if err != nil {
 		return err
 	}
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	defer signal.Stop(reloads)
 	if err := daemon.Start(); err != nil {
 		return err
 	}
 	for {
 		select {
-		case <-hangups:
+		case <-reloads:
 			daemon.Reload(path)
 		case <-cmd.Context().Done():
 			daemon.BeginStop()
--- a/cmd/internal/cli/docscmd/commands.go
+++ b/cmd/internal/cli/docscmd/commands.go
@@ -20,7 +20,8 @@
 }
 
 func describeCommand(b *strings.Builder, cmd *cobra.Command) {
-	// Cobra adds these when a command runs; here none or one of them has.
+	// Cobra adds these flags to a command when it runs; most of the commands
+	// described here have not run.
 	cmd.InitDefaultHelpFlag()
 	cmd.InitDefaultVersionFlag()
 	fmt.Fprintf(b, "\n## %s\n\n", cmd.CommandPath())
@@ -30,23 +31,24 @@
 		fmt.Fprintf(b, "\nExamples:\n\n%s\n", codeBlock(cmd.Example))
 	}
 	describeFlags(b, "Flags", cmd.LocalNonPersistentFlags())
-	describeFlags(b, "Flags of this and all below", cmd.PersistentFlags())
+	describeFlags(b, "Flags of this command and its subcommands", cmd.PersistentFlags())
 	for _, sub := range visibleSubcommands(cmd) {
 		describeCommand(b, sub)
 	}
 }
 
-// subcommands are those that people see, by name. Cobra's own are left out:
-// they depend on whether the command has run.
+// visibleSubcommands returns the subcommands that are not hidden, sorted by
+// name. Cobra's own subcommands are left out, since they exist only once the
+// command has run.
 func visibleSubcommands(cmd *cobra.Command) []*cobra.Command {
-	var seen []*cobra.Command
+	var visible []*cobra.Command
 	for _, sub := range cmd.Commands() {
 		if !sub.Hidden && sub.Name() != "help" && sub.Name() != "completion" {
-			seen = append(seen, sub)
+			visible = append(visible, sub)
 		}
 	}
-	slices.SortFunc(seen, func(a, b *cobra.Command) int { return strings.Compare(a.Name(), b.Name()) })
-	return seen
+	slices.SortFunc(visible, func(a, b *cobra.Command) int { return strings.Compare(a.Name(), b.Name()) })
+	return visible
 }
 
 func describeFlags(b *strings.Builder, title string, flags *pflag.FlagSet) {
@@ -70,7 +72,7 @@
 	return f.DefValue
 }
 
-// block indents text, so that it is shown as it stands.
+// codeBlock indents text, so that Markdown shows it unchanged.
 func codeBlock(text string) string {
 	var lines []string
 	for _, line := range strings.Split(strings.Trim(text, "\n"), "\n") {
@@ -79,7 +81,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// prose keeps paragraphs, and shows lists as they stand.
+// formatProse keeps paragraphs and shows lists as code blocks.
 func formatProse(text string) string {
 	paragraphs := strings.Split(strings.TrimSpace(text), "\n\n")
 	for i, p := range paragraphs {
@@ -90,7 +92,7 @@
 	return strings.Join(paragraphs, "\n\n")
 }
 
-// code shows a short text as code; nothing stays nothing.
+// inlineCode shows a short text as code; an empty text stays empty.
 func inlineCode(text string) string {
 	if text == "" {
 		return ""
@@ -98,7 +100,7 @@
 	return "`" + tableCell(text) + "`"
 }
 
-// cell makes a text fit into one cell of a table.
+// tableCell puts a text on one line and escapes it for a table.
 func tableCell(text string) string {
 	return strings.ReplaceAll(strings.Join(strings.Fields(text), " "), "|", "\\|")
 }
--- a/cmd/internal/cli/docscmd/fields.go
+++ b/cmd/internal/cli/docscmd/fields.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// row is one line of a table of fields.
+// row is one row of a table of fields.
 type row struct{ path, typeName, defaultValue, bounds, text string }
 
-// fieldTable walks a struct and lists its fields, those of nested structs
-// under their paths.
+// fieldTable lists the fields of a struct, with those of nested structs under
+// their paths.
 type fieldTable struct {
 	docs   map[string]structDoc
 	bounds func(path string, f fieldDoc) string
 	rows   []row
 }
 
-// walk lists the fields of v below a path.
+// walk lists the fields of v, which is at path.
 func (t *fieldTable) walk(v reflect.Value, path string) {
 	for _, f := range t.docs[v.Type().Name()].fields {
 		field := v.FieldByName(f.goName)
@@ -33,7 +33,8 @@
 	}
 }
 
-// nestedStruct gives a value of the struct that a field holds, points to or lists.
+// nestedStruct returns a value of the struct type that a field holds, points to
+// or lists.
 func nestedStruct(v reflect.Value) (reflect.Value, bool) {
 	t := v.Type()
 	if t.Kind() == reflect.Struct {
@@ -45,7 +46,7 @@
 	return reflect.Zero(t), t.Kind() == reflect.Struct
 }
 
-// depth counts the lists around a type.
+// depth returns the number of lists around a type.
 func depth(t reflect.Type) int {
 	n := 0
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
@@ -57,7 +58,7 @@
 	return n
 }
 
-// kindOf names a type as a person who writes a file knows it.
+// typeName returns the name of a type for the authors of configuration files.
 func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -79,7 +80,8 @@
 	}
 }
 
-// presetOf shows a scalar's default; empty ones are left to the comment.
+// defaultText formats the default of a scalar. It is empty for other types and
+// for zero values, whose meaning the field's comment explains.
 func defaultText(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Struct, reflect.Slice, reflect.Map, reflect.Pointer:
--- a/cmd/internal/cli/docscmd/live.go
+++ b/cmd/internal/cli/docscmd/live.go
@@ -18,8 +18,8 @@
 	}
 	var b strings.Builder
 	b.WriteString("# Live configuration\n\n" + docs["Document"].text + "\n\n" +
-		"A file of JSON with comments. `samphirequay config check FILE` checks it, `samphirequay config apply FILE` makes it live. " +
-		"Labels steer the system: see [the on-call's handbook](../OPERATORS.md).\n")
+		"A file of JSON with comments. `samphirequay config check FILE` checks it, `samphirequay config apply FILE` applies it. " +
+		"Labels control the system: see [the operators' handbook](../OPERATORS.md).\n")
 	filled := normalizedItems()
 	bounds := liveBounds()
 	for _, list := range reflect.VisibleFields(reflect.TypeFor[live.Document]()) {
@@ -36,7 +36,7 @@
 	return b.String(), nil
 }
 
-// oneOfEach is a document with one empty item of each kind.
+// singleItemDocument returns a document with one empty item of each kind.
 func singleItemDocument() *live.Document {
 	return &live.Document{
 		Teams:     []live.Team{{}},
@@ -47,8 +47,9 @@
 	}
 }
 
-// normalizedItems shows the defaults. Only a pool with a model has those of
-// its engines.
+// normalizedItems returns a document with the defaults of each kind. The pool
+// has a model while it is normalized, since only pools with a model get
+// defaults for engines.
 func normalizedItems() *live.Document {
 	doc := singleItemDocument()
 	doc.Pools[0].Model = "model"
@@ -57,8 +58,8 @@
 	return filled
 }
 
-// liveBounds asks the check of the live configuration for the range of each
-// number, by giving it numbers that are in none.
+// liveBounds returns the range of each number by its path. It reads them from
+// the faults that live.Check reports for numbers outside of every range.
 func liveBounds() map[string]string {
 	doc := singleItemDocument()
 	for _, item := range []any{&doc.Teams[0], &doc.Services[0], &doc.Pools[0], &doc.Endpoints[0], &doc.Links[0]} {
@@ -74,7 +75,7 @@
 	return bounds
 }
 
-// plainNumber writes a number without an exponent.
+// formatDecimal formats a number without an exponent.
 func formatDecimal(text string) string {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
-// spoil sets every number of a struct to one that no range holds.
+// setOutOfRange sets every number of a struct to a value outside of every range.
 func setOutOfRange(v reflect.Value) {
 	for i := range v.NumField() {
 		switch f := v.Field(i); f.Kind() {
--- a/cmd/internal/cli/docscmd/metrics.go
+++ b/cmd/internal/cli/docscmd/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/samphirequay/samphirequay/standin"
 )
 
-// metricsPage lists what a running daemon declares.
+// metricsPage lists the metrics that a running daemon declares.
 func metricsPage(ctx context.Context) (string, error) {
 	f, err := fleet.Start(ctx, fleet.Config{Sites: []standin.PlatformConfig{standin.Bunker()}})
 	if err != nil {
@@ -21,7 +21,7 @@
 	var b strings.Builder
 	b.WriteString("# Metrics\n\nEach daemon serves them as JSON under `/debug/vars` of its `listen.debug` address. " +
 		"All count from the start of the process. A counter map has a count for each key; a latency has `count`, `mean`, `p50`, `p95`, `p99` and `max`. " +
-		"What to do about them: [the on-call's handbook](../OPERATORS.md#alarms).\n\n" +
+		"For the responses to alarms, see [the operators' handbook](../OPERATORS.md#alarms).\n\n" +
 		"| metric | type | unit | meaning |\n|---|---|---|---|\n")
 	for _, d := range f.Daemon(0).Metrics().Describe() {
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", d.Name, d.Type, d.Unit, tableCell(d.Help))
--- a/cmd/internal/cli/docscmd/settings.go
+++ b/cmd/internal/cli/docscmd/settings.go
@@ -24,7 +24,7 @@
 	return b.String(), nil
 }
 
-// tagBounds puts a validate tag into words.
+// tagBounds describes a validate tag in words.
 func tagBounds(tag string) string {
 	var words []string
 	for _, rule := range strings.Split(tag, ",") {
--- a/cmd/internal/cli/docscmd/source.go
+++ b/cmd/internal/cli/docscmd/source.go
@@ -12,22 +12,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// structDoc is what the source says about a struct.
+// structDoc is the documentation of a struct in the source.
 type structDoc struct {
 	text   string
 	fields []fieldDoc
 }
 
-// fieldDoc is what the source says about a field.
+// fieldDoc is the documentation of a field in the source.
 type fieldDoc struct {
-	// goName is the name in the source, name the one in files.
+	// goName is the name in the source, name the name in files.
 	goName, name string
 	text         string
 	// validate is the rule of the validate tag.
 	validate string
 }
 
-// sourceDocs reads the structs of the package in a folder.
+// sourceDocs reads the documentation of the structs of the package in a folder.
 func sourceDocs(dir string) (map[string]structDoc, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil || len(files) == 0 {
@@ -51,7 +51,7 @@
 	return docs, nil
 }
 
-// collect notes the structs of one declaration.
+// collectStructs adds the structs of one declaration to docs.
 func collectStructs(docs map[string]structDoc, decl *ast.GenDecl) {
 	for _, spec := range decl.Specs {
 		t, ok := spec.(*ast.TypeSpec)
@@ -64,8 +64,8 @@
 	}
 }
 
-// fieldsOf lists the fields. One without a comment shares that of the field
-// before it.
+// fieldsOf lists the fields of a struct. A field without a comment shares the
+// comment of the field before it.
 func fieldsOf(s *ast.StructType) []fieldDoc {
 	var fields []fieldDoc
 	text := ""
@@ -94,7 +94,7 @@
 	return reflect.StructTag(text)
 }
 
-// commentOf gives a comment as one line.
+// commentText returns a comment as one line.
 func commentText(group *ast.CommentGroup) string {
 	return strings.Join(strings.Fields(group.Text()), " ")
 }
--- a/cmd/internal/cli/exit/exit.go
+++ b/cmd/internal/cli/exit/exit.go
@@ -1,5 +1,5 @@
-// Package exit gives the exit codes of the commands and the errors that carry
-// them.
+// Package exit defines the exit codes of the commands and errors with an exit
+// code.
 package exit
 
 import (
@@ -9,27 +9,27 @@
 
 // The exit codes.
 const (
-	// OK: the command did what was asked.
+	// OK: the command succeeded.
 	OK = 0
-	// Failed: it did not.
+	// Failed: the command failed for a reason that has no code of its own.
 	Failed = 1
-	// Usage: the command line was wrong; nothing was tried.
+	// Usage: the command line was wrong; the command did nothing.
 	Usage = 2
-	// Conflict: somebody else changed the configuration first.
+	// Conflict: the configuration was changed by another user first.
 	Conflict = 3
-	// Unavailable: no daemon, or not the store behind it, could be reached.
+	// Unavailable: no daemon could be reached, or the daemon's store could not.
 	Unavailable = 4
-	// Faults: a check or an experiment ran and found faults.
+	// Faults: a check or an experiment completed and found faults.
 	Faults = 5
 )
 
-// Help explains the exit codes; it stands at the end of the root command's help.
+// Help describes the exit codes at the end of the root command's help.
 const Help = `Exit codes:
-  0  done
+  0  success
   1  failed
-  2  wrong usage; nothing was tried
-  3  conflict: the configuration changed meanwhile
-  4  unavailable: no daemon, or not the store behind it, could be reached
+  2  wrong usage; the command did nothing
+  3  conflict: the configuration was changed in the meantime
+  4  unavailable: no daemon could be reached, or the daemon's store could not
   5  a check found faults`
 
 // Error is an error with an exit code.
@@ -41,7 +41,7 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Err.Error() }
 
-// Unwrap gives the underlying error.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
 // Errorf returns an error with an exit code.
@@ -49,7 +49,7 @@
 	return &Error{Code: code, Err: fmt.Errorf(format, args...)}
 }
 
-// Wrap gives an error an exit code; nil stays nil.
+// Wrap returns err with an exit code, or nil if err is nil.
 func Wrap(code int, err error) error {
 	if err == nil {
 		return nil
--- a/cmd/internal/cli/fleetcmd/logs.go
+++ b/cmd/internal/cli/fleetcmd/logs.go
@@ -12,7 +12,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/logstory"
 )
 
-// explainLogs tells a request's story from log lines.
+// explainFromLogs prints what the log lines of the daemons show about a request.
 func explainFromLogs(cmd *cobra.Command, opts *common.Options, args []string, path string) error {
 	if args[0] != "request" {
 		return exit.Errorf(exit.Usage, "--logs explains requests, not a %s", args[0])
@@ -28,7 +28,7 @@
 	rows := output.Rows{Header: []string{"AT", "DAEMON", "EVENT", "TEXT"}}
 	addLines(&rows, story.Own)
 	if len(story.Beside) > 0 {
-		rows.Add("", "", "", "beside it:")
+		rows.Add("", "", "", "related lines:")
 		addLines(&rows, story.Beside)
 	}
 	if err := output.Print(cmd.OutOrStdout(), opts.Output, story, rows); err != nil {
--- a/cmd/internal/cli/fleetcmd/quarantine.go
+++ b/cmd/internal/cli/fleetcmd/quarantine.go
@@ -14,13 +14,14 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// Quarantine returns the commands about requests that crash endpoints.
+// Quarantine returns the commands for the quarantine of requests that crash
+// endpoints.
 func Quarantine(opts *common.Options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "quarantine",
 		Short: "List and lift quarantines of requests that crash endpoints",
-		Long: `A request that crashes each endpoint that runs it is told by its fingerprint
-of team and content, and refused until its quarantine expires or is lifted.`,
+		Long: `A request that crashes the endpoints that run it is identified by a fingerprint
+of its team and content, and refused until its quarantine expires or is lifted.`,
 		Example: "  samphirequay quarantine list",
 		Args:    common.Args(cobra.NoArgs),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
@@ -34,7 +35,7 @@
 	return &cobra.Command{
 		Use:     "list",
 		Short:   "List the quarantined fingerprints",
-		Long:    "List the quarantined fingerprints with their team, the crashes they caused and the time to their expiry.",
+		Long:    "List the quarantined fingerprints with their team, the crashes they caused and the time until they expire.",
 		Example: "  samphirequay quarantine list --output json",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -60,8 +61,8 @@
 	cmd := &cobra.Command{
 		Use:   "lift SERVICE FINGERPRINT|all",
 		Short: "Lift a quarantine",
-		Long: `Lift the quarantine of a fingerprint, or of all, at a service. It is a label
-on the service, ` + live.LabelLiftQuarantine + `; take the label off again with
+		Long: `Lift the quarantine of one fingerprint, or of all, at a service. This sets the
+label ` + live.LabelLiftQuarantine + ` on the service; remove the label with
 "samphirequay label service SERVICE ` + live.LabelLiftQuarantine + `-".`,
 		Example: "  samphirequay quarantine lift document-summariser 5f1c0e77",
 		Args:    common.Args(cobra.ExactArgs(2)),
--- a/cmd/internal/cli/fleetcmd/status.go
+++ b/cmd/internal/cli/fleetcmd/status.go
@@ -1,4 +1,4 @@
-// Package fleetcmd holds the commands about the running fleet: its status,
+// Package fleetcmd holds the commands for the running fleet: its status,
 // explanations of its decisions, the quarantine and planned stops.
 package fleetcmd
 
@@ -14,13 +14,13 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// Status returns the command that shows the fleet on one screen.
+// Status returns the command that shows the state of the fleet.
 func Status(opts *common.Options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show the fleet on one screen",
+		Short: "Show the state of the fleet on one screen",
 		Long: `Show the fleet as one daemon sees it: hosts, pools, teams and leases, the
-configuration's revision, and whether the store answers.`,
+revision of the configuration, and whether the store is reachable.`,
 		Example: "  samphirequay status --operators 127.0.0.1:7102",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-// printStatus writes the screen.
+// printStatus writes the status as tables.
 func printStatus(w io.Writer, s opapi.Status) error {
 	store := "up"
 	if !s.StoreUp {
--- a/cmd/internal/cli/fleetcmd/stop.go
+++ b/cmd/internal/cli/fleetcmd/stop.go
@@ -7,7 +7,7 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/cli/output"
 )
 
-// stopAnswer is the JSON result of stop.
+// stopResult is the JSON result of stop.
 type stopResult struct {
 	Daemon   string `json:"daemon"`
 	Stopping bool   `json:"stopping"`
@@ -18,10 +18,10 @@
 	cmd := &cobra.Command{
 		Use:   "stop",
 		Short: "Begin a planned stop of one daemon",
-		Long: `Begin a planned stop of the daemon that --operators names; it must be one
-address. The daemon leaves the entry answers, serves those who still hold its
-address, finishes its streams, hands over its leases and ends. It interrupts no
-request. The command returns once the stop has begun.`,
+		Long: `Begin a planned stop of the daemon at --operators, which must be one address.
+The daemon is removed from the entry answers, still serves callers that hold its
+address, finishes its streams, hands over its leases and exits. No request is
+interrupted. The command returns once the stop has begun.`,
 		Example: "  samphirequay stop --operators 127.0.0.1:7102",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/internal/cli/itemcmd/items.go
+++ b/cmd/internal/cli/itemcmd/items.go
@@ -17,12 +17,12 @@
 	"github.com/samphirequay/samphirequay/daemon/opapi"
 )
 
-// about says what each kind is.
+// kindDescriptions describes each kind of item.
 var kindDescriptions = map[live.Kind]string{
 	live.KindTeam:     "A team is a party that sends requests and trusts no other team.",
-	live.KindService:  "A service is what callers name in a request: a model or a plain service.",
+	live.KindService:  "A service is the target that callers name in a request: a model or a plain service.",
 	live.KindPool:     "A pool is a set of endpoints chosen by their labels.",
-	live.KindEndpoint: "An endpoint is one engine or plain server. Operators steer it by its labels.",
+	live.KindEndpoint: "An endpoint is one engine or plain server. Operators control it through its labels.",
 	live.KindLink:     "A link is a rate-limited path between two failure domains.",
 }
 
@@ -56,7 +56,7 @@
 	return &cobra.Command{
 		Use:     "list",
 		Short:   fmt.Sprintf("List all %ss", kind),
-		Long:    fmt.Sprintf("List all %ss of the newest configuration that the daemon has.", kind),
+		Long:    fmt.Sprintf("List all %ss of the newest configuration at the daemon.", kind),
 		Example: fmt.Sprintf("  samphirequay %s list --output json", kind),
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -78,7 +78,7 @@
 	return &cobra.Command{
 		Use:     "get NAME",
 		Short:   fmt.Sprintf("Read one %s", kind),
-		Long:    fmt.Sprintf("Read one %s of the newest configuration that the daemon has.", kind),
+		Long:    fmt.Sprintf("Read one %s of the newest configuration at the daemon.", kind),
 		Example: fmt.Sprintf("  samphirequay %s get NAME --output json > item.json", kind),
 		Args:    common.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -100,7 +100,7 @@
 		Use:   "put FILE",
 		Short: fmt.Sprintf("Create or replace one %s", kind),
 		Long: fmt.Sprintf("Create or replace one %s from a file of JSON with comments; - is the standard input.\n"+
-			"The item's name is in the file. Fields that are left out get their defaults.", kind),
+			"The item's name is in the file. Missing fields get their defaults.", kind),
 		Example: fmt.Sprintf("  samphirequay %s put item.json", kind),
 		Args:    common.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -140,7 +140,7 @@
 	return &cobra.Command{
 		Use:     "delete NAME",
 		Short:   fmt.Sprintf("Delete one %s", kind),
-		Long:    fmt.Sprintf("Delete one %s. It is refused while other items refer to it.", kind),
+		Long:    fmt.Sprintf("Delete one %s. The change is rejected while other items refer to it.", kind),
 		Example: fmt.Sprintf("  samphirequay %s delete NAME", kind),
 		Args:    common.Args(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -158,7 +158,7 @@
 	return client.Config(cmd.Context(), 0)
 }
 
-// change asks for a change of one step and prints the revision.
+// change submits a change of one step and prints the new revision.
 func change(cmd *cobra.Command, opts *common.Options, op opapi.Op) error {
 	client, err := opts.Client()
 	if err != nil {
--- a/cmd/internal/cli/itemcmd/table.go
+++ b/cmd/internal/cli/itemcmd/table.go
@@ -9,7 +9,7 @@
 	"github.com/samphirequay/samphirequay/core/live"
 )
 
-// headers are the columns of each kind.
+// headers lists the table columns of each kind.
 var headers = map[live.Kind][]string{
 	live.KindTeam:     {"NAME", "WEIGHT", "IN-FLIGHT", "LIMIT", "KEYS", "LABELS"},
 	live.KindService:  {"NAME", "TYPE", "POOL", "FIRST-MS", "PACE-MS", "TEAMS", "LABELS"},
@@ -18,7 +18,7 @@
 	live.KindLink:     {"NAME", "FROM", "TO", "MB/S"},
 }
 
-// table lays out items of one kind.
+// table returns items of one kind as table rows.
 func table(kind live.Kind, items []document.Item) output.Rows {
 	rows := output.Rows{Header: headers[kind]}
 	for _, item := range items {
@@ -44,7 +44,7 @@
 	}
 }
 
-// limit shows a team's limit as RATE+BURST, in tokens or requests.
+// formatLimit formats a team's limit as RATE+BURST, in tokens or requests.
 func formatLimit(t *live.Team) string {
 	if !t.Limit().Limited() {
 		return "-"
--- a/cmd/internal/cli/loadcmd/load.go
+++ b/cmd/internal/cli/loadcmd/load.go
@@ -16,10 +16,10 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/load"
 )
 
-// EnvTeamKey is the environment variable with the team's key.
+// EnvTeamKey is the environment variable that holds the team's key.
 const EnvTeamKey = "SAMPHIREQUAY_TEAM_KEY"
 
-// flags of the command.
+// flags are the flags of the command.
 type flags struct {
 	entry      []string
 	profile    string
@@ -37,17 +37,17 @@
 	noCheck    bool
 }
 
-// Command returns the command.
+// Command returns the command that sends load.
 func Command(opts *common.Options) *cobra.Command {
 	var f flags
 	cmd := &cobra.Command{
 		Use:   "load",
 		Short: "Send load to a running fleet and measure the answers",
-		Long: `Send requests that arrive at a rate whether or not earlier ones were answered,
-follow the entry answer as a caller does, and check every answer: whole, lost,
-doubled or wrong. The answers are compared with what the stand-in engines
-answer; give --no-check against other engines. The exit code is 5 if an answer
-was lost, doubled or wrong.`,
+		Long: `Send requests at a given arrival rate, whether or not earlier requests were
+answered, follow the entry answer as a caller does, and check every answer:
+whole, lost, doubled or wrong. The answers are compared with those of the
+stand-in engines; use --no-check with other engines. The exit code is 5 if an
+answer was lost, doubled or wrong.`,
 		Example: "  samphirequay load --entry 127.0.0.1:7101 --profile bunker --rate 50 --duration 10s --seed 1",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -70,21 +70,21 @@
 	fs := cmd.Flags()
 	fs.StringSliceVar(&f.entry, "entry", nil, "callers' addresses of daemons, host:port[,host:port]")
 	fs.StringVar(&f.profile, "profile", load.ProfileBunker, "profile of the requests: bunker or companeros")
-	fs.StringVar(&f.team, "team", "load", "name of the team, for the account")
+	fs.StringVar(&f.team, "team", "load", "name of the team in the results")
 	fs.StringVar(&f.key, "team-key", "", "the team's bearer key (better: $"+EnvTeamKey+")")
 	fs.StringVar(&f.behaviour, "behaviour", string(load.BehaviourNormal), "normal, flood, cancel or retry")
-	fs.Float64Var(&f.rate, "rate", 20, "arrivals a second")
-	fs.DurationVar(&f.duration, "duration", 10*time.Second, "how long requests arrive")
-	fs.IntVar(&f.requests, "requests", 0, "end after so many arrivals, whatever the duration")
-	fs.DurationVar(&f.warmup, "warmup", 0, "leave out of the account what arrives before")
-	fs.Uint64Var(&f.seed, "seed", 1, "seed of arrivals, prompts and idempotency keys; a fleet that has seen a seed replays its keyed calls")
+	fs.Float64Var(&f.rate, "rate", 20, "arrivals per second")
+	fs.DurationVar(&f.duration, "duration", 10*time.Second, "time during which requests arrive")
+	fs.IntVar(&f.requests, "requests", 0, "stop after this number of arrivals, whatever the duration")
+	fs.DurationVar(&f.warmup, "warmup", 0, "leave requests that arrive in this time out of the results")
+	fs.Uint64Var(&f.seed, "seed", 1, "seed of arrivals, prompts and idempotency keys; a fleet that served the same seed before replays its keyed calls")
 	fs.DurationVar(&f.firstToken, "first-token-target", load.DefaultFirstTokenTarget, "target for the first token")
 	fs.DurationVar(&f.pace, "pace-target", load.DefaultPaceTarget, "target for the mean time between tokens")
 	fs.Float64Var(&f.plainShare, "plain-share", -1, "share of calls to the plain service, 0 to 1; default: the profile's")
-	fs.BoolVar(&f.noCheck, "no-check", false, "don't compare the answers with the stand-ins'")
+	fs.BoolVar(&f.noCheck, "no-check", false, "don't compare the answers with those of the stand-ins")
 }
 
-// spec turns the flags into a run of load.
+// spec returns the load that the flags describe.
 func (f *flags) spec() (load.Spec, error) {
 	profile, err := load.ProfileByName(f.profile)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return spec, spec.Validate()
 }
 
-// report prints the account and turns faults into an exit code.
+// report prints the results and returns an error if answers have faults.
 func report(cmd *cobra.Command, opts *common.Options, res *load.Result) error {
 	rows := output.Rows{}
 	rows.Add(strings.TrimSpace(res.Line()))
--- a/cmd/internal/cli/operator/calls.go
+++ b/cmd/internal/cli/operator/calls.go
@@ -25,9 +25,9 @@
 	return &doc, nil
 }
 
-// Change asks for one change; expect is the revision it was made against, or
-// 0. The empty id makes a new one. A change that is sent again under its id is
-// accepted once.
+// Change submits one change. Its Expect is the revision that the change is based
+// on, or 0 for any. If its ID is empty, a new one is made. A change that is sent
+// again with the same ID is accepted once.
 func (c *Client) Change(ctx context.Context, req opapi.ChangeRequest) (opapi.ChangeAnswer, error) {
 	if req.ID == "" {
 		req.ID = ulid.Make().String()
@@ -40,7 +40,7 @@
 	return answer, nil
 }
 
-// History lists accepted changes behind a revision.
+// History lists the accepted changes after a revision.
 func (c *Client) History(ctx context.Context, after uint64, limit int) (opapi.History, error) {
 	query := url.Values{}
 	query.Set("after", strconv.FormatUint(after, 10))
@@ -50,14 +50,14 @@
 	return h, err
 }
 
-// Status reads one screen about the fleet.
+// Status reads the status of the fleet.
 func (c *Client) Status(ctx context.Context) (opapi.Status, error) {
 	var s opapi.Status
 	err := c.Get(ctx, opapi.PathStatus, nil, &s)
 	return s, err
 }
 
-// Explain reads the recorded decisions about one thing.
+// Explain reads the recorded decisions about one object.
 func (c *Client) Explain(ctx context.Context, kind, id string) (opapi.Explanation, error) {
 	var e opapi.Explanation
 	err := c.Get(ctx, opapi.PathExplain, url.Values{"kind": {kind}, "id": {id}}, &e)
--- a/cmd/internal/cli/output/output.go
+++ b/cmd/internal/cli/output/output.go
@@ -10,13 +10,13 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/cli/exit"
 )
 
-// The formats.
+// The output formats.
 const (
 	Table = "table"
 	JSON  = "json"
 )
 
-// Check refuses an unknown format.
+// CheckFormat returns an error for an unknown format.
 func CheckFormat(format string) error {
 	if format == Table || format == JSON {
 		return nil
@@ -24,7 +24,7 @@
 	return exit.Errorf(exit.Usage, "--output %q: must be %s or %s", format, Table, JSON)
 }
 
-// Rows is a table: a header and its rows.
+// Rows is a table of rows with an optional header.
 type Rows struct {
 	Header []string
 	Rows   [][]string
--- a/cmd/internal/cli/root/fake_test.go
+++ b/cmd/internal/cli/root/fake_test.go
@@ -16,7 +16,7 @@
 
 const testKey = "the-operators-key"
 
-// fakeDaemon is a daemon's operators' interface.
+// fakeDaemon serves the operator API of a daemon.
 type fakeDaemon struct {
 	*httptest.Server
 	doc live.Document
@@ -41,7 +41,8 @@
 
 func (f *fakeDaemon) address() string { return f.Listener.Addr().String() }
 
-// refuse makes the next n changes fail with a status; n below 0 is all.
+// failChanges makes the next n changes fail with a status; if n is negative, all
+// changes fail.
 func (f *fakeDaemon) failChanges(status, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,13 +88,13 @@
 	_ = json.NewEncoder(w).Encode(opapi.ErrorBody{Error: opapi.ErrorDetail{Message: message, Code: verdict.CodeConflict}})
 }
 
-// result is what a command came to.
+// result is the exit code and the output of a command.
 type result struct {
 	code           int
 	stdout, stderr string
 }
 
-// runCommand runs the command line with a standard input.
+// runCommand runs the command with a standard input and arguments.
 func runCommand(stdin string, args ...string) result {
 	var out, errs bytes.Buffer
 	code := Main(args, strings.NewReader(stdin), &out, &errs)
--- a/cmd/internal/cli/root/root.go
+++ b/cmd/internal/cli/root/root.go
@@ -1,4 +1,4 @@
-// Package root assembles the samphirequay command.
+// Package root builds the samphirequay command.
 package root
 
 import (
@@ -68,7 +68,7 @@
 	return &cobra.Command{
 		Use:     "version",
 		Short:   "Print the version",
-		Long:    "Print the version and the revision of the source it was built from.",
+		Long:    "Print the version and the source revision of this build.",
 		Example: "  samphirequay version --output json",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -81,7 +81,7 @@
 }
 
 // Main runs the command and returns its exit code. A second interrupt ends the
-// process at once.
+// process immediately.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -99,7 +99,8 @@
 	return codeOf(err)
 }
 
-// codeOf gives cobra's own complaint about an unknown command its exit code.
+// codeOf returns the exit code of an error. Cobra's error for an unknown command
+// has no code, so it is recognized by its text.
 func codeOf(err error) int {
 	if strings.HasPrefix(err.Error(), "unknown command ") {
 		return exit.Usage
@@ -107,7 +108,7 @@
 	return exit.Code(err)
 }
 
-// oneLine keeps an error on one line.
+// oneLine returns the text of an error on one line.
 func oneLine(err error) string {
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
--- a/cmd/internal/cli/soakcmd/soak.go
+++ b/cmd/internal/cli/soakcmd/soak.go
@@ -1,4 +1,5 @@
-// Package soakcmd holds the command that soaks daemons in faults.
+// Package soakcmd holds the command that runs soak tests of daemons with
+// injected faults.
 package soakcmd
 
 import (
@@ -11,23 +12,24 @@
 	"github.com/samphirequay/samphirequay/cmd/internal/soak"
 )
 
-// Defaults of a run: a few dozen processes are for several runs at once.
+// Defaults of a run. They are small enough that several runs together take only a
+// few dozen processes.
 const (
 	defaultDaemons = 5
 	defaultCallers = 16
 	defaultLength  = 15 * time.Second
 )
 
-// Command returns the command.
+// Command returns the command that runs a soak test.
 func Command(*common.Options) *cobra.Command {
 	var cfg soak.Config
 	cmd := &cobra.Command{
 		Use:   "soak --dir DIR",
-		Short: "Inject faults into daemons and check what they promise",
-		Long: `Runs stand-ins of the platform, callers and proxies, and injects faults into
-daemons that scripts/soak.sh starts and starts again: DIR connects the two. What
-callers and runners see is checked against the promises. The exit code is 5 if
-one was broken.`,
+		Short: "Inject faults into daemons and check their guarantees",
+		Long: `Run stand-ins of the platform, callers and proxies, and inject faults into
+daemons that scripts/soak.sh starts and restarts. The script and this command
+exchange files in DIR. The results that callers and runners see are checked
+against the guarantees of the daemons. The exit code is 5 if one was broken.`,
 		Example: "  scripts/soak.sh 1 2 3",
 		Args:    common.Args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,7 +44,7 @@
 	fs.StringVar(&cfg.Dir, "dir", "", "folder shared with the script")
 	fs.Uint64Var(&cfg.Seed, "seed", 1, "seed of the faults and requests")
 	fs.IntVar(&cfg.Daemons, "daemons", defaultDaemons, "number of daemons")
-	fs.IntVar(&cfg.Callers, "callers", defaultCallers, "callers that send at once")
-	fs.DurationVar(&cfg.Length, "length", defaultLength, "for how long faults are injected")
+	fs.IntVar(&cfg.Callers, "callers", defaultCallers, "number of concurrent callers")
+	fs.DurationVar(&cfg.Length, "length", defaultLength, "time during which faults are injected")
 	return cmd
 }
--- a/cmd/internal/cli/strict/strict.go
+++ b/cmd/internal/cli/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads JSON with comments and tells, with file and line, what
-// is wrong with it: broken syntax, unknown fields and wrong types.
+// Package strict decodes JSON with comments and reports syntax errors, unknown
+// fields, duplicate fields and wrong types with their file and line.
 package strict
 
 import (
@@ -22,14 +22,14 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Message) }
 
-// Decode reads text, the content of file, into out, which must be a pointer.
+// Decode decodes text, the content of file, into out, which must be a pointer.
 func Decode(file string, text []byte, out any) error {
 	value, err := hujson.Parse(text)
 	if err != nil {
 		return syntaxError(file, err)
 	}
-	w := fieldChecker{file: file, text: text}
-	if err := w.checkValue(&value, reflect.TypeOf(out).Elem(), ""); err != nil {
+	c := fieldChecker{file: file, text: text}
+	if err := c.checkValue(&value, reflect.TypeOf(out).Elem(), ""); err != nil {
 		return err
 	}
 	value.Standardize()
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// syntaxError turns hujson's message, which begins with the line, into ours.
+// syntaxError converts an error of hujson, whose message begins with the line,
+// into an Error.
 func syntaxError(file string, err error) error {
 	var line, column int
 	message := strings.TrimPrefix(err.Error(), "hujson: ")
@@ -50,36 +51,36 @@
 	return &Error{File: file, Line: max(line, 1), Message: message}
 }
 
-// decodeError finds the line of a value of the wrong type. Standardizing keeps
-// every offset.
+// decodeError converts an error of encoding/json into an Error with the line of
+// the value. Standardizing the text keeps every offset.
 func decodeError(file string, text []byte, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		what := fmt.Sprintf("field %q: a %s does not fit, want %s", wrongType.Field, wrongType.Value, wrongType.Type)
-		return &Error{File: file, Line: lineAt(text, int(wrongType.Offset)), Message: what}
+		message := fmt.Sprintf("field %q: got %s, want %s", wrongType.Field, wrongType.Value, wrongType.Type)
+		return &Error{File: file, Line: lineAt(text, int(wrongType.Offset)), Message: message}
 	}
 	return &Error{File: file, Line: 1, Message: err.Error()}
 }
 
-// walker checks the names of a value's fields against a Go type.
+// fieldChecker checks the field names of a value against a Go type.
 type fieldChecker struct {
 	file string
 	text []byte
 }
 
-func (w fieldChecker) checkValue(v *hujson.Value, t reflect.Type, path string) error {
+func (c fieldChecker) checkValue(v *hujson.Value, t reflect.Type, path string) error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	switch value := v.Value.(type) {
 	case *hujson.Object:
-		return w.checkObject(value, t, path)
+		return c.checkObject(value, t, path)
 	case *hujson.Array:
 		if t.Kind() != reflect.Slice {
 			return nil
 		}
 		for i := range value.Elements {
-			if err := w.checkValue(&value.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+			if err := c.checkValue(&value.Elements[i], t.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return err
 			}
 		}
@@ -87,7 +88,7 @@
 	return nil
 }
 
-func (w fieldChecker) checkObject(o *hujson.Object, t reflect.Type, path string) error {
+func (c fieldChecker) checkObject(o *hujson.Object, t reflect.Type, path string) error {
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
@@ -97,21 +98,21 @@
 		name := m.Name.Value.(hujson.Literal).String()
 		field, known := fieldOf(t, name)
 		if !known {
-			return w.fault(m, "unknown field %q%s", name, pathSuffix(path))
+			return c.fault(m, "unknown field %q%s", name, pathSuffix(path))
 		}
 		if seen[name] {
-			return w.fault(m, "field %q%s stands twice", name, pathSuffix(path))
+			return c.fault(m, "duplicate field %q%s", name, pathSuffix(path))
 		}
 		seen[name] = true
-		if err := w.checkValue(&m.Value, field.Type, strings.TrimPrefix(path+"."+name, ".")); err != nil {
+		if err := c.checkValue(&m.Value, field.Type, strings.TrimPrefix(path+"."+name, ".")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w fieldChecker) fault(m *hujson.ObjectMember, format string, args ...any) error {
-	return &Error{File: w.file, Line: lineAt(w.text, m.Name.StartOffset), Message: fmt.Sprintf(format, args...)}
+func (c fieldChecker) fault(m *hujson.ObjectMember, format string, args ...any) error {
+	return &Error{File: c.file, Line: lineAt(c.text, m.Name.StartOffset), Message: fmt.Sprintf(format, args...)}
 }
 
 func pathSuffix(path string) string {
@@ -121,7 +122,7 @@
 	return " in " + path
 }
 
-// fieldOf finds the field of a struct that JSON calls name.
+// fieldOf returns the field of a struct whose JSON name is name.
 func fieldOf(t reflect.Type, name string) (reflect.StructField, bool) {
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -133,7 +134,7 @@
 	return reflect.StructField{}, false
 }
 
-// lineAt counts the lines up to an offset, from 1.
+// lineAt returns the number of the line at an offset, from 1.
 func lineAt(text []byte, offset int) int {
 	offset = min(max(offset, 0), len(text))
 	return 1 + strings.Count(string(text[:offset]), "\n")
