--- a/cmd/internal/cli/common/options.go
+++ b/cmd/internal/cli/common/options.go
@@ -38,7 +38,7 @@
 
 // ConnectionFlags adds the flags of the commands that connect to daemons.
 func (o *Options) ConnectionFlags(flags *pflag.FlagSet) {
-	flags.StringSliceVar(&o.Operators, "operators", nil, "operator addresses of daemons, host:port[,host:port] (or $"+EnvOperators+")")
+	flags.StringSliceVar(&o.Operators, "operators", nil, "operators' addresses of daemons, host:port[,host:port] (or $"+EnvOperators+")")
 	flags.StringVar(&o.Key, "key", "", "operator key (better: $"+EnvKey+", which other users of the host can't see)")
 	flags.StringVar(&o.CA, "ca", "", "PEM file with the CA certificates of the daemons; enables TLS (or $"+EnvCA+")")
 }
--- a/cmd/internal/cli/operator/client.go
+++ b/cmd/internal/cli/operator/client.go
@@ -1,6 +1,6 @@
-// Package operator is the client of the operator API. It tries the daemons in
-// turn: each can answer every request, and a change is safe to send again since
-// it has a unique id.
+// Package operator is the client of the operators' HTTP interface. It tries the
+// daemons in turn: each can answer every request, and a change is safe to send
+// again since it has a unique id.
 package operator
 
 import (
@@ -37,7 +37,7 @@
 
 // Config holds the addresses and credentials for the daemons.
 type Config struct {
-	// Addresses are the host:port addresses of the operator API.
+	// Addresses are the host:port addresses of the operators' HTTP interface.
 	Addresses []string
 	// Key is the operator's bearer key.
 	Key string
--- a/cmd/internal/cli/root/fake_test.go
+++ b/cmd/internal/cli/root/fake_test.go
@@ -16,7 +16,7 @@
 
 const testKey = "the-operators-key"
 
-// fakeDaemon serves the operator API of a daemon.
+// fakeDaemon serves the operators' HTTP interface of a daemon.
 type fakeDaemon struct {
 	*httptest.Server
 	doc live.Document
